--- a/cmd/stoatdale/main.go
+++ b/cmd/stoatdale/main.go
@@ -29,8 +29,8 @@
 		return err
 	}
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(start.Limits.Memory / 4 * 3) // the rest is for what the run time does not count
-	signal.Ignore(syscall.SIGPIPE)                    // a log that nobody reads any more must not end the router,
+	debug.SetMemoryLimit(start.Limits.Sizes.Memory / 4 * 3) // the rest is for what the run time does not count
+	signal.Ignore(syscall.SIGPIPE)                          // a log that nobody reads any more must not end the router,
 	// nor one that is read slowly hold it up.
 	r, err := service.New(start, zerolog.New(service.Lines(os.Stderr.Fd())).With().Timestamp().Logger())
 	if err != nil {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -104,7 +104,7 @@
 
 // New returns a router that knows the list it had last.
 func New(s *site.Start, l *loop.Loop, blocks *buffer.Pool, c *count.Counters, log zerolog.Logger) *Core {
-	o := &Core{loop: l, told: &s.Told, count: c, log: log, ahead: s.Limits.Ahead, nodes: index.New[string](),
+	o := &Core{loop: l, told: &s.Told, count: c, log: log, ahead: s.Limits.Durations.MaxClockSkew, nodes: index.New[string](),
 		sets: index.New[int](), zones: index.New[string](), cmds: map[uint32]*Command{}, ids: map[string]bool{}}
 	for _, z := range s.Told.Zones {
 		o.zones.At(z)
@@ -112,7 +112,7 @@
 	// Positions count from a while before the start. The module takes a negative one as not told, and rounds
 	// reports by a share of theirs: this is far enough back for any replica worth reading, and near enough that
 	// the rounding stays under a millisecond.
-	o.zeroMs = float64(l.StartedAt().UnixMilli()) - s.Limits.Epoch*1000
+	o.zeroMs = float64(l.StartedAt().UnixMilli()) - s.Limits.Durations.PositionEpoch*1000
 	o.seed = s.Seed
 	o.router = o.fresh()
 	o.hand = hand.New(o.router, o)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -33,7 +33,15 @@
 	s := &site.Start{Known: roster.List{Whole: true, Members: []roster.Member{{ID: "a", Cell: 7, State: roster.Ready}}}}
 	group := router.CommandGroup{Need: router.NeedAny, Target: 1, Timeout: 2, Benefit: 1}
 	s.Told.Site = router.Site{Groups: []router.CommandGroup{group}, Routers: 1, Tries: 4, Tick: 0.005, Ask: true, Cancel: true}
-	s.Limits = site.Limits{Epoch: 3600, Members: 8, Dial: 1, Probe: 1, Late: 1, Pause: 1, LongPause: 1, Watch: 1}
+	s.Limits = site.Limits{
+		Counts: site.Counts{
+			BackendConnections: 8,
+		},
+		Durations: site.Durations{
+			PositionEpoch: 3600, ConnectTimeout: 1, HealthCheckTimeout: 1, SilenceTimeout: 1, MinBackoff: 1, MaxBackoff: 1,
+			LongPollHold: 1,
+		},
+	}
 	s.Discovery = s.Known.Members[0].At
 	blocks := buffer.NewPool(64, 1000)
 	o := New(s, l, blocks, &count.Counters{TakenByGroup: make([]uint64, 1)}, zerolog.Nop())
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -48,7 +48,7 @@
 func New(l loop.Wire, limits *site.Limits, at netip.AddrPort, onAsk bool, blocks *buffer.Pool, sink Sink,
 	log zerolog.Logger) *Watch {
 	w := &Watch{loop: l, limits: limits, at: at, sink: sink, log: log, onAsk: onAsk, fd: -1,
-		in: blocks.New(), out: blocks.New(), generation: -1, pause: limits.Pause}
+		in: blocks.New(), out: blocks.New(), generation: -1, pause: limits.Durations.MinBackoff}
 	w.timer = loop.NewTimer(w.due)
 	return w
 }
@@ -69,7 +69,7 @@
 		return
 	}
 	w.fd, w.up = fd, false
-	w.loop.Set(w.timer, w.loop.Now()+w.limits.Late)
+	w.loop.Set(w.timer, w.loop.Now()+w.limits.Durations.SilenceTimeout)
 }
 
 // Move turns to another address: it is called at once for the whole list, whatever pause failures of the old
@@ -77,7 +77,7 @@
 func (w *Watch) Move(at netip.AddrPort) {
 	w.at = at
 	w.hangUp()
-	w.generation, w.pause = -1, w.limits.Pause
+	w.generation, w.pause = -1, w.limits.Durations.MinBackoff
 	w.Ask()
 }
 
@@ -114,7 +114,7 @@
 	w.generation = -1
 	if !w.onAsk {
 		w.loop.Set(w.timer, w.loop.Now()+w.pause)
-		w.pause = min(2*w.pause, w.limits.LongPause)
+		w.pause = min(2*w.pause, w.limits.Durations.MaxBackoff)
 	}
 	w.sink.ListFailed()
 }
@@ -140,10 +140,10 @@
 
 // call asks for the whole list, or waits for what comes after the last.
 func (w *Watch) call() {
-	p, wait := path, w.limits.Late
+	p, wait := path, w.limits.Durations.SilenceTimeout
 	if w.generation >= 0 {
-		p += fmt.Sprintf("?from=%d&hold_ms=%d", w.generation, int(w.limits.Watch*1000))
-		wait += w.limits.Watch
+		p += fmt.Sprintf("?from=%d&hold_ms=%d", w.generation, int(w.limits.Durations.LongPollHold*1000))
+		wait += w.limits.Durations.LongPollHold
 	}
 	w.out.Write([]byte(http1.Get(w.at.String(), p)))
 	w.loop.Set(w.timer, w.loop.Now()+wait)
@@ -159,14 +159,14 @@
 }
 
 func (w *Watch) read() {
-	got, err := w.loop.Read(w.fd, &w.in, w.limits.Read)
+	got, err := w.loop.Read(w.fd, &w.in, w.limits.Sizes.ReadPerTurn)
 	if now := w.loop.Now(); got > 0 { // a reply has begun: it must go on, and not for good
 		if w.until == 0 {
-			w.until = now + w.limits.Reply
+			w.until = now + w.limits.Durations.ReplyTimeout
 		}
-		w.loop.Set(w.timer, min(w.until, now+w.limits.Late))
+		w.loop.Set(w.timer, min(w.until, now+w.limits.Durations.SilenceTimeout))
 	}
-	whole, bad := w.reply.Take(&w.in, w.limits.Page, w.limits.Line)
+	whole, bad := w.reply.Take(&w.in, w.limits.Sizes.DiscoveryReply, w.limits.Sizes.DiscoveryLine)
 	whole = whole || bad == nil && errors.Is(err, loop.ErrEnded) && w.reply.End() // a reset ends no reply
 	switch {
 	case bad != nil:
@@ -196,7 +196,7 @@
 		w.fail(fmt.Errorf("changes up to %d after %d", list.Generation, w.generation))
 		return
 	}
-	w.generation, w.pause = list.Generation, w.limits.Pause
+	w.generation, w.pause = list.Generation, w.limits.Durations.MinBackoff
 	w.sink.Listed(list)
 	if ended || reply.Close || w.in.Len() > 0 {
 		w.hangUp()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -80,7 +80,14 @@
 	}()
 	w.l, err = loop.New(16)
 	require.NoError(t, err)
-	limits := &site.Limits{Read: 1 << 16, Page: 1 << 16, Line: 1 << 10, Watch: 60, Late: 0.2, Reply: 60, Pause: 0.01, LongPause: 0.02}
+	limits := &site.Limits{
+		Sizes: site.Sizes{
+			ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10,
+		},
+		Durations: site.Durations{
+			LongPollHold: 60, SilenceTimeout: 0.2, ReplyTimeout: 60, MinBackoff: 0.01, MaxBackoff: 0.02,
+		},
+	}
 	w.w = New(w.l, limits, netip.MustParseAddrPort(n.Addr().String()), onAsk, buffer.NewPool(16, 1000), w, zerolog.Nop())
 	return w
 }
@@ -135,7 +142,7 @@
 	begun := strings.SplitAfter(list(6, false), "{")[0]
 	for what, limits := range map[string]struct{ late, reply float64 }{"stops": {0.05, 60}, "goes on": {60, 0.05}} {
 		w := newWatcher(t, false, list(5, true), begun, list(7, true))
-		w.w.limits.Late, w.w.limits.Reply = limits.late, limits.reply
+		w.w.limits.Durations.SilenceTimeout, w.w.limits.Durations.ReplyTimeout = limits.late, limits.reply
 		w.w.Ask()
 		assert.Equal(t, []string{"5 true", "failed", "7 true"}, w.run(t, 3), what)
 	}
@@ -183,7 +190,7 @@
 func TestMoveCallsTheNewAddressAtOnce(t *testing.T) {
 	w := newWatcher(t, false, list(5, true), list(4, true), list(4, true))
 	there := w.w.at
-	w.w.limits.Pause, w.w.limits.LongPause, w.w.limits.Late = 60, 60, 60
+	w.w.limits.Durations.MinBackoff, w.w.limits.Durations.MaxBackoff, w.w.limits.Durations.SilenceTimeout = 60, 60, 60
 	w.w.at = netip.MustParseAddrPort("127.0.0.1:1")
 	w.w.Ask()
 	assert.Equal(t, []string{"failed"}, w.run(t, 1))
--- a/internal/fleet/revision/revision.go
+++ b/internal/fleet/revision/revision.go
@@ -190,7 +190,9 @@
 
 // Drain is how long a router may take to end once it is told to: the longest that a command in hand may wait,
 // and a grace, in seconds.
-func Drain(s *site.Start, grace float64) float64 { return s.Limits.Wait + s.Limits.Linger + grace }
+func Drain(s *site.Start, grace float64) float64 {
+	return s.Limits.Durations.MaxClientTimeout + s.Limits.Durations.AcceptLinger + grace
+}
 
 // Change is one difference between two revisions.
 type Change struct {
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -178,20 +178,20 @@
 			d.run(func() bool { return d.count.Dialled == 1 })
 			return c
 		}, nil, 1},
-		"with half of its statement written": {func(l *site.Limits) { l.Message = 64 << 20; l.Read = 64 << 20 },
+		"with half of its statement written": {func(l *site.Limits) { l.Sizes.ClientMessage = 64 << 20; l.Sizes.ReadPerTurn = 64 << 20 },
 			func(s *stand) { s.takes = make(chan struct{}) }, func(d *desk, s *stand) net.Conn {
 				c, _ := d.client()
 				go func() { _, _ = c.Write(hello(huge("a1"))) }()
 				d.run(s.read(func() bool { return s.first == 1 }))
 				return c
 			}, nil, 1},
-		"behind a full pipeline": {func(l *site.Limits) { l.Pipeline = 2 }, func(*stand) {}, func(d *desk, s *stand) net.Conn {
+		"behind a full pipeline": {func(l *site.Limits) { l.Counts.PipelinedCommands = 2 }, func(*stand) {}, func(d *desk, s *stand) net.Conn {
 			d.list(roster.Draining)
 			c, _ := d.client(hello(wait("a1"), wait("a2"), wait("a3"), wait("a4")))
 			d.run(d.taken(2))
 			return c
 		}, nil, 2},
-		"unread with bytes before its end": {func(l *site.Limits) { l.Pipeline = 1; l.Read = 4096 }, func(*stand) {}, func(d *desk, s *stand) net.Conn {
+		"unread with bytes before its end": {func(l *site.Limits) { l.Counts.PipelinedCommands = 1; l.Sizes.ReadPerTurn = 4096 }, func(*stand) {}, func(d *desk, s *stand) net.Conn {
 			d.list(roster.Draining)
 			var all []byte
 			for i := range 40 {
@@ -207,7 +207,7 @@
 			d.run(func() bool { return d.count.BadInput == 1 })
 			return c
 		}, nil, 1},
-		"with answers that it does not take": {func(l *site.Limits) { l.Unsent = 4096; l.Faults = 1 << 30 }, func(*stand) {}, func(d *desk, s *stand) net.Conn {
+		"with answers that it does not take": {func(l *site.Limits) { l.Sizes.UnsentAnswers = 4096; l.Counts.InvalidQueries = 1 << 30 }, func(*stand) {}, func(d *desk, s *stand) net.Conn {
 			d.list(roster.Draining)
 			c, err := net.Dial("tcp", d.f.At.String()) // which reads nothing
 			require.NoError(d.t, err)
@@ -222,7 +222,7 @@
 			})
 			return c
 		}, nil, 0},
-		"unread for want of buffers": {func(l *site.Limits) { l.Blocks = 1 << 10 }, func(*stand) {}, func(d *desk, s *stand) net.Conn {
+		"unread for want of buffers": {func(l *site.Limits) { l.Counts.BufferBlocks = 1 << 10 }, func(*stand) {}, func(d *desk, s *stand) net.Conn {
 			d.list(roster.Draining)
 			c, _ := d.client(hello(wait("a1")))
 			d.run(d.taken(1))
@@ -234,7 +234,7 @@
 			go func() { <-s.done; d.l.Post(hoard.Free) }()
 			return c
 		}, nil, 1},
-		"while the router drains": {func(l *site.Limits) { l.LastCall = 0 }, func(*stand) {}, func(d *desk, s *stand) net.Conn {
+		"while the router drains": {func(l *site.Limits) { l.Durations.DrainDeadline = 0 }, func(*stand) {}, func(d *desk, s *stand) net.Conn {
 			d.list(roster.Draining)
 			c, _ := d.client(hello(wait("a1")))
 			other, err := net.Dial("tcp", d.f.At.String()) // for the command that comes after, taken before the end
@@ -248,7 +248,7 @@
 	} {
 		for how, linger := range map[string]int{"closes": -1, "resets": 0} {
 			t.Run(what+", "+how, func(t *testing.T) {
-				d := newDesk(t, func(l *site.Limits) { l.LastCall = 100; w.limits(l) })
+				d := newDesk(t, func(l *site.Limits) { l.Durations.DrainDeadline = 100; w.limits(l) })
 				s := d.stand(w.member)
 				c := w.waits(d, s)
 				_ = c.(*net.TCPConn).SetLinger(linger)
@@ -352,7 +352,7 @@
 
 // ends is a desk whose last call does not end within a test.
 func ends(t *testing.T, change func(*site.Limits)) *desk {
-	return newDesk(t, func(l *site.Limits) { l.LastCall = 100; change(l) })
+	return newDesk(t, func(l *site.Limits) { l.Durations.DrainDeadline = 100; change(l) })
 }
 
 // A client whose connection was accepted just before the end has not said anything yet: it is heard until the last
@@ -386,7 +386,7 @@
 	for what, first := range map[string][]byte{"nothing": nil, "half of the start-up": pg.Hello(nil)[:11], "the start-up": pg.Hello(nil),
 		"half of the query": hello(query("a1", "c=look,d=300000")[:20]),
 		"half of the next":  hello(pg.Query(nil, ""), query("a1", "c=look,d=300000")[:20])} {
-		d := newDesk(t, func(l *site.Limits) { l.LastCall = 0.05 })
+		d := newDesk(t, func(l *site.Limits) { l.Durations.DrainDeadline = 0.05 })
 		_, heard := d.client(first)
 		d.run(func() bool { return d.count.Accepted == 1 })
 		d.f.End()
@@ -398,7 +398,7 @@
 // All descriptors are taken by clients that are spared for a moment, and one more waits to be accepted: closing the
 // listener then would reset it.
 func TestClientThatWaitsToBeAcceptedAtTheEndIsServed(t *testing.T) {
-	d := ends(t, func(l *site.Limits) { l.Clients = 2; l.Mute = 0.05 })
+	d := ends(t, func(l *site.Limits) { l.Counts.ClientConnections = 2; l.Durations.ShedGrace = 0.05 })
 	d.client(pg.Hello(nil))
 	d.client(pg.Hello(nil))
 	d.run(func() bool { return d.f.mute.Len() == 2 })
@@ -412,7 +412,11 @@
 
 // Where none makes room the listener is closed at the last call all the same.
 func TestFullRouterEndsAllTheSame(t *testing.T) {
-	d := newDesk(t, func(l *site.Limits) { l.Clients = 1; l.Mute = 0.01; l.LastCall = 0.05 })
+	d := newDesk(t, func(l *site.Limits) {
+		l.Counts.ClientConnections = 1
+		l.Durations.ShedGrace = 0.01
+		l.Durations.DrainDeadline = 0.05
+	})
 	s := d.stand(func(*stand) {})
 	c, _ := d.client(hello(query("a1", "c=look,d=300000")))
 	d.run(s.has(1))
@@ -461,7 +465,7 @@
 // A client that goes on asking before it is answered is read no more after the last call: what was taken is
 // answered and the connection ends, so that what it asks later it may ask elsewhere.
 func TestClientThatPipelinesForGoodIsEnded(t *testing.T) {
-	d := newDesk(t, func(l *site.Limits) { l.LastCall = 0.05; l.Farewell = 0.05 })
+	d := newDesk(t, func(l *site.Limits) { l.Durations.DrainDeadline = 0.05; l.Durations.CloseLinger = 0.05 })
 	say := make(chan struct{})
 	s := d.stand(func(s *stand) { s.answer = func(id string) []byte { <-say; return row(id) } })
 	c, heard := d.client(hello(query("a1", "c=look,d=300000")))
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -66,7 +66,7 @@
 	f.resume = loop.NewTimer(func() { f.listen(true) })
 	f.end = loop.NewTimer(f.endOn)
 	var err error
-	if f.listener, err = l.Listen(at, limits.Backlog); err != nil {
+	if f.listener, err = l.Listen(at, limits.Counts.ListenBacklog); err != nil {
 		return nil, err
 	}
 	if f.At, err = l.Bound(f.listener); err != nil {
@@ -96,13 +96,13 @@
 }
 
 // Ready implements loop.Handler for the listener.
-func (f *Front) Ready(bool, bool) { f.accept(f.limits.Accepts) }
+func (f *Front) Ready(bool, bool) { f.accept(f.limits.Counts.AcceptsPerTurn) }
 
 // accept takes connections in. Where descriptors run out a client that has nothing in hand makes room; with
 // none the listener rests, since it would stay ready and spin the loop.
 func (f *Front) accept(most int) {
 	for range most {
-		many, all := len(f.conns) >= f.limits.Clients, f.loop.Open() >= f.limits.Shared
+		many, all := len(f.conns) >= f.limits.Counts.ClientConnections, f.loop.Open() >= f.limits.Counts.SharedDescriptors
 		if (many || all) && !f.loop.Waiting(f.listener) {
 			return
 		}
@@ -138,7 +138,7 @@
 
 func (f *Front) rest() {
 	f.listen(false)
-	f.loop.Set(f.resume, f.loop.Now()+f.limits.Mute)
+	f.loop.Set(f.resume, f.loop.Now()+f.limits.Durations.ShedGrace)
 }
 
 // shed makes room by one connection: one that was ended, or has not asked for anything since it came, before one
@@ -155,7 +155,7 @@
 func (f *Front) shedFrom(l *list.List) bool {
 	for e := l.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*conn)
-		if f.loop.Now()-c.queuedAt < f.limits.Mute {
+		if f.loop.Now()-c.queuedAt < f.limits.Durations.ShedGrace {
 			return false
 		}
 		if f.loop.Quiet(c.fd) {
@@ -196,7 +196,7 @@
 	if f.lastCall > 0 {
 		return
 	}
-	f.lastCall = f.loop.Now() + f.limits.LastCall
+	f.lastCall = f.loop.Now() + f.limits.Durations.DrainDeadline
 	f.endOn()
 }
 
@@ -205,9 +205,9 @@
 func (f *Front) endOn() {
 	now := f.loop.Now()
 	if !f.ending {
-		f.accept(f.limits.Backlog)
+		f.accept(f.limits.Counts.ListenBacklog)
 		if f.loop.Waiting(f.listener) && now < f.lastCall {
-			f.loop.Set(f.end, math.Min(now+f.limits.Mute, f.lastCall))
+			f.loop.Set(f.end, math.Min(now+f.limits.Durations.ShedGrace, f.lastCall))
 			return
 		}
 		f.ending = true
@@ -293,9 +293,9 @@
 }
 
 func (c *conn) read() {
-	most := c.f.limits.Read
+	most := c.f.limits.Sizes.ReadPerTurn
 	if c.f.blocks.Scarce() && c.state != parting {
-		if most = c.f.limits.Block; c.in.Len() >= most { // short commands are taken all the same
+		if most = c.f.limits.Sizes.BufferBlock; c.in.Len() >= most { // short commands are taken all the same
 			c.pause()
 			return
 		}
@@ -307,7 +307,7 @@
 	got, err := c.f.loop.Read(c.fd, &c.in, most)
 	if c.state == parting {
 		c.in.Free()
-		if c.away += got; c.away > c.f.limits.Away {
+		if c.away += got; c.away > c.f.limits.Sizes.DiscardedInput {
 			c.close()
 			return
 		}
@@ -322,7 +322,7 @@
 // waited for.
 func (c *conn) step() {
 	for n := 0; c.state != parting && c.state != closed && !c.last && !c.left && !c.full(); n++ {
-		if n == c.f.limits.Messages {
+		if n == c.f.limits.Counts.MessagesPerTurn {
 			c.left = true
 			c.f.more = append(c.f.more, c)
 			break
@@ -354,7 +354,7 @@
 
 // full says that the connection owes so much that no more is taken from it.
 func (c *conn) full() bool {
-	return len(c.slots) >= c.f.limits.Pipeline || c.out.Len() > c.f.limits.Unsent
+	return len(c.slots) >= c.f.limits.Counts.PipelinedCommands || c.out.Len() > c.f.limits.Sizes.UnsentAnswers
 }
 
 // watch sets the descriptor, the timer and the place among those that may make room by what the connection
@@ -397,15 +397,15 @@
 	until := math.Inf(1)
 	switch p {
 	case asking:
-		queue, until = &c.f.mute, c.born+l.First
+		queue, until = &c.f.mute, c.born+l.Durations.FirstQueryTimeout
 	case amid:
-		until = now + l.Whole
+		until = now + l.Durations.MessageTimeout
 	case taking:
-		until = now + l.Stall
+		until = now + l.Durations.WriteStallTimeout
 	case between:
-		queue, until = &c.f.idle, now+l.Quiet
+		queue, until = &c.f.idle, now+l.Durations.IdleTimeout
 	case leaving:
-		queue, until = &c.f.parting, now+l.Farewell
+		queue, until = &c.f.parting, now+l.Durations.CloseLinger
 	}
 	if queue != c.queue || queue == &c.f.idle {
 		c.unqueue()
@@ -418,7 +418,7 @@
 		c.f.loop.Set(c.timer, until)
 	}
 	// Clients that ask once and stay use up what their side may hold open long before descriptors run out here.
-	if p == between && c.f.idle.Len() > l.Idles {
+	if p == between && c.f.idle.Len() > l.Counts.IdleClients {
 		c.f.shedFrom(&c.f.idle)
 	}
 }
@@ -443,7 +443,7 @@
 func (c *conn) due() {
 	switch {
 	case (c.phase == asking || c.phase == amid || c.phase == between) && !c.paused && !c.f.loop.Quiet(c.fd):
-		c.f.loop.Set(c.timer, c.f.loop.Now()+c.f.limits.Pause) // it is asking just now
+		c.f.loop.Set(c.timer, c.f.loop.Now()+c.f.limits.Durations.MinBackoff) // it is asking just now
 	case (c.phase == asking || c.phase == amid) && c.in.Len() > 0:
 		c.f.count.CutShort++
 		c.fatal(pg.CodeProtocol, "a message was not whole in time")
@@ -473,7 +473,7 @@
 		c.fatal(pg.CodeProtocol, fmt.Sprintf("unknown message type %q", kind))
 		return false
 	}
-	kind, size, ok, err := pg.Next(&c.in, c.f.limits.Message)
+	kind, size, ok, err := pg.Next(&c.in, c.f.limits.Sizes.ClientMessage)
 	if err != nil {
 		c.fatal(pg.CodeProtocol, err.Error())
 		return false
@@ -511,7 +511,7 @@
 }
 
 func (c *conn) start() bool {
-	kind, ok, err := pg.ReadStart(&c.in, c.f.limits.Packet)
+	kind, ok, err := pg.ReadStart(&c.in, c.f.limits.Sizes.StartupPacket)
 	switch {
 	case err != nil:
 		c.fatal(pg.CodeProtocol, err.Error())
@@ -533,7 +533,7 @@
 // query takes a simple query: a command for the core, or something that the front answers itself.
 func (c *conn) query(size int) {
 	const head = 5
-	st, err := pg.Parse(&c.in, head, size-head, c.f.limits.Comment)
+	st, err := pg.Parse(&c.in, head, size-head, c.f.limits.Sizes.StatementComment)
 	if err != nil {
 		c.bad(pg.CodeSyntax, err.Error())
 		return
@@ -554,7 +554,7 @@
 		return
 	}
 	switch {
-	case st.Wait > c.f.limits.Wait:
+	case st.Wait > c.f.limits.Durations.MaxClientTimeout:
 		c.bad(pg.CodeValue, fmt.Sprintf("d=%.0f: longer than any client waits", st.Wait*1000))
 		return
 	case c.f.told.Groups[group].Effect == router.Keyed && !st.Keyed:
@@ -565,7 +565,7 @@
 		return
 	}
 	cmd := &core.Command{Name: st.ID, Group: group, Set: set, Session: st.Session, Repeat: st.Repeat,
-		GiveUp: c.since + st.Wait - c.f.limits.Way, Text: c.f.blocks.New(), From: st.From, To: st.To, Front: c.f}
+		GiveUp: c.since + st.Wait - c.f.limits.Durations.AnswerMargin, Text: c.f.blocks.New(), From: st.From, To: st.To, Front: c.f}
 	if st.WriteAt > 0 {
 		// A write of this very moment, or by a clock that is ahead, must not look like none.
 		cmd.WriteAge = cmp.Or(c.f.core.Age(st.WriteAt), -math.SmallestNonzeroFloat64)
@@ -586,7 +586,7 @@
 // bad answers a query that is no command. After some the connection is ended: a client that repeats what was
 // turned away as soon as it hears so would keep the router busy.
 func (c *conn) bad(code, message string) {
-	if c.faults++; c.faults >= c.f.limits.Faults {
+	if c.faults++; c.faults >= c.f.limits.Counts.InvalidQueries {
 		c.fatal(code, message)
 		return
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -60,13 +60,25 @@
 	s.Told.Site = router.Site{Groups: []router.CommandGroup{group, keyed}, Routers: 1, Tries: 4, Tick: 0.005, Ask: true, WarmIn: 1, FallSpan: 1}
 	s.Told.Names = []string{"look", "order"}
 	s.Discovery = netip.MustParseAddrPort(mute().Addr().String())
-	s.Limits = site.Limits{Epoch: 3600, Members: 8, Clients: 8, Shared: 64, Dial: 100, Probe: 100, Late: 100, Watch: 1, Pause: 100,
-		LongPause: 100, Read: 1 << 16, Block: 4096, Answer: 1 << 17, Note: 1 << 10, Message: 1 << 16, Packet: 1000, Comment: 1 << 10,
-		Accepts: 8, Backlog: 64, Messages: 100, Pipeline: 8, Faults: 100, Away: 1 << 20, Unsent: 1 << 20, Wait: 1000, First: 100, Whole: 100,
-		Stall: 100, Idles: 100, Quiet: 100, Farewell: 100, Idle: 100}
-	s.Limits.Blocks = 1 << 20
+	s.Limits = site.Limits{
+		Sizes: site.Sizes{
+			ReadPerTurn: 1 << 16, BufferBlock: 4096, BackendMessage: 1 << 17, InspectedMessage: 1 << 10,
+			ClientMessage: 1 << 16, StartupPacket: 1000, StatementComment: 1 << 10, DiscardedInput: 1 << 20,
+			UnsentAnswers: 1 << 20,
+		},
+		Counts: site.Counts{
+			BackendConnections: 8, ClientConnections: 8, SharedDescriptors: 64, AcceptsPerTurn: 8, ListenBacklog: 64,
+			MessagesPerTurn: 100, PipelinedCommands: 8, InvalidQueries: 100, IdleClients: 100,
+		},
+		Durations: site.Durations{
+			PositionEpoch: 3600, ConnectTimeout: 100, HealthCheckTimeout: 100, SilenceTimeout: 100, LongPollHold: 1,
+			MinBackoff: 100, MaxBackoff: 100, MaxClientTimeout: 1000, FirstQueryTimeout: 100, MessageTimeout: 100,
+			WriteStallTimeout: 100, IdleTimeout: 100, CloseLinger: 100, BackendIdleTimeout: 100,
+		},
+	}
+	s.Limits.Counts.BufferBlocks = 1 << 20
 	change(&s.Limits)
-	d.blocks = buffer.NewPool(4096, s.Limits.Blocks)
+	d.blocks = buffer.NewPool(4096, s.Limits.Counts.BufferBlocks)
 	d.core = core.New(s, d.l, d.blocks, &d.count, zerolog.Nop())
 	d.core.Settle(0)
 	d.f, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), d.l, &s.Limits, d.blocks, d.core, &s.Told, &d.count, zerolog.Nop())
@@ -129,12 +141,12 @@
 	for what, half := range map[string][]byte{
 		"start-up": pg.Hello(nil)[:20], "query": append(pg.Hello(nil), query("1", "c=look,d=300")[:30]...),
 	} {
-		d := newDesk(t, func(l *site.Limits) { l.First = 0.05 })
+		d := newDesk(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
 		_, heard := d.client(half)
 		assert.Contains(t, d.hear(heard), pg.CodeProtocol, what)
 		assert.EqualValues(t, 1, d.count.CutShort, what)
 	}
-	d := newDesk(t, func(l *site.Limits) { l.Whole = 0.05 })
+	d := newDesk(t, func(l *site.Limits) { l.Durations.MessageTimeout = 0.05 })
 	c, heard := d.client(pg.Hello(nil), pg.Query(nil, ""))
 	go func() { // drips, which renews nothing
 		for _, b := range query("1", "c=look,d=300") {
@@ -149,7 +161,7 @@
 }
 
 func TestClientThatNeverAsksIsClosed(t *testing.T) {
-	d := newDesk(t, func(l *site.Limits) { l.First = 0.05 })
+	d := newDesk(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
 	_, nothing := d.client()
 	_, hello := d.client(pg.Hello(nil))
 	assert.Empty(t, d.hear(nothing))
@@ -160,7 +172,7 @@
 }
 
 func TestThoseThatNeverAskedMakeRoomFirst(t *testing.T) {
-	d := newDesk(t, func(l *site.Limits) { l.Clients = 2 })
+	d := newDesk(t, func(l *site.Limits) { l.Counts.ClientConnections = 2 })
 	_, asked := d.client(pg.Hello(nil), pg.Query(nil, ""))
 	d.run(func() bool { return d.f.idle.Len() == 1 })
 	_, silent := d.client()
@@ -172,7 +184,7 @@
 }
 
 func TestClientsThatAskOnceAndStayMakeRoom(t *testing.T) {
-	d := newDesk(t, func(l *site.Limits) { l.Idles = 2 })
+	d := newDesk(t, func(l *site.Limits) { l.Counts.IdleClients = 2 })
 	_, first := d.client(pg.Hello(nil), pg.Query(nil, ""))
 	d.run(func() bool { return d.f.idle.Len() == 1 })
 	for range 2 {
@@ -201,7 +213,7 @@
 }
 
 func TestClientThatRepeatsWhatIsNoCommandIsEnded(t *testing.T) {
-	d := newDesk(t, func(l *site.Limits) { l.Faults = 3 })
+	d := newDesk(t, func(l *site.Limits) { l.Counts.InvalidQueries = 3 })
 	bad := query("b", "c=gaze,d=300")
 	c, heard := d.client(pg.Hello(nil), bad, bad, bad, bad)
 	d.run(func() bool { return d.f.parting.Len() == 1 })
@@ -211,7 +223,7 @@
 }
 
 func TestOneClientHasItsShareOfATurn(t *testing.T) {
-	d := newDesk(t, func(l *site.Limits) { l.Messages = 4 })
+	d := newDesk(t, func(l *site.Limits) { l.Counts.MessagesPerTurn = 4 })
 	d.client(append(pg.Hello(nil), strings.Repeat(string(pg.Query(nil, "")), 50)...))
 	d.run(func() bool { return len(d.f.more) > 0 })
 	turns := 0
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -163,7 +163,7 @@
 	h, now := &m.hosts[node], m.loop.Now()
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		c := h.idle[i]
-		if now-c.since < m.limits.Rest {
+		if now-c.since < m.limits.Durations.ReuseDelay {
 			continue
 		}
 		if c.m.loop.Quiet(c.fd) {
@@ -177,7 +177,7 @@
 
 func (m *Members) dial(node int) *conn {
 	at := m.hosts[node].at
-	if !at.IsValid() || m.open >= m.limits.Members && m.loop.Open() >= m.limits.Shared && !m.shed() {
+	if !at.IsValid() || m.open >= m.limits.Counts.BackendConnections && m.loop.Open() >= m.limits.Counts.SharedDescriptors && !m.shed() {
 		return nil
 	}
 	m.count.Dialled++
@@ -198,7 +198,7 @@
 }
 
 // MakeRoom closes an idle connection if members hold more than their own descriptors.
-func (m *Members) MakeRoom() bool { return m.open > m.limits.Members && m.shed() }
+func (m *Members) MakeRoom() bool { return m.open > m.limits.Counts.BackendConnections && m.shed() }
 
 // shed closes the longest idle connection to make room for a new one, and says whether there was one.
 func (m *Members) shed() bool {
@@ -218,12 +218,12 @@
 // begin sends what a connection was taken for, or sees that it comes up first.
 func (c *conn) begin() {
 	now, l := c.m.loop.Now(), c.m.limits
-	until := c.since + l.Probe
+	until := c.since + l.Durations.HealthCheckTimeout
 	if c.dispatch != nil {
 		until = c.dispatch.Until
 	}
 	if c.state != idle {
-		c.m.loop.Set(c.timer, min(until, now+l.Dial))
+		c.m.loop.Set(c.timer, min(until, now+l.Durations.ConnectTimeout))
 		return
 	}
 	c.m.loop.Set(c.timer, until)
@@ -282,8 +282,8 @@
 }
 
 func (c *conn) read() {
-	_, err := c.m.loop.Read(c.fd, &c.in, c.m.limits.Read)
-	done, bad := c.answer.Take(&c.in, c.m.limits.Answer, c.m.limits.Note)
+	_, err := c.m.loop.Read(c.fd, &c.in, c.m.limits.Sizes.ReadPerTurn)
+	done, bad := c.answer.Take(&c.in, c.m.limits.Sizes.BackendMessage, c.m.limits.Sizes.InspectedMessage)
 	switch {
 	case bad != nil:
 		c.m.count.Spoilt++
@@ -367,7 +367,7 @@
 	}
 	c.state, c.since = idle, now
 	h.idle = append(h.idle, c)
-	c.m.loop.Set(c.timer, now+c.m.limits.Idle)
+	c.m.loop.Set(c.timer, now+c.m.limits.Durations.BackendIdleTimeout)
 }
 
 // due is called when the time of what the connection does has run out.
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -64,7 +64,17 @@
 	var err error
 	b.l, err = loop.New(16)
 	require.NoError(t, err)
-	limits := &site.Limits{Read: 1 << 16, Answer: 1 << 17, Note: 1 << 10, Members: 4, Dial: 30, Probe: 30, Idle: 60}
+	limits := &site.Limits{
+		Sizes: site.Sizes{
+			ReadPerTurn: 1 << 16, BackendMessage: 1 << 17, InspectedMessage: 1 << 10,
+		},
+		Counts: site.Counts{
+			BackendConnections: 4,
+		},
+		Durations: site.Durations{
+			ConnectTimeout: 30, HealthCheckTimeout: 30, BackendIdleTimeout: 60,
+		},
+	}
 	b.m = New(b.l, limits, b.blocks, b, &b.count)
 	b.place(b.node)
 	return b
@@ -352,7 +362,7 @@
 	b.hear(c, 5)
 	_, _ = c.Write(pg.Ready(pg.Error(nil, false, "57P03", "", "")))
 	b.run(func() bool { return len(b.probes) == 2 })
-	b.m.limits.Probe = 0.01
+	b.m.limits.Durations.HealthCheckTimeout = 0.01
 	b.m.Probe(0)
 	b.run(func() bool { return len(b.probes) == 3 })
 	assert.Equal(t, []router.Ending{router.Answered, router.Errored, router.TimedOut}, b.probes)
@@ -361,8 +371,8 @@
 
 func TestIdleConnectionMakesRoomForANewOne(t *testing.T) {
 	b := newBench(t)
-	b.m.limits.Members = 1
-	b.m.limits.Shared = 2 // the loop's own and one
+	b.m.limits.Counts.BackendConnections = 1
+	b.m.limits.Counts.SharedDescriptors = 2 // the loop's own and one
 	b.send("d=99", far)
 	c := b.accept()
 	b.m.Probe(0)
@@ -373,7 +383,7 @@
 	b.m.Probe(1)
 	assert.Len(t, b.probes, 1)
 	assert.Equal(t, 1, b.m.Open())
-	b.m.limits.Shared = 3
+	b.m.limits.Counts.SharedDescriptors = 3
 	b.m.Probe(1)
 	assert.Equal(t, 2, b.m.Open(), "beyond its own where descriptors are free")
 }
@@ -381,7 +391,7 @@
 // The order that matters: an answer, the next command, then bytes that belong to no command.
 func TestWhatComesBehindAnAnswerMeetsNoOtherCommand(t *testing.T) {
 	b := newBench(t)
-	b.m.limits.Rest = 1000
+	b.m.limits.Durations.ReuseDelay = 1000
 	b.send("d=99", far)
 	c := b.accept()
 	b.reply(c, "one")
@@ -391,7 +401,7 @@
 	b.reply(other, "two")
 	b.run(func() bool { return b.count.Unasked == 1 })
 	assert.Equal(t, []string{"one", "two"}, b.values)
-	b.m.limits.Rest = 0
+	b.m.limits.Durations.ReuseDelay = 0
 	_, _ = other.Write([]byte("noise"))
 	b.run(func() bool { return b.count.Unasked == 2 })
 	assert.Zero(t, b.m.Open(), "neither connection is used again")
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -47,18 +47,18 @@
 	assert.Equal(t, 2, s.Told.Me)
 	assert.True(t, s.Told.Reports)
 	assert.Equal(t, router.NeedWrite, s.Told.Groups[1].Need)
-	assert.InDelta(t, 0.25, s.Limits.Dial, 1e-9)
-	assert.Less(t, s.Limits.Idle, 0.8*15, "closed well before the member does")
-	assert.Greater(t, s.Limits.Answer, 2*(64<<10)+100, "the largest value, written in hexadecimal")
-	assert.Less(t, s.Limits.Clients+s.Limits.Members, 600, "some descriptors are kept back")
-	assert.Less(t, int64(s.Limits.Blocks*s.Limits.Block), s.Limits.Memory)
+	assert.InDelta(t, 0.25, s.Limits.Durations.ConnectTimeout, 1e-9)
+	assert.Less(t, s.Limits.Durations.BackendIdleTimeout, 0.8*15, "closed well before the member does")
+	assert.Greater(t, s.Limits.Sizes.BackendMessage, 2*(64<<10)+100, "the largest value, written in hexadecimal")
+	assert.Less(t, s.Limits.Counts.ClientConnections+s.Limits.Counts.BackendConnections, 600, "some descriptors are kept back")
+	assert.Less(t, int64(s.Limits.Counts.BufferBlocks*s.Limits.Sizes.BufferBlock), s.Limits.Sizes.Memory)
 }
 
 func TestLimitsHaveDefaults(t *testing.T) {
 	s, err := load(t, strings.Replace(config, `"memory_mb":100,"sockets":600`, "", 1), nil)
 	require.NoError(t, err)
-	assert.Equal(t, int64(defaultMemoryMB)<<20, s.Limits.Memory)
-	assert.Equal(t, defaultSockets, s.Limits.Sockets)
+	assert.Equal(t, int64(defaultMemoryMB)<<20, s.Limits.Sizes.Memory)
+	assert.Equal(t, defaultSockets, s.Limits.Counts.Sockets)
 }
 
 func TestFaultsNameTheKey(t *testing.T) {
@@ -102,25 +102,25 @@
 		s, err := load(t, strings.Replace(config, `"overloadFactor"`, fmt.Sprintf(`"stopSendingWithinNs":%g,"overloadFactor"`, grace*1e9), 1), nil)
 		require.NoError(t, err)
 		l := s.Limits
-		assert.LessOrEqual(t, l.Late+l.LongPause, grace/2, "grace %g", grace)
-		assert.LessOrEqual(t, l.Dial, grace, "grace %g", grace)
-		assert.LessOrEqual(t, l.Late, 1.0)
-		assert.LessOrEqual(t, l.Pause, l.LongPause)
+		assert.LessOrEqual(t, l.Durations.SilenceTimeout+l.Durations.MaxBackoff, grace/2, "grace %g", grace)
+		assert.LessOrEqual(t, l.Durations.ConnectTimeout, grace, "grace %g", grace)
+		assert.LessOrEqual(t, l.Durations.SilenceTimeout, 1.0)
+		assert.LessOrEqual(t, l.Durations.MinBackoff, l.Durations.MaxBackoff)
 	}
 	s, err := load(t, config, nil)
 	require.NoError(t, err, "not told")
-	assert.Equal(t, 1.0, s.Limits.Late)
+	assert.Equal(t, 1.0, s.Limits.Durations.SilenceTimeout)
 	asked := strings.Replace(config, `"overloadFactor"`, `"stopSendingWithinNs":250000000,"overloadFactor"`, 1)
 	s, err = load(t, strings.Replace(asked, `"discovery":"push"`, `"discovery":"ask"`, 1), nil)
 	require.NoError(t, err)
 	require.True(t, s.Told.Ask)
-	assert.Equal(t, 1.0, s.Limits.Late, "a crowded registry answers late")
+	assert.Equal(t, 1.0, s.Limits.Durations.SilenceTimeout, "a crowded registry answers late")
 	// A call that fell silent as it was made is given up, and asked again after a sixteenth of the asking rule's span at
 	// the most; that is refused, and asked again after an eighth. What was missed counts as told six seconds after the
 	// silence began, or two past the hold if later.
 	const asks = 10.0
-	told := math.Max(6, s.Limits.Watch+2)
-	assert.Less(t, s.Limits.Watch+s.Limits.Late+asks/16+asks/8, told)
+	told := math.Max(6, s.Limits.Durations.LongPollHold+2)
+	assert.Less(t, s.Limits.Durations.LongPollHold+s.Limits.Durations.SilenceTimeout+asks/16+asks/8, told)
 	_, err = load(t, strings.Replace(config, `"overloadFactor"`, `"stopSendingWithinNs":-1,"overloadFactor"`, 1), nil)
 	assert.ErrorContains(t, err, "invariants.stopSendingWithinNs")
 }
@@ -178,6 +178,6 @@
 	assert.Equal(t, []string{"limits"}, first.Fixed(&moved), "memory waits all the same")
 	first.Take(&moved)
 	assert.Equal(t, []string{"browse", "order"}, first.Told.Names)
-	assert.Equal(t, int64(100)<<20, first.Limits.Memory)
+	assert.Equal(t, int64(100)<<20, first.Limits.Sizes.Memory)
 	assert.False(t, first.Moves(&moved), "once")
 }
--- a/internal/site/start.go
+++ b/internal/site/start.go
@@ -24,53 +24,69 @@
 	Limits    Limits
 }
 
-// Limits is every size, count and time that the router keeps to. Sizes are bytes, times seconds.
+// Limits holds every size, count and duration that a router keeps to. It is computed once from the settings and the
+// process limits; packages of the data plane read it and never change it.
 type Limits struct {
-	Memory    int64   // of the process
-	Sockets   int     // descriptors of the process
-	Block     int     // of a buffer
-	Blocks    int     // in use before clients are no longer read
-	Message   int     // longest message of a client
-	Answer    int     // longest message of a member
-	Page      int     // longest reply of discovery
-	Packet    int     // longest start-up packet
-	Comment   int     // longest comment of a statement
-	Note      int     // longest message of a member that is looked into
-	Line      int     // longest line of discovery's
-	Events    int     // gathered in one turn
-	Read      int     // of one connection in one turn
-	Accepts   int     // in one turn
-	Backlog   int     // of connections not yet accepted
-	Messages  int     // of one connection in one turn
-	Pipeline  int     // commands in hand of one connection
-	Faults    int     // queries of one connection that are no command, before it is ended
-	Away      int     // bytes read away of a connection that was ended
-	Unsent    int     // answers that a connection may owe before it is read again
-	Shared    int     // descriptors for clients and members together
-	Clients   int     // client connections
-	Idles     int     // of them between commands
-	Members   int     // member connections, or more while descriptors are free
-	Epoch     float64 // before the start from which positions count; the reason stands in core
-	Way       float64 // kept of a client's time for the answer's way: what one tick of the settings is
-	Wait      float64 // longest that a command may name
-	First     float64 // from a client's coming to its first whole query
-	Whole     float64 // from a message's first bytes to its last
-	Stall     float64 // that a client may leave an answer untaken
-	Quiet     float64 // after which a client between commands is closed
-	Mute      float64 // that a client is spared when others need its descriptor, and that the listener rests if none makes room
-	Dial      float64 // that a connection may take to come up
-	Probe     float64 // that a probe may take
-	Idle      float64 // after which an idle member connection is closed
-	Rest      float64 // that a member connection stands before it is used again; the reason stands in member
-	Ahead     float64 // that a member's position may lie in the future
-	Watch     float64 // that discovery may hold a call
-	Late      float64 // that discovery may say nothing when it should, beyond which the call has failed
-	Reply     float64 // that a reply of discovery may take from its first byte to its last
-	Pause     float64 // before discovery is dialled again, doubled up to
-	LongPause float64 // this
-	Linger    float64 // that a router told to end goes on accepting
-	LastCall  float64 // after that, for clients that have not asked yet or are in the middle of a message
-	Farewell  float64 // that a client has to close a connection that was ended
+	Sizes     Sizes
+	Counts    Counts
+	Durations Durations
+}
+
+// Sizes are limits in bytes.
+type Sizes struct {
+	Memory           int64 // memory of the whole process
+	BufferBlock      int   // one block of the shared buffer pool
+	ClientMessage    int   // longest message accepted from a client
+	BackendMessage   int   // longest message accepted from a backend
+	InspectedMessage int   // longest message of a backend that is parsed rather than passed through
+	DiscoveryReply   int   // longest reply body of the discovery service
+	DiscoveryLine    int   // longest header line of the discovery service's replies
+	StartupPacket    int   // longest start-up packet of a client
+	StatementComment int   // longest routing comment of a statement
+	ReadPerTurn      int   // read from one connection in one turn of the event loop
+	DiscardedInput   int   // input discarded from a closing client before its connection is cut
+	UnsentAnswers    int   // answers that a client may leave unread before it is no longer read from
+}
+
+// Counts are limits of how many things may exist at once, or be done in one turn of the event loop.
+type Counts struct {
+	Sockets            int // file descriptors of the process
+	BufferBlocks       int // buffer blocks in use above which clients are no longer read from
+	EventsPerTurn      int // readiness events collected in one turn
+	AcceptsPerTurn     int // client connections accepted in one turn
+	ListenBacklog      int // connections that the kernel queues before they are accepted
+	MessagesPerTurn    int // messages taken from one client in one turn
+	PipelinedCommands  int // commands in flight on one client connection
+	InvalidQueries     int // queries without a valid command after which a client connection is closed
+	SharedDescriptors  int // file descriptors shared by client and backend connections
+	ClientConnections  int // client connections
+	IdleClients        int // client connections between commands
+	BackendConnections int // backend connections; more are allowed while descriptors are free
+}
+
+// Durations are time limits in seconds.
+type Durations struct {
+	PositionEpoch      float64 // before the start, the moment from which log positions count; core says why
+	AnswerMargin       float64 // reserved from a client's timeout for the answer's way back: one tick of the settings
+	MaxClientTimeout   float64 // longest timeout that a command may name
+	FirstQueryTimeout  float64 // from accepting a client to its first complete query
+	MessageTimeout     float64 // from the first byte of a client's message to its last
+	WriteStallTimeout  float64 // that a client may leave an answer unread
+	IdleTimeout        float64 // after which a client between commands is closed
+	ShedGrace          float64 // a client is spared from shedding this long; accepting pauses as long if none can be shed
+	ConnectTimeout     float64 // for opening a backend connection
+	HealthCheckTimeout float64 // for one health check
+	BackendIdleTimeout float64 // after which an unused backend connection is closed
+	ReuseDelay         float64 // that a backend connection rests before it is used again; member says why
+	MaxClockSkew       float64 // that a backend's position may lie in the future
+	LongPollHold       float64 // that the discovery service may hold a poll
+	SilenceTimeout     float64 // silence of the discovery service after which a call has failed
+	ReplyTimeout       float64 // from the first byte of a discovery reply to its last
+	MinBackoff         float64 // first backoff before discovery is called again; doubled on each failure
+	MaxBackoff         float64 // upper bound of that backoff
+	AcceptLinger       float64 // that a router told to shut down goes on accepting clients
+	DrainDeadline      float64 // after that, for clients that have not sent a query or are in the middle of a message
+	CloseLinger        float64 // for a client to close its side of a connection that was ended
 }
 
 // Defaults and shares. What belongs to a deployment comes from its settings and limits.
@@ -116,18 +132,57 @@
 		}
 	}
 	return Limits{
-		Memory: memory, Sockets: sockets,
-		Block: blockSize, Blocks: int(memory / blockShare / blockSize),
-		Message: longestText*largestValue + blockSize, Answer: longestText*largestValue + blockSize, Page: 8 << 20,
-		Packet: 10000, Comment: 1 << 10, Note: 8 << 10, Line: 8 << 10, Events: 256,
-		Read: 64 << 10, Accepts: 64, Backlog: 1024, Messages: 32, Pipeline: 64, Faults: 16, Away: 1 << 20,
-		Unsent: longestText * largestValue,
-		Shared: rest, Clients: rest - rest/memberShare, Idles: sockets / idleClients, Members: rest / memberShare,
-		Epoch: 3600, Way: told.Tick, Wait: longestWait * longest,
-		First: 2, Whole: 2, Stall: 10, Quiet: 5, Mute: 0.01, Dial: dial, Probe: told.Dial, Idle: idleShare * told.Idle,
-		Rest: told.Tick, Ahead: 1,
-		Watch: watch, Late: late, Reply: 1, Pause: min(0.05, pause), LongPause: pause,
-		Linger: 0.5, LastCall: 0.15, Farewell: 1,
+		Sizes: Sizes{
+			Memory:           memory,
+			BufferBlock:      blockSize,
+			ClientMessage:    longestText*largestValue + blockSize,
+			BackendMessage:   longestText*largestValue + blockSize,
+			InspectedMessage: 8 << 10,
+			DiscoveryReply:   8 << 20,
+			DiscoveryLine:    8 << 10,
+			StartupPacket:    10000,
+			StatementComment: 1 << 10,
+			ReadPerTurn:      64 << 10,
+			DiscardedInput:   1 << 20,
+			UnsentAnswers:    longestText * largestValue,
+		},
+		Counts: Counts{
+			Sockets:            sockets,
+			BufferBlocks:       int(memory / blockShare / blockSize),
+			EventsPerTurn:      256,
+			AcceptsPerTurn:     64,
+			ListenBacklog:      1024,
+			MessagesPerTurn:    32,
+			PipelinedCommands:  64,
+			InvalidQueries:     16,
+			SharedDescriptors:  rest,
+			ClientConnections:  rest - rest/memberShare,
+			IdleClients:        sockets / idleClients,
+			BackendConnections: rest / memberShare,
+		},
+		Durations: Durations{
+			PositionEpoch:      3600,
+			AnswerMargin:       told.Tick,
+			MaxClientTimeout:   longestWait * longest,
+			FirstQueryTimeout:  2,
+			MessageTimeout:     2,
+			WriteStallTimeout:  10,
+			IdleTimeout:        5,
+			ShedGrace:          0.01,
+			ConnectTimeout:     dial,
+			HealthCheckTimeout: told.Dial,
+			BackendIdleTimeout: idleShare * told.Idle,
+			ReuseDelay:         told.Tick,
+			MaxClockSkew:       1,
+			LongPollHold:       watch,
+			SilenceTimeout:     late,
+			ReplyTimeout:       1,
+			MinBackoff:         min(0.05, pause),
+			MaxBackoff:         pause,
+			AcceptLinger:       0.5,
+			DrainDeadline:      0.15,
+			CloseLinger:        1,
+		},
 	}
 }
 
@@ -247,7 +302,7 @@
 // Take takes another start's settings in, and what of the limits follows from them; memory and descriptors stay.
 func (s *Start) Take(other *Start) {
 	s.Told = other.Told
-	s.Limits = limits(int(s.Limits.Memory>>20), s.Limits.Sockets, &s.Told)
+	s.Limits = limits(int(s.Limits.Sizes.Memory>>20), s.Limits.Counts.Sockets, &s.Told)
 }
 
 // Fixed names the keys in which another start differs and that only a restart takes in. The list that was
@@ -258,8 +313,10 @@
 		name string
 		same bool
 	}{
-		{"name", s.Name == other.Name}, {"listen", s.Listen == other.Listen}, {"seed", s.Seed == other.Seed},
-		{"limits", s.Limits.Memory == other.Limits.Memory && s.Limits.Sockets == other.Limits.Sockets},
+		{"name", s.Name == other.Name},
+		{"listen", s.Listen == other.Listen},
+		{"seed", s.Seed == other.Seed},
+		{"limits", s.Limits.Sizes.Memory == other.Limits.Sizes.Memory && s.Limits.Counts.Sockets == other.Limits.Counts.Sockets},
 		{"settings", reflect.DeepEqual(s.Told, other.Told) || s.Moves(other)},
 	} {
 		if !k.same {
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -80,9 +80,20 @@
 func newClient(b Bounds, fault string) *clients {
 	s := &clients{bounds: b, fault: fault, wire: &listening{wire: newWire(), fds: map[int]int{}}, blocks: buffer.NewPool(512, 1<<16)}
 	s.wire.keepOpen, s.wire.loseByte = fault == "unclosed", fault == "lost-byte"
-	limits := &site.Limits{Block: 512, Message: 4096, Packet: 1000, Comment: 512, Read: 1 << 16, Accepts: 4, Backlog: 4, Messages: 8, Pipeline: 4,
-		Faults: 3, Away: 1 << 16, Unsent: 1 << 16, Shared: 99, Clients: 9, Idles: 9, Wait: 10, Way: 0.005, First: 2, Whole: 2, Stall: 3, Quiet: 5,
-		Mute: 0.01, Farewell: 1, Pause: 0.5, LastCall: 0.15}
+	limits := &site.Limits{
+		Sizes: site.Sizes{
+			BufferBlock: 512, ClientMessage: 4096, StartupPacket: 1000, StatementComment: 512, ReadPerTurn: 1 << 16,
+			DiscardedInput: 1 << 16, UnsentAnswers: 1 << 16,
+		},
+		Counts: site.Counts{
+			AcceptsPerTurn: 4, ListenBacklog: 4, MessagesPerTurn: 8, PipelinedCommands: 4, InvalidQueries: 3,
+			SharedDescriptors: 99, ClientConnections: 9, IdleClients: 9,
+		},
+		Durations: site.Durations{
+			MaxClientTimeout: 10, AnswerMargin: 0.005, FirstQueryTimeout: 2, MessageTimeout: 2, WriteStallTimeout: 3,
+			IdleTimeout: 5, ShedGrace: 0.01, CloseLinger: 1, MinBackoff: 0.5, DrainDeadline: 0.15,
+		},
+	}
 	told := &site.Told{Names: []string{"look"}}
 	told.Groups = []router.CommandGroup{{Timeout: 1, Target: 0.5}}
 	var err error
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -71,7 +71,17 @@
 
 func newMember(b Bounds, fault string) *members {
 	s := &members{bounds: b, fault: fault, wire: newWire(), blocks: buffer.NewPool(512, 1<<16), pg: map[int]*peer{}}
-	limits := &site.Limits{Read: 1 << 16, Answer: 1 << 16, Note: 1 << 10, Members: 4, Shared: 9, Dial: 1, Probe: 1, Idle: 3, Rest: 0}
+	limits := &site.Limits{
+		Sizes: site.Sizes{
+			ReadPerTurn: 1 << 16, BackendMessage: 1 << 16, InspectedMessage: 1 << 10,
+		},
+		Counts: site.Counts{
+			BackendConnections: 4, SharedDescriptors: 9,
+		},
+		Durations: site.Durations{
+			ConnectTimeout: 1, HealthCheckTimeout: 1, BackendIdleTimeout: 3, ReuseDelay: 0,
+		},
+	}
 	s.wire.deafQuiet, s.wire.earlyByte = fault == "previous-reply", fault == "early-write"
 	s.wire.lateByte, s.wire.keepOpen = fault == "late-write", fault == "kept"
 	s.m = member.New(s.wire, limits, s.blocks, memberSink{s}, &count.Counters{})
--- a/internal/systems/watch.go
+++ b/internal/systems/watch.go
@@ -61,7 +61,14 @@
 
 func newWatch(b Bounds, fault string) *watching {
 	s := &watching{bounds: b, fault: fault, wire: newWire(), check: verdict.Lists{Members: 2}, generation: 5, calls: map[int]*call{}}
-	limits := &site.Limits{Read: 1 << 16, Page: 1 << 16, Line: 1 << 10, Late: 1, Reply: 1, Watch: 5, Pause: 0.5, LongPause: 1}
+	limits := &site.Limits{
+		Sizes: site.Sizes{
+			ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10,
+		},
+		Durations: site.Durations{
+			SilenceTimeout: 1, ReplyTimeout: 1, LongPollHold: 5, MinBackoff: 0.5, MaxBackoff: 1,
+		},
+	}
 	s.w = discovery.New(s.wire, limits, address(0), false, buffer.NewPool(512, 1<<16), s, zerolog.New(io.Discard))
 	s.wire.keepOpen, s.wire.timeless = fault == "unclosed", fault == "timeless"
 	s.w.Ask()
--- a/service/service.go
+++ b/service/service.go
@@ -41,11 +41,11 @@
 
 // New opens a router's listener; Run serves.
 func New(s Start, log zerolog.Logger) (*Router, error) {
-	l, err := loop.New(s.Limits.Events)
+	l, err := loop.New(s.Limits.Counts.EventsPerTurn)
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{start: s, loop: l, blocks: buffer.NewPool(s.Limits.Block, s.Limits.Blocks), log: log,
+	r := &Router{start: s, loop: l, blocks: buffer.NewPool(s.Limits.Sizes.BufferBlock, s.Limits.Counts.BufferBlocks), log: log,
 		over: make(chan struct{})}
 	r.count.GroupNames = r.start.Told.Names
 	r.count.TakenByGroup = make([]uint64, len(r.count.GroupNames))
@@ -86,7 +86,7 @@
 		}
 		r.ending = true
 		r.log.Info().Int("in_hand", r.core.InHand()).Msg("draining")
-		r.loop.Set(loop.NewTimer(r.front.End), r.loop.Now()+r.start.Limits.Linger)
+		r.loop.Set(loop.NewTimer(r.front.End), r.loop.Now()+r.start.Limits.Durations.AcceptLinger)
 	})
 }
 
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -18,7 +18,18 @@
 	s := Start{Name: "n1", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: nobody}
 	s.Told.Site = router.Site{Groups: []router.CommandGroup{{Need: router.NeedAny, Target: 1, Timeout: 2}}, Tick: 0.005}
 	s.Told.Names = []string{"look"}
-	s.Limits = site.Limits{Block: 64, Blocks: 10, Backlog: 5, Events: 16, Accepts: 5, Clients: 5, Members: 5, Late: 1, Pause: 0.01, LongPause: 1}
+	s.Limits = site.Limits{
+		Sizes: site.Sizes{
+			BufferBlock: 64,
+		},
+		Counts: site.Counts{
+			BufferBlocks: 10, ListenBacklog: 5, EventsPerTurn: 16, AcceptsPerTurn: 5, ClientConnections: 5,
+			BackendConnections: 5,
+		},
+		Durations: site.Durations{
+			SilenceTimeout: 1, MinBackoff: 0.01, MaxBackoff: 1,
+		},
+	}
 	return s
 }
 
