--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -97,10 +97,10 @@
 	}
 	h.drop()
 	in := newInstance(h.curID, h.clock)
-	told, err := site.Read(raw)
+	told, err := site.ParseSettings(raw)
 	if err == nil {
-		told.ZeroAt = seconds(int64(told.ZeroNs) - int64(h.clock))
-		in.fields, in.groups = told.Fields, len(told.Groups)
+		told.ZeroAt = seconds(int64(told.PositionZeroNs) - int64(h.clock))
+		in.fields, in.groups = told.ReportFields, len(told.Groups)
 		in.router = router.New(told.Site, seed)
 		in.hand = hand.New(in.router, in)
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -73,7 +73,7 @@
 // Core is one router.
 type Core struct {
 	loop    *loop.Loop
-	told    *site.Told
+	told    *site.Settings
 	router  *router.Router
 	hand    *hand.Hand
 	seed    uint64
@@ -103,10 +103,10 @@
 }
 
 // New returns a router that knows the list it had last.
-func New(s *site.Start, l *loop.Loop, blocks *buffer.Pool, c *count.Counters, log zerolog.Logger) *Core {
-	o := &Core{loop: l, told: &s.Told, count: c, log: log, ahead: s.Limits.Durations.MaxClockSkew, nodes: index.New[string](),
+func New(s *site.Config, l *loop.Loop, blocks *buffer.Pool, c *count.Counters, log zerolog.Logger) *Core {
+	o := &Core{loop: l, told: &s.Settings, count: c, log: log, ahead: s.Limits.Durations.MaxClockSkew, nodes: index.New[string](),
 		sets: index.New[int](), zones: index.New[string](), cmds: map[uint32]*Command{}, ids: map[string]bool{}}
-	for _, z := range s.Told.Zones {
+	for _, z := range s.Settings.Zones {
 		o.zones.At(z)
 	}
 	// Positions count from a while before the start. The module takes a negative one as not told, and rounds
@@ -117,9 +117,9 @@
 	o.router = o.fresh()
 	o.hand = hand.New(o.router, o)
 	o.members = member.New(l, &s.Limits, blocks, o, c)
-	o.watch = discovery.New(l, &s.Limits, s.Discovery, s.Told.Ask, blocks, o, log)
-	o.lists = append(o.lists, listed{list: s.Known, cached: true})
-	if !s.Told.Ask {
+	o.watch = discovery.New(l, &s.Limits, s.Discovery, s.Settings.Ask, blocks, o, log)
+	o.lists = append(o.lists, listed{list: s.KnownList, cached: true})
+	if !s.Settings.Ask {
 		o.watch.Ask()
 	}
 	return o
@@ -346,7 +346,7 @@
 		said.Position = o.position(float64(e.answer.Position) / 1000)
 	}
 	o.hand.Ended(now, e.d.ID, said)
-	if position, primary := o.report(e.answer.Health); position >= 0 && o.told.OnAnswers {
+	if position, primary := o.report(e.answer.Health); position >= 0 && o.told.ReportsOnAnswers {
 		o.router.Probed(now, e.d.Node, e.ending, e.took, position, primary)
 	}
 	if e.ending == router.Answered && c != nil && !c.done {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -30,9 +30,9 @@
 func newCore(t *testing.T) (*Core, *buffer.Pool) {
 	l, err := loop.New(16)
 	require.NoError(t, err)
-	s := &site.Start{Known: roster.List{Whole: true, Members: []roster.Member{{ID: "a", Cell: 7, State: roster.Ready}}}}
+	s := &site.Config{KnownList: roster.List{Whole: true, Members: []roster.Member{{ID: "a", Cell: 7, State: roster.Ready}}}}
 	group := router.CommandGroup{Need: router.NeedAny, Target: 1, Timeout: 2, Benefit: 1}
-	s.Told.Site = router.Site{Groups: []router.CommandGroup{group}, Routers: 1, Tries: 4, Tick: 0.005, Ask: true, Cancel: true}
+	s.Settings.Site = router.Site{Groups: []router.CommandGroup{group}, Routers: 1, Tries: 4, Tick: 0.005, Ask: true, Cancel: true}
 	s.Limits = site.Limits{
 		Counts: site.Counts{
 			BackendConnections: 8,
@@ -42,7 +42,7 @@
 			LongPollHold: 1,
 		},
 	}
-	s.Discovery = s.Known.Members[0].At
+	s.Discovery = s.KnownList.Members[0].At
 	blocks := buffer.NewPool(64, 1000)
 	o := New(s, l, blocks, &count.Counters{TakenByGroup: make([]uint64, 1)}, zerolog.Nop())
 	o.hear(0)
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -377,10 +377,10 @@
 	return rev.Content, err
 }
 
-func (a *Agent) check(i int, digest string) (site.Start, error) {
+func (a *Agent) check(i int, digest string) (site.Config, error) {
 	content, err := a.content(digest)
 	if err != nil {
-		return site.Start{}, err
+		return site.Config{}, err
 	}
 	return revision.Check(content, a.own[i].Revised())
 }
--- a/internal/fleet/revision/revision.go
+++ b/internal/fleet/revision/revision.go
@@ -172,10 +172,10 @@
 }
 
 // Check has the router's own reader look at what one instance would be given.
-func Check(canonical []byte, at At) (site.Start, error) {
+func Check(canonical []byte, at At) (site.Config, error) {
 	raw, err := Render(canonical, at, 1)
 	if err != nil {
-		return site.Start{}, err
+		return site.Config{}, err
 	}
 	s, err := site.Parse(raw)
 	if err != nil {
@@ -186,11 +186,11 @@
 
 // Restarts names the keys for which an instance must be restarted if it goes from one configuration to
 // another; none: a reload is enough.
-func Restarts(from, to *site.Start) []string { return from.Fixed(to) }
+func Restarts(from, to *site.Config) []string { return from.RestartKeys(to) }
 
 // Drain is how long a router may take to end once it is told to: the longest that a command in hand may wait,
 // and a grace, in seconds.
-func Drain(s *site.Start, grace float64) float64 {
+func Drain(s *site.Config, grace float64) float64 {
 	return s.Limits.Durations.MaxClientTimeout + s.Limits.Durations.AcceptLinger + grace
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -41,7 +41,7 @@
 	count  *count.Counters
 	log    zerolog.Logger
 	groups map[string]int
-	told   *site.Told
+	told   *site.Settings
 
 	listener int // -1: closed
 	resume   *loop.Timer
@@ -59,7 +59,7 @@
 
 // Listen opens a front on one address.
 func Listen(at netip.AddrPort, l loop.ListenWire, limits *site.Limits, blocks *buffer.Pool, o Core,
-	told *site.Told, c *count.Counters, log zerolog.Logger) (*Front, error) {
+	told *site.Settings, c *count.Counters, log zerolog.Logger) (*Front, error) {
 	f := &Front{loop: l, limits: limits, blocks: blocks, core: o, count: c, log: log, groups: map[string]int{},
 		told: told, conns: map[*conn]bool{}}
 	f.Regroup()
@@ -78,7 +78,7 @@
 // Regroup takes the command groups' names from the settings as they are now.
 func (f *Front) Regroup() {
 	clear(f.groups)
-	for i, name := range f.told.Names {
+	for i, name := range f.told.GroupNames {
 		f.groups[name] = i
 	}
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -54,11 +54,11 @@
 	d.l, err = loop.New(16)
 	require.NoError(t, err)
 	d.member = roster.Member{ID: "a", At: netip.MustParseAddrPort(d.node.Addr().String()), Cell: 2, State: roster.Ready, Primary: true}
-	s := &site.Start{Known: roster.List{Whole: true, Members: []roster.Member{d.member}}}
+	s := &site.Config{KnownList: roster.List{Whole: true, Members: []roster.Member{d.member}}}
 	group := router.CommandGroup{Need: router.NeedAny, Target: 500, Timeout: 500, Benefit: 1}
 	keyed := router.CommandGroup{Need: router.NeedWrite, Effect: router.Keyed, Target: 500, Timeout: 500, Benefit: 1}
-	s.Told.Site = router.Site{Groups: []router.CommandGroup{group, keyed}, Routers: 1, Tries: 4, Tick: 0.005, Ask: true, WarmIn: 1, FallSpan: 1}
-	s.Told.Names = []string{"look", "order"}
+	s.Settings.Site = router.Site{Groups: []router.CommandGroup{group, keyed}, Routers: 1, Tries: 4, Tick: 0.005, Ask: true, WarmIn: 1, FallSpan: 1}
+	s.Settings.GroupNames = []string{"look", "order"}
 	s.Discovery = netip.MustParseAddrPort(mute().Addr().String())
 	s.Limits = site.Limits{
 		Sizes: site.Sizes{
@@ -81,7 +81,7 @@
 	d.blocks = buffer.NewPool(4096, s.Limits.Counts.BufferBlocks)
 	d.core = core.New(s, d.l, d.blocks, &d.count, zerolog.Nop())
 	d.core.Settle(0)
-	d.f, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), d.l, &s.Limits, d.blocks, d.core, &s.Told, &d.count, zerolog.Nop())
+	d.f, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), d.l, &s.Limits, d.blocks, d.core, &s.Settings, &d.count, zerolog.Nop())
 	require.NoError(t, err)
 	return d
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -13,20 +13,20 @@
 
 const nano = 1e-9
 
-// Told is what the settings tell.
-type Told struct {
+// Settings is what a router reads from the settings document.
+type Settings struct {
 	router.Site
-	Names     []string // of the command groups
-	Zones     []string
-	Fields    []string // of a load report
-	OnAnswers bool     // answers hold reports, not only probes
-	ZeroNs    float64  // the time from which positions count, on the settings' clock
-	Idle      float64  // a member closes a connection that stood idle for so many seconds
-	Grace     float64  // after a member is told to drain or be gone nothing new goes to it beyond so many seconds; 0: not told
+	GroupNames       []string // of the command groups
+	Zones            []string
+	ReportFields     []string // of a load report
+	ReportsOnAnswers bool     // answers hold reports, not only probes
+	PositionZeroNs   float64  // the time from which positions count, on the settings' clock
+	BackendIdle      float64  // a member closes a connection that stood idle for so many seconds
+	DrainGrace       float64  // after a member is told to drain or be gone nothing new goes to it beyond so many seconds; 0: not told
 }
 
-// params is the part of the settings that is read.
-type params struct {
+// settingsDocument is the part of the settings that is read.
+type settingsDocument struct {
 	Routers int      `json:"balancers"`
 	Me      int      `json:"me"`
 	Zone    int      `json:"zone"`
@@ -98,17 +98,17 @@
 	return v
 }
 
-// Read decodes settings. Its errors name the key at fault; unknown keys are skipped.
-func Read(raw []byte) (Told, error) {
-	p := params{Zone: -1}
+// ParseSettings decodes settings. Its errors name the key at fault; unknown keys are skipped.
+func ParseSettings(raw []byte) (Settings, error) {
+	p := settingsDocument{Zone: -1}
 	if err := json.Unmarshal(raw, &p); err != nil {
-		return Told{}, fmt.Errorf("settings: %w", err)
+		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	if len(p.Classes) == 0 {
-		return Told{}, errors.New("settings: classes is missing or empty")
+		return Settings{}, errors.New("settings: classes is missing or empty")
 	}
 	if len(p.Family.Needs) != len(p.Classes) {
-		return Told{}, fmt.Errorf("settings: familyInfo.needsByClass holds %d of %d classes",
+		return Settings{}, fmt.Errorf("settings: familyInfo.needsByClass holds %d of %d classes",
 			len(p.Family.Needs), len(p.Classes))
 	}
 	var err error
@@ -128,7 +128,7 @@
 		names = append(names, c.Name)
 		at := fmt.Sprintf("classes[%d]", i)
 		if c.Target <= 0 || c.Limit <= 0 {
-			return Told{}, fmt.Errorf("settings: %s: targetNs and deadlineNs must be above 0", at)
+			return Settings{}, fmt.Errorf("settings: %s: targetNs and deadlineNs must be above 0", at)
 		}
 		g := router.CommandGroup{Need: word(&err, "familyInfo.needsByClass", p.Family.Needs[i], needs),
 			Effect: word(&err, at+".effect", c.Effect, effects),
@@ -147,14 +147,14 @@
 		told[f] = true
 	}
 	s.Reports = p.Load.Source != "none" && told["x0"] && told["x1"]
-	return Told{Site: s, Names: names, Zones: p.Zones, Fields: p.Load.Fields, OnAnswers: p.Load.Source == "answers", ZeroNs: p.Family.Zero,
-		Idle: p.Limits.Idle * nano, Grace: p.Rules.Grace * nano}, err
+	return Settings{Site: s, GroupNames: names, Zones: p.Zones, ReportFields: p.Load.Fields, ReportsOnAnswers: p.Load.Source == "answers", PositionZeroNs: p.Family.Zero,
+		BackendIdle: p.Limits.Idle * nano, DrainGrace: p.Rules.Grace * nano}, err
 }
 
-// Fault is the first value in the settings that only a router on sockets cannot work with, or nil.
-func (t *Told) Fault() error {
+// Validate returns the first value in the settings that only a router on sockets cannot work with, or nil.
+func (t *Settings) Validate() error {
 	seen := map[string]bool{}
-	for i, name := range t.Names {
+	for i, name := range t.GroupNames {
 		if name == "" || seen[name] {
 			return fmt.Errorf("settings: classes[%d].name is missing or a repeat", i)
 		}
@@ -166,11 +166,11 @@
 		above bool // 0 itself is out of range
 		most  float64
 	}{
-		{"limits.dialTimeoutNs", t.Dial, true, math.Inf(1)}, {"limits.connIdleNs", t.Idle, true, math.Inf(1)},
+		{"limits.dialTimeoutNs", t.Dial, true, math.Inf(1)}, {"limits.connIdleNs", t.BackendIdle, true, math.Inf(1)},
 		{"limits.mostTries", float64(t.Tries), true, math.Inf(1)}, {"me", float64(t.Me), false, math.Inf(1)},
 		{"zone", float64(t.Zone + 1), false, float64(len(t.Zones))},
 		{"tickNs", t.Tick, false, 1}, {"limits.maxRetryAfterNs", t.MaxAdvice, false, math.Inf(1)},
-		{"invariants.stopSendingWithinNs", t.Grace, false, math.Inf(1)},
+		{"invariants.stopSendingWithinNs", t.DrainGrace, false, math.Inf(1)},
 		{"invariants.startCapacity", t.ColdShare, false, 1}, {"invariants.rampTimeNs", t.WarmIn, true, math.Inf(1)},
 		{"invariants.overloadFactor", t.Overload, true, math.Inf(1)}, {"invariants.fallNs", t.FallSpan, true, math.Inf(1)},
 		{"scoreParts.whole", t.Whole, false, 1}, {"scoreParts.worstClass", t.Worst, false, 1},
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -14,7 +14,7 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-const config = `{"name":"n3","listen":"127.0.0.4:5432","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
+const configText = `{"name":"n3","listen":"127.0.0.4:5432","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"memory_mb":100,"sockets":600},"unheardOf":1,
  "known":{"generation":41,"reset":true,"instances":[]},
  "settings":{"balancers":3,"me":2,"zones":["h1","h2"],"tickNs":5000000,"discovery":"push",
@@ -25,7 +25,7 @@
   "limits":{"mostTries":4,"dialTimeoutNs":250000000,"connIdleNs":15000000000,"probes":true},
   "invariants":{"startCapacity":0.2,"rampTimeNs":9000000000,"overloadFactor":2,"fallNs":2000000000}}}`
 
-func load(t *testing.T, text string, env map[string]string) (Start, error) {
+func load(t *testing.T, text string, env map[string]string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -38,15 +38,15 @@
 }
 
 func TestConfigurationIsRead(t *testing.T) {
-	s, err := load(t, config, map[string]string{"GW_NAME": "n3"})
+	s, err := load(t, configText, map[string]string{"GW_NAME": "n3"})
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.4:5432", s.Listen.String())
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), s.Seed)
-	assert.Equal(t, int64(41), s.Known.Generation)
-	assert.Equal(t, []string{"basket", "order"}, s.Told.Names)
-	assert.Equal(t, 2, s.Told.Me)
-	assert.True(t, s.Told.Reports)
-	assert.Equal(t, router.NeedWrite, s.Told.Groups[1].Need)
+	assert.Equal(t, int64(41), s.KnownList.Generation)
+	assert.Equal(t, []string{"basket", "order"}, s.Settings.GroupNames)
+	assert.Equal(t, 2, s.Settings.Me)
+	assert.True(t, s.Settings.Reports)
+	assert.Equal(t, router.NeedWrite, s.Settings.Groups[1].Need)
 	assert.InDelta(t, 0.25, s.Limits.Durations.ConnectTimeout, 1e-9)
 	assert.Less(t, s.Limits.Durations.BackendIdleTimeout, 0.8*15, "closed well before the member does")
 	assert.Greater(t, s.Limits.Sizes.BackendMessage, 2*(64<<10)+100, "the largest value, written in hexadecimal")
@@ -55,7 +55,7 @@
 }
 
 func TestLimitsHaveDefaults(t *testing.T) {
-	s, err := load(t, strings.Replace(config, `"memory_mb":100,"sockets":600`, "", 1), nil)
+	s, err := load(t, strings.Replace(configText, `"memory_mb":100,"sockets":600`, "", 1), nil)
 	require.NoError(t, err)
 	assert.Equal(t, int64(defaultMemoryMB)<<20, s.Limits.Sizes.Memory)
 	assert.Equal(t, defaultSockets, s.Limits.Counts.Sockets)
@@ -89,8 +89,8 @@
 		"GW_CONFIG: unexpected end":     {`2000000000}}}`, ""},
 		"classes.worth of type float64": {`"worth":2`, `"worth":"much"`},
 	} {
-		require.Contains(t, config, change[0])
-		_, err := load(t, strings.Replace(config, change[0], change[1], 1), nil)
+		require.Contains(t, configText, change[0])
+		_, err := load(t, strings.Replace(configText, change[0], change[1], 1), nil)
 		assert.ErrorContains(t, err, says)
 	}
 }
@@ -99,7 +99,7 @@
 // connection that was begun when a member was told to drain.
 func TestTimesOfTheListAndOfDialsFitTheGrace(t *testing.T) {
 	for _, grace := range []float64{0.05, 0.25, 0.5, 1, 2, 30} {
-		s, err := load(t, strings.Replace(config, `"overloadFactor"`, fmt.Sprintf(`"stopSendingWithinNs":%g,"overloadFactor"`, grace*1e9), 1), nil)
+		s, err := load(t, strings.Replace(configText, `"overloadFactor"`, fmt.Sprintf(`"stopSendingWithinNs":%g,"overloadFactor"`, grace*1e9), 1), nil)
 		require.NoError(t, err)
 		l := s.Limits
 		assert.LessOrEqual(t, l.Durations.SilenceTimeout+l.Durations.MaxBackoff, grace/2, "grace %g", grace)
@@ -107,13 +107,13 @@
 		assert.LessOrEqual(t, l.Durations.SilenceTimeout, 1.0)
 		assert.LessOrEqual(t, l.Durations.MinBackoff, l.Durations.MaxBackoff)
 	}
-	s, err := load(t, config, nil)
+	s, err := load(t, configText, nil)
 	require.NoError(t, err, "not told")
 	assert.Equal(t, 1.0, s.Limits.Durations.SilenceTimeout)
-	asked := strings.Replace(config, `"overloadFactor"`, `"stopSendingWithinNs":250000000,"overloadFactor"`, 1)
+	asked := strings.Replace(configText, `"overloadFactor"`, `"stopSendingWithinNs":250000000,"overloadFactor"`, 1)
 	s, err = load(t, strings.Replace(asked, `"discovery":"push"`, `"discovery":"ask"`, 1), nil)
 	require.NoError(t, err)
-	require.True(t, s.Told.Ask)
+	require.True(t, s.Settings.Ask)
 	assert.Equal(t, 1.0, s.Limits.Durations.SilenceTimeout, "a crowded registry answers late")
 	// A call that fell silent as it was made is given up, and asked again after a sixteenth of the asking rule's span at
 	// the most; that is refused, and asked again after an eighth. What was missed counts as told six seconds after the
@@ -121,14 +121,14 @@
 	const asks = 10.0
 	told := math.Max(6, s.Limits.Durations.LongPollHold+2)
 	assert.Less(t, s.Limits.Durations.LongPollHold+s.Limits.Durations.SilenceTimeout+asks/16+asks/8, told)
-	_, err = load(t, strings.Replace(config, `"overloadFactor"`, `"stopSendingWithinNs":-1,"overloadFactor"`, 1), nil)
+	_, err = load(t, strings.Replace(configText, `"overloadFactor"`, `"stopSendingWithinNs":-1,"overloadFactor"`, 1), nil)
 	assert.ErrorContains(t, err, "invariants.stopSendingWithinNs")
 }
 
 func TestVariablesAndFileMustAgree(t *testing.T) {
-	_, err := load(t, config, map[string]string{"GW_LISTEN": "127.0.0.9:1"})
+	_, err := load(t, configText, map[string]string{"GW_LISTEN": "127.0.0.9:1"})
 	assert.ErrorContains(t, err, "GW_LISTEN")
-	s, err := load(t, strings.Replace(config, `"listen"`, `"other"`, 1), map[string]string{"GW_LISTEN": "127.0.0.9:1"})
+	s, err := load(t, strings.Replace(configText, `"listen"`, `"other"`, 1), map[string]string{"GW_LISTEN": "127.0.0.9:1"})
 	require.NoError(t, err, "a variable stands in for a key that is not there")
 	assert.Equal(t, "127.0.0.9:1", s.Listen.String())
 	_, err = Load(func(string) string { return "" })
@@ -138,46 +138,46 @@
 }
 
 func TestReloadGoesByTheFileAndNamesWhatNeedsARestart(t *testing.T) {
-	first, err := load(t, config, nil)
+	first, err := load(t, configText, nil)
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "config.json")
-	moved := strings.Replace(strings.Replace(config, "127.2.0.1", "127.2.0.9", 1), `"sockets":600`, `"sockets":500`, 1)
+	moved := strings.Replace(strings.Replace(configText, "127.2.0.1", "127.2.0.9", 1), `"sockets":600`, `"sockets":500`, 1)
 	require.NoError(t, os.WriteFile(path, []byte(moved), 0o600))
 	env := map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "127.2.0.1:8500"}
 	second, err := Reload(func(name string) string { return env[name] })
 	require.NoError(t, err, "the variable holds the address of the start")
 	assert.Equal(t, "127.2.0.9:8500", second.Discovery.String())
-	assert.Equal(t, []string{"limits"}, first.Fixed(&second))
-	assert.Empty(t, first.Fixed(&first))
+	assert.Equal(t, []string{"limits"}, first.RestartKeys(&second))
+	assert.Empty(t, first.RestartKeys(&first))
 }
 
 func TestZoneIsOptionalAndChecked(t *testing.T) {
-	s, err := load(t, config, nil)
+	s, err := load(t, configText, nil)
 	require.NoError(t, err)
-	assert.Equal(t, -1, s.Told.Zone, "not told: zones count for nothing, as ever")
-	s, err = load(t, strings.Replace(config, `"me":2`, `"me":2,"zone":1`, 1), nil)
+	assert.Equal(t, -1, s.Settings.Zone, "not told: zones count for nothing, as ever")
+	s, err = load(t, strings.Replace(configText, `"me":2`, `"me":2,"zone":1`, 1), nil)
 	require.NoError(t, err)
-	assert.Equal(t, 1, s.Told.Zone)
+	assert.Equal(t, 1, s.Settings.Zone)
 	for _, zone := range []string{"2", "-2", `"h1"`} {
-		_, err = load(t, strings.Replace(config, `"me":2`, `"me":2,"zone":`+zone, 1), nil)
+		_, err = load(t, strings.Replace(configText, `"me":2`, `"me":2,"zone":`+zone, 1), nil)
 		assert.ErrorContains(t, err, "zone", zone)
 	}
 }
 
 func TestMoveTakesSettingsInWithoutARestart(t *testing.T) {
-	first, err := load(t, config, nil)
+	first, err := load(t, configText, nil)
 	require.NoError(t, err)
-	other := strings.Replace(strings.Replace(config, `"basket"`, `"browse"`, 1), `"memory_mb":100`, `"memory_mb":200`, 1)
+	other := strings.Replace(strings.Replace(configText, `"basket"`, `"browse"`, 1), `"memory_mb":100`, `"memory_mb":200`, 1)
 	second, err := load(t, other, nil)
 	require.NoError(t, err)
-	assert.False(t, first.Moves(&second))
-	assert.Equal(t, []string{"limits", "settings"}, first.Fixed(&second))
+	assert.False(t, first.MigratesTo(&second))
+	assert.Equal(t, []string{"limits", "settings"}, first.RestartKeys(&second))
 	moved, err := load(t, strings.Replace(other, `{"name":"n3"`, `{"move":true,"name":"n3"`, 1), nil)
 	require.NoError(t, err)
-	assert.True(t, first.Moves(&moved))
-	assert.Equal(t, []string{"limits"}, first.Fixed(&moved), "memory waits all the same")
-	first.Take(&moved)
-	assert.Equal(t, []string{"browse", "order"}, first.Told.Names)
+	assert.True(t, first.MigratesTo(&moved))
+	assert.Equal(t, []string{"limits"}, first.RestartKeys(&moved), "memory waits all the same")
+	first.AdoptSettings(&moved)
+	assert.Equal(t, []string{"browse", "order"}, first.Settings.GroupNames)
 	assert.Equal(t, int64(100)<<20, first.Limits.Sizes.Memory)
-	assert.False(t, first.Moves(&moved), "once")
+	assert.False(t, first.MigratesTo(&moved), "once")
 }
--- a/internal/site/start.go
+++ b/internal/site/start.go
@@ -12,15 +12,15 @@
 	"stoatdale.example/stoatdale/internal/roster"
 )
 
-// Start is what a router on sockets is started with.
-type Start struct {
+// Config is what a router on sockets is started with.
+type Config struct {
 	Name      string
 	Listen    netip.AddrPort
 	Discovery netip.AddrPort
 	Seed      uint64
-	Known     roster.List // as this router had it last
-	Told      Told
-	Move      bool // a running router takes these settings in
+	KnownList roster.List // as this router had it last
+	Settings  Settings
+	Migrate   bool // a running router takes these settings in
 	Limits    Limits
 }
 
@@ -110,7 +110,7 @@
 	longestWait     = 10    // client timeouts of the deployment: what is longer is a mistake
 )
 
-func limits(memoryMB, sockets int, told *Told) Limits {
+func limits(memoryMB, sockets int, told *Settings) Limits {
 	rest := sockets - keptSockets
 	memory := int64(memoryMB) << 20
 	longest := 0.0
@@ -125,10 +125,10 @@
 	if told.Ask {
 		watch = askedWatch
 	}
-	if told.Grace > 0 {
-		dial = min(dial, told.Grace)
+	if told.DrainGrace > 0 {
+		dial = min(dial, told.DrainGrace)
 		if !told.Ask {
-			late, pause = min(late, lateShare*told.Grace), min(pause, pauseShare*told.Grace)
+			late, pause = min(late, lateShare*told.DrainGrace), min(pause, pauseShare*told.DrainGrace)
 		}
 	}
 	return Limits{
@@ -171,7 +171,7 @@
 			ShedGrace:          0.01,
 			ConnectTimeout:     dial,
 			HealthCheckTimeout: told.Dial,
-			BackendIdleTimeout: idleShare * told.Idle,
+			BackendIdleTimeout: idleShare * told.BackendIdle,
 			ReuseDelay:         told.Tick,
 			MaxClockSkew:       1,
 			LongPollHold:       watch,
@@ -186,8 +186,8 @@
 	}
 }
 
-// file is GW_CONFIG's document.
-type file struct {
+// configDocument is GW_CONFIG's document.
+type configDocument struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -203,33 +203,33 @@
 
 // Load reads the variables GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_CONFIG by way of env and the file that
 // the last one names. A variable and the file must not differ; either may be left out but GW_CONFIG.
-func Load(env func(string) string) (Start, error) { return read(env, true) }
+func Load(env func(string) string) (Config, error) { return read(env, true) }
 
 // Reload reads them again by the same checks, but for one: where a variable and the file differ the file
 // wins, since the environment still holds what the process was started with.
-func Reload(env func(string) string) (Start, error) { return read(env, false) }
+func Reload(env func(string) string) (Config, error) { return read(env, false) }
 
 // Parse reads a document as Load does, with nothing from the environment, for whoever hands routers theirs.
-func Parse(raw []byte) (Start, error) {
+func Parse(raw []byte) (Config, error) {
 	return parse(raw, func(string) string { return "" }, true)
 }
 
-func read(env func(string) string, agree bool) (Start, error) {
+func read(env func(string) string, agree bool) (Config, error) {
 	path := env("GW_CONFIG")
 	if path == "" {
-		return Start{}, errors.New("GW_CONFIG is not set")
+		return Config{}, errors.New("GW_CONFIG is not set")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return Start{}, fmt.Errorf("GW_CONFIG: %w", err)
+		return Config{}, fmt.Errorf("GW_CONFIG: %w", err)
 	}
 	return parse(raw, env, agree)
 }
 
-func parse(raw []byte, env func(string) string, agree bool) (Start, error) {
-	var f file
+func parse(raw []byte, env func(string) string, agree bool) (Config, error) {
+	var f configDocument
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return Start{}, fmt.Errorf("GW_CONFIG: %w", err)
+		return Config{}, fmt.Errorf("GW_CONFIG: %w", err)
 	}
 	for _, p := range []struct {
 		variable, key string
@@ -237,20 +237,20 @@
 	}{{"GW_NAME", "name", &f.Name}, {"GW_LISTEN", "listen", &f.Listen}, {"GW_DISCOVERY", "discovery", &f.Discovery}} {
 		v := env(p.variable)
 		if agree && v != "" && *p.value != "" && v != *p.value {
-			return Start{}, fmt.Errorf("%s is %q, but %s in GW_CONFIG is %q", p.variable, v, p.key, *p.value)
+			return Config{}, fmt.Errorf("%s is %q, but %s in GW_CONFIG is %q", p.variable, v, p.key, *p.value)
 		}
 		if *p.value == "" {
 			*p.value = v
 		}
 		if *p.value == "" {
-			return Start{}, fmt.Errorf("%s is missing: set %s or %s in GW_CONFIG", p.key, p.variable, p.key)
+			return Config{}, fmt.Errorf("%s is missing: set %s or %s in GW_CONFIG", p.key, p.variable, p.key)
 		}
 	}
 	return f.check()
 }
 
-func (f *file) check() (Start, error) {
-	s := Start{Name: f.Name, Move: f.Move}
+func (f *configDocument) check() (Config, error) {
+	s := Config{Name: f.Name, Migrate: f.Move}
 	var err error
 	if s.Listen, err = netip.ParseAddrPort(f.Listen); err != nil {
 		return s, fmt.Errorf("listen: %w", err)
@@ -264,8 +264,8 @@
 	if len(f.Settings) == 0 {
 		return s, errors.New("settings is missing")
 	}
-	if s.Told, err = Read(f.Settings); err == nil {
-		err = s.Told.Fault()
+	if s.Settings, err = ParseSettings(f.Settings); err == nil {
+		err = s.Settings.Validate()
 	}
 	if err != nil {
 		return s, err
@@ -283,31 +283,31 @@
 	if sockets < leastSockets {
 		return s, fmt.Errorf("limits.sockets is %d, and must be %d at least", sockets, leastSockets)
 	}
-	s.Limits = limits(memory, sockets, &s.Told)
+	s.Limits = limits(memory, sockets, &s.Settings)
 	if len(f.Known) == 0 {
 		return s, errors.New("known is missing")
 	}
-	if s.Known, err = roster.Parse(f.Known); err != nil {
+	if s.KnownList, err = roster.Parse(f.Known); err != nil {
 		return s, fmt.Errorf("known: %w", err)
 	}
 	return s, nil
 }
 
-// Moves says that another start asks a running router to take its settings in, and that they differ. How the
+// MigratesTo says that another configuration asks a running router to take its settings in, and that they differ. How the
 // list comes is part of how a router starts.
-func (s *Start) Moves(other *Start) bool {
-	return other.Move && s.Told.Ask == other.Told.Ask && !reflect.DeepEqual(s.Told, other.Told)
+func (s *Config) MigratesTo(other *Config) bool {
+	return other.Migrate && s.Settings.Ask == other.Settings.Ask && !reflect.DeepEqual(s.Settings, other.Settings)
 }
 
-// Take takes another start's settings in, and what of the limits follows from them; memory and descriptors stay.
-func (s *Start) Take(other *Start) {
-	s.Told = other.Told
-	s.Limits = limits(int(s.Limits.Sizes.Memory>>20), s.Limits.Counts.Sockets, &s.Told)
+// AdoptSettings takes another configuration's settings in, and what of the limits follows from them; memory and descriptors stay.
+func (s *Config) AdoptSettings(other *Config) {
+	s.Settings = other.Settings
+	s.Limits = limits(int(s.Limits.Sizes.Memory>>20), s.Limits.Counts.Sockets, &s.Settings)
 }
 
-// Fixed names the keys in which another start differs and that only a restart takes in. The list that was
+// RestartKeys names the keys in which another start differs and that only a restart takes in. The list that was
 // known last is none: it changes by itself.
-func (s *Start) Fixed(other *Start) []string {
+func (s *Config) RestartKeys(other *Config) []string {
 	var keys []string
 	for _, k := range []struct {
 		name string
@@ -317,7 +317,7 @@
 		{"listen", s.Listen == other.Listen},
 		{"seed", s.Seed == other.Seed},
 		{"limits", s.Limits.Sizes.Memory == other.Limits.Sizes.Memory && s.Limits.Counts.Sockets == other.Limits.Counts.Sockets},
-		{"settings", reflect.DeepEqual(s.Told, other.Told) || s.Moves(other)},
+		{"settings", reflect.DeepEqual(s.Settings, other.Settings) || s.MigratesTo(other)},
 	} {
 		if !k.same {
 			keys = append(keys, k.name)
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -94,7 +94,7 @@
 			IdleTimeout: 5, ShedGrace: 0.01, CloseLinger: 1, MinBackoff: 0.5, DrainDeadline: 0.15,
 		},
 	}
-	told := &site.Told{Names: []string{"look"}}
+	told := &site.Settings{GroupNames: []string{"look"}}
 	told.Groups = []router.CommandGroup{{Timeout: 1, Target: 0.5}}
 	var err error
 	s.front, err = front.Listen(netip.MustParseAddrPort("127.0.0.1:5432"), s.wire, limits, s.blocks, clientCore{s}, told, &count.Counters{}, zerolog.New(io.Discard))
--- a/service/service.go
+++ b/service/service.go
@@ -14,11 +14,11 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-// Start is what a router is started with; Load reads it.
-type Start = site.Start
+// Config is what a router is started with; Load reads it.
+type Config = site.Config
 
 // Load reads the environment and the file that it names. Its errors name the variable or key at fault.
-func Load(env func(string) string) (Start, error) { return site.Load(env) }
+func Load(env func(string) string) (Config, error) { return site.Load(env) }
 
 // Counters is what a router has taken in, sent and answered.
 type Counters = count.Counters
@@ -28,7 +28,7 @@
 
 // Router is one router on sockets.
 type Router struct {
-	start  Start
+	start  Config
 	loop   *loop.Loop
 	blocks *buffer.Pool
 	core   *core.Core
@@ -40,17 +40,17 @@
 }
 
 // New opens a router's listener; Run serves.
-func New(s Start, log zerolog.Logger) (*Router, error) {
+func New(s Config, log zerolog.Logger) (*Router, error) {
 	l, err := loop.New(s.Limits.Counts.EventsPerTurn)
 	if err != nil {
 		return nil, err
 	}
 	r := &Router{start: s, loop: l, blocks: buffer.NewPool(s.Limits.Sizes.BufferBlock, s.Limits.Counts.BufferBlocks), log: log,
 		over: make(chan struct{})}
-	r.count.GroupNames = r.start.Told.Names
+	r.count.GroupNames = r.start.Settings.GroupNames
 	r.count.TakenByGroup = make([]uint64, len(r.count.GroupNames))
 	r.core = core.New(&r.start, l, r.blocks, &r.count, log)
-	r.front, err = front.Listen(s.Listen, l, &r.start.Limits, r.blocks, r.core, &r.start.Told, &r.count, log)
+	r.front, err = front.Listen(s.Listen, l, &r.start.Limits, r.blocks, r.core, &r.start.Settings, &r.count, log)
 	if err != nil {
 		return nil, err
 	}
@@ -103,10 +103,10 @@
 			return
 		}
 		r.count.Reloads++
-		if r.start.Moves(&s) {
+		if r.start.MigratesTo(&s) {
 			r.move(&s)
 		}
-		if keys := r.start.Fixed(&s); len(keys) > 0 {
+		if keys := r.start.RestartKeys(&s); len(keys) > 0 {
 			r.log.Warn().Strs("keys", keys).Msg("changed keys wait for a restart")
 		}
 		r.log.Info().Stringer("discovery", s.Discovery).Stringer("before", r.start.Discovery).Msg("reloaded")
@@ -116,14 +116,14 @@
 }
 
 // move has other settings hold from here on.
-func (r *Router) move(s *Start) {
+func (r *Router) move(s *Config) {
 	r.core.Settle(r.loop.Now()) // what was taken names its group by the earlier ones
 	taken := map[string]uint64{}
 	for i, name := range r.count.GroupNames {
 		taken[name] = r.count.TakenByGroup[i]
 	}
-	r.start.Take(s)
-	r.count.GroupNames = r.start.Told.Names
+	r.start.AdoptSettings(s)
+	r.count.GroupNames = r.start.Settings.GroupNames
 	r.count.TakenByGroup = make([]uint64, len(r.count.GroupNames))
 	for i, name := range r.count.GroupNames {
 		r.count.TakenByGroup[i] = taken[name]
@@ -131,7 +131,7 @@
 	r.front.Regroup()
 	r.core.Move()
 	r.count.Moves++
-	r.log.Info().Int("in_hand", r.core.InHand()).Strs("groups", r.start.Told.Names).Msg("moved to other settings")
+	r.log.Info().Int("in_hand", r.core.InHand()).Strs("groups", r.start.Settings.GroupNames).Msg("moved to other settings")
 }
 
 // LogCounters has the counters logged. It may be called from any goroutine.
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -13,11 +13,11 @@
 )
 
 // start is what a router of one command group is started with, with nobody to ask for a list.
-func start() Start {
+func start() Config {
 	nobody := netip.MustParseAddrPort("127.0.0.1:1")
-	s := Start{Name: "n1", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: nobody}
-	s.Told.Site = router.Site{Groups: []router.CommandGroup{{Need: router.NeedAny, Target: 1, Timeout: 2}}, Tick: 0.005}
-	s.Told.Names = []string{"look"}
+	s := Config{Name: "n1", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: nobody}
+	s.Settings.Site = router.Site{Groups: []router.CommandGroup{{Need: router.NeedAny, Target: 1, Timeout: 2}}, Tick: 0.005}
+	s.Settings.GroupNames = []string{"look"}
 	s.Limits = site.Limits{
 		Sizes: site.Sizes{
 			BufferBlock: 64,
