--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -25,7 +25,8 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-var clientKind = Kind{Name: "client", Words: "client connections and the front, with clients, the core, the network and time as the adversary",
+var clientKind = Kind{
+	Name: "client", Words: "client connections and the front, with clients, the core, the network and time as the adversary",
 	Faults: map[string]Fault{
 		"swapped":    {"an answer goes to another command than its own", Bounds{Clients: 1, Commands: []string{"look", "look"}}},
 		"lost-byte":  {"the last byte of an answer counts as written, and is not", Bounds{Clients: 1, Commands: []string{"empty"}}},
@@ -35,7 +36,8 @@
 	},
 	New: func(b Bounds, fault string) func() explore.System {
 		return func() explore.System { return newClient(b, fault) }
-	}}
+	},
+}
 
 // clients is the system: a front and its clients; the core is the adversary's.
 type clients struct {
@@ -80,9 +82,11 @@
 func newClient(b Bounds, fault string) *clients {
 	s := &clients{bounds: b, fault: fault, wire: &listening{wire: newWire(), fds: map[int]int{}}, blocks: buffer.NewPool(512, 1<<16)}
 	s.wire.keepOpen, s.wire.loseByte = fault == "unclosed", fault == "lost-byte"
-	limits := &site.Limits{Block: 512, Message: 4096, Packet: 1000, Comment: 512, Read: 1 << 16, Accepts: 4, Backlog: 4, Messages: 8, Pipeline: 4,
+	limits := &site.Limits{
+		Block: 512, Message: 4096, Packet: 1000, Comment: 512, Read: 1 << 16, Accepts: 4, Backlog: 4, Messages: 8, Pipeline: 4,
 		Faults: 3, Away: 1 << 16, Unsent: 1 << 16, Shared: 99, Clients: 9, Idles: 9, Wait: 10, Way: 0.005, First: 2, Whole: 2, Stall: 3, Quiet: 5,
-		Mute: 0.01, Farewell: 1, Pause: 0.5, LastCall: 0.15}
+		Mute: 0.01, Farewell: 1, Pause: 0.5, LastCall: 0.15,
+	}
 	told := &site.Told{Names: []string{"look"}}
 	told.Groups = []router.CommandGroup{{Timeout: 1, Target: 0.5}}
 	var err error
@@ -123,6 +127,7 @@
 
 // Set implements front.Core, as the others do.
 func (clientCore) Set(int) (int, bool) { return 0, true }
+
 func (s clientCore) Open(name string) bool {
 	for _, t := range s.taken {
 		if t.open && t.c.Name == name {
@@ -131,9 +136,11 @@
 	}
 	return false
 }
+
 func (s clientCore) Take(c *core.Command) {
 	s.taken = append(s.taken, &taken{c: c, name: c.Name, open: true})
 }
+
 func (s clientCore) Left(cs []*core.Command) {
 	for _, t := range s.taken {
 		if slices.Contains(cs, t.c) && s.fault != "unheard" {
--- a/internal/systems/cold.go
+++ b/internal/systems/cold.go
@@ -11,14 +11,16 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-var coldKind = Kind{Name: "cold", Words: "several routers' modules and one member that has just started, which all of them send to",
+var coldKind = Kind{
+	Name: "cold", Words: "several routers' modules and one member that has just started, which all of them send to",
 	Faults: map[string]Fault{
 		"alone":     {"each router takes itself for the only one", Bounds{Routers: 2, Ticks: 5}},
 		"unstarted": {"a member's start is not told with the list", Bounds{Routers: 2, Ticks: 1}},
 	},
 	New: func(b Bounds, fault string) func() explore.System {
 		return func() explore.System { return newCold(b, fault) }
-	}}
+	},
+}
 
 const (
 	coldTick  = 0.5   // seconds of a step of time
@@ -60,8 +62,10 @@
 }
 
 func newCold(b Bounds, fault string) *cold {
-	c := &cold{bounds: b, fault: fault, now: 10, started: math.Inf(-1), check: verdict.Cold{Capacity: 1 / coldWork, Share: 0.2, WarmIn: 8,
-		Overload: 2, FallSpan: 2}}
+	c := &cold{bounds: b, fault: fault, now: 10, started: math.Inf(-1), check: verdict.Cold{
+		Capacity: 1 / coldWork, Share: 0.2, WarmIn: 8,
+		Overload: 2, FallSpan: 2,
+	}}
 	for i := range b.Routers {
 		r := &coldRouter{world: c, me: i}
 		c.routers = append(c.routers, r)
@@ -84,9 +88,11 @@
 func (r *coldRouter) boot() {
 	c := r.world
 	r.boots++
-	s := router.Site{Routers: c.bounds.Routers, Me: r.me, Whole: 1, Tick: 0.005, Brought: true, Reports: true, Cancel: true, Tries: 3,
+	s := router.Site{
+		Routers: c.bounds.Routers, Me: r.me, Whole: 1, Tick: 0.005, Brought: true, Reports: true, Cancel: true, Tries: 3,
 		Dial: coldWork, ColdShare: c.check.Share, WarmIn: c.check.WarmIn, Overload: c.check.Overload, FallSpan: c.check.FallSpan,
-		Groups: []router.CommandGroup{{Need: router.NeedAny, Effect: router.Replayable, Target: 0.5, Timeout: 1, Benefit: 1, Late: 0.5}}}
+		Groups: []router.CommandGroup{{Need: router.NeedAny, Effect: router.Replayable, Target: 0.5, Timeout: 1, Benefit: 1, Late: 0.5}},
+	}
 	if c.fault == "alone" {
 		s.Routers = 1
 	}
@@ -101,8 +107,10 @@
 	if r.world.fault == "unstarted" {
 		started = math.Inf(-1)
 	}
-	r.module.Listed(r.world.now, []router.Listing{{Node: 0, State: router.Ready, Started: math.Inf(-1), Primary: true},
-		{Node: 1, State: router.Ready, Started: started}}, true, false)
+	r.module.Listed(r.world.now, []router.Listing{
+		{Node: 0, State: router.Ready, Started: math.Inf(-1), Primary: true},
+		{Node: 1, State: router.Ready, Started: started},
+	}, true, false)
 	r.hand.Settle(r.world.now)
 }
 
--- a/internal/systems/command.go
+++ b/internal/systems/command.go
@@ -14,40 +14,70 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-var commandKind = Kind{Name: "command", Words: "commands in hand and the module, with members, a list, time and clients as the adversary",
+var commandKind = Kind{
+	Name: "command", Words: "commands in hand and the module, with members, a list, time and clients as the adversary",
 	Faults: map[string]Fault{
-		"answers-twice": {"a dispatch that ran out of time, and whose command was given up, answers its client all the same",
-			Bounds{Members: 2, Commands: []string{"order"}, Ticks: 5}},
-		"drain-overlooked": {"a draining notice that comes while a dispatch is out is not handed to the module",
-			Bounds{Members: 2, Commands: []string{"look", "look"}, Ticks: 1, Faults: 1}},
-		"long-memory": {"the module is told a memory span that is a step of time longer than it is",
-			Bounds{Members: 1, Commands: []string{"keyed"}, Ticks: 3, Faults: 1}},
-		"early-byte": {"a connection that broke after the last byte counts as one that broke before",
-			Bounds{Members: 2, Commands: []string{"order"}, Ticks: 1, Faults: 1}},
-		"spoilt-position": {"a report's position is taken to be two steps of time further than it is",
-			Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 2}},
-		"held-back": {"what the module gives up is answered a step of time later",
-			Bounds{Members: 1, Commands: []string{"order"}, Ticks: 5}},
-		"no-age": {"the age of a write of this very moment is taken for none",
-			Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 1, Faults: 1}},
-		"left-behind": {"a client that leaves is not told to the module, whose dispatches go on",
-			Bounds{Members: 1, Commands: []string{"keyed"}, Ticks: 2, Faults: 2}},
-		"forgotten-mark": {"what a session has seen is forgotten between two of its reads",
-			Bounds{Members: 3, Commands: []string{"own", "own"}, Ticks: 1}},
-		"reused-index": {"a member that is gone leaves its row to another at once, as it was",
-			Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 2, Faults: 1, Only: []string{"replace"}}},
-		"two-out": {"a dispatch that was called off counts as ended before it has",
-			Bounds{Members: 2, Commands: []string{"look"}, Ticks: 3, Faults: 1}},
-		"lost-end": {"the end of a dispatch that was called off is not handed in",
-			Bounds{Members: 1, Commands: []string{"look"}, Ticks: 1, Faults: 1, Only: []string{"leave"}}},
-		"untold-primary": {"a change of primary is told by nobody: not by the list, nor by answers",
-			Bounds{Members: 2, Commands: []string{"look"}, Ticks: 1, Faults: 1, Only: []string{"promote"}}},
-		"far-keyed": {"a keyed command's repeat goes by a set that is not its own",
-			Bounds{Members: 2, Commands: []string{"keyed"}, Ticks: 1, Faults: 1}},
+		"answers-twice": {
+			"a dispatch that ran out of time, and whose command was given up, answers its client all the same",
+			Bounds{Members: 2, Commands: []string{"order"}, Ticks: 5},
+		},
+		"drain-overlooked": {
+			"a draining notice that comes while a dispatch is out is not handed to the module",
+			Bounds{Members: 2, Commands: []string{"look", "look"}, Ticks: 1, Faults: 1},
+		},
+		"long-memory": {
+			"the module is told a memory span that is a step of time longer than it is",
+			Bounds{Members: 1, Commands: []string{"keyed"}, Ticks: 3, Faults: 1},
+		},
+		"early-byte": {
+			"a connection that broke after the last byte counts as one that broke before",
+			Bounds{Members: 2, Commands: []string{"order"}, Ticks: 1, Faults: 1},
+		},
+		"spoilt-position": {
+			"a report's position is taken to be two steps of time further than it is",
+			Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 2},
+		},
+		"held-back": {
+			"what the module gives up is answered a step of time later",
+			Bounds{Members: 1, Commands: []string{"order"}, Ticks: 5},
+		},
+		"no-age": {
+			"the age of a write of this very moment is taken for none",
+			Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 1, Faults: 1},
+		},
+		"left-behind": {
+			"a client that leaves is not told to the module, whose dispatches go on",
+			Bounds{Members: 1, Commands: []string{"keyed"}, Ticks: 2, Faults: 2},
+		},
+		"forgotten-mark": {
+			"what a session has seen is forgotten between two of its reads",
+			Bounds{Members: 3, Commands: []string{"own", "own"}, Ticks: 1},
+		},
+		"reused-index": {
+			"a member that is gone leaves its row to another at once, as it was",
+			Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 2, Faults: 1, Only: []string{"replace"}},
+		},
+		"two-out": {
+			"a dispatch that was called off counts as ended before it has",
+			Bounds{Members: 2, Commands: []string{"look"}, Ticks: 3, Faults: 1},
+		},
+		"lost-end": {
+			"the end of a dispatch that was called off is not handed in",
+			Bounds{Members: 1, Commands: []string{"look"}, Ticks: 1, Faults: 1, Only: []string{"leave"}},
+		},
+		"untold-primary": {
+			"a change of primary is told by nobody: not by the list, nor by answers",
+			Bounds{Members: 2, Commands: []string{"look"}, Ticks: 1, Faults: 1, Only: []string{"promote"}},
+		},
+		"far-keyed": {
+			"a keyed command's repeat goes by a set that is not its own",
+			Bounds{Members: 2, Commands: []string{"keyed"}, Ticks: 1, Faults: 1},
+		},
 	},
 	New: func(b Bounds, fault string) func() explore.System {
 		return func() explore.System { return newCommands(b, fault) }
-	}}
+	},
+}
 
 const (
 	cmdTick    = 0.25 // seconds of a step of time
@@ -121,8 +151,10 @@
 }
 
 func newCommands(b Bounds, fault string) *commands {
-	c := &commands{bounds: b, fault: fault, probes: map[int]bool{}, check: verdict.Commands{Grace: cmdGrace}, token: math.Inf(-1),
-		seen: math.Inf(-1)}
+	c := &commands{
+		bounds: b, fault: fault, probes: map[int]bool{}, check: verdict.Commands{Grace: cmdGrace}, token: math.Inf(-1),
+		seen: math.Inf(-1),
+	}
 	for range b.Members {
 		c.members = append(c.members, host{told: router.Ready, Member: verdict.Member{Covers: 10}})
 	}
@@ -137,8 +169,10 @@
 
 // boot starts the router, for the first time or anew: it knows only the list that it had last.
 func (c *commands) boot() {
-	s := router.Site{Routers: 1, Whole: 1, Tick: 0.005, Brought: true, Reports: true, Cancel: true, Probes: true, Advice: true, MaxAdvice: 1,
-		Tries: 3, Dial: 0.05, ColdShare: 0.2, WarmIn: 0.1, Overload: 2, FallSpan: 1}
+	s := router.Site{
+		Routers: 1, Whole: 1, Tick: 0.005, Brought: true, Reports: true, Cancel: true, Probes: true, Advice: true, MaxAdvice: 1,
+		Tries: 3, Dial: 0.05, ColdShare: 0.2, WarmIn: 0.1, Overload: 2, FallSpan: 1,
+	}
 	for _, x := range cmdGroups {
 		g := x.g
 		g.Target, g.Timeout, g.Benefit, g.Late, g.Memory = cmdTimeout/2, cmdTimeout, 1, 0.5, cmdMemory
@@ -287,8 +321,10 @@
 	return false
 }
 
-var endings = map[string]router.Ending{"answered": router.Answered, "errored": router.Errored, "full": router.Full,
-	"unreached": router.Unreached, "broken": router.Broken, "recalled": router.Recalled, "timed": router.TimedOut}
+var endings = map[string]router.Ending{
+	"answered": router.Answered, "errored": router.Errored, "full": router.Full,
+	"unreached": router.Unreached, "broken": router.Broken, "recalled": router.Recalled, "timed": router.TimedOut,
+}
 
 // Take implements explore.System.
 func (c *commands) Take(step string) {
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -18,22 +18,34 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-var memberKind = Kind{Name: "member", Words: "connections to one member, with the member, the network below them and time as the adversary",
+var memberKind = Kind{
+	Name: "member", Words: "connections to one member, with the member, the network below them and time as the adversary",
 	Faults: map[string]Fault{
-		"previous-reply": {"what a connection brings between two commands is not noticed: the next takes it for its own",
-			Bounds{Commands: []string{"look", "look"}, Faults: 1, Ticks: 1}},
-		"early-write": {"the last byte of a statement counts as written, and is not",
-			Bounds{Commands: []string{"look"}, Faults: 1}},
-		"late-write": {"the last byte of what is written counts as unwritten",
-			Bounds{Commands: []string{"look"}, Faults: 1}},
-		"twice": {"a dispatch that was called off ends once more as its connection does",
-			Bounds{Commands: []string{"look"}, Faults: 1}},
-		"kept": {"a connection that is closed stays open",
-			Bounds{Commands: []string{"look"}, Faults: 1}},
+		"previous-reply": {
+			"what a connection brings between two commands is not noticed: the next takes it for its own",
+			Bounds{Commands: []string{"look", "look"}, Faults: 1, Ticks: 1},
+		},
+		"early-write": {
+			"the last byte of a statement counts as written, and is not",
+			Bounds{Commands: []string{"look"}, Faults: 1},
+		},
+		"late-write": {
+			"the last byte of what is written counts as unwritten",
+			Bounds{Commands: []string{"look"}, Faults: 1},
+		},
+		"twice": {
+			"a dispatch that was called off ends once more as its connection does",
+			Bounds{Commands: []string{"look"}, Faults: 1},
+		},
+		"kept": {
+			"a connection that is closed stays open",
+			Bounds{Commands: []string{"look"}, Faults: 1},
+		},
 	},
 	New: func(b Bounds, fault string) func() explore.System {
 		return func() explore.System { return newMember(b, fault) }
-	}}
+	},
+}
 
 // members is the system: dispatches to one member over the connections of package member.
 type members struct {
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -15,7 +15,8 @@
 	"stoatdale.example/stoatdale/internal/lab/verdict"
 )
 
-var rolloutKind = Kind{Name: "rollout", Words: "operators' tools, agents of one router each, claims and the network between them",
+var rolloutKind = Kind{
+	Name: "rollout", Words: "operators' tools, agents of one router each, claims and the network between them",
 	Faults: map[string]Fault{
 		"epoch-twice":  {"an agent grants an epoch that it has granted to another", Bounds{Agents: 2, Tools: 2, Ticks: 1}},
 		"forgetful":    {"an agent that starts again has forgotten what it promised", Bounds{Agents: 1, Tools: 2, Ticks: 1, Faults: 1}},
@@ -28,7 +29,8 @@
 	},
 	New: func(b Bounds, fault string) func() explore.System {
 		return func() explore.System { return newRollout(b, fault) }
-	}}
+	},
+}
 
 const (
 	rollTick = 1.0 // seconds of a step of time
@@ -82,8 +84,10 @@
 }
 
 func newRollout(b Bounds, fault string) *rollout {
-	r := &rollout{bounds: b, fault: fault, check: verdict.NewFleet(b.Agents - 1), limits: tend.Limits{Ready: 100, Settle: 0.5,
-		Probe: 1e9, Count: 1e9, Window: 1, Restart: 0.5, Longest: 1, Calm: 1e9, Crashes: 9, Misses: 9, Patient: 100}}
+	r := &rollout{bounds: b, fault: fault, check: verdict.NewFleet(b.Agents - 1), limits: tend.Limits{
+		Ready: 100, Settle: 0.5,
+		Probe: 1e9, Count: 1e9, Window: 1, Restart: 0.5, Longest: 1, Calm: 1e9, Crashes: 9, Misses: 9, Patient: 100,
+	}}
 	r.fleet = &plan.Fleet{Halls: []int{0}, Floor: b.Agents - 1, Times: plan.Times{Soak: 0, Fresh: 1.5, Contact: 100, Step: 100}}
 	if fault == "floorless" {
 		r.fleet.Floor--
@@ -111,7 +115,8 @@
 	x := r.tools[t]
 	x.holder = fmt.Sprint("t", t)
 	task := roll.Task{Verb: roll.Begin, Takeover: t > 0, Rollout: form.Rollout{
-		Rollout: plan.Rollout{ID: x.holder, Revision: fmt.Sprint("new", t)}}}
+		Rollout: plan.Rollout{ID: x.holder, Revision: fmt.Sprint("new", t)},
+	}}
 	if t > 0 {
 		task.Verb = roll.Resume
 	}
@@ -223,8 +228,10 @@
 		a.claims = claim.Durable{}
 	}
 	x, out := tend.NewInstance(a.record, &r.limits)
-	a.desk = tend.Desk{Agent: fmt.Sprint("a", i), Names: []string{r.names[i]}, Claims: claim.Restore(a.claims, rollTerm, r.now),
-		Instances: []tend.Instance{x}}
+	a.desk = tend.Desk{
+		Agent: fmt.Sprint("a", i), Names: []string{r.names[i]}, Claims: claim.Restore(a.claims, rollTerm, r.now),
+		Instances: []tend.Instance{x},
+	}
 	a.todo = append(a.todo, out.Do...)
 }
 
@@ -421,18 +428,24 @@
 }
 
 // times are the fields that hold times, by their names; they count from now.
-var times = map[string]bool{"Seen": true, "since": true, "until": true, "now": true, "next": true, "again": true, "actAt": true,
-	"majorAt": true, "at": true, "probeAt": true, "countAt": true, "readyAt": true, "sent": true, "At": true}
+var times = map[string]bool{
+	"Seen": true, "since": true, "until": true, "now": true, "next": true, "again": true, "actAt": true,
+	"majorAt": true, "at": true, "probeAt": true, "countAt": true, "readyAt": true, "sent": true, "At": true,
+}
 
 // skipped are fields that decide nothing here: numbers of calls only tell them apart, readings of counters and
 // of a claim's age are not gone by, and what is the same in all states.
-var skipped = map[string]bool{"rollCall.ID": true, "Driver.last": true, "Driver.calls": true, "Driver.events": true,
+var skipped = map[string]bool{
+	"rollCall.ID": true, "Driver.last": true, "Driver.calls": true, "Driver.events": true,
 	"Driver.told": true, "Driver.fleet": true, "Driver.chance": true, "Driver.times": true, "agent.looking": true, "agent.saying": true,
 	"agent.standing": true, "Planner.Fleet": true, "Instance.limits": true, "Instance.past": true, "Instance.readyAt": true,
-	"Instance.probeAt": true, "Instance.countAt": true, "Standing.Since": true, "Standing.Left": true, "Sight.ReadyFor": true}
+	"Instance.probeAt": true, "Instance.countAt": true, "Standing.Since": true, "Standing.Left": true, "Sight.ReadyFor": true,
+}
 
-var rolloutRules = &explore.Rules{Grain: 1e-6, Times: func(_ reflect.Type, f string) bool { return times[f] },
-	Skip: func(t reflect.Type, f string) bool { return skipped[t.Name()+"."+f] }}
+var rolloutRules = &explore.Rules{
+	Grain: 1e-6, Times: func(_ reflect.Type, f string) bool { return times[f] },
+	Skip: func(t reflect.Type, f string) bool { return skipped[t.Name()+"."+f] },
+}
 
 // Fingerprint implements explore.System. Left out are numbers of calls, which only tell them apart, and readings
 // that nothing here goes by.
--- a/internal/systems/systems_test.go
+++ b/internal/systems/systems_test.go
@@ -35,11 +35,13 @@
 			assert.Empty(t, property, "the same steps break nothing without it: %s %s", k.Name, name)
 		}
 	}
-	for _, p := range []string{verdict.OneInstance, verdict.OneHolder, verdict.NoFloor, verdict.OneProcess, verdict.Resolved,
+	for _, p := range []string{
+		verdict.OneInstance, verdict.OneHolder, verdict.NoFloor, verdict.OneProcess, verdict.Resolved,
 		verdict.OneAnswer, verdict.InTime, verdict.NotAfter, verdict.NoRepeat, verdict.InMemory, verdict.OneOut, verdict.NoDraining,
 		verdict.NotStale, verdict.NotBack, verdict.EndsOnce, verdict.LastByte, verdict.OwnAnswer, verdict.NoneIsLeft, verdict.ListFollows, verdict.ListFrom,
 		verdict.WholeAsked, verdict.OneCall, verdict.InOrder, verdict.EndsOrLet, verdict.ColdBudget,
-		verdict.ComesToEnd, verdict.ServesAgain} {
+		verdict.ComesToEnd, verdict.ServesAgain,
+	} {
 		assert.True(t, broken[p], "no injected bug breaks it: %s", p)
 	}
 }
@@ -90,9 +92,11 @@
 
 // TestWaysAtRandomBreakNothing takes the same systems further than they can be explored, and shrinks what breaks.
 func TestWaysAtRandomBreakNothing(t *testing.T) {
-	bounds := map[string]Bounds{"cold": {Routers: 4, Ticks: 30, Faults: 2}, "command": {Members: 3, Commands: []string{"order", "own", "keyed", "look"}, Ticks: 8, Faults: 4},
+	bounds := map[string]Bounds{
+		"cold": {Routers: 4, Ticks: 30, Faults: 2}, "command": {Members: 3, Commands: []string{"order", "own", "keyed", "look"}, Ticks: 8, Faults: 4},
 		"rollout": {Agents: 3, Tools: 2, Ticks: 8, Faults: 3}, "member": {Commands: []string{"look", "look", "look", "look"}, Ticks: 6, Faults: 5},
-		"watch": {Ticks: 9, Faults: 9}, "client": {Clients: 2, Commands: []string{"look", "empty", "look", "bad", "extended", "look"}, Ticks: 6, Faults: 6}}
+		"watch": {Ticks: 9, Faults: 9}, "client": {Clients: 2, Commands: []string{"look", "empty", "look", "bad", "extended", "look"}, Ticks: 6, Faults: 6},
+	}
 	for _, k := range Kinds() {
 		rapid.Check(t, func(t *rapid.T) {
 			s := k.New(bounds[k.Name], "")()
@@ -124,12 +128,16 @@
 		assert.Equal(t, len(steps), taken, name)
 	}
 	for name, steps := range map[string][]string{
-		"an agent that starts again calls the last router in service starting": {"crash 1", "crash 2", "die agent 0", "back agent 0",
+		"an agent that starts again calls the last router in service starting": {
+			"crash 1", "crash 2", "die agent 0", "back agent 0",
 			"act 0", "deliver 0 0", "deliver 0 0", "deliver 0 0", "act 0", "deliver 0 0", "deliver 0 0", "deliver 0 1", "deliver 0 1",
-			"deliver 0 1", "act 0", "act 0"},
-		"a router comes up while the step for it is on its way": {"lose 1 0", "crash 1", "crash 0", "deliver 0 0", "deliver 0 0",
+			"deliver 0 1", "act 0", "act 0",
+		},
+		"a router comes up while the step for it is on its way": {
+			"lose 1 0", "crash 1", "crash 0", "deliver 0 0", "deliver 0 0",
 			"deliver 1 0", "deliver 0 0", "deliver 1 0", "deliver 0 0", "tick", "act 0", "act 0", "act 2", "deliver 0 0", "deliver 0 1",
-			"deliver 0 1", "deliver 0 1", "act 0", "act 0"},
+			"deliver 0 1", "deliver 0 1", "act 0", "act 0",
+		},
 	} {
 		w := Trace{System: "rollout", Bounds: Bounds{Agents: 3, Tools: 2, Ticks: 8, Faults: 3}, Trace: explore.Trace{Steps: steps}}
 		taken, property, how := w.Replay()
@@ -220,8 +228,10 @@
 // TestReadAfterARestartInTheMomentOfItsWrite is a trace that exploration found: the age of a write of this very
 // moment was 0, which stands for none, and a router that had just started read from a replica behind it.
 func TestReadAfterARestartInTheMomentOfItsWrite(t *testing.T) {
-	trace := Trace{System: "command", Bounds: Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 3, Faults: 1},
-		Trace: explore.Trace{Steps: []string{"tick", "take 0", "answered 0 0", "restart", "take 1"}}}
+	trace := Trace{
+		System: "command", Bounds: Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 3, Faults: 1},
+		Trace: explore.Trace{Steps: []string{"tick", "take 0", "answered 0 0", "restart", "take 1"}},
+	}
 	taken, property, how := trace.Replay()
 	assert.Equal(t, 5, taken)
 	assert.Empty(t, property, how)
--- a/internal/systems/watch.go
+++ b/internal/systems/watch.go
@@ -19,7 +19,8 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-var watchKind = Kind{Name: "watch", Words: "the watch of the list and its move by a reload, with discovery, the network and time as the adversary",
+var watchKind = Kind{
+	Name: "watch", Words: "the watch of the list and its move by a reload, with discovery, the network and time as the adversary",
 	Faults: map[string]Fault{
 		"old-bytes": {"what the address before had sent is read from the new connection", Bounds{Faults: 1, Only: []string{"move"}}},
 		"unclosed":  {"a connection that is closed stays open", Bounds{Faults: 1, Ticks: 1}},
@@ -29,7 +30,8 @@
 	},
 	New: func(b Bounds, fault string) func() explore.System {
 		return func() explore.System { return newWatch(b, fault) }
-	}}
+	},
+}
 
 // watching is the system: one watch, and two addresses of discovery that know the same list.
 type watching struct {
--- a/internal/systems/wire.go
+++ b/internal/systems/wire.go
@@ -59,7 +59,9 @@
 	}
 	delete(w.socks, fd)
 }
+
 func (w *wire) Quiet(fd int) bool { s := w.socks[fd]; return w.deafQuiet || !s.ended && len(s.in) == 0 }
+
 func (w *wire) Want(fd int, read, write bool) {
 	if s := w.socks[fd]; s != nil {
 		s.wantRead, s.wantWrite = read, write
