--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -138,6 +138,48 @@
 	assert.NotEqual(t, sum(outer{}, 0), sum(outer{p: &inner{}}, 0))
 }
 
+func TestRulesIgnoreFieldsAndTakeTimesFromZero(t *testing.T) {
+	type clock struct {
+		at    float64
+		calls int
+	}
+	sum := func(c clock, zero float64) uint64 {
+		h := Hash{Zero: zero, Rules: &Rules{Ignored: Fields{"explore.clock": {"calls"}}, Times: Fields{"explore.clock": {"at"}}}}
+		h.Value(c)
+		return h.Sum()
+	}
+	assert.Equal(t, sum(clock{at: 1, calls: 1}, 1), sum(clock{at: 3, calls: 2}, 3))
+	assert.NotEqual(t, sum(clock{at: 1}, 1), sum(clock{at: 3}, 1))
+}
+
+func TestRuleThatNamesNoFieldIsAnError(t *testing.T) {
+	type embedded struct{ inherited int }
+	type clock struct {
+		embedded
+		at    float64
+		calls int
+	}
+	for says, rules := range map[string]*Rules{
+		"explore: rules ignore explore.clock.call, which is not a field":            {Ignored: Fields{"explore.clock": {"calls", "call"}}},
+		"explore: rules ignore explore.clock.inherited, which is not a field":       {Ignored: Fields{"explore.clock": {"inherited"}}},
+		"explore: rules take explore.clock.sentAt for a time, which is not a field": {Times: Fields{"explore.clock": {"at", "sentAt"}}},
+		"explore: rules take explore.clock.calls for a time, which is a int":        {Times: Fields{"explore.clock": {"calls"}}},
+		"explore: rules take explore.clock.at for a time and ignore it":             {Ignored: Fields{"explore.clock": {"at"}}, Times: Fields{"explore.clock": {"at"}}},
+	} {
+		h := Hash{Rules: rules}
+		assert.PanicsWithValue(t, says, func() { h.Value(clock{}) })
+	}
+}
+
+func TestTypesThatNoHashHasMetAreTold(t *testing.T) {
+	type clock struct{ at, unused float64 }
+	rules := &Rules{Ignored: Fields{"explore.clock": {"unused"}, "explore.watch": {"face"}}, Times: Fields{"explore.clock": {"at"}, "explore.bell": {"at"}}}
+	assert.Equal(t, []string{"explore.bell", "explore.clock", "explore.watch"}, rules.Unmet())
+	h := Hash{Rules: rules}
+	h.Value(clock{})
+	assert.Equal(t, []string{"explore.bell", "explore.watch"}, rules.Unmet())
+}
+
 func TestDepthFirstWithLittleMemorySeesTheSame(t *testing.T) {
 	for _, states := range []int{0, 50} {
 		r := Deep(context.Background(), of(counters{most: 6}), Bounds{Depth: 12, States: states})
--- a/internal/explore/hash.go
+++ b/internal/explore/hash.go
@@ -2,20 +2,78 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"math"
 	"reflect"
-	"sort"
+	"slices"
 	"sync"
 
 	"github.com/zeebo/xxh3"
 )
 
-// Rules say how values are taken into a hash. They are made once for a system.
+// Fields names fields of struct types: the type with its package, as reflect writes it ("hand.Hand"), to the names of
+// its fields.
+type Fields map[string][]string
+
+func (f Fields) has(typeName, field string) bool { return slices.Contains(f[typeName], field) }
+
+// Rules say how values are taken into a hash. They are made once for a system and shared by all its hashes; they must
+// not be changed once a hash has used them. A rule that names a field which its type does not have is an error: Hash.Value
+// panics when it first meets the type. Types that were never met are told by Unmet.
 type Rules struct {
-	Skip  func(owner reflect.Type, field string) bool // fields that decide nothing; nil: none are left out
-	Times func(owner reflect.Type, field string) bool // fields that hold times, which count from Hash.Zero
-	Grain float64                                     // floats are rounded to it; 0: they are taken as they are
-	plans sync.Map                                    // of struct types
+	Ignored Fields   // fields that decide nothing
+	Times   Fields   // fields of type float64 that hold times, which count from Hash.Zero
+	Grain   float64  // floats are rounded to it; 0: they are taken as they are
+	plans   sync.Map // of struct types met so far, by reflect.Type
+}
+
+// Unmet returns the types that the rules name and that no hash has met so far, in order. After an exploration that
+// reaches every type of a system, each of them is a rule without effect.
+func (r *Rules) Unmet() []string {
+	met := map[string]bool{}
+	r.plans.Range(func(t, _ any) bool {
+		met[t.(reflect.Type).String()] = true
+		return true
+	})
+	var unmet []string
+	for _, fields := range []Fields{r.Ignored, r.Times} {
+		for name := range fields {
+			if !met[name] {
+				unmet = append(unmet, name)
+			}
+		}
+	}
+	slices.Sort(unmet)
+	return slices.Compact(unmet)
+}
+
+// check returns an error if the rules name a field that the struct type t does not have, or that cannot hold what they
+// say it holds.
+func (r *Rules) check(t reflect.Type) error {
+	name := t.String()
+	for _, field := range r.Ignored[name] {
+		if _, ok := ownField(t, field); !ok {
+			return fmt.Errorf("rules ignore %s.%s, which is not a field", name, field)
+		}
+	}
+	for _, field := range r.Times[name] {
+		f, ok := ownField(t, field)
+		switch {
+		case !ok:
+			return fmt.Errorf("rules take %s.%s for a time, which is not a field", name, field)
+		case f.Type.Kind() != reflect.Float64:
+			return fmt.Errorf("rules take %s.%s for a time, which is a %s", name, field, f.Type)
+		case r.Ignored.has(name, field):
+			return fmt.Errorf("rules take %s.%s for a time and ignore it", name, field)
+		}
+	}
+	return nil
+}
+
+// ownField returns a struct type's field by its name; those that it has by embedding are not its own.
+func ownField(t reflect.Type, name string) (reflect.StructField, bool) {
+	f, ok := t.FieldByName(name)
+	return f, ok && len(f.Index) == 1
 }
 
 // Hash gathers what decides a state's future. The zero value is empty.
@@ -36,14 +94,18 @@
 	if p, ok := r.plans.Load(t); ok {
 		return p.(plan)
 	}
+	if err := r.check(t); err != nil {
+		panic("explore: " + err.Error())
+	}
 	var p plan
+	name := t.String()
 	for i := range t.NumField() {
-		f := t.Field(i)
-		if r.Skip != nil && r.Skip(t, f.Name) {
+		field := t.Field(i).Name
+		if r.Ignored.has(name, field) {
 			continue
 		}
 		p.fields = append(p.fields, i)
-		p.times = append(p.times, f.Type.Kind() == reflect.Float64 && r.Times != nil && r.Times(t, f.Name))
+		p.times = append(p.times, r.Times.has(name, field))
 	}
 	r.plans.Store(t, p)
 	return p
@@ -142,7 +204,7 @@
 		e.value(it.Value())
 		sums = append(sums, e.Sum())
 	}
-	sort.Slice(sums, func(i, j int) bool { return sums[i] < sums[j] })
+	slices.Sort(sums)
 	h.Uint(uint64(len(sums)))
 	for _, s := range sums {
 		h.Uint(s)
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"net/netip"
-	"reflect"
 	"slices"
 	"sort"
 	"strings"
@@ -433,14 +432,14 @@
 // Ended implements explore.System: the front has drained.
 func (s *clients) Ended() bool { return s.drained && s.front.Open() == 0 }
 
-// The lists of those that may make room are left out: there is room for all.
-var clientRules = &explore.Rules{Grain: 1e-9, Skip: func(t reflect.Type, f string) bool {
-	switch t.Name() + "." + f {
-	case "conn.f", "conn.queue", "conn.place", "conn.timer", "conn.fd", "Chain.pool", "Command.Front", "Command.Owner", "sock.handler",
-		"wire.timers", "clients.bounds", "clients.fault", "clients.front", "clients.blocks", "clients.wire":
-		return true
-	}
-	return false
+// clientRules leave out the lists of those that may make room, for there is room for all, and what is the same in all
+// states or stands for the same thing elsewhere.
+var clientRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
+	"buffer.Chain":    {"pool"},
+	"core.Command":    {"Front", "Owner"},
+	"front.conn":      {"f", "fd", "place", "queue", "timer"},
+	"systems.clients": {"blocks", "bounds", "fault", "front", "wire"},
+	"systems.sock":    {"handler"},
 }}
 
 // Fingerprint implements explore.System.
--- a/internal/systems/command.go
+++ b/internal/systems/command.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"fmt"
 	"math"
-	"reflect"
 	"slices"
 	"strings"
 
@@ -535,8 +534,10 @@
 	}
 }
 
-var commandRules = &explore.Rules{Grain: 1e-9, Skip: func(t reflect.Type, f string) bool {
-	return t.Name() == "Hand" && (f == "out" || f == "seq") || t.Name() == "due" && f == "seq"
+// commandRules leave out to whom the commands in hand report, and the numbers that tell timers of one time apart.
+var commandRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
+	"hand.Hand": {"out", "seq"},
+	"hand.due":  {"seq"},
 }}
 
 // Fingerprint implements explore.System. Nothing of the module is left out, chance included; what the world
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -5,7 +5,6 @@
 	"encoding/binary"
 	"fmt"
 	"net/netip"
-	"reflect"
 	"strings"
 
 	"stoatdale.example/stoatdale/internal/buffer"
@@ -391,13 +390,15 @@
 	}
 }
 
-var memberRules = &explore.Rules{Grain: 1e-9, Skip: func(t reflect.Type, f string) bool {
-	switch t.Name() + "." + f {
-	case "conn.m", "Members.loop", "Members.limits", "Members.blocks", "Members.sink", "Members.count", "Chain.pool", "Dispatch.conn",
-		"sock.handler", "wire.timers", "members.bounds", "members.fault", "members.blocks", "conn.timer":
-		return true
-	}
-	return false
+// memberRules leave out what is the same in all states or stands for the same thing elsewhere.
+var memberRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
+	"buffer.Chain":    {"pool"},
+	"member.Dispatch": {"conn"},
+	"member.Members":  {"blocks", "count", "limits", "loop", "sink"},
+	"member.conn":     {"m", "timer"},
+	"systems.members": {"blocks", "bounds", "fault"},
+	"systems.sock":    {"handler"},
+	"systems.wire":    {"timers"},
 }}
 
 // Fingerprint implements explore.System. A connection stands for its handler; timers for their times.
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math"
-	"reflect"
 	"strings"
 
 	"stoatdale.example/stoatdale/internal/explore"
@@ -427,24 +426,27 @@
 	r.turn()
 }
 
-// times are the fields that hold times, by their names; they count from now.
-var times = map[string]bool{
-	"Seen": true, "since": true, "until": true, "now": true, "next": true, "again": true, "actAt": true,
-	"majorAt": true, "at": true, "probeAt": true, "countAt": true, "readyAt": true, "sent": true, "At": true,
-}
-
-// skipped are fields that decide nothing here: numbers of calls only tell them apart, readings of counters and
-// of a claim's age are not gone by, and what is the same in all states.
-var skipped = map[string]bool{
-	"rollCall.ID": true, "Driver.last": true, "Driver.calls": true, "Driver.events": true,
-	"Driver.told": true, "Driver.fleet": true, "Driver.chance": true, "Driver.times": true, "agent.looking": true, "agent.saying": true,
-	"agent.standing": true, "Planner.Fleet": true, "Instance.limits": true, "Instance.past": true, "Instance.readyAt": true,
-	"Instance.probeAt": true, "Instance.countAt": true, "Standing.Since": true, "Standing.Left": true, "Sight.ReadyFor": true,
-}
-
+// rolloutRules leave out what decides nothing: numbers of calls, which only tell them apart, readings of counters and of
+// a claim's age, which nothing here goes by, and what is the same in all states. Times count from now.
 var rolloutRules = &explore.Rules{
-	Grain: 1e-6, Times: func(_ reflect.Type, f string) bool { return times[f] },
-	Skip: func(t reflect.Type, f string) bool { return skipped[t.Name()+"."+f] },
+	Grain: 1e-6,
+	Ignored: explore.Fields{
+		"claim.Standing":   {"Left", "Since"},
+		"plan.Planner":     {"Fleet"},
+		"plan.Sight":       {"ReadyFor"},
+		"roll.Driver":      {"calls", "chance", "events", "fleet", "last", "times", "told"},
+		"roll.agent":       {"looking", "saying", "standing"},
+		"systems.rollCall": {"ID"},
+		"tend.Instance":    {"countAt", "limits", "past", "probeAt", "readyAt"},
+	},
+	Times: explore.Fields{
+		"claim.Ledger":  {"now", "since", "until"},
+		"plan.Planner":  {"since"},
+		"plan.Sight":    {"Seen"},
+		"roll.Driver":   {"actAt", "majorAt", "since"},
+		"roll.agent":    {"again", "next"},
+		"tend.Instance": {"at"},
+	},
 }
 
 // Fingerprint implements explore.System. Left out are numbers of calls, which only tell them apart, and readings
--- a/internal/systems/systems_test.go
+++ b/internal/systems/systems_test.go
@@ -46,6 +46,25 @@
 	}
 }
 
+// TestEveryTypeThatRulesNameIsMet sees that no rule is without effect: a field that its type does not have is an error of
+// the hash, and a type that is not met within CI's bounds is one here.
+func TestEveryTypeThatRulesNameIsMet(t *testing.T) {
+	rules := map[string]*explore.Rules{
+		"client": clientRules, "cold": coldRules, "command": commandRules, "member": memberRules,
+		"rollout": rolloutRules, "watch": watchRules,
+	}
+	require.Len(t, rules, len(Kinds()))
+	for _, k := range Kinds() {
+		require.Contains(t, rules, k.Name)
+		bounds, err := Load("../../deploy/bounds/ci.sexp", k.Name)
+		require.NoError(t, err)
+		within := bounds[0].Explore(0)
+		within.States = 2000
+		explore.Run(context.Background(), k.New(bounds[0], ""), within, nil)
+		assert.Empty(t, rules[k.Name].Unmet(), "%s: rules name types that are not met", k.Name)
+	}
+}
+
 // TestFoldingIsHarmless compares verdicts with times folded and with them as they are, in small bounds.
 func TestFoldingIsHarmless(t *testing.T) {
 	b := Bounds{System: "rollout", Agents: 1, Tools: 2, Ticks: 1, Faults: 1}
--- a/internal/systems/watch.go
+++ b/internal/systems/watch.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"net/netip"
-	"reflect"
 	"regexp"
 	"strconv"
 
@@ -260,13 +259,13 @@
 	}
 }
 
-var watchRules = &explore.Rules{Grain: 1e-9, Skip: func(t reflect.Type, f string) bool {
-	switch t.Name() + "." + f {
-	case "Watch.loop", "Watch.limits", "Watch.sink", "Watch.log", "Watch.timer", "Chain.pool", "sock.handler", "wire.timers",
-		"watching.bounds", "watching.fault":
-		return true
-	}
-	return false
+// watchRules leave out what is the same in all states or stands for the same thing elsewhere.
+var watchRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
+	"buffer.Chain":     {"pool"},
+	"discovery.Watch":  {"limits", "log", "loop", "sink", "timer"},
+	"systems.sock":     {"handler"},
+	"systems.watching": {"bounds", "fault"},
+	"systems.wire":     {"timers"},
 }}
 
 // Fingerprint implements explore.System.
