--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"net/netip"
-	"reflect"
 	"slices"
 	"sort"
 	"strings"
@@ -25,7 +24,8 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-var clientKind = Kind{Name: "client", Words: "client connections and the front, with clients, the core, the network and time as the adversary",
+var clientKind = Kind{
+	Name: "client", Words: "client connections and the front, with clients, the core, the network and time as the adversary",
 	Faults: map[string]Fault{
 		"swapped":    {"an answer goes to another command than its own", Bounds{Clients: 1, Commands: []string{"look", "look"}}},
 		"lost-byte":  {"the last byte of an answer counts as written, and is not", Bounds{Clients: 1, Commands: []string{"empty"}}},
@@ -35,7 +35,8 @@
 	},
 	New: func(b Bounds, fault string) func() explore.System {
 		return func() explore.System { return newClient(b, fault) }
-	}}
+	},
+}
 
 // clients is the system: a front and its clients; the core is the adversary's.
 type clients struct {
@@ -134,6 +135,7 @@
 
 // Set implements front.Core, as the others do.
 func (clientCore) Set(int) (int, bool) { return 0, true }
+
 func (s clientCore) Open(name string) bool {
 	for _, t := range s.taken {
 		if t.open && t.c.Name == name {
@@ -142,9 +144,11 @@
 	}
 	return false
 }
+
 func (s clientCore) Take(c *core.Command) {
 	s.taken = append(s.taken, &taken{c: c, name: c.Name, open: true})
 }
+
 func (s clientCore) Left(cs []*core.Command) {
 	for _, t := range s.taken {
 		if slices.Contains(cs, t.c) && s.fault != "unheard" {
@@ -437,14 +441,14 @@
 // Ended implements explore.System: the front has drained.
 func (s *clients) Ended() bool { return s.drained && s.front.Open() == 0 }
 
-// The lists of those that may make room are left out: there is room for all.
-var clientRules = &explore.Rules{Grain: 1e-9, Skip: func(t reflect.Type, f string) bool {
-	switch t.Name() + "." + f {
-	case "conn.f", "conn.queue", "conn.place", "conn.timer", "conn.fd", "Chain.pool", "Command.Front", "Command.Owner", "sock.handler",
-		"wire.timers", "clients.bounds", "clients.fault", "clients.front", "clients.blocks", "clients.wire":
-		return true
-	}
-	return false
+// clientRules leave out the lists of those that may make room, for there is room for all, and what is the same in all
+// states or stands for the same thing elsewhere.
+var clientRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
+	"buffer.Chain":    {"pool"},
+	"core.Command":    {"Front", "Owner"},
+	"front.conn":      {"f", "fd", "place", "queue", "timer"},
+	"systems.clients": {"blocks", "bounds", "fault", "front", "wire"},
+	"systems.sock":    {"handler"},
 }}
 
 // Fingerprint implements explore.System.
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -5,7 +5,6 @@
 	"encoding/binary"
 	"fmt"
 	"net/netip"
-	"reflect"
 	"strings"
 
 	"stoatdale.example/stoatdale/internal/buffer"
@@ -18,22 +17,34 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-var memberKind = Kind{Name: "member", Words: "connections to one member, with the member, the network below them and time as the adversary",
+var memberKind = Kind{
+	Name: "member", Words: "connections to one member, with the member, the network below them and time as the adversary",
 	Faults: map[string]Fault{
-		"previous-reply": {"what a connection brings between two commands is not noticed: the next takes it for its own",
-			Bounds{Commands: []string{"look", "look"}, Faults: 1, Ticks: 1}},
-		"early-write": {"the last byte of a statement counts as written, and is not",
-			Bounds{Commands: []string{"look"}, Faults: 1}},
-		"late-write": {"the last byte of what is written counts as unwritten",
-			Bounds{Commands: []string{"look"}, Faults: 1}},
-		"twice": {"a dispatch that was called off ends once more as its connection does",
-			Bounds{Commands: []string{"look"}, Faults: 1}},
-		"kept": {"a connection that is closed stays open",
-			Bounds{Commands: []string{"look"}, Faults: 1}},
+		"previous-reply": {
+			"what a connection brings between two commands is not noticed: the next takes it for its own",
+			Bounds{Commands: []string{"look", "look"}, Faults: 1, Ticks: 1},
+		},
+		"early-write": {
+			"the last byte of a statement counts as written, and is not",
+			Bounds{Commands: []string{"look"}, Faults: 1},
+		},
+		"late-write": {
+			"the last byte of what is written counts as unwritten",
+			Bounds{Commands: []string{"look"}, Faults: 1},
+		},
+		"twice": {
+			"a dispatch that was called off ends once more as its connection does",
+			Bounds{Commands: []string{"look"}, Faults: 1},
+		},
+		"kept": {
+			"a connection that is closed stays open",
+			Bounds{Commands: []string{"look"}, Faults: 1},
+		},
 	},
 	New: func(b Bounds, fault string) func() explore.System {
 		return func() explore.System { return newMember(b, fault) }
-	}}
+	},
+}
 
 // members is the system: dispatches to one member over the connections of package member.
 type members struct {
@@ -389,13 +400,15 @@
 	}
 }
 
-var memberRules = &explore.Rules{Grain: 1e-9, Skip: func(t reflect.Type, f string) bool {
-	switch t.Name() + "." + f {
-	case "conn.m", "Members.loop", "Members.limits", "Members.blocks", "Members.sink", "Members.count", "Chain.pool", "Dispatch.conn",
-		"sock.handler", "wire.timers", "members.bounds", "members.fault", "members.blocks", "conn.timer":
-		return true
-	}
-	return false
+// memberRules leave out what is the same in all states or stands for the same thing elsewhere.
+var memberRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
+	"buffer.Chain":    {"pool"},
+	"member.Dispatch": {"conn"},
+	"member.Members":  {"blocks", "count", "limits", "loop", "sink"},
+	"member.conn":     {"m", "timer"},
+	"systems.members": {"blocks", "bounds", "fault"},
+	"systems.sock":    {"handler"},
+	"systems.wire":    {"timers"},
 }}
 
 // Fingerprint implements explore.System. A connection stands for its handler; timers for their times.
--- a/internal/systems/watch.go
+++ b/internal/systems/watch.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"net/netip"
-	"reflect"
 	"regexp"
 	"strconv"
 
@@ -19,7 +18,8 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-var watchKind = Kind{Name: "watch", Words: "the watch of the list and its move by a reload, with discovery, the network and time as the adversary",
+var watchKind = Kind{
+	Name: "watch", Words: "the watch of the list and its move by a reload, with discovery, the network and time as the adversary",
 	Faults: map[string]Fault{
 		"old-bytes": {"what the address before had sent is read from the new connection", Bounds{Faults: 1, Only: []string{"move"}}},
 		"unclosed":  {"a connection that is closed stays open", Bounds{Faults: 1, Ticks: 1}},
@@ -29,7 +29,8 @@
 	},
 	New: func(b Bounds, fault string) func() explore.System {
 		return func() explore.System { return newWatch(b, fault) }
-	}}
+	},
+}
 
 // watching is the system: one watch, and two addresses of discovery that know the same list.
 type watching struct {
@@ -265,13 +266,13 @@
 	}
 }
 
-var watchRules = &explore.Rules{Grain: 1e-9, Skip: func(t reflect.Type, f string) bool {
-	switch t.Name() + "." + f {
-	case "Watch.loop", "Watch.limits", "Watch.sink", "Watch.log", "Watch.timer", "Chain.pool", "sock.handler", "wire.timers",
-		"watching.bounds", "watching.fault":
-		return true
-	}
-	return false
+// watchRules leave out what is the same in all states or stands for the same thing elsewhere.
+var watchRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
+	"buffer.Chain":     {"pool"},
+	"discovery.Watch":  {"limits", "log", "loop", "sink", "timer"},
+	"systems.sock":     {"handler"},
+	"systems.watching": {"bounds", "fault"},
+	"systems.wire":     {"timers"},
 }}
 
 // Fingerprint implements explore.System.
