--- /dev/null
+++ b/internal/fleet/agent/recorded_test.go
@@ -0,0 +1,114 @@
+package agent
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"stoatdale.example/stoatdale/internal/fleet/claim"
+	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/lab/stand"
+)
+
+// Revisions and the holder in the recorded store.
+const (
+	recordedFirst  = "3d2e1823e6ae42b27baac7131e7ab0b5"
+	recordedSecond = "afeb5d48ac63e5d333a52389d0cb0966"
+	recordedHolder = "ayla/host-1/00ff"
+)
+
+// TestAgentContinuesFromRecordedStore starts an agent on a copy of a store that an earlier release left in the middle
+// of a step, after a reboot that ended its routers: the step is carried on, the others are started as they were, the
+// promise stands, and the next step is taken.
+func TestAgentContinuesFromRecordedStore(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	text := fmt.Sprintf(`(name t) (floor 0) (times (ready 5s) (grace 200ms)) (hall h (floor 0))
+		(agent a (listen 127.0.0.1:1) (hall h) (folder %q) (program %q))`, dir, os.Args[0])
+	names := []string{"open", "failed", "reloaded", "rolled-back"}
+	for _, name := range names {
+		text += fmt.Sprintf("(instance %s (agent a) (listen %s))", name, stand.Host()+":5432")
+	}
+	f, err := layout.Parse("f", []byte(text))
+	require.NoError(t, err)
+	raw, err := os.ReadFile(filepath.Join("..", "store", "testdata", "agent.db"))
+	require.NoError(t, err)
+	require.NoError(t, os.WriteFile(filepath.Join(dir, storeName), raw, 0o600))
+	placeRecordedFiles(t, f)
+	r := &rig{t: t, fleet: f, folder: dir, number: 11}
+	t.Cleanup(func() { endAll(t, dir) })
+	r.start()
+	t.Cleanup(func() { r.stop() })
+
+	told := r.until("the open step is done", func(x form.Told) bool { return x.End != plan.Open })
+	assert.Equal(t, plan.Done, told.End, told.Why)
+	assert.Equal(t, recordedSecond, told.Revision)
+	assert.Equal(t, plan.Step{Rollout: "r-running", Number: 11, Revision: recordedSecond, Restart: true}, told.Last)
+	for i, name := range names {
+		if name == "failed" {
+			continue // its revision ends at once, again and again
+		}
+		r.until(name+" is ready", func(form.Told) bool {
+			return ready(r.call(form.Call{Verb: form.Look}).Instances[i])
+		})
+	}
+	now := r.call(form.Call{Verb: form.Look})
+	assert.Equal(t, plan.Failed, now.Instances[1].End)
+	assert.Equal(t, "6fea0983c1f16ffcf364e43900f86fcb", now.Instances[2].Revision)
+	assert.Equal(t, recordedFirst, now.Instances[3].Revision)
+	assert.EqualValues(t, 7, now.Standing.Epoch)
+	assert.Equal(t, recordedHolder, now.Standing.Holder)
+	assert.True(t, now.Standing.Held)
+	assert.Equal(t, claim.Stamp{Epoch: 7, Number: 6}, now.Record.Stamp)
+	assert.Equal(t, form.Wish{Rollout: "r-running", Run: 6, Wish: plan.Pause, By: "op"}, now.Wish)
+
+	refused := r.call(form.Call{Verb: form.Bid, Bid: claim.Bid{Epoch: 7, Holder: "other"}})
+	assert.Equal(t, claim.LowerEpoch, refused.Refusal, "what was promised stays promised")
+	reply := r.call(form.Call{
+		Verb: form.Act, Epoch: 7, Holder: recordedHolder, Name: "open",
+		Step: plan.Step{Rollout: "r-running", Number: 12, Revision: recordedFirst, Back: true},
+	})
+	require.Equal(t, claim.Granted, reply.Refusal)
+	require.Empty(t, reply.Fault)
+	told = r.until("the next step", func(x form.Told) bool { return x.Last.Number == 12 && x.End != plan.Open })
+	assert.Equal(t, plan.Done, told.End, told.Why)
+	assert.Equal(t, recordedFirst, told.Revision)
+}
+
+// placeRecordedFiles puts in place the files of the routers as the store says: they lie beside it.
+func placeRecordedFiles(t *testing.T, f *layout.Fleet) {
+	t.Helper()
+	s, err := OpenStore(f.Agent("a"))
+	require.NoError(t, err)
+	defer func() { require.NoError(t, s.Close()) }()
+	st, err := s.Load()
+	require.NoError(t, err)
+	for i := range f.Instances {
+		x := &f.Instances[i]
+		rev, found, err := s.Revision(st.Instances[x.Name].Revision)
+		require.NoError(t, err)
+		require.True(t, found)
+		raw, err := revision.Render(rev.Content, x.Revised(), 1)
+		require.NoError(t, err)
+		folder := filepath.Join(f.Agents[0].Folder, x.Name)
+		require.NoError(t, os.MkdirAll(folder, 0o700))
+		require.NoError(t, os.WriteFile(filepath.Join(folder, configName), raw, 0o600))
+	}
+}
+
+// endAll ends the routers under a folder, also one that is just being started.
+func endAll(t *testing.T, dir string) {
+	t.Helper()
+	for running := 1; running > 0; {
+		var err error
+		running, err = EndRouters(dir)
+		require.NoError(t, err)
+	}
+}
--- /dev/null
+++ b/internal/fleet/api/recorded_test.go
@@ -0,0 +1,77 @@
+package api
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/keys"
+)
+
+// replayer answers each verb with the recorded reply and keeps the calls.
+type replayer struct {
+	replies map[form.Verb]form.Reply
+	mu      sync.Mutex
+	calls   map[form.Verb]form.Call
+}
+
+func (p *replayer) Handle(_ context.Context, _ string, c form.Call) (form.Reply, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.calls[c.Verb] = c
+	return p.replies[c.Verb], nil
+}
+
+// TestRecordedExchangesPassUnchanged posts the recorded call of each verb as bytes and compares the reply's bytes,
+// then has the client make the same calls.
+func TestRecordedExchangesPassUnchanged(t *testing.T) {
+	files, err := filepath.Glob("../form/testdata/calls/*.cbor")
+	require.NoError(t, err)
+	require.Len(t, files, 9, "one of each verb")
+	h := &replayer{replies: map[form.Verb]form.Reply{}, calls: map[form.Verb]form.Call{}}
+	calls, replies := map[form.Verb][]byte{}, map[form.Verb][]byte{}
+	for _, file := range files {
+		v := form.Verb(filepath.Base(file[:len(file)-len(".cbor")]))
+		calls[v], err = os.ReadFile(file)
+		require.NoError(t, err)
+		replies[v], err = os.ReadFile(filepath.Join("../form/testdata/replies", filepath.Base(file)))
+		require.NoError(t, err)
+		var reply form.Reply
+		require.NoError(t, form.Decode("reply", replies[v], &reply))
+		h.replies[v] = reply
+	}
+	r := newRig(t, Spoken, h)
+	conf, err := r.keys.Source(keys.Operator, "ayla").Client("a1")
+	require.NoError(t, err)
+	plainHTTP := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
+	t.Cleanup(plainHTTP.CloseIdleConnections)
+	c := r.client(Spoken)
+	for v, raw := range calls {
+		q, err := http.NewRequest(http.MethodPost, "https://"+r.at+"/fleet", bytes.NewReader(raw))
+		require.NoError(t, err)
+		q.Header.Set("Fleet-Version", "1")
+		a, err := plainHTTP.Do(q)
+		require.NoError(t, err)
+		body, err := io.ReadAll(a.Body)
+		require.NoError(t, err)
+		require.NoError(t, a.Body.Close())
+		assert.Equal(t, http.StatusOK, a.StatusCode, "%s: %s", v, body)
+		assert.Equal(t, "application/cbor", a.Header.Get("Content-Type"), v)
+		assert.Equal(t, "1", a.Header.Get("Fleet-Least"), v)
+		assert.Equal(t, "1", a.Header.Get("Fleet-Most"), v)
+		assert.Equal(t, replies[v], body, v)
+		assert.Equal(t, raw, form.Encode(h.calls[v]), v)
+		got, err := c.Call(context.Background(), h.calls[v])
+		require.NoError(t, err)
+		assert.Equal(t, h.replies[v], got, v)
+	}
+}
--- /dev/null
+++ b/internal/fleet/store/recorded_test.go
@@ -0,0 +1,187 @@
+package store
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/bbolt"
+
+	"stoatdale.example/stoatdale/internal/fleet/claim"
+	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/tend"
+)
+
+// testdata/agent.db was written by an agent of format 1 that ran stand-in routers and was ended while one of them
+// drained in its step. Agents are upgraded in place, so every later release must read it and write the same bytes.
+
+// Revisions in the recorded store.
+const (
+	firstRevision  = "3d2e1823e6ae42b27baac7131e7ab0b5"
+	secondRevision = "afeb5d48ac63e5d333a52389d0cb0966"
+	exitsRevision  = "4fa04e389024f6f76dc94e0d98a77191"
+	movedRevision  = "6fea0983c1f16ffcf364e43900f86fcb"
+)
+
+const deploymentSettings = `"settings":{"balancers":1,"classes":[{"deadlineNs":100000000,"effect":"pure","name":"look","targetNs":50000000,"worth":1},` +
+	`{"deadlineNs":100000000,"effect":"side_effect","name":"order","targetNs":50000000,"worth":1}],"discovery":"push",` +
+	`"familyInfo":{"classBoundNs":[0,0],"guards":"none","needsByClass":["eventual","mutate"],"tokens":"kept"},` +
+	`"invariants":{"fallNs":1000000000,"overloadFactor":2,"rampTimeNs":1000000000,"startCapacity":0.2},` +
+	`"limits":{"cancel":true,"connIdleNs":60000000000,"dialTimeoutNs":1000000000,"maxRetryAfterNs":1000000000,"mostTries":4,"probes":false,` +
+	`"retryAfter":true},"loadInfo":{"fields":["x0","x1"],"source":"probe"},"tickNs":5000000}`
+
+// content is the recorded document of a revision with these values.
+func content(discovery string, sockets, drain, exit int) []byte {
+	return fmt.Appendf(nil, `{"discovery":%q,"known":{"generation":0,"instances":[],"reset":true},"limits":{"memory_mb":48,"sockets":%d},%s,`+
+		`"stand":{"deaf":false,"drain":%d,"exit":%d,"fails":false,"liveFor":0,"ready":0,"silent":false}}`,
+		discovery, sockets, deploymentSettings, drain, exit)
+}
+
+// recordedRevisions are those of the recorded store, newest first.
+func recordedRevisions() []form.Revision {
+	return []form.Revision{
+		{Digest: movedRevision, Name: "moved", By: "op", At: 1767323044, Content: content("127.0.0.1:10", 256, 3, 0)},
+		{Digest: exitsRevision, Name: "exits", By: "op", At: 1767323043, Content: content("127.0.0.1:9", 256, 0, 3)},
+		{Digest: secondRevision, Name: "second", By: "op", At: 1767323042, Content: content("127.0.0.1:9", 300, 3, 0)},
+		{Digest: firstRevision, Name: "first", By: "op", At: 1767323041, Content: content("127.0.0.1:9", 256, 3, 0)},
+	}
+}
+
+// recordedRollouts are those of the recorded store, newest first: one in each state.
+func recordedRollouts() []form.Rollout {
+	var out []form.Rollout
+	for i, x := range []struct {
+		id    string
+		state plan.State
+		back  bool
+	}{
+		{"r-running", plan.Running, false},
+		{"r-aborted", plan.Aborted, false},
+		{"r-rolled-back", plan.RolledBack, true},
+		{"r-paused", plan.Paused, false},
+		{"r-complete", plan.Complete, false},
+		{"r-none", plan.None, false},
+	} {
+		run := uint64(6 - i)
+		out = append(out, form.Rollout{
+			Rollout: plan.Rollout{
+				ID: x.id, Revision: secondRevision, Restart: true, Back: x.back, State: x.state,
+				Why:   plan.Reason{Kind: plan.HallFloor, Instance: 2, Hall: 1, Have: 3, Need: 4, Detail: "detail of why"},
+				Cause: plan.Reason{Kind: plan.StepFailed, Instance: 1, Hall: 6, Have: 7, Need: 8, Detail: "detail of cause"},
+				Out:   []int{1, 3},
+				Step:  plan.Step{Rollout: x.id, Number: 11, Revision: secondRevision, Restart: true},
+				Was:   plan.Tally{Ended: 1000, Unanswered: 10}, Steps: 11, Undone: 2,
+			},
+			Run: run, Name: "name of " + x.id, By: "ayla", Began: 1767323050 + int64(run), Asked: "mehmet", Fleet: "b279a452f0494508",
+		})
+	}
+	return out
+}
+
+func recordedState() State {
+	return State{
+		Claims: claim.Durable{
+			Epoch: 7, Holder: "ayla/host-1/00ff", Held: true,
+			Record: claim.Record{Stamp: claim.Stamp{Epoch: 7, Number: 6}, Body: form.Encode(recordedRollouts()[0])},
+		},
+		Wish: form.Wish{Rollout: "r-running", Run: 6, Wish: plan.Pause, By: "op"},
+		Instances: map[string]tend.Record{
+			"open": {
+				Up: true, Revision: firstRevision, Mark: 1, Before: firstRevision, Acted: true, Drain: 1.7,
+				Step: plan.Step{Rollout: "r-running", Number: 11, Revision: secondRevision, Restart: true},
+				End:  plan.Open,
+			},
+			"failed": {
+				Up: true, Revision: exitsRevision, Mark: 2, Before: firstRevision, Acted: true, Replaced: true, Drain: 1.7,
+				Step: plan.Step{Rollout: "r-aborted", Number: 8, Instance: 1, Revision: exitsRevision, Restart: true},
+				End:  plan.Failed, Why: "it ended before it was ready: it ended with status 3: stand-in: told to end",
+			},
+			"reloaded": {
+				Up: true, Revision: movedRevision, Mark: 1, Before: firstRevision, Acted: true, Reload: true, Drain: 1.7,
+				Step: plan.Step{Rollout: "r-paused", Number: 5, Instance: 2, Revision: movedRevision},
+				End:  plan.Done,
+			},
+			"rolled-back": {
+				Up: true, Revision: firstRevision, Mark: 3, Before: firstRevision, Acted: true, Replaced: true, Drain: 1.7,
+				Step: plan.Step{Rollout: "r-rolled-back", Number: 7, Instance: 3, Revision: firstRevision, Back: true, Restart: true},
+				End:  plan.Done,
+			},
+		},
+	}
+}
+
+// openRecorded opens a copy of the recorded store.
+func openRecorded(t *testing.T) *Store {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", "agent.db"))
+	require.NoError(t, err)
+	path := filepath.Join(t.TempDir(), "agent.db")
+	require.NoError(t, os.WriteFile(path, raw, 0o600))
+	s, err := Open(path)
+	require.NoError(t, err)
+	t.Cleanup(func() { assert.NoError(t, s.Close()) })
+	return s
+}
+
+func TestRecordedStoreIsRead(t *testing.T) {
+	s := openRecorded(t)
+	st, err := s.Load()
+	require.NoError(t, err)
+	assert.Equal(t, recordedState(), st)
+	listed, err := s.Revisions()
+	require.NoError(t, err)
+	require.Len(t, listed, len(recordedRevisions()))
+	for i, want := range recordedRevisions() {
+		got, found, err := s.Revision(want.Digest)
+		require.NoError(t, err)
+		assert.True(t, found)
+		assert.Equal(t, want, got)
+		want.Content = nil
+		assert.Equal(t, want, listed[i])
+	}
+	rollouts, err := s.Rollouts()
+	require.NoError(t, err)
+	assert.Equal(t, recordedRollouts(), rollouts)
+	var body form.Rollout
+	require.NoError(t, form.Decode("record", st.Claims.Record.Body, &body))
+	assert.Equal(t, recordedRollouts()[0], body)
+}
+
+// TestRecordedStoreIsWrittenTheSame sees that an older agent could still read what this program writes.
+func TestRecordedStoreIsWrittenTheSame(t *testing.T) {
+	recorded := openRecorded(t)
+	written, err := Open(filepath.Join(t.TempDir(), "agent.db"))
+	require.NoError(t, err)
+	defer func() { assert.NoError(t, written.Close()) }()
+	st := recordedState()
+	require.NoError(t, written.Save(Change{Claims: &st.Claims, Wish: &st.Wish, Instances: st.Instances}))
+	for _, r := range recordedRevisions() {
+		require.NoError(t, written.Save(Change{Revision: &r}))
+	}
+	for _, r := range recordedRollouts() {
+		require.NoError(t, written.Save(Change{Rollout: &r}))
+	}
+	want := records(t, recorded)
+	assert.Len(t, want, 3+4+4+6, "the format, claims and wish; instances; revisions; rollouts")
+	assert.Equal(t, want, records(t, written))
+}
+
+// records are a store's records as they lie on disk, by bucket and key.
+func records(t *testing.T, s *Store) map[string][]byte {
+	t.Helper()
+	out := map[string][]byte{}
+	require.NoError(t, s.db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				out[string(bucket)+"/"+string(k)] = bytes.Clone(v)
+				return nil
+			})
+		})
+	}))
+	return out
+}
--- /dev/null
+++ b/internal/keys/recorded_test.go
@@ -0,0 +1,83 @@
+package keys
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// testdata/haulage is a fleet's folder as an earlier release made it, for this test only: an authority of January 2026,
+// a second one beside it of February that runs out in 2036, and certificates of 90 and 100 days. All tests hand in the
+// time, so that their verdicts do not depend on today's date.
+const recordedFolder = Folder("testdata/haulage")
+
+var (
+	recordedFirst  = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+	recordedSecond = recordedFirst.Add(30 * day)
+)
+
+func recordedSource(r Role, name string, now time.Time) Source {
+	s := recordedFolder.Source(r, name)
+	s.Now = func() time.Time { return now }
+	return s
+}
+
+func TestRecordedFolderIsShown(t *testing.T) {
+	shown, err := recordedFolder.Show()
+	require.NoError(t, err)
+	authorityEnd := recordedSecond.Add(3650 * day)
+	assert.Equal(t, []Certificate{
+		{File: "agent-a1.pem", Who: "agent a1", Until: recordedSecond.Add(90 * day)},
+		{File: "authority.key.pem", Who: "fleet haulage", Until: authorityEnd},
+		{File: "authority.pem", Who: "fleet haulage", Until: authorityEnd},
+		{File: "authority.pem", Who: "fleet haulage", Until: recordedFirst.Add(365 * day)},
+		{File: "operator-ayla.pem", Who: "operator ayla", Until: recordedSecond.Add(90 * day)},
+		{File: "operator-mehmet.pem", Who: "operator mehmet", Until: recordedFirst.Add(100 * day)},
+	}, shown)
+}
+
+func TestRecordedCertificatesAreTakenAndRefusedByTheTime(t *testing.T) {
+	for now, says := range map[time.Time]map[string]string{
+		recordedFirst.Add(10 * day):   {"ayla": "the certificate of operator ayla counts only from 2026-02-01T02:59:05Z", "mehmet": ""},
+		recordedSecond.Add(time.Hour): {"ayla": "", "mehmet": ""},
+		recordedFirst.Add(110 * day):  {"ayla": "", "mehmet": "the certificate of operator mehmet ran out on 2026-04-12T03:04:05Z"},
+		recordedSecond.Add(91 * day):  {"ayla": "the certificate of operator ayla ran out on 2026-05-02T03:04:05Z"},
+	} {
+		for operator, want := range says {
+			err := recordedSource(Operator, operator, now).Check()
+			if want == "" {
+				assert.NoError(t, err, "%s at %s", operator, now)
+			} else {
+				assert.EqualError(t, err, want)
+			}
+		}
+	}
+	now := recordedSecond.Add(time.Hour)
+	for _, operator := range []string{"ayla", "mehmet"} {
+		atServer, atClient := talk(t, recordedSource(Agent, "a1", now), recordedSource(Operator, operator, now), "a1")
+		assert.NoError(t, atServer, operator)
+		assert.NoError(t, atClient, operator)
+	}
+	_, atClient := talk(t, recordedSource(Agent, "a1", now), recordedSource(Operator, "ayla", now), "a2")
+	assert.ErrorContains(t, atClient, "the certificate is agent a1's, and should be agent a2's")
+}
+
+// TestRecordedAuthorityIssues renews a certificate from a copy of the recorded folder; the recorded ones stay good.
+func TestRecordedAuthorityIssues(t *testing.T) {
+	f := Folder(t.TempDir())
+	require.NoError(t, os.CopyFS(string(f), os.DirFS(string(recordedFolder))))
+	now := recordedSecond.Add(80 * day)
+	require.NoError(t, f.Issue(Agent, "a1", 90*day, now))
+	renewed := f.Source(Agent, "a1")
+	renewed.Now = func() time.Time { return now }
+	atServer, atClient := talk(t, renewed, recordedSource(Operator, "ayla", now), "a1")
+	assert.NoError(t, atServer)
+	assert.NoError(t, atClient)
+	err := f.Issue(Agent, "a1", 90*day, recordedSecond.Add(3600*day))
+	assert.EqualError(t, err, "keys: the authority runs out on 2036-01-30, before the certificate would: renew it first")
+	assert.FileExists(t, filepath.Join(string(f), "operator-mehmet.pem"))
+}
--- /dev/null
+++ b/internal/lab/sim/testdata/small/experiment.sexp
@@ -0,0 +1,11 @@
+; Two policies on two seeds for two seconds: small enough to be kept as test data.
+(name small)
+(seconds 2s)
+(seeds 1 2)
+(policies module any)
+(fleet (routers 2) (sets 1) (replicas 1) (slots 4) (queue 40) (sessions 50)
+       (way 0.5ms) (dial 100ms) (ship 20ms) (apply 0.5ms) (heavy 0.002) (heavy-apply 400ms) (list 1s)
+       (cold-share 0.2) (warm-in 5s) (overload 2) (fall-span 1s))
+(group order (need write) (effect mutating) (rate 20) (work 5ms) (spread 0.5) (target 300ms) (timeout 1500ms) (benefit 3))
+(group own (need session) (effect replayable) (rate 100) (work 8ms) (spread 0.5) (target 250ms) (timeout 1s) (benefit 1) (late 0.3))
+(fault cut (set 0) (member 1) (at 1s) (for 500ms))
