--- a/internal/fleet/claim/claim.go
+++ b/internal/fleet/claim/claim.go
@@ -52,8 +52,10 @@
 	OldRecord           // a newer one is kept
 )
 
-var refusals = [...]string{"granted", "a higher epoch was promised", "held by another", "not the holder of this epoch",
-	"the claim has run out", "a newer record is kept"}
+var refusals = [...]string{
+	"granted", "a higher epoch was promised", "held by another", "not the holder of this epoch",
+	"the claim has run out", "a newer record is kept",
+}
 
 func (r Refusal) String() string { return refusals[r] }
 
--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/roll/roll.go
@@ -174,9 +174,11 @@
 // New is a driver that has sent nothing. names are the instances', agents how many there are, list the digest
 // of the list of them; holder must be this driver's alone. chance draws from 0 to 1.
 func New(f *plan.Fleet, names []string, agents int, list, holder string, t Times, task Task, chance func() float64) *Driver {
-	d := &Driver{fleet: f, names: names, list: list, holder: holder, times: t, task: task, chance: chance,
+	d := &Driver{
+		fleet: f, names: names, list: list, holder: holder, times: t, task: task, chance: chance,
 		agents: make([]agent, agents), byAgent: make([][]int, agents), calls: map[uint64]out{},
-		sights: make([]plan.Sight, len(names)), told: make([]form.Told, len(names))}
+		sights: make([]plan.Sight, len(names)), told: make([]form.Told, len(names)),
+	}
 	slices.Sort(d.task.LeaveOut)
 	for i, x := range f.Instances {
 		d.byAgent[x.Agent] = append(d.byAgent[x.Agent], i)
@@ -661,7 +663,8 @@
 func (d *Driver) keep(now float64, r form.Rollout, what plan.What, why plan.Reason) {
 	d.number++
 	d.keeping = &keeping{what: what, why: why, step: d.planner.Rollout.Step, rollout: r, record: claim.Record{
-		Stamp: claim.Stamp{Epoch: d.campaign.Bid.Epoch, Number: d.number}, Body: form.Encode(r)}}
+		Stamp: claim.Stamp{Epoch: d.campaign.Bid.Epoch, Number: d.number}, Body: form.Encode(r),
+	}}
 	for i := range d.agents {
 		d.agents[i].kept, d.agents[i].again = false, now
 	}
@@ -695,8 +698,10 @@
 		step = k.rollout.Step
 		d.actAt, d.refused = now, 0 // the planner has it sent, if it may still be
 	}
-	d.events = append(d.events, Event{At: now, What: k.what, Rollout: d.rollout, Why: k.why, Step: step,
-		Stamp: k.record.Stamp})
+	d.events = append(d.events, Event{
+		At: now, What: k.what, Rollout: d.rollout, Why: k.why, Step: step,
+		Stamp: k.record.Stamp,
+	})
 	if d.rollout.State != plan.Running {
 		d.release(now, Outcome{Kind: Ended, Rollout: d.rollout, Reason: d.rollout.Why})
 	}
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -28,8 +28,10 @@
 }
 
 func newField(t *testing.T, n int) *field {
-	f := &field{t: t, cut: map[int]bool{}, bad: map[string]string{}, full: map[int]bool{}, limits: tend.DefaultLimits(),
-		fleet: &plan.Fleet{Halls: []int{0}, Floor: n - 1, Times: plan.Times{Soak: 0.3, Fresh: 1, Contact: 3, Step: 20}}}
+	f := &field{
+		t: t, cut: map[int]bool{}, bad: map[string]string{}, full: map[int]bool{}, limits: tend.DefaultLimits(),
+		fleet: &plan.Fleet{Halls: []int{0}, Floor: n - 1, Times: plan.Times{Soak: 0.3, Fresh: 1, Contact: 3, Step: 20}},
+	}
 	for i := range n {
 		f.fleet.Instances = append(f.fleet.Instances, plan.Instance{Agent: i})
 		f.names = append(f.names, fmt.Sprint("n", i))
--- a/internal/fleet/tend/instance.go
+++ b/internal/fleet/tend/instance.go
@@ -31,8 +31,10 @@
 
 // DefaultLimits suit routers that start within a second.
 func DefaultLimits() Limits {
-	return Limits{Ready: 10, Settle: 2, Probe: 0.1, Count: 1, Window: 10, Restart: 0.25, Longest: 30, Calm: 60, Crashes: 6,
-		Misses: 10, Patient: 5}
+	return Limits{
+		Ready: 10, Settle: 2, Probe: 0.1, Count: 1, Window: 10, Restart: 0.25, Longest: 30, Calm: 60, Crashes: 6,
+		Misses: 10, Patient: 5,
+	}
 }
 
 // Record is what an agent stores of an instance.
@@ -466,8 +468,10 @@
 
 // Sight is what an agent tells of the instance; Seen is the age of it, 0.
 func (x *Instance) Sight(now float64) plan.Sight {
-	s := plan.Sight{Life: x.life, Revision: x.Revision, Last: x.Step, End: x.End, Why: x.Why, Before: x.Before,
-		Recent: x.recent(now), Since: minus(x.total, x.base)}
+	s := plan.Sight{
+		Life: x.life, Revision: x.Revision, Last: x.Step, End: x.End, Why: x.Why, Before: x.Before,
+		Recent: x.recent(now), Since: minus(x.total, x.base),
+	}
 	if x.life == plan.Ready {
 		s.ReadyFor = now - x.readyAt
 	}
--- a/internal/fleet/tend/instance_test.go
+++ b/internal/fleet/tend/instance_test.go
@@ -258,8 +258,10 @@
 }
 
 func TestBadRevisions(t *testing.T) {
-	for kind, says := range map[string]string{"refused": "refused by the reader", "exits": "ended before it was ready",
-		"silent": "not ready within"} {
+	for kind, says := range map[string]string{
+		"refused": "refused by the reader", "exits": "ended before it was ready",
+		"silent": "not ready within",
+	} {
 		w := serving(t)
 		w.bad["b"] = kind
 		w.step(2, "b")
