--- a/internal/fleet/claim/claim.go
+++ b/internal/fleet/claim/claim.go
@@ -11,13 +11,16 @@
 
 // Bid asks for an epoch.
 type Bid struct {
-	Epoch    uint64
-	Holder   string // one running tool: no two are the same
-	Takeover bool   // also from a holder whose claim still runs
+	Epoch    uint64 `cbor:"Epoch"`
+	Holder   string `cbor:"Holder"`   // one running tool: no two are the same
+	Takeover bool   `cbor:"Takeover"` // also from a holder whose claim still runs
 }
 
 // Stamp orders records: by epoch, then by number.
-type Stamp struct{ Epoch, Number uint64 }
+type Stamp struct {
+	Epoch  uint64 `cbor:"Epoch"`
+	Number uint64 `cbor:"Number"`
+}
 
 // Before tells whether a record with another stamp is newer.
 func (s Stamp) Before(o Stamp) bool {
@@ -26,17 +29,17 @@
 
 // Record is what a holder has the agents keep.
 type Record struct {
-	Stamp Stamp
-	Body  []byte
+	Stamp Stamp  `cbor:"Stamp"`
+	Body  []byte `cbor:"Body"`
 }
 
 // Standing is what an agent tells of the claim that it granted last.
 type Standing struct {
-	Epoch  uint64  // the highest promised; what is below is refused
-	Holder string  // to whom
-	Held   bool    // and whether it still runs
-	Since  float64 // seconds ago
-	Left   float64 // seconds, if it runs
+	Epoch  uint64  `cbor:"Epoch"`  // the highest promised; what is below is refused
+	Holder string  `cbor:"Holder"` // to whom
+	Held   bool    `cbor:"Held"`   // and whether it still runs
+	Since  float64 `cbor:"Since"`  // seconds ago
+	Left   float64 `cbor:"Left"`   // seconds, if it runs
 }
 
 // Refusal is why an agent does not do what it was asked.
@@ -61,10 +64,10 @@
 
 // Durable is what an agent must have stored before it acknowledges anything that changed it.
 type Durable struct {
-	Epoch  uint64
-	Holder string
-	Held   bool
-	Record Record
+	Epoch  uint64 `cbor:"Epoch"`
+	Holder string `cbor:"Holder"`
+	Held   bool   `cbor:"Held"`
+	Record Record `cbor:"Record"`
 }
 
 // Ledger is an agent's side. The zero value has promised nothing. It is a plain value: a copy is a state to
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -61,30 +61,33 @@
 
 // Step is one change of one instance. Numbers grow over a rollout, also over its epochs.
 type Step struct {
-	Rollout  string
-	Number   uint64
-	Instance int
-	Revision string
-	Back     bool // to what ran before the rollout
-	Restart  bool // also where a reload would do
-	Idle     bool // sent with no floor asked, as the instance did not serve: an agent that finds it ready does nothing
+	Rollout  string `cbor:"Rollout"`
+	Number   uint64 `cbor:"Number"`
+	Instance int    `cbor:"Instance"`
+	Revision string `cbor:"Revision"`
+	Back     bool   `cbor:"Back"`    // to what ran before the rollout
+	Restart  bool   `cbor:"Restart"` // also where a reload would do
+	Idle     bool   `cbor:"Idle"`    // sent with no floor asked, as the instance did not serve: an agent that finds it ready does nothing
 }
 
 // Tally counts commands that came to an end.
-type Tally struct{ Ended, Unanswered uint64 }
+type Tally struct {
+	Ended      uint64 `cbor:"Ended"`
+	Unanswered uint64 `cbor:"Unanswered"`
+}
 
 // Sight is what was last seen of an instance.
 type Sight struct {
-	Seen     float64 // when, on the asker's clock; -Inf: never
-	Life     Life
-	Revision string // that it runs, or is to run
-	Last     Step   // the newest that its agent began
-	End      End    // of that
-	Why      string // it failed
-	Before   string // revision before the first step of Last.Rollout
-	Recent   Tally  // of the last while, a soak's length or so
-	Since    Tally  // since the end of the last step
-	ReadyFor float64
+	Seen     float64 `cbor:"Seen"` // when, on the asker's clock; -Inf: never
+	Life     Life    `cbor:"Life"`
+	Revision string  `cbor:"Revision"` // that it runs, or is to run
+	Last     Step    `cbor:"Last"`     // the newest that its agent began
+	End      End     `cbor:"End"`      // of that
+	Why      string  `cbor:"Why"`      // it failed
+	Before   string  `cbor:"Before"`   // revision before the first step of Last.Rollout
+	Recent   Tally   `cbor:"Recent"`   // of the last while, a soak's length or so
+	Since    Tally   `cbor:"Since"`    // since the end of the last step
+	ReadyFor float64 `cbor:"ReadyFor"`
 }
 
 // State of a rollout.
@@ -120,18 +123,18 @@
 
 // Rollout is what is wanted and how far it has come; what the agents keep of it.
 type Rollout struct {
-	ID       string
-	Revision string
-	Restart  bool // restart also what a reload would do for
-	Back     bool // it goes back to what ran before
-	State    State
-	Why      Reason // it paused or ended
-	Cause    Reason // it turned
-	Out      []int  // instances left out by an operator's word, in order
-	Step     Step   // under way; Number 0: none
-	Was      Tally  // of the step's instance before it
-	Steps    uint64 // begun so far
-	Undone   int    // steps in a row that came to nothing
+	ID       string `cbor:"ID"`
+	Revision string `cbor:"Revision"`
+	Restart  bool   `cbor:"Restart"` // restart also what a reload would do for
+	Back     bool   `cbor:"Back"`    // it goes back to what ran before
+	State    State  `cbor:"State"`
+	Why      Reason `cbor:"Why"`    // it paused or ended
+	Cause    Reason `cbor:"Cause"`  // it turned
+	Out      []int  `cbor:"Out"`    // instances left out by an operator's word, in order
+	Step     Step   `cbor:"Step"`   // under way; Number 0: none
+	Was      Tally  `cbor:"Was"`    // of the step's instance before it
+	Steps    uint64 `cbor:"Steps"`  // begun so far
+	Undone   int    `cbor:"Undone"` // steps in a row that came to nothing
 }
 
 // Kind of a reason.
@@ -159,11 +162,12 @@
 
 // Reason says why, for people to be told in names.
 type Reason struct {
-	Kind       Kind
-	Instance   int
-	Hall       int
-	Have, Need int
-	Detail     string
+	Kind     Kind   `cbor:"Kind"`
+	Instance int    `cbor:"Instance"`
+	Hall     int    `cbor:"Hall"`
+	Have     int    `cbor:"Have"`
+	Need     int    `cbor:"Need"`
+	Detail   string `cbor:"Detail"`
 }
 
 // What to do.
--- a/internal/fleet/tend/instance.go
+++ b/internal/fleet/tend/instance.go
@@ -39,17 +39,17 @@
 
 // Record is what an agent stores of an instance.
 type Record struct {
-	Up       bool   // it is to run
-	Revision string // whose file is in place
-	Mark     uint64 // of the process that was started last, or was about to be
-	Step     plan.Step
-	End      plan.End
-	Why      string
-	Before   string
-	Acted    bool    // the step may have touched the file or the process
-	Reload   bool    // the step reloads
-	Replaced bool    // the step's own process was about to be started
-	Drain    float64 // that the process before it may take to end
+	Up       bool      `cbor:"Up"`       // it is to run
+	Revision string    `cbor:"Revision"` // whose file is in place
+	Mark     uint64    `cbor:"Mark"`     // of the process that was started last, or was about to be
+	Step     plan.Step `cbor:"Step"`
+	End      plan.End  `cbor:"End"`
+	Why      string    `cbor:"Why"`
+	Before   string    `cbor:"Before"`
+	Acted    bool      `cbor:"Acted"`    // the step may have touched the file or the process
+	Reload   bool      `cbor:"Reload"`   // the step reloads
+	Replaced bool      `cbor:"Replaced"` // the step's own process was about to be started
+	Drain    float64   `cbor:"Drain"`    // that the process before it may take to end
 }
 
 // Act is something to carry out.
