--- a/internal/fleet/tend/instance.go
+++ b/internal/fleet/tend/instance.go
@@ -31,23 +31,25 @@
 
 // DefaultLimits suit routers that start within a second.
 func DefaultLimits() Limits {
-	return Limits{Ready: 10, Settle: 2, Probe: 0.1, Count: 1, Window: 10, Restart: 0.25, Longest: 30, Calm: 60, Crashes: 6,
-		Misses: 10, Patient: 5}
+	return Limits{
+		Ready: 10, Settle: 2, Probe: 0.1, Count: 1, Window: 10, Restart: 0.25, Longest: 30, Calm: 60, Crashes: 6,
+		Misses: 10, Patient: 5,
+	}
 }
 
 // Record is what an agent stores of an instance.
 type Record struct {
-	Up       bool   // it is to run
-	Revision string // whose file is in place
-	Mark     uint64 // of the process that was started last, or was about to be
-	Step     plan.Step
-	End      plan.End
-	Why      string
-	Before   string
-	Acted    bool    // the step may have touched the file or the process
-	Reload   bool    // the step reloads
-	Replaced bool    // the step's own process was about to be started
-	Drain    float64 // that the process before it may take to end
+	Up       bool      `cbor:"Up"`       // it is to run
+	Revision string    `cbor:"Revision"` // whose file is in place
+	Mark     uint64    `cbor:"Mark"`     // of the process that was started last, or was about to be
+	Step     plan.Step `cbor:"Step"`
+	End      plan.End  `cbor:"End"`
+	Why      string    `cbor:"Why"`
+	Before   string    `cbor:"Before"`
+	Acted    bool      `cbor:"Acted"`    // the step may have touched the file or the process
+	Reload   bool      `cbor:"Reload"`   // the step reloads
+	Replaced bool      `cbor:"Replaced"` // the step's own process was about to be started
+	Drain    float64   `cbor:"Drain"`    // that the process before it may take to end
 }
 
 // Act is something to carry out.
@@ -466,8 +468,10 @@
 
 // Sight is what an agent tells of the instance; Seen is the age of it, 0.
 func (x *Instance) Sight(now float64) plan.Sight {
-	s := plan.Sight{Life: x.life, Revision: x.Revision, Last: x.Step, End: x.End, Why: x.Why, Before: x.Before,
-		Recent: x.recent(now), Since: minus(x.total, x.base)}
+	s := plan.Sight{
+		Life: x.life, Revision: x.Revision, Last: x.Step, End: x.End, Why: x.Why, Before: x.Before,
+		Recent: x.recent(now), Since: minus(x.total, x.base),
+	}
 	if x.life == plan.Ready {
 		s.ReadyFor = now - x.readyAt
 	}
