--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -99,9 +99,9 @@
 	in := newInstance(h.curID, h.clock)
 	told, err := site.ParseSettings(raw)
 	if err == nil {
-		told.ZeroAt = seconds(int64(told.PositionZeroNs) - int64(h.clock))
-		in.fields, in.groups = told.ReportFields, len(told.Groups)
-		in.router = router.New(told.Site, seed)
+		told.PositionEpoch = seconds(int64(told.PositionZeroNs) - int64(h.clock))
+		in.fields, in.groups = told.ReportFields, len(told.CommandGroups)
+		in.router = router.New(told.Config, seed)
 		in.hand = hand.New(in.router, in)
 	}
 	if err != nil {
@@ -154,7 +154,7 @@
 		return fmt.Errorf("unknown list mode %d", mode)
 	}
 	if mode == modeFailed {
-		return in.guard(func() { in.router.ListFailed(in.now) })
+		return in.guard(func() { in.router.EndpointListFailed(in.now) })
 	}
 	list, ok := h.lists[id]
 	if !ok {
@@ -193,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	return in.guard(func() { in.hand.Left(in.now, id) })
+	return in.guard(func() { in.hand.ClientGone(in.now, id) })
 }
 
 // Closed implements wire.Handler.
@@ -235,7 +235,7 @@
 	broken  string
 	dead    bool
 	touched bool
-	hand    *hand.Hand
+	hand    *hand.Tracker
 	alarm   float64
 	alarms  uint32 // number of the alarm that counts
 	hosts   *index.Table[wire.Host]
@@ -265,16 +265,16 @@
 }
 
 func (in *instance) update(list []wire.Entry, whole, cached bool) {
-	facts := make([]router.Listing, len(list))
+	facts := make([]router.EndpointInfo, len(list))
 	for i, e := range list {
 		started := math.Inf(-1)
 		if e.Started != 0 {
 			started = seconds(int64(e.Started - in.base))
 		}
-		facts[i] = router.Listing{Node: in.hosts.At(e.Host), Set: in.sets.At(e.Cell), Zone: e.Zone,
-			State: router.NodeState(e.State), Started: started, Primary: e.Primary}
+		facts[i] = router.EndpointInfo{Index: in.hosts.At(e.Host), Shard: in.sets.At(e.Cell), Zone: e.Zone,
+			State: router.EndpointState(e.State), StartedAt: started, Primary: e.Primary}
 	}
-	in.router.Listed(in.now, facts, whole, cached)
+	in.router.UpdateEndpoints(in.now, facts, whole, cached)
 }
 
 func (in *instance) job(a wire.Asked) {
@@ -283,25 +283,25 @@
 	if !ok {
 		set = -1
 	}
-	in.hand.Take(in.now, a.ID, router.Command{Group: a.Class, Set: set,
-		Session: a.Session, Arrived: in.now, GiveUp: seconds(int64(a.Due - in.base)),
-		WriteAge: a.WriteAge / 1000, Repeat: a.Marks&repeatMark != 0})
+	in.hand.Add(in.now, a.ID, router.Command{Group: a.Class, Shard: set,
+		Session: a.Session, ArrivedAt: in.now, ClientDeadline: seconds(int64(a.Due - in.base)),
+		LastWriteAge: a.WriteAge / 1000, ClientRetry: a.Marks&repeatMark != 0})
 }
 
 // endings translates the wire's outcome codes.
-var endings = [...]router.Ending{router.Answered, router.Errored, router.Full, router.TimedOut,
-	router.Unreached, router.Broken, router.Recalled, router.Moot, router.Missed}
+var endings = [...]router.Result{router.Answered, router.Errored, router.Overloaded, router.TimedOut,
+	router.ConnectFailed, router.ConnectionLost, router.Canceled, router.NeverSent, router.NotServed}
 
 func (in *instance) closed(e wire.Ended) {
-	o := router.Outcome{Leg: e.Leg, Ending: endings[e.Code], Took: seconds(int64(e.Took)),
-		Over: e.Over, Role: router.Role(e.Note & 3), Position: -1}
+	o := router.AttemptResult{Attempt: e.Leg, Result: endings[e.Code], Elapsed: seconds(int64(e.Took)),
+		Final: e.Over, Role: router.Role(e.Note & 3), Position: -1}
 	if p := e.Note >> 2; p != 0 {
 		o.Position = float64(p) / 1000
 	}
-	in.hand.Ended(in.now, e.ID, o)
+	in.hand.AttemptEnded(in.now, e.ID, o)
 }
 
-func (in *instance) probed(host wire.Host, ending router.Ending, took uint64, load []float32) {
+func (in *instance) probed(host wire.Host, ending router.Result, took uint64, load []float32) {
 	node, known := in.hosts.Find(host)
 	if !known {
 		return
@@ -315,23 +315,23 @@
 			primary = v == 1
 		}
 	}
-	in.router.Probed(in.now, node, ending, seconds(int64(took)), position, primary)
+	in.router.HealthChecked(in.now, node, ending, seconds(int64(took)), position, primary)
 }
 
 func (in *instance) stamp(at float64) uint64 { return in.base + uint64(math.Round(at/nano)) }
 
-// Dispatch implements hand.Out.
-func (in *instance) Dispatch(id uint32, _, node int, until float64) {
+// Forward implements hand.Executor.
+func (in *instance) Forward(id uint32, _, node int, until float64) {
 	in.out.Attempt(id, in.hosts.Name(node), in.stamp(until))
 }
 
-// Recall implements hand.Out.
-func (in *instance) Recall(id uint32, leg int) { in.out.Recall(id, leg) }
+// Cancel implements hand.Executor.
+func (in *instance) Cancel(id uint32, leg int) { in.out.Recall(id, leg) }
 
-// Throttle implements hand.Out.
-func (in *instance) Throttle(id uint32, comeBack float64) { in.out.PushBack(id, uint64(comeBack/nano)) }
+// Reject implements hand.Executor.
+func (in *instance) Reject(id uint32, comeBack float64) { in.out.PushBack(id, uint64(comeBack/nano)) }
 
-// Fail implements hand.Out.
+// Fail implements hand.Executor.
 func (in *instance) Fail(id uint32) { in.out.Abort(id) }
 
 // finish asks about what is due, does the upkeep and sets the next alarm.
@@ -354,14 +354,14 @@
 }
 
 func (in *instance) settle() {
-	next, keep := in.hand.Settle(in.now)
-	for _, node := range keep.Probe {
+	next, keep := in.hand.ReviewDue(in.now)
+	for _, node := range keep.HealthCheck {
 		in.out.Check(in.hosts.Name(node))
 	}
-	for _, node := range keep.Forget {
+	for _, node := range keep.Release {
 		in.hosts.Free(node)
 	}
-	if keep.Follow {
+	if keep.Subscribe {
 		in.out.Follow()
 	}
 	if next < in.alarm {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -53,14 +53,14 @@
 // outcome is the end of a dispatch.
 type outcome struct {
 	d      *member.Dispatch
-	ending router.Ending
+	ending router.Result
 	took   float64
 	answer pg.Answer
 }
 
 type probed struct {
 	node   int
-	ending router.Ending
+	ending router.Result
 	took   float64
 	report string
 }
@@ -75,7 +75,7 @@
 	loop    *loop.Loop
 	told    *site.Settings
 	router  *router.Router
-	hand    *hand.Hand
+	hand    *hand.Tracker
 	seed    uint64
 	members *member.Members
 	watch   *discovery.Watch
@@ -117,9 +117,9 @@
 	o.router = o.fresh()
 	o.hand = hand.New(o.router, o)
 	o.members = member.New(l, &s.Limits, blocks, o, c)
-	o.watch = discovery.New(l, &s.Limits, s.Discovery, s.Settings.Ask, blocks, o, log)
+	o.watch = discovery.New(l, &s.Limits, s.Discovery, s.Settings.PollList, blocks, o, log)
 	o.lists = append(o.lists, listed{list: s.KnownList, cached: true})
-	if !s.Settings.Ask {
+	if !s.Settings.PollList {
 		o.watch.Ask()
 	}
 	return o
@@ -127,8 +127,8 @@
 
 // fresh is a router under the settings, which knows nothing yet.
 func (o *Core) fresh() *router.Router {
-	told := o.told.Site
-	told.ZeroAt = o.clock(o.zeroMs)
+	told := o.told.Config
+	told.PositionEpoch = o.clock(o.zeroMs)
 	if told.Zone >= 0 && told.Zone < len(o.told.Zones) {
 		told.Zone = o.zones.At(o.told.Zones[told.Zone]) // zones keep their index when the settings' order changes
 	}
@@ -139,7 +139,7 @@
 // been settled under the earlier ones; it ends under them.
 func (o *Core) Move() {
 	o.router = o.fresh()
-	o.hand.Move(o.loop.Now(), o.router)
+	o.hand.SwitchRouter(o.loop.Now(), o.router)
 }
 
 // clock turns a Unix time in milliseconds into the module's.
@@ -201,7 +201,7 @@
 func (o *Core) ListFailed() { o.lists = append(o.lists, listed{failed: true}) }
 
 // Ended implements member.Sink.
-func (o *Core) Ended(d *member.Dispatch, e router.Ending, took float64, a *pg.Answer) {
+func (o *Core) Ended(d *member.Dispatch, e router.Result, took float64, a *pg.Answer) {
 	out := outcome{d: d, ending: e, took: took}
 	if a != nil {
 		out.answer = *a
@@ -210,7 +210,7 @@
 }
 
 // Probed implements member.Sink.
-func (o *Core) Probed(node int, ending router.Ending, took float64, report string) {
+func (o *Core) Probed(node int, ending router.Result, took float64, report string) {
 	o.probes = append(o.probes, probed{node: node, ending: ending, took: took, report: report})
 }
 
@@ -218,16 +218,16 @@
 func (o *Core) Settle(now float64) float64 {
 	for {
 		o.hear(now)
-		next, keep := o.hand.Settle(now)
+		next, keep := o.hand.ReviewDue(now)
 		o.carry()
-		for _, node := range keep.Probe {
+		for _, node := range keep.HealthCheck {
 			o.members.Probe(node)
 		}
-		for _, node := range keep.Forget {
+		for _, node := range keep.Release {
 			o.members.Forget(node)
 			o.nodes.Free(node)
 		}
-		if keep.Follow {
+		if keep.Subscribe {
 			o.watch.Ask()
 		}
 		if len(o.lists)+len(o.probes)+len(o.ends)+len(o.left)+len(o.taken) == 0 {
@@ -246,7 +246,7 @@
 	}
 	for _, p := range probes {
 		position, primary := o.report(p.report)
-		o.router.Probed(now, p.node, p.ending, p.took, position, primary)
+		o.router.HealthChecked(now, p.node, p.ending, p.took, position, primary)
 	}
 	for i := range ends {
 		o.end(now, &ends[i])
@@ -263,8 +263,8 @@
 	arrived := o.loop.Clock() // a turn may be held up between its poll and its reading: never earlier than they came
 	for _, c := range taken {
 		if !c.done {
-			o.hand.Take(now, c.id, router.Command{Group: c.Group, Set: c.Set, Session: c.Session,
-				Arrived: arrived, GiveUp: c.GiveUp, WriteAge: c.WriteAge, Repeat: c.Repeat})
+			o.hand.Add(now, c.id, router.Command{Group: c.Group, Shard: c.Set, Session: c.Session,
+				ArrivedAt: arrived, ClientDeadline: c.GiveUp, LastWriteAge: c.WriteAge, ClientRetry: c.Repeat})
 		}
 	}
 }
@@ -272,13 +272,13 @@
 func (o *Core) list(now float64, l listed) {
 	if l.failed {
 		o.count.ListsFailed++
-		o.router.ListFailed(now)
+		o.router.EndpointListFailed(now)
 		return
 	}
 	if !l.cached {
 		o.count.Lists++
 	}
-	facts := make([]router.Listing, 0, len(l.list.Members))
+	facts := make([]router.EndpointInfo, 0, len(l.list.Members))
 	for _, m := range l.list.Members {
 		node := o.nodes.At(m.ID)
 		o.members.Place(node, m.At, m.State == roster.Gone)
@@ -286,10 +286,10 @@
 		if m.StartedMs > 0 {
 			started = o.clock(float64(m.StartedMs))
 		}
-		facts = append(facts, router.Listing{Node: node, Set: o.sets.At(m.Cell), Zone: o.zones.At(m.Zone),
-			State: router.NodeState(m.State), Started: started, Primary: m.Primary})
+		facts = append(facts, router.EndpointInfo{Index: node, Shard: o.sets.At(m.Cell), Zone: o.zones.At(m.Zone),
+			State: router.EndpointState(m.State), StartedAt: started, Primary: m.Primary})
 	}
-	o.hand.Listed(now, facts, l.list.Whole || l.cached, l.cached)
+	o.hand.UpdateEndpoints(now, facts, l.list.Whole || l.cached, l.cached)
 	if len(facts) == 0 { // a watch that brought nothing
 		return
 	}
@@ -340,14 +340,14 @@
 	if c != nil && c.dispatch == e.d {
 		c.dispatch = nil
 	}
-	said := router.Outcome{Leg: e.d.Leg, Ending: e.ending, Took: e.took, Over: e.ending == router.Answered,
+	said := router.AttemptResult{Attempt: e.d.Leg, Result: e.ending, Elapsed: e.took, Final: e.ending == router.Answered,
 		Position: -1, Role: roles[e.answer.Role]}
 	if e.answer.Position > 0 {
 		said.Position = o.position(float64(e.answer.Position) / 1000)
 	}
-	o.hand.Ended(now, e.d.ID, said)
+	o.hand.AttemptEnded(now, e.d.ID, said)
 	if position, primary := o.report(e.answer.Health); position >= 0 && o.told.ReportsOnAnswers {
-		o.router.Probed(now, e.d.Node, e.ending, e.took, position, primary)
+		o.router.HealthChecked(now, e.d.Node, e.ending, e.took, position, primary)
 	}
 	if e.ending == router.Answered && c != nil && !c.done {
 		o.count.Answered++
@@ -364,7 +364,7 @@
 		return false
 	}
 	o.count.Left++
-	o.hand.Left(now, c.id)
+	o.hand.ClientGone(now, c.id)
 	if unsent = c.dispatch == nil || c.dispatch.Unsent(); unsent && c.dispatch != nil {
 		o.recalls = append(o.recalls, c.dispatch)
 	}
@@ -387,7 +387,7 @@
 	}
 	for _, d := range o.sends {
 		if o.cmds[d.ID] == nil { // its client left in this same turn
-			o.Ended(d, router.Moot, 0, nil)
+			o.Ended(d, router.NeverSent, 0, nil)
 			continue
 		}
 		o.members.Send(d)
@@ -397,30 +397,30 @@
 	o.recalls, o.sends = o.recalls[:0], o.sends[:0]
 }
 
-// Dispatch implements hand.Out.
-func (o *Core) Dispatch(id uint32, leg, node int, until float64) {
+// Forward implements hand.Executor.
+func (o *Core) Forward(id uint32, leg, node int, until float64) {
 	c := o.cmds[id]
 	d := &member.Dispatch{ID: id, Leg: leg, Node: node, Text: &c.Text, From: c.From, To: c.To, Until: until}
 	c.dispatch = d
 	o.sends = append(o.sends, d)
 }
 
-// Recall implements hand.Out.
-func (o *Core) Recall(id uint32, leg int) {
+// Cancel implements hand.Executor.
+func (o *Core) Cancel(id uint32, leg int) {
 	if c := o.cmds[id]; c != nil && c.dispatch != nil && c.dispatch.Leg == leg {
 		o.recalls = append(o.recalls, c.dispatch)
 	}
 }
 
-// Throttle implements hand.Out.
-func (o *Core) Throttle(id uint32, comeBack float64) {
+// Reject implements hand.Executor.
+func (o *Core) Reject(id uint32, comeBack float64) {
 	c := o.cmds[id]
 	o.count.Throttled++
 	c.Front.Throttled(c, comeBack)
 	o.finish(c)
 }
 
-// Fail implements hand.Out.
+// Fail implements hand.Executor.
 func (o *Core) Fail(id uint32) {
 	c := o.cmds[id]
 	o.count.Failed++
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -31,8 +31,8 @@
 	l, err := loop.New(16)
 	require.NoError(t, err)
 	s := &site.Config{KnownList: roster.List{Whole: true, Members: []roster.Member{{ID: "a", Cell: 7, State: roster.Ready}}}}
-	group := router.CommandGroup{Need: router.NeedAny, Target: 1, Timeout: 2, Benefit: 1}
-	s.Settings.Site = router.Site{Groups: []router.CommandGroup{group}, Routers: 1, Tries: 4, Tick: 0.005, Ask: true, Cancel: true}
+	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 1, ClientTimeout: 2, PriorityWeight: 1}
+	s.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{group}, RouterCount: 1, MaxAttempts: 4, BatchInterval: 0.005, PollList: true, CanCancel: true}
 	s.Limits = site.Limits{
 		Counts: site.Counts{
 			BackendConnections: 8,
@@ -102,7 +102,7 @@
 	o.carry()
 	assert.Zero(t, o.count.Dispatches)
 	o.Settle(0.1)
-	assert.EqualValues(t, 1, o.count.Outcomes[router.Moot])
+	assert.EqualValues(t, 1, o.count.Outcomes[router.NeverSent])
 	assert.Zero(t, o.hand.Len())
 }
 
@@ -123,7 +123,7 @@
 	o.Settle(0.2)
 	assert.Equal(t, said{"answered"}, s)
 	assert.Zero(t, blocks.Out(), "every block is given back")
-	o.Ended(&member.Dispatch{ID: 99}, router.Broken, 0, nil)
+	o.Ended(&member.Dispatch{ID: 99}, router.ConnectionLost, 0, nil)
 	o.Settle(0.3)
 }
 
@@ -163,7 +163,7 @@
 // and a position told for that time covered it.
 func TestCurrentReadCountsFromItsReadingNotFromThePoll(t *testing.T) {
 	o, blocks := newCore(t)
-	o.told.Groups[0].Need, o.told.Reports, o.ahead = router.NeedCurrent, true, 1
+	o.told.CommandGroups[0].Consistency, o.told.LoadReports, o.ahead = router.Linearizable, true, 1
 	o.Move()
 	o.list(0, listed{list: roster.List{Whole: true, Members: []roster.Member{{ID: "a", Cell: 7, State: roster.Ready}}}})
 	polled := o.loop.Now()
@@ -175,6 +175,6 @@
 	assert.Empty(t, o.sends, "a position of 5 ms after the poll does not cover what came 20 ms after it")
 	o.Probed(0, router.Answered, 0, fmt.Sprintf("x0=%.6f,x1=0", at+0.5))
 	o.hear(polled)
-	o.hand.Settle(polled + 0.05)
+	o.hand.ReviewDue(polled + 0.05)
 	assert.Len(t, o.sends, 1, "one of later does")
 }
--- a/internal/fleet/revision/revision_test.go
+++ b/internal/fleet/revision/revision_test.go
@@ -43,11 +43,11 @@
 	require.NoError(t, err)
 	assert.Equal(t, "n1", s.Name)
 	assert.Equal(t, "127.0.0.1:5432", s.Listen.String())
-	assert.Equal(t, 1, s.Settings.Me)
+	assert.Equal(t, 1, s.Settings.Instance)
 	assert.Equal(t, "127.2.0.1:8500", s.Discovery.String())
 	s, err = Check(canonical(t, sample), At{Name: "n1", Listen: "127.0.0.1:1", Discovery: "127.0.0.9:1", Me: -1})
 	require.NoError(t, err)
-	assert.Equal(t, 2, s.Settings.Me)
+	assert.Equal(t, 2, s.Settings.Instance)
 	assert.Equal(t, "127.0.0.9:1", s.Discovery.String())
 	assert.InDelta(t, 20+0.5+1, Drain(&s, 1), 1e-9)
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -557,7 +557,7 @@
 	case st.Wait > c.f.limits.Durations.MaxClientTimeout:
 		c.bad(pg.CodeValue, fmt.Sprintf("d=%.0f: longer than any client waits", st.Wait*1000))
 		return
-	case c.f.told.Groups[group].Effect == router.Keyed && !st.Keyed:
+	case c.f.told.CommandGroups[group].Idempotency == router.IdempotentWithKey && !st.Keyed:
 		c.bad(pg.CodeValue, fmt.Sprintf("c=%.40q: commands of this group bear a key, k", st.Group))
 		return
 	case c.f.core.Open(st.ID):
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -55,9 +55,9 @@
 	require.NoError(t, err)
 	d.member = roster.Member{ID: "a", At: netip.MustParseAddrPort(d.node.Addr().String()), Cell: 2, State: roster.Ready, Primary: true}
 	s := &site.Config{KnownList: roster.List{Whole: true, Members: []roster.Member{d.member}}}
-	group := router.CommandGroup{Need: router.NeedAny, Target: 500, Timeout: 500, Benefit: 1}
-	keyed := router.CommandGroup{Need: router.NeedWrite, Effect: router.Keyed, Target: 500, Timeout: 500, Benefit: 1}
-	s.Settings.Site = router.Site{Groups: []router.CommandGroup{group, keyed}, Routers: 1, Tries: 4, Tick: 0.005, Ask: true, WarmIn: 1, FallSpan: 1}
+	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 500, ClientTimeout: 500, PriorityWeight: 1}
+	keyed := router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, LatencyObjective: 500, ClientTimeout: 500, PriorityWeight: 1}
+	s.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{group, keyed}, RouterCount: 1, MaxAttempts: 4, BatchInterval: 0.005, PollList: true, SlowStart: 1, OverloadWindow: 1}
 	s.Settings.GroupNames = []string{"look", "order"}
 	s.Discovery = netip.MustParseAddrPort(mute().Addr().String())
 	s.Limits = site.Limits{
--- a/internal/hand/hand.go
+++ b/internal/hand/hand.go
@@ -1,6 +1,6 @@
 // Package hand keeps the commands in hand and the times at which the module wants to be asked about
 // them again. It drives the module's calls and decides nothing; what carries the decisions out, a
-// simulator's wire or sockets, stands behind Out.
+// simulator's wire or sockets, stands behind Executor.
 package hand
 
 import (
@@ -11,11 +11,11 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// Out carries out what the module decides. Its calls must not call the hand.
-type Out interface {
-	Dispatch(id uint32, leg, node int, until float64)
-	Recall(id uint32, leg int)
-	Throttle(id uint32, comeBack float64)
+// Executor carries out what the module decides. Its calls must not call the hand.
+type Executor interface {
+	Forward(id uint32, leg, node int, until float64)
+	Cancel(id uint32, leg int)
+	Reject(id uint32, comeBack float64)
 	Fail(id uint32)
 }
 
@@ -28,78 +28,78 @@
 	done   bool
 }
 
-// Hand is one router's commands.
-type Hand struct {
+// Tracker is one router's commands.
+type Tracker struct {
 	router *router.Router   // takes what comes
 	past   []*router.Router // under earlier settings, with commands in hand
-	out    Out
+	out    Executor
 	cmds   map[uint32]*command
 	dues   dues
 	seq    uint64
 }
 
 // New returns a hand without commands.
-func New(r *router.Router, out Out) *Hand {
-	return &Hand{router: r, out: out, cmds: map[uint32]*command{}}
+func New(r *router.Router, out Executor) *Tracker {
+	return &Tracker{router: r, out: out, cmds: map[uint32]*command{}}
 }
 
 // Len is the number of commands in hand.
-func (h *Hand) Len() int { return len(h.cmds) }
+func (h *Tracker) Len() int { return len(h.cmds) }
 
-// Take takes a command in. Ids never come twice.
-func (h *Hand) Take(now float64, id uint32, cmd router.Command) {
+// Add takes a command in. Ids never come twice.
+func (h *Tracker) Add(now float64, id uint32, cmd router.Command) {
 	c := &command{id: id, Command: cmd, router: h.router}
 	h.cmds[id] = c
-	h.carry(c, c.router.Place(now, &c.Command))
+	h.carry(c, c.router.Route(now, &c.Command))
 }
 
-// Move has a fresh router take what comes from here on, with what the present one has learnt that still means
+// SwitchRouter has a fresh router take what comes from here on, with what the present one has learnt that still means
 // the same. What is in hand ends by the present one.
-func (h *Hand) Move(now float64, fresh *router.Router) {
-	fresh.Carry(now, h.router)
+func (h *Tracker) SwitchRouter(now float64, fresh *router.Router) {
+	fresh.MigrateFrom(now, h.router)
 	h.past = append(h.past, h.router)
 	h.router = fresh
 }
 
-// Listed takes in the list, for whichever router has commands in hand.
-func (h *Hand) Listed(now float64, list []router.Listing, whole, cached bool) {
-	h.router.Listed(now, list, whole, cached)
+// UpdateEndpoints takes in the list, for whichever router has commands in hand.
+func (h *Tracker) UpdateEndpoints(now float64, list []router.EndpointInfo, whole, cached bool) {
+	h.router.UpdateEndpoints(now, list, whole, cached)
 	for _, r := range h.past {
-		r.Listed(now, list, whole, cached)
+		r.UpdateEndpoints(now, list, whole, cached)
 	}
 }
 
-// Left takes in that a command's client has gone.
-func (h *Hand) Left(now float64, id uint32) {
+// ClientGone takes in that a command's client has gone.
+func (h *Tracker) ClientGone(now float64, id uint32) {
 	if c := h.cmds[id]; c != nil && !c.done {
 		c.done = true
-		h.carry(c, router.Answer{Verdict: router.Done, Recall: c.router.Left(now, &c.Command)})
+		h.carry(c, router.Decision{Action: router.None, CancelAttempt: c.router.ClientGone(now, &c.Command)})
 		h.release(c)
 	}
 }
 
-// Ended takes in how a dispatch ended; an outcome that nobody waits for is passed over.
-func (h *Hand) Ended(now float64, id uint32, o router.Outcome) {
+// AttemptEnded takes in how a dispatch ended; an outcome that nobody waits for is passed over.
+func (h *Tracker) AttemptEnded(now float64, id uint32, o router.AttemptResult) {
 	c := h.cmds[id]
-	if c == nil || o.Leg >= len(c.Legs) || !c.Legs[o.Leg].Out {
+	if c == nil || o.Attempt >= len(c.Attempts) || !c.Attempts[o.Attempt].InFlight {
 		return
 	}
-	o.Over = o.Over || c.done
-	a := c.router.After(now, &c.Command, o)
+	o.Final = o.Final || c.done
+	a := c.router.AttemptEnded(now, &c.Command, o)
 	if c.router != h.router {
-		h.router.Heed(&c.Command, c.router)
+		h.router.LearnFrom(&c.Command, c.router)
 	}
-	c.done = c.done || o.Over
+	c.done = c.done || o.Final
 	h.carry(c, a)
 	h.release(c)
 }
 
-// Settle asks about all that is due and returns when to settle next, and the upkeep due now.
-func (h *Hand) Settle(now float64) (float64, router.Upkeep) {
+// ReviewDue asks about all that is due and returns when to settle next, and the upkeep due now.
+func (h *Tracker) ReviewDue(now float64) (float64, router.Maintenance) {
 	for len(h.dues) > 0 && h.dues[0].at <= now {
 		d := heap.Pop(&h.dues).(due)
 		if !d.cmd.done && d.cmd.asked == d.at {
-			h.carry(d.cmd, d.cmd.router.Place(now, &d.cmd.Command))
+			h.carry(d.cmd, d.cmd.router.Route(now, &d.cmd.Command))
 		}
 	}
 	h.past = slices.DeleteFunc(h.past, func(r *router.Router) bool {
@@ -110,7 +110,7 @@
 		}
 		return true
 	})
-	pause, keep := h.router.Wait(now) // the fleet is the present one's to look after
+	pause, keep := h.router.Maintain(now) // the fleet is the present one's to look after
 	next := now + pause
 	if len(h.dues) > 0 {
 		next = math.Min(next, h.dues[0].at)
@@ -119,12 +119,12 @@
 }
 
 // release forgets a command with nothing more to come.
-func (h *Hand) release(c *command) {
+func (h *Tracker) release(c *command) {
 	if !c.done {
 		return
 	}
-	for i := range c.Legs {
-		if c.Legs[i].Out {
+	for i := range c.Attempts {
+		if c.Attempts[i].InFlight {
 			return
 		}
 	}
@@ -132,19 +132,19 @@
 }
 
 // carry has one answer carried out.
-func (h *Hand) carry(c *command, a router.Answer) {
-	if a.Recall >= 0 {
-		h.out.Recall(c.id, a.Recall)
+func (h *Tracker) carry(c *command, a router.Decision) {
+	if a.CancelAttempt >= 0 {
+		h.out.Cancel(c.id, a.CancelAttempt)
 	}
 	if c.done {
 		return
 	}
-	switch a.Verdict {
-	case router.Send:
-		h.out.Dispatch(c.id, len(c.Legs)-1, a.Node, a.Until)
-	case router.Throttle:
+	switch a.Action {
+	case router.Forward:
+		h.out.Forward(c.id, len(c.Attempts)-1, a.Endpoint, a.AttemptDeadline)
+	case router.Reject:
 		c.done = true
-		h.out.Throttle(c.id, a.ComeBack)
+		h.out.Reject(c.id, a.RetryAfter)
 	case router.Fail:
 		c.done = true
 		h.out.Fail(c.id)
@@ -153,10 +153,10 @@
 		h.release(c)
 		return
 	}
-	if a.Again > 0 {
-		c.asked = a.Again
+	if a.ReviewAt > 0 {
+		c.asked = a.ReviewAt
 		h.seq++
-		heap.Push(&h.dues, due{at: a.Again, seq: h.seq, cmd: c})
+		heap.Push(&h.dues, due{at: a.ReviewAt, seq: h.seq, cmd: c})
 	}
 }
 
--- a/internal/hand/simulation_fleet_test.go
+++ b/internal/hand/simulation_fleet_test.go
@@ -25,7 +25,7 @@
 
 // endpoint is a database server as it is, beside what the list says of it.
 type endpoint struct {
-	router.Listing
+	router.EndpointInfo
 	condition condition
 	primary   bool
 	lag       float64 // of a replica's data
@@ -57,12 +57,12 @@
 // addEndpoint adds a server in an index that is free, or a new one.
 func (s *simulation) addEndpoint() {
 	e := endpoint{lag: s.of(0, 0.005, 0.05, 0.3, 2), work: s.of(0.7, 1, 1, 1, 1.5)}
-	e.Listing = router.Listing{
-		Node: len(s.endpoints), Set: s.intn(s.shards), Zone: s.intn(3), State: router.Ready,
-		Started: math.Inf(-1),
+	e.EndpointInfo = router.EndpointInfo{
+		Index: len(s.endpoints), Shard: s.intn(s.shards), Zone: s.intn(3), State: router.Ready,
+		StartedAt: math.Inf(-1),
 	}
 	if s.calls > 0 || s.chance(0.1) {
-		e.Started = s.now
+		e.StartedAt = s.now
 	}
 	if s.chance(0.3) {
 		e.condition = s.drawCondition()
@@ -71,8 +71,8 @@
 		s.endpoints = append(s.endpoints, e)
 		return
 	}
-	e.Node, s.free = s.free[0], s.free[1:]
-	s.endpoints[e.Node] = e
+	e.Index, s.free = s.free[0], s.free[1:]
+	s.endpoints[e.Index] = e
 }
 
 // promote makes a server of a shard its primary, and tells the list of it, or does not.
@@ -80,7 +80,7 @@
 	told := s.chance(0.7)
 	chosen, seen := -1, 0
 	for i := range s.endpoints {
-		if e := &s.endpoints[i]; e.Set == shard && !e.released {
+		if e := &s.endpoints[i]; e.Shard == shard && !e.released {
 			e.primary = false
 			e.Primary = e.Primary && !told
 			if seen++; s.intn(seen) == 0 {
@@ -100,7 +100,7 @@
 	at := s.intn(len(s.endpoints))
 	switch kind := s.intn(14); kind {
 	case 0:
-		s.promote(s.endpoints[at].Set)
+		s.promote(s.endpoints[at].Shard)
 	case 1:
 		s.addEndpoint()
 		at = len(s.endpoints) - 1
@@ -110,7 +110,7 @@
 		}
 	case 3:
 		for i := range s.endpoints {
-			if s.endpoints[i].Set == s.endpoints[at].Set {
+			if s.endpoints[i].Shard == s.endpoints[at].Shard {
 				s.endpoints[i].condition = s.drawCondition()
 			}
 		}
@@ -119,7 +119,7 @@
 	default:
 		s.disturbEndpoint(&s.endpoints[at])
 	}
-	if !s.site.Ask || s.following {
+	if !s.site.PollList || s.following {
 		s.after(s.of(0.01, 0.1, 1), func() { s.publish(at) })
 	}
 }
@@ -127,16 +127,16 @@
 func (s *simulation) disturbEndpoint(e *endpoint) {
 	switch s.intn(9) {
 	case 0, 1:
-		e.State = router.NodeState(s.intn(3))
+		e.State = router.EndpointState(s.intn(3))
 	case 2:
-		e.Started, e.State = s.now-s.of(0, 1, 5), router.Ready
+		e.StartedAt, e.State = s.now-s.of(0, 1, 5), router.Ready
 	case 3:
 		e.lag = s.of(0, 0.005, 0.05, 0.3, 2)
 	case 4:
 		e.busyUntil = s.now + s.of(0.1, 0.5, 2)
 	case 5:
 		if !e.released && s.chance(0.3) {
-			e.Set = s.intn(s.shards)
+			e.Shard = s.intn(s.shards)
 		}
 	default:
 		e.condition = s.drawCondition()
@@ -150,24 +150,24 @@
 		return
 	}
 	if e := &s.endpoints[at]; !e.released {
-		s.list([]router.Listing{e.Listing}, false, false)
+		s.list([]router.EndpointInfo{e.EndpointInfo}, false, false)
 	}
 }
 
 func (s *simulation) publishAll(cached bool) {
-	var all []router.Listing
+	var all []router.EndpointInfo
 	for i := range s.endpoints {
-		if e := &s.endpoints[i]; !e.released && (e.State != router.Gone || s.chance(0.5)) {
-			all = append(all, e.Listing)
+		if e := &s.endpoints[i]; !e.released && (e.State != router.Removed || s.chance(0.5)) {
+			all = append(all, e.EndpointInfo)
 		}
 	}
 	s.list(all, true, cached)
 }
 
-func (s *simulation) list(l []router.Listing, whole, cached bool) {
+func (s *simulation) list(l []router.EndpointInfo, whole, cached bool) {
 	s.note(callListed, s.now, flagged(whole), flagged(cached), float64(len(l)))
 	for _, e := range l {
-		s.note(callListed, float64(e.Node), float64(e.Set), float64(e.Zone), float64(e.State), e.Started, flagged(e.Primary))
+		s.note(callListed, float64(e.Index), float64(e.Shard), float64(e.Zone), float64(e.State), e.StartedAt, flagged(e.Primary))
 	}
-	s.hand.Listed(s.now, l, whole, cached)
+	s.hand.UpdateEndpoints(s.now, l, whole, cached)
 }
--- a/internal/hand/simulation_test.go
+++ b/internal/hand/simulation_test.go
@@ -128,9 +128,9 @@
 	now    float64
 	queue  events
 	order  int
-	site   router.Site
+	site   router.Config
 	router *router.Router // the one in force
-	hand   *hand.Hand
+	hand   *hand.Tracker
 	nextID uint32
 
 	endpoints  []endpoint
@@ -174,8 +174,8 @@
 
 // step lets the module do what is due, and then the next thing happen.
 func (s *simulation) step() {
-	next, upkeep := s.hand.Settle(s.now)
-	s.note(callSettle, s.now, next, float64(s.hand.Len()), flagged(upkeep.Follow))
+	next, upkeep := s.hand.ReviewDue(s.now)
+	s.note(callSettle, s.now, next, float64(s.hand.Len()), flagged(upkeep.Subscribe))
 	s.maintain(upkeep)
 	next = math.Max(next, s.now+leastStep)
 	if len(s.queue) == 0 || s.queue[0].at > next {
@@ -188,17 +188,17 @@
 }
 
 // maintain carries out what the module wants done besides commands.
-func (s *simulation) maintain(upkeep router.Upkeep) {
-	for _, at := range upkeep.Probe {
+func (s *simulation) maintain(upkeep router.Maintenance) {
+	for _, at := range upkeep.HealthCheck {
 		s.note(callProbed, float64(at))
 		s.probe(at)
 	}
-	for _, at := range upkeep.Forget {
+	for _, at := range upkeep.Release {
 		s.note(callProbed, float64(at), -1)
 		s.endpoints[at].released = true
 		s.free = append(s.free, at)
 	}
-	if upkeep.Follow {
+	if upkeep.Subscribe {
 		s.after(s.between(0.01, 0.4), s.answerList)
 	}
 }
@@ -215,19 +215,19 @@
 func (s *simulation) failList() {
 	s.following = false
 	s.note(callListFailed, s.now)
-	s.router.ListFailed(s.now)
+	s.router.EndpointListFailed(s.now)
 }
 
 // probe asks an endpoint for its state, and hands the result in.
 func (s *simulation) probe(at int) {
 	e := &s.endpoints[at]
 	took := s.between(0.0005, 0.02)
-	ending, position := router.Answered, e.position(s.now, s.site.ZeroAt)
+	ending, position := router.Answered, e.position(s.now, s.site.PositionEpoch)
 	switch e.condition {
 	case unreachable, hung:
-		ending, took = s.failedProbe(), s.site.Dial
+		ending, took = s.failedProbe(), s.site.ConnectTimeout
 	case refusing:
-		ending = router.Full
+		ending = router.Overloaded
 	case erring:
 		ending = router.Errored
 	case serving, breaking, slow:
@@ -238,15 +238,15 @@
 	primary := e.primary
 	s.after(took, func() {
 		s.note(callProbed, s.now, float64(at), float64(ending), took, position, flagged(primary))
-		s.router.Probed(s.now, at, ending, took, position, primary)
+		s.router.HealthChecked(s.now, at, ending, took, position, primary)
 	})
 }
 
-func (s *simulation) failedProbe() router.Ending {
+func (s *simulation) failedProbe() router.Result {
 	if s.chance(0.5) {
 		return router.TimedOut
 	}
-	return router.Unreached
+	return router.ConnectFailed
 }
 
 // move puts other settings in force.
@@ -255,7 +255,7 @@
 	seed := s.next()
 	s.note(callMove, s.now, float64(seed>>11)) // what a float64 holds of it
 	s.router = router.New(s.site, seed)
-	s.hand.Move(s.now, s.router)
+	s.hand.SwitchRouter(s.now, s.router)
 	if s.chance(0.5) {
 		s.after(s.of(0.2, 2, 20), s.move)
 	}
--- a/internal/lab/world/instance.go
+++ b/internal/lab/world/instance.go
@@ -15,7 +15,7 @@
 func (r *instance) boot(policy string) {
 	r.boots++
 	r.policy = policies[policy](r)
-	r.policy.Listed(r.w.now, r.w.told)
+	r.policy.UpdateEndpoints(r.w.now, r.w.told)
 	r.wake()
 }
 
@@ -38,14 +38,14 @@
 }
 
 // site is what the module is told of the world.
-func (r *instance) site() router.Site {
+func (r *instance) site() router.Config {
 	f := &r.w.spec.Fleet
-	s := router.Site{Routers: f.Routers, Me: r.me, Whole: 1, Tick: 0.005, ZeroAt: -logBefore, Brought: true, Reports: true, Cancel: true, Probes: true, Advice: true, MaxAdvice: 1,
-		Tries: 4, Dial: float64(f.Dial), ColdShare: f.ColdShare, WarmIn: float64(f.WarmIn), Overload: f.Overload, FallSpan: float64(f.FallSpan)}
+	s := router.Config{RouterCount: f.Routers, Instance: r.me, TotalWeight: 1, BatchInterval: 0.005, PositionEpoch: -logBefore, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
+		MaxAttempts: 4, ConnectTimeout: float64(f.Dial), SlowStartFloor: f.ColdShare, SlowStart: float64(f.WarmIn), OverloadFactor: f.Overload, OverloadWindow: float64(f.FallSpan)}
 	for i := range r.w.spec.Groups {
 		g := &r.w.spec.Groups[i]
-		s.Groups = append(s.Groups, router.CommandGroup{Need: needs[g.Need], Effect: effects[g.Effect], Scope: router.InSet, Target: float64(g.Target),
-			Timeout: float64(g.Timeout), Benefit: g.Benefit, Late: g.Late, Bound: float64(g.Bound), Memory: float64(g.Memory)})
+		s.CommandGroups = append(s.CommandGroups, router.CommandGroup{Consistency: needs[g.Need], Idempotency: effects[g.Effect], KeyScope: router.ShardScope, LatencyObjective: float64(g.Target),
+			ClientTimeout: float64(g.Timeout), PriorityWeight: g.Benefit, LateValue: g.Late, MaxStaleness: float64(g.Bound), IdempotencyWindow: float64(g.Memory)})
 	}
 	return s
 }
@@ -53,7 +53,7 @@
 // wake has the policy go on, and asks to be woken again when it wants to be.
 func (r *instance) wake() {
 	w := r.w
-	next, probes := r.policy.Settle(w.now)
+	next, probes := r.policy.ReviewDue(w.now)
 	for _, n := range probes {
 		r.probe(n)
 	}
@@ -75,7 +75,7 @@
 	back := func(ok bool, position float64) func() {
 		return func() {
 			if r.policy == p { // it did not start anew meanwhile
-				p.Probed(w.now, node, ok, w.now-sent, position, m.primary)
+				p.HealthChecked(w.now, node, ok, w.now-sent, position, m.primary)
 				r.wake()
 			}
 		}
@@ -92,14 +92,14 @@
 	})
 }
 
-// Dispatch implements hand.Out.
-func (r *instance) Dispatch(id uint32, number, node int, until float64) {
+// Forward implements hand.Executor.
+func (r *instance) Forward(id uint32, number, node int, until float64) {
 	w, c, m := r.w, r.commands[id], r.w.members[node]
 	g := &w.spec.Groups[c.group]
 	w.check.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &verdict.Member{Set: m.set, Away: m.told == router.Draining,
 		AwaySince: m.toldAt})
 	w.tally.Dispatches++
-	if needs[g.Need] != router.NeedWrite {
+	if needs[g.Need] != router.PrimaryOnly {
 		w.tally.Reads++
 		if m.primary {
 			w.tally.Primary++
@@ -108,7 +108,7 @@
 	l := &leg{cmd: c, number: number, at: m, sent: w.now, open: true}
 	c.legs = append(c.legs, l)
 	if m.cut {
-		w.outcome(l, router.Unreached, float64(w.spec.Fleet.Dial))
+		w.outcome(l, router.ConnectFailed, float64(w.spec.Fleet.Dial))
 	} else {
 		m.coming++
 		w.after(w.way(), func() {
@@ -124,27 +124,27 @@
 	})
 }
 
-// Recall implements hand.Out.
-func (r *instance) Recall(id uint32, number int) {
+// Cancel implements hand.Executor.
+func (r *instance) Cancel(id uint32, number int) {
 	for _, l := range r.commands[id].legs {
 		if l.number == number {
 			r.w.after(r.w.way(), func() {
 				l.at.cancel(l)
-				r.w.outcome(l, router.Recalled, r.w.way())
+				r.w.outcome(l, router.Canceled, r.w.way())
 			})
 		}
 	}
 }
 
-// Throttle implements hand.Out.
-func (r *instance) Throttle(id uint32, comeBack float64) {
+// Reject implements hand.Executor.
+func (r *instance) Reject(id uint32, comeBack float64) {
 	r.w.tally.Throttled++
 	if c := r.final(id); c != nil {
 		r.w.again(c, math.Max(comeBack, 0.05))
 	}
 }
 
-// Fail implements hand.Out.
+// Fail implements hand.Executor.
 func (r *instance) Fail(id uint32) {
 	r.w.tally.Failed++
 	r.final(id)
@@ -182,20 +182,20 @@
 }
 
 // ended has a dispatch's outcome come to its router; the first one counts.
-func (r *instance) ended(l *leg, e router.Ending, primary bool, position float64) {
+func (r *instance) ended(l *leg, e router.Result, primary bool, position float64) {
 	c, w := l.cmd, r.w
 	if !l.open {
 		return
 	}
 	l.open = false
-	ran := e == router.Answered || e == router.Broken || e == router.TimedOut || e == router.Recalled
+	ran := e == router.Answered || e == router.ConnectionLost || e == router.TimedOut || e == router.Canceled
 	w.check.Back(&c.Command, l.sent, l.at.set, ran)
 	if r.commands[c.id] != c { // its router has started anew
 		return
 	}
 	g := &w.spec.Groups[c.group]
-	o := router.Outcome{Leg: l.number, Ending: e, Took: w.now - l.sent, Over: e == router.Answered, Position: -1}
-	if e == router.Answered || e == router.Missed {
+	o := router.AttemptResult{Attempt: l.number, Result: e, Elapsed: w.now - l.sent, Final: e == router.Answered, Position: -1}
+	if e == router.Answered || e == router.NotServed {
 		if o.Role = router.RoleReplica; primary {
 			o.Role = router.RolePrimary
 		}
@@ -206,7 +206,7 @@
 	if e == router.Answered && !c.over {
 		r.answered(c, g, l, position)
 	}
-	r.policy.Ended(w.now, c.id, o)
+	r.policy.AttemptEnded(w.now, c.id, o)
 	r.release(c)
 	r.wake()
 }
@@ -214,11 +214,11 @@
 // answered counts a member's answer that its client gets.
 func (r *instance) answered(c *command, g *Group, l *leg, position float64) {
 	w, s := r.w, r.sessions[c.session]
-	if needs[g.Need] == router.NeedWrite {
+	if needs[g.Need] == router.PrimaryOnly {
 		s.wrote = math.Max(s.wrote, position)
 	} else {
 		w.check.Served("a command of "+g.Name, &c.Command, l.at.node, &verdict.Member{Covers: position})
-		if needs[g.Need] == router.NeedSession {
+		if needs[g.Need] == router.SessionConsistent {
 			s.seen = math.Max(s.seen, position)
 		}
 	}
--- a/internal/lab/world/member.go
+++ b/internal/lab/world/member.go
@@ -14,7 +14,7 @@
 	set     int
 	primary bool
 	drains  bool
-	told    router.NodeState // to routers, of that
+	told    router.EndpointState // to routers, of that
 	toldAt  float64
 	down    bool
 	hung    bool
@@ -84,7 +84,7 @@
 	case m.cut: // nothing is heard; the dispatch runs out of time
 		return
 	case m.down:
-		w.outcome(l, router.Unreached, w.way())
+		w.outcome(l, router.ConnectFailed, w.way())
 		return
 	}
 	if now := w.now; now-m.started < float64(w.spec.Fleet.WarmIn) {
@@ -100,7 +100,7 @@
 	if m.busy >= w.spec.Fleet.Slots || m.hung {
 		if len(m.queue) >= w.spec.Fleet.Queue {
 			m.Turned++
-			w.outcome(l, router.Full, w.way())
+			w.outcome(l, router.Overloaded, w.way())
 			return
 		}
 		m.queue = append(m.queue, l)
@@ -113,8 +113,8 @@
 func (m *member) work(l *leg) {
 	w := m.w
 	g := &w.spec.Groups[l.cmd.group]
-	if need := needs[g.Need]; need == router.NeedWrite && !m.primary {
-		w.outcome(l, router.Missed, w.way())
+	if need := needs[g.Need]; need == router.PrimaryOnly && !m.primary {
+		w.outcome(l, router.NotServed, w.way())
 		m.next()
 		return
 	}
@@ -136,7 +136,7 @@
 		return
 	}
 	m.Served++
-	if needs[m.w.spec.Groups[l.cmd.group].Need] == router.NeedWrite {
+	if needs[m.w.spec.Groups[l.cmd.group].Need] == router.PrimaryOnly {
 		l.position = m.w.commit(m)
 	}
 	if !m.cut {
@@ -176,7 +176,7 @@
 	broken = append(sorted(broken), m.queue...)
 	m.working, m.queue, m.busy = map[*leg]bool{}, nil, 0
 	for _, l := range broken {
-		m.w.outcome(l, router.Broken, m.w.way())
+		m.w.outcome(l, router.ConnectionLost, m.w.way())
 	}
 }
 
--- a/internal/lab/world/policy.go
+++ b/internal/lab/world/policy.go
@@ -41,7 +41,7 @@
 
 // module is the router's own decisions, the code that serves.
 type module struct {
-	*hand.Hand
+	*hand.Tracker
 	router *router.Router
 }
 
@@ -51,22 +51,24 @@
 	return &module{hand.New(m, r), m}
 }
 
-// Settle implements Policy.
-func (m *module) Settle(now float64) (float64, []int) {
-	next, keep := m.Hand.Settle(now)
-	return next, keep.Probe
+// ReviewDue implements Policy.
+func (m *module) ReviewDue(now float64) (float64, []int) {
+	next, keep := m.Tracker.ReviewDue(now)
+	return next, keep.HealthCheck
 }
 
-// Listed implements Policy.
-func (m *module) Listed(now float64, l []router.Listing) { m.router.Listed(now, l, true, false) }
+// UpdateEndpoints implements Policy.
+func (m *module) UpdateEndpoints(now float64, l []router.EndpointInfo) {
+	m.router.UpdateEndpoints(now, l, true, false)
+}
 
-// Probed implements Policy.
-func (m *module) Probed(now float64, node int, ok bool, took, position float64, primary bool) {
+// HealthChecked implements Policy.
+func (m *module) HealthChecked(now float64, node int, ok bool, took, position float64, primary bool) {
 	ending := router.Answered
 	if !ok {
-		ending = router.Unreached
+		ending = router.ConnectFailed
 	}
-	m.router.Probed(now, node, ending, took, position, primary)
+	m.router.HealthChecked(now, node, ending, took, position, primary)
 }
 
 // simple is a policy that knows the list and its own dispatches. Reads go where choose says, all else to the listed
@@ -76,7 +78,7 @@
 	choose func(b *simple, s *standing) []int
 	sees   bool // it knows at once what befalls members
 	chance *rand.Rand
-	list   []router.Listing
+	list   []router.EndpointInfo
 	out    []int // dispatches by node
 	turn   int
 	wrote  map[uint64]float64 // when sessions last wrote, for the window; emptied with each that has run out
@@ -105,14 +107,14 @@
 	}
 }
 
-// Listed implements Policy.
-func (b *simple) Listed(_ float64, l []router.Listing) { b.list = l }
+// UpdateEndpoints implements Policy.
+func (b *simple) UpdateEndpoints(_ float64, l []router.EndpointInfo) { b.list = l }
 
-// Probed implements Policy: it asks nobody.
-func (b *simple) Probed(float64, int, bool, float64, float64, bool) {}
+// HealthChecked implements Policy: it asks nobody.
+func (b *simple) HealthChecked(float64, int, bool, float64, float64, bool) {}
 
-// Settle implements Policy: it never waits.
-func (b *simple) Settle(now float64) (float64, []int) {
+// ReviewDue implements Policy: it never waits.
+func (b *simple) ReviewDue(now float64) (float64, []int) {
 	for s, at := range b.wrote {
 		if now-at > simpleWindow {
 			delete(b.wrote, s)
@@ -121,15 +123,15 @@
 	return now + simpleWindow, nil
 }
 
-// Take implements Policy.
-func (b *simple) Take(_ float64, id uint32, c router.Command) {
+// Add implements Policy.
+func (b *simple) Add(_ float64, id uint32, c router.Command) {
 	s := &standing{id: id, cmd: c}
 	b.cmds[id] = s
 	b.place(s)
 }
 
-// Left implements Policy.
-func (b *simple) Left(_ float64, id uint32) { delete(b.cmds, id) }
+// ClientGone implements Policy.
+func (b *simple) ClientGone(_ float64, id uint32) { delete(b.cmds, id) }
 
 func (b *simple) group(s *standing) *Group { return &b.r.w.spec.Groups[s.cmd.Group] }
 
@@ -140,8 +142,8 @@
 		}
 	}
 	for _, l := range b.list {
-		if l.Set == set && l.Primary {
-			return l.Node
+		if l.Shard == set && l.Primary {
+			return l.Index
 		}
 	}
 	return -1
@@ -150,51 +152,51 @@
 // replicas that are listed ready and were not tried for this command.
 func (b *simple) replicas(s *standing) (out []int) {
 	for _, l := range b.list {
-		if l.Set == s.cmd.Set && !l.Primary && l.State == router.Ready && !slices.Contains(s.tried, l.Node) {
-			out = append(out, l.Node)
+		if l.Shard == s.cmd.Shard && !l.Primary && l.State == router.Ready && !slices.Contains(s.tried, l.Index) {
+			out = append(out, l.Index)
 		}
 	}
 	return out
 }
 
 func (b *simple) place(s *standing) {
-	at := b.primary(s.cmd.Set)
-	if needs[b.group(s).Need] != router.NeedWrite {
+	at := b.primary(s.cmd.Shard)
+	if needs[b.group(s).Need] != router.PrimaryOnly {
 		if some := b.choose(b, s); len(some) > 0 {
 			at = some[b.chance.IntN(len(some))]
 		}
 	}
 	if at < 0 || len(s.tried) >= simpleTries {
 		delete(b.cmds, s.id)
-		if s.ran && effects[b.group(s).Effect] != router.Replayable {
+		if s.ran && effects[b.group(s).Effect] != router.Idempotent {
 			b.r.Fail(s.id)
 		} else {
-			b.r.Throttle(s.id, 0)
+			b.r.Reject(s.id, 0)
 		}
 		return
 	}
 	s.at = at
 	s.tried = append(s.tried, at)
 	b.out[at]++
-	b.r.Dispatch(s.id, len(s.tried)-1, at, s.cmd.GiveUp)
+	b.r.Forward(s.id, len(s.tried)-1, at, s.cmd.ClientDeadline)
 }
 
-// Ended implements Policy.
-func (b *simple) Ended(now float64, id uint32, o router.Outcome) {
+// AttemptEnded implements Policy.
+func (b *simple) AttemptEnded(now float64, id uint32, o router.AttemptResult) {
 	s := b.cmds[id]
 	if s == nil {
 		return
 	}
 	b.out[s.at]--
-	if o.Ending == router.Answered {
-		if needs[b.group(s).Need] == router.NeedWrite {
+	if o.Result == router.Answered {
+		if needs[b.group(s).Need] == router.PrimaryOnly {
 			b.wrote[s.cmd.Session] = now
 		}
 		delete(b.cmds, id)
 		return
 	}
-	s.ran = s.ran || o.Ending == router.Broken || o.Ending == router.TimedOut
-	if now < s.cmd.GiveUp && (!s.ran || effects[b.group(s).Effect] == router.Replayable) {
+	s.ran = s.ran || o.Result == router.ConnectionLost || o.Result == router.TimedOut
+	if now < s.cmd.ClientDeadline && (!s.ran || effects[b.group(s).Effect] == router.Idempotent) {
 		b.place(s)
 		return
 	}
@@ -209,20 +211,20 @@
 	}
 	var ids []uint32
 	for id, s := range b.cmds {
-		if s.at == node && effects[b.group(s).Effect] == router.Replayable && len(s.tried) < simpleTries {
+		if s.at == node && effects[b.group(s).Effect] == router.Idempotent && len(s.tried) < simpleTries {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		b.r.Recall(id, len(b.cmds[id].tried)-1)
+		b.r.Cancel(id, len(b.cmds[id].tried)-1)
 	}
 }
 
 func anyReplica(b *simple, s *standing) []int { return b.replicas(s) }
 
 func primaryForAWindow(b *simple, s *standing) []int {
-	if at, wrote := b.wrote[s.cmd.Session]; wrote && s.cmd.Arrived-at <= simpleWindow {
+	if at, wrote := b.wrote[s.cmd.Session]; wrote && s.cmd.ArrivedAt-at <= simpleWindow {
 		return nil
 	}
 	return b.replicas(s)
@@ -263,11 +265,11 @@
 	w := b.r.w
 	c := b.r.commands[s.id]
 	best, least := []int(nil), math.Inf(1)
-	for _, m := range w.sets[s.cmd.Set] {
+	for _, m := range w.sets[s.cmd.Shard] {
 		if m.down || m.hung || m.cut || m.told != router.Ready || slices.Contains(s.tried, m.node) {
 			continue
 		}
-		if needs[b.group(s).Need] != router.NeedAny && m.position(w.now) < math.Max(c.Needs, c.Seen) {
+		if needs[b.group(s).Need] != router.Eventual && m.position(w.now) < math.Max(c.Needs, c.Seen) {
 			continue
 		}
 		// One that drains or falls behind while the dispatch is on its way is the price of the way.
--- a/internal/lab/world/spec.go
+++ b/internal/lab/world/spec.go
@@ -79,9 +79,9 @@
 }
 
 var (
-	needs = map[string]router.Need{"write": router.NeedWrite, "current": router.NeedCurrent, "session": router.NeedSession,
-		"bound": router.NeedBound, "any": router.NeedAny}
-	effects = map[string]router.Effect{"replayable": router.Replayable, "keyed": router.Keyed, "mutating": router.Mutating}
+	needs = map[string]router.Consistency{"write": router.PrimaryOnly, "current": router.Linearizable, "session": router.SessionConsistent,
+		"bound": router.BoundedStaleness, "any": router.Eventual}
+	effects = map[string]router.Idempotency{"replayable": router.Idempotent, "keyed": router.IdempotentWithKey, "mutating": router.NonIdempotent}
 	lasting = map[string]bool{"crash": true, "hang": true, "cut": true, "slow": true, "drain": true, "elect": false, "restart": false}
 )
 
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -22,7 +22,7 @@
 	events  events
 	sets    [][]*member
 	members []*member
-	told    []router.Listing // the list that routers heard last; one that starts anew knows no more
+	told    []router.EndpointInfo // the list that routers heard last; one that starts anew knows no more
 	routers []*instance
 	check   verdict.Commands
 	broken  map[string]string // properties that were broken, with the first way
@@ -89,12 +89,12 @@
 
 // Policy decides where commands go. It is told what a router is told and nothing else, but for the one that sees all.
 type Policy interface {
-	Take(now float64, id uint32, c router.Command)
-	Left(now float64, id uint32)
-	Ended(now float64, id uint32, o router.Outcome)
-	Settle(now float64) (next float64, probes []int)
-	Listed(now float64, l []router.Listing)
-	Probed(now float64, node int, ok bool, took, position float64, primary bool)
+	Add(now float64, id uint32, c router.Command)
+	ClientGone(now float64, id uint32)
+	AttemptEnded(now float64, id uint32, o router.AttemptResult)
+	ReviewDue(now float64) (next float64, probes []int)
+	UpdateEndpoints(now float64, l []router.EndpointInfo)
+	HealthChecked(now float64, node int, ok bool, took, position float64, primary bool)
 }
 
 // Tally is what a run came to.
@@ -268,16 +268,16 @@
 	c := &command{id: r.last, router: r, group: group, session: id, set: int(id % uint64(len(w.sets))), arrived: w.now, first: first, tries: tries}
 	c.Effect, c.GiveUp, c.Memory = verdict.Effect(effects[g.Effect]), w.now+float64(g.Timeout), float64(g.Memory)
 	c.Needs, c.Seen = math.Inf(-1), math.Inf(-1)
-	in := router.Command{Group: group, Session: id, Set: c.set, Arrived: w.now, GiveUp: c.GiveUp - frontMargin, Repeat: tries > 1}
+	in := router.Command{Group: group, Session: id, Shard: c.set, ArrivedAt: w.now, ClientDeadline: c.GiveUp - frontMargin, ClientRetry: tries > 1}
 	switch needs[g.Need] {
-	case router.NeedSession:
+	case router.SessionConsistent:
 		c.Needs, c.Seen = s.wrote, s.seen
 		if !math.IsInf(s.wrote, -1) {
-			in.WriteAge = cmp.Or(w.now-s.wrote, -math.SmallestNonzeroFloat64)
+			in.LastWriteAge = cmp.Or(w.now-s.wrote, -math.SmallestNonzeroFloat64)
 		}
-	case router.NeedCurrent:
+	case router.Linearizable:
 		c.Needs = w.lastCommit(c.set)
-	case router.NeedBound:
+	case router.BoundedStaleness:
 		c.Needs = w.now - float64(g.Bound)
 	}
 	r.commands[c.id] = c
@@ -286,12 +286,12 @@
 			w.check.Overdue(w.now+1e-9, "a command of "+g.Name, &c.Command)
 			c.over = true
 			w.check.Ended(&c.Command)
-			r.policy.Left(w.now, c.id)
+			r.policy.ClientGone(w.now, c.id)
 			r.wake()
 			r.release(c)
 		}
 	})
-	r.policy.Take(w.now, c.id, in)
+	r.policy.Add(w.now, c.id, in)
 	r.wake()
 }
 
@@ -321,7 +321,7 @@
 }
 
 // outcome has a dispatch's end come to its router after a while.
-func (w *World) outcome(l *leg, e router.Ending, after float64) {
+func (w *World) outcome(l *leg, e router.Result, after float64) {
 	primary, position := l.at.primary, l.position
 	w.after(after, func() { l.cmd.router.ended(l, e, primary, position) })
 }
@@ -332,7 +332,7 @@
 	w.after(float64(w.spec.Fleet.List), func() {
 		w.told = l
 		for _, r := range w.routers {
-			r.policy.Listed(w.now, l)
+			r.policy.UpdateEndpoints(w.now, l)
 			r.wake()
 		}
 		for _, m := range w.members {
@@ -343,10 +343,10 @@
 	})
 }
 
-func (w *World) list() []router.Listing {
-	var l []router.Listing
+func (w *World) list() []router.EndpointInfo {
+	var l []router.EndpointInfo
 	for _, m := range w.members {
-		x := router.Listing{Node: m.node, Set: m.set, State: router.Ready, Started: m.started, Primary: m.primary}
+		x := router.EndpointInfo{Index: m.node, Shard: m.set, State: router.Ready, StartedAt: m.started, Primary: m.primary}
 		if m.drains {
 			x.State = router.Draining
 		}
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -15,29 +15,29 @@
 	how string
 }
 
-func (b *reckless) Take(now float64, id uint32, c router.Command) {
-	b.simple.Take(now, id, c)
+func (b *reckless) Add(now float64, id uint32, c router.Command) {
+	b.simple.Add(now, id, c)
 	s := b.cmds[id]
 	if s != nil && b.how == "after the end" {
-		b.r.Throttle(id, 0)
+		b.r.Reject(id, 0)
 	}
 	if s != nil && (b.how == "after the end" || b.how == "two at once") {
 		b.place(s)
 	}
 }
 
-func (b *reckless) Ended(now float64, id uint32, o router.Outcome) {
+func (b *reckless) AttemptEnded(now float64, id uint32, o router.AttemptResult) {
 	s := b.cmds[id]
 	switch {
-	case s == nil || o.Ending == router.Answered:
+	case s == nil || o.Result == router.Answered:
 	case b.how == "silent":
 		delete(b.cmds, id)
 		return
-	case b.how == "again" && o.Ending == router.Broken:
+	case b.how == "again" && o.Result == router.ConnectionLost:
 		b.place(s)
 		return
 	}
-	b.simple.Ended(now, id, o)
+	b.simple.AttemptEnded(now, id, o)
 }
 
 // Every checker is shown failing by a policy that breaks its rule, in a world in which the careful one breaks none.
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -30,8 +30,8 @@
 // Sink is told how dispatches and probes ended, each once. Its calls must not call back.
 type Sink interface {
 	// Ended gives a dispatch's outcome; the answer's row, if it was served, is the receiver's to free.
-	Ended(d *Dispatch, ending router.Ending, took float64, answer *pg.Answer)
-	Probed(node int, ending router.Ending, took float64, report string)
+	Ended(d *Dispatch, ending router.Result, took float64, answer *pg.Answer)
+	Probed(node int, ending router.Result, took float64, report string)
 }
 
 // Members is all connections to members. Nodes are the module's small indices.
@@ -125,7 +125,7 @@
 	d.sent = m.loop.Now()
 	c := m.take(d.Node)
 	if c == nil {
-		m.sink.Ended(d, router.Unreached, 0, nil)
+		m.sink.Ended(d, router.ConnectFailed, 0, nil)
 		return
 	}
 	d.conn, c.dispatch = c, d
@@ -138,7 +138,7 @@
 	c := m.take(node)
 	if c == nil {
 		m.count.ProbesFailed++
-		m.sink.Probed(node, router.Unreached, 0, "")
+		m.sink.Probed(node, router.ConnectFailed, 0, "")
 		return
 	}
 	c.probe, c.since = true, m.loop.Now()
@@ -149,7 +149,7 @@
 func (m *Members) Recall(d *Dispatch) {
 	if d.conn != nil {
 		m.count.Recalls++
-		d.conn.end(router.Recalled)
+		d.conn.end(router.Canceled)
 	}
 }
 
@@ -250,7 +250,7 @@
 // flush writes on. Whether a dispatch may have run goes by its last byte.
 func (c *conn) flush() {
 	if err := c.m.loop.Write(c.fd, &c.out); err != nil {
-		c.end(router.Broken)
+		c.end(router.ConnectionLost)
 		return
 	}
 	if c.out.Len() == 0 && c.state == sending {
@@ -263,7 +263,7 @@
 func (c *conn) Ready(readable, writable bool) {
 	if c.state == dialling {
 		if err := c.m.loop.Dialled(c.fd); err != nil {
-			c.end(router.Unreached)
+			c.end(router.ConnectFailed)
 			return
 		}
 		c.state = greeting
@@ -291,7 +291,7 @@
 	case done:
 		c.answered(err != nil)
 	case err != nil:
-		c.end(router.Broken)
+		c.end(router.ConnectionLost)
 	}
 }
 
@@ -311,9 +311,9 @@
 		a.Row.Free()
 		switch {
 		case a.Code == pg.CodeFull:
-			c.end(router.Full)
+			c.end(router.Overloaded)
 		case a.Code != "" || rows || !again:
-			c.end(router.Unreached)
+			c.end(router.ConnectFailed)
 		default:
 			c.state = idle
 			c.begin()
@@ -322,7 +322,7 @@
 	}
 	if c.state != waiting { // an answer to a question that was not yet put
 		a.Row.Free()
-		c.end(router.Broken)
+		c.end(router.ConnectionLost)
 		return
 	}
 	d, probe, since := c.dispatch, c.probe, c.since
@@ -346,14 +346,14 @@
 }
 
 // ending reads the outcome off a whole answer.
-func ending(a *pg.Answer) router.Ending {
+func ending(a *pg.Answer) router.Result {
 	switch {
 	case a.Served():
 		return router.Answered
 	case a.Refused(pg.CodeFull):
-		return router.Full
+		return router.Overloaded
 	case a.Refused(pg.CodeNotPrimary), a.Refused(pg.CodeBehind):
-		return router.Missed
+		return router.NotServed
 	}
 	return router.Errored
 }
@@ -382,9 +382,9 @@
 
 // end closes the connection with an outcome for what it carried. Whatever ended it, nothing has run whose
 // last byte was not written: only here is one told from the other.
-func (c *conn) end(e router.Ending) {
-	if c.state != waiting && e != router.Full {
-		e = router.Unreached
+func (c *conn) end(e router.Result) {
+	if c.state != waiting && e != router.Overloaded {
+		e = router.ConnectFailed
 	}
 	if c.state == dialling || c.state == greeting {
 		c.m.count.DialsFailed++
@@ -401,7 +401,7 @@
 	}
 }
 
-func (c *conn) probed(e router.Ending, took float64, report string) {
+func (c *conn) probed(e router.Result, took float64, report string) {
 	if e != router.Answered {
 		c.m.count.ProbesFailed++
 	}
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -28,13 +28,13 @@
 	blocks  *buffer.Pool
 	count   count.Counters
 	node    net.Listener
-	endings []router.Ending
+	endings []router.Result
 	values  []string
-	probes  []router.Ending
+	probes  []router.Result
 	reports []string
 }
 
-func (b *bench) Ended(_ *Dispatch, e router.Ending, _ float64, a *pg.Answer) {
+func (b *bench) Ended(_ *Dispatch, e router.Result, _ float64, a *pg.Answer) {
 	b.endings = append(b.endings, e)
 	if a != nil {
 		b.values = append(b.values, a.Report())
@@ -42,7 +42,7 @@
 	}
 }
 
-func (b *bench) Probed(_ int, ending router.Ending, _ float64, report string) {
+func (b *bench) Probed(_ int, ending router.Result, _ float64, report string) {
 	b.probes, b.reports = append(b.probes, ending), append(b.reports, report)
 }
 
@@ -176,7 +176,7 @@
 	assert.Regexp(t, `^Q\x00\x00\x00\x12d=99\d{4} rest\x00$`, got)
 	_, _ = c.Write(answer("one"))
 	b.run(b.ended(1))
-	assert.Equal(t, []router.Ending{router.Answered}, b.endings)
+	assert.Equal(t, []router.Result{router.Answered}, b.endings)
 	assert.Equal(t, []string{"one"}, b.values)
 
 	b.send("d=99 again", far)
@@ -192,7 +192,7 @@
 	_ = c.Close()
 	b.send("d=99", far) // before the loop has seen the end
 	b.reply(b.accept(), "two")
-	assert.Equal(t, []router.Ending{router.Answered, router.Answered}, b.endings)
+	assert.Equal(t, []router.Result{router.Answered, router.Answered}, b.endings)
 	assert.EqualValues(t, 2, b.count.Dialled)
 }
 
@@ -207,7 +207,7 @@
 	c = b.accept()
 	b.hear(c, 5)
 	d.conn.due() // its time has run out while the member reads no more
-	assert.Equal(t, []router.Ending{router.Unreached, router.Unreached}, b.endings)
+	assert.Equal(t, []router.Result{router.ConnectFailed, router.ConnectFailed}, b.endings)
 	assert.Zero(t, b.m.Open())
 }
 
@@ -224,7 +224,7 @@
 	b.hear(c, 5)
 	require.False(t, short.Unsent())
 	b.m.Recall(short)
-	assert.Equal(t, []router.Ending{router.Unreached, router.Recalled}, b.endings)
+	assert.Equal(t, []router.Result{router.ConnectFailed, router.Canceled}, b.endings)
 	_, err := io.Copy(io.Discard, c)
 	assert.NoError(t, err, "the connection was closed at once")
 	assert.Zero(t, b.m.Open())
@@ -235,7 +235,7 @@
 	b.send("d=99", 0.3)
 	b.accept()
 	b.run(b.ended(1))
-	assert.Equal(t, []router.Ending{router.TimedOut}, b.endings)
+	assert.Equal(t, []router.Result{router.TimedOut}, b.endings)
 	assert.Zero(t, b.m.Open())
 }
 
@@ -243,13 +243,13 @@
 	fail := func(code string, fatal bool) []byte { return pg.Error(nil, fatal, code, "", "") }
 	for what, k := range map[string]struct {
 		said   []byte
-		ending router.Ending
+		ending router.Result
 		open   int
 	}{
-		"full":           {pg.Ready(fail(pg.CodeFull, false)), router.Full, 1},
-		"full and ended": {fail(pg.CodeFull, true), router.Full, 0},
-		"no primary":     {pg.Ready(fail(pg.CodeNotPrimary, false)), router.Missed, 1},
-		"too far behind": {pg.Ready(fail(pg.CodeBehind, false)), router.Missed, 1},
+		"full":           {pg.Ready(fail(pg.CodeFull, false)), router.Overloaded, 1},
+		"full and ended": {fail(pg.CodeFull, true), router.Overloaded, 0},
+		"no primary":     {pg.Ready(fail(pg.CodeNotPrimary, false)), router.NotServed, 1},
+		"too far behind": {pg.Ready(fail(pg.CodeBehind, false)), router.NotServed, 1},
 		"error":          {pg.Ready(fail("XX000", false)), router.Errored, 1},
 		"no row":         {pg.Ready(nil), router.Errored, 1},
 		"3 GB promised":  {[]byte("D\xb2\xd0\x5e\x00"), router.Errored, 0},
@@ -273,21 +273,21 @@
 	_, _ = c.Write(answer("cut short")[:20])
 	_ = c.Close()
 	b.run(b.ended(1))
-	assert.Equal(t, router.Broken, b.endings[0], "what was not whole reaches nobody")
+	assert.Equal(t, router.ConnectionLost, b.endings[0], "what was not whole reaches nobody")
 	assert.Empty(t, b.values)
 }
 
 func TestMemberThatDoesNotGreetProperlyHasRunNothing(t *testing.T) {
 	for what, k := range map[string]struct {
 		said   []byte
-		ending router.Ending
+		ending router.Result
 	}{
-		"a row":           {answer("x"), router.Unreached},
-		"nonsense":        {[]byte("SSH-2.0-x\r\n"), router.Unreached},
-		"an error":        {pg.Error(nil, true, "57P03", "", ""), router.Unreached},
-		"too many of us":  {pg.Error(nil, true, pg.CodeFull, "", ""), router.Full},
-		"a password, pls": {pg.Message(nil, 'R', []byte{0, 0, 0, 3}), router.Unreached},
-		"one byte more":   {append(pg.Welcome(nil), 'N'), router.Unreached},
+		"a row":           {answer("x"), router.ConnectFailed},
+		"nonsense":        {[]byte("SSH-2.0-x\r\n"), router.ConnectFailed},
+		"an error":        {pg.Error(nil, true, "57P03", "", ""), router.ConnectFailed},
+		"too many of us":  {pg.Error(nil, true, pg.CodeFull, "", ""), router.Overloaded},
+		"a password, pls": {pg.Message(nil, 'R', []byte{0, 0, 0, 3}), router.ConnectFailed},
+		"one byte more":   {append(pg.Welcome(nil), 'N'), router.ConnectFailed},
 	} {
 		b := newBench(t)
 		d := b.send("d=99", far)
@@ -365,7 +365,7 @@
 	b.m.limits.Durations.HealthCheckTimeout = 0.01
 	b.m.Probe(0)
 	b.run(func() bool { return len(b.probes) == 3 })
-	assert.Equal(t, []router.Ending{router.Answered, router.Errored, router.TimedOut}, b.probes)
+	assert.Equal(t, []router.Result{router.Answered, router.Errored, router.TimedOut}, b.probes)
 	assert.Zero(t, b.m.Open(), "one that was not answered is closed")
 }
 
@@ -376,7 +376,7 @@
 	b.send("d=99", far)
 	c := b.accept()
 	b.m.Probe(0)
-	assert.Equal(t, []router.Ending{router.Unreached}, b.probes, "the one place is taken")
+	assert.Equal(t, []router.Result{router.ConnectFailed}, b.probes, "the one place is taken")
 	b.reply(c, "one")
 	other := listener(t)
 	b.m.Place(1, netip.MustParseAddrPort(other.Addr().String()), false)
@@ -414,7 +414,7 @@
 	b.hear(c, 5)
 	_, _ = c.Write([]byte("~~~~~~"))
 	b.run(func() bool { return len(b.probes) == 1 })
-	assert.Equal(t, []router.Ending{router.Errored}, b.probes)
+	assert.Equal(t, []router.Result{router.Errored}, b.probes)
 	assert.Equal(t, []string{""}, b.reports)
 	assert.EqualValues(t, 1, b.count.Spoilt)
 	assert.Zero(t, b.m.Open())
@@ -430,7 +430,7 @@
 	b.reply(c, "late")
 	assert.Zero(t, b.m.Open(), "one that was busy is not kept for whoever has the row next")
 	b.m.Probe(0)
-	assert.Equal(t, []router.Ending{router.Unreached}, b.probes, "no address is left")
+	assert.Equal(t, []router.Result{router.ConnectFailed}, b.probes, "no address is left")
 }
 
 // Once errors counted as answers, the report in a row that an error followed counted too: a position that no
@@ -444,6 +444,6 @@
 	spoilt := append(bytes.Clone(whole[:len(whole)-6]), pg.Ready(pg.Error(nil, false, "XX000", "", ""))...) // ahead of ReadyForQuery
 	_, _ = c.Write(spoilt)
 	b.run(func() bool { return len(b.probes) == 1 })
-	assert.Equal(t, []router.Ending{router.Errored}, b.probes)
+	assert.Equal(t, []router.Result{router.Errored}, b.probes)
 	assert.Equal(t, []string{""}, b.reports)
 }
--- a/internal/router/carry.go
+++ b/internal/router/carry.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// Carry takes over from a router of the same process what still means the same under other settings, before
+// MigrateFrom takes over from a router of the same process what still means the same under other settings, before
 // the first command: where members are, their states, roles and positions, when they started, what is doubted
 // or out of reach, what was spent on cold ones, and the sessions. What was learnt in terms of the old command
 // groups, traffic or routers (paces, work, shares, rates, how groups were served) starts afresh, and so does
 // what is out: the old router's dispatches end there.
-func (r *Router) Carry(now float64, from *Router) {
+func (r *Router) MigrateFrom(now float64, from *Router) {
 	r.nodes = make([]node, len(from.nodes))
 	for i, n := range from.nodes {
 		n.out, n.legs, n.unheard, n.sent = 0, 0, 0, 0
@@ -26,7 +26,7 @@
 	r.young, r.old, r.turnedAt = maps.Clone(from.young), maps.Clone(from.old), now
 	for _, sessions := range []map[uint64]session{r.young, r.old} {
 		for id, s := range sessions {
-			if s.out > 0 { // those writes end there: a half stands for them until Heed finds none out
+			if s.out > 0 { // those writes end there: a half stands for them until LearnFrom finds none out
 				s.out = 0.5
 				sessions[id] = s
 			}
@@ -35,9 +35,9 @@
 	r.following, r.followAt, r.followFailures = from.following, from.followAt, from.followFailures
 }
 
-// Heed takes over what another router of the process has just learnt of a command's session: its last
+// LearnFrom takes over what another router of the process has just learnt of a command's session: its last
 // commands end there after the switch, and a read that is taken here must see what they wrote.
-func (r *Router) Heed(c *Command, from *Router) {
+func (r *Router) LearnFrom(c *Command, from *Router) {
 	told, s := from.session(c.Session), r.session(c.Session)
 	if told.out == 0 {
 		s.out = math.Floor(s.out)
@@ -47,5 +47,5 @@
 	}
 	s.token, s.seen = max(s.token, told.token), max(s.seen, told.seen)
 	r.young[c.Session] = s
-	r.sets[c.Set].top = max(r.sets[c.Set].top, s.token, s.seen)
+	r.sets[c.Shard].top = max(r.sets[c.Shard].top, s.token, s.seen)
 }
--- a/internal/router/carry_test.go
+++ b/internal/router/carry_test.go
@@ -11,14 +11,14 @@
 	old := testRouter(t, testSite())
 	old.nodes[1].pos, old.nodes[1].lat, old.nodes[1].done, old.nodes[1].legs, old.nodes[1].unheard = 11, 40, 100, 3, 2
 	old.nodes[2].shunned, old.nodes[2].started, old.nodes[2].budget = true, 9, 5
-	old.Listed(10, []Listing{{Node: 0, State: Draining, Started: math.Inf(-1)}}, false, false)
+	old.UpdateEndpoints(10, []EndpointInfo{{Index: 0, State: Draining, StartedAt: math.Inf(-1)}}, false, false)
 	old.young[9], old.old[7] = session{token: 10.5, seen: 10.7}, session{token: 10.5, seen: 10.7, out: 2}
 	old.sets[0].lat, old.sets[0].done = 40, 100
 	old.sets[0].floor, old.lat, old.warmRate = 9.5, 0.4, 50
 	s := testSite()
-	s.Groups = append(s.Groups[:1:1], s.Groups[gSession]) // other groups, in another order
+	s.CommandGroups = append(s.CommandGroups[:1:1], s.CommandGroups[gSession]) // other groups, in another order
 	r := New(s, 8)
-	r.Carry(12, old)
+	r.MigrateFrom(12, old)
 	assert.Equal(t, 11.0, r.nodes[1].pos, "a position holds for good")
 	assert.Equal(t, RolePrimary, r.nodes[0].role)
 	assert.False(t, r.usable(&r.nodes[0]), "what was told of drains binds on")
@@ -29,20 +29,20 @@
 	assert.Zero(t, r.nodes[1].lat+r.nodes[1].done, "paces were of other commands")
 	assert.Zero(t, r.nodes[1].legs+r.nodes[1].unheard, "what is out ends at the old one")
 	assert.Zero(t, r.lat+r.warmRate+r.sets[0].lat+r.sets[0].done)
-	c := &Command{Group: 1, Session: 9, Arrived: 12, GiveUp: 14}
+	c := &Command{Group: 1, Session: 9, ArrivedAt: 12, ClientDeadline: 14}
 	assert.Equal(t, 1, r.pick(12, c, &r.groups[1], r.session(9).seen), "it covers what the session has seen")
 	assert.Equal(t, 10.7, r.owed(12, c))
-	writes := &Command{Group: 1, Session: 7, Arrived: 12, GiveUp: 14}
+	writes := &Command{Group: 1, Session: 7, ArrivedAt: 12, ClientDeadline: 14}
 	assert.Equal(t, 12.5, r.owed(12.5, writes), "its writes are out at the old one")
-	r.note(writes, &group{CommandGroup: CommandGroup{Need: NeedWrite}}, 1, math.Inf(-1)) // and one here
+	r.note(writes, &group{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, 1, math.Inf(-1)) // and one here
 	for out := 1.0; out >= 0; out-- {
 		old.old[7] = session{token: math.Inf(-1), seen: math.Inf(-1), out: out}
-		r.Heed(writes, old)
+		r.LearnFrom(writes, old)
 		assert.Equal(t, 12.5, r.owed(12.5, writes))
 	}
-	r.note(writes, &group{CommandGroup: CommandGroup{Need: NeedWrite}}, -1, math.Inf(-1))
+	r.note(writes, &group{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, -1, math.Inf(-1))
 	assert.Equal(t, 10.7, r.owed(12.5, writes), "none is out any more")
-	other := &Command{Group: 1, Session: 4, Arrived: 12, GiveUp: 14}
+	other := &Command{Group: 1, Session: 4, ArrivedAt: 12, ClientDeadline: 14}
 	assert.Equal(t, 9.5, r.owed(12, other), "nor is the floor lost")
 	old.nodes[1].pos, old.sets[0].nodes[0] = 0, 7
 	assert.Equal(t, 11.0, r.nodes[1].pos, "nothing is shared")
--- a/internal/router/helper_test.go
+++ b/internal/router/helper_test.go
@@ -15,29 +15,29 @@
 )
 
 // testSite states figures of its own; no deployment has them.
-func testSite() Site {
-	row := func(need Need) CommandGroup {
-		return CommandGroup{Need: need, Target: 0.5, Timeout: 2, Benefit: 1, Memory: 2}
+func testSite() Config {
+	row := func(need Consistency) CommandGroup {
+		return CommandGroup{Consistency: need, LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1, IdempotencyWindow: 2}
 	}
-	s := Site{Routers: 1, Tick: 0.005, Reports: true, Cancel: true,
-		Probes: true, Tries: 6, Dial: 0.25, ColdShare: 0.2, WarmIn: 10, Overload: 2, FallSpan: 2,
-		AskWithin: 8, Groups: []CommandGroup{row(NeedWrite), row(NeedCurrent), row(NeedSession), row(NeedBound), row(NeedAny)}}
-	s.Groups[gWrite].Effect = Mutating
-	s.Groups[gWrite].Benefit = 3
-	s.Groups[gBound].Bound = 0.4
+	s := Config{RouterCount: 1, BatchInterval: 0.005, LoadReports: true, CanCancel: true,
+		HealthChecks: true, MaxAttempts: 6, ConnectTimeout: 0.25, SlowStartFloor: 0.2, SlowStart: 10, OverloadFactor: 2, OverloadWindow: 2,
+		PollWindow: 8, CommandGroups: []CommandGroup{row(PrimaryOnly), row(Linearizable), row(SessionConsistent), row(BoundedStaleness), row(Eventual)}}
+	s.CommandGroups[gWrite].Idempotency = NonIdempotent
+	s.CommandGroups[gWrite].PriorityWeight = 3
+	s.CommandGroups[gBound].MaxStaleness = 0.4
 	return s
 }
 
 // listed is one warm, ready node of set 0.
-func listed(node int) Listing {
-	return Listing{Node: node, State: Ready, Started: math.Inf(-1)}
+func listed(node int) EndpointInfo {
+	return EndpointInfo{Index: node, State: Ready, StartedAt: math.Inf(-1)}
 }
 
 // testRouter knows a set of three: node 0 is the primary, 1 and 2 are replicas, all heard at time 10.
-func testRouter(t *testing.T, s Site) *Router {
+func testRouter(t *testing.T, s Config) *Router {
 	t.Helper()
 	r := New(s, 7)
-	r.Listed(10, []Listing{listed(0), listed(1), listed(2)}, true, true)
+	r.UpdateEndpoints(10, []EndpointInfo{listed(0), listed(1), listed(2)}, true, true)
 	for i := range r.nodes {
 		r.tell(&r.nodes[i], 10, 10, RoleReplica)
 	}
@@ -46,7 +46,7 @@
 }
 
 func command(group int) *Command {
-	return &Command{Group: group, Session: 9, Arrived: 10, GiveUp: 12}
+	return &Command{Group: group, Session: 9, ArrivedAt: 10, ClientDeadline: 12}
 }
 
 // uncovered is a bounded read at 10.2 that no replica is known to cover, but may.
@@ -55,7 +55,7 @@
 		r.nodes[i].pos = 9.5
 	}
 	c := command(gBound)
-	c.Arrived, c.GiveUp = 10.2, 12.2
+	c.ArrivedAt, c.ClientDeadline = 10.2, 12.2
 	return c
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,8 +1,8 @@
 // Package router decides where each command of a sharded, replicated database goes.
 //
-// New takes a Site. Place answers where to send a command (or not yet, or never), After what to do once a
-// dispatch has ended, Wait how long until the next look and which upkeep is due. The others feed
-// facts in. Values are plain (types.go), times seconds, ids small indices; docs/design.md has the why.
+// New takes a Config. Route answers where to send a command (or not yet, or never), AttemptEnded what to do
+// once an attempt has ended, Maintain how long until the next look and which maintenance is due. The others
+// feed facts in. Values are plain (types.go), times seconds, ids small indices; docs/design.md has the why.
 package router
 
 import (
@@ -108,7 +108,7 @@
 
 // Router is one router's knowledge.
 type Router struct {
-	site                        Site
+	site                        Config
 	groups                      []group
 	nodes                       []node
 	sets                        []set
@@ -140,29 +140,29 @@
 }
 
 // New returns a router that knows nothing but its site.
-func New(s Site, seed uint64) *Router {
+func New(s Config, seed uint64) *Router {
 	r := &Router{site: s, z: uint32(seed) | 1, w: uint32(seed>>32) | 1, young: map[uint64]session{},
 		old: map[uint64]session{}, waitedAt: math.Inf(-1), gap: math.Inf(1)}
-	for _, g := range s.Groups {
-		r.groups = append(r.groups, group{CommandGroup: g, stretch: 1, weight: 1, room: g.Target,
-			primaryRoom: g.Target})
-		r.longest = math.Max(r.longest, g.Timeout)
-		if g.Need != NeedAny {
-			r.span = math.Max(r.span, g.Target)
+	for _, g := range s.CommandGroups {
+		r.groups = append(r.groups, group{CommandGroup: g, stretch: 1, weight: 1, room: g.LatencyObjective,
+			primaryRoom: g.LatencyObjective})
+		r.longest = math.Max(r.longest, g.ClientTimeout)
+		if g.Consistency != Eventual {
+			r.span = math.Max(r.span, g.LatencyObjective)
 		}
-		switch g.Need {
-		case NeedBound:
-			r.gap = math.Min(r.gap, g.Bound)
-		case NeedSession:
-			r.gap = math.Min(r.gap, g.Target)
+		switch g.Consistency {
+		case BoundedStaleness:
+			r.gap = math.Min(r.gap, g.MaxStaleness)
+		case SessionConsistent:
+			r.gap = math.Min(r.gap, g.LatencyObjective)
 		}
 	}
 	if r.span == 0 {
 		r.span = r.longest
 	}
-	r.site.Routers, r.site.Tries = max(1, s.Routers), max(1, s.Tries)
-	r.site.AskWithin = math.Max(s.AskWithin, r.span) // where it is not stated the list is not flooded
-	r.gap = math.Max(s.Tick, math.Min(r.gap, r.span))
+	r.site.RouterCount, r.site.MaxAttempts = max(1, s.RouterCount), max(1, s.MaxAttempts)
+	r.site.PollWindow = math.Max(s.PollWindow, r.span) // where it is not stated the list is not flooded
+	r.gap = math.Max(s.BatchInterval, math.Min(r.gap, r.span))
 	r.fade = memorySpan * r.span
 	return r
 }
@@ -177,8 +177,8 @@
 // draw draws from [0, 1).
 func (r *Router) draw() float64 { return float64(r.chance(1<<16)) / (1 << 16) }
 
-// Listed takes in the list: the whole of it or only what changed.
-func (r *Router) Listed(now float64, list []Listing, whole, cached bool) {
+// UpdateEndpoints takes in the list: the whole of it or only what changed.
+func (r *Router) UpdateEndpoints(now float64, list []EndpointInfo, whole, cached bool) {
 	if !cached {
 		r.following, r.followFailures = true, 0
 	}
@@ -188,20 +188,20 @@
 		}
 	}
 	for _, l := range list {
-		for len(r.nodes) <= l.Node {
+		for len(r.nodes) <= l.Index {
 			r.nodes = append(r.nodes, blank)
 		}
-		for len(r.sets) <= l.Set {
+		for len(r.sets) <= l.Shard {
 			r.sets = append(r.sets, set{floor: math.Inf(-1), top: math.Inf(-1), oldTop: math.Inf(-1)})
 		}
-		n := &r.nodes[l.Node]
-		if n.set != l.Set {
-			r.unplace(l.Node)
-			n.set = l.Set
-			r.sets[l.Set].nodes = append(r.sets[l.Set].nodes, l.Node)
+		n := &r.nodes[l.Index]
+		if n.set != l.Shard {
+			r.unplace(l.Index)
+			n.set = l.Shard
+			r.sets[l.Shard].nodes = append(r.sets[l.Shard].nodes, l.Index)
 		}
-		n.zone, n.listPrimary, n.started = l.Zone, l.Primary, math.Max(n.started, l.Started)
-		if l.State == Gone {
+		n.zone, n.listPrimary, n.started = l.Zone, l.Primary, math.Max(n.started, l.StartedAt)
+		if l.State == Removed {
 			n.goneAt = math.Min(n.goneAt, now)
 			continue
 		}
@@ -216,22 +216,22 @@
 	}
 }
 
-// ListFailed says that a list call failed. The next waits, twice as long each time, so that the
+// EndpointListFailed says that a list call failed. The next waits, twice as long each time, so that the
 // list service is not flooded when it can least bear it.
-func (r *Router) ListFailed(now float64) {
+func (r *Router) EndpointListFailed(now float64) {
 	r.following = false
-	gap := math.Min(askShare*r.site.AskWithin*math.Exp2(r.followFailures), r.site.AskWithin/2)
+	gap := math.Min(askShare*r.site.PollWindow*math.Exp2(r.followFailures), r.site.PollWindow/2)
 	r.followFailures++
 	r.followAt = now + gap*(1+r.draw())/2
 }
 
-// Probed takes in a probe's result. Only its report speaks for the node's data. An error tells nothing, and
+// HealthChecked takes in a probe's result. Only its report speaks for the node's data. An error tells nothing, and
 // silence less than an answer meanwhile: hosts that served while probes failed counted as started anew.
-func (r *Router) Probed(now float64, at int, ending Ending, took, position float64, primary bool) {
+func (r *Router) HealthChecked(now float64, at int, ending Result, took, position float64, primary bool) {
 	n := &r.nodes[at]
 	switch ending {
 	case Answered:
-	case Errored, Full, Missed:
+	case Errored, Overloaded, NotServed:
 		return
 	default:
 		if n.lastGood < now-took {
@@ -241,13 +241,13 @@
 	}
 	r.revive(now, n)
 	n.idle = max(1, n.idle) // the probe's connection stands
-	if position < 0 || !r.site.Reports {
+	if position < 0 || !r.site.LoadReports {
 		return
 	}
 	position *= 1 - roundOff
 	role, seenAt := RoleReplica, now-took
 	if primary {
-		role, seenAt = RolePrimary, r.site.ZeroAt+position
+		role, seenAt = RolePrimary, r.site.PositionEpoch+position
 	}
 	r.tell(n, seenAt, position, role)
 }
@@ -255,7 +255,7 @@
 // tell notes a position and a role that held at a time.
 func (r *Router) tell(n *node, at, position float64, role Role) {
 	if position >= 0 {
-		p := r.site.ZeroAt + position
+		p := r.site.PositionEpoch + position
 		n.pos = math.Max(n.pos, p)
 		if at > n.heardAt {
 			n.heardAt, n.lag = at, math.Max(0, at-p)
@@ -280,30 +280,30 @@
 	}
 }
 
-// Place answers where to send a command, or not yet, or never. What nobody could take by half of its
+// Route answers where to send a command, or not yet, or never. What nobody could take by half of its
 // client's time is given back while the client can still try elsewhere. Harm: some would have found a place.
-func (r *Router) Place(now float64, c *Command) Answer {
+func (r *Router) Route(now float64, c *Command) Decision {
 	g := &r.groups[c.Group]
 	if !c.asked {
 		c.asked, c.need = true, math.Inf(-1)
 		r.cmds++
-		if !c.Repeat {
+		if !c.ClientRetry {
 			g.asked++
 		}
 	}
-	if i := slices.IndexFunc(c.Legs, func(l Leg) bool { return l.Out }); i >= 0 {
+	if i := slices.IndexFunc(c.Attempts, func(l Attempt) bool { return l.InFlight }); i >= 0 {
 		return r.review(now, c, g, i)
 	}
-	if now >= c.GiveUp || c.Set < 0 || c.Set >= len(r.sets) || len(c.Legs) >= r.site.Tries ||
+	if now >= c.ClientDeadline || c.Shard < 0 || c.Shard >= len(r.sets) || len(c.Attempts) >= r.site.MaxAttempts ||
 		c.runs >= mostRuns || !r.mayGoAgain(now, c, g) || now+g.work*(1-crowdSlack) > r.horizon(c, g) ||
-		!c.wrote && now+2*r.site.Tick > c.Arrived+holdShare*(c.GiveUp-c.Arrived) {
+		!c.wrote && now+2*r.site.BatchInterval > c.ArrivedAt+holdShare*(c.ClientDeadline-c.ArrivedAt) {
 		return r.never(now, c, g)
 	}
 	at, spilled := r.choose(now, c, g)
 	// A keyed repeat may have to stay in its zone: it would not be known elsewhere.
-	if at < 0 || c.runs > 0 && g.Effect == Keyed && g.Scope == InZone &&
+	if at < 0 || c.runs > 0 && g.Idempotency == IdempotentWithKey && g.KeyScope == ZoneScope &&
 		r.nodes[at].zone != r.nodes[c.ranOn].zone {
-		return Answer{Verdict: Hold, Again: now + math.Max(r.site.Tick, pollShare*catchUp), Recall: -1}
+		return Decision{Action: Wait, ReviewAt: now + math.Max(r.site.BatchInterval, pollShare*catchUp), CancelAttempt: -1}
 	}
 	return r.send(now, c, g, at, spilled)
 }
@@ -312,10 +312,10 @@
 // while it waited. A write that is out may stand in the log already, with its answer on its way.
 func (r *Router) owed(now float64, c *Command) float64 {
 	s := r.session(c.Session)
-	need := math.Max(math.Max(s.token, s.seen), r.sets[c.Set].floor)
-	if r.site.Brought && c.WriteAge != 0 {
-		need = math.Max(need, c.Arrived-c.WriteAge)
-	} else if s.out > 0 && !r.site.Brought {
+	need := math.Max(math.Max(s.token, s.seen), r.sets[c.Shard].floor)
+	if r.site.ClientTokens && c.LastWriteAge != 0 {
+		need = math.Max(need, c.ArrivedAt-c.LastWriteAge)
+	} else if s.out > 0 && !r.site.ClientTokens {
 		need = now
 	}
 	return need
@@ -325,14 +325,14 @@
 func (r *Router) note(c *Command, g *group, out, at float64) {
 	s := r.session(c.Session)
 	switch {
-	case c.Session != 0 && g.Need == NeedWrite:
+	case c.Session != 0 && g.Consistency == PrimaryOnly:
 		s.out, s.token = math.Max(0, s.out+out), math.Max(s.token, at)
-	case c.Session != 0 && g.Need == NeedSession && !math.IsInf(at, -1):
+	case c.Session != 0 && g.Consistency == SessionConsistent && !math.IsInf(at, -1):
 		s.seen = math.Max(s.seen, at)
 	default:
 		return
 	}
-	r.young[c.Session], r.sets[c.Set].top = s, math.Max(r.sets[c.Set].top, at)
+	r.young[c.Session], r.sets[c.Shard].top = s, math.Max(r.sets[c.Shard].top, at)
 }
 
 // session is what is remembered of a session, if anything.
@@ -349,28 +349,28 @@
 // the time after it.
 func (r *Router) horizon(c *Command, g *group) float64 {
 	if g.left > leaveShare {
-		return math.Min(c.Arrived+math.Min(g.Target, g.stay), c.GiveUp)
+		return math.Min(c.ArrivedAt+math.Min(g.LatencyObjective, g.stay), c.ClientDeadline)
 	}
-	end := c.Arrived + g.Target
-	return math.Min(end+g.Late*math.Max(0, c.GiveUp-end), c.GiveUp)
+	end := c.ArrivedAt + g.LatencyObjective
+	return math.Min(end+g.LateValue*math.Max(0, c.ClientDeadline-end), c.ClientDeadline)
 }
 
 // mayGoAgain keeps rule 2: a repeat only of what is known not to have run, or within bounds.
 func (r *Router) mayGoAgain(now float64, c *Command, g *group) bool {
 	// A connection may still have to be made, so a keyed repeat must leave by that much earlier.
-	return c.runs == 0 || g.Effect == Replayable ||
-		g.Effect == Keyed && now+r.site.Dial+r.site.Tick < c.ranAt+g.Memory
+	return c.runs == 0 || g.Idempotency == Idempotent ||
+		g.Idempotency == IdempotentWithKey && now+r.site.ConnectTimeout+r.site.BatchInterval < c.ranAt+g.IdempotencyWindow
 }
 
 // never is the final answer of a command given up: throttled where a retry does no harm.
-func (r *Router) never(now float64, c *Command, g *group) Answer {
-	if c.runs > 0 && (g.Effect == Mutating || g.Effect == Keyed && g.Scope != Anywhere) {
-		return Answer{Verdict: Fail, Recall: -1}
+func (r *Router) never(now float64, c *Command, g *group) Decision {
+	if c.runs > 0 && (g.Idempotency == NonIdempotent || g.Idempotency == IdempotentWithKey && g.KeyScope != GlobalScope) {
+		return Decision{Action: Fail, CancelAttempt: -1}
 	}
-	a := Answer{Verdict: Throttle, Recall: -1}
+	a := Decision{Action: Reject, CancelAttempt: -1}
 	// A try that comes too late for the target should come late; one in time may come at once.
-	if r.site.Advice && now+2*g.work*(1-crowdSlack) > c.Arrived+g.Target {
-		a.ComeBack = r.site.MaxAdvice
+	if r.site.RetryAfterAllowed && now+2*g.work*(1-crowdSlack) > c.ArrivedAt+g.LatencyObjective {
+		a.RetryAfter = r.site.MaxRetryAfter
 	}
 	return a
 }
@@ -382,18 +382,18 @@
 
 // choose picks a node, or -1, and tells a read spilled onto the primary.
 func (r *Router) choose(now float64, c *Command, g *group) (at int, spilled bool) {
-	p := r.primary(c.Set)
+	p := r.primary(c.Shard)
 	open := p >= 0 && !r.doubted(now, p)
 	switch {
-	case open && (g.Need == NeedWrite || g.Need == NeedCurrent):
+	case open && (g.Consistency == PrimaryOnly || g.Consistency == Linearizable):
 		return r.fit(now, c, g, p), false
-	case g.Need == NeedWrite:
+	case g.Consistency == PrimaryOnly:
 		return r.seekPrimary(now, c, p), false
-	case g.Need == NeedCurrent:
-		c.need = c.Arrived // a replica that covers it will do
-	case g.Need == NeedBound:
-		c.need = now - g.Bound
-	case g.Need == NeedSession:
+	case g.Consistency == Linearizable:
+		c.need = c.ArrivedAt // a replica that covers it will do
+	case g.Consistency == BoundedStaleness:
+		c.need = now - g.MaxStaleness
+	case g.Consistency == SessionConsistent:
 		c.need = r.owed(now, c)
 	}
 	if at = r.pick(now, c, g, c.need); at >= 0 {
@@ -405,13 +405,13 @@
 		}
 	}
 	futile := !r.ask(now, c, p) || c.missed
-	if r.site.Guarded && (!futile || !open) {
+	if r.site.ReplicasCheckReads && (!futile || !open) {
 		if at = r.leastBehind(now, c, g); at >= 0 {
 			return at, false
 		}
 	}
 	// No longer than half of the time in which it earns: an answer must fit in after the wait.
-	if open && (futile || now-c.Arrived >= math.Min(catchUp, holdShare*(r.horizon(c, g)-c.Arrived))) {
+	if open && (futile || now-c.ArrivedAt >= math.Min(catchUp, holdShare*(r.horizon(c, g)-c.ArrivedAt))) {
 		return r.fit(now, c, g, p), true
 	}
 	return -1, false
@@ -422,7 +422,7 @@
 // that is cold and has its share already is not asked: reads found that it covers, and waited for it in vain.
 func (r *Router) ask(now float64, c *Command, primary int) (may bool) {
 	r.spare = r.spare[:0]
-	for _, i := range r.sets[c.Set].nodes {
+	for _, i := range r.sets[c.Shard].nodes {
 		if n := &r.nodes[i]; i != primary && r.usable(n) && !n.shunned && n.mayCover(now, c.need) {
 			may = true
 			if r.coldRoom(now, i) {
@@ -430,14 +430,14 @@
 			}
 		}
 	}
-	at := r.gather(c.Set)
+	at := r.gather(c.Shard)
 	r.narrow(func(i int) bool { return i != at })
 	r.near()
 	if len(r.spare) > 0 {
-		i := r.spare[r.site.Me%len(r.spare)]
+		i := r.spare[r.site.Instance%len(r.spare)]
 		n := &r.nodes[i]
 		known := n.pos >= c.need || now-math.Max(n.heardAt, n.probedAt) < catchUp
-		if r.site.Reports && !r.site.Guarded && !known { // a guarded one tells by turning the read away
+		if r.site.LoadReports && !r.site.ReplicasCheckReads && !known { // a guarded one tells by turning the read away
 			r.probe(now, i)
 		}
 	}
@@ -448,8 +448,8 @@
 // that the read rather waits for it: reads that spill from hundreds of routers, each of which knows few
 // positions, overran primaries with writes to do. Harm: such a read waits for a probe, or all of its wait.
 func (r *Router) crowded(now float64, c *Command, g *group, primary int) bool {
-	most := r.sojourn(primary, g) - crowdSlack*g.Target
-	return slices.ContainsFunc(r.sets[c.Set].nodes, func(i int) bool {
+	most := r.sojourn(primary, g) - crowdSlack*g.LatencyObjective
+	return slices.ContainsFunc(r.sets[c.Shard].nodes, func(i int) bool {
 		n := &r.nodes[i]
 		return i != primary && r.usable(n) && !n.shunned && n.mayCover(now, c.need) && r.sojourn(i, g) < most
 	})
@@ -457,7 +457,7 @@
 
 // probe notes a probe for the upkeep that is due next.
 func (r *Router) probe(now float64, at int) {
-	if r.site.Probes {
+	if r.site.HealthChecks {
 		r.nodes[at].probedAt = now
 		r.wanted = append(r.wanted, at)
 	}
@@ -486,9 +486,9 @@
 // harmless and comes at once.
 func (r *Router) seekPrimary(now float64, c *Command, p int) int {
 	r.spare = r.spare[:0]
-	for _, i := range r.sets[c.Set].nodes {
+	for _, i := range r.sets[c.Shard].nodes {
 		n := &r.nodes[i]
-		if r.usable(n) && i != p && !r.doubted(now, i) && now >= n.testAt && len(c.Legs) < r.site.Tries-1 &&
+		if r.usable(n) && i != p && !r.doubted(now, i) && now >= n.testAt && len(c.Attempts) < r.site.MaxAttempts-1 &&
 			now-n.roleAt > testShare*r.span && r.coldRoom(now, i) {
 			r.spare = append(r.spare, i)
 		}
@@ -496,7 +496,7 @@
 	if len(r.spare) == 0 {
 		// Few answers tell little, and there is no other primary. Where none is known it may be a doubted member:
 		// with these left out, a set refused its writes until a read happened to try its new primary.
-		for _, i := range r.sets[c.Set].nodes {
+		for _, i := range r.sets[c.Shard].nodes {
 			n := &r.nodes[i]
 			if (i == p || p < 0 && r.usable(n) && r.doubted(now, i)) && r.lastHope(now, n) && r.coldRoom(now, i) {
 				n.trialAt = now + r.span
@@ -507,7 +507,7 @@
 	}
 	at := r.spare[r.chance(len(r.spare))]
 	// A hundred routers' tests push members that come back cold over.
-	r.nodes[at].testAt = now + testShare*r.span*math.Max(1, math.Sqrt(float64(r.site.Routers))/2)
+	r.nodes[at].testAt = now + testShare*r.span*math.Max(1, math.Sqrt(float64(r.site.RouterCount))/2)
 	return at
 }
 
@@ -517,14 +517,14 @@
 		n := &r.nodes[trial]
 		// What was out of reach is left to probes. Where all are doubted the one that failed longest ago is
 		// taken, or many bad members at once would leave nobody to send to, and nobody to learn from.
-		due := now >= n.trialAt && now-c.Arrived < crowdSlack*g.Target && now-r.triedAt >= r.tryGap &&
-			(math.IsInf(n.downAt, 1) || !r.site.Probes)
+		due := now >= n.trialAt && now-c.ArrivedAt < crowdSlack*g.LatencyObjective && now-r.triedAt >= r.tryGap &&
+			(math.IsInf(n.downAt, 1) || !r.site.HealthChecks)
 		if due || r.sound == 0 && r.lastHope(now, n) {
 			n.trialAt, r.triedAt = now+r.span, now
 			return trial
 		}
 	}
-	if at := r.gather(c.Set); r.heavy(g) {
+	if at := r.gather(c.Shard); r.heavy(g) {
 		r.spare = slices.DeleteFunc(r.spare, func(i int) bool { return i != at })
 	} else {
 		r.narrow(func(i int) bool { return i != at })
@@ -549,7 +549,7 @@
 }
 
 // heavy says that any age will do for a group and that its target is beyond that of all that need fresh data.
-func (r *Router) heavy(g *group) bool { return g.Target > r.span }
+func (r *Router) heavy(g *group) bool { return g.LatencyObjective > r.span }
 
 // lastHope says that a doubted node may be asked for want of a better one.
 func (r *Router) lastHope(now float64, n *node) bool {
@@ -560,7 +560,7 @@
 func (r *Router) leastBehind(now float64, c *Command, g *group) int {
 	r.qualify(now, c, g, math.Inf(-1))
 	r.spare = slices.DeleteFunc(r.spare, func(i int) bool { // each is tried once
-		return slices.ContainsFunc(c.Legs, func(l Leg) bool { return l.Node == i })
+		return slices.ContainsFunc(c.Attempts, func(l Attempt) bool { return l.Endpoint == i })
 	})
 	least := math.Inf(1)
 	for _, i := range r.spare {
@@ -581,9 +581,9 @@
 // qualify makes the spare nodes those that may take a read of the position needed. It returns the
 // doubted node that is due for a trial first, or -1: a doubted primary too, whose data is excused.
 func (r *Router) qualify(now float64, c *Command, g *group, need float64) int {
-	p, trial := r.primary(c.Set), -1
+	p, trial := r.primary(c.Shard), -1
 	r.spare, r.sound = r.spare[:0], 0
-	for _, i := range r.sets[c.Set].nodes {
+	for _, i := range r.sets[c.Shard].nodes {
 		n := &r.nodes[i]
 		doubted := r.doubted(now, i)
 		if i != p && !doubted && r.usable(n) && n.mayCover(now, need) {
@@ -594,7 +594,7 @@
 		}
 		if !doubted {
 			r.spare = append(r.spare, i)
-		} else if n.out == 0 && g.Effect == Replayable && (trial < 0 || n.trialAt < r.nodes[trial].trialAt) {
+		} else if n.out == 0 && g.Idempotency == Idempotent && (trial < 0 || n.trialAt < r.nodes[trial].trialAt) {
 			trial = i
 		}
 	}
@@ -610,7 +610,7 @@
 	if !r.fits(now, c, g, best, g.room) {
 		return -1
 	}
-	most := r.sojourn(best, g) + crowdSlack*g.Target
+	most := r.sojourn(best, g) + crowdSlack*g.LatencyObjective
 	r.spare = slices.DeleteFunc(r.spare, func(i int) bool { return r.sojourn(i, g) > most })
 	// Hundreds of routers that each spread a few reads over all hosts open a connection for most of them, and
 	// hear of a position twice nowhere. Harm: a router with several times the mean traffic leans on few.
@@ -649,14 +649,14 @@
 // fits sheds by benefit: a group joins only queues that leave room for what carries more benefit for its
 // work, and nothing is sent too late. A client's repeat has spent its target on the first try.
 func (r *Router) fits(now float64, c *Command, g *group, at int, room float64) bool {
-	if c.Repeat && g.left <= leaveShare {
+	if c.ClientRetry && g.left <= leaveShare {
 		room *= repeatCut
 	}
 	n := &r.nodes[at]
 	pace := r.pace(n, n.out)
 	// Many routers' free places are taken in turn: each rests for as long as the others need.
-	rest := pace * (float64(r.site.Routers)/freeOver - 1)
-	free := n.out < freeOut && n.out*r.site.Routers < freeOver && now-n.lastGood >= rest
+	rest := pace * (float64(r.site.RouterCount)/freeOver - 1)
+	free := n.out < freeOut && n.out*r.site.RouterCount < freeOver && now-n.lastGood >= rest
 	// A queue that was full has a place again when some of it is done.
 	return (pace-r.base <= room || free) && now-n.fullAt >= r.base && now+r.sojourn(at, g) <= r.horizon(c, g)
 }
@@ -665,7 +665,7 @@
 // queue shows only in its answer times; this router's own, one in so many, goes with what is out.
 func (r *Router) pace(n *node, ahead int) float64 {
 	places := (n.places + priorWeight*r.places) / (n.done + priorWeight)
-	others := math.Sqrt(float64(r.site.Routers)) - 1
+	others := math.Sqrt(float64(r.site.RouterCount)) - 1
 	return r.mean(n) * (others + float64(ahead+1)/(places+1)) / (others + 1)
 }
 
@@ -717,7 +717,7 @@
 }
 
 // workOf is a command group's work, or before its first answer what its target makes likely.
-func (r *Router) workOf(g *group) float64 { return cmp.Or(g.work, workShare*g.Target) }
+func (r *Router) workOf(g *group) float64 { return cmp.Or(g.work, workShare*g.LatencyObjective) }
 
 // fadeNode lets the records of a node and of its set fade.
 func (r *Router) fadeNode(now float64, n *node) {
@@ -745,18 +745,18 @@
 func (r *Router) coldRoom(now float64, at int) bool {
 	n := &r.nodes[at]
 	age := now - n.started
-	if age >= r.site.WarmIn {
+	if age >= r.site.SlowStart {
 		return true
 	}
-	part := r.site.ColdShare + (1-r.site.ColdShare)*math.Max(0, age)/r.site.WarmIn
+	part := r.site.SlowStartFloor + (1-r.site.SlowStartFloor)*math.Max(0, age)/r.site.SlowStart
 	// A router that has just started, or meets no warm node, has no rate to go by: a node does one command at a
 	// time at least. Where half of the fleet was new, hundreds of such routers left it idle.
-	least := coldMargin * r.site.Overload * part / cmp.Or(r.base, r.site.WarmIn)
-	least = math.Max(1/r.site.FallSpan, least)
-	rate := math.Max(coldMargin*r.site.Overload*part*r.warmRate, least/float64(r.site.Routers))
+	least := coldMargin * r.site.OverloadFactor * part / cmp.Or(r.base, r.site.SlowStart)
+	least = math.Max(1/r.site.OverloadWindow, least)
+	rate := math.Max(coldMargin*r.site.OverloadFactor*part*r.warmRate, least/float64(r.site.RouterCount))
 	// Rounded at random and never saved up: the parts of a dispatch that many routers have add up
 	// to the whole. One apiece at once, from a hundred routers, pushed a cold node over.
-	if span := coldBurst * r.site.FallSpan; now-n.budgetAt >= span {
+	if span := coldBurst * r.site.OverloadWindow; now-n.budgetAt >= span {
 		n.budget, n.budgetAt = math.Floor(rate*span+r.draw()), now
 	}
 	return n.budget >= 1
@@ -782,79 +782,79 @@
 }
 
 // send books a dispatch.
-func (r *Router) send(now float64, c *Command, g *group, at int, spilled bool) Answer {
+func (r *Router) send(now float64, c *Command, g *group, at int, spilled bool) Decision {
 	n := &r.nodes[at]
 	if n.unheard++; n.unheard == 1 {
 		n.since, n.owed = now, 0
 	}
 	n.owed += r.workOf(g)
-	c.Legs = append(c.Legs, Leg{Node: at, Sent: now, Out: true, ahead: n.out, fresh: n.idle == 0})
+	c.Attempts = append(c.Attempts, Attempt{Endpoint: at, SentAt: now, InFlight: true, ahead: n.out, fresh: n.idle == 0})
 	n.idle = max(0, n.idle-1)
 	r.fadeNode(now, n)
 	n.out, n.legs, n.sent = n.out+1, n.legs+1, n.sent+1
 	n.budget = math.Max(0, n.budget-1)
 	r.note(c, g, 1, math.Inf(-1))
-	if g.Need != NeedWrite && len(c.Legs) == 1 {
+	if g.Consistency != PrimaryOnly && len(c.Attempts) == 1 {
 		r.turnSlots(now)
 		r.reads[r.slotAt%spillSlots]++
 		if spilled {
 			r.spills[r.slotAt%spillSlots]++
 		}
 	}
-	until := c.GiveUp
-	if c.runs > 0 && g.Effect == Keyed {
-		until = math.Min(until, c.ranAt+g.Memory) // what is not whole there by then must not run any more
+	until := c.ClientDeadline
+	if c.runs > 0 && g.Idempotency == IdempotentWithKey {
+		until = math.Min(until, c.ranAt+g.IdempotencyWindow) // what is not whole there by then must not run any more
 	}
-	if g.Effect == Replayable && g.Late == 0 && !r.dear() {
-		until = math.Min(until, c.Arrived+g.Target)
+	if g.Idempotency == Idempotent && g.LateValue == 0 && !r.dear() {
+		until = math.Min(until, c.ArrivedAt+g.LatencyObjective)
 	}
-	return Answer{Verdict: Send, Node: at, Until: until, Recall: -1,
-		Again: now + math.Min(r.patience(n), lostAfter*r.sojourn(at, g)) + r.site.Tick}
+	return Decision{Action: Forward, Endpoint: at, AttemptDeadline: until, CancelAttempt: -1,
+		ReviewAt: now + math.Min(r.patience(n), lostAfter*r.sojourn(at, g)) + r.site.BatchInterval}
 }
 
 // review looks at a dispatch that is still out. One that is overdue counts against its node
 // (else a hang is never seen); one at a doubted node is called off where a repeat is allowed.
-func (r *Router) review(now float64, c *Command, g *group, i int) Answer {
-	l := &c.Legs[i]
-	n := &r.nodes[l.Node]
+func (r *Router) review(now float64, c *Command, g *group, i int) Decision {
+	l := &c.Attempts[i]
+	n := &r.nodes[l.Endpoint]
 	wait := r.patience(n)
-	a := Answer{Verdict: Hold, Again: now + wait/2, Recall: -1}
-	if now-l.Sent > wait && !l.late && n.unheard > 0 && now-n.since > wait {
+	a := Decision{Action: Wait, ReviewAt: now + wait/2, CancelAttempt: -1}
+	if now-l.SentAt > wait && !l.late && n.unheard > 0 && now-n.since > wait {
 		l.late = true
 		r.blame(now, n)
 	}
 	// Its node has answered others since, so this answer is lost, or the command very costly: it
 	// holds no place in the foretold queue any more.
-	if lost := l.Sent + lostAfter*r.sojourn(l.Node, g); now < lost {
-		a.Again = math.Min(a.Again, lost+r.site.Tick)
-	} else if !l.lost && n.lastGood > l.Sent {
+	if lost := l.SentAt + lostAfter*r.sojourn(l.Endpoint, g); now < lost {
+		a.ReviewAt = math.Min(a.ReviewAt, lost+r.site.BatchInterval)
+	} else if !l.lost && n.lastGood > l.SentAt {
 		l.lost = true
 		n.out--
 	}
 	// With as much time left as it was given, a lost answer is worth another try, at the same node too: it
 	// is its connection that fell silent. Harm: work done twice.
-	lost := l.lost && now+lostAfter*r.sojourn(l.Node, g) < r.horizon(c, g)
-	if r.site.Cancel && !l.recall && !r.dear() && g.Effect != Mutating && len(c.Legs) < r.site.Tries &&
-		(lost || l.late && r.doubted(now, l.Node) && r.elsewhere(now, c, g, l.Node)) {
+	lost := l.lost && now+lostAfter*r.sojourn(l.Endpoint, g) < r.horizon(c, g)
+	if r.site.CanCancel && !l.recall && !r.dear() && g.Idempotency != NonIdempotent && len(c.Attempts) < r.site.MaxAttempts &&
+		(lost || l.late && r.doubted(now, l.Endpoint) && r.elsewhere(now, c, g, l.Endpoint)) {
 		l.recall = true
-		a.Recall = i
+		a.CancelAttempt = i
 	}
 	return a
 }
 
 // elsewhere says whether another member may take a command that is called off.
 func (r *Router) elsewhere(now float64, c *Command, g *group, at int) bool {
-	p := r.primary(c.Set)
-	return slices.ContainsFunc(r.sets[c.Set].nodes, func(i int) bool {
-		return i != at && (g.Need != NeedWrite || i == p) && r.usable(&r.nodes[i]) && !r.doubted(now, i)
+	p := r.primary(c.Shard)
+	return slices.ContainsFunc(r.sets[c.Shard].nodes, func(i int) bool {
+		return i != at && (g.Consistency != PrimaryOnly || i == p) && r.usable(&r.nodes[i]) && !r.doubted(now, i)
 	})
 }
 
-// Left takes in that the client of an unfinished command has gone, and calls its dispatch off.
+// ClientGone takes in that the client of an unfinished command has gone, and calls its dispatch off.
 // Where many leave before their time, only what can be answered before then is worth sending.
-func (r *Router) Left(now float64, c *Command) int {
+func (r *Router) ClientGone(now float64, c *Command) int {
 	g := &r.groups[c.Group]
-	if age := now - c.Arrived; now < c.GiveUp-r.site.Tick && age > r.site.Tick {
+	if age := now - c.ArrivedAt; now < c.ClientDeadline-r.site.BatchInterval && age > r.site.BatchInterval {
 		g.stay = cmp.Or(g.stay, age)
 		g.left += groupWeight * (1 - g.left)
 		g.stay += groupWeight * (age - g.stay)
@@ -864,8 +864,8 @@
 
 // callOff names a dispatch that nobody waits for any more, or -1.
 func (r *Router) callOff(c *Command) int {
-	for i := range c.Legs {
-		if l := &c.Legs[i]; l.Out && !l.recall && r.site.Cancel {
+	for i := range c.Attempts {
+		if l := &c.Attempts[i]; l.InFlight && !l.recall && r.site.CanCancel {
 			l.recall = true
 			return i
 		}
@@ -873,77 +873,77 @@
 	return -1
 }
 
-// After takes in how a dispatch ended and says what to do.
-func (r *Router) After(now float64, c *Command, o Outcome) Answer {
+// AttemptEnded takes in how a dispatch ended and says what to do.
+func (r *Router) AttemptEnded(now float64, c *Command, o AttemptResult) Decision {
 	g := &r.groups[c.Group]
-	l := &c.Legs[o.Leg]
-	n := &r.nodes[l.Node]
-	l.Out, n.legs = false, n.legs-1
+	l := &c.Attempts[o.Attempt]
+	n := &r.nodes[l.Endpoint]
+	l.InFlight, n.legs = false, n.legs-1
 	r.note(c, g, -1, math.Inf(-1))
-	c.wrote = c.wrote || o.Ending != Unreached && o.Ending != Moot
+	c.wrote = c.wrote || o.Result != ConnectFailed && o.Result != NeverSent
 	if !l.lost {
 		n.out--
 	}
 	r.fadeNode(now, n)
-	switch o.Ending {
-	case Answered, Errored, Full, Missed:
+	switch o.Result {
+	case Answered, Errored, Overloaded, NotServed:
 		n.idle++
-		if n.shunned && o.Ending != Full {
+		if n.shunned && o.Result != Overloaded {
 			n.shunned, n.bad = false, n.bad/2
 		}
 		n.unheard = 0
 		r.revive(now, n)
 		position := o.Position
-		if g.Need == NeedWrite && o.Ending == Answered {
+		if g.Consistency == PrimaryOnly && o.Result == Answered {
 			position = -1 // the commit's, not the node's
 		}
 		r.tell(n, now, position, o.Role)
 	}
 	// Where new connections are slow and costly those that stand are worth more than an even spread;
 	// a dispatch that ran out of time or was called off loses its own.
-	if l.fresh && o.Ending == Answered {
-		r.dial += groupWeight * (o.Took - r.mean(n) - r.dial)
-	} else if o.Ending == Unreached && now-n.lastGood < r.fade/memorySpan {
-		r.dial += dialWeight * (o.Took - r.dial)
+	if l.fresh && o.Result == Answered {
+		r.dial += groupWeight * (o.Elapsed - r.mean(n) - r.dial)
+	} else if o.Result == ConnectFailed && now-n.lastGood < r.fade/memorySpan {
+		r.dial += dialWeight * (o.Elapsed - r.dial)
 	}
-	switch o.Ending {
+	switch o.Result {
 	case Answered:
 		r.learn(now, c, g, n, l, o)
-	case Errored, Broken, TimedOut, Unreached:
+	case Errored, ConnectionLost, TimedOut, ConnectFailed:
 		if !l.late {
 			r.blame(now, n)
 		}
-		if o.Ending == Unreached {
+		if o.Result == ConnectFailed {
 			n.unreached(now)
 		}
-	case Full: // a failure like others: a host that turns all away at once would look idle and draw more
+	case Overloaded: // a failure like others: a host that turns all away at once would look idle and draw more
 		r.blame(now, n)
 		n.fullAt = now
-		r.measure(g, n, l, math.Max(o.Took, g.Target))
-	case Missed:
+		r.measure(g, n, l, math.Max(o.Elapsed, g.LatencyObjective))
+	case NotServed:
 		n.all++
-		c.missed = c.missed || g.Need != NeedWrite
+		c.missed = c.missed || g.Consistency != PrimaryOnly
 	}
-	switch o.Ending {
-	case TimedOut, Recalled:
+	switch o.Result {
+	case TimedOut, Canceled:
 		// Its answer would have taken as much again in the mean. Where clients left early what they left had
 		// counted as quick, and hundreds of routers went on sending to a primary that answered nobody.
-		r.measure(g, n, l, o.Took+r.pace(n, l.ahead))
+		r.measure(g, n, l, o.Elapsed+r.pace(n, l.ahead))
 		fallthrough
-	case Errored, Broken:
+	case Errored, ConnectionLost:
 		if c.runs++; c.runs == 1 {
-			c.ranAt, c.ranOn = l.Sent, l.Node
+			c.ranAt, c.ranOn = l.SentAt, l.Endpoint
 		}
 		r.note(c, g, 0, now) // it may have been answered: a connection can break under its answer
 	}
-	if o.Over {
-		return Answer{Verdict: Done, Recall: r.callOff(c)}
+	if o.Final {
+		return Decision{Action: None, CancelAttempt: r.callOff(c)}
 	}
-	return r.Place(now, c)
+	return r.Route(now, c)
 }
 
 // measure adds an answer time, or the least that it would have been.
-func (r *Router) measure(g *group, n *node, l *Leg, took float64) {
+func (r *Router) measure(g *group, n *node, l *Attempt, took float64) {
 	if seen := r.pace(n, l.ahead); seen > 0 {
 		g.stretch += groupWeight * (math.Min(took/seen, mostStretch) - g.stretch)
 	}
@@ -961,15 +961,15 @@
 }
 
 // learn takes in an answer: the node's health and pace, the session's positions.
-func (r *Router) learn(now float64, c *Command, g *group, n *node, l *Leg, o Outcome) {
+func (r *Router) learn(now float64, c *Command, g *group, n *node, l *Attempt, o AttemptResult) {
 	g.left -= groupWeight * g.left
-	if now <= c.Arrived+g.Target {
+	if now <= c.ArrivedAt+g.LatencyObjective {
 		g.answered++
 	}
 	n.all++
 	n.lastGood = now
 	// The least mean time lately is the work: under load every answer holds a queue too.
-	g.batch += o.Took
+	g.batch += o.Elapsed
 	g.batched++
 	switch mean := g.batch / g.batched; {
 	case g.batched >= workBatch:
@@ -977,29 +977,29 @@
 		g.work = math.Min(mean, g.work+drift*(mean-g.work))
 		g.batch, g.batched, g.weighedAt = 0, 0, now
 	case g.weighedAt == 0:
-		g.work = (g.batch + priorWeight*workShare*g.Target) / (g.batched + priorWeight)
+		g.work = (g.batch + priorWeight*workShare*g.LatencyObjective) / (g.batched + priorWeight)
 	}
 	if !r.heavy(g) {
 		r.heard++ // the first answers count alike, or the first alone would stand for minutes
 		w := math.Max(groupWeight, 1/r.heard)
 		r.base += w * (g.work - r.base)
-		r.lat += w * (math.Min(r.asMean(g, o.Took), mostStretch*r.base) - r.lat)
+		r.lat += w * (math.Min(r.asMean(g, o.Elapsed), mostStretch*r.base) - r.lat)
 		r.places += w * (float64(l.ahead+1) - r.places)
 	}
-	r.measure(g, n, l, o.Took)
+	r.measure(g, n, l, o.Elapsed)
 	if o.Position >= 0 {
-		r.note(c, g, 0, r.site.ZeroAt+o.Position)
-	} else if g.Need == NeedWrite {
+		r.note(c, g, 0, r.site.PositionEpoch+o.Position)
+	} else if g.Consistency == PrimaryOnly {
 		r.note(c, g, 0, now)
 	}
 }
 
-// Wait says how long until the next look, and what upkeep is due now.
-func (r *Router) Wait(now float64) (float64, Upkeep) {
-	var up Upkeep
-	if r.site.Ask && !r.following && now >= r.followAt {
-		up.Follow = true
-		r.followAt = now + r.site.AskWithin/2
+// Maintain says how long until the next look, and what upkeep is due now.
+func (r *Router) Maintain(now float64) (float64, Maintenance) {
+	var up Maintenance
+	if r.site.PollList && !r.following && now >= r.followAt {
+		up.Subscribe = true
+		r.followAt = now + r.site.PollWindow/2
 	}
 	if now-r.waitedAt >= r.gap/2 {
 		// What clients left must be seen again and again: commands throttled before then tell nothing.
@@ -1017,10 +1017,10 @@
 			}
 			doubted := r.doubted(now, i)
 			// A flapping list, a cold start and what is still out are over by then; the row may be another's.
-			if n.legs == 0 && now-math.Max(n.goneAt, n.lastGood) > r.site.WarmIn+keepSpans*r.longest {
+			if n.legs == 0 && now-math.Max(n.goneAt, n.lastGood) > r.site.SlowStart+keepSpans*r.longest {
 				r.unplace(i)
 				*n = blank
-				up.Forget = append(up.Forget, i)
+				up.Release = append(up.Release, i)
 			}
 			// A position that was not told lately, or a sign of life from a doubted node. It tells nothing of one that
 			// was reached and is silent or failing: a trial does.
@@ -1028,14 +1028,14 @@
 			if doubted {
 				due = math.Max(r.look, r.retry)
 			}
-			if r.usable(n) && (doubted && away && now-n.probedAt >= r.retry || r.site.Reports &&
+			if r.usable(n) && (doubted && away && now-n.probedAt >= r.retry || r.site.LoadReports &&
 				!math.IsInf(r.look, 1) && now-math.Max(n.heardAt, n.probedAt) >= due) {
 				r.probe(now, i)
 			}
 		}
 	}
-	up.Probe, r.wanted = append(up.Probe, r.wanted...), r.wanted[:0]
-	if r.site.Ask && !r.following { // a list that was missed binds, however rarely members are looked at
+	up.HealthCheck, r.wanted = append(up.HealthCheck, r.wanted...), r.wanted[:0]
+	if r.site.PollList && !r.following { // a list that was missed binds, however rarely members are looked at
 		return math.Max(0, math.Min(r.waitedAt+r.gap/2, r.followAt)-now), up
 	}
 	return r.waitedAt + r.gap/2 - now, up
@@ -1055,7 +1055,7 @@
 		shares = append(shares, n.failing())
 		if n.shunned {
 			shunned++
-		} else if now-n.started >= r.site.WarmIn {
+		} else if now-n.started >= r.site.SlowStart {
 			rate += n.sent / r.fade
 			warm++
 		}
@@ -1065,7 +1065,7 @@
 		r.median = shares[(len(shares)-1)/2]
 	}
 	if warm > 0 { // it falls no faster than a node warms: where most is doubted little is sent
-		r.warmRate = math.Max(rate/warm, r.warmRate*(1-r.gap/r.site.WarmIn))
+		r.warmRate = math.Max(rate/warm, r.warmRate*(1-r.gap/r.site.SlowStart))
 	}
 	every := 1 / math.Max(r.cmds/r.fade, 1/r.longest)
 	// A position is looked up unasked only where each member gets a command while it is good. Hundreds of
@@ -1090,21 +1090,21 @@
 		g := &r.groups[i]
 		g.weight = 1
 		served := (g.answered + priorWeight) / (g.asked + priorWeight)
-		sum += g.answered * g.Benefit
-		benefit += g.asked * g.Benefit
+		sum += g.answered * g.PriorityWeight
+		benefit += g.asked * g.PriorityWeight
 		if served < least {
 			worst, least = i, served
 		}
 	}
-	if worst >= 0 && least < sum/math.Max(benefit, 1) && r.site.Whole > 0 {
+	if worst >= 0 && least < sum/math.Max(benefit, 1) && r.site.TotalWeight > 0 {
 		g := &r.groups[worst]
-		g.weight += r.site.Worst * benefit / (r.site.Whole * g.asked * g.Benefit)
+		g.weight += r.site.WorstGroupWeight * benefit / (r.site.TotalWeight * g.asked * g.PriorityWeight)
 	}
 }
 
 // density is a command group's benefit for its work.
 func (r *Router) density(g *group) float64 {
-	return g.weight * g.Benefit / math.Max(g.work, r.site.Tick+roundOff)
+	return g.weight * g.PriorityWeight / math.Max(g.work, r.site.BatchInterval+roundOff)
 }
 
 // roomOf is the queueing time that a group may meet: what the groups of at least its density
@@ -1114,13 +1114,13 @@
 	room, top, own := math.Inf(1), roundOff, r.density(g)
 	for k := range r.groups {
 		h := &r.groups[k]
-		if h.Need == NeedWrite && !primary {
+		if h.Consistency == PrimaryOnly && !primary {
 			continue
 		}
 		d := r.density(h)
 		top = math.Max(top, d)
 		if d >= own {
-			room = math.Min(room, math.Max(0, h.Target-h.work))
+			room = math.Min(room, math.Max(0, h.LatencyObjective-h.work))
 		}
 	}
 	share := roomShare + blindShare*math.Max(0, 1-r.warmRate*r.span/blindUnder)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -25,20 +25,20 @@
 	r.young[9] = session{token: 9, seen: 10.2}
 	r.nodes[2].pos = 10.3
 	for range 20 {
-		a := r.Place(10.3, command(gSession))
-		assert.Equal(t, Send, a.Verdict)
-		assert.Equal(t, 2, a.Node, "only node 2 covers both positions")
+		a := r.Route(10.3, command(gSession))
+		assert.Equal(t, Forward, a.Action)
+		assert.Equal(t, 2, a.Endpoint, "only node 2 covers both positions")
 		r.nodes[2].out = 0
 	}
 }
 
 func TestCarriedTokenIsTheWritesTime(t *testing.T) {
 	s := testSite()
-	s.Brought = true
+	s.ClientTokens = true
 	r := testRouter(t, s)
 	c := command(gSession)
-	c.WriteAge = 0.25
-	r.Place(10, c)
+	c.LastWriteAge = 0.25
+	r.Route(10, c)
 	assert.InDelta(t, 9.75, c.need, 1e-9)
 }
 
@@ -46,7 +46,7 @@
 	r := testRouter(t, testSite())
 	count := map[int]int{}
 	for range 400 {
-		count[r.Place(10, command(gAny)).Node]++
+		count[r.Route(10, command(gAny)).Endpoint]++
 		r.nodes[1].out, r.nodes[2].out = 0, 0
 	}
 	assert.Zero(t, count[0], "the primary is spared")
@@ -56,21 +56,21 @@
 func TestBoundedReadAtItsBound(t *testing.T) {
 	r := testRouter(t, testSite())
 	r.nodes[1].pos, r.nodes[2].pos = 9.5, 9.7
-	assert.Equal(t, 2, r.Place(10.05, command(gBound)).Node)
+	assert.Equal(t, 2, r.Route(10.05, command(gBound)).Endpoint)
 	c := command(gBound)
-	c.Arrived = 10.15
-	assert.Equal(t, Hold, r.Place(10.15, c).Verdict, "none within the bound: it waits")
-	assert.Equal(t, 0, r.Place(10.26, c).Node, "and then goes to the primary")
+	c.ArrivedAt = 10.15
+	assert.Equal(t, Wait, r.Route(10.15, c).Action, "none within the bound: it waits")
+	assert.Equal(t, 0, r.Route(10.26, c).Endpoint, "and then goes to the primary")
 }
 
 // With every replica stalled by one heavy record the wait only spent the target.
 func TestNoWaitWhereNoReplicaCanCatchUp(t *testing.T) {
 	r := testRouter(t, testSite())
 	c := command(gBound)
-	c.Arrived, c.GiveUp = 10.6, 12
-	assert.Equal(t, Hold, r.Place(10.6, c).Verdict, "heard 0.6 s ago, a replica may have caught up")
+	c.ArrivedAt, c.ClientDeadline = 10.6, 12
+	assert.Equal(t, Wait, r.Route(10.6, c).Action, "heard 0.6 s ago, a replica may have caught up")
 	r.nodes[1].pos, r.nodes[2].pos = 5, 5
-	assert.Equal(t, 0, r.Place(10.6, c).Node, "the primary at once")
+	assert.Equal(t, 0, r.Route(10.6, c).Endpoint, "the primary at once")
 }
 
 func TestSpillIsOneInFive(t *testing.T) {
@@ -85,75 +85,75 @@
 
 func TestLeastBehindWhereReplicasCheck(t *testing.T) {
 	s := testSite()
-	s.Guarded = true
+	s.ReplicasCheckReads = true
 	r := testRouter(t, s)
 	r.young[9] = session{token: 10.1, seen: math.Inf(-1)}
 	r.nodes[1].lag, r.nodes[2].lag = 3, 0.01
 	c := command(gSession)
-	assert.Equal(t, 2, r.Place(10, c).Node)
-	a := r.After(10.06, c, Outcome{Ending: Missed, Position: -1, Role: RoleReplica})
-	assert.Equal(t, 0, a.Node, "turned away as too far behind, it goes to the primary")
+	assert.Equal(t, 2, r.Route(10, c).Endpoint)
+	a := r.AttemptEnded(10.06, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
+	assert.Equal(t, 0, a.Endpoint, "turned away as too far behind, it goes to the primary")
 }
 
 // With 127 routers a primary was often unknown, and what was heard of replicas seconds old.
 func TestCurrentReadWithoutAPrimary(t *testing.T) {
 	s := testSite()
-	s.Guarded = true
+	s.ReplicasCheckReads = true
 	r := testRouter(t, s)
 	r.nodes[0].role = RoleReplica
 	for i := range r.nodes {
 		r.nodes[i].lag = float64(i)
 	}
-	assert.Equal(t, 0, r.Place(10.2, command(gCurrent)).Node, "the least behind checks it itself")
+	assert.Equal(t, 0, r.Route(10.2, command(gCurrent)).Endpoint, "the least behind checks it itself")
 	c := command(gCurrent)
-	c.Legs, c.Arrived, c.asked = []Leg{{Node: 0, Sent: 10.1, Out: true}}, 10.1, true
-	a := r.After(10.2, c, Outcome{Ending: Missed, Position: -1, Role: RoleReplica})
-	assert.Equal(t, 1, a.Node, "turned away, it meets the next: one of them may be the primary")
+	c.Attempts, c.ArrivedAt, c.asked = []Attempt{{Endpoint: 0, SentAt: 10.1, InFlight: true}}, 10.1, true
+	a := r.AttemptEnded(10.2, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
+	assert.Equal(t, 1, a.Endpoint, "turned away, it meets the next: one of them may be the primary")
 	assert.Equal(t, 1.0, r.behind(10.2, 1))
 	assert.Zero(t, r.behind(11, 1), "it may have caught up since")
 }
 
 func TestFreshRouterCountsUnheardAsNotQualifying(t *testing.T) {
 	r := New(testSite(), 1)
-	r.Listed(10, []Listing{listed(0), listed(1)}, true, true)
-	assert.Equal(t, Hold, r.Place(10, command(gBound)).Verdict)
-	_, up := r.Wait(10)
-	assert.Equal(t, []int{0}, up.Probe, "the one that the read needs")
-	assert.Equal(t, Send, r.Place(10, command(gAny)).Verdict, "any read may go to any replica")
+	r.UpdateEndpoints(10, []EndpointInfo{listed(0), listed(1)}, true, true)
+	assert.Equal(t, Wait, r.Route(10, command(gBound)).Action)
+	_, up := r.Maintain(10)
+	assert.Equal(t, []int{0}, up.HealthCheck, "the one that the read needs")
+	assert.Equal(t, Forward, r.Route(10, command(gAny)).Action, "any read may go to any replica")
 }
 
 func TestUnknownGroupAndPastTimeoutAreThrottled(t *testing.T) {
 	r := testRouter(t, testSite())
 	c := command(gAny)
-	c.Set = -1
-	assert.Equal(t, Throttle, r.Place(10, c).Verdict)
+	c.Shard = -1
+	assert.Equal(t, Reject, r.Route(10, c).Action)
 	c = command(gAny)
-	c.GiveUp = 9
-	assert.Equal(t, Throttle, r.Place(10, c).Verdict)
+	c.ClientDeadline = 9
+	assert.Equal(t, Reject, r.Route(10, c).Action)
 }
 
 // A fresh router, or one whose primary died, finds the primary by a write's harmless miss.
 func TestWriteTestsRoles(t *testing.T) {
 	r := New(testSite(), 1)
-	r.Listed(10, []Listing{listed(0), listed(1)}, true, true)
+	r.UpdateEndpoints(10, []EndpointInfo{listed(0), listed(1)}, true, true)
 	c := command(gWrite)
-	first := r.Place(10, c)
-	require.Equal(t, Send, first.Verdict)
-	second := r.After(10.01, c, Outcome{Ending: Missed, Position: -1, Role: RoleReplica})
-	assert.Equal(t, Send, second.Verdict)
-	assert.NotEqual(t, first.Node, second.Node)
+	first := r.Route(10, c)
+	require.Equal(t, Forward, first.Action)
+	second := r.AttemptEnded(10.01, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
+	assert.Equal(t, Forward, second.Action)
+	assert.NotEqual(t, first.Endpoint, second.Endpoint)
 }
 
 // While a whole set was down the tests of 311 routers pushed each member over as it came back cold.
 func TestRoleTestsAreRarerAmongManyRouters(t *testing.T) {
 	for routers, again := range map[int]bool{3: true, 300: false} {
 		s := testSite()
-		s.Routers = routers
+		s.RouterCount = routers
 		r := New(s, 1)
-		r.Listed(10, []Listing{listed(0)}, true, true)
-		require.Equal(t, Send, r.Place(10, command(gWrite)).Verdict)
+		r.UpdateEndpoints(10, []EndpointInfo{listed(0)}, true, true)
+		require.Equal(t, Forward, r.Route(10, command(gWrite)).Action)
 		r.nodes[0].out, r.nodes[0].unheard, r.nodes[0].role = 0, 0, RoleReplica
-		assert.Equal(t, again, r.Place(10.2, command(gWrite)).Verdict == Send)
+		assert.Equal(t, again, r.Route(10.2, command(gWrite)).Action == Forward)
 	}
 }
 
@@ -167,13 +167,13 @@
 }
 
 func TestMutatingRunsOnce(t *testing.T) {
-	for ending, want := range map[Ending]Verdict{Errored: Fail, TimedOut: Fail, Broken: Fail, Recalled: Fail,
-		Full: Send, Unreached: Send, Moot: Send} {
+	for ending, want := range map[Result]Action{Errored: Fail, TimedOut: Fail, ConnectionLost: Fail, Canceled: Fail,
+		Overloaded: Forward, ConnectFailed: Forward, NeverSent: Forward} {
 		r := testRouter(t, testSite())
 		r.nodes[0].all, r.nodes[0].fadedAt = 9, 10
 		c := command(gWrite)
-		r.Place(10, c)
-		assert.Equal(t, want, r.After(10.1, c, Outcome{Ending: ending, Position: -1}).Verdict, "ending %d", ending)
+		r.Route(10, c)
+		assert.Equal(t, want, r.AttemptEnded(10.1, c, AttemptResult{Result: ending, Position: -1}).Action, "ending %d", ending)
 	}
 }
 
@@ -181,34 +181,34 @@
 func TestCommandThatErrsEverywhereIsGivenUp(t *testing.T) {
 	r := testRouter(t, testSite())
 	c := command(gAny)
-	r.Place(10, c)
-	assert.Equal(t, Send, r.After(10.01, c, Outcome{Ending: Errored, Position: -1}).Verdict)
-	assert.Equal(t, Throttle, r.After(10.02, c, Outcome{Leg: 1, Ending: Errored, Position: -1}).Verdict)
+	r.Route(10, c)
+	assert.Equal(t, Forward, r.AttemptEnded(10.01, c, AttemptResult{Result: Errored, Position: -1}).Action)
+	assert.Equal(t, Reject, r.AttemptEnded(10.02, c, AttemptResult{Attempt: 1, Result: Errored, Position: -1}).Action)
 }
 
 func TestKeyedRepeatLeavesRoomForItsWay(t *testing.T) {
 	s := testSite()
-	s.Groups[gWrite].Effect = Keyed
+	s.CommandGroups[gWrite].Idempotency = IdempotentWithKey
 	r := testRouter(t, s)
 	c := &Command{runs: 1, ranAt: 10}
 	assert.True(t, r.mayGoAgain(11.7, c, &r.groups[gWrite]))
 	assert.False(t, r.mayGoAgain(11.75, c, &r.groups[gWrite]), "a connection may take as long as Dial")
-	assert.Equal(t, Fail, r.never(11.9, c, &r.groups[gWrite]).Verdict, "known in its own group only")
-	r.groups[gWrite].Scope = Anywhere
-	assert.Equal(t, Throttle, r.never(11.9, c, &r.groups[gWrite]).Verdict)
+	assert.Equal(t, Fail, r.never(11.9, c, &r.groups[gWrite]).Action, "known in its own group only")
+	r.groups[gWrite].KeyScope = GlobalScope
+	assert.Equal(t, Reject, r.never(11.9, c, &r.groups[gWrite]).Action)
 }
 
 func TestKeyedRepeatStaysInItsZone(t *testing.T) {
 	s := testSite()
-	s.Groups[gWrite].Effect, s.Groups[gWrite].Scope = Keyed, InZone
+	s.CommandGroups[gWrite].Idempotency, s.CommandGroups[gWrite].KeyScope = IdempotentWithKey, ZoneScope
 	r := testRouter(t, s)
 	c := command(gWrite)
 	c.runs, c.ranAt, c.ranOn = 1, 10, 1
-	assert.Equal(t, Send, r.Place(10, c).Verdict)
+	assert.Equal(t, Forward, r.Route(10, c).Action)
 	r.nodes[1].zone = 1
 	c = command(gWrite)
 	c.runs, c.ranAt, c.ranOn = 1, 10, 1
-	assert.Equal(t, Hold, r.Place(10, c).Verdict)
+	assert.Equal(t, Wait, r.Route(10, c).Action)
 }
 
 func TestNothingToDrainingOrGone(t *testing.T) {
@@ -216,14 +216,14 @@
 	l := listed(1)
 	l.State = Draining
 	gone := listed(2)
-	gone.State = Gone
-	r.Listed(10, []Listing{l, gone}, false, false)
-	assert.NotContains(t, []int{1, 2}, r.Place(10, command(gAny)).Node)
+	gone.State = Removed
+	r.UpdateEndpoints(10, []EndpointInfo{l, gone}, false, false)
+	assert.NotContains(t, []int{1, 2}, r.Route(10, command(gAny)).Endpoint)
 	r.site.SoftRemoval = true
-	r.Listed(10, []Listing{gone}, false, false)
+	r.UpdateEndpoints(10, []EndpointInfo{gone}, false, false)
 	assert.True(t, r.usable(&r.nodes[2]), "gone alone does not bind there")
-	l.State = Gone
-	r.Listed(10, []Listing{l}, false, false)
+	l.State = Removed
+	r.UpdateEndpoints(10, []EndpointInfo{l}, false, false)
 	assert.False(t, r.usable(&r.nodes[1]), "but a drain before it does")
 }
 
@@ -238,7 +238,7 @@
 			sent++
 		}
 	}
-	most := r.site.Overload * r.site.ColdShare * r.warmRate * r.site.FallSpan
+	most := r.site.OverloadFactor * r.site.SlowStartFloor * r.warmRate * r.site.OverloadWindow
 	assert.Positive(t, sent)
 	assert.LessOrEqual(t, float64(sent), most, "over one fall span")
 }
@@ -248,9 +248,9 @@
 	sent, many := 0, 100
 	for seed := range many {
 		s := testSite()
-		s.Routers = many
+		s.RouterCount = many
 		r := New(s, chances(seed))
-		r.Listed(10, []Listing{{State: Ready, Started: 9}}, true, false)
+		r.UpdateEndpoints(10, []EndpointInfo{{State: Ready, StartedAt: 9}}, true, false)
 		r.warmRate = 0.1
 		for at := 10.0; at < 12; at += 0.1 {
 			if r.coldRoom(at, 0) {
@@ -288,8 +288,8 @@
 	n.out = 0
 	assert.True(t, r.doubted(13, 1), "no answer since")
 	n.out = 1
-	c := &Command{Group: gAny, Legs: []Leg{{Node: 1, Out: true}}, Arrived: 10, GiveUp: 14, asked: true}
-	r.After(13, c, Outcome{Ending: Answered, Took: 0.05, Position: -1, Over: true})
+	c := &Command{Group: gAny, Attempts: []Attempt{{Endpoint: 1, InFlight: true}}, ArrivedAt: 10, ClientDeadline: 14, asked: true}
+	r.AttemptEnded(13, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
 	assert.False(t, r.doubted(13, 1))
 }
 
@@ -298,13 +298,13 @@
 	r := testRouter(t, testSite())
 	r.lat, r.places = 0.05, 1
 	c := command(gWrite)
-	n := &r.nodes[r.Place(10, c).Node]
-	r.Place(10.1, c)
+	n := &r.nodes[r.Route(10, c).Endpoint]
+	r.Route(10.1, c)
 	assert.Equal(t, 1, n.out)
 	n.lastGood, n.unheard = 10.2, 0
-	r.Place(11, c)
+	r.Route(11, c)
 	assert.Equal(t, 0, n.out, "overtaken by another answer")
-	r.After(12, c, Outcome{Ending: TimedOut, Took: 2, Position: -1})
+	r.AttemptEnded(12, c, AttemptResult{Result: TimedOut, Elapsed: 2, Position: -1})
 	assert.Equal(t, 0, n.out)
 	assert.Less(t, n.lat, 0.5)
 }
@@ -313,7 +313,7 @@
 // Fairness follows the weights that the site states for the whole and for the worst-served group.
 func TestWorstServedGroupIsFavoured(t *testing.T) {
 	s := testSite()
-	s.Whole, s.Worst = 0.5, 0.25
+	s.TotalWeight, s.WorstGroupWeight = 0.5, 0.25
 	r := testRouter(t, s)
 	for i := range r.groups {
 		r.groups[i].asked, r.groups[i].answered = 100, 90
@@ -328,8 +328,8 @@
 	r := testRouter(t, testSite())
 	for range 4 {
 		c := command(gAny)
-		c.Legs, c.asked = []Leg{{Node: 1, Sent: 10, Out: true}}, true
-		r.After(10, c, Outcome{Ending: Full, Position: -1})
+		c.Attempts, c.asked = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}, true
+		r.AttemptEnded(10, c, AttemptResult{Result: Overloaded, Position: -1})
 	}
 	assert.True(t, r.doubted(10, 1))
 }
@@ -341,21 +341,21 @@
 		r.nodes[i].shunned, r.nodes[i].trialAt = true, 10.6-float64(i)/10
 	}
 	r.triedAt, r.tryGap = 10, 100
-	assert.Equal(t, 2, r.Place(10.1, command(gAny)).Node, "the one that failed longest ago")
-	assert.Equal(t, Hold, r.Place(10.1, command(gAny)).Verdict, "one dispatch at a time, not too soon")
+	assert.Equal(t, 2, r.Route(10.1, command(gAny)).Endpoint, "the one that failed longest ago")
+	assert.Equal(t, Wait, r.Route(10.1, command(gAny)).Action, "one dispatch at a time, not too soon")
 }
 
 // A host that was reached and is silent answers probes all the same: hundreds of routers each kept probing those
 // that they doubted, and only a command's answer ends the doubt. One out of reach is probed.
 func TestDoubtedNodeIsProbedOnlyIfItWasOutOfReach(t *testing.T) {
 	s := testSite()
-	s.Routers = 300
+	s.RouterCount = 300
 	r := testRouter(t, s)
 	r.nodes[1].shunned, r.nodes[2].shunned = true, true
 	r.nodes[2].unreached(10)
 	r.cmds, r.waitedAt = 3, 20
-	_, up := r.Wait(25)
-	assert.Equal(t, []int{2}, up.Probe)
+	_, up := r.Maintain(25)
+	assert.Equal(t, []int{2}, up.HealthCheck)
 }
 
 // What was sent to a member that could not be reached counted as its silence, which shunned it again as soon as a
@@ -364,17 +364,17 @@
 	r := testRouter(t, testSite())
 	for at := 10.0; at < 10.4; at += 0.1 {
 		c := command(gAny)
-		c.Legs, c.asked = []Leg{{Node: 1, Sent: at, Out: true}}, true
+		c.Attempts, c.asked = []Attempt{{Endpoint: 1, SentAt: at, InFlight: true}}, true
 		r.nodes[1].unheard++
 		r.nodes[1].since = 10
 		r.nodes[1].legs++
-		r.After(at+0.05, c, Outcome{Ending: Unreached, Position: -1})
+		r.AttemptEnded(at+0.05, c, AttemptResult{Result: ConnectFailed, Position: -1})
 	}
 	require.True(t, r.doubted(11, 1))
-	r.Probed(11, 1, Answered, 0, 11, false)
+	r.HealthChecked(11, 1, Answered, 0, 11, false)
 	assert.False(t, r.doubted(12, 1))
 	r.nodes[1].unheard, r.nodes[1].since = 3, 12
-	r.Probed(13, 1, Answered, 0, 13, false)
+	r.HealthChecked(13, 1, Answered, 0, 13, false)
 	assert.True(t, r.doubted(14, 1), "one that was reached and is silent goes on being doubted")
 }
 
@@ -383,16 +383,16 @@
 	r := testRouter(t, testSite())
 	r.nodes[0].role = RoleReplica // the primary that was, by its own word of late
 	r.nodes[1].shunned = true
-	r.Listed(10, []Listing{listed(0), {Node: 1, State: Ready, Started: math.Inf(-1), Primary: true}, listed(2)}, true, false)
+	r.UpdateEndpoints(10, []EndpointInfo{listed(0), {Index: 1, State: Ready, StartedAt: math.Inf(-1), Primary: true}, listed(2)}, true, false)
 	at := map[int]int{}
 	for now := 10.05; now < 20; now += 0.5 {
 		c := command(gWrite)
-		c.Arrived, c.GiveUp = now, now+2
-		a := r.Place(now, c)
-		for ; a.Verdict == Send; a = r.After(now, c, Outcome{Leg: len(c.Legs) - 1, Ending: Missed, Role: RoleReplica, Position: -1}) {
-			at[a.Node]++
-			if a.Node == 1 {
-				r.After(now, c, Outcome{Leg: len(c.Legs) - 1, Ending: Answered, Over: true, Role: RolePrimary, Took: 0.01, Position: -1})
+		c.ArrivedAt, c.ClientDeadline = now, now+2
+		a := r.Route(now, c)
+		for ; a.Action == Forward; a = r.AttemptEnded(now, c, AttemptResult{Attempt: len(c.Attempts) - 1, Result: NotServed, Role: RoleReplica, Position: -1}) {
+			at[a.Endpoint]++
+			if a.Endpoint == 1 {
+				r.AttemptEnded(now, c, AttemptResult{Attempt: len(c.Attempts) - 1, Result: Answered, Final: true, Role: RolePrimary, Elapsed: 0.01, Position: -1})
 				break
 			}
 		}
@@ -407,15 +407,15 @@
 	r.lat = 0.05
 	for lost, doubted := range []bool{false, true} {
 		c := command(gAny)
-		c.Arrived = 10 + float64(lost)
-		require.Equal(t, Send, r.Place(c.Arrived, c).Verdict)
-		at := c.Legs[0].Node
+		c.ArrivedAt = 10 + float64(lost)
+		require.Equal(t, Forward, r.Route(c.ArrivedAt, c).Action)
+		at := c.Attempts[0].Endpoint
 		for i := range r.nodes { // the same node again
 			r.nodes[i].drains = i != at
 		}
-		c.Legs[0].late = true
-		r.After(c.Arrived+0.1, c, Outcome{Ending: TimedOut, Took: 0.1, Position: -1, Over: true})
-		assert.Equal(t, doubted, r.doubted(c.Arrived+0.9, at))
+		c.Attempts[0].late = true
+		r.AttemptEnded(c.ArrivedAt+0.1, c, AttemptResult{Result: TimedOut, Elapsed: 0.1, Position: -1, Final: true})
+		assert.Equal(t, doubted, r.doubted(c.ArrivedAt+0.9, at))
 	}
 }
 
@@ -424,13 +424,13 @@
 	r := testRouter(t, testSite())
 	r.nodes[0].shunned, r.nodes[0].trialAt, r.triedAt, r.tryGap = true, 9, 10, 100
 	c := uncovered(r)
-	assert.Equal(t, Hold, r.Place(10.2, c).Verdict)
+	assert.Equal(t, Wait, r.Route(10.2, c).Action)
 	assert.Len(t, r.wanted, 1, "a replica is asked")
 	r.nodes[1].shunned, r.nodes[2].shunned = true, true
 	r.nodes[1].trialAt, r.nodes[2].trialAt = 12, 12
-	a := r.Place(10.2, c)
-	require.Equal(t, Send, a.Verdict, "nobody else is left")
-	assert.Equal(t, 0, a.Node)
+	a := r.Route(10.2, c)
+	require.Equal(t, Forward, a.Action, "nobody else is left")
+	assert.Equal(t, 0, a.Endpoint)
 }
 
 // Reads that spilled from hundreds of routers overran primaries with writes to do.
@@ -442,24 +442,24 @@
 	r.lat, r.reads[2], r.slotAt = 0.02, 10, 102
 	r.nodes[0].lat = 2
 	c := uncovered(r)
-	assert.Equal(t, Hold, r.Place(10.2, c).Verdict)
+	assert.Equal(t, Wait, r.Route(10.2, c).Action)
 	r.nodes[1].lat, r.nodes[2].lat = 2, 2
-	a := r.Place(10.2, c)
-	require.Equal(t, Send, a.Verdict)
-	assert.Equal(t, 0, a.Node, "the replicas are no better")
+	a := r.Route(10.2, c)
+	require.Equal(t, Forward, a.Action)
+	assert.Equal(t, 0, a.Endpoint, "the replicas are no better")
 }
 
 // A read waits for a replica for no longer than leaves its primary time to answer within a short target.
 func TestWaitIsNoLongerThanHalfOfAShortTarget(t *testing.T) {
 	s := testSite()
-	s.Groups[gBound].Target = 0.1
+	s.CommandGroups[gBound].LatencyObjective = 0.1
 	r := testRouter(t, s)
 	c := uncovered(r)
-	require.Equal(t, Hold, r.Place(10.2, c).Verdict)
-	require.Equal(t, Hold, r.Place(10.245, c).Verdict)
-	a := r.Place(10.255, c)
-	require.Equal(t, Send, a.Verdict)
-	assert.Equal(t, 0, a.Node)
+	require.Equal(t, Wait, r.Route(10.2, c).Action)
+	require.Equal(t, Wait, r.Route(10.245, c).Action)
+	a := r.Route(10.255, c)
+	require.Equal(t, Forward, a.Action)
+	assert.Equal(t, 0, a.Endpoint)
 }
 
 // A replica that is cold and has its share was asked, found to cover, and waited for in vain, beside warm ones that
@@ -467,11 +467,11 @@
 func TestAColdReplicaWithoutRoomIsNotAsked(t *testing.T) {
 	for me := range 4 {
 		s := testSite()
-		s.Me, s.Routers = me, 1000
+		s.Instance, s.RouterCount = me, 1000
 		r := testRouter(t, s)
 		r.nodes[1].started, r.nodes[1].budgetAt = 10, 10.2
 		c := uncovered(r)
-		require.Equal(t, Hold, r.Place(10.2, c).Verdict)
+		require.Equal(t, Wait, r.Route(10.2, c).Action)
 		assert.Equal(t, []int{2}, r.wanted, "router %d", me)
 	}
 }
@@ -483,9 +483,9 @@
 	sent := 0
 	for seed := range many {
 		s := testSite()
-		s.Routers = many
+		s.RouterCount = many
 		r := New(s, chances(seed))
-		r.Listed(10, []Listing{{State: Ready, Started: 10}}, true, false)
+		r.UpdateEndpoints(10, []EndpointInfo{{State: Ready, StartedAt: 10}}, true, false)
 		r.base = work
 		for at := 10.0; at < 20; at += 0.1 {
 			if r.coldRoom(at, 0) {
@@ -512,18 +512,18 @@
 // A hundred routers once probed every member at the tightest bound.
 func TestProbesFollowTheRoutersOwnTraffic(t *testing.T) {
 	s := testSite()
-	s.Routers, s.Me = 100, 3
+	s.RouterCount, s.Instance = 100, 3
 	r := testRouter(t, s)
-	_, up := r.Wait(11)
-	assert.Empty(t, up.Probe, "no commands, no upkeep probes")
+	_, up := r.Maintain(11)
+	assert.Empty(t, up.HealthCheck, "no commands, no upkeep probes")
 	c := command(gBound)
-	c.Arrived, c.GiveUp = 11, 13
-	r.Place(11, c)
-	_, up = r.Wait(11)
-	assert.Equal(t, []int{2}, up.Probe, "a read asks for one, of the router's own")
-	r.Place(11.05, c)
-	_, up = r.Wait(11.05)
-	assert.Empty(t, up.Probe)
+	c.ArrivedAt, c.ClientDeadline = 11, 13
+	r.Route(11, c)
+	_, up = r.Maintain(11)
+	assert.Equal(t, []int{2}, up.HealthCheck, "a read asks for one, of the router's own")
+	r.Route(11.05, c)
+	_, up = r.Maintain(11.05)
+	assert.Empty(t, up.HealthCheck)
 }
 
 // Three hundred routers by a hundred and twenty hosts: at their start each once asked every host for its
@@ -531,26 +531,26 @@
 func TestManyThinRoutersLookNothingUpUnasked(t *testing.T) {
 	const routers, hosts = 300, 120
 	s := testSite()
-	s.Routers = routers
-	var list []Listing
+	s.RouterCount = routers
+	var list []EndpointInfo
 	for i := range hosts {
 		l := listed(i)
-		l.Set = i / 6
+		l.Shard = i / 6
 		list = append(list, l)
 	}
 	probes := 0
 	for me := range routers {
-		s.Me = me
+		s.Instance = me
 		r := New(s, chances(me))
-		r.Listed(0, list, true, true)
+		r.UpdateEndpoints(0, list, true, true)
 		for now := 0.0; now < 4; now += 0.2 {
 			c := command(gAny)
-			c.Set, c.Arrived, c.GiveUp = r.chance(hosts/6), now, now+2
-			if a := r.Place(now, c); a.Verdict == Send {
-				r.After(now+0.05, c, Outcome{Ending: Answered, Took: 0.05, Position: -1, Over: true})
+			c.Shard, c.ArrivedAt, c.ClientDeadline = r.chance(hosts/6), now, now+2
+			if a := r.Route(now, c); a.Action == Forward {
+				r.AttemptEnded(now+0.05, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
 			}
-			_, up := r.Wait(now + 0.05)
-			probes += len(up.Probe)
+			_, up := r.Maintain(now + 0.05)
+			probes += len(up.HealthCheck)
 		}
 	}
 	assert.Zero(t, probes, "nothing was read that needs a position")
@@ -562,24 +562,24 @@
 	fresh, taken := 0, make([]int, hosts)
 	for me := range routers {
 		s := testSite()
-		s.Routers = routers
+		s.RouterCount = routers
 		r := New(s, chances(me))
-		var list []Listing
+		var list []EndpointInfo
 		for i := range hosts {
 			list = append(list, listed(i))
 		}
-		r.Listed(0, list, true, true)
+		r.UpdateEndpoints(0, list, true, true)
 		for k := range reads {
 			now := 10 + 2*float64(k)
-			r.Wait(now)
+			r.Maintain(now)
 			c := command(gAny)
-			c.Arrived, c.GiveUp = now, now+2
-			require.Equal(t, Send, r.Place(now, c).Verdict)
-			taken[c.Legs[0].Node]++
-			if c.Legs[0].fresh {
+			c.ArrivedAt, c.ClientDeadline = now, now+2
+			require.Equal(t, Forward, r.Route(now, c).Action)
+			taken[c.Attempts[0].Endpoint]++
+			if c.Attempts[0].fresh {
 				fresh++
 			}
-			r.After(now+0.02, c, Outcome{Ending: Answered, Took: 0.02, Position: -1, Over: true})
+			r.AttemptEnded(now+0.02, c, AttemptResult{Result: Answered, Elapsed: 0.02, Position: -1, Final: true})
 		}
 	}
 	assert.Less(t, fresh, 2*routers, "spread over all it is five of eight")
@@ -592,8 +592,8 @@
 func TestBusyRouterLooksPositionsUp(t *testing.T) {
 	r := testRouter(t, testSite())
 	r.cmds, r.waitedAt = 200, 10
-	_, up := r.Wait(10.5)
-	assert.ElementsMatch(t, []int{0, 1, 2}, up.Probe)
+	_, up := r.Maintain(10.5)
+	assert.ElementsMatch(t, []int{0, 1, 2}, up.HealthCheck)
 }
 
 // Where those that cover a read have no room a position more is of no use: at a burst each read held for want of
@@ -604,13 +604,13 @@
 		r.nodes[i].lat, r.nodes[i].done, r.nodes[i].out, r.nodes[i].lastGood = 400, 100, 9, 10.25
 	}
 	c := command(gBound)
-	c.Arrived, c.GiveUp = 10.25, 12.25
-	require.Equal(t, Hold, r.Place(10.25, c).Verdict)
+	c.ArrivedAt, c.ClientDeadline = 10.25, 12.25
+	require.Equal(t, Wait, r.Route(10.25, c).Action)
 	assert.Empty(t, r.wanted, "both replicas cover it")
 	for i := range r.nodes {
 		r.nodes[i].pos = 9.5
 	}
-	require.Equal(t, Hold, r.Place(10.25, c).Verdict)
+	require.Equal(t, Wait, r.Route(10.25, c).Action)
 	assert.Len(t, r.wanted, 1)
 }
 
@@ -620,9 +620,9 @@
 	c := uncovered(r)
 	r.reads[0] = 10
 	r.slotAt = 102
-	a := r.Place(10.2, c)
-	require.Equal(t, Send, a.Verdict)
-	assert.Equal(t, 0, a.Node)
+	a := r.Route(10.2, c)
+	require.Equal(t, Forward, a.Action)
+	assert.Equal(t, 0, a.Endpoint)
 	assert.Empty(t, r.wanted)
 }
 
@@ -641,23 +641,23 @@
 	r := testRouter(t, testSite())
 	r.lat = 0.02
 	c := command(gAny)
-	a := r.Place(10, c)
-	n := &r.nodes[a.Node]
+	a := r.Route(10, c)
+	n := &r.nodes[a.Endpoint]
 	n.unheard = 8
-	b := r.Place(10.4, c)
-	assert.Equal(t, 0, b.Recall)
+	b := r.Route(10.4, c)
+	assert.Equal(t, 0, b.CancelAttempt)
 	assert.Positive(t, n.bad, "a hang is seen by what is overdue")
 	w := command(gWrite)
-	w.Legs = []Leg{{Node: 1, Sent: 10, Out: true}}
-	assert.Equal(t, -1, r.Place(10.4, w).Recall, "a mutating command is never called off for a repeat")
+	w.Attempts = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}
+	assert.Equal(t, -1, r.Route(10.4, w).CancelAttempt, "a mutating command is never called off for a repeat")
 }
 
 // Commands past their target were sent again at once until their tries ran out.
 func TestNothingIsSentPastItsHorizon(t *testing.T) {
 	r := testRouter(t, testSite())
-	assert.Equal(t, Throttle, r.Place(10.6, command(gAny)).Verdict)
-	r.groups[gWrite].Late = 0.5
-	assert.Equal(t, Send, r.Place(10.6, command(gWrite)).Verdict, "late benefit is worth having")
+	assert.Equal(t, Reject, r.Route(10.6, command(gAny)).Action)
+	r.groups[gWrite].LateValue = 0.5
+	assert.Equal(t, Forward, r.Route(10.6, command(gWrite)).Action, "late benefit is worth having")
 }
 
 // A group with a roomy target filled queues past what a denser group could bear.
@@ -666,7 +666,7 @@
 	for i := range r.groups {
 		r.groups[i].work = 0.05
 	}
-	r.groups[gAny].work, r.groups[gAny].Target = 0.1, 2
+	r.groups[gAny].work, r.groups[gAny].LatencyObjective = 0.1, 2
 	assert.Less(t, r.roomOf(gAny, false), r.roomOf(gBound, false))
 	assert.Less(t, r.roomOf(gBound, true), r.roomOf(gWrite, true), "the write has the most benefit")
 	// A hundred routers that see nothing of a queue once held back by a few stray answers.
@@ -679,34 +679,34 @@
 	n.lat, n.places, n.done, n.out = 2, 50, 10, 5
 	c := command(gBound)
 	assert.True(t, r.fits(10, c, &r.groups[gBound], 1, 0.2))
-	c.Repeat = true
+	c.ClientRetry = true
 	assert.False(t, r.fits(10, c, &r.groups[gBound], 1, 0.2), "a client's repeat")
 }
 
 // Eight routers' single free places once filled hosts of four cores twice over.
 func TestManyRoutersTakeFreePlacesInTurn(t *testing.T) {
 	s := testSite()
-	s.Routers = 12
+	s.RouterCount = 12
 	r := testRouter(t, s)
 	r.base, r.lat, r.places = 0.01, 0.1, 1
 	r.nodes[1].lastGood = 10
 	c := command(gAny)
 	assert.False(t, r.fits(10.1, c, &r.groups[gAny], 1, 0), "just answered: the others' turn")
 	assert.True(t, r.fits(10.35, c, &r.groups[gAny], 1, 0))
-	r.site.Routers = 3
+	r.site.RouterCount = 3
 	assert.True(t, r.fits(10.1, c, &r.groups[gAny], 1, 0))
 }
 
 // Queues once passed for work under load, and crowded replicas stopped applying the log.
 func TestWorkIsTheLeastMean(t *testing.T) {
 	r := testRouter(t, testSite())
-	g, n, l := &r.groups[gAny], &r.nodes[1], &Leg{Node: 1}
+	g, n, l := &r.groups[gAny], &r.nodes[1], &Attempt{Endpoint: 1}
 	c := command(gAny)
 	for range 8 {
-		r.learn(10, c, g, n, l, Outcome{Took: 0.1, Position: -1})
+		r.learn(10, c, g, n, l, AttemptResult{Elapsed: 0.1, Position: -1})
 	}
 	for k := range 80 {
-		r.learn(10+float64(k)/100, c, g, n, l, Outcome{Took: 1, Position: -1})
+		r.learn(10+float64(k)/100, c, g, n, l, AttemptResult{Elapsed: 1, Position: -1})
 	}
 	assert.InDelta(t, 0.15, g.work, 0.06)
 }
@@ -716,14 +716,14 @@
 func TestFirstAnswersCountAlike(t *testing.T) {
 	r := testRouter(t, testSite())
 	for i, took := range []float64{0.01, 0.2, 0.2, 0.2} {
-		r.learn(10, command(gAny), &r.groups[gAny], &r.nodes[1], &Leg{Node: 1}, Outcome{Took: took, Position: -1})
+		r.learn(10, command(gAny), &r.groups[gAny], &r.nodes[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: took, Position: -1})
 		seen, a := 0.01+0.2*float64(i), float64(i+1)
 		assert.InDelta(t, (seen+priorWeight*workShare*0.5)/(a+priorWeight), r.groups[gAny].work, 1e-9,
 			"leaning on a quarter of the target")
 	}
 	assert.InDelta(t, r.groups[gAny].work, r.lat, 0.05, "the lucky first one is no more than one of four")
 	r.heard, r.base, r.lat, r.groups[gAny].work, r.groups[gAny].weighedAt = 100, 0.1, 0.1, 0.1, 10
-	r.learn(10, command(gAny), &r.groups[gAny], &r.nodes[1], &Leg{Node: 1}, Outcome{Took: 100, Position: -1})
+	r.learn(10, command(gAny), &r.groups[gAny], &r.nodes[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: 100, Position: -1})
 	assert.InDelta(t, 0.11, r.lat, 1e-9, "nor does one met in a jam: a twentieth of three mean works")
 }
 
@@ -732,14 +732,14 @@
 	r := testRouter(t, testSite())
 	r.base, r.lat = 0.1, 0.1
 	c := command(gWrite)
-	r.Place(10, c)
-	assert.Equal(t, Hold, r.After(10.001, c, Outcome{Ending: Full, Took: 0.001, Position: -1}).Verdict)
-	assert.Equal(t, Hold, r.Place(10.05, c).Verdict)
+	r.Route(10, c)
+	assert.Equal(t, Wait, r.AttemptEnded(10.001, c, AttemptResult{Result: Overloaded, Elapsed: 0.001, Position: -1}).Action)
+	assert.Equal(t, Wait, r.Route(10.05, c).Action)
 	n := &r.nodes[0]
 	n.lat, n.done = 0, 0 // what it told of its pace is another matter
-	a := r.Place(10.102, c)
-	assert.Equal(t, Send, a.Verdict)
-	assert.Equal(t, 0, a.Node)
+	a := r.Route(10.102, c)
+	assert.Equal(t, Forward, a.Action)
+	assert.Equal(t, 0, a.Endpoint)
 }
 
 // Clients that left after a moment made the primary that answered nobody look quick. What was waited for in vain
@@ -749,8 +749,8 @@
 		r := testRouter(t, testSite())
 		r.base, r.lat, r.groups[gAny].work = 0.1, 0.1, 0.1
 		c := command(gAny)
-		c.Legs, c.asked = []Leg{{Node: at, Sent: 10, Out: true}}, true
-		r.After(10+left[0], c, Outcome{Ending: Recalled, Took: left[0], Over: true, Position: -1})
+		c.Attempts, c.asked = []Attempt{{Endpoint: at, SentAt: 10, InFlight: true}}, true
+		r.AttemptEnded(10+left[0], c, AttemptResult{Result: Canceled, Elapsed: left[0], Final: true, Position: -1})
 		assert.InDelta(t, left[1], r.nodes[at].lat, 1e-9)
 		assert.InDelta(t, left[1], r.sets[0].lat, 1e-9)
 		told := math.Min(left[1]/0.1, mostStretch)
@@ -762,71 +762,71 @@
 // nothing in time: what one of its members shows counts for those that were not heard, and for no other set.
 func TestSetThatAnswersNothingInTimeIsLeftAlone(t *testing.T) {
 	s := testSite()
-	s.Routers = 300
+	s.RouterCount = 300
 	r := testRouter(t, s)
 	r.base, r.lat, r.groups[gAny].work = 0.05, 0.05, 0.05
-	r.Listed(0, []Listing{{Node: 5, Set: 1, State: Ready, Started: math.Inf(-1)}}, false, false)
+	r.UpdateEndpoints(0, []EndpointInfo{{Index: 5, Shard: 1, State: Ready, StartedAt: math.Inf(-1)}}, false, false)
 	other := r.mean(&r.nodes[5])
 	for k := range 3 {
 		c := command(gAny)
-		c.Legs, c.asked = []Leg{{Node: 1, Sent: 10, Out: true}}, true
+		c.Attempts, c.asked = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}, true
 		r.nodes[1].legs, r.nodes[1].out = 1, 1
-		r.After(10.5+float64(k)*0.01, c, Outcome{Ending: TimedOut, Took: 0.5, Over: true, Position: -1})
+		r.AttemptEnded(10.5+float64(k)*0.01, c, AttemptResult{Result: TimedOut, Elapsed: 0.5, Final: true, Position: -1})
 	}
 	assert.Greater(t, r.mean(&r.nodes[2]), 4*other)
 	assert.InDelta(t, other, r.mean(&r.nodes[5]), 1e-9)
 	c := command(gAny)
-	c.Arrived, c.GiveUp = 10.6, 12
-	assert.Equal(t, Hold, r.Place(10.6, c).Verdict, "it would come too late everywhere in the set")
+	c.ArrivedAt, c.ClientDeadline = 10.6, 12
+	assert.Equal(t, Wait, r.Route(10.6, c).Action, "it would come too late everywhere in the set")
 	c = command(gAny)
-	c.Set, c.Arrived, c.GiveUp = 1, 10.6, 12
-	assert.Equal(t, 5, r.Place(10.6, c).Node)
+	c.Shard, c.ArrivedAt, c.ClientDeadline = 1, 10.6, 12
+	assert.Equal(t, 5, r.Route(10.6, c).Endpoint)
 	later := 10.6 + 4*memorySpan*r.span // what it showed fades in the time of some targets
 	c = command(gAny)
-	c.Arrived, c.GiveUp = later, later+1.4
-	assert.Equal(t, Send, r.Place(later, c).Verdict)
+	c.ArrivedAt, c.ClientDeadline = later, later+1.4
+	assert.Equal(t, Forward, r.Route(later, c).Action)
 }
 
 // Where members are looked at rarely a list that failed was asked for again up to half a span late.
 func TestFailedListIsAskedForWhenItIsDue(t *testing.T) {
 	s := testSite()
-	s.Ask = true
-	for i := range s.Groups {
-		s.Groups[i].Need, s.Groups[i].Target, s.Groups[i].Timeout = NeedAny, 8, 20
+	s.PollList = true
+	for i := range s.CommandGroups {
+		s.CommandGroups[i].Consistency, s.CommandGroups[i].LatencyObjective, s.CommandGroups[i].ClientTimeout = Eventual, 8, 20
 	}
 	r := testRouter(t, s)
-	_, up := r.Wait(10)
-	require.True(t, up.Follow)
-	r.ListFailed(10.1)
-	next, up := r.Wait(10.2)
-	assert.False(t, up.Follow)
+	_, up := r.Maintain(10)
+	require.True(t, up.Subscribe)
+	r.EndpointListFailed(10.1)
+	next, up := r.Maintain(10.2)
+	assert.False(t, up.Subscribe)
 	assert.InDelta(t, r.followAt, 10.2+next, 1e-9)
-	assert.Less(t, r.followAt, 10.1+askShare*r.site.AskWithin+1e-9)
-	_, up = r.Wait(r.followAt)
-	assert.True(t, up.Follow)
-	next, _ = r.Wait(r.followAt)
+	assert.Less(t, r.followAt, 10.1+askShare*r.site.PollWindow+1e-9)
+	_, up = r.Maintain(r.followAt)
+	assert.True(t, up.Subscribe)
+	next, _ = r.Maintain(r.followAt)
 	assert.Positive(t, next)
-	r.Listed(12, nil, false, false)
-	next, up = r.Wait(12)
-	assert.False(t, up.Follow)
+	r.UpdateEndpoints(12, nil, false, false)
+	next, up = r.Maintain(12)
+	assert.False(t, up.Subscribe)
 	assert.Greater(t, next, 1.0, "it comes")
 }
 
 // A keyed repeat that a member takes in slowly ran after its memory was over.
 func TestKeyedRepeatIsNotWaitedForBeyondItsMemory(t *testing.T) {
 	s := testSite()
-	s.Groups[gWrite].Effect, s.Groups[gWrite].Memory = Keyed, 1.5
+	s.CommandGroups[gWrite].Idempotency, s.CommandGroups[gWrite].IdempotencyWindow = IdempotentWithKey, 1.5
 	r := testRouter(t, s)
 	c := command(gWrite)
-	a := r.Place(10, c)
-	assert.Equal(t, Send, a.Verdict)
-	assert.Equal(t, c.GiveUp, a.Until, "a first dispatch has all of its client's time")
-	a = r.After(10.01, c, Outcome{Ending: Broken, Took: 0.01, Position: -1})
-	for k := 0; a.Verdict == Hold && k < 100; k++ {
-		a = r.Place(a.Again, c)
+	a := r.Route(10, c)
+	assert.Equal(t, Forward, a.Action)
+	assert.Equal(t, c.ClientDeadline, a.AttemptDeadline, "a first dispatch has all of its client's time")
+	a = r.AttemptEnded(10.01, c, AttemptResult{Result: ConnectionLost, Elapsed: 0.01, Position: -1})
+	for k := 0; a.Action == Wait && k < 100; k++ {
+		a = r.Route(a.ReviewAt, c)
 	}
-	assert.Equal(t, Send, a.Verdict)
-	assert.Equal(t, 11.5, a.Until)
+	assert.Equal(t, Forward, a.Action)
+	assert.Equal(t, 11.5, a.AttemptDeadline)
 }
 
 // With slow handshakes each dispatch that ran out of time lost a connection that could not be replaced.
@@ -834,13 +834,13 @@
 	r := testRouter(t, testSite())
 	r.lat = 0.05
 	c := command(gAny)
-	c.Legs, c.asked = []Leg{{Node: 1, Sent: 10, Out: true, fresh: true}}, true
-	r.After(10.25, c, Outcome{Ending: Answered, Took: 0.25, Position: -1, Over: true})
+	c.Attempts, c.asked = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true, fresh: true}}, true
+	r.AttemptEnded(10.25, c, AttemptResult{Result: Answered, Elapsed: 0.25, Position: -1, Final: true})
 	assert.InDelta(t, groupWeight*(0.25-0.05), r.dial, 0.005)
 	assert.Equal(t, 1, r.nodes[1].idle, "its connection stands")
 	failed := command(gAny)
-	failed.Legs, failed.asked = []Leg{{Node: 1, Sent: 10, Out: true, fresh: true}}, true
-	r.After(10.26, failed, Outcome{Ending: Unreached, Took: 0.25, Position: -1, Over: true})
+	failed.Attempts, failed.asked = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true, fresh: true}}, true
+	r.AttemptEnded(10.26, failed, AttemptResult{Result: ConnectFailed, Elapsed: 0.25, Position: -1, Final: true})
 	assert.InDelta(t, dialWeight*0.25, r.dial, 0.01, "a failed one weighs more")
 	r.revive(10.26, &r.nodes[1])
 	r.dial, r.base, r.lat, r.nodes[1].done = 0.2, 0.05, 0.05, 0
@@ -848,7 +848,7 @@
 	for range 5 {
 		assert.Equal(t, 1, r.pick(10.1, command(gAny), &r.groups[gAny], 0), "node 2 has none")
 	}
-	assert.Equal(t, 12.0, r.Place(10.1, command(gAny)).Until, "nor is it lost at the target")
+	assert.Equal(t, 12.0, r.Route(10.1, command(gAny)).AttemptDeadline, "nor is it lost at the target")
 	assert.Zero(t, r.nodes[1].idle)
 }
 
@@ -856,10 +856,10 @@
 func TestHeavyCommandIsNoQueue(t *testing.T) {
 	r := testRouter(t, testSite())
 	r.base, r.groups[gAny].work = 0.1, 0.2
-	r.measure(&r.groups[gAny], &r.nodes[1], &Leg{}, 0.25)
+	r.measure(&r.groups[gAny], &r.nodes[1], &Attempt{}, 0.25)
 	assert.InDelta(t, 0.125, r.nodes[1].lat, 1e-9, "twice the mean work: half of what it took beyond")
 	r.groups[gSession].work = 0.05
-	r.measure(&r.groups[gSession], &r.nodes[2], &Leg{}, 0.25)
+	r.measure(&r.groups[gSession], &r.nodes[2], &Attempt{}, 0.25)
 	assert.InDelta(t, 0.3, r.nodes[2].lat, 1e-9, "a light one's is all queue")
 }
 
@@ -867,20 +867,20 @@
 // the first one at a router, whose work was not known yet, counted as a queue of its whole length.
 func TestHeavyGroupIsNeitherSilenceNorQueue(t *testing.T) {
 	s := testSite()
-	s.Groups[gAny].Target, s.Groups[gAny].Timeout = 6, 12
+	s.CommandGroups[gAny].LatencyObjective, s.CommandGroups[gAny].ClientTimeout = 6, 12
 	r := testRouter(t, s)
 	assert.Equal(t, 0.5, r.span, "how soon one must know goes by what needs fresh data")
 	r.lat, r.base, r.places = 0.1, 0.1, 1
 	c := command(gAny)
-	c.GiveUp = 22
-	a := r.Place(10, c)
-	assert.Equal(t, Send, a.Verdict)
+	c.ClientDeadline = 22
+	a := r.Route(10, c)
+	assert.Equal(t, Forward, a.Action)
 	for now := 10.1; now < 13; now += 0.1 {
-		assert.Equal(t, -1, r.Place(now, c).Recall)
-		assert.False(t, r.doubted(now, a.Node), "at %v", now)
+		assert.Equal(t, -1, r.Route(now, c).CancelAttempt)
+		assert.False(t, r.doubted(now, a.Endpoint), "at %v", now)
 	}
-	r.After(13, c, Outcome{Ending: Answered, Took: 3, Over: true, Position: -1})
-	assert.InDelta(t, 0.1, r.mean(&r.nodes[a.Node]), 0.05)
+	r.AttemptEnded(13, c, AttemptResult{Result: Answered, Elapsed: 3, Final: true, Position: -1})
+	assert.InDelta(t, 0.1, r.mean(&r.nodes[a.Endpoint]), 0.05)
 	assert.Equal(t, 0.1, r.base)
 }
 
@@ -888,12 +888,12 @@
 // reads met theirs.
 func TestHeavyReadsMeetAtOneReplica(t *testing.T) {
 	s := testSite()
-	s.Groups[gAny].Target, s.Groups[gAny].Timeout = 6, 12
+	s.CommandGroups[gAny].LatencyObjective, s.CommandGroups[gAny].ClientTimeout = 6, 12
 	r := testRouter(t, s)
 	heavy := func() int {
 		c := command(gAny)
-		c.GiveUp = 22
-		return r.Place(10, c).Node
+		c.ClientDeadline = 22
+		return r.Route(10, c).Endpoint
 	}
 	for range 3 {
 		assert.Equal(t, 1, heavy(), "the first listed replica")
@@ -942,14 +942,14 @@
 	r := testRouter(t, testSite())
 	for range 20 {
 		c := command(gAny)
-		c.Legs = []Leg{{Node: 1, Out: true}}
-		assert.Equal(t, 0, r.Left(10.1, c), "its dispatch is called off")
+		c.Attempts = []Attempt{{Endpoint: 1, InFlight: true}}
+		assert.Equal(t, 0, r.ClientGone(10.1, c), "its dispatch is called off")
 	}
 	assert.InDelta(t, 10.1, r.horizon(command(gAny), &r.groups[gAny]), 0.001)
 	assert.Equal(t, 10.5, r.horizon(command(gBound), &r.groups[gBound]))
 	// A router that stalled once took its own lateness for leaving clients and never sent again.
-	r.Wait(11)
-	r.Wait(20)
+	r.Maintain(11)
+	r.Maintain(20)
 	assert.Equal(t, 10.5, r.horizon(command(gAny), &r.groups[gAny]), "not seen again, it is forgotten")
 }
 
@@ -966,23 +966,23 @@
 
 func TestListCallsBackOff(t *testing.T) {
 	s := testSite()
-	s.Ask = true
+	s.PollList = true
 	r := testRouter(t, s)
-	_, up := r.Wait(10)
-	require.True(t, up.Follow)
+	_, up := r.Maintain(10)
+	require.True(t, up.Subscribe)
 	last := 0.0
 	for range 4 {
-		r.ListFailed(10)
+		r.EndpointListFailed(10)
 		gap := r.followAt - 10
 		assert.Greater(t, gap, last/2)
 		last = gap
 	}
-	assert.LessOrEqual(t, last, s.AskWithin/2)
-	_, up = r.Wait(10.01)
-	assert.False(t, up.Follow)
-	r.Listed(11, nil, false, false)
-	_, up = r.Wait(30)
-	assert.False(t, up.Follow, "subscribed")
+	assert.LessOrEqual(t, last, s.PollWindow/2)
+	_, up = r.Maintain(10.01)
+	assert.False(t, up.Subscribe)
+	r.UpdateEndpoints(11, nil, false, false)
+	_, up = r.Maintain(30)
+	assert.False(t, up.Subscribe, "subscribed")
 }
 
 func TestCommandNeverSentIsGivenUpByHalfOfItsClientsTime(t *testing.T) {
@@ -991,54 +991,54 @@
 		r.nodes[i].drains = true
 	}
 	c := command(gAny)
-	c.GiveUp = 10.4 // well before the target
-	assert.Equal(t, Hold, r.Place(10.15, c).Verdict)
-	assert.Equal(t, Throttle, r.Place(10.195, c).Verdict, "in time for a look a tick later")
+	c.ClientDeadline = 10.4 // well before the target
+	assert.Equal(t, Wait, r.Route(10.15, c).Action)
+	assert.Equal(t, Reject, r.Route(10.195, c).Action, "in time for a look a tick later")
 	c = command(gAny)
-	c.GiveUp = 10.4
+	c.ClientDeadline = 10.4
 	r.nodes[1].drains = false
-	require.Equal(t, Send, r.Place(10, c).Verdict)
+	require.Equal(t, Forward, r.Route(10, c).Action)
 	r.nodes[2].drains = false
-	assert.Equal(t, Send, r.After(10.25, c, Outcome{Ending: Full, Position: -1}).Verdict, "one that was sent goes on")
+	assert.Equal(t, Forward, r.AttemptEnded(10.25, c, AttemptResult{Result: Overloaded, Position: -1}).Action, "one that was sent goes on")
 }
 
 func TestRowOfAGoneNodeIsLetGoAndStartsClean(t *testing.T) {
 	r := testRouter(t, testSite())
 	r.nodes[2].set, r.nodes[2].started = 0, 9
 	gone := listed(2)
-	gone.State = Gone
-	r.Listed(10, []Listing{gone}, false, false)
-	span := r.site.WarmIn + keepSpans*r.longest
+	gone.State = Removed
+	r.UpdateEndpoints(10, []EndpointInfo{gone}, false, false)
+	span := r.site.SlowStart + keepSpans*r.longest
 	r.nodes[2].legs = 1
-	_, up := r.Wait(11 + span)
-	assert.Empty(t, up.Forget, "a dispatch is out there")
+	_, up := r.Maintain(11 + span)
+	assert.Empty(t, up.Release, "a dispatch is out there")
 	r.nodes[2].legs = 0
-	_, up = r.Wait(9 + span)
-	assert.Empty(t, up.Forget, "a list may flap")
-	_, up = r.Wait(12 + span)
-	assert.Equal(t, []int{2}, up.Forget)
+	_, up = r.Maintain(9 + span)
+	assert.Empty(t, up.Release, "a list may flap")
+	_, up = r.Maintain(12 + span)
+	assert.Equal(t, []int{2}, up.Release)
 	assert.Equal(t, []int{0, 1}, r.sets[0].nodes)
-	_, up = r.Wait(13 + span)
-	assert.Empty(t, up.Forget, "once")
-	r.Listed(14+span, []Listing{{Node: 2, Set: 1, State: Ready, Started: math.Inf(-1)}}, false, false)
+	_, up = r.Maintain(13 + span)
+	assert.Empty(t, up.Release, "once")
+	r.UpdateEndpoints(14+span, []EndpointInfo{{Index: 2, Shard: 1, State: Ready, StartedAt: math.Inf(-1)}}, false, false)
 	assert.True(t, r.usable(&r.nodes[2]))
 	assert.True(t, math.IsInf(r.nodes[2].pos, -1), "nothing of the one before counts")
-	_, up = r.Wait(99 + span)
-	assert.Empty(t, up.Forget, "what is listed stays")
+	_, up = r.Maintain(99 + span)
+	assert.Empty(t, up.Release, "what is listed stays")
 }
 
 func TestCommandThatNeverReachedAMemberIsGivenUpByHalf(t *testing.T) {
 	r := testRouter(t, testSite())
 	c := command(gAny)
-	a := r.Place(10, c)
-	require.Equal(t, Send, a.Verdict)
-	a = r.After(11, c, Outcome{Ending: Unreached, Position: -1})
-	assert.Equal(t, Throttle, a.Verdict, "half of its client's time is over and nobody has had it")
+	a := r.Route(10, c)
+	require.Equal(t, Forward, a.Action)
+	a = r.AttemptEnded(11, c, AttemptResult{Result: ConnectFailed, Position: -1})
+	assert.Equal(t, Reject, a.Action, "half of its client's time is over and nobody has had it")
 	c = command(gCurrent)
-	r.groups[gCurrent].Late = 1
-	require.Equal(t, Send, r.Place(10, c).Verdict)
-	a = r.After(11, c, Outcome{Ending: Full, Position: -1})
-	assert.NotEqual(t, Throttle, a.Verdict, "a member has had this one")
+	r.groups[gCurrent].LateValue = 1
+	require.Equal(t, Forward, r.Route(10, c).Action)
+	a = r.AttemptEnded(11, c, AttemptResult{Result: Overloaded, Position: -1})
+	assert.NotEqual(t, Reject, a.Action, "a member has had this one")
 }
 
 func TestShortSilenceDoubtsNobodyHoweverQuickAnswersAre(t *testing.T) {
@@ -1057,28 +1057,28 @@
 			r.nodes[i].lat, r.nodes[i].done, r.nodes[i].fadedAt = 0.1, 10, 10 // 10 ms each
 		}
 		c := command(gAny)
-		c.GiveUp = 10.1 + left
-		require.Equal(t, Send, r.Place(10, c).Verdict)
-		n := &r.nodes[c.Legs[0].Node]
+		c.ClientDeadline = 10.1 + left
+		require.Equal(t, Forward, r.Route(10, c).Action)
+		n := &r.nodes[c.Attempts[0].Endpoint]
 		n.lastGood, n.unheard = 10.05, 0 // it has answered others since
-		a := r.Place(10.1, c)
-		assert.Equal(t, again, a.Recall == 0, "%v seconds are left", left)
+		a := r.Route(10.1, c)
+		assert.Equal(t, again, a.CancelAttempt == 0, "%v seconds are left", left)
 	}
 }
 
 func TestLostKeyedWriteGoesToThePrimaryAgain(t *testing.T) {
-	for effect, recall := range map[Effect]int{Keyed: 0, Mutating: -1} {
+	for effect, recall := range map[Idempotency]int{IdempotentWithKey: 0, NonIdempotent: -1} {
 		r := testRouter(t, testSite())
-		r.groups[gWrite].Effect = effect
+		r.groups[gWrite].Idempotency = effect
 		r.nodes[0].lat, r.nodes[0].done, r.nodes[0].fadedAt = 0.1, 10, 10
 		c := command(gWrite)
-		require.Equal(t, 0, r.Place(10, c).Node)
+		require.Equal(t, 0, r.Route(10, c).Endpoint)
 		r.nodes[0].lastGood, r.nodes[0].unheard = 10.05, 0
-		assert.Equal(t, recall, r.Place(10.1, c).Recall)
-		if effect == Keyed {
-			a := r.After(10.1, c, Outcome{Ending: Recalled, Position: -1})
-			assert.Equal(t, Send, a.Verdict)
-			assert.Equal(t, 0, a.Node, "its own set knows the key")
+		assert.Equal(t, recall, r.Route(10.1, c).CancelAttempt)
+		if effect == IdempotentWithKey {
+			a := r.AttemptEnded(10.1, c, AttemptResult{Result: Canceled, Position: -1})
+			assert.Equal(t, Forward, a.Action)
+			assert.Equal(t, 0, a.Endpoint, "its own set knows the key")
 		}
 	}
 }
@@ -1094,15 +1094,15 @@
 
 func TestWriteOfThisMomentOrAheadIsNoneNotTold(t *testing.T) {
 	s := testSite()
-	s.Brought = true
+	s.ClientTokens = true
 	for _, age := range []float64{-math.SmallestNonzeroFloat64, -0.25} {
 		c := command(gSession)
-		c.WriteAge = age
-		testRouter(t, s).Place(10, c)
+		c.LastWriteAge = age
+		testRouter(t, s).Route(10, c)
 		assert.InDelta(t, 10-age, c.need, 1e-9)
 	}
 	c := command(gSession)
-	testRouter(t, s).Place(10, c)
+	testRouter(t, s).Route(10, c)
 	assert.Less(t, c.need, 10.0, "0: none is known")
 }
 
@@ -1112,17 +1112,17 @@
 	r := testRouter(t, testSite())
 	for now := 10.1; now < 20; now += 0.5 {
 		r.nodes[1].lastGood = now - 0.05
-		r.Probed(now, 1, Errored, 0.01, -1, false)
-		r.Probed(now+0.01, 1, TimedOut, 0.25, -1, false)
+		r.HealthChecked(now, 1, Errored, 0.01, -1, false)
+		r.HealthChecked(now+0.01, 1, TimedOut, 0.25, -1, false)
 	}
 	n := &r.nodes[1]
 	assert.True(t, math.IsInf(n.downAt, 1), "commands were answered meanwhile")
-	r.Probed(20.5, 1, TimedOut, 0.25, -1, false)
+	r.HealthChecked(20.5, 1, TimedOut, 0.25, -1, false)
 	assert.Equal(t, 20.5, n.downAt, "nothing answered since")
-	r.Probed(21.5, 1, TimedOut, 0.25, -1, false)
-	r.Probed(21.6, 1, Errored, 0.01, -1, false)
+	r.HealthChecked(21.5, 1, TimedOut, 0.25, -1, false)
+	r.HealthChecked(21.6, 1, Errored, 0.01, -1, false)
 	assert.Equal(t, 20.5, n.downAt, "an error is no sign of health either")
-	r.Probed(21.7, 1, Answered, 0.01, -1, false)
+	r.HealthChecked(21.7, 1, Answered, 0.01, -1, false)
 	assert.Equal(t, 21.7, n.started, "away for longer than chance, it may have started anew")
 }
 
@@ -1130,11 +1130,11 @@
 func TestNoPositionIsProbedForWhereReplicasCheck(t *testing.T) {
 	for _, guarded := range []bool{true, false} {
 		s := testSite()
-		s.Guarded = guarded
+		s.ReplicasCheckReads = guarded
 		r := testRouter(t, s)
 		r.maySpill(10.2)
 		r.reads[r.slotAt%spillSlots], r.spills[r.slotAt%spillSlots] = 1, 1
-		r.Place(10.2, uncovered(r))
+		r.Route(10.2, uncovered(r))
 		assert.Equal(t, guarded, len(r.wanted) == 0)
 	}
 }
@@ -1142,12 +1142,12 @@
 // The whole fleet's join day broke rule 5 once: a probe's report was taken though the probe had erred.
 func TestReportOfAProbeThatErredSaysNothingOfData(t *testing.T) {
 	r := testRouter(t, testSite())
-	for _, ending := range []Ending{Errored, Full, Missed, TimedOut, Broken} {
-		r.Probed(20, 1, ending, 0.01, 19, true)
+	for _, ending := range []Result{Errored, Overloaded, NotServed, TimedOut, ConnectionLost} {
+		r.HealthChecked(20, 1, ending, 0.01, 19, true)
 		assert.Equal(t, 10.0, r.nodes[1].pos)
 		assert.Equal(t, RoleReplica, r.nodes[1].role)
 	}
-	r.Probed(20, 1, Answered, 0.01, 19, false)
+	r.HealthChecked(20, 1, Answered, 0.01, 19, false)
 	assert.InDelta(t, 19, r.nodes[1].pos, 1e-3)
 }
 
@@ -1155,21 +1155,21 @@
 // and its answer been on its way, so that the read owes what it wrote. A lagging replica was read (rule 5).
 func TestSessionReadCoversWritesThatMayHaveRun(t *testing.T) {
 	s := testSite()
-	s.Groups[gWrite].Effect = Keyed
+	s.CommandGroups[gWrite].Idempotency = IdempotentWithKey
 	replicas := []int{1, 2}
 	for what, w := range map[string]struct {
-		o      *Outcome // at 10.1; nil: it is out
-		covers float64  // what replicas must hold then to be read
+		o      *AttemptResult // at 10.1; nil: it is out
+		covers float64        // what replicas must hold then to be read
 	}{
 		"out":       {nil, 10.15},
-		"broke":     {&Outcome{Ending: Broken}, 10.1},
-		"timed out": {&Outcome{Ending: TimedOut}, 10.1},
-		"erred":     {&Outcome{Ending: Errored}, 10.1},
-		"left":      {&Outcome{Ending: Recalled}, 10.1},
-		"answered":  {&Outcome{Ending: Answered}, 10.05},
-		"never ran": {&Outcome{Ending: Unreached}, 10},
-		"full":      {&Outcome{Ending: Full}, 10},
-		"missed":    {&Outcome{Ending: Missed}, 10},
+		"broke":     {&AttemptResult{Result: ConnectionLost}, 10.1},
+		"timed out": {&AttemptResult{Result: TimedOut}, 10.1},
+		"erred":     {&AttemptResult{Result: Errored}, 10.1},
+		"left":      {&AttemptResult{Result: Canceled}, 10.1},
+		"answered":  {&AttemptResult{Result: Answered}, 10.05},
+		"never ran": {&AttemptResult{Result: ConnectFailed}, 10},
+		"full":      {&AttemptResult{Result: Overloaded}, 10},
+		"missed":    {&AttemptResult{Result: NotServed}, 10},
 	} {
 		for _, held := range []float64{-0.001, 0.001} { // what replicas hold, beside that
 			r := testRouter(t, s)
@@ -1180,25 +1180,25 @@
 				}
 			}
 			first := command(gSession)
-			require.Contains(t, replicas, r.Place(10, first).Node)
-			r.After(10, first, Outcome{Ending: Answered, Took: 0.01, Over: true, Position: 10}) // seen mark 10
+			require.Contains(t, replicas, r.Route(10, first).Endpoint)
+			r.AttemptEnded(10, first, AttemptResult{Result: Answered, Elapsed: 0.01, Final: true, Position: 10}) // seen mark 10
 			c := command(gWrite)
-			require.Equal(t, 0, r.Place(10, c).Node)
+			require.Equal(t, 0, r.Route(10, c).Endpoint)
 			waits := command(gSession) // arrived before the write ended, and found no replica
 			waits.asked, waits.need = true, 10
 			if w.o != nil {
 				o := *w.o
-				o.Took, o.Over, o.Position = 0.1, true, -1
-				if o.Ending == Answered {
+				o.Elapsed, o.Final, o.Position = 0.1, true, -1
+				if o.Result == Answered {
 					o.Position = 10.05
 				}
-				r.After(10.1, c, o)
+				r.AttemptEnded(10.1, c, o)
 			}
 			assert.Equal(t, w.o == nil, r.session(9).out == 1, what)
 			hold(w.covers + held)
 			other := command(gSession)
-			other.Session, other.Arrived, other.GiveUp = 8, 10.15, 12
-			assert.Contains(t, replicas, r.Place(10.15, other).Node, "%s: of another session", what)
+			other.Session, other.ArrivedAt, other.ClientDeadline = 8, 10.15, 12
+			assert.Contains(t, replicas, r.Route(10.15, other).Endpoint, "%s: of another session", what)
 			assert.Equal(t, held > 0, slices.Contains(replicas, r.pick(10.15, waits, &r.groups[gSession], r.owed(10.15, waits))), "%s, %g", what, held)
 		}
 	}
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -1,124 +1,128 @@
 package router
 
-// Need is what the data of a command group must cover.
-type Need int
+// Consistency is what the data that a command group reads must cover.
+type Consistency int
 
-// Needs: the primary, all commits before the command, the session's, an age, nothing.
+// Consistency classes, from the strictest to the loosest.
 const (
-	NeedWrite Need = iota
-	NeedCurrent
-	NeedSession
-	NeedBound
-	NeedAny
+	PrimaryOnly       Consistency = iota // runs on the primary: writes, and reads that must
+	Linearizable                         // covers every commit before the command
+	SessionConsistent                    // covers what its session has written and read
+	BoundedStaleness                     // is at most CommandGroup.MaxStaleness old
+	Eventual                             // may be of any age
 )
 
-// Effect says what a second run of a command does.
-type Effect int
+// Idempotency is what a second run of a command does.
+type Idempotency int
 
-// Effects.
+// Kinds of idempotency.
 const (
-	Replayable Effect = iota
-	Keyed
-	Mutating
+	Idempotent        Idempotency = iota // a second run does no harm
+	IdempotentWithKey                    // a second run is recognized by its key, within a scope and a window
+	NonIdempotent                        // a second run may have its effect twice
 )
 
-// Scope is where a keyed command's repeat is known.
-type Scope int
+// KeyScope is where the key of an IdempotentWithKey command is recognized.
+type KeyScope int
 
-// Scopes: the command's set, its zone within the set, everywhere.
+// Scopes of an idempotency key.
 const (
-	InSet Scope = iota
-	InZone
-	Anywhere
+	ShardScope  KeyScope = iota // by every endpoint of the command's shard
+	ZoneScope                   // by the endpoints of one zone of that shard
+	GlobalScope                 // by every endpoint
 )
 
-// Site is what a router is told at start, in plain values: seconds and shares.
-type Site struct {
-	Groups      []CommandGroup
-	Whole       float64 // weight of the whole run in the site's goal
-	Worst       float64 // weight of the worst-served command group
-	Routers     int     // routers in this tier
-	Me          int     // this router's number among them
-	Zone        int     // where it runs; negative: not told
-	Tick        float64 // batches come at most this often
-	ZeroAt      float64 // the time from which positions count
-	Brought     bool    // session reads bring the age of the session's last write
-	Guarded     bool    // replicas check reads themselves
-	Reports     bool    // probes carry position and role
-	Ask         bool    // the list comes only when asked for
-	AskWithin   float64 // an unasked list counts as told after this
-	SoftRemoval bool    // being gone alone does not bind
-	Cancel      bool
-	Probes      bool
-	Advice      bool    // clients are given a time to come back
-	MaxAdvice   float64 // the longest they honour
-	Tries       int     // most dispatches of one command
-	Dial        float64 // a connection not made within this has failed
-	ColdShare   float64 // a node starts at no less than this share of its capacity
-	WarmIn      float64 // and is warm after this
-	Overload    float64 // multiple of present capacity that pushes a cold node over
-	FallSpan    float64 // when kept up for this long
+// Config is what a router is told at its start. All durations are in seconds.
+type Config struct {
+	CommandGroups      []CommandGroup
+	TotalWeight        float64 // weight of all commands' value in the objective
+	WorstGroupWeight   float64 // weight of the worst-served command group in the objective
+	RouterCount        int     // routers in this tier
+	Instance           int     // this router's number among them
+	Zone               int     // where this router runs; negative if it is not known
+	BatchInterval      float64 // batches of calls are at least this far apart
+	PositionEpoch      float64 // the time from which log positions count
+	ClientTokens       bool    // session reads bring the age of their session's last write
+	ReplicasCheckReads bool    // replicas turn a read away themselves if they are too stale for it
+	LoadReports        bool    // health checks answer with a position and a role
+	PollList           bool    // the endpoint list comes only when it is polled
+	PollWindow         float64 // a list that is not polled for so long still binds the router
+	SoftRemoval        bool    // an endpoint that was only removed from the list may still be used
+	CanCancel          bool    // attempts can be canceled
+	HealthChecks       bool    // the router may send health checks of its own
+	RetryAfterAllowed  bool    // a rejection may carry a Retry-After
+	MaxRetryAfter      float64 // the longest Retry-After that clients honour
+	MaxAttempts        int     // of one command
+	ConnectTimeout     float64 // a connection that is not made by then has failed
+	SlowStartFloor     float64 // share of its capacity that an endpoint has at its start
+	SlowStart          float64 // time after its start until an endpoint has all of its capacity
+	OverloadFactor     float64 // multiple of its present capacity that overloads an endpoint in slow start,
+	OverloadWindow     float64 // if it is kept up for so long
 }
 
-// CommandGroup is what a site says of one command group.
+// CommandGroup is what is configured for one group of commands. All durations are in seconds.
 type CommandGroup struct {
-	Need    Need
-	Effect  Effect
-	Scope   Scope
-	Target  float64
-	Timeout float64
-	Benefit float64
-	Late    float64 // share of the benefit paid after the response target
-	Bound   float64 // most age of the data
-	Memory  float64 // how long a repeat is known
+	Consistency       Consistency
+	Idempotency       Idempotency
+	KeyScope          KeyScope
+	LatencyObjective  float64 // an answer within this earns the whole PriorityWeight
+	ClientTimeout     float64 // clients stop waiting after this
+	PriorityWeight    float64 // value of one answer
+	LateValue         float64 // share of PriorityWeight that an answer after LatencyObjective still earns
+	MaxStaleness      float64 // greatest age of the data that a BoundedStaleness read may see
+	IdempotencyWindow float64 // how long an idempotency key is recognized
 }
 
-// NodeState is what the list says of a node.
-type NodeState int
+// EndpointState is what the endpoint list says of an endpoint.
+type EndpointState int
 
-// States of a listed node.
+// States of an endpoint in the list.
 const (
-	Gone NodeState = iota
+	Removed EndpointState = iota
 	Ready
 	Draining
 )
 
-// Listing is one node as the list shows it. Node is an index given at the door.
-type Listing struct {
-	Node    int
-	Set     int // the nodes that hold the same data
-	Zone    int
-	State   NodeState
-	Started float64 // negative infinity: long ago
-	Primary bool
+// EndpointInfo is one row of the endpoint list.
+type EndpointInfo struct {
+	Index     int // a small number that the caller gives the endpoint
+	Shard     int // endpoints of one shard hold the same data
+	Zone      int
+	State     EndpointState
+	StartedAt float64 // time of its start; negative infinity if that is long ago
+	Primary   bool
 }
 
-// Command is a command in hand. The caller fills the first part and keeps the
-// value until every dispatch has ended; the rest is the module's.
+// Command is a command in flight. The caller fills the exported fields except Attempts and keeps the value
+// until every attempt has ended; Attempts may be read, the rest belongs to the router.
 type Command struct {
-	Group    int
-	Set      int // negative: no listed set
-	Session  uint64
-	Arrived  float64
-	GiveUp   float64 // the client stops waiting
-	WriteAge float64 // seconds since the session's last write, below 0 if it is ahead of this clock; 0: none known
-	Repeat   bool    // a client's further try, where clients say so
-
-	Legs   []Leg   // dispatches, in order
+	Group          int // index in Config.CommandGroups
+	Shard          int // negative if it is not in the endpoint list
+	Session        uint64
+	ArrivedAt      float64
+	ClientDeadline float64 // when the client stops waiting
+	// LastWriteAge is the seconds since the session's last write, negative if that is ahead of this clock.
+	// Zero: no write is known of.
+	LastWriteAge float64
+	ClientRetry  bool // the client says that it has sent this command before
+
+	Attempts []Attempt // in the order in which they were sent
+
 	wrote  bool    // a member has had a dispatch whole
 	runs   int     // dispatches that may have run and gave no answer
 	ranAt  float64 // when the first of those was sent
 	ranOn  int     // and where
-	asked  bool    // seen by Place before
+	asked  bool    // seen by Route before
 	need   float64 // position that its data must cover
 	missed bool    // a replica turned it away as too far behind
 }
 
-// Leg is one dispatch of a command.
-type Leg struct {
-	Node   int
-	Sent   float64
-	Out    bool
+// Attempt is one sending of a command to an endpoint.
+type Attempt struct {
+	Endpoint int
+	SentAt   float64
+	InFlight bool
+
 	ahead  int  // own dispatches out at the node when it was sent
 	fresh  bool // needed a new connection
 	late   bool // counted as overdue
@@ -126,69 +130,67 @@
 	lost   bool // overtaken by other answers for too long
 }
 
-// Ending is how a dispatch ended.
-type Ending int
+// Result is how an attempt or a health check ended.
+type Result int
 
-// Endings of a dispatch.
+// Results. After Errored, TimedOut, ConnectionLost and Canceled the command may have run.
 const (
-	Answered  Ending = iota
-	Errored          // may have had an effect
-	Full             // turned away unseen
-	TimedOut         // may have run
-	Unreached        // never connected
-	Broken           // may have run
-	Recalled         // may have run
-	Moot             // never sent
-	Missed           // turned away: not the primary, or too far behind
+	Answered       Result = iota
+	Errored               // the endpoint answered with an error
+	Overloaded            // the endpoint turned the command away without looking at it
+	TimedOut              // no answer by Decision.AttemptDeadline
+	ConnectFailed         // no connection was made
+	ConnectionLost        // the connection broke before the answer was complete
+	Canceled              // the attempt was canceled
+	NeverSent             // the command did not leave this process
+	NotServed             // the endpoint turned it away: it is not the primary, or too stale
 )
 
-// Role is what an answer says its sender is.
+// Role is what an answer says that its sender is.
 type Role int
 
-// Roles of a node.
+// Roles of an endpoint.
 const (
 	RoleUnknown Role = iota
 	RolePrimary
 	RoleReplica
 )
 
-// Outcome is the end of dispatch number Leg.
-type Outcome struct {
-	Leg      int
-	Ending   Ending
-	Took     float64
-	Over     bool    // the command has had its final answer
-	Position float64 // negative: not told
+// AttemptResult is the end of a command's attempt.
+type AttemptResult struct {
+	Attempt  int // index in Command.Attempts
+	Result   Result
+	Elapsed  float64 // seconds since it was sent
+	Final    bool    // the command has had its final answer
+	Position float64 // log position that the answer tells; negative if it tells none
 	Role     Role
 }
 
-// Verdict is the kind of an answer.
-type Verdict int
+// Action is what a Decision says.
+type Action int
 
-// Verdicts: not yet, where, and the two kinds of never.
+// Actions.
 const (
-	Hold Verdict = iota
-	Send
-	Throttle
-	Fail
-	Done
+	Wait    Action = iota // nothing yet: call Route again, at Decision.ReviewAt at the latest
+	Forward               // send an attempt to Decision.Endpoint
+	Reject                // give the command up; the client may retry
+	Fail                  // give the command up; it may have run
+	None                  // the command has had its final answer
 )
 
-// Answer tells what to do with a command. Recall is the number of a dispatch to
-// call off first, or -1. With Hold and Send, Again is the time of the next
-// Place at the latest; Until is when the dispatch times out.
-type Answer struct {
-	Verdict  Verdict
-	Node     int
-	Until    float64
-	Again    float64
-	ComeBack float64
-	Recall   int
+// Decision is what to do with a command.
+type Decision struct {
+	Action          Action
+	Endpoint        int     // with Forward: where to
+	AttemptDeadline float64 // with Forward: when the attempt times out
+	ReviewAt        float64 // with Wait and Forward: when to call Route again at the latest
+	RetryAfter      float64 // with Reject: seconds that the client is asked to wait; 0 if none are told
+	CancelAttempt   int     // attempt to cancel first, or -1
 }
 
-// Upkeep is what is due besides commands.
-type Upkeep struct {
-	Probe  []int // nodes
-	Forget []int // nodes whose index may be given to others
-	Follow bool  // ask for the list and its changes
+// Maintenance is the work that is due besides commands.
+type Maintenance struct {
+	HealthCheck []int // endpoints to check
+	Release     []int // endpoints whose index may be given to others
+	Subscribe   bool  // poll the endpoint list and subscribe to its changes
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -15,7 +15,7 @@
 
 // Settings is what a router reads from the settings document.
 type Settings struct {
-	router.Site
+	router.Config
 	GroupNames       []string // of the command groups
 	Zones            []string
 	ReportFields     []string // of a load report
@@ -80,11 +80,11 @@
 
 // The wire's words.
 var (
-	needs = map[string]router.Need{"mutate": router.NeedWrite, "strong": router.NeedCurrent,
-		"causal": router.NeedSession, "lag_bound": router.NeedBound, "eventual": router.NeedAny}
-	effects = map[string]router.Effect{"pure": router.Replayable, "token": router.Keyed,
-		"side_effect": router.Mutating}
-	scopes  = map[string]router.Scope{"cell": router.InSet, "zone": router.InZone, "all": router.Anywhere}
+	needs = map[string]router.Consistency{"mutate": router.PrimaryOnly, "strong": router.Linearizable,
+		"causal": router.SessionConsistent, "lag_bound": router.BoundedStaleness, "eventual": router.Eventual}
+	effects = map[string]router.Idempotency{"pure": router.Idempotent, "token": router.IdempotentWithKey,
+		"side_effect": router.NonIdempotent}
+	scopes  = map[string]router.KeyScope{"cell": router.ShardScope, "zone": router.ZoneScope, "all": router.GlobalScope}
 	brought = map[string]bool{"brought": true, "kept": false}
 	guarded = map[string]bool{"none": false, "bounce": true, "await": true}
 )
@@ -112,16 +112,16 @@
 			len(p.Family.Needs), len(p.Classes))
 	}
 	var err error
-	s := router.Site{
-		Routers: p.Routers, Me: p.Me, Zone: p.Zone, Whole: p.Goal.Whole, Worst: p.Goal.Worst, Tick: p.Tick * nano,
-		Brought: word(&err, "familyInfo.tokens", p.Family.Tokens, brought),
-		Guarded: word(&err, "familyInfo.guards", p.Family.Guards, guarded),
-		Ask:     p.Discovery == "ask", AskWithin: p.Rules.AskWithin * nano, SoftRemoval: p.Rules.Soft,
-		Cancel: p.Limits.Cancel, Probes: p.Limits.Probes,
-		Advice: p.Limits.Advice, MaxAdvice: p.Limits.MaxAdvice * nano,
-		Tries: p.Limits.Tries, Dial: p.Limits.Dial * nano,
-		ColdShare: p.Rules.Cold, WarmIn: p.Rules.Warm * nano, Overload: p.Rules.Overload,
-		FallSpan: p.Rules.Fall * nano,
+	s := router.Config{
+		RouterCount: p.Routers, Instance: p.Me, Zone: p.Zone, TotalWeight: p.Goal.Whole, WorstGroupWeight: p.Goal.Worst, BatchInterval: p.Tick * nano,
+		ClientTokens:       word(&err, "familyInfo.tokens", p.Family.Tokens, brought),
+		ReplicasCheckReads: word(&err, "familyInfo.guards", p.Family.Guards, guarded),
+		PollList:           p.Discovery == "ask", PollWindow: p.Rules.AskWithin * nano, SoftRemoval: p.Rules.Soft,
+		CanCancel: p.Limits.Cancel, HealthChecks: p.Limits.Probes,
+		RetryAfterAllowed: p.Limits.Advice, MaxRetryAfter: p.Limits.MaxAdvice * nano,
+		MaxAttempts: p.Limits.Tries, ConnectTimeout: p.Limits.Dial * nano,
+		SlowStartFloor: p.Rules.Cold, SlowStart: p.Rules.Warm * nano, OverloadFactor: p.Rules.Overload,
+		OverloadWindow: p.Rules.Fall * nano,
 	}
 	var names []string
 	for i, c := range p.Classes {
@@ -130,24 +130,24 @@
 		if c.Target <= 0 || c.Limit <= 0 {
 			return Settings{}, fmt.Errorf("settings: %s: targetNs and deadlineNs must be above 0", at)
 		}
-		g := router.CommandGroup{Need: word(&err, "familyInfo.needsByClass", p.Family.Needs[i], needs),
-			Effect: word(&err, at+".effect", c.Effect, effects),
-			Target: c.Target * nano, Timeout: c.Limit * nano, Benefit: c.Worth, Late: c.Late,
-			Memory: c.Memory * nano}
-		if g.Effect == router.Keyed {
-			g.Scope = word(&err, at+".keyScope", c.Scope, scopes)
+		g := router.CommandGroup{Consistency: word(&err, "familyInfo.needsByClass", p.Family.Needs[i], needs),
+			Idempotency:      word(&err, at+".effect", c.Effect, effects),
+			LatencyObjective: c.Target * nano, ClientTimeout: c.Limit * nano, PriorityWeight: c.Worth, LateValue: c.Late,
+			IdempotencyWindow: c.Memory * nano}
+		if g.Idempotency == router.IdempotentWithKey {
+			g.KeyScope = word(&err, at+".keyScope", c.Scope, scopes)
 		}
 		if i < len(p.Family.Bounds) {
-			g.Bound = p.Family.Bounds[i] * nano
+			g.MaxStaleness = p.Family.Bounds[i] * nano
 		}
-		s.Groups = append(s.Groups, g)
+		s.CommandGroups = append(s.CommandGroups, g)
 	}
 	told := map[string]bool{}
 	for _, f := range p.Load.Fields {
 		told[f] = true
 	}
-	s.Reports = p.Load.Source != "none" && told["x0"] && told["x1"]
-	return Settings{Site: s, GroupNames: names, Zones: p.Zones, ReportFields: p.Load.Fields, ReportsOnAnswers: p.Load.Source == "answers", PositionZeroNs: p.Family.Zero,
+	s.LoadReports = p.Load.Source != "none" && told["x0"] && told["x1"]
+	return Settings{Config: s, GroupNames: names, Zones: p.Zones, ReportFields: p.Load.Fields, ReportsOnAnswers: p.Load.Source == "answers", PositionZeroNs: p.Family.Zero,
 		BackendIdle: p.Limits.Idle * nano, DrainGrace: p.Rules.Grace * nano}, err
 }
 
@@ -166,14 +166,14 @@
 		above bool // 0 itself is out of range
 		most  float64
 	}{
-		{"limits.dialTimeoutNs", t.Dial, true, math.Inf(1)}, {"limits.connIdleNs", t.BackendIdle, true, math.Inf(1)},
-		{"limits.mostTries", float64(t.Tries), true, math.Inf(1)}, {"me", float64(t.Me), false, math.Inf(1)},
+		{"limits.dialTimeoutNs", t.ConnectTimeout, true, math.Inf(1)}, {"limits.connIdleNs", t.BackendIdle, true, math.Inf(1)},
+		{"limits.mostTries", float64(t.MaxAttempts), true, math.Inf(1)}, {"me", float64(t.Instance), false, math.Inf(1)},
 		{"zone", float64(t.Zone + 1), false, float64(len(t.Zones))},
-		{"tickNs", t.Tick, false, 1}, {"limits.maxRetryAfterNs", t.MaxAdvice, false, math.Inf(1)},
+		{"tickNs", t.BatchInterval, false, 1}, {"limits.maxRetryAfterNs", t.MaxRetryAfter, false, math.Inf(1)},
 		{"invariants.stopSendingWithinNs", t.DrainGrace, false, math.Inf(1)},
-		{"invariants.startCapacity", t.ColdShare, false, 1}, {"invariants.rampTimeNs", t.WarmIn, true, math.Inf(1)},
-		{"invariants.overloadFactor", t.Overload, true, math.Inf(1)}, {"invariants.fallNs", t.FallSpan, true, math.Inf(1)},
-		{"scoreParts.whole", t.Whole, false, 1}, {"scoreParts.worstClass", t.Worst, false, 1},
+		{"invariants.startCapacity", t.SlowStartFloor, false, 1}, {"invariants.rampTimeNs", t.SlowStart, true, math.Inf(1)},
+		{"invariants.overloadFactor", t.OverloadFactor, true, math.Inf(1)}, {"invariants.fallNs", t.OverloadWindow, true, math.Inf(1)},
+		{"scoreParts.whole", t.TotalWeight, false, 1}, {"scoreParts.worstClass", t.WorstGroupWeight, false, 1},
 	} {
 		if r.value < 0 || r.above && r.value == 0 || r.value > r.most {
 			return fmt.Errorf("settings: %s is out of range", r.key)
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -44,9 +44,9 @@
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), s.Seed)
 	assert.Equal(t, int64(41), s.KnownList.Generation)
 	assert.Equal(t, []string{"basket", "order"}, s.Settings.GroupNames)
-	assert.Equal(t, 2, s.Settings.Me)
-	assert.True(t, s.Settings.Reports)
-	assert.Equal(t, router.NeedWrite, s.Settings.Groups[1].Need)
+	assert.Equal(t, 2, s.Settings.Instance)
+	assert.True(t, s.Settings.LoadReports)
+	assert.Equal(t, router.PrimaryOnly, s.Settings.CommandGroups[1].Consistency)
 	assert.InDelta(t, 0.25, s.Limits.Durations.ConnectTimeout, 1e-9)
 	assert.Less(t, s.Limits.Durations.BackendIdleTimeout, 0.8*15, "closed well before the member does")
 	assert.Greater(t, s.Limits.Sizes.BackendMessage, 2*(64<<10)+100, "the largest value, written in hexadecimal")
@@ -113,7 +113,7 @@
 	asked := strings.Replace(configText, `"overloadFactor"`, `"stopSendingWithinNs":250000000,"overloadFactor"`, 1)
 	s, err = load(t, strings.Replace(asked, `"discovery":"push"`, `"discovery":"ask"`, 1), nil)
 	require.NoError(t, err)
-	require.True(t, s.Settings.Ask)
+	require.True(t, s.Settings.PollList)
 	assert.Equal(t, 1.0, s.Limits.Durations.SilenceTimeout, "a crowded registry answers late")
 	// A call that fell silent as it was made is given up, and asked again after a sixteenth of the asking rule's span at
 	// the most; that is refused, and asked again after an eighth. What was missed counts as told six seconds after the
--- a/internal/site/start.go
+++ b/internal/site/start.go
@@ -114,20 +114,20 @@
 	rest := sockets - keptSockets
 	memory := int64(memoryMB) << 20
 	longest := 0.0
-	for _, g := range told.Groups {
-		longest = max(longest, g.Timeout)
+	for _, g := range told.CommandGroups {
+		longest = max(longest, g.ClientTimeout)
 	}
 	// Where lists come by themselves what the agent has when it returns from a silence binds within the grace, whatever
 	// call or pause it meets: they have to be over well before. Where they are asked for a crowded registry answers late,
 	// and giving its calls up early crowded it more. A connection that came up for a member that was told to drain
 	// meanwhile has to be made within the grace too.
-	late, pause, dial, watch := 1.0, 1.0, told.Dial, longWatch
-	if told.Ask {
+	late, pause, dial, watch := 1.0, 1.0, told.ConnectTimeout, longWatch
+	if told.PollList {
 		watch = askedWatch
 	}
 	if told.DrainGrace > 0 {
 		dial = min(dial, told.DrainGrace)
-		if !told.Ask {
+		if !told.PollList {
 			late, pause = min(late, lateShare*told.DrainGrace), min(pause, pauseShare*told.DrainGrace)
 		}
 	}
@@ -162,7 +162,7 @@
 		},
 		Durations: Durations{
 			PositionEpoch:      3600,
-			AnswerMargin:       told.Tick,
+			AnswerMargin:       told.BatchInterval,
 			MaxClientTimeout:   longestWait * longest,
 			FirstQueryTimeout:  2,
 			MessageTimeout:     2,
@@ -170,9 +170,9 @@
 			IdleTimeout:        5,
 			ShedGrace:          0.01,
 			ConnectTimeout:     dial,
-			HealthCheckTimeout: told.Dial,
+			HealthCheckTimeout: told.ConnectTimeout,
 			BackendIdleTimeout: idleShare * told.BackendIdle,
-			ReuseDelay:         told.Tick,
+			ReuseDelay:         told.BatchInterval,
 			MaxClockSkew:       1,
 			LongPollHold:       watch,
 			SilenceTimeout:     late,
@@ -296,7 +296,7 @@
 // MigratesTo says that another configuration asks a running router to take its settings in, and that they differ. How the
 // list comes is part of how a router starts.
 func (s *Config) MigratesTo(other *Config) bool {
-	return other.Migrate && s.Settings.Ask == other.Settings.Ask && !reflect.DeepEqual(s.Settings, other.Settings)
+	return other.Migrate && s.Settings.PollList == other.Settings.PollList && !reflect.DeepEqual(s.Settings, other.Settings)
 }
 
 // AdoptSettings takes another configuration's settings in, and what of the limits follows from them; memory and descriptors stay.
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -96,7 +96,7 @@
 		},
 	}
 	told := &site.Settings{GroupNames: []string{"look"}}
-	told.Groups = []router.CommandGroup{{Timeout: 1, Target: 0.5}}
+	told.CommandGroups = []router.CommandGroup{{ClientTimeout: 1, LatencyObjective: 0.5}}
 	var err error
 	s.front, err = front.Listen(netip.MustParseAddrPort("127.0.0.1:5432"), s.wire, limits, s.blocks, clientCore{s}, told, &count.Counters{}, zerolog.New(io.Discard))
 	if err != nil {
--- a/internal/systems/cold.go
+++ b/internal/systems/cold.go
@@ -50,7 +50,7 @@
 	me     int
 	boots  int
 	module *router.Router
-	hand   *hand.Hand
+	hand   *hand.Tracker
 	out    []coldLeg
 	last   uint32 // command
 	burst  bool   // had one in this step of time
@@ -88,13 +88,13 @@
 func (r *coldRouter) boot() {
 	c := r.world
 	r.boots++
-	s := router.Site{
-		Routers: c.bounds.Routers, Me: r.me, Whole: 1, Tick: 0.005, Brought: true, Reports: true, Cancel: true, Tries: 3,
-		Dial: coldWork, ColdShare: c.check.Share, WarmIn: c.check.WarmIn, Overload: c.check.Overload, FallSpan: c.check.FallSpan,
-		Groups: []router.CommandGroup{{Need: router.NeedAny, Effect: router.Replayable, Target: 0.5, Timeout: 1, Benefit: 1, Late: 0.5}},
+	s := router.Config{
+		RouterCount: c.bounds.Routers, Instance: r.me, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true, LoadReports: true, CanCancel: true, MaxAttempts: 3,
+		ConnectTimeout: coldWork, SlowStartFloor: c.check.Share, SlowStart: c.check.WarmIn, OverloadFactor: c.check.Overload, OverloadWindow: c.check.FallSpan,
+		CommandGroups: []router.CommandGroup{{Consistency: router.Eventual, Idempotency: router.Idempotent, LatencyObjective: 0.5, ClientTimeout: 1, PriorityWeight: 1, LateValue: 0.5}},
 	}
 	if c.fault == "alone" {
-		s.Routers = 1
+		s.RouterCount = 1
 	}
 	draws := uint64(r.me)<<8 + uint64(r.boots)
 	r.module = router.New(s, draws*0x9e3779b97f4a7c15) // far apart: small seeds draw alike
@@ -107,15 +107,15 @@
 	if r.world.fault == "unstarted" {
 		started = math.Inf(-1)
 	}
-	r.module.Listed(r.world.now, []router.Listing{
-		{Node: 0, State: router.Ready, Started: math.Inf(-1), Primary: true},
-		{Node: 1, State: router.Ready, Started: started},
+	r.module.UpdateEndpoints(r.world.now, []router.EndpointInfo{
+		{Index: 0, State: router.Ready, StartedAt: math.Inf(-1), Primary: true},
+		{Index: 1, State: router.Ready, StartedAt: started},
 	}, true, false)
-	r.hand.Settle(r.world.now)
+	r.hand.ReviewDue(r.world.now)
 }
 
-// Dispatch implements hand.Out.
-func (r *coldRouter) Dispatch(id uint32, number, node int, _ float64) {
+// Forward implements hand.Executor.
+func (r *coldRouter) Forward(id uint32, number, node int, _ float64) {
 	if c := r.world; node == 1 && !math.IsInf(c.started, -1) {
 		c.check.Sent(c.now, c.started)
 		if c.served != nil {
@@ -125,13 +125,13 @@
 	r.out = append(r.out, coldLeg{id, number, node})
 }
 
-// Recall implements hand.Out: an answer is quicker.
-func (r *coldRouter) Recall(uint32, int) {}
+// Cancel implements hand.Executor: an answer is quicker.
+func (r *coldRouter) Cancel(uint32, int) {}
 
-// Throttle implements hand.Out.
-func (r *coldRouter) Throttle(uint32, float64) {}
+// Reject implements hand.Executor.
+func (r *coldRouter) Reject(uint32, float64) {}
 
-// Fail implements hand.Out.
+// Fail implements hand.Executor.
 func (r *coldRouter) Fail(uint32) {}
 
 // ask has reads come, one after another. What the router holds waits in hand.
@@ -139,7 +139,7 @@
 	now := r.world.now
 	for range reads {
 		r.last++
-		r.hand.Take(now, r.last, router.Command{Arrived: now, GiveUp: now + 2*coldTick})
+		r.hand.Add(now, r.last, router.Command{ArrivedAt: now, ClientDeadline: now + 2*coldTick})
 		r.settle()
 	}
 }
@@ -147,11 +147,11 @@
 // settle lets the module go on, and members answer, until nothing is out.
 func (r *coldRouter) settle() {
 	now := r.world.now
-	for r.hand.Settle(now); len(r.out) > 0; r.hand.Settle(now) {
+	for r.hand.ReviewDue(now); len(r.out) > 0; r.hand.ReviewDue(now) {
 		out := r.out
 		r.out = nil
 		for _, l := range out {
-			r.hand.Ended(now, l.id, router.Outcome{Leg: l.number, Ending: router.Answered, Took: coldWork, Over: true, Position: -1})
+			r.hand.AttemptEnded(now, l.id, router.AttemptResult{Attempt: l.number, Result: router.Answered, Elapsed: coldWork, Final: true, Position: -1})
 		}
 	}
 }
@@ -159,7 +159,7 @@
 // leave has the clients of what is still in hand give it up.
 func (r *coldRouter) leave() {
 	for id := r.last; r.hand.Len() > 0; id-- {
-		r.hand.Left(r.world.now, id)
+		r.hand.ClientGone(r.world.now, id)
 		r.settle()
 	}
 }
