--- a/internal/systems/command.go
+++ b/internal/systems/command.go
@@ -94,10 +94,10 @@
 
 // Names of command groups in bounds, and what they are.
 var cmdGroups = []cmdGroup{
-	{"look", router.CommandGroup{Need: router.NeedAny, Effect: router.Replayable}, verdict.Replayable},
-	{"own", router.CommandGroup{Need: router.NeedSession, Effect: router.Replayable}, verdict.Replayable},
-	{"order", router.CommandGroup{Need: router.NeedWrite, Effect: router.Mutating}, verdict.Mutating},
-	{"keyed", router.CommandGroup{Need: router.NeedWrite, Effect: router.Keyed, Scope: router.InSet}, verdict.Keyed},
+	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, verdict.Replayable},
+	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, verdict.Replayable},
+	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, verdict.Mutating},
+	{"keyed", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope}, verdict.Keyed},
 }
 
 // commands is the system: one router, one set whose member 0 is the primary at first, and one session.
@@ -108,7 +108,7 @@
 	ticks   int
 	faults  int
 	router  *router.Router
-	hand    *hand.Hand
+	hand    *hand.Tracker
 	next    float64
 	members []host
 	cmds    []*cmd
@@ -125,7 +125,7 @@
 type host struct {
 	verdict.Member
 	primary bool
-	told    router.NodeState
+	told    router.EndpointState
 }
 
 type cmd struct {
@@ -168,17 +168,17 @@
 
 // boot starts the router, for the first time or anew: it knows only the list that it had last.
 func (c *commands) boot() {
-	s := router.Site{
-		Routers: 1, Whole: 1, Tick: 0.005, Brought: true, Reports: true, Cancel: true, Probes: true, Advice: true, MaxAdvice: 1,
-		Tries: 3, Dial: 0.05, ColdShare: 0.2, WarmIn: 0.1, Overload: 2, FallSpan: 1,
+	s := router.Config{
+		RouterCount: 1, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
+		MaxAttempts: 3, ConnectTimeout: 0.05, SlowStartFloor: 0.2, SlowStart: 0.1, OverloadFactor: 2, OverloadWindow: 1,
 	}
 	for _, x := range cmdGroups {
 		g := x.g
-		g.Target, g.Timeout, g.Benefit, g.Late, g.Memory = cmdTimeout/2, cmdTimeout, 1, 0.5, cmdMemory
+		g.LatencyObjective, g.ClientTimeout, g.PriorityWeight, g.LateValue, g.IdempotencyWindow = cmdTimeout/2, cmdTimeout, 1, 0.5, cmdMemory
 		if c.fault == "long-memory" {
-			g.Memory += cmdTick
+			g.IdempotencyWindow += cmdTick
 		}
-		s.Groups = append(s.Groups, g)
+		s.CommandGroups = append(s.CommandGroups, g)
 	}
 	c.boots++
 	c.router = router.New(s, uint64(c.boots)<<48) // a new seed with each start, that draws otherwise
@@ -188,28 +188,28 @@
 }
 
 func (c *commands) list(cached bool) {
-	var l []router.Listing
+	var l []router.EndpointInfo
 	for i, m := range c.members {
-		l = append(l, router.Listing{Node: i, State: m.told, Started: math.Inf(-1), Primary: m.primary})
+		l = append(l, router.EndpointInfo{Index: i, State: m.told, StartedAt: math.Inf(-1), Primary: m.primary})
 	}
-	c.router.Listed(c.now, l, true, cached)
+	c.router.UpdateEndpoints(c.now, l, true, cached)
 }
 
 // settle lets the module go on by itself up to now.
 func (c *commands) settle() {
-	next, keep := c.hand.Settle(c.now)
+	next, keep := c.hand.ReviewDue(c.now)
 	for _, e := range c.early {
-		c.hand.Ended(c.now, uint32(e[0]), router.Outcome{Leg: e[1], Ending: router.Recalled, Position: -1})
+		c.hand.AttemptEnded(c.now, uint32(e[0]), router.AttemptResult{Attempt: e[1], Result: router.Canceled, Position: -1})
 	}
 	c.early, c.next = nil, next
-	c.free = append(c.free, keep.Forget...)
-	for _, n := range keep.Probe {
+	c.free = append(c.free, keep.Release...)
+	for _, n := range keep.HealthCheck {
 		c.probes[n] = true
 	}
 }
 
-// Dispatch implements hand.Out.
-func (c *commands) Dispatch(id uint32, number, node int, until float64) {
+// Forward implements hand.Executor.
+func (c *commands) Forward(id uint32, number, node int, until float64) {
 	x := c.cmds[id]
 	m := c.members[node].Member
 	if c.fault == "far-keyed" && number > 0 {
@@ -219,8 +219,8 @@
 	x.out = append(x.out, &leg{number: number, node: node, sent: c.now, until: until})
 }
 
-// Recall implements hand.Out.
-func (c *commands) Recall(id uint32, number int) {
+// Cancel implements hand.Executor.
+func (c *commands) Cancel(id uint32, number int) {
 	for _, l := range c.cmds[id].out {
 		if l.number == number {
 			l.recalled = true
@@ -231,10 +231,10 @@
 	}
 }
 
-// Throttle implements hand.Out.
-func (c *commands) Throttle(id uint32, _ float64) { c.Fail(id) }
+// Reject implements hand.Executor.
+func (c *commands) Reject(id uint32, _ float64) { c.Fail(id) }
 
-// Fail implements hand.Out.
+// Fail implements hand.Executor.
 func (c *commands) Fail(id uint32) {
 	if c.fault == "held-back" {
 		c.giveups = append(c.giveups, int(id))
@@ -277,7 +277,7 @@
 		if c.probes[i] {
 			s = append(s, fmt.Sprintf("report %d", i))
 		}
-		if !m.primary && m.Covers < c.now && m.told != router.Gone {
+		if !m.primary && m.Covers < c.now && m.told != router.Removed {
 			s = append(s, fmt.Sprintf("apply %d", i))
 		}
 		if may("drain") && m.told == router.Ready {
@@ -320,9 +320,9 @@
 	return false
 }
 
-var endings = map[string]router.Ending{
-	"answered": router.Answered, "errored": router.Errored, "full": router.Full,
-	"unreached": router.Unreached, "broken": router.Broken, "recalled": router.Recalled, "timed": router.TimedOut,
+var endings = map[string]router.Result{
+	"answered": router.Answered, "errored": router.Errored, "full": router.Overloaded,
+	"unreached": router.ConnectFailed, "broken": router.ConnectionLost, "recalled": router.Canceled, "timed": router.TimedOut,
 }
 
 // Take implements explore.System.
@@ -337,7 +337,7 @@
 		c.faults++
 		c.check.Ended(&c.cmds[n].Command)
 		if c.fault != "left-behind" {
-			c.hand.Left(c.now, uint32(n))
+			c.hand.ClientGone(c.now, uint32(n))
 		}
 	case "report":
 		delete(c.probes, n)
@@ -346,7 +346,7 @@
 		if c.fault == "spoilt-position" {
 			at += 2 * cmdTick
 		}
-		c.router.Probed(c.now, n, router.Answered, 0, at, m.primary)
+		c.router.HealthChecked(c.now, n, router.Answered, 0, at, m.primary)
 	case "apply":
 		c.members[n].Covers = c.now
 	case "drain":
@@ -397,7 +397,7 @@
 	if c.fault == "reused-index" {
 		m.Covers = 0
 	} else {
-		m.told, m.Away, m.AwaySince = router.Gone, true, c.now
+		m.told, m.Away, m.AwaySince = router.Removed, true, c.now
 		if len(c.free) > 0 {
 			c.members[c.free[0]] = host{told: router.Ready}
 			c.free = c.free[1:]
@@ -425,18 +425,18 @@
 	x.taken = true
 	g := cmdGroups[x.group]
 	x.Effect, x.GiveUp, x.Memory, x.Needs = g.e, c.now+cmdTimeout, cmdMemory, math.Inf(-1)
-	in := router.Command{Group: x.group, Session: 7, Arrived: c.now, GiveUp: x.GiveUp}
+	in := router.Command{Group: x.group, Session: 7, ArrivedAt: c.now, ClientDeadline: x.GiveUp}
 	x.Seen = math.Inf(-1)
-	if g.g.Need == router.NeedSession {
+	if g.g.Consistency == router.SessionConsistent {
 		x.Seen = c.seen
 	}
-	if g.g.Need == router.NeedSession && !math.IsInf(c.token, -1) {
-		x.Needs, in.WriteAge = c.token, cmp.Or(c.now-c.token, -math.SmallestNonzeroFloat64) // as the front makes it
+	if g.g.Consistency == router.SessionConsistent && !math.IsInf(c.token, -1) {
+		x.Needs, in.LastWriteAge = c.token, cmp.Or(c.now-c.token, -math.SmallestNonzeroFloat64) // as the front makes it
 		if c.fault == "no-age" {
-			in.WriteAge = math.Max(0, c.now-c.token)
+			in.LastWriteAge = math.Max(0, c.now-c.token)
 		}
 	}
-	c.hand.Take(c.now, uint32(n), in)
+	c.hand.Add(c.now, uint32(n), in)
 }
 
 // end has a dispatch end.
@@ -456,11 +456,11 @@
 		c.faults++
 	}
 	m := &c.members[l.node]
-	ran := e == router.Answered || e == router.Errored || e == router.Broken || e == router.TimedOut || e == router.Recalled
+	ran := e == router.Answered || e == router.Errored || e == router.ConnectionLost || e == router.TimedOut || e == router.Canceled
 	g := cmdGroups[x.group].g
-	missed := e == router.Answered && g.Need == router.NeedWrite && !m.primary // a replica turns it away
+	missed := e == router.Answered && g.Consistency == router.PrimaryOnly && !m.primary // a replica turns it away
 	c.check.Back(&x.Command, l.sent, m.Set, ran && !missed)
-	o := router.Outcome{Leg: l.number, Ending: e, Took: c.now - l.sent, Over: e == router.Answered, Position: -1}
+	o := router.AttemptResult{Attempt: l.number, Result: e, Elapsed: c.now - l.sent, Final: e == router.Answered, Position: -1}
 	if (e == router.Answered || e == router.Errored) && c.fault != "untold-primary" { // an answer says what its member is
 		o.Role = router.RoleReplica
 		if m.primary {
@@ -469,25 +469,25 @@
 	}
 	switch {
 	case missed:
-		o.Ending, o.Over = router.Missed, false
-	case e == router.Answered && g.Need == router.NeedWrite:
+		o.Result, o.Final = router.NotServed, false
+	case e == router.Answered && g.Consistency == router.PrimaryOnly:
 		c.token, m.Covers = c.now, c.now
 		o.Position = c.now
 	case e == router.Answered:
 		o.Position = m.Covers
 		c.check.Served(x.name, &x.Command, l.node, &m.Member)
-		if g.Need == router.NeedSession {
+		if g.Consistency == router.SessionConsistent {
 			c.seen = math.Max(c.seen, m.Covers)
 		}
 	}
-	if c.fault == "early-byte" && e == router.Broken {
-		o.Ending = router.Unreached
+	if c.fault == "early-byte" && e == router.ConnectionLost {
+		o.Result = router.ConnectFailed
 	}
 	was := x.Open()
-	if c.fault != "lost-end" || e != router.Recalled {
-		c.hand.Ended(c.now, uint32(n), o)
+	if c.fault != "lost-end" || e != router.Canceled {
+		c.hand.AttemptEnded(c.now, uint32(n), o)
 	}
-	if o.Ending == router.Answered && was {
+	if o.Result == router.Answered && was {
 		x.served = true
 		c.check.Answered(c.now, x.name, &x.Command)
 	}
@@ -536,8 +536,8 @@
 
 // commandRules leave out to whom the commands in hand report, and the numbers that tell timers of one time apart.
 var commandRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
-	"hand.Hand": {"out", "seq"},
-	"hand.due":  {"seq"},
+	"hand.Tracker": {"out", "seq"},
+	"hand.due":     {"seq"},
 }}
 
 // Fingerprint implements explore.System. Nothing of the module is left out, chance included; what the world
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -112,14 +112,14 @@
 type memberSink struct{ *members }
 
 // Ended implements member.Sink.
-func (s memberSink) Ended(d *member.Dispatch, e router.Ending, _ float64, a *pg.Answer) {
+func (s memberSink) Ended(d *member.Dispatch, e router.Result, _ float64, a *pg.Answer) {
 	x := s.sends[d.ID]
 	x.state = 2
-	never := e == router.Unreached || e == router.Moot
-	if e != router.Full { // which says itself that it never ran
+	never := e == router.ConnectFailed || e == router.NeverSent
+	if e != router.Overloaded { // which says itself that it never ran
 		s.check.Ended(int(d.ID), never, s.written(int(d.ID)))
 	}
-	if s.fault == "twice" && e == router.Recalled {
+	if s.fault == "twice" && e == router.Canceled {
 		s.check.Ended(int(d.ID), false, s.written(int(d.ID)))
 		s.check.Ended(int(d.ID), false, s.written(int(d.ID)))
 	}
@@ -143,7 +143,7 @@
 }
 
 // Probed implements member.Sink.
-func (memberSink) Probed(int, router.Ending, float64, string) {}
+func (memberSink) Probed(int, router.Result, float64, string) {}
 
 // written tells whether a command's statement was written whole on any connection, ever.
 func (s *members) written(id int) bool {
--- a/internal/systems/settle.go
+++ b/internal/systems/settle.go
@@ -138,7 +138,7 @@
 		}
 	}
 	for i := range c.members {
-		if m := &c.members[i]; !m.primary && m.told != router.Gone {
+		if m := &c.members[i]; !m.primary && m.told != router.Removed {
 			m.Covers = math.Max(m.Covers, c.now)
 		}
 		if c.probes[i] {
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -16,7 +16,7 @@
 func start() Config {
 	nobody := netip.MustParseAddrPort("127.0.0.1:1")
 	s := Config{Name: "n1", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: nobody}
-	s.Settings.Site = router.Site{Groups: []router.CommandGroup{{Need: router.NeedAny, Target: 1, Timeout: 2}}, Tick: 0.005}
+	s.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{{Consistency: router.Eventual, LatencyObjective: 1, ClientTimeout: 2}}, BatchInterval: 0.005}
 	s.Settings.GroupNames = []string{"look"}
 	s.Limits = site.Limits{
 		Sizes: site.Sizes{
