--- a/internal/fleet/revision/revision.go
+++ b/internal/fleet/revision/revision.go
@@ -196,8 +196,9 @@
 
 // Change is one difference between two revisions.
 type Change struct {
-	Key      string
-	From, To string // as JSON; empty: not there
+	Key  string `json:"Key"`
+	From string `json:"From"` // as JSON; empty: not there
+	To   string `json:"To"`
 }
 
 // Diff lists what differs, by key.
--- a/internal/fleet/revision/revision_test.go
+++ b/internal/fleet/revision/revision_test.go
@@ -1,6 +1,7 @@
 package revision
 
 import (
+	"encoding/json"
 	"strings"
 	"testing"
 
@@ -91,4 +92,7 @@
 	d, err := Diff([]byte(`{"a":{"b":[1,2],"c":1},"d":"x"}`), []byte(`{"a":{"b":[1,3],"e":[]},"d":"x"}`))
 	require.NoError(t, err)
 	assert.Equal(t, []Change{{"a.b[1]", "2", "3"}, {"a.c", "1", ""}, {"a.e", "", "[]"}}, d)
+	raw, err := json.Marshal(d[0])
+	require.NoError(t, err)
+	assert.JSONEq(t, `{"Key":"a.b[1]","From":"2","To":"3"}`, string(raw), "as fleet diff --json prints it")
 }
