--- a/internal/cli/agent.go
+++ b/internal/cli/agent.go
@@ -17,7 +17,8 @@
 
 func (a *app) agent() *cobra.Command {
 	var file, folder, name string
-	c := &cobra.Command{Use: "agent", Short: "Runs this machine's agent",
+	c := &cobra.Command{
+		Use: "agent", Short: "Runs this machine's agent",
 		Long: "The agent starts, watches and changes the routers that the fleet file gives to it, as the fleet tool asks. Its routers\n" +
 			"outlive it: ending it or losing it takes none out of service, and the next one finds them. It ends on SIGTERM.",
 		Example: "  stoatctl agent --fleet deploy/fleet.sexp --name a1 --keys /etc/stoatdale/keys --log info",
@@ -35,7 +36,8 @@
 				a.log = a.log.Level(zerolog.InfoLevel)
 			}
 			return status(Failed, a.serve(cmd.Context(), f, me, keys.Folder(folder)))
-		}}
+		},
+	}
 	c.Flags().StringVar(&file, "fleet", "deploy/fleet.sexp", "fleet file")
 	c.Flags().StringVar(&name, "name", "", "this agent's name in the fleet file")
 	c.Flags().StringVar(&folder, "keys", "keys", "folder of the keys")
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -149,10 +149,12 @@
 }
 
 func (a *app) version() *cobra.Command {
-	c := &cobra.Command{Use: "version", Short: "Tells the program's version", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "version", Short: "Tells the program's version", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return a.show(map[string]string{"program": program()}, func(w io.Writer) { fmt.Fprintln(w, program()) })
-		}}
+		},
+	}
 	a.asJSON(c)
 	return c
 }
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -14,9 +14,11 @@
 )
 
 func (a *app) drill() *cobra.Command {
-	c := &cobra.Command{Use: "drill", Short: "Plays a failure on loopback, with checkers of what must hold",
+	c := &cobra.Command{
+		Use: "drill", Short: "Plays a failure on loopback, with checkers of what must hold",
 		Long: "A drill ends with status 0 if all that must hold held, and 1 if not; with --json its last line is one object. --break puts\n" +
-			"in a fault that its checkers must tell."}
+			"in a fault that its checkers must tell.",
+	}
 	c.AddCommand(a.drillClaims(), a.drillRollout(), a.drillSizes())
 	return group(c)
 }
@@ -51,7 +53,8 @@
 
 func (a *app) drillClaims() *cobra.Command {
 	var d drill.Claims
-	c := &cobra.Command{Use: "claims", Short: "Operators, agents and a bad network: at most one holder of an epoch acts, ever",
+	c := &cobra.Command{
+		Use: "claims", Short: "Operators, agents and a bad network: at most one holder of an epoch acts, ever",
 		Long: "The decisions of plan, claim and agents in virtual time, on a network that loses, delays, repeats and reorders, with tools and\n" +
 			"agents that die. Histories are checked for an order in which one step at a time is taken by the holder of the epoch.\n\nFaults:" +
 			faults(drill.ClaimFaults),
@@ -66,7 +69,8 @@
 			a.seeded(cmd, &d.Seed)
 			r := drill.RunClaims(cmd.Context(), d)
 			return a.drilled(r, r.Report)
-		}}
+		},
+	}
 	c.Flags().IntVar(&d.Operators, "operators", 2, "operators at once")
 	c.Flags().IntVar(&d.Rounds, "rounds", 200, "worlds that are played")
 	c.Flags().Uint64Var(&d.Seed, "seed", 0, "of all chance; drawn if not given")
@@ -87,7 +91,8 @@
 
 func (a *app) drillRollout() *cobra.Command {
 	var d drill.Rollout
-	c := &cobra.Command{Use: "rollout", Short: "Rolls a fleet of real routers on loopback under load, with one agent killed midway",
+	c := &cobra.Command{
+		Use: "rollout", Short: "Rolls a fleet of real routers on loopback under load, with one agent killed midway",
 		Long: "Real routers and agents, one agent an instance, stand-in members, and clients that count what came of every command. It\n" +
 			"ends with every instance on one revision and no command lost. With --agent-stays-gone the rollout pauses, the\n" +
 			"instance is left out by word, and it ends paused with all others done.\n\nFaults:" + faults(drill.RolloutFaults),
@@ -117,7 +122,8 @@
 				return status(Failed, err)
 			}
 			return a.drilled(r, r.Report)
-		}}
+		},
+	}
 	c.Flags().IntVar(&d.Instances, "instances", 20, "routers, each with an agent of its own")
 	c.Flags().BoolVar(&d.Kill, "kill-agent", false, "kill an agent in its step midway, and bring it back")
 	c.Flags().BoolVar(&d.Gone, "agent-stays-gone", false, "kill an agent in its step midway, for good")
@@ -132,7 +138,8 @@
 
 func (a *app) drillSizes() *cobra.Command {
 	var d drill.Sizes
-	c := &cobra.Command{Use: "sizes", Short: "Measures how a plan step and fleet status grow with the fleet",
+	c := &cobra.Command{
+		Use: "sizes", Short: "Measures how a plan step and fleet status grow with the fleet",
 		Long:    "Stand-in agents in this process answer over TLS. The largest fleet by default needs 2,000 descriptors.",
 		Example: "  stoatctl drill sizes --instances 20,200,2000,20000 --json", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -149,7 +156,8 @@
 				return status(Failed, err)
 			}
 			return a.drilled(r, r.Report)
-		}}
+		},
+	}
 	c.Flags().IntSliceVar(&d.Instances, "instances", []int{20, 200, 2000, 20000}, "sizes of the fleet")
 	c.Flags().IntVar(&d.PerAgent, "per-agent", 20, "instances of one agent")
 	c.Flags().IntVar(&d.Rounds, "rounds", 9, "times that status is asked for, over connections that stand")
--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -17,14 +17,17 @@
 )
 
 func (a *app) explore() *cobra.Command {
-	c := &cobra.Command{Use: "explore", Short: "Takes the code that serves through every order of events within bounds",
-		Long: "Exit status 1 if a property is broken, 4 if an exploration ended before it was complete."}
+	c := &cobra.Command{
+		Use: "explore", Short: "Takes the code that serves through every order of events within bounds",
+		Long: "Exit status 1 if a property is broken, 4 if an exploration ended before it was complete.",
+	}
 	c.AddCommand(a.exploreList(), a.exploreRun(), a.exploreWalk(), a.exploreInject(), a.exploreShow(), a.exploreReplay())
 	return group(c)
 }
 
 func (a *app) exploreList() *cobra.Command {
-	c := &cobra.Command{Use: "list", Short: "Lists the systems and the bugs that can be injected", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "list", Short: "Lists the systems and the bugs that can be injected", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			type entry struct {
 				System string            `json:"system"`
@@ -47,7 +50,8 @@
 					}
 				}
 			})
-		}}
+		},
+	}
 	a.asJSON(c)
 	return c
 }
@@ -69,7 +73,8 @@
 func (a *app) exploreRun() *cobra.Command {
 	var file, keep, fault, stop, from string
 	var how searching
-	c := &cobra.Command{Use: "run SYSTEM", Short: "Explores a system in the bounds of a file", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use: "run SYSTEM", Short: "Explores a system in the bounds of a file", Args: cobra.ExactArgs(1),
 		Long: "With --stop, what ended before it was complete is kept in a file, and --resume goes on from there. --deep goes depth first\n" +
 			"and keeps no more states than the bounds say; it needs a bound of depth.",
 		Example: "  stoatctl explore run command --bounds deploy/bounds/ci.sexp --json",
@@ -98,7 +103,8 @@
 			}
 			how.keep, how.stop = keep, stop
 			return a.explored(cmd.Context(), k, bounds, fault, how)
-		}}
+		},
+	}
 	c.Flags().StringVar(&file, "bounds", "deploy/bounds/ci.sexp", "file of bounds")
 	c.Flags().StringVar(&keep, "trace", "", "file for the trace to a broken property")
 	c.Flags().StringVar(&fault, "inject", "", "bug to put in")
@@ -168,8 +174,10 @@
 	if err := a.show(all, func(w io.Writer) {
 		t := grid(w, "bounds", "states", "steps", "depth", "complete", "ends", "clash", "seconds", "states a second")
 		for i, r := range all.Runs {
-			t.AppendRow(table.Row{bounds[i].Place, r.States, r.Steps, r.Depth, r.Complete, r.Ends, fmt.Sprintf("%.1e", r.Clash),
-				fmt.Sprintf("%.2f", r.Seconds), int(float64(r.States) / r.Seconds)})
+			t.AppendRow(table.Row{
+				bounds[i].Place, r.States, r.Steps, r.Depth, r.Complete, r.Ends, fmt.Sprintf("%.1e", r.Clash),
+				fmt.Sprintf("%.2f", r.Seconds), int(float64(r.States) / r.Seconds),
+			})
 		}
 		t.Render()
 		if broken != nil {
@@ -201,7 +209,8 @@
 	var seed uint64
 	var walks, steps int
 	var most time.Duration
-	c := &cobra.Command{Use: "walk SYSTEM", Short: "Takes ways at random through bounds that are too large to be explored", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use: "walk SYSTEM", Short: "Takes ways at random through bounds that are too large to be explored", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			k, err := systems.Find(args[0])
 			if err != nil {
@@ -230,7 +239,8 @@
 				return status(Failed, fmt.Errorf("broken: %s", w.Broken.Property))
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVar(&file, "bounds", "deploy/bounds/large.sexp", "file of bounds, whose first for the system counts")
 	c.Flags().StringVar(&fault, "inject", "", "bug to put in")
 	c.Flags().StringVar(&keep, "trace", "", "file for the trace to a broken property")
@@ -246,7 +256,8 @@
 	var every bool
 	var keep string
 	var workers int
-	c := &cobra.Command{Use: "inject [NAME...]", Short: "Puts bugs in and sees that each is found, and that nothing is found without it",
+	c := &cobra.Command{
+		Use: "inject [NAME...]", Short: "Puts bugs in and sees that each is found, and that nothing is found without it",
 		Example: "  stoatctl explore inject --all --json",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if every == (len(args) > 0) {
@@ -292,7 +303,8 @@
 				return status(Failed, fmt.Errorf("%d bugs were not found, or their bounds are not clean without them", missed))
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().BoolVar(&every, "all", false, "all bugs of all systems")
 	c.Flags().StringVar(&keep, "keep", "", "folder for the traces")
 	c.Flags().IntVar(&workers, "workers", 0, "cores; 0: all")
@@ -302,7 +314,8 @@
 
 func (a *app) exploreShow() *cobra.Command {
 	var chart string
-	c := &cobra.Command{Use: "show TRACE", Short: "Shows a trace step by step, and as a sequence chart", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use: "show TRACE", Short: "Shows a trace step by step, and as a sequence chart", Args: cobra.ExactArgs(1),
 		Example: "  stoatctl explore show trace.json --svg trace.svg",
 		RunE: func(_ *cobra.Command, args []string) error {
 			t, err := systems.LoadTrace(args[0])
@@ -315,14 +328,16 @@
 				}
 			}
 			return a.show(t, func(w io.Writer) { printTrace(w, t) })
-		}}
+		},
+	}
 	c.Flags().StringVar(&chart, "svg", "", "file for the sequence chart")
 	a.asJSON(c)
 	return c
 }
 
 func (a *app) exploreReplay() *cobra.Command {
-	c := &cobra.Command{Use: "replay TRACE", Short: "Takes the steps of a trace on the code as it is now",
+	c := &cobra.Command{
+		Use: "replay TRACE", Short: "Takes the steps of a trace on the code as it is now",
 		Long: "Exit status 1 if a property is broken, 0 if none is: made for bisecting.", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			t, err := systems.LoadTrace(args[0])
@@ -339,7 +354,8 @@
 				return status(Failed, fmt.Errorf("broken: %s: %s", property, how))
 			}
 			return nil
-		}}
+		},
+	}
 	a.asJSON(c)
 	return c
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -42,10 +42,12 @@
 
 func (a *app) fleet() *cobra.Command {
 	var f fleetFlags
-	c := &cobra.Command{Use: "fleet", Short: "Shows a fleet and changes it, one instance at a time",
+	c := &cobra.Command{
+		Use: "fleet", Short: "Shows a fleet and changes it, one instance at a time",
 		Long: "A rollout takes one instance at a time, never goes below the floors of the fleet file, and holds a claim that a majority\n" +
 			"of agents grants, so that no two operators change the fleet at once. It survives this tool: resume goes on from\n" +
-			"any machine.\n\n" + statuses}
+			"any machine.\n\n" + statuses,
+	}
 	c.PersistentFlags().StringVar(&f.file, "fleet", "deploy/fleet.sexp", "fleet file")
 	c.PersistentFlags().StringVar(&f.folder, "keys", "keys", "folder of the keys")
 	c.PersistentFlags().StringVar(&f.operator, "as", os.Getenv("USER"), "operator whose certificate is shown")
@@ -57,7 +59,8 @@
 }
 
 func (a *app) check() *cobra.Command {
-	c := &cobra.Command{Use: "check FILE [REVISION.json]", Short: "Checks a fleet file, and a revision for its instances",
+	c := &cobra.Command{
+		Use: "check FILE [REVISION.json]", Short: "Checks a fleet file, and a revision for its instances",
 		Example: "  stoatctl fleet check deploy/fleet.sexp winter.json", Args: cobra.RangeArgs(1, 2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			f, err := layout.Load(args[0])
@@ -85,14 +88,16 @@
 				return refuse("no rollout is possible with these floors: %s", t.Explain(why))
 			}
 			return nil
-		}}
+		},
+	}
 	a.asJSON(c)
 	return c
 }
 
 func (a *app) status(f *fleetFlags) *cobra.Command {
 	var watch time.Duration
-	c := &cobra.Command{Use: "status", Short: "Shows agents, instances, the rollout and who holds the claim",
+	c := &cobra.Command{
+		Use: "status", Short: "Shows agents, instances, the rollout and who holds the claim",
 		Long: "Exit status 1 if an agent cannot be heard.", Example: "  stoatctl fleet status --watch 2s", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			t, err := f.open(a)
@@ -120,7 +125,8 @@
 				}
 				return nil
 			}
-		}}
+		},
+	}
 	c.Flags().DurationVar(&watch, "watch", 0, "show it again each so often, until interrupted")
 	a.asJSON(c)
 	return c
@@ -169,7 +175,8 @@
 }
 
 func (a *app) diff(f *fleetFlags) *cobra.Command {
-	c := &cobra.Command{Use: "diff REVISION [REVISION]", Short: "Shows what a revision changes, and how each instance would take it",
+	c := &cobra.Command{
+		Use: "diff REVISION [REVISION]", Short: "Shows what a revision changes, and how each instance would take it",
 		Long:    "REVISION is a file, the name of a pushed revision or the beginning of its digest. With one, it is held against what runs.",
 		Example: "  stoatctl fleet diff winter.json\n  stoatctl fleet diff autumn winter", Args: cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -179,7 +186,8 @@
 			}
 			defer t.Close()
 			return a.differ(cmd.Context(), t, args)
-		}}
+		},
+	}
 	a.asJSON(c)
 	return c
 }
@@ -250,7 +258,8 @@
 
 func (a *app) push(f *fleetFlags) *cobra.Command {
 	var name string
-	c := &cobra.Command{Use: "push FILE", Short: "Has every agent keep a revision; nothing runs it yet",
+	c := &cobra.Command{
+		Use: "push FILE", Short: "Has every agent keep a revision; nothing runs it yet",
 		Long: "The file is what all routers share: the document of GW_CONFIG without name, listen and seed. It is checked by the\n" +
 			"router's own reader for every instance before any agent is asked, and again at the agents. Exit status 4 if some\n" +
 			"agents could not take it: push again once they can be heard.",
@@ -281,7 +290,8 @@
 				return status(Paused, fmt.Errorf("%d agents do not keep the revision", len(p.Missing)))
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVar(&name, "name", "", "name to find the revision by")
 	a.asJSON(c)
 	return c
@@ -303,7 +313,8 @@
 func (a *app) roll(f *fleetFlags) *cobra.Command {
 	var d driving
 	var restart, dry bool
-	c := &cobra.Command{Use: "roll REVISION", Short: "Brings a pushed revision to all instances, one at a time",
+	c := &cobra.Command{
+		Use: "roll REVISION", Short: "Brings a pushed revision to all instances, one at a time",
 		Long: "Each instance is drained, changed, seen ready and watched for the soak before the next is touched. If it does not come\n" +
 			"up, or leaves a larger share of commands unanswered than before, all that were touched go back by themselves.",
 		Example: "  stoatctl fleet roll winter\n  stoatctl fleet roll winter --dry-run", Args: cobra.ExactArgs(1),
@@ -321,7 +332,8 @@
 				return a.differ(cmd.Context(), t, []string{r.Digest})
 			}
 			return a.drive(cmd.Context(), t, t.Begin(r, restart), &d)
-		}}
+		},
+	}
 	d.flags(c)
 	c.Flags().BoolVar(&restart, "restart", false, "restart also where a reload would do, as after a new program was put in place")
 	c.Flags().BoolVar(&dry, "dry-run", false, "only show what would change")
@@ -331,7 +343,8 @@
 
 func (a *app) resume(f *fleetFlags) *cobra.Command {
 	var d driving
-	c := &cobra.Command{Use: "resume", Short: "Goes on with the rollout that paused, or whose tool is gone",
+	c := &cobra.Command{
+		Use: "resume", Short: "Goes on with the rollout that paused, or whose tool is gone",
 		Example: "  stoatctl fleet resume --leave-out n7", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			t, err := f.open(a)
@@ -340,7 +353,8 @@
 			}
 			defer t.Close()
 			return a.drive(cmd.Context(), t, roll.Task{Verb: roll.Resume, By: t.Operator}, &d)
-		}}
+		},
+	}
 	d.flags(c)
 	a.asJSON(c)
 	return c
@@ -348,7 +362,8 @@
 
 func (a *app) rollback(f *fleetFlags) *cobra.Command {
 	var d driving
-	c := &cobra.Command{Use: "rollback [REVISION]", Short: "Takes the newest rollout back, or rolls an earlier revision out",
+	c := &cobra.Command{
+		Use: "rollback [REVISION]", Short: "Takes the newest rollout back, or rolls an earlier revision out",
 		Long:    "Without a name, each instance that the newest rollout touched goes back to what it ran before.",
 		Example: "  stoatctl fleet rollback\n  stoatctl fleet rollback autumn", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -369,7 +384,8 @@
 				return a.wish(ctx, t, r, plan.Rollback)
 			}
 			return a.drive(ctx, t, roll.Task{Verb: roll.Rollback, By: t.Operator}, &d)
-		}}
+		},
+	}
 	d.flags(c)
 	a.asJSON(c)
 	return c
@@ -377,7 +393,8 @@
 
 func (a *app) halt(f *fleetFlags, use, short string, w plan.Wish, verb roll.Verb) *cobra.Command {
 	var d driving
-	c := &cobra.Command{Use: use, Short: short,
+	c := &cobra.Command{
+		Use: use, Short: short,
 		Long: "If a tool drives the rollout it is asked, and does so once its step has ended. Else this tool does it.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -391,7 +408,8 @@
 				return a.wish(cmd.Context(), t, r, w)
 			}
 			return a.drive(cmd.Context(), t, roll.Task{Verb: verb, By: t.Operator}, &d)
-		}}
+		},
+	}
 	c.Flags().BoolVar(&d.takeOver, "take-over", false, "do not ask the tool that drives: take the claim from it")
 	a.asJSON(c)
 	return c
@@ -425,7 +443,8 @@
 }
 
 func (a *app) history(f *fleetFlags) *cobra.Command {
-	c := &cobra.Command{Use: "history", Short: "Lists revisions and rollouts, newest first", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "history", Short: "Lists revisions and rollouts, newest first", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			t, err := f.open(a)
 			if err != nil {
@@ -465,13 +484,15 @@
 				}
 				g.Render()
 			})
-		}}
+		},
+	}
 	a.asJSON(c)
 	return c
 }
 
 func (a *app) claimed(f *fleetFlags) *cobra.Command {
-	c := &cobra.Command{Use: "claim", Short: "Tells who may change the fleet, since when and until when", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "claim", Short: "Tells who may change the fleet, since when and until when", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			t, err := f.open(a)
 			if err != nil {
@@ -480,7 +501,8 @@
 			defer t.Close()
 			s := t.Status(cmd.Context())
 			return a.show(s.Claim, func(w io.Writer) { printClaim(w, s.Claim) })
-		}}
+		},
+	}
 	a.asJSON(c)
 	return c
 }
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -16,35 +16,42 @@
 
 func (a *app) keys() *cobra.Command {
 	var folder string
-	c := &cobra.Command{Use: "keys", Short: "Makes, renews and shows the certificates of a fleet",
+	c := &cobra.Command{
+		Use: "keys", Short: "Makes, renews and shows the certificates of a fleet",
 		Long: "The fleet's authority and its certificates lie in one folder. Agents and operators need authority.pem and their own\n" +
 			"file of it; authority.key.pem stays with whoever issues. Files may be replaced while agents run: the next\n" +
-			"connection uses them."}
+			"connection uses them.",
+	}
 	c.PersistentFlags().StringVar(&folder, "keys", "keys", "folder of the keys")
 
 	var lasts int
-	initial := &cobra.Command{Use: "init FLEET", Short: "Makes the fleet's authority", Args: cobra.ExactArgs(1),
+	initial := &cobra.Command{
+		Use: "init FLEET", Short: "Makes the fleet's authority", Args: cobra.ExactArgs(1),
 		Example: "  stoatctl keys init haulage --days 3650",
 		RunE: func(_ *cobra.Command, args []string) error {
 			if certs, err := keys.Folder(folder).Show(); err == nil && len(certs) > 0 {
 				return refuse("%s holds certificates already: stoatctl keys renew-authority keeps the old ones trusted", folder)
 			}
 			return status(Failed, keys.Folder(folder).MakeAuthority(args[0], time.Duration(lasts)*day, time.Now()))
-		}}
-	renew := &cobra.Command{Use: "renew-authority FLEET", Short: "Makes a new authority beside the old, which stays trusted until it runs out",
+		},
+	}
+	renew := &cobra.Command{
+		Use: "renew-authority FLEET", Short: "Makes a new authority beside the old, which stays trusted until it runs out",
 		Long: "Bring authority.pem to all agents and operators first, then issue and bring their own files: at no moment is\n" +
 			"anybody refused.",
 		Args: cobra.ExactArgs(1), Example: "  stoatctl keys renew-authority haulage",
 		RunE: func(_ *cobra.Command, args []string) error {
 			return status(Failed, keys.Folder(folder).MakeAuthority(args[0], time.Duration(lasts)*day, time.Now()))
-		}}
+		},
+	}
 	for _, x := range []*cobra.Command{initial, renew} {
 		x.Flags().IntVar(&lasts, "days", 3650, "days that the authority lasts")
 	}
 
 	var days int
 	var fleet string
-	issue := &cobra.Command{Use: "issue agent|operator NAME...", Short: "Makes or renews certificates",
+	issue := &cobra.Command{
+		Use: "issue agent|operator NAME...", Short: "Makes or renews certificates",
 		Example: "  stoatctl keys issue operator ayla\n  stoatctl keys issue agent --fleet deploy/fleet.sexp     # all agents of the file",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -67,12 +74,14 @@
 				}
 			}
 			return nil
-		}}
+		},
+	}
 	issue.Flags().IntVar(&days, "days", 365, "days that a certificate lasts")
 	issue.Flags().StringVar(&fleet, "fleet", "", "issue for all agents of this fleet file")
 
 	var warn int
-	show := &cobra.Command{Use: "show", Short: "Lists the certificates and until when they count",
+	show := &cobra.Command{
+		Use: "show", Short: "Lists the certificates and until when they count",
 		Long: "Exit status 1 if one has run out or runs out within --warn days.", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			certs, err := keys.Folder(folder).Show()
@@ -94,7 +103,8 @@
 				}
 			}
 			return nil
-		}}
+		},
+	}
 	show.Flags().IntVar(&warn, "warn", 0, "days before the end from which a certificate is told of")
 	a.asJSON(show)
 	c.AddCommand(initial, renew, issue, show)
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -21,8 +21,10 @@
 )
 
 func (a *app) lab() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "Plays experiments on a model of deployments, in virtual time",
-		Long: "Exit status 1 if the module breaks a rule, 4 if an experiment ended before it was complete."}
+	c := &cobra.Command{
+		Use: "lab", Short: "Plays experiments on a model of deployments, in virtual time",
+		Long: "Exit status 1 if the module breaks a rule, 4 if an experiment ended before it was complete.",
+	}
 	c.AddCommand(a.labRun(), a.labCompare(), a.labReport())
 	return group(c)
 }
@@ -40,7 +42,8 @@
 func (a *app) labRun() *cobra.Command {
 	var out string
 	var workers int
-	c := &cobra.Command{Use: "run FILE", Short: "Plays an experiment: every policy with every seed", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use: "run FILE", Short: "Plays an experiment: every policy with every seed", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
@@ -77,7 +80,8 @@
 				return status(Failed, fmt.Errorf("experiment %s: the module broke a rule", spec.Name))
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVar(&out, "out", "", "folder for the experiment's file and all figures")
 	c.Flags().IntVar(&workers, "workers", 0, "cores; 0: all")
 	a.asJSON(c)
@@ -85,7 +89,8 @@
 }
 
 func (a *app) labCompare() *cobra.Command {
-	c := &cobra.Command{Use: "compare A B", Short: "Compares two experiments that were kept, paired by seed", Args: cobra.ExactArgs(2),
+	c := &cobra.Command{
+		Use: "compare A B", Short: "Compares two experiments that were kept, paired by seed", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var runs [2][]sim.Run
 			for i, dir := range args {
@@ -102,18 +107,22 @@
 			return a.show(d, func(w io.Writer) {
 				t := grid(w, "policy", "pairs", args[0], args[1], "difference", "nine in ten", "")
 				for _, x := range d {
-					t.AppendRow(table.Row{x.Policy, x.Pairs, fmt.Sprintf("%.4f", x.A), fmt.Sprintf("%.4f", x.B), fmt.Sprintf("%+.4f", x.Mean),
-						fmt.Sprintf("%+.4f to %+.4f", x.Low, x.High), x.Told()})
+					t.AppendRow(table.Row{
+						x.Policy, x.Pairs, fmt.Sprintf("%.4f", x.A), fmt.Sprintf("%.4f", x.B), fmt.Sprintf("%+.4f", x.Mean),
+						fmt.Sprintf("%+.4f to %+.4f", x.Low, x.High), x.Told(),
+					})
 				}
 				t.Render()
 			})
-		}}
+		},
+	}
 	a.asJSON(c)
 	return c
 }
 
 func (a *app) labReport() *cobra.Command {
-	return &cobra.Command{Use: "report DIR", Short: "Makes the page of an experiment that was kept anew", Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use: "report DIR", Short: "Makes the page of an experiment that was kept anew", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			p, err := keptPlayed(args[0])
 			if err != nil {
@@ -131,7 +140,8 @@
 				return fmt.Errorf("experiment: %w", err)
 			}
 			return nil
-		}}
+		},
+	}
 }
 
 func keptPlayed(dir string) (p played, err error) {
@@ -171,8 +181,10 @@
 func showPlayed(w io.Writer, p played, took float64) {
 	t := grid(w, "policy", "service", "least", "most", "in target", "reads on primary", "dispatches", "rules broken")
 	for _, r := range p.Policies {
-		t.AppendRow(table.Row{r.Policy, fmt.Sprintf("%.3f", r.Service), fmt.Sprintf("%.3f", r.Least), fmt.Sprintf("%.3f", r.Most), fmt.Sprintf("%.3f", r.InTarget),
-			fmt.Sprintf("%.3f", r.Primary), fmt.Sprintf("%.2f", r.Dispatches), strings.Join(r.Broken, "; ")})
+		t.AppendRow(table.Row{
+			r.Policy, fmt.Sprintf("%.3f", r.Service), fmt.Sprintf("%.3f", r.Least), fmt.Sprintf("%.3f", r.Most), fmt.Sprintf("%.3f", r.InTarget),
+			fmt.Sprintf("%.3f", r.Primary), fmt.Sprintf("%.2f", r.Dispatches), strings.Join(r.Broken, "; "),
+		})
 	}
 	t.Render()
 	fmt.Fprintf(w, "%s: %d commands in %d runs, %.1f s\n", p.Name, p.Commands, len(p.Runs), took)
--- a/internal/drill/claims.go
+++ b/internal/drill/claims.go
@@ -150,8 +150,10 @@
 }
 
 func newTheatre(c Claims, n int, r *ClaimsReport) *theatre {
-	w := &theatre{Claims: c, n: n, report: r, rng: rand.New(rand.NewPCG(c.Seed, uint64(n))), acts: map[string]int64{},
-		limits: tend.DefaultLimits()}
+	w := &theatre{
+		Claims: c, n: n, report: r, rng: rand.New(rand.NewPCG(c.Seed, uint64(n))), acts: map[string]int64{},
+		limits: tend.DefaultLimits(),
+	}
 	w.limits.Probe, w.limits.Count, w.limits.Settle = 0.2, 5, 1
 	count := 3 + w.rng.IntN(3)
 	w.fleet = &plan.Fleet{Halls: []int{0}, Floor: 1, Times: plan.Times{Soak: 0.3, Fresh: 1.5, Contact: 6, Step: 20}}
@@ -321,8 +323,10 @@
 		return
 	}
 	if a.open != "" {
-		w.ops = append(w.ops, porcupine.Operation{ClientId: 100 + a.i, Input: deed{end: true, step: a.open},
-			Call: w.stamp(), Return: w.stamp()})
+		w.ops = append(w.ops, porcupine.Operation{
+			ClientId: 100 + a.i, Input: deed{end: true, step: a.open},
+			Call: w.stamp(), Return: w.stamp(),
+		})
 		if r.End == plan.Undone {
 			w.report.Undone++
 		}
@@ -341,8 +345,10 @@
 	if !known {
 		call = w.stamp() // a step that nobody had kept: the history will tell
 	}
-	w.ops = append(w.ops, porcupine.Operation{ClientId: 200 + len(w.ops), Input: deed{epoch: d.Epoch, holder: d.Holder, step: name},
-		Call: call, Return: w.stamp()})
+	w.ops = append(w.ops, porcupine.Operation{
+		ClientId: 200 + len(w.ops), Input: deed{epoch: d.Epoch, holder: d.Holder, step: name},
+		Call: call, Return: w.stamp(),
+	})
 }
 
 // stamp is a time for the history: all that happens is in one order.
@@ -357,8 +363,10 @@
 	t.life++
 	w.spoken++
 	t.holder = fmt.Sprint("operator ", t.i, ".", w.spoken)
-	task := roll.Task{Verb: roll.Begin, By: t.holder, Takeover: w.rng.IntN(4) == 0,
-		Rollout: form.Rollout{Rollout: plan.Rollout{ID: t.holder, Revision: fmt.Sprint("r", w.spoken)}}}
+	task := roll.Task{
+		Verb: roll.Begin, By: t.holder, Takeover: w.rng.IntN(4) == 0,
+		Rollout: form.Rollout{Rollout: plan.Rollout{ID: t.holder, Revision: fmt.Sprint("r", w.spoken)}},
+	}
 	if t.last.ID != "" && !t.last.State.Over() {
 		task.Verb = []roll.Verb{roll.Resume, roll.Resume, roll.Rollback, roll.Abandon}[w.rng.IntN(4)]
 	}
@@ -396,8 +404,10 @@
 					t.holder, e.Stamp, t.found)
 			}
 			w.report.Claims++
-			w.ops = append(w.ops, porcupine.Operation{ClientId: t.i, Input: deed{claim: true, epoch: e.Claimed, holder: t.holder},
-				Call: t.bidding, Return: w.stamp()})
+			w.ops = append(w.ops, porcupine.Operation{
+				ClientId: t.i, Input: deed{claim: true, epoch: e.Claimed, holder: t.holder},
+				Call: t.bidding, Return: w.stamp(),
+			})
 		}
 	}
 	for _, s := range sends {
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -214,18 +214,24 @@
 // layOut writes the fleet file: three halls, one agent an instance.
 func (s *stage) layOut() error {
 	away := s.away()
-	f := layout.Fleet{Name: "drill", Floor: s.Instances - away, Times: layout.Times{Soak: 0.3, Fresh: 1, Contact: 6, Step: 60,
-		Claim: 4, Look: 0.1, Ready: 10, Grace: 1}}
+	f := layout.Fleet{Name: "drill", Floor: s.Instances - away, Times: layout.Times{
+		Soak: 0.3, Fresh: 1, Contact: 6, Step: 60,
+		Claim: 4, Look: 0.1, Ready: 10, Grace: 1,
+	}}
 	halls := min(3, s.Instances/2)
 	counts := make([]int, halls)
 	for i := range s.Instances {
 		hall, agent := i*halls/s.Instances, fmt.Sprint("a", i+1)
 		counts[hall]++
 		host := stand.Host()
-		f.Agents = append(f.Agents, layout.Agent{Name: agent, Hall: fmt.Sprint("hall", hall+1),
-			Listen: netip.MustParseAddrPort(host + ":7400"), Folder: filepath.Join(s.dir, agent), Program: s.Router})
-		f.Instances = append(f.Instances, layout.Instance{Name: fmt.Sprint("n", i+1), Agent: agent,
-			Listen: netip.MustParseAddrPort(host + ":5432")})
+		f.Agents = append(f.Agents, layout.Agent{
+			Name: agent, Hall: fmt.Sprint("hall", hall+1),
+			Listen: netip.MustParseAddrPort(host + ":7400"), Folder: filepath.Join(s.dir, agent), Program: s.Router,
+		})
+		f.Instances = append(f.Instances, layout.Instance{
+			Name: fmt.Sprint("n", i+1), Agent: agent,
+			Listen: netip.MustParseAddrPort(host + ":5432"),
+		})
 		s.load.Routers = append(s.load.Routers, host+":5432")
 	}
 	for i, n := range counts {
@@ -284,7 +290,8 @@
 
 func (s *stage) push(ctx context.Context, sockets int, name string) (string, error) {
 	doc := stand.Deployment(s.list.At, clientTimeout.Seconds(), map[string]any{
-		"limits": map[string]any{"memory_mb": 48, "sockets": sockets}})
+		"limits": map[string]any{"memory_mb": 48, "sockets": sockets},
+	})
 	content, err := revision.Canonical(name, stand.JSON(doc))
 	if err != nil {
 		return "", err
--- a/internal/drill/status.go
+++ b/internal/drill/status.go
@@ -64,8 +64,10 @@
 	}
 	r := form.Reply{Agent: c.name, Program: "stand-in", Standing: claim.Standing{Epoch: 3}}
 	for _, n := range c.names {
-		r.Instances = append(r.Instances, form.Told{Name: n, Listen: "127.0.0.1:5432", Sight: plan.Sight{Life: plan.Ready,
-			Revision: "0123456789abcdef0123456789abcdef", Recent: plan.Tally{Ended: 1000, Unanswered: 3}, ReadyFor: 100}})
+		r.Instances = append(r.Instances, form.Told{Name: n, Listen: "127.0.0.1:5432", Sight: plan.Sight{
+			Life:     plan.Ready,
+			Revision: "0123456789abcdef0123456789abcdef", Recent: plan.Tally{Ended: 1000, Unanswered: 3}, ReadyFor: 100,
+		}})
 	}
 	return r, nil
 }
@@ -104,8 +106,10 @@
 	if err := folder.Issue(keys.Operator, operatorName, time.Minute*30, time.Now()); err != nil {
 		return Size{}, err
 	}
-	f := &layout.Fleet{Name: "sizes", Floor: n - 1, Halls: []layout.Hall{{Name: "h", Floor: n - 1}},
-		Times: layout.Times{Soak: 1, Fresh: 10, Contact: 30, Step: 60, Claim: 60, Look: 5, Ready: 10}}
+	f := &layout.Fleet{
+		Name: "sizes", Floor: n - 1, Halls: []layout.Hall{{Name: "h", Floor: n - 1}},
+		Times: layout.Times{Soak: 1, Fresh: 10, Contact: 30, Step: 60, Claim: 60, Look: 5, Ready: 10},
+	}
 	var servers []*api.Server
 	defer func() {
 		for _, x := range servers {
@@ -120,14 +124,18 @@
 		}
 		for i := first; i < min(n, first+s.PerAgent); i++ {
 			a.names = append(a.names, fmt.Sprint("n", i))
-			f.Instances = append(f.Instances, layout.Instance{Name: fmt.Sprint("n", i), Agent: a.name,
-				Listen: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 5432)})
+			f.Instances = append(f.Instances, layout.Instance{
+				Name: fmt.Sprint("n", i), Agent: a.name,
+				Listen: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 5432),
+			})
 		}
 		if err := folder.Issue(keys.Agent, a.name, time.Minute*30, time.Now()); err != nil {
 			return Size{}, err
 		}
-		f.Agents = append(f.Agents, layout.Agent{Name: a.name, Hall: "h", Folder: dir, Program: "none",
-			Listen: netip.MustParseAddrPort(l.Addr().String())})
+		f.Agents = append(f.Agents, layout.Agent{
+			Name: a.name, Hall: "h", Folder: dir, Program: "none",
+			Listen: netip.MustParseAddrPort(l.Addr().String()),
+		})
 		server := api.NewServer(l, a, folder.Source(keys.Agent, a.name), api.Spoken, zerolog.Nop())
 		servers = append(servers, server)
 		go func() { _ = server.Serve() }()
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -75,9 +75,11 @@
 	if err != nil {
 		return err
 	}
-	t := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: "fleet " + fleet},
+	t := &x509.Certificate{
+		SerialNumber: serial, Subject: pkix.Name{CommonName: "fleet " + fleet},
 		NotBefore: now.Add(-skew), NotAfter: now.Add(lasts), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
-		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature}
+		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature,
+	}
 	raw, err := x509.CreateCertificate(rand.Reader, t, t, key.Public(), key)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
@@ -142,9 +144,11 @@
 	if err != nil {
 		return err
 	}
-	t := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: string(r) + " " + name},
+	t := &x509.Certificate{
+		SerialNumber: serial, Subject: pkix.Name{CommonName: string(r) + " " + name},
 		NotBefore: now.Add(-skew), NotAfter: now.Add(lasts), KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}, URIs: []*url.URL{id(r, name)}}
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}, URIs: []*url.URL{id(r, name)},
+	}
 	raw, err := x509.CreateCertificate(rand.Reader, t, ca.Leaf, key.Public(), ca.PrivateKey)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
@@ -307,7 +311,8 @@
 		if err != nil {
 			return nil, refuse(err)
 		}
-		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{own}, SessionTicketsDisabled: true,
+		return &tls.Config{
+			MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{own}, SessionTicketsDisabled: true,
 			ClientAuth: tls.RequireAnyClientCert, NextProtos: []string{"http/1.1"},
 			VerifyConnection: func(c tls.ConnectionState) error {
 				_, err := s.verify(pool, c.PeerCertificates, Operator, "")
@@ -315,7 +320,8 @@
 					return refuse(err)
 				}
 				return nil
-			}}, nil
+			},
+		}, nil
 	}}
 }
 
@@ -326,11 +332,13 @@
 		return nil, err
 	}
 	// The names of hosts play no part: what counts is who the agent is.
-	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{own}, InsecureSkipVerify: true,
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{own}, InsecureSkipVerify: true,
 		VerifyConnection: func(c tls.ConnectionState) error {
 			_, err := s.verify(pool, c.PeerCertificates, Agent, agent)
 			return err
-		}}, nil
+		},
+	}, nil
 }
 
 // verify tells who shows a certificate, or why it is not taken. An empty role or name stands for any.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -60,8 +60,16 @@
 	dashes []vg.Length
 	width  vg.Length
 	shade  uint8
-}{{nil, 2.5, 0}, {nil, 1, 0}, {[]vg.Length{8, 3}, 1.5, 0}, {[]vg.Length{2, 2}, 1.5, 0}, {[]vg.Length{8, 2, 2, 2}, 1.5, 0}, {nil, 2.5, 150},
-	{[]vg.Length{8, 3}, 2.5, 150}, {[]vg.Length{2, 2}, 2.5, 150}}
+}{
+	{nil, 2.5, 0},
+	{nil, 1, 0},
+	{[]vg.Length{8, 3}, 1.5, 0},
+	{[]vg.Length{2, 2}, 1.5, 0},
+	{[]vg.Length{8, 2, 2, 2}, 1.5, 0},
+	{nil, 2.5, 150},
+	{[]vg.Length{8, 3}, 2.5, 150},
+	{[]vg.Length{2, 2}, 2.5, 150},
+}
 
 // Chart draws the curves as SVG, with the faults marked where they begin and end.
 func Chart(s *world.Spec, curves []Curve) (string, error) {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -22,9 +22,14 @@
 		}
 		return t
 	}
-	return []sim.Run{{Policy: "module", Seed: 1, Service: 0.9, Tally: series(10, 8)}, {Policy: "module", Seed: 2, Service: 0.7, Tally: series(10, 4, 5)},
-		{Policy: "any", Seed: 1, Service: 0.2, Tally: series(0, 2), Groups: []sim.Group{{Name: "a<b", Answered: 3, P50: 0.0123}},
-			Broken: map[string]string{"a rule": "so"}}}
+	return []sim.Run{
+		{Policy: "module", Seed: 1, Service: 0.9, Tally: series(10, 8)},
+		{Policy: "module", Seed: 2, Service: 0.7, Tally: series(10, 4, 5)},
+		{
+			Policy: "any", Seed: 1, Service: 0.2, Tally: series(0, 2), Groups: []sim.Group{{Name: "a<b", Answered: 3, P50: 0.0123}},
+			Broken: map[string]string{"a rule": "so"},
+		},
+	}
 }
 
 func TestCurvesAreOverAllSeeds(t *testing.T) {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -53,11 +53,13 @@
 }
 
 func TestModuleKeepsAllRulesUnderEveryFault(t *testing.T) {
-	for _, fault := range []string{"", "(fault crash (set 0) (member 0) (at 2s) (for 1s))", "(fault crash (set 0) (member 1) (at 2s) (for 1s))",
+	for _, fault := range []string{
+		"", "(fault crash (set 0) (member 0) (at 2s) (for 1s))", "(fault crash (set 0) (member 1) (at 2s) (for 1s))",
 		"(fault hang (set 0) (member 1) (at 2s) (for 2s))", "(fault hang (set 0) (member 0) (at 2s) (for 1s))", "(fault cut (set 0) (member 2) (at 2s) (for 2s))",
 		"(fault slow (set 0) (member 1) (at 2s) (for 2s) (times 8))", "(fault drain (set 0) (member 1) (at 2s) (for 2s))",
 		"(fault elect (set 0) (member 1) (at 2s))", "(fault restart (router 0) (at 2s))",
-		"(fault crash (set 0) (member 1) (at 2s) (for 1s)) (fault crash (set 0) (member 2) (at 2s) (for 1s)) (fault restart (router 1) (at 3s))"} {
+		"(fault crash (set 0) (member 1) (at 2s) (for 1s)) (fault crash (set 0) (member 2) (at 2s) (for 1s)) (fault restart (router 1) (at 3s))",
+	} {
 		s := small(t, "module", fault)
 		s.Seeds = []int{1, 2, 3}
 		for _, r := range run(t, s, 0) {
@@ -73,8 +75,11 @@
 	for _, x := range []struct {
 		policy, faults string
 		rate           float64 // of reads
-	}{{"any", "", 200}, {"window", "(fault slow (set 0) (member 1) (at 1s) (for 4s) (times 3))", 1500},
-		{"two-choices", "(fault crash (set 0) (member 1) (at 2s) (for 1s)) (fault crash (set 0) (member 2) (at 2s) (for 1s))", 1200}} {
+	}{
+		{"any", "", 200},
+		{"window", "(fault slow (set 0) (member 1) (at 1s) (for 4s) (times 3))", 1500},
+		{"two-choices", "(fault crash (set 0) (member 1) (at 2s) (for 1s)) (fault crash (set 0) (member 2) (at 2s) (for 1s))", 1200},
+	} {
 		s := small(t, x.policy, x.faults)
 		s.Groups[2].Rate, s.Fleet.Heavy, s.Fleet.HeavyApply = x.rate, 0.01, 0.5
 		for _, r := range run(t, s, 0) {
--- a/internal/lab/stand/router.go
+++ b/internal/lab/stand/router.go
@@ -89,8 +89,10 @@
 			if conduct.Load().Fails {
 				failed = counted / 2
 			}
-			say(map[string]any{"level": "info", "message": "counters",
-				"counters": map[string]int{"answered": counted - failed, "failed": failed}})
+			say(map[string]any{
+				"level": "info", "message": "counters",
+				"counters": map[string]int{"answered": counted - failed, "failed": failed},
+			})
 		case syscall.SIGHUP:
 			if _, c, err := read(); err != nil {
 				say(map[string]any{"level": "error", "message": "reload refused", "error": err.Error()})
--- a/internal/lab/stand/settings.go
+++ b/internal/lab/stand/settings.go
@@ -17,16 +17,24 @@
 	group := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "targetNs": timeout / 2 * 1e9, "deadlineNs": timeout * 1e9, "worth": 1}
 	}
-	settings := map[string]any{"balancers": 1, "tickNs": 5e6, "discovery": "push",
+	settings := map[string]any{
+		"balancers": 1, "tickNs": 5e6, "discovery": "push",
 		"classes": []any{group(Look, "pure"), group(Order, "side_effect")},
-		"familyInfo": map[string]any{"tokens": "kept", "guards": "none", "needsByClass": []string{"eventual", "mutate"},
-			"classBoundNs": []int{0, 0}},
+		"familyInfo": map[string]any{
+			"tokens": "kept", "guards": "none", "needsByClass": []string{"eventual", "mutate"},
+			"classBoundNs": []int{0, 0},
+		},
 		"loadInfo": map[string]any{"source": "probe", "fields": []string{"x0", "x1"}},
-		"limits": map[string]any{"mostTries": 4, "dialTimeoutNs": 1e9, "connIdleNs": 60e9, "cancel": true,
-			"probes": false, "retryAfter": true, "maxRetryAfterNs": 1e9},
-		"invariants": map[string]any{"startCapacity": 0.2, "rampTimeNs": 1e9, "overloadFactor": 2, "fallNs": 1e9}}
-	doc := map[string]any{"discovery": discovery, "settings": settings, "limits": map[string]any{"memory_mb": 48, "sockets": 256},
-		"known": json.RawMessage(List(0))}
+		"limits": map[string]any{
+			"mostTries": 4, "dialTimeoutNs": 1e9, "connIdleNs": 60e9, "cancel": true,
+			"probes": false, "retryAfter": true, "maxRetryAfterNs": 1e9,
+		},
+		"invariants": map[string]any{"startCapacity": 0.2, "rampTimeNs": 1e9, "overloadFactor": 2, "fallNs": 1e9},
+	}
+	doc := map[string]any{
+		"discovery": discovery, "settings": settings, "limits": map[string]any{"memory_mb": 48, "sockets": 256},
+		"known": json.RawMessage(List(0)),
+	}
 	maps.Copy(doc, more)
 	return doc
 }
--- a/internal/lab/world/instance.go
+++ b/internal/lab/world/instance.go
@@ -40,12 +40,16 @@
 // site is what the module is told of the world.
 func (r *instance) site() router.Site {
 	f := &r.w.spec.Fleet
-	s := router.Site{Routers: f.Routers, Me: r.me, Whole: 1, Tick: 0.005, ZeroAt: -logBefore, Brought: true, Reports: true, Cancel: true, Probes: true, Advice: true, MaxAdvice: 1,
-		Tries: 4, Dial: float64(f.Dial), ColdShare: f.ColdShare, WarmIn: float64(f.WarmIn), Overload: f.Overload, FallSpan: float64(f.FallSpan)}
+	s := router.Site{
+		Routers: f.Routers, Me: r.me, Whole: 1, Tick: 0.005, ZeroAt: -logBefore, Brought: true, Reports: true, Cancel: true, Probes: true, Advice: true, MaxAdvice: 1,
+		Tries: 4, Dial: float64(f.Dial), ColdShare: f.ColdShare, WarmIn: float64(f.WarmIn), Overload: f.Overload, FallSpan: float64(f.FallSpan),
+	}
 	for i := range r.w.spec.Groups {
 		g := &r.w.spec.Groups[i]
-		s.Groups = append(s.Groups, router.CommandGroup{Need: needs[g.Need], Effect: effects[g.Effect], Scope: router.InSet, Target: float64(g.Target),
-			Timeout: float64(g.Timeout), Benefit: g.Benefit, Late: g.Late, Bound: float64(g.Bound), Memory: float64(g.Memory)})
+		s.Groups = append(s.Groups, router.CommandGroup{
+			Need: needs[g.Need], Effect: effects[g.Effect], Scope: router.InSet, Target: float64(g.Target),
+			Timeout: float64(g.Timeout), Benefit: g.Benefit, Late: g.Late, Bound: float64(g.Bound), Memory: float64(g.Memory),
+		})
 	}
 	return s
 }
@@ -96,8 +100,10 @@
 func (r *instance) Dispatch(id uint32, number, node int, until float64) {
 	w, c, m := r.w, r.commands[id], r.w.members[node]
 	g := &w.spec.Groups[c.group]
-	w.check.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &verdict.Member{Set: m.set, Away: m.told == router.Draining,
-		AwaySince: m.toldAt})
+	w.check.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &verdict.Member{
+		Set: m.set, Away: m.told == router.Draining,
+		AwaySince: m.toldAt,
+	})
 	w.tally.Dispatches++
 	if needs[g.Need] != router.NeedWrite {
 		w.tally.Reads++
--- a/internal/lab/world/policy.go
+++ b/internal/lab/world/policy.go
@@ -100,8 +100,10 @@
 
 func baseline(choose func(b *simple, s *standing) []int) func(r *instance) Policy {
 	return func(r *instance) Policy {
-		return &simple{r: r, choose: choose, chance: rand.New(rand.NewPCG(r.w.seed, name("simple")+uint64(r.me)<<8+uint64(r.boots))),
-			out: make([]int, len(r.w.members)), wrote: map[uint64]float64{}, cmds: map[uint32]*standing{}}
+		return &simple{
+			r: r, choose: choose, chance: rand.New(rand.NewPCG(r.w.seed, name("simple")+uint64(r.me)<<8+uint64(r.boots))),
+			out: make([]int, len(r.w.members)), wrote: map[uint64]float64{}, cmds: map[uint32]*standing{},
+		}
 	}
 }
 
--- a/internal/lab/world/spec.go
+++ b/internal/lab/world/spec.go
@@ -79,8 +79,10 @@
 }
 
 var (
-	needs = map[string]router.Need{"write": router.NeedWrite, "current": router.NeedCurrent, "session": router.NeedSession,
-		"bound": router.NeedBound, "any": router.NeedAny}
+	needs = map[string]router.Need{
+		"write": router.NeedWrite, "current": router.NeedCurrent, "session": router.NeedSession,
+		"bound": router.NeedBound, "any": router.NeedAny,
+	}
 	effects = map[string]router.Effect{"replayable": router.Replayable, "keyed": router.Keyed, "mutating": router.Mutating}
 	lasting = map[string]bool{"crash": true, "hang": true, "cut": true, "slow": true, "drain": true, "elect": false, "restart": false}
 )
@@ -118,8 +120,14 @@
 		key         string
 		value       int
 		least, most int
-	}{{"routers", f.Routers, 1, 10_000}, {"sets", f.Sets, 1, 1000}, {"replicas", f.Replicas, 0, 20}, {"slots", f.Slots, 1, 1000},
-		{"queue", f.Queue, 0, 100_000}, {"sessions", f.Sessions, 1, 1_000_000}} {
+	}{
+		{"routers", f.Routers, 1, 10_000},
+		{"sets", f.Sets, 1, 1000},
+		{"replicas", f.Replicas, 0, 20},
+		{"slots", f.Slots, 1, 1000},
+		{"queue", f.Queue, 0, 100_000},
+		{"sessions", f.Sessions, 1, 1_000_000},
+	} {
 		if x.value < x.least || x.value > x.most {
 			return fault(f.Place, "%s is %d, and must be within %d and %d", x.key, x.value, x.least, x.most)
 		}
@@ -128,9 +136,18 @@
 		key   string
 		value float64
 		none  bool // may be 0
-	}{{"way", float64(f.Way), true}, {"dial", float64(f.Dial), false}, {"ship", float64(f.Ship), true}, {"apply", float64(f.Apply), true},
-		{"heavy-apply", float64(f.HeavyApply), true}, {"list", float64(f.List), true}, {"cold-share", f.ColdShare, false},
-		{"warm-in", float64(f.WarmIn), false}, {"overload", f.Overload, false}, {"fall-span", float64(f.FallSpan), false}} {
+	}{
+		{"way", float64(f.Way), true},
+		{"dial", float64(f.Dial), false},
+		{"ship", float64(f.Ship), true},
+		{"apply", float64(f.Apply), true},
+		{"heavy-apply", float64(f.HeavyApply), true},
+		{"list", float64(f.List), true},
+		{"cold-share", f.ColdShare, false},
+		{"warm-in", float64(f.WarmIn), false},
+		{"overload", f.Overload, false},
+		{"fall-span", float64(f.FallSpan), false},
+	} {
 		if x.value < 0 || x.value == 0 && !x.none {
 			return fault(f.Place, "%s is %g, and must be above 0", x.key, x.value)
 		}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -139,8 +139,10 @@
 	for set := range f.Sets {
 		var ms []*member
 		for i := range f.Replicas + 1 {
-			m := &member{w: w, node: len(w.members), set: set, primary: i == 0, slow: 1, started: math.Inf(-1), told: router.Ready,
-				applied: math.Inf(-1), working: map[*leg]bool{}, cold: w.budget()}
+			m := &member{
+				w: w, node: len(w.members), set: set, primary: i == 0, slow: 1, started: math.Inf(-1), told: router.Ready,
+				applied: math.Inf(-1), working: map[*leg]bool{}, cold: w.budget(),
+			}
 			ms = append(ms, m)
 			w.members = append(w.members, m)
 		}
@@ -156,8 +158,10 @@
 	for i := range s.Groups {
 		g := &s.Groups[i]
 		w.arrive = append(w.arrive, stream(seed, "arrive "+g.Name))
-		w.works = append(w.works, distuv.LogNormal{Mu: math.Log(float64(g.Work)) - g.Spread*g.Spread/2, Sigma: g.Spread,
-			Src: rand.NewPCG(uint64(seed), name("work "+g.Name))})
+		w.works = append(w.works, distuv.LogNormal{
+			Mu: math.Log(float64(g.Work)) - g.Spread*g.Spread/2, Sigma: g.Spread,
+			Src: rand.NewPCG(uint64(seed), name("work "+g.Name)),
+		})
 		w.nextArrival(i)
 	}
 	for _, x := range s.Faults {
@@ -198,8 +202,10 @@
 	for _, g := range w.spec.Groups {
 		rate, work = rate+g.Rate, work+g.Rate*float64(g.Work)
 	}
-	return verdict.Cold{Capacity: float64(f.Slots) * rate / math.Max(work, math.SmallestNonzeroFloat64), Share: f.ColdShare,
-		WarmIn: float64(f.WarmIn), Overload: f.Overload, FallSpan: float64(f.FallSpan)}
+	return verdict.Cold{
+		Capacity: float64(f.Slots) * rate / math.Max(work, math.SmallestNonzeroFloat64), Share: f.ColdShare,
+		WarmIn: float64(f.WarmIn), Overload: f.Overload, FallSpan: float64(f.FallSpan),
+	}
 }
 
 func (w *World) breaks(property, how string) {
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -43,17 +43,25 @@
 // Every checker is shown failing by a policy that breaks its rule, in a world in which the careful one breaks none.
 func TestEveryCheckerFails(t *testing.T) {
 	spec := func() *Spec {
-		return &Spec{Name: "rules", Seconds: 6, Seeds: []int{1},
-			Fleet: Fleet{Routers: 2, Sets: 1, Replicas: 1, Slots: 2, Queue: 20, Sessions: 20, Way: 0.002, Dial: 0.1, Ship: 0.01, Apply: 0.001, List: 0.2,
-				ColdShare: 0.2, WarmIn: 1, Overload: 9, FallSpan: 0.5},
-			Groups: []Group{{Name: "order", Need: "write", Effect: "mutating", Rate: 40, Work: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1},
+		return &Spec{
+			Name: "rules", Seconds: 6, Seeds: []int{1},
+			Fleet: Fleet{
+				Routers: 2, Sets: 1, Replicas: 1, Slots: 2, Queue: 20, Sessions: 20, Way: 0.002, Dial: 0.1, Ship: 0.01, Apply: 0.001, List: 0.2,
+				ColdShare: 0.2, WarmIn: 1, Overload: 9, FallSpan: 0.5,
+			},
+			Groups: []Group{
+				{Name: "order", Need: "write", Effect: "mutating", Rate: 40, Work: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1},
 				{Name: "keyed", Need: "write", Effect: "keyed", Rate: 40, Work: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1, Memory: 5},
-				{Name: "look", Need: "any", Effect: "replayable", Rate: 40, Work: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1}},
-			Faults: []Fault{{Kind: "drain", Member: 1, At: 1, For: 1}, {Kind: "hang", Member: 0, At: 2.5, For: 1}, {Kind: "crash", Member: 0, At: 4, For: 0.5}}}
+				{Name: "look", Need: "any", Effect: "replayable", Rate: 40, Work: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1},
+			},
+			Faults: []Fault{{Kind: "drain", Member: 1, At: 1, For: 1}, {Kind: "hang", Member: 0, At: 2.5, For: 1}, {Kind: "crash", Member: 0, At: 4, For: 0.5}},
+		}
 	}
 	defer delete(policies, "reckless")
-	for how, property := range map[string]string{"careful": "", "two at once": verdict.OneOut, "after the end": verdict.NotAfter,
-		"silent": verdict.OneAnswer, "again": verdict.NoRepeat, "drains": verdict.NoDraining} {
+	for how, property := range map[string]string{
+		"careful": "", "two at once": verdict.OneOut, "after the end": verdict.NotAfter,
+		"silent": verdict.OneAnswer, "again": verdict.NoRepeat, "drains": verdict.NoDraining,
+	} {
 		policies["reckless"] = func(r *instance) Policy {
 			choose := anyReplica
 			if how == "drains" {
