--- /dev/null
+++ b/docs/architecture_test.go
@@ -0,0 +1,304 @@
+// Package docs checks that the pages name what exists.
+package docs
+
+import (
+	"errors"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+const (
+	root            = ".."
+	modulePath      = "stoatdale.example/stoatdale"
+	seedOfTests     = "internal/lab/fixed" // imported by tests alone
+	labelWidth      = 14                   // of the diagram's first column, which names the layer
+	mostGlossary    = 40
+	fewestNamesRead = 100 // fewer would mean that the page is not read as it is written
+)
+
+var (
+	quotedName  = regexp.MustCompile("`([^`\n]+)`")
+	symbolName  = regexp.MustCompile(`^[a-z][a-z0-9]*(\.\w+){0,2}$`)
+	diagramName = regexp.MustCompile(`\b[a-z][a-z0-9]*\b`)
+	fence       = regexp.MustCompile("(?s)```.*?```")
+)
+
+// source is what the module declares. Folders are relative to the root.
+type source struct {
+	packages map[string]string          // name of a package, or of a program's folder, to its folder
+	symbols  map[string]map[string]bool // folder to "New", "Core" and "Core.Settle"
+	imports  map[string]map[string]bool // folder to folders of this module
+}
+
+func readSource(t *testing.T) source {
+	t.Helper()
+	s := source{packages: map[string]string{}, symbols: map[string]map[string]bool{}, imports: map[string]map[string]bool{}}
+	for _, top := range []string{"cmd", "internal", "service"} {
+		err := filepath.WalkDir(filepath.Join(root, top), func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			return s.addFile(path)
+		})
+		require.NoError(t, err)
+	}
+	return s
+}
+
+func (s *source) addFile(path string) error {
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		return err
+	}
+	folder, err := filepath.Rel(root, filepath.Dir(path))
+	if err != nil {
+		return err
+	}
+	folder = filepath.ToSlash(folder)
+	if err := s.addPackage(file.Name.Name, folder); err != nil {
+		return err
+	}
+	for _, imported := range file.Imports {
+		if path, own := strings.CutPrefix(strings.Trim(imported.Path.Value, `"`), modulePath+"/"); own {
+			s.imports[folder][path] = true
+		}
+	}
+	for _, declaration := range file.Decls {
+		addDeclaration(s.symbols[folder], declaration)
+	}
+	return nil
+}
+
+// addPackage notes a package's name. A program goes by its folder's name, unless a package has it.
+func (s *source) addPackage(name, folder string) error {
+	if s.symbols[folder] != nil {
+		return nil
+	}
+	s.symbols[folder], s.imports[folder] = map[string]bool{}, map[string]bool{}
+	isProgram := name == "main"
+	if isProgram {
+		name = path.Base(folder)
+	}
+	earlier, taken := s.packages[name]
+	switch {
+	case !taken || strings.HasPrefix(earlier, "cmd/"):
+		s.packages[name] = folder
+	case !isProgram:
+		return fmt.Errorf("two packages are named %s: %s and %s", name, earlier, folder)
+	}
+	return nil
+}
+
+func addDeclaration(symbols map[string]bool, declaration ast.Decl) {
+	switch d := declaration.(type) {
+	case *ast.FuncDecl:
+		if d.Recv == nil {
+			symbols[d.Name.Name] = true
+			return
+		}
+		symbols[receiver(d.Recv.List[0].Type)+"."+d.Name.Name] = true
+	case *ast.GenDecl:
+		for _, spec := range d.Specs {
+			switch x := spec.(type) {
+			case *ast.ValueSpec:
+				for _, name := range x.Names {
+					symbols[name.Name] = true
+				}
+			case *ast.TypeSpec:
+				addType(symbols, x)
+			}
+		}
+	}
+}
+
+func addType(symbols map[string]bool, spec *ast.TypeSpec) {
+	symbols[spec.Name.Name] = true
+	var members *ast.FieldList
+	switch x := spec.Type.(type) {
+	case *ast.StructType:
+		members = x.Fields
+	case *ast.InterfaceType:
+		members = x.Methods
+	default:
+		return
+	}
+	for _, field := range members.List {
+		for _, name := range field.Names {
+			symbols[spec.Name.Name+"."+name.Name] = true
+		}
+	}
+}
+
+// receiver is the name of a method's type.
+func receiver(expr ast.Expr) string {
+	switch x := expr.(type) {
+	case *ast.StarExpr:
+		return receiver(x.X)
+	case *ast.IndexExpr:
+		return receiver(x.X)
+	case *ast.Ident:
+		return x.Name
+	default:
+		return ""
+	}
+}
+
+// check returns an error if a name of a page is neither a file or folder, nor a package, nor a symbol of one.
+func (s *source) check(name string) error {
+	if strings.Contains(name, "/") {
+		if _, err := os.Stat(filepath.Join(root, name)); err != nil {
+			return fmt.Errorf("%s: there is no such file or folder", name)
+		}
+		return nil
+	}
+	if !symbolName.MatchString(name) {
+		return fmt.Errorf("%s is not written as a package, or as a symbol with its package", name)
+	}
+	pkg, symbol, hasSymbol := strings.Cut(name, ".")
+	folder, found := s.packages[pkg]
+	switch {
+	case !found:
+		return fmt.Errorf("%s: there is no package %s", name, pkg)
+	case hasSymbol && !s.symbols[folder][symbol]:
+		return fmt.Errorf("%s: %s declares no %s", name, folder, symbol)
+	}
+	return nil
+}
+
+// diagramRows returns the names in each row of a page's diagrams, from the top down. A line without a label goes on with
+// the row above it.
+func diagramRows(page string) [][]string {
+	var rows [][]string
+	for _, diagram := range fence.FindAllString(page, -1) {
+		for _, line := range strings.Split(diagram, "\n") {
+			if len(line) < labelWidth {
+				continue
+			}
+			names := diagramName.FindAllString(line[labelWidth:], -1)
+			if last := len(rows) - 1; last >= 0 && strings.TrimSpace(line[:labelWidth]) == "" {
+				rows[last] = append(rows[last], names...)
+				continue
+			}
+			rows = append(rows, names)
+		}
+	}
+	return rows
+}
+
+// checkLayers returns an error for each package that a page's diagrams do not show, or that imports one which they show
+// above it. A name that is shown twice, as that of a program and of a package, counts where it is shown last.
+func (s *source) checkLayers(page string) (errs []error) {
+	layers := map[string]int{} // of a package's folder, from the top down
+	for layer, row := range diagramRows(page) {
+		for _, name := range row {
+			layers[s.packages[name]] = layer
+		}
+	}
+	for name, folder := range s.packages {
+		if folder == seedOfTests {
+			continue
+		}
+		layer, shown := layers[folder]
+		if !shown {
+			errs = append(errs, fmt.Errorf("%s is not in the drawing of layers", name))
+		}
+		for imported := range s.imports[folder] {
+			if layers[imported] < layer {
+				errs = append(errs, fmt.Errorf("%s imports %s, which stands above it", folder, imported))
+			}
+		}
+	}
+	return errs
+}
+
+// checkPage returns the names that a page has in its text and its diagrams, and an error for each that does not exist.
+func (s *source) checkPage(page string) (names []string, errs []error) {
+	for _, row := range diagramRows(page) {
+		names = append(names, row...)
+	}
+	for _, quoted := range quotedName.FindAllStringSubmatch(fence.ReplaceAllString(page, ""), -1) {
+		names = append(names, quoted[1])
+	}
+	for _, name := range names {
+		if err := s.check(name); err != nil {
+			errs = append(errs, err)
+		}
+	}
+	return names, errs
+}
+
+func TestArchitecturePageNamesWhatExists(t *testing.T) {
+	page, err := os.ReadFile("architecture.md")
+	require.NoError(t, err)
+	s := readSource(t)
+	names, errs := s.checkPage(string(page))
+	assert.Empty(t, errs)
+	assert.GreaterOrEqual(t, len(names), fewestNamesRead)
+}
+
+func TestEveryPackageIsOnTheArchitecturePage(t *testing.T) {
+	page, err := os.ReadFile("architecture.md")
+	require.NoError(t, err)
+	for _, folder := range readSource(t).packages {
+		if folder != seedOfTests {
+			assert.Contains(t, string(page), "`"+folder+"`")
+		}
+	}
+}
+
+func TestPackagesImportOnlyTheirLayerAndBelow(t *testing.T) {
+	page, err := os.ReadFile("architecture.md")
+	require.NoError(t, err)
+	s := readSource(t)
+	assert.Empty(t, s.checkLayers(string(page)))
+
+	upsideDown := strings.Replace(string(page), " containers   buffer", " containers   stand", 1)
+	upsideDown = strings.Replace(upsideDown, "api  store                     stand", "api  store                     buffer", 1)
+	errs := s.checkLayers(upsideDown)
+	require.NotEmpty(t, errs, "a drawing that is wrong is told")
+	require.ErrorContains(t, errors.Join(errs...), "internal/pg imports internal/buffer, which stands above it")
+	missing := strings.Replace(string(page), "buffer  index", "index", 1)
+	require.ErrorContains(t, errors.Join(s.checkLayers(missing)...), "buffer is not in the drawing of layers")
+}
+
+func TestGlossaryIsShort(t *testing.T) {
+	page, err := os.ReadFile("architecture.md")
+	require.NoError(t, err)
+	_, glossary, found := strings.Cut(string(page), "## Glossary")
+	require.True(t, found)
+	rows := strings.Count(glossary, "\n| ") - 2 // without the head and the line below it
+	assert.Positive(t, rows)
+	assert.LessOrEqual(t, rows, mostGlossary)
+}
+
+func TestNameThatDoesNotExistIsAnError(t *testing.T) {
+	s := readSource(t)
+	page := "A `core.Core.Settle` in `internal/core`.\n\n```\n programs     stoatdale\n```\n"
+	_, errs := s.checkPage(page)
+	assert.Empty(t, errs)
+	for planted, says := range map[string]string{
+		"`core.Core.Planted`":               "declares no Core.Planted",
+		"`core.Planted`":                    "declares no Planted",
+		"`planted.Core`":                    "there is no package planted",
+		"`internal/planted`":                "there is no such file or folder",
+		"`internal/core/planted.go`":        "there is no such file or folder",
+		"`Planted`":                         "is not written as a package",
+		"```\n programs     planted\n```\n": "there is no package planted",
+	} {
+		_, errs := s.checkPage(page + planted)
+		require.Len(t, errs, 1, planted)
+		assert.ErrorContains(t, errs[0], says)
+	}
+}
