--- a/internal/lab/world/instance.go
+++ b/internal/lab/world/instance.go
@@ -40,12 +40,16 @@
 // site is what the module is told of the world.
 func (r *instance) site() router.Config {
 	f := &r.w.spec.Fleet
-	s := router.Config{RouterCount: f.Routers, Instance: r.me, TotalWeight: 1, BatchInterval: 0.005, PositionEpoch: -logBefore, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
-		MaxAttempts: 4, ConnectTimeout: float64(f.Dial), SlowStartFloor: f.ColdShare, SlowStart: float64(f.WarmIn), OverloadFactor: f.Overload, OverloadWindow: float64(f.FallSpan)}
+	s := router.Config{
+		RouterCount: f.Routers, Instance: r.me, TotalWeight: 1, BatchInterval: 0.005, PositionEpoch: -logBefore, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
+		MaxAttempts: 4, ConnectTimeout: float64(f.Dial), SlowStartFloor: f.ColdShare, SlowStart: float64(f.WarmIn), OverloadFactor: f.Overload, OverloadWindow: float64(f.FallSpan),
+	}
 	for i := range r.w.spec.Groups {
 		g := &r.w.spec.Groups[i]
-		s.CommandGroups = append(s.CommandGroups, router.CommandGroup{Consistency: needs[g.Need], Idempotency: effects[g.Effect], KeyScope: router.ShardScope, LatencyObjective: float64(g.Target),
-			ClientTimeout: float64(g.Timeout), PriorityWeight: g.Benefit, LateValue: g.Late, MaxStaleness: float64(g.Bound), IdempotencyWindow: float64(g.Memory)})
+		s.CommandGroups = append(s.CommandGroups, router.CommandGroup{
+			Consistency: needs[g.Need], Idempotency: effects[g.Effect], KeyScope: router.ShardScope, LatencyObjective: float64(g.Target),
+			ClientTimeout: float64(g.Timeout), PriorityWeight: g.Benefit, LateValue: g.Late, MaxStaleness: float64(g.Bound), IdempotencyWindow: float64(g.Memory),
+		})
 	}
 	return s
 }
@@ -96,8 +100,10 @@
 func (r *instance) Forward(id uint32, number, node int, until float64) {
 	w, c, m := r.w, r.commands[id], r.w.members[node]
 	g := &w.spec.Groups[c.group]
-	w.check.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &verdict.Member{Set: m.set, Away: m.told == router.Draining,
-		AwaySince: m.toldAt})
+	w.check.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &verdict.Member{
+		Set: m.set, Away: m.told == router.Draining,
+		AwaySince: m.toldAt,
+	})
 	w.tally.Dispatches++
 	if needs[g.Need] != router.PrimaryOnly {
 		w.tally.Reads++
