--- /dev/null
+++ b/internal/member/attempt.go
@@ -0,0 +1,70 @@
+package member
+
+import (
+	"strconv"
+
+	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/pg"
+	"stoatdale.example/stoatdale/internal/router"
+)
+
+// Dispatch is one sending of a command to a member.
+type Dispatch struct {
+	ID       uint32
+	Leg      int
+	Node     int
+	Text     *buffer.Chain // the statement, final zero included
+	From, To int           // where the digits of the time to wait stand in it
+	Until    float64       // when the router stops waiting
+
+	conn *conn
+	sent float64
+}
+
+// Send carries a dispatch out: over a standing connection, or a new one.
+func (m *Members) Send(d *Dispatch) {
+	m.count.Dispatches++
+	d.sent = m.loop.Now()
+	c := m.take(d.Node)
+	if c == nil {
+		m.sink.Ended(d, router.ConnectFailed, 0, nil)
+		return
+	}
+	d.conn, c.dispatch = c, d
+	c.begin()
+}
+
+// Recall gives a dispatch up: its connection is closed at once.
+func (m *Members) Recall(d *Dispatch) {
+	if d.conn != nil {
+		m.count.Recalls++
+		d.conn.end(router.Canceled)
+	}
+}
+
+// Unsent says that a dispatch's last byte has not been written.
+func (d *Dispatch) Unsent() bool { return d.conn == nil || d.conn.state != waiting }
+
+// write puts the statement out as it came but for the time to wait, which is what is left of it.
+func (c *conn) write(now float64) {
+	d := c.dispatch
+	left := strconv.Itoa(max(1, int((d.Until-now)*1000)))
+	n := d.Text.Len()
+	c.out.Write(pg.QueryHead(nil, n-(d.To-d.From)+len(left)))
+	d.Text.CopyTo(&c.out, 0, d.From)
+	c.out.Write([]byte(left))
+	d.Text.CopyTo(&c.out, d.To, n-d.To)
+}
+
+// ending reads the outcome off a whole answer.
+func ending(a *pg.Answer) router.Result {
+	switch {
+	case a.Served():
+		return router.Answered
+	case a.Refused(pg.CodeFull):
+		return router.Overloaded
+	case a.Refused(pg.CodeNotPrimary), a.Refused(pg.CodeBehind):
+		return router.NotServed
+	}
+	return router.Errored
+}
--- /dev/null
+++ b/internal/member/health_check.go
@@ -0,0 +1,26 @@
+package member
+
+import "stoatdale.example/stoatdale/internal/router"
+
+// Probe asks a member for its report.
+func (m *Members) Probe(node int) {
+	m.count.Probes++
+	c := m.take(node)
+	if c == nil {
+		m.count.ProbesFailed++
+		m.sink.Probed(node, router.ConnectFailed, 0, "")
+		return
+	}
+	c.probe, c.since = true, m.loop.Now()
+	c.begin()
+}
+
+func (c *conn) probed(e router.Result, took float64, report string) {
+	if e != router.Answered {
+		c.m.count.ProbesFailed++
+	}
+	if c.life != c.m.hosts[c.node].life { // it speaks for nobody who is known
+		return
+	}
+	c.m.sink.Probed(c.node, e, took, report)
+}
