--- a/internal/site/site_test.go
+++ b/internal/site/config_test.go
@@ -1,8 +1,6 @@
 package site
 
 import (
-	"fmt"
-	"math"
 	"os"
 	"path/filepath"
 	"strings"
@@ -54,13 +52,6 @@
 	assert.Less(t, int64(s.Limits.Counts.BufferBlocks*s.Limits.Sizes.BufferBlock), s.Limits.Sizes.Memory)
 }
 
-func TestLimitsHaveDefaults(t *testing.T) {
-	s, err := load(t, strings.Replace(configText, `"memory_mb":100,"sockets":600`, "", 1), nil)
-	require.NoError(t, err)
-	assert.Equal(t, int64(defaultMemoryMB)<<20, s.Limits.Sizes.Memory)
-	assert.Equal(t, defaultSockets, s.Limits.Counts.Sockets)
-}
-
 func TestFaultsNameTheKey(t *testing.T) {
 	for says, change := range map[string][2]string{
 		"name is missing":               {`"name":"n3"`, `"nam":"n3"`},
@@ -95,36 +86,6 @@
 	}
 }
 
-// Whatever call or pause discovery's return meets is over well before what it has binds, under any settings; so is a
-// connection that was begun when a member was told to drain.
-func TestTimesOfTheListAndOfDialsFitTheGrace(t *testing.T) {
-	for _, grace := range []float64{0.05, 0.25, 0.5, 1, 2, 30} {
-		s, err := load(t, strings.Replace(configText, `"overloadFactor"`, fmt.Sprintf(`"stopSendingWithinNs":%g,"overloadFactor"`, grace*1e9), 1), nil)
-		require.NoError(t, err)
-		l := s.Limits
-		assert.LessOrEqual(t, l.Durations.SilenceTimeout+l.Durations.MaxBackoff, grace/2, "grace %g", grace)
-		assert.LessOrEqual(t, l.Durations.ConnectTimeout, grace, "grace %g", grace)
-		assert.LessOrEqual(t, l.Durations.SilenceTimeout, 1.0)
-		assert.LessOrEqual(t, l.Durations.MinBackoff, l.Durations.MaxBackoff)
-	}
-	s, err := load(t, configText, nil)
-	require.NoError(t, err, "not told")
-	assert.Equal(t, 1.0, s.Limits.Durations.SilenceTimeout)
-	asked := strings.Replace(configText, `"overloadFactor"`, `"stopSendingWithinNs":250000000,"overloadFactor"`, 1)
-	s, err = load(t, strings.Replace(asked, `"discovery":"push"`, `"discovery":"ask"`, 1), nil)
-	require.NoError(t, err)
-	require.True(t, s.Settings.PollList)
-	assert.Equal(t, 1.0, s.Limits.Durations.SilenceTimeout, "a crowded registry answers late")
-	// A call that fell silent as it was made is given up, and asked again after a sixteenth of the asking rule's span at
-	// the most; that is refused, and asked again after an eighth. What was missed counts as told six seconds after the
-	// silence began, or two past the hold if later.
-	const asks = 10.0
-	told := math.Max(6, s.Limits.Durations.LongPollHold+2)
-	assert.Less(t, s.Limits.Durations.LongPollHold+s.Limits.Durations.SilenceTimeout+asks/16+asks/8, told)
-	_, err = load(t, strings.Replace(configText, `"overloadFactor"`, `"stopSendingWithinNs":-1,"overloadFactor"`, 1), nil)
-	assert.ErrorContains(t, err, "invariants.stopSendingWithinNs")
-}
-
 func TestVariablesAndFileMustAgree(t *testing.T) {
 	_, err := load(t, configText, map[string]string{"GW_LISTEN": "127.0.0.9:1"})
 	assert.ErrorContains(t, err, "GW_LISTEN")
@@ -136,48 +97,3 @@
 	_, err = Load(func(string) string { return "/nowhere/at/all" })
 	assert.ErrorContains(t, err, "GW_CONFIG")
 }
-
-func TestReloadGoesByTheFileAndNamesWhatNeedsARestart(t *testing.T) {
-	first, err := load(t, configText, nil)
-	require.NoError(t, err)
-	path := filepath.Join(t.TempDir(), "config.json")
-	moved := strings.Replace(strings.Replace(configText, "127.2.0.1", "127.2.0.9", 1), `"sockets":600`, `"sockets":500`, 1)
-	require.NoError(t, os.WriteFile(path, []byte(moved), 0o600))
-	env := map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "127.2.0.1:8500"}
-	second, err := Reload(func(name string) string { return env[name] })
-	require.NoError(t, err, "the variable holds the address of the start")
-	assert.Equal(t, "127.2.0.9:8500", second.Discovery.String())
-	assert.Equal(t, []string{"limits"}, first.RestartKeys(&second))
-	assert.Empty(t, first.RestartKeys(&first))
-}
-
-func TestZoneIsOptionalAndChecked(t *testing.T) {
-	s, err := load(t, configText, nil)
-	require.NoError(t, err)
-	assert.Equal(t, -1, s.Settings.Zone, "not told: zones count for nothing, as ever")
-	s, err = load(t, strings.Replace(configText, `"me":2`, `"me":2,"zone":1`, 1), nil)
-	require.NoError(t, err)
-	assert.Equal(t, 1, s.Settings.Zone)
-	for _, zone := range []string{"2", "-2", `"h1"`} {
-		_, err = load(t, strings.Replace(configText, `"me":2`, `"me":2,"zone":`+zone, 1), nil)
-		assert.ErrorContains(t, err, "zone", zone)
-	}
-}
-
-func TestMoveTakesSettingsInWithoutARestart(t *testing.T) {
-	first, err := load(t, configText, nil)
-	require.NoError(t, err)
-	other := strings.Replace(strings.Replace(configText, `"basket"`, `"browse"`, 1), `"memory_mb":100`, `"memory_mb":200`, 1)
-	second, err := load(t, other, nil)
-	require.NoError(t, err)
-	assert.False(t, first.MigratesTo(&second))
-	assert.Equal(t, []string{"limits", "settings"}, first.RestartKeys(&second))
-	moved, err := load(t, strings.Replace(other, `{"name":"n3"`, `{"move":true,"name":"n3"`, 1), nil)
-	require.NoError(t, err)
-	assert.True(t, first.MigratesTo(&moved))
-	assert.Equal(t, []string{"limits"}, first.RestartKeys(&moved), "memory waits all the same")
-	first.AdoptSettings(&moved)
-	assert.Equal(t, []string{"browse", "order"}, first.Settings.GroupNames)
-	assert.Equal(t, int64(100)<<20, first.Limits.Sizes.Memory)
-	assert.False(t, first.MigratesTo(&moved), "once")
-}
--- a/internal/site/site.go
+++ b/internal/site/settings.go
@@ -1,5 +1,3 @@
-// Package site is the one place where configuration is read, checked and given defaults: the settings
-// that the simulator or a file hands over, the environment, and the router's own limits.
 package site
 
 import (
