--- a/internal/site/config_test.go
+++ b/internal/site/config_test.go
@@ -88,12 +88,12 @@
 
 func TestVariablesAndFileMustAgree(t *testing.T) {
 	_, err := load(t, configText, map[string]string{"GW_LISTEN": "127.0.0.9:1"})
-	assert.ErrorContains(t, err, "GW_LISTEN")
+	require.ErrorContains(t, err, "GW_LISTEN")
 	s, err := load(t, strings.Replace(configText, `"listen"`, `"other"`, 1), map[string]string{"GW_LISTEN": "127.0.0.9:1"})
 	require.NoError(t, err, "a variable stands in for a key that is not there")
 	assert.Equal(t, "127.0.0.9:1", s.Listen.String())
 	_, err = Load(func(string) string { return "" })
-	assert.ErrorContains(t, err, "GW_CONFIG is not set")
+	require.ErrorContains(t, err, "GW_CONFIG is not set")
 	_, err = Load(func(string) string { return "/nowhere/at/all" })
 	assert.ErrorContains(t, err, "GW_CONFIG")
 }
--- a/internal/site/limits.go
+++ b/internal/site/limits.go
@@ -65,99 +65,144 @@
 	CloseLinger        float64 // for a client to close its side of a connection that was ended
 }
 
-// Defaults and shares. What belongs to a deployment comes from its settings and limits.
+const bytesPerMB = 1 << 20
+
+// Limits of the process.
 const (
 	defaultMemoryMB = 192
+	minMemoryMB     = 16
 	defaultSockets  = 1024
-	leastSockets    = 64
-	leastMemoryMB   = 16
-	blockSize       = 4 << 10
-	blockShare      = 3 // the memory limit holds this many times the buffers
-	largestValue    = 64 << 10
-	longestText     = 4  // characters that a byte of a value may be written with, in either direction
-	keptSockets     = 24 // for discovery, the listener, the run time
-	memberShare     = 3  // every third of the rest is for members
-	idleClients     = 8  // every eighth descriptor may be a client's between commands
-	idleShare       = 0.6
-	lateShare       = 0.25  // of the settings' grace: a silent call to discovery,
-	pauseShare      = 0.125 // and the pause after it
-	longWatch       = 5.0   // seconds that a call to discovery is held; what a silent one misses counts as told 7 s after it
-	askedWatch      = 3.0   // where calls are asked for: 6 s after it, and the call that follows may be refused once
-	longestWait     = 10    // client timeouts of the deployment: what is longer is a mistake
+	minSockets      = 64
+)
+
+// Sizes and counts that hold for every deployment.
+const (
+	bufferBlockSize      = 4 << 10
+	bufferMemoryDivisor  = 3        // buffers may take one part in so many of the memory limit
+	maxValueSize         = 64 << 10 // of a database value
+	maxCharactersPerByte = 4        // characters that a byte of a value may be written with, in either direction
+	reservedDescriptors  = 24       // for discovery, the listener and the Go runtime
+	backendDivisor       = 3        // backends get one in so many of the other descriptors
+	idleClientDivisor    = 8        // one in so many descriptors may belong to a client between commands
+)
+
+// Times that hold for every deployment, and fractions of what its settings say.
+const (
+	backendIdleFraction   = 0.6   // of a backend's own idle timeout, so that it never closes first
+	silenceGraceFraction  = 0.25  // of the drain grace: a discovery call that falls silent
+	backoffGraceFraction  = 0.125 // of the drain grace: the backoff after it
+	maxSilence            = 1.0   // seconds
+	maxBackoff            = 1.0   // seconds
+	minBackoff            = 0.05  // seconds
+	pushHold              = 5.0   // seconds; what a silent call misses counts as notified 7 s after it
+	pollHold              = 3.0   // seconds; notified 6 s after it, and the call that follows may be refused once
+	clientTimeoutMultiple = 10    // of the longest client timeout of the deployment: longer ones are a mistake
 )
 
-func limits(memoryMB, sockets int, told *Settings) Limits {
-	rest := sockets - keptSockets
-	memory := int64(memoryMB) << 20
-	longest := 0.0
-	for _, g := range told.CommandGroups {
-		longest = max(longest, g.ClientTimeout)
+// newLimits computes the limits of a process with so much memory and so many sockets under the given settings.
+func newLimits(memoryMB, sockets int, settings *Settings) Limits {
+	memory := int64(memoryMB) * bytesPerMB
+	return Limits{
+		Sizes:     newSizes(memory),
+		Counts:    newCounts(memory, sockets),
+		Durations: newDurations(settings),
 	}
-	// Where lists come by themselves what the agent has when it returns from a silence binds within the grace, whatever
-	// call or pause it meets: they have to be over well before. Where they are asked for a crowded registry answers late,
-	// and giving its calls up early crowded it more. A connection that came up for a member that was told to drain
-	// meanwhile has to be made within the grace too.
-	late, pause, dial, watch := 1.0, 1.0, told.ConnectTimeout, longWatch
-	if told.PollList {
-		watch = askedWatch
+}
+
+func newSizes(memory int64) Sizes {
+	const longestText = maxCharactersPerByte * maxValueSize
+	return Sizes{
+		Memory:           memory,
+		BufferBlock:      bufferBlockSize,
+		ClientMessage:    longestText + bufferBlockSize,
+		BackendMessage:   longestText + bufferBlockSize,
+		InspectedMessage: 8 << 10,
+		DiscoveryReply:   8 << 20,
+		DiscoveryLine:    8 << 10,
+		StartupPacket:    10000,
+		StatementComment: 1 << 10,
+		ReadPerTurn:      64 << 10,
+		DiscardedInput:   1 << 20,
+		UnsentAnswers:    longestText,
 	}
-	if told.DrainGrace > 0 {
-		dial = min(dial, told.DrainGrace)
-		if !told.PollList {
-			late, pause = min(late, lateShare*told.DrainGrace), min(pause, pauseShare*told.DrainGrace)
-		}
+}
+
+func newCounts(memory int64, sockets int) Counts {
+	shared := sockets - reservedDescriptors
+	backends := shared / backendDivisor
+	return Counts{
+		Sockets:            sockets,
+		BufferBlocks:       int(memory / bufferMemoryDivisor / bufferBlockSize),
+		EventsPerTurn:      256,
+		AcceptsPerTurn:     64,
+		ListenBacklog:      1024,
+		MessagesPerTurn:    32,
+		PipelinedCommands:  64,
+		InvalidQueries:     16,
+		SharedDescriptors:  shared,
+		ClientConnections:  shared - backends,
+		IdleClients:        sockets / idleClientDivisor,
+		BackendConnections: backends,
 	}
-	return Limits{
-		Sizes: Sizes{
-			Memory:           memory,
-			BufferBlock:      blockSize,
-			ClientMessage:    longestText*largestValue + blockSize,
-			BackendMessage:   longestText*largestValue + blockSize,
-			InspectedMessage: 8 << 10,
-			DiscoveryReply:   8 << 20,
-			DiscoveryLine:    8 << 10,
-			StartupPacket:    10000,
-			StatementComment: 1 << 10,
-			ReadPerTurn:      64 << 10,
-			DiscardedInput:   1 << 20,
-			UnsentAnswers:    longestText * largestValue,
-		},
-		Counts: Counts{
-			Sockets:            sockets,
-			BufferBlocks:       int(memory / blockShare / blockSize),
-			EventsPerTurn:      256,
-			AcceptsPerTurn:     64,
-			ListenBacklog:      1024,
-			MessagesPerTurn:    32,
-			PipelinedCommands:  64,
-			InvalidQueries:     16,
-			SharedDescriptors:  rest,
-			ClientConnections:  rest - rest/memberShare,
-			IdleClients:        sockets / idleClients,
-			BackendConnections: rest / memberShare,
-		},
-		Durations: Durations{
-			PositionEpoch:      3600,
-			AnswerMargin:       told.BatchInterval,
-			MaxClientTimeout:   longestWait * longest,
-			FirstQueryTimeout:  2,
-			MessageTimeout:     2,
-			WriteStallTimeout:  10,
-			IdleTimeout:        5,
-			ShedGrace:          0.01,
-			ConnectTimeout:     dial,
-			HealthCheckTimeout: told.ConnectTimeout,
-			BackendIdleTimeout: idleShare * told.BackendIdle,
-			ReuseDelay:         told.BatchInterval,
-			MaxClockSkew:       1,
-			LongPollHold:       watch,
-			SilenceTimeout:     late,
-			ReplyTimeout:       1,
-			MinBackoff:         min(0.05, pause),
-			MaxBackoff:         pause,
-			AcceptLinger:       0.5,
-			DrainDeadline:      0.15,
-			CloseLinger:        1,
-		},
+}
+
+func newDurations(settings *Settings) Durations {
+	longestTimeout := 0.0
+	for _, group := range settings.CommandGroups {
+		longestTimeout = max(longestTimeout, group.ClientTimeout)
+	}
+	silence, backoff := discoveryTimes(settings)
+	return Durations{
+		PositionEpoch:      3600,
+		AnswerMargin:       settings.BatchInterval,
+		MaxClientTimeout:   clientTimeoutMultiple * longestTimeout,
+		FirstQueryTimeout:  2,
+		MessageTimeout:     2,
+		WriteStallTimeout:  10,
+		IdleTimeout:        5,
+		ShedGrace:          0.01,
+		ConnectTimeout:     connectTimeout(settings),
+		HealthCheckTimeout: settings.ConnectTimeout,
+		BackendIdleTimeout: backendIdleFraction * settings.BackendIdle,
+		ReuseDelay:         settings.BatchInterval,
+		MaxClockSkew:       1,
+		LongPollHold:       longPollHold(settings),
+		SilenceTimeout:     silence,
+		ReplyTimeout:       1,
+		MinBackoff:         min(minBackoff, backoff),
+		MaxBackoff:         backoff,
+		AcceptLinger:       0.5,
+		DrainDeadline:      0.15,
+		CloseLinger:        1,
+	}
+}
+
+// connectTimeout is the deployment's, but a connection that comes up for a backend which was told to drain meanwhile
+// has to be made within the grace.
+func connectTimeout(settings *Settings) float64 {
+	if settings.DrainGrace > 0 {
+		return min(settings.ConnectTimeout, settings.DrainGrace)
+	}
+	return settings.ConnectTimeout
+}
+
+// discoveryTimes returns the longest silence of a discovery call and the longest backoff after it, in seconds. Where
+// the endpoint list is pushed, what the discovery service has when it returns from a silence binds within the grace,
+// whatever call or backoff it meets: both have to be over well before. Where the list is polled, a crowded service
+// answers late, and giving its calls up early crowded it more.
+func discoveryTimes(settings *Settings) (silence, backoff float64) {
+	if settings.PollList || settings.DrainGrace <= 0 {
+		return maxSilence, maxBackoff
+	}
+	silence = min(maxSilence, silenceGraceFraction*settings.DrainGrace)
+	backoff = min(maxBackoff, backoffGraceFraction*settings.DrainGrace)
+	return silence, backoff
+}
+
+// longPollHold is how long the discovery service may hold a call, in seconds.
+func longPollHold(settings *Settings) float64 {
+	if settings.PollList {
+		return pollHold
 	}
+	return pushHold
 }
--- a/internal/site/limits_test.go
+++ b/internal/site/limits_test.go
@@ -31,12 +31,12 @@
 	}
 	s, err := load(t, configText, nil)
 	require.NoError(t, err, "not told")
-	assert.Equal(t, 1.0, s.Limits.Durations.SilenceTimeout)
+	assert.InDelta(t, 1.0, s.Limits.Durations.SilenceTimeout, 0)
 	asked := strings.Replace(configText, `"overloadFactor"`, `"stopSendingWithinNs":250000000,"overloadFactor"`, 1)
 	s, err = load(t, strings.Replace(asked, `"discovery":"push"`, `"discovery":"ask"`, 1), nil)
 	require.NoError(t, err)
 	require.True(t, s.Settings.PollList)
-	assert.Equal(t, 1.0, s.Limits.Durations.SilenceTimeout, "a crowded registry answers late")
+	assert.InDelta(t, 1.0, s.Limits.Durations.SilenceTimeout, 0, "a crowded registry answers late")
 	// A call that fell silent as it was made is given up, and asked again after a sixteenth of the asking rule's span at
 	// the most; that is refused, and asked again after an eighth. What was missed counts as told six seconds after the
 	// silence began, or two past the hold if later.
--- a/internal/site/reload.go
+++ b/internal/site/reload.go
@@ -2,35 +2,46 @@
 
 import "reflect"
 
-// MigratesTo says that another configuration asks a running router to take its settings in, and that they differ. How the
-// list comes is part of how a router starts.
-func (s *Config) MigratesTo(other *Config) bool {
-	return other.Migrate && s.Settings.PollList == other.Settings.PollList && !reflect.DeepEqual(s.Settings, other.Settings)
+// MigratesTo reports whether another configuration asks a running router to take its settings over, and they differ.
+// It is false where the way in which the endpoint list comes would change: that belongs to how a router starts.
+func (c *Config) MigratesTo(other *Config) bool {
+	return other.Migrate && c.Settings.PollList == other.Settings.PollList && !c.sameSettings(other)
 }
 
-// AdoptSettings takes another configuration's settings in, and what of the limits follows from them; memory and descriptors stay.
-func (s *Config) AdoptSettings(other *Config) {
-	s.Settings = other.Settings
-	s.Limits = limits(int(s.Limits.Sizes.Memory>>20), s.Limits.Counts.Sockets, &s.Settings)
+// AdoptSettings takes over another configuration's settings and the limits that follow from them. The limits of the
+// process, its memory and its sockets, stay.
+func (c *Config) AdoptSettings(other *Config) {
+	c.Settings = other.Settings
+	memoryMB := int(c.Limits.Sizes.Memory / bytesPerMB)
+	c.Limits = newLimits(memoryMB, c.Limits.Counts.Sockets, &c.Settings)
 }
 
-// RestartKeys names the keys in which another start differs and that only a restart takes in. The list that was
-// known last is none: it changes by itself.
-func (s *Config) RestartKeys(other *Config) []string {
+// RestartKeys names the keys in which another configuration differs and which only a restart takes over. The endpoint
+// list that was known last is none of them: it changes by itself.
+func (c *Config) RestartKeys(other *Config) []string {
 	var keys []string
-	for _, k := range []struct {
+	for _, key := range []struct {
 		name string
 		same bool
 	}{
-		{"name", s.Name == other.Name},
-		{"listen", s.Listen == other.Listen},
-		{"seed", s.Seed == other.Seed},
-		{"limits", s.Limits.Sizes.Memory == other.Limits.Sizes.Memory && s.Limits.Counts.Sockets == other.Limits.Counts.Sockets},
-		{"settings", reflect.DeepEqual(s.Settings, other.Settings) || s.MigratesTo(other)},
+		{nameKey, c.Name == other.Name},
+		{listenKey, c.Listen == other.Listen},
+		{seedKey, c.Seed == other.Seed},
+		{limitsKey, c.sameProcessLimits(other)},
+		{settingsKey, c.sameSettings(other) || c.MigratesTo(other)},
 	} {
-		if !k.same {
-			keys = append(keys, k.name)
+		if !key.same {
+			keys = append(keys, key.name)
 		}
 	}
 	return keys
 }
+
+func (c *Config) sameSettings(other *Config) bool {
+	return reflect.DeepEqual(c.Settings, other.Settings)
+}
+
+func (c *Config) sameProcessLimits(other *Config) bool {
+	return c.Limits.Sizes.Memory == other.Limits.Sizes.Memory &&
+		c.Limits.Counts.Sockets == other.Limits.Counts.Sockets
+}
--- a/internal/site/settings.go
+++ b/internal/site/settings.go
@@ -5,43 +5,35 @@
 	"errors"
 	"fmt"
 	"math"
+	"slices"
 
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-const nano = 1e-9
+const secondsPerNanosecond = 1e-9
 
-// Settings is what a router reads from the settings document.
+// Settings is what a router reads from the settings of its deployment.
 type Settings struct {
 	router.Config
-	GroupNames       []string // of the command groups
-	Zones            []string
-	ReportFields     []string // of a load report
-	ReportsOnAnswers bool     // answers hold reports, not only probes
-	PositionZeroNs   float64  // the time from which positions count, on the settings' clock
-	BackendIdle      float64  // a member closes a connection that stood idle for so many seconds
-	DrainGrace       float64  // after a member is told to drain or be gone nothing new goes to it beyond so many seconds; 0: not told
+	GroupNames       []string // names of the command groups, in the order of Config.CommandGroups
+	Zones            []string // names of the zones, by the number that the settings give them
+	ReportFields     []string // fields of a load report, in order
+	ReportsOnAnswers bool     // backends put load reports on their answers, not only on health checks
+	PositionZeroNs   float64  // the moment from which log positions count, nanoseconds on the settings' clock
+	BackendIdle      float64  // seconds after which a backend closes an idle connection
+	DrainGrace       float64  // seconds in which a router must stop sending to a draining backend; 0: not told
 }
 
-// settingsDocument is the part of the settings that is read.
+// settingsDocument is the part of the settings that is read; times are in nanoseconds.
 type settingsDocument struct {
-	Routers int      `json:"balancers"`
-	Me      int      `json:"me"`
-	Zone    int      `json:"zone"`
-	Zones   []string `json:"zones"`
-	Classes []struct {
-		Name   string  `json:"name"`
-		Effect string  `json:"effect"`
-		Scope  string  `json:"keyScope"`
-		Target float64 `json:"targetNs"`
-		Limit  float64 `json:"deadlineNs"`
-		Worth  float64 `json:"worth"`
-		Late   float64 `json:"lateWorth"`
-		Memory float64 `json:"memorySpanNs"`
-	} `json:"classes"`
-	Goal struct {
-		Whole float64 `json:"whole"`
-		Worst float64 `json:"worstClass"`
+	Routers    int             `json:"balancers"`
+	Instance   int             `json:"me"`
+	Zone       int             `json:"zone"`
+	Zones      []string        `json:"zones"`
+	Classes    []classDocument `json:"classes"`
+	ScoreParts struct {
+		Whole      float64 `json:"whole"`
+		WorstClass float64 `json:"worstClass"`
 	} `json:"scoreParts"`
 	Tick      float64 `json:"tickNs"`
 	Discovery string  `json:"discovery"`
@@ -57,125 +49,234 @@
 		Fields []string `json:"fields"`
 	} `json:"loadInfo"`
 	Limits struct {
-		Cancel    bool    `json:"cancel"`
-		Probes    bool    `json:"probes"`
-		Advice    bool    `json:"retryAfter"`
-		MaxAdvice float64 `json:"maxRetryAfterNs"`
-		Tries     int     `json:"mostTries"`
-		Dial      float64 `json:"dialTimeoutNs"`
-		Idle      float64 `json:"connIdleNs"`
+		Cancel         bool    `json:"cancel"`
+		HealthChecks   bool    `json:"probes"`
+		RetryAfter     bool    `json:"retryAfter"`
+		MaxRetryAfter  float64 `json:"maxRetryAfterNs"`
+		MaxAttempts    int     `json:"mostTries"`
+		ConnectTimeout float64 `json:"dialTimeoutNs"`
+		BackendIdle    float64 `json:"connIdleNs"`
 	} `json:"limits"`
-	Rules struct {
-		AskWithin float64 `json:"askWithinNs"`
-		Soft      bool    `json:"softRemoval"`
-		Grace     float64 `json:"stopSendingWithinNs"`
-		Cold      float64 `json:"startCapacity"`
-		Warm      float64 `json:"rampTimeNs"`
-		Overload  float64 `json:"overloadFactor"`
-		Fall      float64 `json:"fallNs"`
+	Invariants struct {
+		PollWindow     float64 `json:"askWithinNs"`
+		SoftRemoval    bool    `json:"softRemoval"`
+		DrainGrace     float64 `json:"stopSendingWithinNs"`
+		SlowStartFloor float64 `json:"startCapacity"`
+		SlowStart      float64 `json:"rampTimeNs"`
+		OverloadFactor float64 `json:"overloadFactor"`
+		OverloadWindow float64 `json:"fallNs"`
 	} `json:"invariants"`
 }
 
-// The wire's words.
+// classDocument describes one command group; times are in nanoseconds.
+type classDocument struct {
+	Name              string  `json:"name"`
+	Effect            string  `json:"effect"`
+	KeyScope          string  `json:"keyScope"`
+	LatencyObjective  float64 `json:"targetNs"`
+	ClientTimeout     float64 `json:"deadlineNs"`
+	PriorityWeight    float64 `json:"worth"`
+	LateValue         float64 `json:"lateWorth"`
+	IdempotencyWindow float64 `json:"memorySpanNs"`
+}
+
+// Words of the settings and what they mean.
 var (
-	needs = map[string]router.Consistency{"mutate": router.PrimaryOnly, "strong": router.Linearizable,
-		"causal": router.SessionConsistent, "lag_bound": router.BoundedStaleness, "eventual": router.Eventual}
-	effects = map[string]router.Idempotency{"pure": router.Idempotent, "token": router.IdempotentWithKey,
-		"side_effect": router.NonIdempotent}
-	scopes  = map[string]router.KeyScope{"cell": router.ShardScope, "zone": router.ZoneScope, "all": router.GlobalScope}
-	brought = map[string]bool{"brought": true, "kept": false}
-	guarded = map[string]bool{"none": false, "bounce": true, "await": true}
+	consistencyWords = map[string]router.Consistency{
+		"mutate": router.PrimaryOnly, "strong": router.Linearizable,
+		"causal": router.SessionConsistent, "lag_bound": router.BoundedStaleness, "eventual": router.Eventual,
+	}
+	effectWords = map[string]router.Idempotency{
+		"pure": router.Idempotent, "token": router.IdempotentWithKey,
+		"side_effect": router.NonIdempotent,
+	}
+	scopeWords = map[string]router.KeyScope{"cell": router.ShardScope, "zone": router.ZoneScope, "all": router.GlobalScope}
+	tokenWords = map[string]bool{"brought": true, "kept": false}
+	guardWords = map[string]bool{"none": false, "bounce": true, "await": true}
+)
+
+const (
+	pollDiscovery  = "ask"     // of discovery: the endpoint list comes only when it is polled
+	noReports      = "none"    // of loadInfo.source
+	answerReports  = "answers" // of loadInfo.source
+	positionReport = "x0"      // of loadInfo.fields: the backend's log position
+	primaryReport  = "x1"      // of loadInfo.fields: whether it is the primary
 )
 
-// word translates one of the wire's words and notes the first that is unknown.
-func word[T any](err *error, field, w string, known map[string]T) T {
-	v, ok := known[w]
-	if !ok && *err == nil {
-		*err = fmt.Errorf("settings: %s: unknown word %q", field, w)
+var errClassTimes = errors.New("targetNs and deadlineNs must be above 0")
+
+// settingsError is a fault at one key of the settings.
+func settingsError(key, reason string, err error) *Error {
+	return &Error{Section: settingsKey, Key: key, Reason: reason, Err: err}
+}
+
+// outOfRange is the fault of a number that no router can work with.
+func outOfRange(key string) *Error { return settingsError(key, "is out of range", nil) }
+
+// vocabulary translates words of the settings. It keeps the first unknown word: later faults of other kinds are
+// reported before it.
+type vocabulary struct{ firstUnknown error }
+
+// translate looks up the word that stands at a key.
+func translate[T any](v *vocabulary, key, word string, meanings map[string]T) T {
+	meaning, known := meanings[word]
+	if !known && v.firstUnknown == nil {
+		v.firstUnknown = settingsError(key, "", fmt.Errorf("unknown word %q", word))
 	}
-	return v
+	return meaning
 }
 
-// ParseSettings decodes settings. Its errors name the key at fault; unknown keys are skipped.
+// ParseSettings decodes the settings of a deployment. Unknown keys are skipped. Its errors are of type *Error and
+// name the key at fault. What only a router on sockets needs is checked by Validate.
 func ParseSettings(raw []byte) (Settings, error) {
-	p := settingsDocument{Zone: -1}
-	if err := json.Unmarshal(raw, &p); err != nil {
-		return Settings{}, fmt.Errorf("settings: %w", err)
-	}
-	if len(p.Classes) == 0 {
-		return Settings{}, errors.New("settings: classes is missing or empty")
-	}
-	if len(p.Family.Needs) != len(p.Classes) {
-		return Settings{}, fmt.Errorf("settings: familyInfo.needsByClass holds %d of %d classes",
-			len(p.Family.Needs), len(p.Classes))
-	}
-	var err error
-	s := router.Config{
-		RouterCount: p.Routers, Instance: p.Me, Zone: p.Zone, TotalWeight: p.Goal.Whole, WorstGroupWeight: p.Goal.Worst, BatchInterval: p.Tick * nano,
-		ClientTokens:       word(&err, "familyInfo.tokens", p.Family.Tokens, brought),
-		ReplicasCheckReads: word(&err, "familyInfo.guards", p.Family.Guards, guarded),
-		PollList:           p.Discovery == "ask", PollWindow: p.Rules.AskWithin * nano, SoftRemoval: p.Rules.Soft,
-		CanCancel: p.Limits.Cancel, HealthChecks: p.Limits.Probes,
-		RetryAfterAllowed: p.Limits.Advice, MaxRetryAfter: p.Limits.MaxAdvice * nano,
-		MaxAttempts: p.Limits.Tries, ConnectTimeout: p.Limits.Dial * nano,
-		SlowStartFloor: p.Rules.Cold, SlowStart: p.Rules.Warm * nano, OverloadFactor: p.Rules.Overload,
-		OverloadWindow: p.Rules.Fall * nano,
-	}
-	var names []string
-	for i, c := range p.Classes {
-		names = append(names, c.Name)
-		at := fmt.Sprintf("classes[%d]", i)
-		if c.Target <= 0 || c.Limit <= 0 {
-			return Settings{}, fmt.Errorf("settings: %s: targetNs and deadlineNs must be above 0", at)
-		}
-		g := router.CommandGroup{Consistency: word(&err, "familyInfo.needsByClass", p.Family.Needs[i], needs),
-			Idempotency:      word(&err, at+".effect", c.Effect, effects),
-			LatencyObjective: c.Target * nano, ClientTimeout: c.Limit * nano, PriorityWeight: c.Worth, LateValue: c.Late,
-			IdempotencyWindow: c.Memory * nano}
-		if g.Idempotency == router.IdempotentWithKey {
-			g.KeyScope = word(&err, at+".keyScope", c.Scope, scopes)
-		}
-		if i < len(p.Family.Bounds) {
-			g.MaxStaleness = p.Family.Bounds[i] * nano
+	doc := settingsDocument{Zone: -1}
+	if err := json.Unmarshal(raw, &doc); err != nil {
+		return Settings{}, settingsError("", "", err)
+	}
+	if len(doc.Classes) == 0 {
+		return Settings{}, settingsError("classes", "is missing or empty", nil)
+	}
+	if len(doc.Family.Needs) != len(doc.Classes) {
+		reason := fmt.Sprintf("holds %d of %d classes", len(doc.Family.Needs), len(doc.Classes))
+		return Settings{}, settingsError("familyInfo.needsByClass", reason, nil)
+	}
+	words := &vocabulary{}
+	settings := Settings{
+		Config:           doc.routerSettings(words),
+		Zones:            doc.Zones,
+		ReportFields:     doc.Load.Fields,
+		ReportsOnAnswers: doc.Load.Source == answerReports,
+		PositionZeroNs:   doc.Family.Zero,
+		BackendIdle:      doc.Limits.BackendIdle * secondsPerNanosecond,
+		DrainGrace:       doc.Invariants.DrainGrace * secondsPerNanosecond,
+	}
+	for i, class := range doc.Classes {
+		group, err := doc.commandGroup(words, i)
+		if err != nil {
+			return Settings{}, err
 		}
-		s.CommandGroups = append(s.CommandGroups, g)
+		settings.GroupNames = append(settings.GroupNames, class.Name)
+		settings.CommandGroups = append(settings.CommandGroups, group)
 	}
-	told := map[string]bool{}
-	for _, f := range p.Load.Fields {
-		told[f] = true
+	return settings, words.firstUnknown
+}
+
+// routerSettings is what the routing decisions take from the settings, but for the command groups.
+func (d *settingsDocument) routerSettings(words *vocabulary) router.Config {
+	return router.Config{
+		RouterCount:        d.Routers,
+		Instance:           d.Instance,
+		Zone:               d.Zone,
+		TotalWeight:        d.ScoreParts.Whole,
+		WorstGroupWeight:   d.ScoreParts.WorstClass,
+		BatchInterval:      d.Tick * secondsPerNanosecond,
+		ClientTokens:       translate(words, "familyInfo.tokens", d.Family.Tokens, tokenWords),
+		ReplicasCheckReads: translate(words, "familyInfo.guards", d.Family.Guards, guardWords),
+		LoadReports:        d.hasReports(),
+		PollList:           d.Discovery == pollDiscovery,
+		PollWindow:         d.Invariants.PollWindow * secondsPerNanosecond,
+		SoftRemoval:        d.Invariants.SoftRemoval,
+		CanCancel:          d.Limits.Cancel,
+		HealthChecks:       d.Limits.HealthChecks,
+		RetryAfterAllowed:  d.Limits.RetryAfter,
+		MaxRetryAfter:      d.Limits.MaxRetryAfter * secondsPerNanosecond,
+		MaxAttempts:        d.Limits.MaxAttempts,
+		ConnectTimeout:     d.Limits.ConnectTimeout * secondsPerNanosecond,
+		SlowStartFloor:     d.Invariants.SlowStartFloor,
+		SlowStart:          d.Invariants.SlowStart * secondsPerNanosecond,
+		OverloadFactor:     d.Invariants.OverloadFactor,
+		OverloadWindow:     d.Invariants.OverloadWindow * secondsPerNanosecond,
 	}
-	s.LoadReports = p.Load.Source != "none" && told["x0"] && told["x1"]
-	return Settings{Config: s, GroupNames: names, Zones: p.Zones, ReportFields: p.Load.Fields, ReportsOnAnswers: p.Load.Source == "answers", PositionZeroNs: p.Family.Zero,
-		BackendIdle: p.Limits.Idle * nano, DrainGrace: p.Rules.Grace * nano}, err
 }
 
-// Validate returns the first value in the settings that only a router on sockets cannot work with, or nil.
-func (t *Settings) Validate() error {
+// hasReports reports whether load reports carry both the position and the role.
+func (d *settingsDocument) hasReports() bool {
+	return d.Load.Source != noReports &&
+		slices.Contains(d.Load.Fields, positionReport) && slices.Contains(d.Load.Fields, primaryReport)
+}
+
+// commandGroup is the command group of one class.
+func (d *settingsDocument) commandGroup(words *vocabulary, number int) (router.CommandGroup, error) {
+	class, key := d.Classes[number], fmt.Sprintf("classes[%d]", number)
+	if class.LatencyObjective <= 0 || class.ClientTimeout <= 0 {
+		return router.CommandGroup{}, settingsError(key, "", errClassTimes)
+	}
+	group := router.CommandGroup{
+		Consistency:       translate(words, "familyInfo.needsByClass", d.Family.Needs[number], consistencyWords),
+		Idempotency:       translate(words, key+".effect", class.Effect, effectWords),
+		LatencyObjective:  class.LatencyObjective * secondsPerNanosecond,
+		ClientTimeout:     class.ClientTimeout * secondsPerNanosecond,
+		PriorityWeight:    class.PriorityWeight,
+		LateValue:         class.LateValue,
+		IdempotencyWindow: class.IdempotencyWindow * secondsPerNanosecond,
+	}
+	if group.Idempotency == router.IdempotentWithKey {
+		group.KeyScope = translate(words, key+".keyScope", class.KeyScope, scopeWords)
+	}
+	if number < len(d.Family.Bounds) {
+		group.MaxStaleness = d.Family.Bounds[number] * secondsPerNanosecond
+	}
+	return group, nil
+}
+
+// Validate returns the first value that a router on sockets cannot work with, as an *Error, or nil. The simulator's
+// settings need not pass it.
+func (s *Settings) Validate() error {
+	if err := s.validateGroupNames(); err != nil {
+		return err
+	}
+	for _, number := range s.numbers() {
+		if !number.inRange() {
+			return outOfRange(number.key)
+		}
+	}
+	return nil
+}
+
+// validateGroupNames checks that clients can name each command group.
+func (s *Settings) validateGroupNames() error {
 	seen := map[string]bool{}
-	for i, name := range t.GroupNames {
+	for i, name := range s.GroupNames {
 		if name == "" || seen[name] {
-			return fmt.Errorf("settings: classes[%d].name is missing or a repeat", i)
+			return settingsError(fmt.Sprintf("classes[%d].name", i), "is missing or a repeat", nil)
 		}
 		seen[name] = true
 	}
-	for _, r := range []struct {
-		key   string
-		value float64
-		above bool // 0 itself is out of range
-		most  float64
-	}{
-		{"limits.dialTimeoutNs", t.ConnectTimeout, true, math.Inf(1)}, {"limits.connIdleNs", t.BackendIdle, true, math.Inf(1)},
-		{"limits.mostTries", float64(t.MaxAttempts), true, math.Inf(1)}, {"me", float64(t.Instance), false, math.Inf(1)},
-		{"zone", float64(t.Zone + 1), false, float64(len(t.Zones))},
-		{"tickNs", t.BatchInterval, false, 1}, {"limits.maxRetryAfterNs", t.MaxRetryAfter, false, math.Inf(1)},
-		{"invariants.stopSendingWithinNs", t.DrainGrace, false, math.Inf(1)},
-		{"invariants.startCapacity", t.SlowStartFloor, false, 1}, {"invariants.rampTimeNs", t.SlowStart, true, math.Inf(1)},
-		{"invariants.overloadFactor", t.OverloadFactor, true, math.Inf(1)}, {"invariants.fallNs", t.OverloadWindow, true, math.Inf(1)},
-		{"scoreParts.whole", t.TotalWeight, false, 1}, {"scoreParts.worstClass", t.WorstGroupWeight, false, 1},
-	} {
-		if r.value < 0 || r.above && r.value == 0 || r.value > r.most {
-			return fmt.Errorf("settings: %s is out of range", r.key)
-		}
-	}
 	return nil
 }
+
+// number is a number of the settings and the range that it has to lie in.
+type number struct {
+	key      string
+	value    float64
+	positive bool // 0 itself is out of range
+	maximum  float64
+}
+
+func (n number) inRange() bool {
+	if n.positive && n.value == 0 {
+		return false
+	}
+	return n.value >= 0 && n.value <= n.maximum
+}
+
+// numbers lists the numbers to check, in the order in which faults are reported.
+func (s *Settings) numbers() []number {
+	unbounded := math.Inf(1)
+	return []number{
+		{"limits.dialTimeoutNs", s.ConnectTimeout, true, unbounded},
+		{"limits.connIdleNs", s.BackendIdle, true, unbounded},
+		{"limits.mostTries", float64(s.MaxAttempts), true, unbounded},
+		{"me", float64(s.Instance), false, unbounded},
+		{"zone", float64(s.Zone + 1), false, float64(len(s.Zones))}, // -1: not told
+		{"tickNs", s.BatchInterval, false, 1},
+		{"limits.maxRetryAfterNs", s.MaxRetryAfter, false, unbounded},
+		{"invariants.stopSendingWithinNs", s.DrainGrace, false, unbounded},
+		{"invariants.startCapacity", s.SlowStartFloor, false, 1},
+		{"invariants.rampTimeNs", s.SlowStart, true, unbounded},
+		{"invariants.overloadFactor", s.OverloadFactor, true, unbounded},
+		{"invariants.fallNs", s.OverloadWindow, true, unbounded},
+		{"scoreParts.whole", s.TotalWeight, false, 1},
+		{"scoreParts.worstClass", s.WorstGroupWeight, false, 1},
+	}
+}
