--- a/internal/site/limits_test.go
+++ b/internal/site/limits_test.go
@@ -17,32 +17,48 @@
 	assert.Equal(t, defaultSockets, s.Limits.Counts.Sockets)
 }
 
-// Whatever call or pause discovery's return meets is over well before what it has binds, under any settings; so is a
-// connection that was begun when a member was told to drain.
-func TestTimesOfTheListAndOfDialsFitTheGrace(t *testing.T) {
+// withDrainGrace is the test's document with a drain grace in seconds.
+func withDrainGrace(seconds float64) string {
+	grace := fmt.Sprintf(`"stopSendingWithinNs":%g,"overloadFactor"`, seconds*1e9)
+	return strings.Replace(configText, `"overloadFactor"`, grace, 1)
+}
+
+// Whatever call or backoff the return of the discovery service meets is over well before its news binds, under any
+// settings; so is a connection that was begun when a backend was told to drain.
+func TestDiscoveryAndConnectTimeoutsFitTheDrainGrace(t *testing.T) {
 	for _, grace := range []float64{0.05, 0.25, 0.5, 1, 2, 30} {
-		s, err := load(t, strings.Replace(configText, `"overloadFactor"`, fmt.Sprintf(`"stopSendingWithinNs":%g,"overloadFactor"`, grace*1e9), 1), nil)
+		config, err := load(t, withDrainGrace(grace), nil)
 		require.NoError(t, err)
-		l := s.Limits
-		assert.LessOrEqual(t, l.Durations.SilenceTimeout+l.Durations.MaxBackoff, grace/2, "grace %g", grace)
-		assert.LessOrEqual(t, l.Durations.ConnectTimeout, grace, "grace %g", grace)
-		assert.LessOrEqual(t, l.Durations.SilenceTimeout, 1.0)
-		assert.LessOrEqual(t, l.Durations.MinBackoff, l.Durations.MaxBackoff)
+		durations := config.Limits.Durations
+		assert.LessOrEqual(t, durations.SilenceTimeout+durations.MaxBackoff, grace/2, "grace %g", grace)
+		assert.LessOrEqual(t, durations.ConnectTimeout, grace, "grace %g", grace)
+		assert.LessOrEqual(t, durations.SilenceTimeout, 1.0)
+		assert.LessOrEqual(t, durations.MinBackoff, durations.MaxBackoff)
 	}
-	s, err := load(t, configText, nil)
-	require.NoError(t, err, "not told")
-	assert.InDelta(t, 1.0, s.Limits.Durations.SilenceTimeout, 0)
-	asked := strings.Replace(configText, `"overloadFactor"`, `"stopSendingWithinNs":250000000,"overloadFactor"`, 1)
-	s, err = load(t, strings.Replace(asked, `"discovery":"push"`, `"discovery":"ask"`, 1), nil)
+}
+
+func TestSilenceTimeoutWithoutADrainGrace(t *testing.T) {
+	config, err := load(t, configText, nil)
 	require.NoError(t, err)
-	require.True(t, s.Settings.PollList)
-	assert.InDelta(t, 1.0, s.Limits.Durations.SilenceTimeout, 0, "a crowded registry answers late")
-	// A call that fell silent as it was made is given up, and asked again after a sixteenth of the asking rule's span at
-	// the most; that is refused, and asked again after an eighth. What was missed counts as told six seconds after the
-	// silence began, or two past the hold if later.
-	const asks = 10.0
-	told := math.Max(6, s.Limits.Durations.LongPollHold+2)
-	assert.Less(t, s.Limits.Durations.LongPollHold+s.Limits.Durations.SilenceTimeout+asks/16+asks/8, told)
-	_, err = load(t, strings.Replace(configText, `"overloadFactor"`, `"stopSendingWithinNs":-1,"overloadFactor"`, 1), nil)
+	assert.InDelta(t, 1.0, config.Limits.Durations.SilenceTimeout, 0)
+}
+
+func TestPolledListIsHeardInTimeAfterASilentAndARefusedCall(t *testing.T) {
+	polled := strings.Replace(withDrainGrace(0.25), `"discovery":"push"`, `"discovery":"ask"`, 1)
+	config, err := load(t, polled, nil)
+	require.NoError(t, err)
+	require.True(t, config.Settings.PollList)
+	durations := config.Limits.Durations
+	assert.InDelta(t, 1.0, durations.SilenceTimeout, 0, "a crowded discovery service answers late")
+	// A call that fell silent as it was made is given up, and repeated after a sixteenth of the poll window at the most;
+	// that one is refused, and repeated after an eighth. What was missed counts as notified six seconds after the silence
+	// began, or two past the hold if that is later.
+	const pollWindow = 10.0
+	notified := math.Max(6, durations.LongPollHold+2)
+	assert.Less(t, durations.LongPollHold+durations.SilenceTimeout+pollWindow/16+pollWindow/8, notified)
+}
+
+func TestNegativeDrainGraceIsAFault(t *testing.T) {
+	_, err := load(t, withDrainGrace(-1e-9), nil)
 	assert.ErrorContains(t, err, "invariants.stopSendingWithinNs")
 }
--- a/internal/site/reload_test.go
+++ b/internal/site/reload_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReloadGoesByTheFileAndNamesWhatNeedsARestart(t *testing.T) {
+func TestReloadPrefersTheFileAndNamesKeysThatNeedARestart(t *testing.T) {
 	first, err := load(t, configText, nil)
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -24,7 +24,7 @@
 	assert.Empty(t, first.RestartKeys(&first))
 }
 
-func TestMoveTakesSettingsInWithoutARestart(t *testing.T) {
+func TestMigrationAdoptsSettingsWithoutARestart(t *testing.T) {
 	first, err := load(t, configText, nil)
 	require.NoError(t, err)
 	other := strings.Replace(strings.Replace(configText, `"basket"`, `"browse"`, 1), `"memory_mb":100`, `"memory_mb":200`, 1)
