--- a/cmd/stoatdale/main_test.go
+++ b/cmd/stoatdale/main_test.go
@@ -725,7 +725,7 @@
 		`"classes":[`, `"classes":[{"name":"report","effect":"pure","targetNs":8e9,"deadlineNs":16e9,"worth":1},`,
 		`"needsByClass":["eventual",`, `"needsByClass":["eventual","lag_bound",`, `"classBoundNs":[0,0]`, `"classBoundNs":[0,1e9,0]`,
 		`"tickNs"`, `"zones":["g","h"],"zone":1,"tickNs"`)
-	r.logged("moved to other settings")
+	r.logged("migrated to changed settings")
 	for i := range 10 {
 		write := strings.Replace(order(fmt.Sprint("w", i), 6000), "id=02", fmt.Sprint("id=", 10+i), 1)
 		assert.Equal(t, fmt.Sprint("value of w", i), c.ask(write))
--- /dev/null
+++ b/service/counters.go
@@ -0,0 +1,44 @@
+package service
+
+import "stoatdale.example/stoatdale/internal/count"
+
+// Counters is what a router has accepted, forwarded and answered since its start, and what it holds now.
+type Counters = count.Counters
+
+// Counters returns the counters while Run serves, and the last ones after it has returned; before Run it waits. It may
+// be called from any goroutine.
+func (r *Router) Counters() Counters {
+	answer := make(chan Counters, 1)
+	r.loop.Post(func() { answer <- r.snapshot() })
+	select {
+	case counters := <-answer:
+		return counters
+	case <-r.stopped:
+		return r.snapshot()
+	}
+}
+
+// LogCounters writes the counters to the log. It may be called from any goroutine.
+func (r *Router) LogCounters() { r.loop.Post(r.logCounters) }
+
+// logCounters is called on the event loop's goroutine only.
+func (r *Router) logCounters() {
+	counters := r.snapshot()
+	r.log.Info().Object("counters", &counters).Msg("counters")
+}
+
+// snapshot copies the counters and adds the gauges. It is called on the event loop's goroutine, or after that has
+// ended.
+func (r *Router) snapshot() Counters {
+	counters := r.counters
+	counters.TakenByGroup = append([]uint64(nil), counters.TakenByGroup...)
+	counters.ClientsOpen = uint64(r.front.Open())
+	counters.InHand = uint64(r.core.InHand())
+	counters.MembersOpen = uint64(r.core.Members())
+	counters.BlocksInUse = uint64(r.buffers.Out())
+	known, rows := r.core.Known()
+	counters.MembersKnown = uint64(known)
+	counters.MemberRows = uint64(rows)
+	counters.LongestTurn = r.loop.Longest()
+	return counters
+}
