--- /dev/null
+++ b/cmd/stoatdale/clients_test.go
@@ -0,0 +1,74 @@
+package main
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"stoatdale.example/stoatdale/internal/pg"
+)
+
+func TestEmptyQueryIsAnsweredFromTheStart(t *testing.T) {
+	c := startRouter(t).dial()
+	c.send(append(pg.Hello(nil), pg.Query(nil, "")...))
+	assert.Empty(t, c.readReply(), "the welcome")
+	assert.Equal(t, "EMPTY", c.readReply())
+}
+
+func TestInvalidInputIsReportedAndTheConnectionGoesOnWherePossible(t *testing.T) {
+	b := newTestBackend(t, answerAs("on"))
+	r := startRouter(t, listEntry(b, "b", "ready", "on"))
+	c := r.connect()
+	for text, code := range map[string]string{
+		"SELECT 1": pg.CodeSyntax,
+		strings.Replace(readStatement("k"), "c=look", "c=gaze", 1):        pg.CodeValue,
+		strings.Replace(readStatement("k"), "cluster=2", "cluster=9", 1):  pg.CodeValue,
+		strings.Replace(readStatement("k"), "d=3000", "d=much", 1):        pg.CodeSyntax,
+		strings.Replace(readStatement("k"), "SELECT", "SELECT 1; SEL", 1): pg.CodeSyntax,
+	} {
+		assert.Equal(t, code, c.query(text), text)
+	}
+	c.send(pg.Message(pg.Message(nil, 'P', []byte("x\x00\x00\x00\x00")), 'S'))
+	assert.Equal(t, pg.CodeUnsupported, c.readReply(), "extended queries, up to Sync")
+	assert.Equal(t, "value of k", c.query(readStatement("k")))
+	for _, fatal := range []string{"Q\xff\xff\xff\xff", "Q\x7f\x00\x00\x00", "Q\x00\x00\x00\x01", "?\x00\x00\x00\x04"} {
+		c := r.connect()
+		c.send([]byte(fatal))
+		assert.Equal(t, pg.CodeProtocol+" END", c.readReply(), "%q", fatal)
+	}
+	c = r.dial()
+	c.send([]byte("\x00\x00\x00\x08\x04\xd2\x16\x2f"))
+	no, err := c.reader.ReadByte()
+	require.NoError(t, err)
+	assert.Equal(t, byte('N'), no, "no encryption")
+	c.send([]byte("\x00\x00\x00\x08\x04\xd2\x16\x2e"))
+	assert.Equal(t, " END", c.readReply(), "cancel closes")
+}
+
+func TestSilentClientsAreShedNearTheDescriptorLimit(t *testing.T) {
+	r := startWith(t, 64, false)
+	for range 100 {
+		r.connect() // which says nothing more
+	}
+	assert.Equal(t, "EMPTY", r.connect().query(""))
+	n := r.counters()
+	assert.EqualValues(t, 101, n["clients_accepted"])
+	assert.Greater(t, n["clients_shed"], 50.0)
+}
+
+func TestStalledClientsHoldBoundedMemoryAndOthersAreServed(t *testing.T) {
+	b := newTestBackend(t, answerAs("on"))
+	r := startRouter(t, listEntry(b, "b", "ready", "on"))
+	part := pg.Query(nil, readStatement(strings.Repeat("z", 250_000)))
+	for range 100 { // more than the buffers hold
+		c := r.connect()
+		go func() { _, _ = c.Write(part[:len(part)-1]) }()
+	}
+	r.waitForCounter("blocks_in_use", 4096)
+	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
+	n := r.counters()
+	assert.Less(t, n["blocks_in_use"], 4096+100*16.0, "what is read of one connection in one turn is bounded")
+	assert.EqualValues(t, 1, n["taken"])
+}
--- /dev/null
+++ b/cmd/stoatdale/commands_test.go
@@ -0,0 +1,194 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"regexp"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"stoatdale.example/stoatdale/internal/pg"
+)
+
+func TestCommandIsAnsweredWithTheBackendsValue(t *testing.T) {
+	b := newTestBackend(t, answerAs("on"))
+	r := startRouter(t, listEntry(b, "b", "ready", "on"))
+	c := r.connect()
+	assert.Equal(t, "value of k1", c.query(readStatement("k1")))
+	got := receive(t, b.statements)
+	wait := regexp.MustCompile(`d=(\d+)`)
+	assert.Equal(t, wait.ReplaceAllString(readStatement("k1"), "d="), wait.ReplaceAllString(got, "d="), "but for d, byte for byte")
+	big := strings.Repeat("z", 40000)
+	assert.Equal(t, "value of "+big, c.query(readStatement(big)), "what is longer than a buffer chains")
+	n := r.counters()
+	assert.EqualValues(t, 2, n["taken"])
+	assert.EqualValues(t, 2, n["answered"])
+	assert.EqualValues(t, 2, n["dispatches"])
+	assert.EqualValues(t, 2, n["taken_by_group"].(map[string]any)["look"])
+	assert.EqualValues(t, 1, n["clients_open"])
+	assert.Zero(t, n["in_hand"])
+}
+
+func TestPipelinedAnswersKeepTheOrderOfTheirCommands(t *testing.T) {
+	first := make(chan struct{})
+	b := newTestBackend(t, func(q string) []byte {
+		if strings.Contains(q, "slow") {
+			<-first
+		}
+		return answerAs("on")(q)
+	})
+	r := startRouter(t, listEntry(b, "b", "ready", "on"))
+	c := r.connect()
+	all := pg.Query(pg.Query(pg.Query(nil, readStatement("slow")), ""), readStatement("quick"))
+	for i := range all {
+		c.send(all[i : i+1])
+	}
+	r.waitForCounter("dispatches", 2) // both are out at once
+	close(first)
+	assert.Equal(t, "value of slow", c.readReply())
+	assert.Equal(t, "EMPTY", c.readReply())
+	assert.Equal(t, "value of quick", c.readReply())
+}
+
+func TestWriteRejectedByAReplicaIsRetriedAtThePrimary(t *testing.T) {
+	miss := func(string) []byte {
+		return pg.Ready(pg.Status(pg.Error(nil, false, pg.CodeNotPrimary, "read only", ""), "recovery", "on"))
+	}
+	a, b := newTestBackend(t, miss), newTestBackend(t, answerAs("off"))
+	r := startRouter(t, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"))
+	assert.Equal(t, "value of w", r.connect().query(writeStatement("w", 6000)))
+	assert.Len(t, a.statements, 1)
+	assert.Len(t, b.statements, 1)
+}
+
+func TestWriteThatMayHaveRunIsNotRetried(t *testing.T) {
+	a, b := newTestBackend(t, func(string) []byte { return nil }), newTestBackend(t, answerAs("on"))
+	r := startRouter(t, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"))
+	assert.Equal(t, pg.CodeFailed, r.connect().query(writeStatement("w", 6000)), "failed, and not throttled")
+	assert.Len(t, a.statements, 1)
+	assert.Empty(t, b.statements)
+	assert.EqualValues(t, 1, r.counters()["outcomes"].(map[string]any)["broken"])
+}
+
+func TestWriteIsRetriedAfterAConnectFailure(t *testing.T) {
+	b := newTestBackend(t, answerAs("off"))
+	r := startRouter(t, strings.Replace(listEntry(b, "a", "ready", "off"), b.address, "127.0.0.1:1", 1), listEntry(b, "b", "ready", "on"))
+	assert.Equal(t, "value of w", r.connect().query(writeStatement("w", 6000)), "so it may go to another")
+}
+
+func TestTimeoutFailsTheCommand(t *testing.T) {
+	hang := make(chan struct{})
+	defer close(hang)
+	a := newTestBackend(t, func(string) []byte { <-hang; return nil })
+	r := startRouter(t, listEntry(a, "a", "ready", "off"))
+	began := time.Now()
+	assert.Equal(t, pg.CodeFailed, r.connect().query(writeStatement("w", 300)))
+	assert.GreaterOrEqual(t, time.Since(began), 250*time.Millisecond)
+	assert.EqualValues(t, 1, r.counters()["outcomes"].(map[string]any)["timed_out"])
+}
+
+func TestClientDisconnectCancelsItsAttempt(t *testing.T) {
+	hang := make(chan struct{})
+	defer close(hang)
+	b := newTestBackend(t, func(q string) []byte {
+		if strings.Contains(q, "'gone'") {
+			<-hang
+		}
+		return answerAs("on")(q)
+	})
+	r := startRouter(t, listEntry(b, "b", "ready", "on"))
+	c := r.connect()
+	c.send(pg.Query(nil, readStatement("gone")))
+	receive(t, b.statements)
+	_ = c.Close()
+	r.waitForCounter("left", 1)
+	assert.EqualValues(t, 1, r.counters()["recalls"])
+	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
+}
+
+func TestBackendConnectionIsReused(t *testing.T) {
+	b := newTestBackend(t, answerAs("on"))
+	r := startRouter(t, listEntry(b, "b", "ready", "on"))
+	c := r.connect()
+	for range 5 {
+		assert.Equal(t, "value of k", c.query(readStatement("k")))
+		time.Sleep(20 * time.Millisecond) // it must have rested
+	}
+	assert.EqualValues(t, 1, r.counters()["dialled"])
+	assert.Empty(t, b.closed)
+}
+
+func TestHealthChecksReadLoadReports(t *testing.T) {
+	b := newTestBackend(t, answerAs("on"))
+	r := startWith(t, 256, true, listEntry(b, "b", "ready", "on"))
+	c, asked := r.connect(), 40 // as many as make the member one that is used while a position is good
+	for range asked {
+		assert.Equal(t, "value of k", c.query(readStatement("k")))
+	}
+	r.waitForCounter("probes", 1)
+	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
+	assert.Zero(t, r.counters()["probes_failed"])
+	assert.Len(t, b.statements, asked+1, "no statement but the client's and SHOW health")
+}
+
+// A session reads while its write is at the primary, which holds its answer back, and another when the connection of its
+// write has broken without one: the write may stand in the log, which the replica has not applied. Once it has, it is read again.
+func TestSessionReadAvoidsAReplicaThatMayLackItsWrite(t *testing.T) {
+	var applied atomic.Int64 // the replica's position, Unix milliseconds
+	applied.Store(time.Now().UnixMilli())
+	told := func(q, role string, at int64) []byte {
+		b := answerAs(role)(q)
+		was := regexp.MustCompile(`lsn_ms\x00\d+`).Find(b)
+		return bytes.Replace(b, was, fmt.Appendf(nil, "lsn_ms\x00%d", at), 1)
+	}
+	answers := make(chan bool) // or the connection breaks
+	a := newTestBackend(t, func(q string) []byte {
+		if strings.HasPrefix(q, "INSERT") {
+			if !<-answers {
+				return nil
+			}
+		}
+		return told(q, "off", time.Now().UnixMilli())
+	})
+	b := newTestBackend(t, func(q string) []byte { return told(q, "on", applied.Load()) })
+	s := testSettings(false)
+	s["familyInfo"].(map[string]any)["needsByClass"] = []string{"causal", "mutate"}
+	r := startMore(t, map[string]any{"settings": s}, 0, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"))
+	reads, writes := r.connect(), r.connect()
+	asked := func(m *testBackend, what string) {
+		t.Helper()
+		assert.Contains(t, receive(t, m.statements), what)
+		assert.Empty(t, a.statements)
+		assert.Empty(t, b.statements)
+	}
+	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
+	asked(b, "SELECT") // it has written nothing, and the position of b is known now
+
+	writes.send(pg.Query(nil, writeStatement("k7", 8000)))
+	asked(a, "INSERT")
+	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
+	asked(a, "SELECT")
+	assert.Equal(t, "value of other", reads.query(readStatement("other")))
+	asked(b, "SELECT") // another session's
+
+	answers <- true
+	assert.Equal(t, "value of k7", writes.readReply())
+	writes.send(pg.Query(nil, writeStatement("k8", 8000))) // a session that reads nothing meanwhile
+	asked(a, "INSERT")
+	answers <- false
+	assert.Contains(t, writes.readReply(), pg.CodeFailed)
+	for _, key := range []string{"k7", "k8"} {
+		assert.Equal(t, "value of "+key, reads.query(readStatement(key)))
+		asked(a, "SELECT")
+	}
+
+	applied.Store(time.Now().UnixMilli() + 1)
+	assert.Equal(t, "value of other", reads.query(readStatement("other")))
+	asked(b, "SELECT") // which tells what it holds now
+	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
+	asked(b, "SELECT")
+}
--- a/cmd/stoatdale/crossing_test.go
+++ b/cmd/stoatdale/discovery_test.go
@@ -2,24 +2,39 @@
 
 import (
 	"bufio"
-	"bytes"
 	"fmt"
 	"math"
 	"net"
 	"net/http"
-	"regexp"
 	"strconv"
-	"strings"
-	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"stoatdale.example/stoatdale/internal/pg"
 )
 
+func TestDrainingBackendReceivesNoNewCommands(t *testing.T) {
+	a, b := newTestBackend(t, answerAs("on")), newTestBackend(t, answerAs("on"))
+	r := startRouter(t, listEntry(a, "a", "ready", "on"))
+	c := r.connect()
+	assert.Equal(t, "value of k", c.query(readStatement("k")))
+	r.discovery.publish(listEntry(a, "a", "draining", "on") + "," + listEntry(b, "b", "ready", "on"))
+	r.waitForLog(`"generation":2`)
+	for range 10 {
+		assert.Equal(t, "value of k", c.query(readStatement("k")))
+	}
+	assert.Len(t, a.statements, 1)
+	assert.Len(t, b.statements, 10)
+}
+
+func TestSilentDiscoveryKeepsTheLastList(t *testing.T) {
+	b := newTestBackend(t, answerAs("on"))
+	r := startRouter(t, listEntry(b, "b", "ready", "on"))
+	r.discovery.silence()
+	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
+}
+
 // Discovery goes silent with a call out, and returns just after the router has called again: what it has then binds
 // within the grace, 1 s here, so the call that it will never answer, and the pause after that, have to be over by then.
 func TestDiscoveryReturnIsNoticedWithinTheDrainGrace(t *testing.T) {
@@ -109,61 +124,3 @@
 	r.waitForLog(`"generation":7`)
 	assert.Less(t, time.Since(began).Seconds(), math.Max(6, hold+2)+grace)
 }
-
-// A session reads while its write is at the primary, which holds its answer back, and another when the connection of its
-// write has broken without one: the write may stand in the log, which the replica has not applied. Once it has, it is read again.
-func TestSessionReadAvoidsAReplicaThatMayLackItsWrite(t *testing.T) {
-	var applied atomic.Int64 // the replica's position, Unix milliseconds
-	applied.Store(time.Now().UnixMilli())
-	told := func(q, role string, at int64) []byte {
-		b := answerAs(role)(q)
-		was := regexp.MustCompile(`lsn_ms\x00\d+`).Find(b)
-		return bytes.Replace(b, was, fmt.Appendf(nil, "lsn_ms\x00%d", at), 1)
-	}
-	answers := make(chan bool) // or the connection breaks
-	a := newTestBackend(t, func(q string) []byte {
-		if strings.HasPrefix(q, "INSERT") {
-			if !<-answers {
-				return nil
-			}
-		}
-		return told(q, "off", time.Now().UnixMilli())
-	})
-	b := newTestBackend(t, func(q string) []byte { return told(q, "on", applied.Load()) })
-	s := testSettings(false)
-	s["familyInfo"].(map[string]any)["needsByClass"] = []string{"causal", "mutate"}
-	r := startMore(t, map[string]any{"settings": s}, 0, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"))
-	reads, writes := r.connect(), r.connect()
-	asked := func(m *testBackend, what string) {
-		t.Helper()
-		assert.Contains(t, receive(t, m.statements), what)
-		assert.Empty(t, a.statements)
-		assert.Empty(t, b.statements)
-	}
-	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
-	asked(b, "SELECT") // it has written nothing, and the position of b is known now
-
-	writes.send(pg.Query(nil, writeStatement("k7", 8000)))
-	asked(a, "INSERT")
-	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
-	asked(a, "SELECT")
-	assert.Equal(t, "value of other", reads.query(readStatement("other")))
-	asked(b, "SELECT") // another session's
-
-	answers <- true
-	assert.Equal(t, "value of k7", writes.readReply())
-	writes.send(pg.Query(nil, writeStatement("k8", 8000))) // a session that reads nothing meanwhile
-	asked(a, "INSERT")
-	answers <- false
-	assert.Contains(t, writes.readReply(), pg.CodeFailed)
-	for _, key := range []string{"k7", "k8"} {
-		assert.Equal(t, "value of "+key, reads.query(readStatement(key)))
-		asked(a, "SELECT")
-	}
-
-	applied.Store(time.Now().UnixMilli() + 1)
-	assert.Equal(t, "value of other", reads.query(readStatement("other")))
-	asked(b, "SELECT") // which tells what it holds now
-	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
-	asked(b, "SELECT")
-}
--- /dev/null
+++ b/cmd/stoatdale/reload_test.go
@@ -0,0 +1,104 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"stoatdale.example/stoatdale/internal/pg"
+)
+
+func TestReloadSwitchesDiscoveryAndLosesNoCommand(t *testing.T) {
+	hold := make(chan struct{})
+	a, b := newTestBackend(t, func(q string) []byte { <-hold; return answerAs("on")(q) }), newTestBackend(t, answerAs("on"))
+	r := startRouter(t, listEntry(a, "a", "ready", "on"))
+	c := r.connect()
+	c.send(pg.Query(nil, readStatement("k")))
+	receive(t, a.statements)
+	other := newTestDiscovery(t, listEntry(b, "b", "ready", "on"))
+	r.reload(`"discovery":"`+r.discovery.address, `"discovery":"`+other.address)
+	assert.Contains(t, r.waitForLog("reloaded"), other.address, "the file wins over the variable")
+	require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP), "twice in a row")
+	r.waitForCounter("reloads", 2)
+	r.waitForCounter("lists", 2)
+	for range 5 {
+		assert.Equal(t, "value of n", r.connect().query(readStatement("n")))
+	}
+	assert.Empty(t, a.statements, "which the new list does not name")
+	close(hold)
+	assert.Equal(t, "value of k", c.readReply())
+	assert.Zero(t, r.counters()["reloads_refused"])
+}
+
+func TestReloadOfAnInvalidFileChangesNothing(t *testing.T) {
+	b := newTestBackend(t, answerAs("on"))
+	r := startRouter(t, listEntry(b, "b", "ready", "on"))
+	r.reload(`"seed":"1f"`, `"seed":"xyz"`)
+	assert.Contains(t, r.waitForLog("reload refused"), "seed")
+	r.reload(`"seed":"xyz"`, `"seed":"2f"`)
+	assert.Contains(t, r.waitForLog("changed keys"), `["seed"]`)
+	require.NoError(t, os.Remove(r.configPath))
+	require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP))
+	r.waitForLog("reload refused")
+	n := r.counters()
+	assert.EqualValues(t, 1, n["reloads"])
+	assert.EqualValues(t, 2, n["reloads_refused"])
+	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
+}
+
+// The first seconds after a move: the list is wrong about the primary, a member hangs, and a command is in hand.
+func TestMigrationKeepsWhatStillHolds(t *testing.T) {
+	hold := make(chan struct{})
+	replica := func(q string) []byte {
+		switch {
+		case strings.HasPrefix(q, "INSERT"):
+			return pg.Ready(pg.Status(pg.Error(nil, false, pg.CodeNotPrimary, "read only", ""), "recovery", "on"))
+		case strings.Contains(q, "slow"):
+			<-hold
+		}
+		return answerAs("on")(q)
+	}
+	a, b, p := newTestBackend(t, replica), newTestBackend(t, replica), newTestBackend(t, answerAs("off"))
+	r := startRouter(t, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"), listEntry(p, "p", "ready", "on"))
+	c, slow := r.connect(), r.connect()
+	assert.Equal(t, "value of w", c.query(writeStatement("w", 6000)))
+	slow.send(pg.Query(nil, strings.Replace(readStatement("slow"), "d=3000", "d=7000", 1)))
+	r.waitForCounter("dispatches", 3) // the write's miss, the write and this
+	missed := r.counters()["outcomes"].(map[string]any)["missed"]
+	r.reload(`"seed":"1f"`, `"seed":"1f","move":true`, `"name":"look"`, `"name":"view"`,
+		`"classes":[`, `"classes":[{"name":"report","effect":"pure","targetNs":8e9,"deadlineNs":16e9,"worth":1},`,
+		`"needsByClass":["eventual",`, `"needsByClass":["eventual","lag_bound",`, `"classBoundNs":[0,0]`, `"classBoundNs":[0,1e9,0]`,
+		`"tickNs"`, `"zones":["g","h"],"zone":1,"tickNs"`)
+	r.waitForLog("migrated to changed settings")
+	for i := range 10 {
+		write := strings.Replace(writeStatement(fmt.Sprint("w", i), 6000), "id=02", fmt.Sprint("id=", 10+i), 1)
+		assert.Equal(t, fmt.Sprint("value of w", i), c.query(write))
+	}
+	assert.Equal(t, "value of v", c.query(strings.Replace(readStatement("v"), "c=look,d=3000", "c=view,d=6000", 1)))
+	assert.Equal(t, "value of r", c.query(strings.Replace(readStatement("r"), "c=look", "c=report", 1)))
+	assert.Equal(t, pg.CodeValue, c.query(readStatement("k")), "a group that is no more")
+	close(hold)
+	assert.Equal(t, "value of slow", slow.readReply(), "what was in hand ends under the settings that it came by")
+	n := r.counters()
+	assert.EqualValues(t, 1, n["moves"])
+	assert.Equal(t, missed, n["outcomes"].(map[string]any)["missed"], "who is the primary was learnt and is not tested anew")
+	assert.Zero(t, n["throttled"].(float64)+n["failed"].(float64)+n["in_hand"].(float64))
+}
+
+// Without the key settings wait for a restart as they always have, and so does how the list comes.
+func TestSettingsMigrateOnlyWhereRequested(t *testing.T) {
+	b := newTestBackend(t, answerAs("on"))
+	r := startRouter(t, listEntry(b, "b", "ready", "on"))
+	r.reload(`"tickNs"`, `"zones":["g","h"],"zone":1,"tickNs"`)
+	assert.Contains(t, r.waitForLog("changed keys"), `["settings"]`)
+	r.reload(`"seed":"1f"`, `"seed":"1f","move":true`, `"zone":1`, `"zone":2`)
+	assert.Contains(t, r.waitForLog("reload refused"), "settings: zone is out of range")
+	r.reload(`"zone":2`, `"zone":1`, `"discovery":"push"`, `"discovery":"ask"`)
+	assert.Contains(t, r.waitForLog("changed keys"), `["settings"]`)
+	assert.Zero(t, r.counters()["moves"])
+}
