--- a/cmd/stoatdale/clients_test.go
+++ b/cmd/stoatdale/clients_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestSilentClientsAreShedNearTheDescriptorLimit(t *testing.T) {
-	r := startWith(t, 64, false)
+	r := startRouterWith(t, routerOptions{sockets: 64})
 	for range 100 {
 		r.connect() // which says nothing more
 	}
--- a/cmd/stoatdale/commands_test.go
+++ b/cmd/stoatdale/commands_test.go
@@ -47,7 +47,7 @@
 	for i := range all {
 		c.send(all[i : i+1])
 	}
-	r.waitForCounter("dispatches", 2) // both are out at once
+	r.waitForCounter("dispatches", 2) // both are in flight at once
 	close(first)
 	assert.Equal(t, "value of slow", c.readReply())
 	assert.Equal(t, "EMPTY", c.readReply())
@@ -55,10 +55,10 @@
 }
 
 func TestWriteRejectedByAReplicaIsRetriedAtThePrimary(t *testing.T) {
-	miss := func(string) []byte {
+	rejectWrite := func(string) []byte {
 		return pg.Ready(pg.Status(pg.Error(nil, false, pg.CodeNotPrimary, "read only", ""), "recovery", "on"))
 	}
-	a, b := newTestBackend(t, miss), newTestBackend(t, answerAs("off"))
+	a, b := newTestBackend(t, rejectWrite), newTestBackend(t, answerAs("off"))
 	r := startRouter(t, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"))
 	assert.Equal(t, "value of w", r.connect().query(writeStatement("w", 6000)))
 	assert.Len(t, a.statements, 1)
@@ -68,7 +68,7 @@
 func TestWriteThatMayHaveRunIsNotRetried(t *testing.T) {
 	a, b := newTestBackend(t, func(string) []byte { return nil }), newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"))
-	assert.Equal(t, pg.CodeFailed, r.connect().query(writeStatement("w", 6000)), "failed, and not throttled")
+	assert.Equal(t, pg.CodeFailed, r.connect().query(writeStatement("w", 6000)), "failed, and not rejected")
 	assert.Len(t, a.statements, 1)
 	assert.Empty(t, b.statements)
 	assert.EqualValues(t, 1, r.counters()["outcomes"].(map[string]any)["broken"])
@@ -116,7 +116,7 @@
 	c := r.connect()
 	for range 5 {
 		assert.Equal(t, "value of k", c.query(readStatement("k")))
-		time.Sleep(20 * time.Millisecond) // it must have rested
+		time.Sleep(20 * time.Millisecond) // longer than the reuse delay
 	}
 	assert.EqualValues(t, 1, r.counters()["dialled"])
 	assert.Empty(t, b.closed)
@@ -124,8 +124,8 @@
 
 func TestHealthChecksReadLoadReports(t *testing.T) {
 	b := newTestBackend(t, answerAs("on"))
-	r := startWith(t, 256, true, listEntry(b, "b", "ready", "on"))
-	c, asked := r.connect(), 40 // as many as make the member one that is used while a position is good
+	r := startRouterWith(t, routerOptions{settings: testSettings(true)}, listEntry(b, "b", "ready", "on"))
+	c, asked := r.connect(), 40 // as many as make the backend one that is used while a position is good
 	for range asked {
 		assert.Equal(t, "value of k", c.query(readStatement("k")))
 	}
@@ -135,60 +135,62 @@
 	assert.Len(t, b.statements, asked+1, "no statement but the client's and SHOW health")
 }
 
-// A session reads while its write is at the primary, which holds its answer back, and another when the connection of its
-// write has broken without one: the write may stand in the log, which the replica has not applied. Once it has, it is read again.
+// A session reads while its write is at the primary, which holds its answer back, and another when the
+// connection of its write has broken without one: the write may stand in the log, which the replica has not applied.
+// Once it has, the replica is read again.
 func TestSessionReadAvoidsAReplicaThatMayLackItsWrite(t *testing.T) {
 	var applied atomic.Int64 // the replica's position, Unix milliseconds
 	applied.Store(time.Now().UnixMilli())
-	told := func(q, role string, at int64) []byte {
-		b := answerAs(role)(q)
-		was := regexp.MustCompile(`lsn_ms\x00\d+`).Find(b)
-		return bytes.Replace(b, was, fmt.Appendf(nil, "lsn_ms\x00%d", at), 1)
+	positionOf := regexp.MustCompile(`lsn_ms\x00\d+`)
+	answerAt := func(statement, recovery string, position int64) []byte {
+		answer := answerAs(recovery)(statement)
+		return bytes.Replace(answer, positionOf.Find(answer), fmt.Appendf(nil, "lsn_ms\x00%d", position), 1)
 	}
-	answers := make(chan bool) // or the connection breaks
+	writeSucceeds := make(chan bool) // otherwise its connection breaks
 	a := newTestBackend(t, func(q string) []byte {
 		if strings.HasPrefix(q, "INSERT") {
-			if !<-answers {
+			if !<-writeSucceeds {
 				return nil
 			}
 		}
-		return told(q, "off", time.Now().UnixMilli())
+		return answerAt(q, "off", time.Now().UnixMilli())
 	})
-	b := newTestBackend(t, func(q string) []byte { return told(q, "on", applied.Load()) })
-	s := testSettings(false)
-	s["familyInfo"].(map[string]any)["needsByClass"] = []string{"causal", "mutate"}
-	r := startMore(t, map[string]any{"settings": s}, 0, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"))
+	b := newTestBackend(t, func(q string) []byte { return answerAt(q, "on", applied.Load()) })
+	settings := testSettings(false)
+	settings["familyInfo"].(map[string]any)["needsByClass"] = []string{"causal", "mutate"}
+	r := startRouterWith(t, routerOptions{settings: settings},
+		listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"))
 	reads, writes := r.connect(), r.connect()
-	asked := func(m *testBackend, what string) {
+	servedBy := func(m *testBackend, what string) {
 		t.Helper()
 		assert.Contains(t, receive(t, m.statements), what)
 		assert.Empty(t, a.statements)
 		assert.Empty(t, b.statements)
 	}
 	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
-	asked(b, "SELECT") // it has written nothing, and the position of b is known now
+	servedBy(b, "SELECT") // it has written nothing, and the position of b is known now
 
 	writes.send(pg.Query(nil, writeStatement("k7", 8000)))
-	asked(a, "INSERT")
+	servedBy(a, "INSERT")
 	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
-	asked(a, "SELECT")
+	servedBy(a, "SELECT")
 	assert.Equal(t, "value of other", reads.query(readStatement("other")))
-	asked(b, "SELECT") // another session's
+	servedBy(b, "SELECT") // another session's
 
-	answers <- true
+	writeSucceeds <- true
 	assert.Equal(t, "value of k7", writes.readReply())
 	writes.send(pg.Query(nil, writeStatement("k8", 8000))) // a session that reads nothing meanwhile
-	asked(a, "INSERT")
-	answers <- false
+	servedBy(a, "INSERT")
+	writeSucceeds <- false
 	assert.Contains(t, writes.readReply(), pg.CodeFailed)
 	for _, key := range []string{"k7", "k8"} {
 		assert.Equal(t, "value of "+key, reads.query(readStatement(key)))
-		asked(a, "SELECT")
+		servedBy(a, "SELECT")
 	}
 
 	applied.Store(time.Now().UnixMilli() + 1)
 	assert.Equal(t, "value of other", reads.query(readStatement("other")))
-	asked(b, "SELECT") // which tells what it holds now
+	servedBy(b, "SELECT") // which tells what it holds now
 	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
-	asked(b, "SELECT")
+	servedBy(b, "SELECT")
 }
--- a/cmd/stoatdale/discovery_test.go
+++ b/cmd/stoatdale/discovery_test.go
@@ -35,8 +35,9 @@
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
 }
 
-// Discovery goes silent with a call out, and returns just after the router has called again: what it has then binds
-// within the grace, 1 s here, so the call that it will never answer, and the pause after that, have to be over by then.
+// Discovery goes silent with a call in flight, and returns just after the router has called again: what it has then
+// binds within the drain grace, 1 s here, so the call that it will never answer, and the backoff after that, have to be
+// over by then.
 func TestDiscoveryReturnIsNoticedWithinTheDrainGrace(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -63,7 +64,8 @@
 			}(calls)
 		}
 	}()
-	r := startMore(t, map[string]any{"discovery": l.Addr().String()}, 1e9, listEntry(a, "a", "ready", "on"))
+	r := startRouterWith(t, routerOptions{discovery: l.Addr().String(), drainGrace: time.Second},
+		listEntry(a, "a", "ready", "on"))
 	for range 3 {
 		receive(t, silent)
 	}
@@ -78,8 +80,8 @@
 	assert.Empty(t, a.statements, "which drains")
 }
 
-// A list that is asked for falls silent, and the call that follows is refused by a crowded registry: what was missed is
-// heard by the time at which it counts as told, and the grace. With a hold of 5 s it came too late.
+// A polled list falls silent, and the poll that follows is refused by a crowded discovery service: what was missed is
+// noticed by the time at which it counts as notified, and the grace. With a hold of 5 s it came too late.
 func TestPolledListIsNoticedInTimeThoughTheNextPollIsRefused(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -114,13 +116,14 @@
 			}
 		}
 	}()
-	s := testSettings(false)
-	s["discovery"] = "ask"
-	s["invariants"].(map[string]any)["askWithinNs"] = 10e9
-	const grace = 0.25
-	r := startMore(t, map[string]any{"discovery": l.Addr().String(), "settings": s}, grace*1e9, listEntry(a, "a", "ready", "on"))
+	settings := testSettings(false)
+	settings["discovery"] = "ask"
+	settings["invariants"].(map[string]any)["askWithinNs"] = 10e9
+	const grace = 250 * time.Millisecond
+	r := startRouterWith(t, routerOptions{discovery: l.Addr().String(), settings: settings, drainGrace: grace},
+		listEntry(a, "a", "ready", "on"))
 	hold := receive(t, silent)
 	began := time.Now()
 	r.waitForLog(`"generation":7`)
-	assert.Less(t, time.Since(began).Seconds(), math.Max(6, hold+2)+grace)
+	assert.Less(t, time.Since(began).Seconds(), math.Max(6, hold+2)+grace.Seconds())
 }
--- a/cmd/stoatdale/main_test.go
+++ b/cmd/stoatdale/main_test.go
@@ -21,6 +21,7 @@
 // patience ends a test that hangs; no test that passes waits for it.
 const patience = 20 * time.Second
 
+// programPath is the program that TestMain built.
 var programPath string
 
 func TestMain(m *testing.M) {
@@ -85,18 +86,18 @@
 	assert.Equal(t, 1, strings.Count(string(out), "\n"))
 }
 
-// A whole fleet: more hosts, sets and zones than any site names, in a list that is old, and the least limits.
+// More endpoints, shards and zones than any settings name, in a list that is old, and the least limits.
 func TestStartsWithALargeEndpointListAndTheLeastLimits(t *testing.T) {
-	for _, hosts := range []int{0, 600} {
+	for _, endpoints := range []int{0, 600} {
 		var list []string
-		for i := range hosts {
+		for i := range endpoints {
 			list = append(list, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"127.0.0.1:1","zone":"hall-%d","cell":%d,"lifecycle":"ready","startedAtMs":1}`,
 				i, i%17, i/5))
 		}
-		r := startLimited(t, 64, 16, false, list...)
+		r := startRouterWith(t, routerOptions{sockets: 64, memoryMB: 16}, list...)
 		c := r.connect()
 		c.send(pg.Query(nil, ""))
 		assert.Equal(t, "EMPTY", c.readReply())
-		r.waitForCounter("members_known", float64(hosts))
+		r.waitForCounter("members_known", float64(endpoints))
 	}
 }
--- a/cmd/stoatdale/reload_test.go
+++ b/cmd/stoatdale/reload_test.go
@@ -23,7 +23,7 @@
 	other := newTestDiscovery(t, listEntry(b, "b", "ready", "on"))
 	r.reload(`"discovery":"`+r.discovery.address, `"discovery":"`+other.address)
 	assert.Contains(t, r.waitForLog("reloaded"), other.address, "the file wins over the variable")
-	require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP), "twice in a row")
+	r.signal(syscall.SIGHUP) // twice in a row
 	r.waitForCounter("reloads", 2)
 	r.waitForCounter("lists", 2)
 	for range 5 {
@@ -43,7 +43,7 @@
 	r.reload(`"seed":"xyz"`, `"seed":"2f"`)
 	assert.Contains(t, r.waitForLog("changed keys"), `["seed"]`)
 	require.NoError(t, os.Remove(r.configPath))
-	require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP))
+	r.signal(syscall.SIGHUP)
 	r.waitForLog("reload refused")
 	n := r.counters()
 	assert.EqualValues(t, 1, n["reloads"])
@@ -51,7 +51,7 @@
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
 }
 
-// The first seconds after a move: the list is wrong about the primary, a member hangs, and a command is in hand.
+// The first seconds after a migration: the list is wrong about the primary, a backend hangs, and a command is in flight.
 func TestMigrationKeepsWhatStillHolds(t *testing.T) {
 	hold := make(chan struct{})
 	replica := func(q string) []byte {
@@ -68,7 +68,7 @@
 	c, slow := r.connect(), r.connect()
 	assert.Equal(t, "value of w", c.query(writeStatement("w", 6000)))
 	slow.send(pg.Query(nil, strings.Replace(readStatement("slow"), "d=3000", "d=7000", 1)))
-	r.waitForCounter("dispatches", 3) // the write's miss, the write and this
+	r.waitForCounter("dispatches", 3) // the rejected write, its retry and this
 	missed := r.counters()["outcomes"].(map[string]any)["missed"]
 	r.reload(`"seed":"1f"`, `"seed":"1f","move":true`, `"name":"look"`, `"name":"view"`,
 		`"classes":[`, `"classes":[{"name":"report","effect":"pure","targetNs":8e9,"deadlineNs":16e9,"worth":1},`,
@@ -83,14 +83,14 @@
 	assert.Equal(t, "value of r", c.query(strings.Replace(readStatement("r"), "c=look", "c=report", 1)))
 	assert.Equal(t, pg.CodeValue, c.query(readStatement("k")), "a group that is no more")
 	close(hold)
-	assert.Equal(t, "value of slow", slow.readReply(), "what was in hand ends under the settings that it came by")
+	assert.Equal(t, "value of slow", slow.readReply(), "what was in flight ends under the settings that it came by")
 	n := r.counters()
 	assert.EqualValues(t, 1, n["moves"])
 	assert.Equal(t, missed, n["outcomes"].(map[string]any)["missed"], "who is the primary was learnt and is not tested anew")
 	assert.Zero(t, n["throttled"].(float64)+n["failed"].(float64)+n["in_hand"].(float64))
 }
 
-// Without the key settings wait for a restart as they always have, and so does how the list comes.
+// Without the key move, settings wait for a restart; how the list comes always does.
 func TestSettingsMigrateOnlyWhereRequested(t *testing.T) {
 	b := newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
--- a/cmd/stoatdale/shutdown_test.go
+++ b/cmd/stoatdale/shutdown_test.go
@@ -5,7 +5,6 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/pg"
 )
@@ -14,22 +13,22 @@
 	hold := make(chan struct{})
 	b := newTestBackend(t, func(q string) []byte { <-hold; return answerAs("on")(q) })
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
-	c, idle, mute := r.connect(), r.connect(), r.connect()
+	c, idle, silent := r.connect(), r.connect(), r.connect()
 	assert.Equal(t, "EMPTY", idle.query(""))
 	c.send(pg.Query(nil, readStatement("k")))
 	receive(t, b.statements)
-	require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
+	r.signal(syscall.SIGTERM)
+	r.signal(syscall.SIGTERM)
 	late := r.connect() // it goes on accepting for a while
 	assert.Equal(t, "EMPTY", late.query(""))
 	assert.Equal(t, " END", idle.readReply(), "connections between commands are ended")
-	assert.Equal(t, pg.CodeEnding+" END", mute.readReply(), "one that never asked hears that it may ask elsewhere")
+	assert.Equal(t, pg.CodeEnding+" END", silent.readReply(), "one that never asked hears that it may ask elsewhere")
 	close(hold)
 	assert.Equal(t, "value of k", c.readReply())
 	assert.Equal(t, " END", c.readReply())
 	_ = c.Close()
 	_ = idle.Close()
-	_ = mute.Close()
+	_ = silent.Close()
 	_ = late.Close()
 	assert.Contains(t, r.waitForLog(`"message":"counters"`), `"answered":1`)
 	assert.NoError(t, r.cmd.Wait())
--- a/cmd/stoatdale/testbackend_test.go
+++ b/cmd/stoatdale/testbackend_test.go
@@ -15,82 +15,106 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// member is a stand-in of a member. For each statement it sends what answer returns, and closes the
-// connection if that is nil.
+// answerFunc is what a backend sends for a statement; nil: it closes the connection.
+type answerFunc func(statement string) []byte
+
+// testBackend is a database server that answers health checks itself and statements as the test says.
 type testBackend struct {
 	address    string
-	statements chan string // every statement, in order
-	closed     chan struct{}
-	answer     func(statement string) []byte
-}
-
-// message reads one message of the wire.
-func readMessage(r io.Reader) (kind byte, body []byte, err error) {
-	var head [5]byte
-	if _, err = io.ReadFull(r, head[:]); err != nil {
-		return 0, nil, err
-	}
-	body = make([]byte, binary.BigEndian.Uint32(head[1:])-4)
-	_, err = io.ReadFull(r, body)
-	return head[0], body, err
+	statements chan string   // every statement but health checks, in order
+	closed     chan struct{} // one value for each connection that has ended
+	answer     answerFunc
 }
 
-// row is an answer of one value.
-func rowAnswer(value, role string) []byte {
-	b := pg.Message(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
-	b = pg.Message(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
-	b = pg.Message(b, 'C', []byte("SELECT 1\x00"))
-	b = pg.Status(b, "lsn_ms", fmt.Sprint(time.Now().UnixMilli()))
-	return pg.Ready(pg.Status(b, "recovery", role))
-}
-
-func newTestBackend(t *testing.T, answer func(string) []byte) *testBackend {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// newTestBackend serves until the test ends.
+func newTestBackend(t *testing.T, answer answerFunc) *testBackend {
+	t.Helper()
+	const most = 1000 // statements or connections of one test
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
-	m := &testBackend{address: l.Addr().String(), statements: make(chan string, 1000), closed: make(chan struct{}, 1000), answer: answer}
+	t.Cleanup(func() { _ = listener.Close() })
+	backend := &testBackend{
+		address:    listener.Addr().String(),
+		statements: make(chan string, most),
+		closed:     make(chan struct{}, most),
+		answer:     answer,
+	}
 	go func() {
 		for {
-			c, err := l.Accept()
+			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go m.serve(c)
+			go backend.serve(connection)
 		}
 	}()
-	return m
+	return backend
 }
 
-func (m *testBackend) serve(c net.Conn) {
-	defer func() { _ = c.Close(); m.closed <- struct{}{} }()
-	r := bufio.NewReader(c)
-	var n uint32
-	if binary.Read(r, binary.BigEndian, &n) != nil {
-		return
-	}
-	if _, err := r.Discard(int(n) - 4); err != nil {
+func (b *testBackend) serve(connection net.Conn) {
+	defer func() { _ = connection.Close(); b.closed <- struct{}{} }()
+	reader := bufio.NewReader(connection)
+	if skipStartup(reader) != nil {
 		return
 	}
-	_, _ = c.Write(pg.Welcome(nil))
+	_, _ = connection.Write(pg.Welcome(nil))
 	for {
-		kind, body, err := readMessage(r)
+		kind, body, err := readMessage(reader)
 		if err != nil || kind != 'Q' {
 			return
 		}
-		statement := string(body[:len(body)-1])
-		if statement == "SHOW health" {
-			_, _ = c.Write(rowAnswer(fmt.Sprintf("x0=%.3f,x1=0", float64(time.Now().UnixMilli())/1000), "on"))
-			continue
-		}
-		m.statements <- statement
-		b := m.answer(statement)
-		if b == nil {
+		answer := b.reply(string(body[:len(body)-1]))
+		if answer == nil {
 			return
 		}
-		_, _ = c.Write(b)
+		_, _ = connection.Write(answer)
+	}
+}
+
+// reply answers a health check, or a statement as the test says.
+func (b *testBackend) reply(statement string) []byte {
+	if statement == "SHOW health" {
+		position := float64(time.Now().UnixMilli()) / 1000
+		return rowAnswer(fmt.Sprintf("x0=%.3f,x1=0", position), "on")
+	}
+	b.statements <- statement
+	return b.answer(statement)
+}
+
+// skipStartup reads a client's start-up packet.
+func skipStartup(reader *bufio.Reader) error {
+	var length uint32
+	if err := binary.Read(reader, binary.BigEndian, &length); err != nil {
+		return err
+	}
+	_, err := reader.Discard(int(length) - 4)
+	return err
+}
+
+// readMessage reads one message of the PostgreSQL protocol.
+func readMessage(r io.Reader) (kind byte, body []byte, err error) {
+	var head [5]byte
+	if _, err = io.ReadFull(r, head[:]); err != nil {
+		return 0, nil, err
 	}
+	body = make([]byte, binary.BigEndian.Uint32(head[1:])-4)
+	_, err = io.ReadFull(r, body)
+	return head[0], body, err
 }
 
-func answerAs(role string) func(string) []byte {
-	return func(q string) []byte { return rowAnswer("value of "+strings.Split(q, "'")[1], role) }
+// rowAnswer is an answer of one value, with the backend's log position and whether it is in recovery: "on" or "off".
+func rowAnswer(value, recovery string) []byte {
+	b := pg.Message(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
+	b = pg.Message(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
+	b = pg.Message(b, 'C', []byte("SELECT 1\x00"))
+	b = pg.Status(b, "lsn_ms", fmt.Sprint(time.Now().UnixMilli()))
+	return pg.Ready(pg.Status(b, "recovery", recovery))
+}
+
+// answerAs answers each statement with "value of" and its key, in recovery or not.
+func answerAs(recovery string) answerFunc {
+	return func(statement string) []byte {
+		key := strings.Split(statement, "'")[1]
+		return rowAnswer("value of "+key, recovery)
+	}
 }
--- a/cmd/stoatdale/testclient_test.go
+++ b/cmd/stoatdale/testclient_test.go
@@ -15,29 +15,30 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// client is one connection to the program.
+// testClient is one connection to the program.
 type testClient struct {
 	t *testing.T
 	net.Conn
 	reader *bufio.Reader
 }
 
+// dial connects and sends nothing yet.
 func (r *testRouter) dial() *testClient {
 	r.t.Helper()
-	c, err := net.Dial("tcp", r.address)
+	connection, err := net.Dial("tcp", r.address)
 	require.NoError(r.t, err)
-	r.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
-	return &testClient{r.t, c, bufio.NewReader(c)}
+	r.t.Cleanup(func() { _ = connection.Close() })
+	_ = connection.SetDeadline(time.Now().Add(patience))
+	return &testClient{r.t, connection, bufio.NewReader(connection)}
 }
 
-// client is one that has started up.
+// connect returns a client that has started up.
 func (r *testRouter) connect() *testClient {
 	r.t.Helper()
-	c := r.dial()
-	c.send(pg.Hello(nil))
-	c.readReply()
-	return c
+	client := r.dial()
+	client.send(pg.Hello(nil))
+	client.readReply()
+	return client
 }
 
 func (c *testClient) send(b []byte) {
@@ -46,45 +47,55 @@
 	require.NoError(c.t, err)
 }
 
-// reply reads up to ReadyForQuery, or the end: the value of a row, or an error as its code and detail.
+// readReply reads up to ReadyForQuery. It returns the value of a row, EMPTY for an empty query, or an error as its code
+// and detail; " END" is added where the connection ended before.
 func (c *testClient) readReply() string {
 	c.t.Helper()
-	said := ""
+	reply := ""
 	for {
 		kind, body, err := readMessage(c.reader)
 		if err != nil {
-			return said + " END"
+			return reply + " END"
 		}
 		switch kind {
 		case 'D':
-			said = string(body[6:])
+			reply = string(body[6:])
 		case 'I':
-			said = "EMPTY"
+			reply = "EMPTY"
 		case 'E':
-			f := map[byte]string{}
-			for _, p := range bytes.Split(body, []byte{0}) {
-				if len(p) > 0 {
-					f[p[0]] = string(p[1:])
-				}
-			}
-			said = strings.TrimSpace(f['C'] + " " + f['D'])
+			reply = errorText(body)
 		case 'Z':
-			return said
+			return reply
 		}
 	}
 }
 
+// errorText is the code and the detail of an ErrorResponse.
+func errorText(body []byte) string {
+	fields := map[byte]string{}
+	for _, field := range bytes.Split(body, []byte{0}) {
+		if len(field) > 0 {
+			fields[field[0]] = string(field[1:])
+		}
+	}
+	return strings.TrimSpace(fields['C'] + " " + fields['D'])
+}
+
+// query sends a statement and returns its reply.
 func (c *testClient) query(text string) string {
 	c.t.Helper()
 	c.send(pg.Query(nil, text))
 	return c.readReply()
 }
 
+// readStatement reads a key by the command group look.
 func readStatement(key string) string {
 	return fmt.Sprintf("SELECT doc FROM items WHERE id = '%s' /* id=%08x,c=look,d=3000,cluster=2 */",
 		key, crc32.ChecksumIEEE([]byte(key)))
 }
 
-func writeStatement(key string, wait int) string {
-	return fmt.Sprintf(`INSERT INTO items (id, doc) VALUES ('%s', '\x9f') RETURNING doc /* id=02,c=order,d=%d,k=5c,cluster=2 */`, key, wait)
+// writeStatement writes a key by the command group order, with a client timeout.
+func writeStatement(key string, timeoutMs int) string {
+	const form = `INSERT INTO items (id, doc) VALUES ('%s', '\x9f') RETURNING doc /* id=02,c=order,d=%d,k=5c,cluster=2 */`
+	return fmt.Sprintf(form, key, timeoutMs)
 }
--- a/cmd/stoatdale/testdiscovery_test.go
+++ b/cmd/stoatdale/testdiscovery_test.go
@@ -10,16 +10,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// discovery is a stand-in of the list's agent. Lists are documents without their generation.
+// testDiscovery is a discovery service. A list is published as its rows; its generation is its number.
 type testDiscovery struct {
 	address string
 	mu      sync.Mutex
 	cond    *sync.Cond
-	lists   []string // each whole
+	lists   []string // each complete
 	silent  bool
 }
 
+// newTestDiscovery serves a list until the test ends.
 func newTestDiscovery(t *testing.T, first string) *testDiscovery {
+	t.Helper()
 	d := &testDiscovery{lists: []string{first}}
 	d.cond = sync.NewCond(&d.mu)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,6 +33,7 @@
 	return d
 }
 
+// publish replaces the list.
 func (d *testDiscovery) publish(instances string) {
 	d.mu.Lock()
 	d.lists = append(d.lists, instances)
@@ -38,8 +41,14 @@
 	d.cond.Broadcast()
 }
 
-func (d *testDiscovery) silence() { d.mu.Lock(); d.silent = true; d.mu.Unlock() }
+// silence lets polls go unanswered until another list is published.
+func (d *testDiscovery) silence() {
+	d.mu.Lock()
+	d.silent = true
+	d.mu.Unlock()
+}
 
+// ServeHTTP answers a poll, and holds one for a later list until there is one.
 func (d *testDiscovery) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,7 +58,8 @@
 	_, _ = fmt.Fprintf(w, `{"generation":%d,"reset":true,"instances":[%s]}`, len(d.lists), d.lists[len(d.lists)-1])
 }
 
-func listEntry(m *testBackend, id, state, recovery string) string {
+// listEntry is one row of an endpoint list.
+func listEntry(backend *testBackend, id, state, recovery string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"h","cell":2,"lifecycle":%q,"recovery":%q}`,
-		id, m.address, state, recovery)
+		id, backend.address, state, recovery)
 }
--- a/cmd/stoatdale/testrouter_test.go
+++ b/cmd/stoatdale/testrouter_test.go
@@ -4,8 +4,6 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
-	"fmt"
-	"maps"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -18,17 +16,32 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rig is the program with its surroundings.
+// testRouter is the program as a process of its own, with a discovery service that the test controls.
 type testRouter struct {
 	t          *testing.T
 	cmd        *exec.Cmd
-	address    string
-	configPath string // of the configuration
-	log        chan string
+	address    string      // where clients connect
+	configPath string      // of its configuration document
+	log        chan string // lines; closed at the program's end
 	discovery  *testDiscovery
 }
 
-func testSettings(probes bool) map[string]any {
+// routerOptions are what a test sets of a router's configuration. Zero values stand for the defaults below.
+type routerOptions struct {
+	sockets    int
+	memoryMB   int
+	discovery  string         // address; empty: the test's discovery service
+	settings   map[string]any // nil: testSettings without health checks
+	drainGrace time.Duration  // 0: not told
+}
+
+const (
+	testSockets  = 256
+	testMemoryMB = 48
+)
+
+// testSettings describes a deployment with a command group that reads and one that writes.
+func testSettings(healthChecks bool) map[string]any {
 	group := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "targetNs": 4e9, "deadlineNs": 8e9, "worth": 1}
 	}
@@ -42,94 +55,116 @@
 		"loadInfo": map[string]any{"source": "probe", "fields": []string{"x0", "x1"}},
 		"limits": map[string]any{
 			"mostTries": 4, "dialTimeoutNs": 2e9, "connIdleNs": 60e9, "cancel": true,
-			"probes": probes, "retryAfter": true, "maxRetryAfterNs": 1e9,
+			"probes": healthChecks, "retryAfter": true, "maxRetryAfterNs": 1e9,
 		},
 		"invariants": map[string]any{"startCapacity": 0.2, "rampTimeNs": 1e9, "overloadFactor": 2, "fallNs": 1e9},
 	}
 }
 
-// start starts the program with a list of members.
-func startRouter(t *testing.T, instances ...string) *testRouter {
-	return startWith(t, 256, false, instances...)
-}
-
-// startWith sets the limit of descriptors, and whether members may be probed.
-func startWith(t *testing.T, sockets int, probes bool, instances ...string) *testRouter {
-	return startLimited(t, sockets, 48, probes, instances...)
-}
-
-// startLimited sets the limit of memory, in MB, too.
-func startLimited(t *testing.T, sockets, memory int, probes bool, instances ...string) *testRouter {
-	return startMore(t, map[string]any{"limits": map[string]any{"memory_mb": memory, "sockets": sockets}, "settings": testSettings(probes)}, 0, instances...)
+// startRouter starts the program with an endpoint list and the default options.
+func startRouter(t *testing.T, endpoints ...string) *testRouter {
+	t.Helper()
+	return startRouterWith(t, routerOptions{}, endpoints...)
 }
 
-// startMore sets keys of the configuration, and a grace in nanoseconds if it is not 0.
-func startMore(t *testing.T, more map[string]any, grace float64, instances ...string) *testRouter {
-	r := &testRouter{t: t, log: make(chan string, 10000), discovery: newTestDiscovery(t, strings.Join(instances, ","))}
-	keys := map[string]any{
-		"name": "n1", "listen": "127.0.0.1:0", "discovery": r.discovery.address, "seed": "1f",
-		"limits": map[string]any{"memory_mb": 48, "sockets": 256}, "settings": testSettings(false),
-		"known": json.RawMessage(`{"generation":0,"reset":true,"instances":[` + strings.Join(instances, ",") + "]}"),
-	}
-	maps.Copy(keys, more)
-	if grace > 0 {
-		keys["settings"].(map[string]any)["invariants"].(map[string]any)["stopSendingWithinNs"] = grace
-	}
-	config, err := json.Marshal(keys)
-	require.NoError(t, err)
+// startRouterWith starts the program and waits until it serves. It is killed at the test's end.
+func startRouterWith(t *testing.T, options routerOptions, endpoints ...string) *testRouter {
+	t.Helper()
+	list := strings.Join(endpoints, ",")
+	r := &testRouter{t: t, log: make(chan string, 10000), discovery: newTestDiscovery(t, list)}
+	options.complete(r.discovery.address)
 	r.configPath = filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(r.configPath, config, 0o600))
+	require.NoError(t, os.WriteFile(r.configPath, options.document(t, list), 0o600))
 	r.cmd = exec.Command(programPath)
-	r.cmd.Env = []string{"GW_CONFIG=" + r.configPath, "GW_DISCOVERY=" + fmt.Sprint(keys["discovery"])}
-	out, err := r.cmd.StderrPipe()
+	r.cmd.Env = []string{"GW_CONFIG=" + r.configPath, "GW_DISCOVERY=" + options.discovery}
+	stderr, err := r.cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, r.cmd.Start())
 	t.Cleanup(func() { _ = r.cmd.Process.Kill(); _ = r.cmd.Wait() })
 	go func() {
-		for s := bufio.NewScanner(out); s.Scan(); {
-			r.log <- s.Text()
+		for lines := bufio.NewScanner(stderr); lines.Scan(); {
+			r.log <- lines.Text()
 		}
 		close(r.log)
 	}()
-	r.address = regexp.MustCompile(`"listen":"([^"]+)"`).FindStringSubmatch(r.waitForLog("serving"))[1]
+	listening := regexp.MustCompile(`"listen":"([^"]+)"`)
+	r.address = listening.FindStringSubmatch(r.waitForLog("serving"))[1]
 	return r
 }
 
-// logged waits for a line of the log.
-func (r *testRouter) waitForLog(what string) string {
+// complete fills in the defaults.
+func (o *routerOptions) complete(discovery string) {
+	if o.sockets == 0 {
+		o.sockets = testSockets
+	}
+	if o.memoryMB == 0 {
+		o.memoryMB = testMemoryMB
+	}
+	if o.discovery == "" {
+		o.discovery = discovery
+	}
+	if o.settings == nil {
+		o.settings = testSettings(false)
+	}
+	if o.drainGrace > 0 {
+		o.settings["invariants"].(map[string]any)["stopSendingWithinNs"] = o.drainGrace.Nanoseconds()
+	}
+}
+
+// document is the configuration of a router that knew an endpoint list last.
+func (o *routerOptions) document(t *testing.T, list string) []byte {
+	t.Helper()
+	document, err := json.Marshal(map[string]any{
+		"name": "n1", "listen": "127.0.0.1:0", "discovery": o.discovery, "seed": "1f",
+		"limits":   map[string]any{"memory_mb": o.memoryMB, "sockets": o.sockets},
+		"settings": o.settings,
+		"known":    json.RawMessage(`{"generation":0,"reset":true,"instances":[` + list + "]}"),
+	})
+	require.NoError(t, err)
+	return document
+}
+
+// waitForLog waits for a line of the log that contains a text.
+func (r *testRouter) waitForLog(text string) string {
 	r.t.Helper()
-	for late := time.After(patience); ; {
+	for timeout := time.After(patience); ; {
 		select {
 		case line, ok := <-r.log:
 			if !ok {
-				require.Fail(r.t, "the program ended", what)
+				require.Fail(r.t, "the program ended", text)
 			}
-			if strings.Contains(line, what) {
+			if strings.Contains(line, text) {
 				return line
 			}
-		case <-late:
-			require.Fail(r.t, "not logged", what)
+		case <-timeout:
+			require.Fail(r.t, "not logged", text)
 		}
 	}
 }
 
+// counters has the program log its counters.
 func (r *testRouter) counters() map[string]any {
 	r.t.Helper()
-	require.NoError(r.t, r.cmd.Process.Signal(syscall.SIGUSR1))
+	r.signal(syscall.SIGUSR1)
 	var line struct{ Counters map[string]any }
 	require.NoError(r.t, json.Unmarshal([]byte(r.waitForLog(`"message":"counters"`)), &line))
 	return line.Counters
 }
 
-// counted waits until a counter has come to a value.
+// waitForCounter waits until a counter has reached a value.
 func (r *testRouter) waitForCounter(name string, least float64) {
 	r.t.Helper()
-	for late := time.Now().Add(patience); r.counters()[name].(float64) < least; {
-		require.True(r.t, time.Now().Before(late), "%s stays under %v", name, least)
+	for deadline := time.Now().Add(patience); r.counters()[name].(float64) < least; {
+		require.True(r.t, time.Now().Before(deadline), "%s stays under %v", name, least)
 	}
 }
 
-// reload has the configuration changed, pairs of what stood there and what shall, and read again.
+func (r *testRouter) signal(s syscall.Signal) {
+	r.t.Helper()
+	require.NoError(r.t, r.cmd.Process.Signal(s))
+}
+
+// reload replaces texts in the configuration, given as pairs of old and new, and has the program read it again.
 func (r *testRouter) reload(pairs ...string) {
 	r.t.Helper()
 	config, err := os.ReadFile(r.configPath)
@@ -139,14 +174,15 @@
 		config = bytes.Replace(config, []byte(pairs[i]), []byte(pairs[i+1]), 1)
 	}
 	require.NoError(r.t, os.WriteFile(r.configPath, config, 0o600))
-	require.NoError(r.t, r.cmd.Process.Signal(syscall.SIGHUP))
+	r.signal(syscall.SIGHUP)
 }
 
-func receive[T any](t *testing.T, c chan T) T {
+// receive waits for a value.
+func receive[T any](t *testing.T, values <-chan T) T {
 	t.Helper()
 	select {
-	case v := <-c:
-		return v
+	case value := <-values:
+		return value
 	case <-time.After(patience):
 		require.Fail(t, "nothing came")
 		panic("unreachable")
