--- /dev/null
+++ b/cmd/stoatdale/testrouter_test.go
@@ -0,0 +1,190 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// testRouter is the program as a process of its own, with a discovery service that the test controls.
+type testRouter struct {
+	t          *testing.T
+	cmd        *exec.Cmd
+	address    string      // where clients connect
+	configPath string      // of its configuration document
+	log        chan string // lines; closed at the program's end
+	discovery  *testDiscovery
+}
+
+// routerOptions are what a test sets of a router's configuration. Zero values stand for the defaults below.
+type routerOptions struct {
+	sockets    int
+	memoryMB   int
+	discovery  string         // address; empty: the test's discovery service
+	settings   map[string]any // nil: testSettings without health checks
+	drainGrace time.Duration  // 0: not told
+}
+
+const (
+	testSockets  = 256
+	testMemoryMB = 48
+)
+
+// testSettings describes a deployment with a command group that reads and one that writes.
+func testSettings(healthChecks bool) map[string]any {
+	group := func(name, effect string) map[string]any {
+		return map[string]any{"name": name, "effect": effect, "targetNs": 4e9, "deadlineNs": 8e9, "worth": 1}
+	}
+	return map[string]any{
+		"balancers": 1, "tickNs": 5e6, "discovery": "push",
+		"classes": []any{group("look", "pure"), group("order", "side_effect")},
+		"familyInfo": map[string]any{
+			"tokens": "kept", "guards": "none", "needsByClass": []string{"eventual", "mutate"},
+			"classBoundNs": []int{0, 0},
+		},
+		"loadInfo": map[string]any{"source": "probe", "fields": []string{"x0", "x1"}},
+		"limits": map[string]any{
+			"mostTries": 4, "dialTimeoutNs": 2e9, "connIdleNs": 60e9, "cancel": true,
+			"probes": healthChecks, "retryAfter": true, "maxRetryAfterNs": 1e9,
+		},
+		"invariants": map[string]any{"startCapacity": 0.2, "rampTimeNs": 1e9, "overloadFactor": 2, "fallNs": 1e9},
+	}
+}
+
+// startRouter starts the program with an endpoint list and the default options.
+func startRouter(t *testing.T, endpoints ...string) *testRouter {
+	t.Helper()
+	return startRouterWith(t, routerOptions{}, endpoints...)
+}
+
+// startRouterWith starts the program and waits until it serves. It is killed at the test's end.
+func startRouterWith(t *testing.T, options routerOptions, endpoints ...string) *testRouter {
+	t.Helper()
+	list := strings.Join(endpoints, ",")
+	r := &testRouter{t: t, log: make(chan string, 10000), discovery: newTestDiscovery(t, list)}
+	options.complete(r.discovery.address)
+	r.configPath = filepath.Join(t.TempDir(), "config.json")
+	require.NoError(t, os.WriteFile(r.configPath, options.document(t, list), 0o600))
+	r.cmd = exec.Command(programPath)
+	r.cmd.Env = []string{"GW_CONFIG=" + r.configPath, "GW_DISCOVERY=" + options.discovery}
+	stderr, err := r.cmd.StderrPipe()
+	require.NoError(t, err)
+	require.NoError(t, r.cmd.Start())
+	t.Cleanup(func() { _ = r.cmd.Process.Kill(); _ = r.cmd.Wait() })
+	go func() {
+		for lines := bufio.NewScanner(stderr); lines.Scan(); {
+			r.log <- lines.Text()
+		}
+		close(r.log)
+	}()
+	listening := regexp.MustCompile(`"listen":"([^"]+)"`)
+	r.address = listening.FindStringSubmatch(r.waitForLog("serving"))[1]
+	return r
+}
+
+// complete fills in the defaults.
+func (o *routerOptions) complete(discovery string) {
+	if o.sockets == 0 {
+		o.sockets = testSockets
+	}
+	if o.memoryMB == 0 {
+		o.memoryMB = testMemoryMB
+	}
+	if o.discovery == "" {
+		o.discovery = discovery
+	}
+	if o.settings == nil {
+		o.settings = testSettings(false)
+	}
+	if o.drainGrace > 0 {
+		o.settings["invariants"].(map[string]any)["stopSendingWithinNs"] = o.drainGrace.Nanoseconds()
+	}
+}
+
+// document is the configuration of a router that knew an endpoint list last.
+func (o *routerOptions) document(t *testing.T, list string) []byte {
+	t.Helper()
+	document, err := json.Marshal(map[string]any{
+		"name": "n1", "listen": "127.0.0.1:0", "discovery": o.discovery, "seed": "1f",
+		"limits":   map[string]any{"memory_mb": o.memoryMB, "sockets": o.sockets},
+		"settings": o.settings,
+		"known":    json.RawMessage(`{"generation":0,"reset":true,"instances":[` + list + "]}"),
+	})
+	require.NoError(t, err)
+	return document
+}
+
+// waitForLog waits for a line of the log that contains a text.
+func (r *testRouter) waitForLog(text string) string {
+	r.t.Helper()
+	for timeout := time.After(patience); ; {
+		select {
+		case line, ok := <-r.log:
+			if !ok {
+				require.Fail(r.t, "the program ended", text)
+			}
+			if strings.Contains(line, text) {
+				return line
+			}
+		case <-timeout:
+			require.Fail(r.t, "not logged", text)
+		}
+	}
+}
+
+// counters has the program log its counters.
+func (r *testRouter) counters() map[string]any {
+	r.t.Helper()
+	r.signal(syscall.SIGUSR1)
+	var line struct{ Counters map[string]any }
+	require.NoError(r.t, json.Unmarshal([]byte(r.waitForLog(`"message":"counters"`)), &line))
+	return line.Counters
+}
+
+// waitForCounter waits until a counter has reached a value.
+func (r *testRouter) waitForCounter(name string, least float64) {
+	r.t.Helper()
+	for deadline := time.Now().Add(patience); r.counters()[name].(float64) < least; {
+		require.True(r.t, time.Now().Before(deadline), "%s stays under %v", name, least)
+	}
+}
+
+func (r *testRouter) signal(s syscall.Signal) {
+	r.t.Helper()
+	require.NoError(r.t, r.cmd.Process.Signal(s))
+}
+
+// reload replaces texts in the configuration, given as pairs of old and new, and has the program read it again.
+func (r *testRouter) reload(pairs ...string) {
+	r.t.Helper()
+	config, err := os.ReadFile(r.configPath)
+	require.NoError(r.t, err)
+	for i := 0; i < len(pairs); i += 2 {
+		require.Contains(r.t, string(config), pairs[i])
+		config = bytes.Replace(config, []byte(pairs[i]), []byte(pairs[i+1]), 1)
+	}
+	require.NoError(r.t, os.WriteFile(r.configPath, config, 0o600))
+	r.signal(syscall.SIGHUP)
+}
+
+// receive waits for a value.
+func receive[T any](t *testing.T, values <-chan T) T {
+	t.Helper()
+	select {
+	case value := <-values:
+		return value
+	case <-time.After(patience):
+		require.Fail(t, "nothing came")
+		panic("unreachable")
+	}
+}
