--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -19,26 +19,26 @@
  "limits": {"mostTries": 4}, "unheardOf": {"skipped": true}}`
 
 // batch is one frame at a time of the clock.
-func batch(clock uint64, count uint32, records ...[]byte) []byte {
+func frame(clock uint64, count uint32, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
 	b = binary.LittleEndian.AppendUint32(b, count)
 	return append(binary.LittleEndian.AppendUint64(b, clock), body...)
 }
 
-func up(params string) []byte {
+func startRecord(params string) []byte {
 	b := append([]byte{5, 0, 0, 0, 0, 3}, make([]byte, 8)...)
 	return append(binary.LittleEndian.AppendUint32(b, uint32(len(params))), params...)
 }
 
 // list is a set with one ready host, and its update.
-func list() []byte {
+func listRecords() []byte {
 	b := append([]byte{11, 0, 0, 1, 0, 0, 0, 10, 0, 0, 1, 9, 9}, make([]byte, 22)...)
 	b[7+11] = 1
 	return append(b, 10, 2, 0, 0, 0, 0, 0, 0)
 }
 
-func job(id byte, due uint64) []byte {
+func commandRecord(id byte, due uint64) []byte {
 	b := append([]byte{9, id, 0, 0, 0}, make([]byte, 14)...)
 	b = binary.LittleEndian.AppendUint64(b, due)
 	return append(b, make([]byte, 17)...)
@@ -51,62 +51,62 @@
 	return out.Bytes(), err
 }
 
-func TestCommandIsDispatchedAndAnswered(t *testing.T) {
+func TestCommandIsForwarded(t *testing.T) {
 	out, err := serve(t,
-		batch(1e9, 4, up(settings), list(), nil),
-		batch(1e9, 2, []byte{5, 0, 0, 0, 0}, job(7, 2e9)))
+		frame(1e9, 4, startRecord(settings), listRecords(), nil),
+		frame(1e9, 2, []byte{5, 0, 0, 0, 0}, commandRecord(7, 2e9)))
 	require.NoError(t, err)
 	want := []byte{1, 7, 0, 0, 0, 10, 0, 0, 1, 9, 9}
 	assert.True(t, bytes.Contains(out, want), "an attempt at the one host")
 }
 
-func TestUnknownAndLateEventsAreLegal(t *testing.T) {
+func TestUnknownAndLateEventsAreAccepted(t *testing.T) {
 	closed := append([]byte{4, 9, 0, 0, 0, 0}, make([]byte, 22)...)
 	probed := append([]byte{12}, make([]byte, 17)...)
-	_, err := serve(t, batch(1e9, 8, up(settings), list(), closed, probed, []byte{8, 1, 0, 0, 0}, []byte{7, 5, 0, 0, 0}))
+	_, err := serve(t, frame(1e9, 8, startRecord(settings), listRecords(), closed, probed, []byte{8, 1, 0, 0, 0}, []byte{7, 5, 0, 0, 0}))
 	assert.NoError(t, err)
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidRecordsAreErrors(t *testing.T) {
 	for says, frame := range map[string][]byte{
-		"event for unknown instance 4": batch(1, 2, []byte{5, 4, 0, 0, 0}, job(1, 1)),
-		"before any instance":          batch(1, 1, job(1, 1)),
-		"names command group 3 of 1":   batch(1, 3, up(settings), append(append([]byte{9, 1, 0, 0, 0, 3}, make([]byte, 37)...), 0)),
-		"never defined":                batch(1, 3, up(settings), []byte{10, 1, 0, 0, 0, 0, 3, 0}),
-		"unknown list mode":            batch(1, 3, up(settings), []byte{10, 8, 0, 0, 0, 0, 3, 0}),
-		"truncated frame":              batch(1, 1, job(1, 1))[:20],
+		"event for unknown instance 4": frame(1, 2, []byte{5, 4, 0, 0, 0}, commandRecord(1, 1)),
+		"before any instance":          frame(1, 1, commandRecord(1, 1)),
+		"names command group 3 of 1":   frame(1, 3, startRecord(settings), append(append([]byte{9, 1, 0, 0, 0, 3}, make([]byte, 37)...), 0)),
+		"never defined":                frame(1, 3, startRecord(settings), []byte{10, 1, 0, 0, 0, 0, 3, 0}),
+		"unknown list mode":            frame(1, 3, startRecord(settings), []byte{10, 8, 0, 0, 0, 0, 3, 0}),
+		"truncated frame":              frame(1, 1, commandRecord(1, 1))[:20],
 	} {
 		_, err := serve(t, frame)
 		assert.ErrorContains(t, err, says)
 	}
 }
 
-func spoilt(old, odd string) string { return strings.Replace(settings, old, odd, 1) }
+func changedSettings(old, odd string) string { return strings.Replace(settings, old, odd, 1) }
 
-func TestBadSettingsArePanicText(t *testing.T) {
+func TestInvalidSettingsAreReportedAsFaults(t *testing.T) {
 	for params, says := range map[string]string{
-		"nonsense":                        "settings:",
-		"{}":                              "classes is missing",
-		`{"classes":[{"effect":"pure"}]}`: "needsByClass holds 0 of 1",
-		spoilt("eventual", "psychic"):     "needsByClass",
-		spoilt("pure", "odd"):             "effect",
-		spoilt("pure\", \"keyScope\": \"cell", "token\", \"keyScope\": \"odd"): "keyScope",
-		spoilt("kept", "odd"):       "tokens",
-		spoilt("none", "odd"):       "guards",
-		spoilt("targetNs", "notIt"): "targetNs",
+		"nonsense":                             "settings:",
+		"{}":                                   "classes is missing",
+		`{"classes":[{"effect":"pure"}]}`:      "needsByClass holds 0 of 1",
+		changedSettings("eventual", "psychic"): "needsByClass",
+		changedSettings("pure", "odd"):         "effect",
+		changedSettings("pure\", \"keyScope\": \"cell", "token\", \"keyScope\": \"odd"): "keyScope",
+		changedSettings("kept", "odd"):       "tokens",
+		changedSettings("none", "odd"):       "guards",
+		changedSettings("targetNs", "notIt"): "targetNs",
 	} {
-		out, err := serve(t, batch(1, 2, up(params)))
+		out, err := serve(t, frame(1, 2, startRecord(params)))
 		require.NoError(t, err)
 		assert.Contains(t, string(out), says)
 	}
 }
 
-func TestRepeatedHostsKeepTheirIndex(t *testing.T) {
-	h := &hub{live: map[uint32]*instance{}, lists: map[int][]wire.Entry{}}
-	b, err := wire.ReadBatch(bytes.NewReader(batch(1e9, 5, up(settings), list(), list()[35:])), nil)
+func TestRepeatedEndpointsKeepTheirIndex(t *testing.T) {
+	h := &host{instances: map[uint32]*instance{}, lists: map[int][]wire.Endpoint{}}
+	b, err := wire.ReadBatch(bytes.NewReader(frame(1e9, 5, startRecord(settings), listRecords(), listRecords()[35:])), nil)
 	require.NoError(t, err)
 	require.NoError(t, b.Decode(h))
-	assert.Equal(t, 1, h.live[0].hosts.Len())
+	assert.Equal(t, 1, h.instances[0].addresses.Len())
 	_, err = wire.ReadBatch(bytes.NewReader(nil), nil)
 	assert.ErrorIs(t, err, io.EOF)
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -11,77 +11,77 @@
 )
 
 // Host is a database host's address and port as the wire carries them.
-type Host [6]byte
+type Address [6]byte
 
 // Entry is one line of a list.
-type Entry struct {
-	Host    Host
-	Zone    int
-	Cell    int
-	State   int
-	Weight  float64
-	Started uint64
-	Primary bool
+type Endpoint struct {
+	Address   Address
+	Zone      int
+	Shard     int
+	State     int
+	Weight    float64
+	StartedAt uint64
+	Primary   bool
 }
 
 // Ended is how one dispatch ended.
-type Ended struct {
-	ID   uint32
-	Leg  int
-	Host Host
-	Code int
-	Took uint64
-	Over bool
-	Note uint32
+type AttemptEnded struct {
+	Command         uint32
+	Attempt         int
+	Address         Address
+	Result          int
+	Elapsed         uint64
+	Final           bool
+	PositionAndRole uint32
 }
 
 // Asked is a command as a client sent it.
-type Asked struct {
-	ID       uint32
-	Class    int
-	Tenant   int
-	Session  uint64
-	Due      uint64
-	Cell     int
-	WriteAge float64
-	Marks    byte
+type Command struct {
+	ID             uint32
+	Group          int
+	Tenant         int
+	Session        uint64
+	Deadline       uint64
+	Shard          int
+	LastWriteAgeMs float64
+	Flags          byte
 }
 
 // Handler takes the records of a batch in their order.
 type Handler interface {
-	At(instance uint32) error
-	Up(seed uint64, params []byte) error
-	Crash() error
-	List(id int, entries []Entry) error
-	Update(mode byte, id int) error
-	Job(Asked) error
-	First(id uint32, leg int) error
-	Closed(Ended) error
-	Expired(id uint32) error
-	Alarm(ref uint32) error
-	Probed(h Host, code int, took uint64, load []float32) error
+	SelectInstance(instance uint32) error
+	StartInstance(seed uint64, params []byte) error
+	CrashInstance() error
+	DefineList(id int, entries []Endpoint) error
+	UpdateList(mode byte, id int) error
+	Command(Command) error
+	FirstByte(id uint32, leg int) error
+	AttemptEnded(AttemptEnded) error
+	ClientGone(id uint32) error
+	TimerFired(ref uint32) error
+	HealthChecked(h Address, code int, took uint64, load []float32) error
 }
 
 // Record codes of a batch.
 const (
-	codeFirst = iota + 1
-	codePeer
-	codeUp
-	codeClosed
-	codeFor
-	codeCrash
-	codeAlarm
-	codeExpired
-	codeJob
-	codeUpdate
-	codeList
-	codeProbed
+	recordFirstByte = iota + 1
+	recordPeerMessage
+	recordStartInstance
+	recordAttemptEnded
+	recordSelectInstance
+	recordCrashInstance
+	recordTimerFired
+	recordClientGone
+	recordCommand
+	recordUpdateList
+	recordDefineList
+	recordHealthChecked
 )
 
 const (
-	headerLen = 16
-	entryLen  = 28
-	chunkLen  = 1 << 20
+	headerSize   = 16
+	endpointSize = 28
+	chunkSize    = 1 << 20
 )
 
 // Batch is one frame from the simulator.
@@ -93,7 +93,7 @@
 
 // ReadBatch reads one frame. It returns io.EOF only at the end of input between frames.
 func ReadBatch(r io.Reader, buf []byte) (Batch, error) {
-	var head [headerLen]byte
+	var head [headerSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return Batch{}, io.EOF
@@ -113,7 +113,7 @@
 // readBody grows its buffer only as bytes arrive, so that a false length costs no memory.
 func readBody(r io.Reader, buf []byte, left int) ([]byte, error) {
 	for left > 0 {
-		n := min(left, chunkLen)
+		n := min(left, chunkSize)
 		start := len(buf)
 		if cap(buf) < start+n {
 			grown := make([]byte, start, 2*(start+n))
@@ -178,7 +178,7 @@
 
 func (c *cursor) f32() float32 { return math.Float32frombits(c.u32()) }
 
-func (c *cursor) host() (h Host) {
+func (c *cursor) host() (h Address) {
 	copy(h[:], c.take(len(h)))
 	return h
 }
@@ -196,22 +196,22 @@
 	return out
 }
 
-func (c *cursor) entries() []Entry {
+func (c *cursor) entries() []Endpoint {
 	n := int(c.u32())
-	if c.bad || n > (len(c.b)-c.at)/entryLen {
+	if c.bad || n > (len(c.b)-c.at)/endpointSize {
 		c.bad = true
 		return nil
 	}
-	out := make([]Entry, n)
+	out := make([]Endpoint, n)
 	for i := range out {
 		e := &out[i]
-		e.Host = c.host()
+		e.Address = c.host()
 		e.Zone = c.u16()
 		c.u8()
-		e.Cell = c.u16()
+		e.Shard = c.u16()
 		e.State = int(c.u8())
 		e.Weight = float64(c.f32())
-		e.Started = c.u64()
+		e.StartedAt = c.u64()
 		e.Primary = c.f32() == 1
 	}
 	return out
@@ -224,11 +224,11 @@
 		start := c.at
 		code := c.u8()
 		if err := c.record(code, h); err != nil {
-			return fmt.Errorf("record %d (code %d) at byte %d: %w", i, code, headerLen+start, err)
+			return fmt.Errorf("record %d (code %d) at byte %d: %w", i, code, headerSize+start, err)
 		}
 	}
 	if c.at != len(c.b) {
-		return fmt.Errorf("%d trailing bytes at byte %d", len(c.b)-c.at, headerLen+c.at)
+		return fmt.Errorf("%d trailing bytes at byte %d", len(c.b)-c.at, headerSize+c.at)
 	}
 	return nil
 }
@@ -248,52 +248,52 @@
 
 func (c *cursor) fields(code byte, h Handler) func() error {
 	switch code {
-	case codeFirst:
+	case recordFirstByte:
 		id, leg := c.u32(), int(c.u8())
 		c.host()
 		c.u64()
-		return func() error { return h.First(id, leg) }
-	case codePeer:
+		return func() error { return h.FirstByte(id, leg) }
+	case recordPeerMessage:
 		c.u16()
 		c.take(c.u16())
 		return func() error { return nil }
-	case codeUp:
+	case recordStartInstance:
 		seed := c.u64()
 		params := c.take(int(c.u32()))
-		return func() error { return h.Up(seed, params) }
-	case codeClosed:
-		e := Ended{ID: c.u32(), Leg: int(c.u8()), Host: c.host(), Code: c.u16(), Took: c.u64(), Over: c.u8() != 0}
-		e.Note = c.u32()
+		return func() error { return h.StartInstance(seed, params) }
+	case recordAttemptEnded:
+		e := AttemptEnded{Command: c.u32(), Attempt: int(c.u8()), Address: c.host(), Result: c.u16(), Elapsed: c.u64(), Final: c.u8() != 0}
+		e.PositionAndRole = c.u32()
 		c.loads()
-		return func() error { return h.Closed(e) }
-	case codeFor:
+		return func() error { return h.AttemptEnded(e) }
+	case recordSelectInstance:
 		i := c.u32()
-		return func() error { return h.At(i) }
-	case codeCrash:
-		return h.Crash
-	case codeAlarm:
+		return func() error { return h.SelectInstance(i) }
+	case recordCrashInstance:
+		return h.CrashInstance
+	case recordTimerFired:
 		ref := c.u32()
-		return func() error { return h.Alarm(ref) }
-	case codeExpired:
+		return func() error { return h.TimerFired(ref) }
+	case recordClientGone:
 		id := c.u32()
-		return func() error { return h.Expired(id) }
-	case codeJob:
-		a := Asked{ID: c.u32(), Class: c.u16(), Tenant: int(c.u32()), Session: c.u64(), Due: c.u64()}
+		return func() error { return h.ClientGone(id) }
+	case recordCommand:
+		a := Command{ID: c.u32(), Group: c.u16(), Tenant: int(c.u32()), Session: c.u64(), Deadline: c.u64()}
 		c.u64()
-		a.Cell, a.WriteAge, a.Marks = int(c.f32()), float64(c.f32()), c.u8()
-		return func() error { return h.Job(a) }
-	case codeUpdate:
+		a.Shard, a.LastWriteAgeMs, a.Flags = int(c.f32()), float64(c.f32()), c.u8()
+		return func() error { return h.Command(a) }
+	case recordUpdateList:
 		mode := c.u8()
 		c.u32()
 		id := c.u16()
-		return func() error { return h.Update(mode, id) }
-	case codeList:
+		return func() error { return h.UpdateList(mode, id) }
+	case recordDefineList:
 		id, list := c.u16(), c.entries()
-		return func() error { return h.List(id, list) }
-	case codeProbed:
+		return func() error { return h.DefineList(id, list) }
+	case recordHealthChecked:
 		code, took, host := c.u16(), c.u64(), c.host()
 		load := c.loads()
-		return func() error { return h.Probed(host, code, took, load) }
+		return func() error { return h.HealthChecked(host, code, took, load) }
 	}
 	return nil
 }
@@ -314,42 +314,42 @@
 func (r *Reply) Len() int { return len(r.b) }
 
 // As names the instance of the actions that follow.
-func (r *Reply) As(i uint32) { r.b = binary.LittleEndian.AppendUint32(append(r.b, 13), i) }
+func (r *Reply) SelectInstance(i uint32) { r.b = binary.LittleEndian.AppendUint32(append(r.b, 13), i) }
 
 // Attempt sends a command to a host; it times out at the clock time until.
-func (r *Reply) Attempt(id uint32, h Host, until uint64) {
+func (r *Reply) Forward(id uint32, h Address, until uint64) {
 	r.b = binary.LittleEndian.AppendUint32(append(r.b, 1), id)
 	r.b = binary.LittleEndian.AppendUint64(append(r.b, h[:]...), until)
 }
 
 // Abort ends a command as failed.
-func (r *Reply) Abort(id uint32) { r.b = binary.LittleEndian.AppendUint32(append(r.b, 3), id) }
+func (r *Reply) Fail(id uint32) { r.b = binary.LittleEndian.AppendUint32(append(r.b, 3), id) }
 
 // Recall calls one attempt off.
-func (r *Reply) Recall(id uint32, leg int) {
+func (r *Reply) CancelAttempt(id uint32, leg int) {
 	r.b = append(binary.LittleEndian.AppendUint32(append(r.b, 4), id), byte(leg))
 }
 
 // PushBack ends a command as throttled.
-func (r *Reply) PushBack(id uint32, comeBack uint64) {
+func (r *Reply) Reject(id uint32, comeBack uint64) {
 	r.b = binary.LittleEndian.AppendUint32(append(r.b, 6), id)
 	r.b = binary.LittleEndian.AppendUint64(r.b, comeBack)
 }
 
 // Alarm asks for a timer after delay nanoseconds.
-func (r *Reply) Alarm(delay uint64, ref uint32) {
+func (r *Reply) SetTimer(delay uint64, ref uint32) {
 	r.b = binary.LittleEndian.AppendUint64(append(r.b, 7), delay)
 	r.b = binary.LittleEndian.AppendUint32(r.b, ref)
 }
 
 // Follow subscribes to the list.
-func (r *Reply) Follow() { r.b = append(r.b, 8, 1) }
+func (r *Reply) Subscribe() { r.b = append(r.b, 8, 1) }
 
 // Check probes a host.
-func (r *Reply) Check(h Host) { r.b = append(append(r.b, 11), h[:]...) }
+func (r *Reply) HealthCheck(h Address) { r.b = append(append(r.b, 11), h[:]...) }
 
 // Panic reports that an instance cannot go on.
-func (r *Reply) Panic(text string) {
+func (r *Reply) ReportFault(text string) {
 	const most = math.MaxUint16
 	if len(text) > most {
 		text = text[:most]
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,15 +12,18 @@
 )
 
 // heard collects what a batch says; a method that no test needs panics.
-type heard struct {
+type recordingHandler struct {
 	Handler
-	jobs  []Asked
-	ended []Ended
+	commands []Command
+	ended    []AttemptEnded
 }
 
-func (h *heard) At(uint32) error      { return nil }
-func (h *heard) Job(a Asked) error    { h.jobs = append(h.jobs, a); return nil }
-func (h *heard) Closed(e Ended) error { h.ended = append(h.ended, e); return nil }
+func (h *recordingHandler) SelectInstance(uint32) error { return nil }
+func (h *recordingHandler) Command(a Command) error     { h.commands = append(h.commands, a); return nil }
+func (h *recordingHandler) AttemptEnded(e AttemptEnded) error {
+	h.ended = append(h.ended, e)
+	return nil
+}
 
 func frame(count uint32, body ...byte) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
@@ -28,7 +31,7 @@
 	return append(binary.LittleEndian.AppendUint64(b, 99), body...)
 }
 
-func TestRecordsAreRead(t *testing.T) {
+func TestRecordsAreDecoded(t *testing.T) {
 	body := []byte{5, 3, 0, 0, 0}
 	body = append(body, 9, 1, 0, 0, 0, 2, 0, 0, 0, 0, 0)
 	body = append(body, make([]byte, 24)...)
@@ -37,13 +40,13 @@
 	body = append(body, 1, 0, 0, 0, 0, 0, 0, 0, 1, 6, 0, 0, 0, 1, 0, 0, 0x80, 0x3f)
 	b, err := ReadBatch(bytes.NewReader(frame(3, body...)), nil)
 	require.NoError(t, err)
-	var h heard
+	var h recordingHandler
 	require.NoError(t, b.Decode(&h))
-	assert.Equal(t, []Asked{{ID: 1, Class: 2, Cell: 11, WriteAge: 412.5, Marks: 4}}, h.jobs)
-	assert.Equal(t, []Ended{{ID: 7, Leg: 1, Host: Host{10, 0, 0, 1, 9, 9}, Code: 8, Took: 1, Over: true, Note: 6}}, h.ended)
+	assert.Equal(t, []Command{{ID: 1, Group: 2, Shard: 11, LastWriteAgeMs: 412.5, Flags: 4}}, h.commands)
+	assert.Equal(t, []AttemptEnded{{Command: 7, Attempt: 1, Address: Address{10, 0, 0, 1, 9, 9}, Result: 8, Elapsed: 1, Final: true, PositionAndRole: 6}}, h.ended)
 }
 
-func TestMalformedFramesSayWhatAndWhere(t *testing.T) {
+func TestMalformedFramesAreErrorsThatNameThePlace(t *testing.T) {
 	for name, c := range map[string]struct {
 		frame []byte
 		says  string
@@ -59,22 +62,22 @@
 	} {
 		b, err := ReadBatch(bytes.NewReader(c.frame), nil)
 		if err == nil {
-			err = b.Decode(&heard{})
+			err = b.Decode(&recordingHandler{})
 		}
 		assert.ErrorContains(t, err, c.says, name)
 	}
 }
 
-func TestEndBetweenFrames(t *testing.T) {
+func TestEndOfInputBetweenFramesIsEOF(t *testing.T) {
 	_, err := ReadBatch(bytes.NewReader(nil), nil)
 	assert.True(t, errors.Is(err, io.EOF))
 }
 
-func TestReplyLength(t *testing.T) {
+func TestReplyFrameHoldsItsLength(t *testing.T) {
 	var r Reply
 	r.Reset()
-	r.As(3)
-	r.Attempt(1, Host{10, 0, 0, 1, 9, 9}, 5)
+	r.SelectInstance(3)
+	r.Forward(1, Address{10, 0, 0, 1, 9, 9}, 5)
 	f := r.Frame()
 	assert.Equal(t, uint32(len(f)-4), binary.LittleEndian.Uint32(f))
 	assert.Equal(t, []byte{13, 3, 0, 0, 0, 1, 1, 0, 0, 0, 10, 0, 0, 1, 9, 9, 5, 0, 0, 0, 0, 0, 0, 0}, f[4:])
