--- a/internal/cli/agent.go
+++ b/internal/cli/agent.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return fmt.Errorf("agent %s: %w", me.Name, err)
 	}
-	server := api.NewServer(l, x, source, api.Spoken, a.log)
+	server := api.NewServer(l, x, source, api.SupportedVersions, a.log)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	served := make(chan error, 1)
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -466,7 +466,7 @@
 				Rollouts  []tool.RolloutState `json:"rollouts"`
 			}
 			for _, r := range h.Revisions {
-				s.Revisions = append(s.Revisions, rev{r.Digest, r.Name, r.By, time.Unix(r.At, 0).UTC().Format(time.RFC3339)})
+				s.Revisions = append(s.Revisions, rev{r.Digest, r.Name, r.PushedBy, time.Unix(r.PushedAt, 0).UTC().Format(time.RFC3339)})
 			}
 			for _, r := range h.Rollouts {
 				s.Rollouts = append(s.Rollouts, *t.Rollout(r))
--- a/internal/drill/claims.go
+++ b/internal/drill/claims.go
@@ -411,7 +411,7 @@
 		}
 	}
 	for _, s := range sends {
-		if s.Call.Verb == form.Keep {
+		if s.Call.Verb == form.StoreRecordVerb {
 			t.noted(s.Call)
 		}
 		t.post(s)
@@ -438,7 +438,7 @@
 }
 
 // noted keeps when the record of a step was first sent to be kept.
-func (t *console) noted(c form.Call) {
+func (t *console) noted(c form.Request) {
 	var r form.Rollout
 	if form.Decode("record", c.Record.Body, &r) == nil && r.Step.Number != 0 {
 		key := fmt.Sprint(c.Epoch, r.ID, r.Step.Number)
@@ -499,19 +499,19 @@
 	})
 }
 
-func (a *actor) answer(c form.Call) (form.Reply, bool) {
+func (a *actor) answer(c form.Request) (form.Reply, bool) {
 	if !a.alive {
 		return form.Reply{}, false
 	}
-	if a.w.Break == "unfenced" && c.Verb == form.Act {
+	if a.w.Break == "unfenced" && c.Verb == form.BeginStepVerb {
 		c.Epoch, c.Holder = a.desk.Claims.Epoch, a.desk.Claims.Holder
 		a.desk.Claims.Bid(a.now(), claim.Bid{Epoch: c.Epoch, Holder: c.Holder})
 	}
-	if a.w.Break == "unkept" && c.Verb == form.Keep {
-		return form.Reply{Standing: a.desk.Claims.Standing(a.now())}, true
+	if a.w.Break == "unkept" && c.Verb == form.StoreRecordVerb {
+		return form.Reply{LeaseState: a.desk.Claims.Standing(a.now())}, true
 	}
 	r, s := a.desk.Handle(a.now(), c)
-	if c.Verb == form.Act && (r.Refusal == claim.LowerEpoch || r.Refusal == claim.RanOut) {
+	if c.Verb == form.BeginStepVerb && (r.Denial == claim.LowerEpoch || r.Denial == claim.RanOut) {
 		a.w.report.Late++
 	}
 	if s.Claims {
--- a/internal/drill/status.go
+++ b/internal/drill/status.go
@@ -58,13 +58,13 @@
 }
 
 // Handle implements api.Handler.
-func (c *canned) Handle(_ context.Context, _ string, call form.Call) (form.Reply, error) {
-	if call.Verb != form.Look {
-		return form.Reply{Fault: "this agent only looks"}, nil
+func (c *canned) Handle(_ context.Context, _ string, call form.Request) (form.Reply, error) {
+	if call.Verb != form.StatusVerb {
+		return form.Reply{Failure: "this agent only looks"}, nil
 	}
-	r := form.Reply{Agent: c.name, Program: "stand-in", Standing: claim.Standing{Epoch: 3}}
+	r := form.Reply{Agent: c.name, Program: "stand-in", LeaseState: claim.Standing{Epoch: 3}}
 	for _, n := range c.names {
-		r.Instances = append(r.Instances, form.Told{Name: n, Listen: "127.0.0.1:5432", Sight: plan.Sight{
+		r.Instances = append(r.Instances, form.InstanceStatus{Name: n, Listen: "127.0.0.1:5432", Sight: plan.Sight{
 			Life:     plan.Ready,
 			Revision: "0123456789abcdef0123456789abcdef", Recent: plan.Tally{Ended: 1000, Unanswered: 3}, ReadyFor: 100,
 		}})
@@ -136,7 +136,7 @@
 			Name: a.name, Hall: "h", Folder: dir, Program: "none",
 			Listen: netip.MustParseAddrPort(l.Addr().String()),
 		})
-		server := api.NewServer(l, a, folder.Source(keys.Agent, a.name), api.Spoken, zerolog.Nop())
+		server := api.NewServer(l, a, folder.Source(keys.Agent, a.name), api.SupportedVersions, zerolog.Nop())
 		servers = append(servers, server)
 		go func() { _ = server.Serve() }()
 	}
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -87,8 +87,8 @@
 	a := &Agent{fleet: f, me: me, own: f.Of(name), store: keeper, log: log, limits: tend.DefaultLimits(),
 		events: make(chan func(), queued), began: time.Now()}
 	a.limits.Ready, a.limits.Window = float64(f.Times.Ready), max(float64(f.Times.Soak), 5)
-	a.desk = tend.Desk{Agent: name, Program: program, Agents: f.AgentsDigest(), Wish: st.Wish,
-		Claims: claim.Restore(st.Claims, float64(f.Times.Claim), 0)}
+	a.desk = tend.Desk{Agent: name, Program: program, Agents: f.AgentsDigest(), Wish: st.OperatorRequest,
+		Claims: claim.Restore(st.Lease, float64(f.Times.Claim), 0)}
 	for _, x := range a.own {
 		folder, err := filepath.Abs(filepath.Join(me.Folder, x.Name))
 		if err != nil {
@@ -406,7 +406,7 @@
 }
 
 // Handle answers a call of an operator. It may be called from any goroutine while Run runs.
-func (a *Agent) Handle(ctx context.Context, operator string, c form.Call) (form.Reply, error) {
+func (a *Agent) Handle(ctx context.Context, operator string, c form.Request) (form.Reply, error) {
 	done := make(chan form.Reply, 1)
 	f := func() { done <- a.handle(operator, c) }
 	select {
@@ -422,27 +422,27 @@
 	}
 }
 
-func (a *Agent) handle(operator string, c form.Call) form.Reply {
+func (a *Agent) handle(operator string, c form.Request) form.Reply {
 	r := form.Reply{Agent: a.desk.Agent, Program: a.desk.Program}
 	switch c.Verb {
-	case form.Put:
-		r.Fault = text(a.put(operator, c.Revision))
+	case form.PutRevisionVerb:
+		r.Failure = text(a.put(operator, c.Revision))
 		return r
-	case form.Get:
+	case form.GetRevisionVerb:
 		rev, found, err := a.store.Revision(c.Revision.Digest)
 		if err == nil && found {
 			r.Revisions = []form.Revision{rev}
 		}
-		r.Fault = text(err)
+		r.Failure = text(err)
 		return r
-	case form.History:
+	case form.HistoryVerb:
 		var err, more error
 		r.Revisions, err = a.store.Revisions()
 		r.Rollouts, more = a.store.Rollouts()
-		r.Fault = text(errors.Join(err, more))
+		r.Failure = text(errors.Join(err, more))
 		return r
 	}
-	c.Wish.By = operator
+	c.OperatorRequest.Operator = operator
 	before := a.desk
 	before.Instances = append([]tend.Instance(nil), a.desk.Instances...)
 	r, s := a.desk.Handle(a.now(), c)
@@ -451,14 +451,14 @@
 		if err := a.store.Save(change); err != nil {
 			a.desk = before
 			a.log.Error().Err(err).Str("verb", string(c.Verb)).Msg("not stored, and so refused")
-			return form.Reply{Agent: r.Agent, Program: r.Program, Refusal: claim.NotHolder, Fault: err.Error(),
-				Standing: a.desk.Claims.Standing(a.now())}
+			return form.Reply{Agent: r.Agent, Program: r.Program, Denial: claim.NotHolder, Failure: err.Error(),
+				LeaseState: a.desk.Claims.Standing(a.now())}
 		}
 	}
 	a.logged(operator, c, r)
 	for i := range r.Instances {
 		if p := a.routers[i].process; p != nil {
-			r.Instances[i].Process = p.pid
+			r.Instances[i].ProcessID = p.pid
 		}
 	}
 	if s.Instance >= 0 {
@@ -469,20 +469,20 @@
 }
 
 // change is what a call has changed that must be stored.
-func (a *Agent) change(c form.Call, s tend.Saves) (store.Change, bool) {
+func (a *Agent) change(c form.Request, s tend.Saves) (store.Change, bool) {
 	var ch store.Change
 	if s.Claims {
 		d := a.desk.Claims.Durable
-		ch.Claims = &d
+		ch.Lease = &d
 	}
-	if s.Claims && c.Verb == form.Keep {
+	if s.Claims && c.Verb == form.StoreRecordVerb {
 		var r form.Rollout
 		if err := form.Decode("record", c.Record.Body, &r); err == nil && r.ID != "" {
 			ch.Rollout = &r
 		}
 	}
 	if s.Wish {
-		ch.Wish = &a.desk.Wish
+		ch.OperatorRequest = &a.desk.Wish
 	}
 	if s.Instance >= 0 {
 		ch.Instances = map[string]tend.Record{a.own[s.Instance].Name: a.desk.Instances[s.Instance].Record}
@@ -490,12 +490,12 @@
 	return ch, s.Claims || s.Wish || s.Instance >= 0
 }
 
-func (a *Agent) logged(operator string, c form.Call, r form.Reply) {
-	if c.Verb == form.Look || c.Verb == form.Keep && r.Refusal == claim.Granted {
+func (a *Agent) logged(operator string, c form.Request, r form.Reply) {
+	if c.Verb == form.StatusVerb || c.Verb == form.StoreRecordVerb && r.Denial == claim.Granted {
 		return
 	}
-	a.log.Info().Str("operator", operator).Str("verb", string(c.Verb)).Uint64("epoch", max(c.Epoch, c.Bid.Epoch)).
-		Stringer("says", r.Refusal).Str("fault", r.Fault).Msg("call")
+	a.log.Info().Str("operator", operator).Str("verb", string(c.Verb)).Uint64("epoch", max(c.Epoch, c.LeaseRequest.Epoch)).
+		Stringer("says", r.Denial).Str("fault", r.Failure).Msg("call")
 }
 
 // put keeps a revision that is right for every instance here.
@@ -512,7 +512,7 @@
 			return err
 		}
 	}
-	rev.Content, rev.By = canonical, operator
+	rev.Content, rev.PushedBy = canonical, operator
 	if err := a.store.Save(store.Change{Revision: &rev}); err != nil {
 		return err
 	}
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -80,8 +80,8 @@
 			}
 		}
 	})
-	r.call(form.Call{Verb: form.Bid, Bid: claim.Bid{Epoch: 1, Holder: "h", Takeover: true}})
-	r.until("it knows its router", func(t form.Told) bool { return t.Life != plan.Unknown })
+	r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Bid{Epoch: 1, Holder: "h", Takeover: true}})
+	r.until("it knows its router", func(t form.InstanceStatus) bool { return t.Life != plan.Unknown })
 	return r
 }
 
@@ -104,7 +104,7 @@
 	r.start()
 }
 
-func (r *rig) call(c form.Call) form.Reply {
+func (r *rig) call(c form.Request) form.Reply {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -113,7 +113,7 @@
 	return reply
 }
 
-func (r *rig) sight() form.Told { return r.call(form.Call{Verb: form.Look}).Instances[0] }
+func (r *rig) sight() form.InstanceStatus { return r.call(form.Request{Verb: form.StatusVerb}).Instances[0] }
 
 // inLoop runs something in the agent's turn.
 func (r *rig) inLoop(f func()) {
@@ -129,7 +129,7 @@
 }
 
 // until waits for something to be seen of the instance.
-func (r *rig) until(what string, is func(t form.Told) bool) form.Told {
+func (r *rig) until(what string, is func(t form.InstanceStatus) bool) form.InstanceStatus {
 	r.t.Helper()
 	for late := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
 		told := r.sight()
@@ -152,30 +152,30 @@
 	raw, err := revision.Canonical("f", stand.JSON(stand.Deployment("127.0.0.1:9", 0.1, more)))
 	require.NoError(r.t, err)
 	digest := revision.Digest(raw)
-	reply := r.call(form.Call{Verb: form.Put, Revision: form.Revision{Digest: digest, Content: raw}})
-	require.Empty(r.t, reply.Fault)
+	reply := r.call(form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Digest: digest, Content: raw}})
+	require.Empty(r.t, reply.Failure)
 	return digest
 }
 
 // step begins one and waits for its end.
-func (r *rig) step(digest string) form.Told {
+func (r *rig) step(digest string) form.InstanceStatus {
 	r.t.Helper()
 	fault := r.begin(digest)
 	require.Empty(r.t, fault)
-	return r.until("its end", func(t form.Told) bool { return t.Last.Number == r.number && t.End != plan.Open })
+	return r.until("its end", func(t form.InstanceStatus) bool { return t.Last.Number == r.number && t.End != plan.Open })
 }
 
 func (r *rig) begin(digest string) string {
 	r.number++
-	reply := r.call(form.Call{Verb: form.Act, Epoch: 1, Holder: "h", Name: "n",
+	reply := r.call(form.Request{Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n",
 		Step: plan.Step{Rollout: "r", Number: r.number, Revision: digest}})
-	if reply.Refusal != claim.Granted {
-		return reply.Refusal.String() + " " + reply.Fault
+	if reply.Denial != claim.Granted {
+		return reply.Denial.String() + " " + reply.Failure
 	}
-	return reply.Fault
+	return reply.Failure
 }
 
-func ready(t form.Told) bool { return t.Life == plan.Ready }
+func ready(t form.InstanceStatus) bool { return t.Life == plan.Ready }
 
 func TestStepsStartRestartAndReload(t *testing.T) {
 	t.Parallel()
@@ -183,17 +183,17 @@
 	a := r.push(stand.Conduct{}, nil)
 	told := r.step(a)
 	assert.Equal(t, plan.Done, told.End, told.Why)
-	first := told.Process
+	first := told.ProcessID
 	assert.NotZero(t, first)
-	r.until("counters", func(t form.Told) bool { return t.Since.Ended >= 200 })
+	r.until("counters", func(t form.InstanceStatus) bool { return t.Since.Ended >= 200 })
 	b := r.push(stand.Conduct{}, map[string]any{"discovery": "127.0.0.1:10"})
 	told = r.step(b)
 	assert.Equal(t, plan.Done, told.End, told.Why)
-	assert.Equal(t, first, told.Process, "another address of discovery moves by SIGHUP")
+	assert.Equal(t, first, told.ProcessID, "another address of discovery moves by SIGHUP")
 	c := r.push(stand.Conduct{Ready: 0.3}, map[string]any{"limits": map[string]any{"sockets": 300}})
 	told = r.step(c)
 	assert.Equal(t, plan.Done, told.End, told.Why)
-	assert.NotEqual(t, first, told.Process)
+	assert.NotEqual(t, first, told.ProcessID)
 	raw, err := os.ReadFile(filepath.Join(r.folder, "n", configName))
 	require.NoError(t, err)
 	assert.Contains(t, string(raw), `"sockets":300`)
@@ -214,11 +214,11 @@
 		assert.Equal(t, plan.Ready, told.Life)
 	}
 	assert.Contains(t, r.step(strings.Repeat("0", 32)).Why, "is not at agent a: push it")
-	reply := r.call(form.Call{Verb: form.Put, Revision: form.Revision{Digest: "x", Content: []byte(`{"discovery":"x"}`)}})
-	assert.Contains(t, reply.Fault, "and it is called x")
+	reply := r.call(form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Digest: "x", Content: []byte(`{"discovery":"x"}`)}})
+	assert.Contains(t, reply.Failure, "and it is called x")
 	raw := []byte(`{"discovery":"x"}`)
-	reply = r.call(form.Call{Verb: form.Put, Revision: form.Revision{Digest: revision.Digest(raw), Content: raw}})
-	assert.Contains(t, reply.Fault, "instance n: discovery:", "the router's own reader refuses it")
+	reply = r.call(form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Digest: revision.Digest(raw), Content: raw}})
+	assert.Contains(t, reply.Failure, "instance n: discovery:", "the router's own reader refuses it")
 }
 
 func TestRouterThatDoesNotEndIsKilledAfterItsTime(t *testing.T) {
@@ -233,7 +233,7 @@
 	p := r.process()
 	told = r.step(r.push(stand.Conduct{}, nil))
 	assert.Equal(t, plan.Done, told.End)
-	assert.NotEqual(t, p.pid, told.Process)
+	assert.NotEqual(t, p.pid, told.ProcessID)
 }
 
 func TestNewAgentAdoptsTheRouterThatRuns(t *testing.T) {
@@ -242,12 +242,12 @@
 	told := r.step(r.push(stand.Conduct{}, nil))
 	r.restart()
 	again := r.until("ready", ready)
-	assert.Equal(t, told.Process, again.Process)
+	assert.Equal(t, told.ProcessID, again.ProcessID)
 	p := r.process()
 	require.NoError(t, p.signal(unix.SIGKILL))
-	after := r.until("a new one", func(t form.Told) bool { return ready(t) && t.Process != told.Process })
+	after := r.until("a new one", func(t form.InstanceStatus) bool { return ready(t) && t.ProcessID != told.ProcessID })
 	assert.Equal(t, 1, after.Crashes)
-	assert.NotEqual(t, claim.Granted, r.call(form.Call{Verb: form.Bid, Bid: claim.Bid{Epoch: 1, Holder: "other"}}).Refusal,
+	assert.NotEqual(t, claim.Granted, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Bid{Epoch: 1, Holder: "other"}}).Denial,
 		"promises outlive the agent")
 }
 
@@ -258,7 +258,7 @@
 	r.stop()
 	p, err := adopt(r.agent.mark(0, 1))
 	require.NoError(t, err)
-	require.Equal(t, told.Process, p.pid)
+	require.Equal(t, told.ProcessID, p.pid)
 	require.NoError(t, p.signal(unix.SIGKILL))
 	for gone := false; !gone; gone, _ = p.gone() {
 		time.Sleep(time.Millisecond)
@@ -267,7 +267,7 @@
 	require.NoError(t, err)
 	assert.Nil(t, p, "only the mark tells a router, and this test's own process bears none")
 	r.start()
-	assert.NotEqual(t, told.Process, r.until("ready", ready).Process)
+	assert.NotEqual(t, told.ProcessID, r.until("ready", ready).ProcessID)
 }
 
 func TestAgentThatEndsInAStepResolvesIt(t *testing.T) {
@@ -280,7 +280,7 @@
 		require.Empty(t, r.begin(b), name)
 		time.Sleep(after)
 		r.restart()
-		told := r.until("an end", func(t form.Told) bool { return t.End != plan.Open && ready(t) })
+		told := r.until("an end", func(t form.InstanceStatus) bool { return t.End != plan.Open && ready(t) })
 		assert.NotEqual(t, plan.Failed, told.End, "%s: %s", name, told.Why)
 		if told.End == plan.Done {
 			assert.Equal(t, b, told.Revision, name)
@@ -295,9 +295,9 @@
 	b := r.push(stand.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}})
 	r.store.full.Store(true)
 	assert.Contains(t, r.begin(b), "no space left")
-	assert.Contains(t, r.call(form.Call{Verb: form.Bid, Bid: claim.Bid{Epoch: 9, Holder: "h"}}).Fault, "no space left")
-	assert.Equal(t, told.Process, r.sight().Process)
-	assert.EqualValues(t, 1, r.call(form.Call{Verb: form.Look}).Standing.Epoch, "nothing is promised that is not kept")
+	assert.Contains(t, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Bid{Epoch: 9, Holder: "h"}}).Failure, "no space left")
+	assert.Equal(t, told.ProcessID, r.sight().ProcessID)
+	assert.EqualValues(t, 1, r.call(form.Request{Verb: form.StatusVerb}).LeaseState.Epoch, "nothing is promised that is not kept")
 	r.store.full.Store(false)
 	assert.Equal(t, plan.Done, r.step(b).End)
 }
@@ -308,7 +308,7 @@
 	r.inLoop(func() { r.agent.limits.Restart, r.agent.limits.Crashes = 0.01, 3 })
 	told := r.step(r.push(stand.Conduct{LiveFor: 0.3}, nil))
 	assert.Equal(t, plan.Done, told.End)
-	told = r.until("broken", func(t form.Told) bool { return t.Life == plan.Broken })
+	told = r.until("broken", func(t form.InstanceStatus) bool { return t.Life == plan.Broken })
 	assert.Equal(t, 4, told.Crashes)
 }
 
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -47,7 +47,7 @@
 	r.start()
 	t.Cleanup(func() { r.stop() })
 
-	told := r.until("the open step is done", func(x form.Told) bool { return x.End != plan.Open })
+	told := r.until("the open step is done", func(x form.InstanceStatus) bool { return x.End != plan.Open })
 	assert.Equal(t, plan.Done, told.End, told.Why)
 	assert.Equal(t, recordedSecond, told.Revision)
 	assert.Equal(t, plan.Step{Rollout: "r-running", Number: 11, Revision: recordedSecond, Restart: true}, told.Last)
@@ -55,29 +55,29 @@
 		if name == "failed" {
 			continue // its revision ends at once, again and again
 		}
-		r.until(name+" is ready", func(form.Told) bool {
-			return ready(r.call(form.Call{Verb: form.Look}).Instances[i])
+		r.until(name+" is ready", func(form.InstanceStatus) bool {
+			return ready(r.call(form.Request{Verb: form.StatusVerb}).Instances[i])
 		})
 	}
-	now := r.call(form.Call{Verb: form.Look})
+	now := r.call(form.Request{Verb: form.StatusVerb})
 	assert.Equal(t, plan.Failed, now.Instances[1].End)
 	assert.Equal(t, "6fea0983c1f16ffcf364e43900f86fcb", now.Instances[2].Revision)
 	assert.Equal(t, recordedFirst, now.Instances[3].Revision)
-	assert.EqualValues(t, 7, now.Standing.Epoch)
-	assert.Equal(t, recordedHolder, now.Standing.Holder)
-	assert.True(t, now.Standing.Held)
+	assert.EqualValues(t, 7, now.LeaseState.Epoch)
+	assert.Equal(t, recordedHolder, now.LeaseState.Holder)
+	assert.True(t, now.LeaseState.Held)
 	assert.Equal(t, claim.Stamp{Epoch: 7, Number: 6}, now.Record.Stamp)
-	assert.Equal(t, form.Wish{Rollout: "r-running", Run: 6, Wish: plan.Pause, By: "op"}, now.Wish)
+	assert.Equal(t, form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: plan.Pause, Operator: "op"}, now.OperatorRequest)
 
-	refused := r.call(form.Call{Verb: form.Bid, Bid: claim.Bid{Epoch: 7, Holder: "other"}})
-	assert.Equal(t, claim.LowerEpoch, refused.Refusal, "what was promised stays promised")
-	reply := r.call(form.Call{
-		Verb: form.Act, Epoch: 7, Holder: recordedHolder, Name: "open",
+	refused := r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Bid{Epoch: 7, Holder: "other"}})
+	assert.Equal(t, claim.LowerEpoch, refused.Denial, "what was promised stays promised")
+	reply := r.call(form.Request{
+		Verb: form.BeginStepVerb, Epoch: 7, Holder: recordedHolder, InstanceName: "open",
 		Step: plan.Step{Rollout: "r-running", Number: 12, Revision: recordedFirst, Back: true},
 	})
-	require.Equal(t, claim.Granted, reply.Refusal)
-	require.Empty(t, reply.Fault)
-	told = r.until("the next step", func(x form.Told) bool { return x.Last.Number == 12 && x.End != plan.Open })
+	require.Equal(t, claim.Granted, reply.Denial)
+	require.Empty(t, reply.Failure)
+	told = r.until("the next step", func(x form.InstanceStatus) bool { return x.Last.Number == 12 && x.End != plan.Open })
 	assert.Equal(t, plan.Done, told.End, told.Why)
 	assert.Equal(t, recordedFirst, told.Revision)
 }
--- a/internal/fleet/api/api.go
+++ b/internal/fleet/api/api.go
@@ -25,51 +25,53 @@
 
 // Bounds of an agent's listener.
 const (
-	connections = 64
-	headTime    = 5 * time.Second
-	callTime    = 30 * time.Second
-	idleTime    = 2 * time.Minute
-	headLongest = 8 << 10
-	path        = "/fleet"
-	media       = "application/cbor"
+	maxConnections = 64
+	headerTimeout  = 5 * time.Second
+	requestTimeout = 30 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 8 << 10
+	requestPath    = "/fleet"
+	contentType    = "application/cbor"
 )
 
 // Headers of calls and answers: the version that is spoken, and those that could be.
 const (
-	versionHeader = "Fleet-Version"
-	leastHeader   = "Fleet-Least"
-	mostHeader    = "Fleet-Most"
+	versionHeader    = "Fleet-Version"
+	minVersionHeader = "Fleet-Least"
+	maxVersionHeader = "Fleet-Most"
 )
 
 // Handler answers calls; the operator is known by the certificate.
 type Handler interface {
-	Handle(ctx context.Context, operator string, c form.Call) (form.Reply, error)
+	Handle(ctx context.Context, operator string, c form.Request) (form.Reply, error)
 }
 
 // Versions that one side speaks.
-type Versions struct{ Least, Most int }
+type Versions struct{ Min, Max int }
 
 // Spoken are this program's.
-var Spoken = Versions{form.Least, form.Most}
+var SupportedVersions = Versions{form.MinVersion, form.MaxVersion}
 
 // Server serves an agent's calls on a listener.
 type Server struct {
-	http *http.Server
-	l    net.Listener
+	http     *http.Server
+	listener net.Listener
 }
 
 // NewServer is one that listens already.
 func NewServer(l net.Listener, h Handler, source keys.Source, v Versions, log zerolog.Logger) *Server {
 	conf := source.Server(func(err error) { log.Warn().Err(err).Msg("connection refused") })
-	s := &http.Server{Handler: &door{h, v, log}, ReadHeaderTimeout: headTime, ReadTimeout: callTime, WriteTimeout: callTime,
-		IdleTimeout: idleTime, MaxHeaderBytes: headLongest, ErrorLog: nil}
-	s.ErrorLog = quiet(log)
-	return &Server{http: s, l: tls.NewListener(netutil.LimitListener(l, connections), conf)}
+	s := &http.Server{
+		Handler: &requestHandler{h, v, log}, ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: nil,
+	}
+	s.ErrorLog = debugLogger(log)
+	return &Server{http: s, listener: tls.NewListener(netutil.LimitListener(l, maxConnections), conf)}
 }
 
 // Serve serves until Close.
 func (s *Server) Serve() error {
-	if err := s.http.Serve(s.l); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("api: %w", err)
 	}
 	return nil
@@ -78,29 +80,29 @@
 // Close ends all connections.
 func (s *Server) Close() { _ = s.http.Close() }
 
-type door struct {
-	h   Handler
-	v   Versions
-	log zerolog.Logger
+type requestHandler struct {
+	handler  Handler
+	versions Versions
+	log      zerolog.Logger
 }
 
-func (d *door) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	w.Header().Set(leastHeader, strconv.Itoa(d.v.Least))
-	w.Header().Set(mostHeader, strconv.Itoa(d.v.Most))
+func (d *requestHandler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+	w.Header().Set(minVersionHeader, strconv.Itoa(d.versions.Min))
+	w.Header().Set(maxVersionHeader, strconv.Itoa(d.versions.Max))
 	version, err := strconv.Atoi(q.Header.Get(versionHeader))
 	switch {
-	case q.URL.Path != path:
-		http.Error(w, "calls go to "+path, http.StatusNotFound)
+	case q.URL.Path != requestPath:
+		http.Error(w, "calls go to "+requestPath, http.StatusNotFound)
 		return
 	case q.Method != http.MethodPost:
 		http.Error(w, "calls are posted", http.StatusMethodNotAllowed)
 		return
-	case err != nil || version < d.v.Least || version > d.v.Most:
-		http.Error(w, fmt.Sprintf("versions %d to %d are spoken here", d.v.Least, d.v.Most), http.StatusHTTPVersionNotSupported)
+	case err != nil || version < d.versions.Min || version > d.versions.Max:
+		http.Error(w, fmt.Sprintf("versions %d to %d are spoken here", d.versions.Min, d.versions.Max), http.StatusHTTPVersionNotSupported)
 		return
 	}
 	_, operator := keys.Who(q.TLS.PeerCertificates[0])
-	raw, err := io.ReadAll(http.MaxBytesReader(w, q.Body, form.LongestContent))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, q.Body, form.MaxContentBytes))
 	if err != nil {
 		status := http.StatusBadRequest
 		var long *http.MaxBytesError
@@ -111,30 +113,30 @@
 		http.Error(w, err.Error(), status)
 		return
 	}
-	c, err := form.DecodeCall(raw)
-	if err == nil && c.Verb != form.Put && len(raw) > form.LongestCall {
-		err = fmt.Errorf("call: %d bytes, %d at most for %s", len(raw), form.LongestCall, c.Verb)
+	c, err := form.DecodeRequest(raw)
+	if err == nil && c.Verb != form.PutRevisionVerb && len(raw) > form.MaxRequestBytes {
+		err = fmt.Errorf("call: %d bytes, %d at most for %s", len(raw), form.MaxRequestBytes, c.Verb)
 	}
 	if err == nil {
-		err = itself(operator, c)
+		err = checkHolder(operator, c)
 	}
 	if err != nil {
 		d.log.Warn().Err(err).Str("operator", operator).Msg("call refused")
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	r, err := d.h.Handle(q.Context(), operator, c)
+	r, err := d.handler.Handle(q.Context(), operator, c)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	w.Header().Set("Content-Type", media)
+	w.Header().Set("Content-Type", contentType)
 	_, _ = w.Write(form.Encode(r))
 }
 
 // itself sees that nobody speaks under another operator's name: a holder's name begins with its operator's.
-func itself(operator string, c form.Call) error {
-	for _, h := range []string{c.Holder, c.Bid.Holder} {
+func checkHolder(operator string, c form.Request) error {
+	for _, h := range []string{c.Holder, c.LeaseRequest.Holder} {
 		if h != "" && !strings.HasPrefix(h, operator+"/") {
 			return fmt.Errorf("call: operator %s cannot speak as %s", operator, h)
 		}
@@ -143,15 +145,15 @@
 }
 
 // Holder names one running tool of an operator's.
-func Holder(operator, unique string) string { return operator + "/" + unique }
+func HolderName(operator, unique string) string { return operator + "/" + unique }
 
 // Client speaks to one agent.
 type Client struct {
-	Agent string
-	at    string
-	http  *http.Client
-	v     Versions
-	speak int
+	Agent    string
+	address  string
+	http     *http.Client
+	versions Versions
+	version  int
 }
 
 // NewClient is one that has not connected. The certificate is read anew for each connection.
@@ -163,56 +165,60 @@
 		}
 		return (&tls.Dialer{Config: conf}).DialContext(ctx, network, addr)
 	}
-	return &Client{Agent: agent, at: at, v: v, speak: v.Most,
-		http: &http.Client{Transport: &http.Transport{DialTLSContext: dial, MaxIdleConnsPerHost: 2, IdleConnTimeout: idleTime,
-			MaxResponseHeaderBytes: headLongest}}}
+	return &Client{
+		Agent: agent, address: at, versions: v, version: v.Max,
+		http: &http.Client{Transport: &http.Transport{
+			DialTLSContext: dial, MaxIdleConnsPerHost: 2, IdleConnTimeout: idleTimeout,
+			MaxResponseHeaderBytes: maxHeaderBytes,
+		}},
+	}
 }
 
 // Close ends connections that stand idle.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Call makes one call. Errors name the agent and say what can be done about it where that is known.
-func (c *Client) Call(ctx context.Context, call form.Call) (form.Reply, error) {
+func (c *Client) Call(ctx context.Context, call form.Request) (form.Reply, error) {
 	r, least, most, err := c.call(ctx, call)
 	if err == nil && most > 0 { // it speaks other versions
-		if common := min(c.v.Most, most); common >= max(c.v.Least, least) && common != c.speak {
-			c.speak = common
+		if common := min(c.versions.Max, most); common >= max(c.versions.Min, least) && common != c.version {
+			c.version = common
 			r, _, most, err = c.call(ctx, call)
 		}
 		if err == nil && most > 0 {
 			err = fmt.Errorf("it speaks versions %d to %d, and this tool %d to %d: bring both to one release", least, most,
-				c.v.Least, c.v.Most)
+				c.versions.Min, c.versions.Max)
 		}
 	}
 	if err != nil {
-		return r, fmt.Errorf("agent %s: %w", c.Agent, plain(err))
+		return r, fmt.Errorf("agent %s: %w", c.Agent, explainError(err))
 	}
 	return r, nil
 }
 
 // call returns the agent's versions if it does not speak the one that was tried.
-func (c *Client) call(ctx context.Context, call form.Call) (r form.Reply, least, most int, err error) {
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+c.at+path, bytes.NewReader(form.Encode(call)))
+func (c *Client) call(ctx context.Context, call form.Request) (r form.Reply, least, most int, err error) {
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+c.address+requestPath, bytes.NewReader(form.Encode(call)))
 	if err != nil {
 		return r, 0, 0, err
 	}
-	q.Header.Set(versionHeader, strconv.Itoa(c.speak))
-	q.Header.Set("Content-Type", media)
+	q.Header.Set(versionHeader, strconv.Itoa(c.version))
+	q.Header.Set("Content-Type", contentType)
 	a, err := c.http.Do(q)
 	if err != nil {
 		return r, 0, 0, err
 	}
 	defer func() { _ = a.Body.Close() }()
-	raw, err := io.ReadAll(io.LimitReader(a.Body, form.LongestReply+1))
+	raw, err := io.ReadAll(io.LimitReader(a.Body, form.MaxReplyBytes+1))
 	switch {
 	case err != nil:
 		return r, 0, 0, err
-	case len(raw) > form.LongestReply:
-		return r, 0, 0, fmt.Errorf("its answer is over %d bytes", form.LongestReply)
+	case len(raw) > form.MaxReplyBytes:
+		return r, 0, 0, fmt.Errorf("its answer is over %d bytes", form.MaxReplyBytes)
 	case a.StatusCode == http.StatusHTTPVersionNotSupported:
-		least, err = strconv.Atoi(a.Header.Get(leastHeader))
+		least, err = strconv.Atoi(a.Header.Get(minVersionHeader))
 		if err == nil {
-			most, err = strconv.Atoi(a.Header.Get(mostHeader))
+			most, err = strconv.Atoi(a.Header.Get(maxVersionHeader))
 		}
 		if err != nil || most < 1 {
 			return r, 0, 0, errors.New("it does not say which versions it speaks")
@@ -225,7 +231,7 @@
 }
 
 // plain takes what says nothing to an operator off an error.
-func plain(err error) error {
+func explainError(err error) error {
 	var alert tls.AlertError
 	var op *net.OpError
 	switch {
--- a/internal/fleet/api/api_test.go
+++ b/internal/fleet/api/api_test.go
@@ -25,8 +25,8 @@
 // echo answers with what it was asked, as far as an answer can hold it.
 type echo struct{ fail error }
 
-func (e echo) Handle(_ context.Context, operator string, c form.Call) (form.Reply, error) {
-	return form.Reply{Agent: operator, Fault: string(c.Verb), Revisions: []form.Revision{c.Revision}}, e.fail
+func (e echo) Handle(_ context.Context, operator string, c form.Request) (form.Reply, error) {
+	return form.Reply{Agent: operator, Failure: string(c.Verb), Revisions: []form.Revision{c.Revision}}, e.fail
 }
 
 type rig struct {
@@ -71,22 +71,22 @@
 }
 
 func TestCallsAreAnswered(t *testing.T) {
-	r := newRig(t, Spoken, echo{})
-	c := r.client(Spoken)
+	r := newRig(t, SupportedVersions, echo{})
+	c := r.client(SupportedVersions)
 	for range 3 {
-		got, err := c.Call(context.Background(), form.Call{Verb: form.Look})
+		got, err := c.Call(context.Background(), form.Request{Verb: form.StatusVerb})
 		require.NoError(t, err)
 		assert.Equal(t, "ayla", got.Agent, "known by the certificate")
-		assert.Equal(t, "look", got.Fault)
+		assert.Equal(t, "look", got.Failure)
 	}
-	_, err := c.Call(context.Background(), form.Call{Verb: form.Bid, Bid: claim.Bid{Holder: "ayla/1"}})
+	_, err := c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Bid{Holder: "ayla/1"}})
 	assert.NoError(t, err)
-	_, err = c.Call(context.Background(), form.Call{Verb: form.Bid, Bid: claim.Bid{Holder: "mehmet/1"}})
+	_, err = c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Bid{Holder: "mehmet/1"}})
 	assert.ErrorContains(t, err, "agent a1: 400 Bad Request: call: operator ayla cannot speak as mehmet/1")
 	big := make([]byte, 4<<20)
-	_, err = c.Call(context.Background(), form.Call{Verb: form.Put, Revision: form.Revision{Content: big}})
+	_, err = c.Call(context.Background(), form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Content: big}})
 	assert.NoError(t, err)
-	_, err = c.Call(context.Background(), form.Call{Verb: form.Look, Revision: form.Revision{Content: big}})
+	_, err = c.Call(context.Background(), form.Request{Verb: form.StatusVerb, Revision: form.Revision{Content: big}})
 	assert.ErrorContains(t, err, "at most for look")
 }
 
@@ -95,12 +95,14 @@
 		agent, tool Versions
 		says        string
 	}{
-		{Versions{1, 2}, Versions{1, 1}, ""}, {Versions{1, 1}, Versions{1, 2}, ""}, {Versions{1, 3}, Versions{2, 5}, ""},
+		{Versions{1, 2}, Versions{1, 1}, ""},
+		{Versions{1, 1}, Versions{1, 2}, ""},
+		{Versions{1, 3}, Versions{2, 5}, ""},
 		{Versions{2, 3}, Versions{1, 1}, "it speaks versions 2 to 3, and this tool 1 to 1"},
 		{Versions{1, 1}, Versions{2, 3}, "it speaks versions 1 to 1, and this tool 2 to 3"},
 	} {
 		c := newRig(t, x.agent, echo{}).client(x.tool)
-		_, err := c.Call(context.Background(), form.Call{Verb: form.Look})
+		_, err := c.Call(context.Background(), form.Request{Verb: form.StatusVerb})
 		if x.says == "" {
 			assert.NoError(t, err, "%v", x)
 		} else {
@@ -121,7 +123,7 @@
 }
 
 func TestWhatIsNoCallIsRefused(t *testing.T) {
-	r := newRig(t, Spoken, echo{})
+	r := newRig(t, SupportedVersions, echo{})
 	conf, err := r.keys.Source(keys.Operator, "ayla").Client("a1")
 	require.NoError(t, err)
 	h := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
@@ -145,12 +147,12 @@
 		says          string
 	}{
 		{"/", "1", bytes.NewReader(nil), 404, "calls go to /fleet"},
-		{path, "one", bytes.NewReader(nil), 505, "versions 1 to 1"},
-		{path, "", bytes.NewReader(nil), 505, "versions 1 to 1"},
-		{path, "1", bytes.NewReader(nil), 400, "call: "},
-		{path, "1", bytes.NewReader([]byte("{}")), 400, "call: "},
-		{path, "1", bytes.NewReader(form.Encode(map[string]any{"verb": "dance"})), 400, "unknown verb"},
-		{path, "1", io.LimitReader(zeros{}, 100<<20), 413, "too large"},
+		{requestPath, "one", bytes.NewReader(nil), 505, "versions 1 to 1"},
+		{requestPath, "", bytes.NewReader(nil), 505, "versions 1 to 1"},
+		{requestPath, "1", bytes.NewReader(nil), 400, "call: "},
+		{requestPath, "1", bytes.NewReader([]byte("{}")), 400, "call: "},
+		{requestPath, "1", bytes.NewReader(form.Encode(map[string]any{"verb": "dance"})), 400, "unknown verb"},
+		{requestPath, "1", io.LimitReader(zeros{}, 100<<20), 413, "too large"},
 	} {
 		status, says := post(x.path, x.version, x.body)
 		if x.status == 413 && status == 0 {
@@ -159,7 +161,7 @@
 		assert.Equal(t, x.status, status, says)
 		assert.Contains(t, says, x.says)
 	}
-	_, err = r.client(Spoken).Call(context.Background(), form.Call{Verb: form.Look})
+	_, err = r.client(SupportedVersions).Call(context.Background(), form.Request{Verb: form.StatusVerb})
 	assert.NoError(t, err)
 }
 
@@ -168,7 +170,7 @@
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
 func TestHalfRequestsAreEnded(t *testing.T) {
-	r := newRig(t, Spoken, echo{})
+	r := newRig(t, SupportedVersions, echo{})
 	for _, half := range []string{"POST /fl", "POST /fleet HTTP/1.1\r\nHost: x\r\nFleet-Version: 1\r\nContent-Length: 99\r\n\r\nabc"} {
 		c := r.raw()
 		_, err := c.Write([]byte(half))
@@ -185,50 +187,50 @@
 		raw, _ := io.ReadAll(long)
 		assert.Contains(t, string(raw), "431")
 	}
-	_, err = r.client(Spoken).Call(context.Background(), form.Call{Verb: form.Look})
+	_, err = r.client(SupportedVersions).Call(context.Background(), form.Request{Verb: form.StatusVerb})
 	assert.NoError(t, err)
 }
 
 func TestConnectionsAreBounded(t *testing.T) {
-	r := newRig(t, Spoken, echo{})
-	for range connections {
+	r := newRig(t, SupportedVersions, echo{})
+	for range maxConnections {
 		r.raw()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	_, err := r.client(Spoken).Call(ctx, form.Call{Verb: form.Look})
+	_, err := r.client(SupportedVersions).Call(ctx, form.Request{Verb: form.StatusVerb})
 	assert.ErrorContains(t, err, "no answer in time")
 }
 
 func TestWrongCertificatesAreRefusedAndTold(t *testing.T) {
-	r := newRig(t, Spoken, echo{})
+	r := newRig(t, SupportedVersions, echo{})
 	other := keys.Folder(t.TempDir())
 	require.NoError(t, other.MakeAuthority("g", time.Hour, time.Now()))
 	require.NoError(t, other.Issue(keys.Operator, "ayla", time.Minute, time.Now()))
-	stranger := NewClient("a1", r.at, keys.Source{Own: other.File(keys.Operator, "ayla"), Trusted: r.keys.Trusted(), Now: time.Now}, Spoken)
+	stranger := NewClient("a1", r.at, keys.Source{Own: other.File(keys.Operator, "ayla"), Trusted: r.keys.Trusted(), Now: time.Now}, SupportedVersions)
 	defer stranger.Close()
-	_, err := stranger.Call(context.Background(), form.Call{Verb: form.Look})
+	_, err := stranger.Call(context.Background(), form.Request{Verb: form.StatusVerb})
 	assert.ErrorContains(t, err, "it refuses this operator's certificate")
 	assert.Contains(t, r.logged(), "operator ayla is from an authority that is not trusted here")
-	misled := NewClient("a2", r.at, r.keys.Source(keys.Operator, "ayla"), Spoken)
+	misled := NewClient("a2", r.at, r.keys.Source(keys.Operator, "ayla"), SupportedVersions)
 	defer misled.Close()
-	_, err = misled.Call(context.Background(), form.Call{Verb: form.Look})
+	_, err = misled.Call(context.Background(), form.Request{Verb: form.StatusVerb})
 	assert.ErrorContains(t, err, "agent a1's, and should be agent a2's")
 	// Renewed in place: the next connection uses it.
-	c := r.client(Spoken)
-	_, err = c.Call(context.Background(), form.Call{Verb: form.Look})
+	c := r.client(SupportedVersions)
+	_, err = c.Call(context.Background(), form.Request{Verb: form.StatusVerb})
 	require.NoError(t, err)
 	require.NoError(t, r.keys.Issue(keys.Agent, "a1", 30*time.Second, time.Now()))
 	c.Close()
-	_, err = c.Call(context.Background(), form.Call{Verb: form.Look})
+	_, err = c.Call(context.Background(), form.Request{Verb: form.StatusVerb})
 	assert.NoError(t, err)
 }
 
 func TestFaultsOfTheWay(t *testing.T) {
-	r := newRig(t, Spoken, echo{fail: errors.New("busy")})
-	_, err := r.client(Spoken).Call(context.Background(), form.Call{Verb: form.Look})
+	r := newRig(t, SupportedVersions, echo{fail: errors.New("busy")})
+	_, err := r.client(SupportedVersions).Call(context.Background(), form.Request{Verb: form.StatusVerb})
 	assert.ErrorContains(t, err, "agent a1: 503 Service Unavailable: busy")
-	c := NewClient("a1", "127.0.0.1:1", r.keys.Source(keys.Operator, "ayla"), Spoken)
-	_, err = c.Call(context.Background(), form.Call{Verb: form.Look})
+	c := NewClient("a1", "127.0.0.1:1", r.keys.Source(keys.Operator, "ayla"), SupportedVersions)
+	_, err = c.Call(context.Background(), form.Request{Verb: form.StatusVerb})
 	assert.ErrorContains(t, err, "it cannot be reached")
 }
--- a/internal/fleet/api/quiet.go
+++ b/internal/fleet/api/quiet.go
@@ -8,11 +8,11 @@
 )
 
 // quiet takes the HTTP server's own lines: refused handshakes are told of with their reason elsewhere.
-func quiet(l zerolog.Logger) *log.Logger { return log.New(lines{l}, "", 0) }
+func debugLogger(l zerolog.Logger) *log.Logger { return log.New(logWriter{l}, "", 0) }
 
-type lines struct{ log zerolog.Logger }
+type logWriter struct{ log zerolog.Logger }
 
-func (l lines) Write(p []byte) (int, error) {
+func (l logWriter) Write(p []byte) (int, error) {
 	l.log.Debug().Msg(strings.TrimSpace(string(p)))
 	return len(p), nil
 }
--- a/internal/fleet/api/recorded_test.go
+++ b/internal/fleet/api/recorded_test.go
@@ -21,10 +21,10 @@
 type replayer struct {
 	replies map[form.Verb]form.Reply
 	mu      sync.Mutex
-	calls   map[form.Verb]form.Call
+	calls   map[form.Verb]form.Request
 }
 
-func (p *replayer) Handle(_ context.Context, _ string, c form.Call) (form.Reply, error) {
+func (p *replayer) Handle(_ context.Context, _ string, c form.Request) (form.Reply, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls[c.Verb] = c
@@ -37,7 +37,7 @@
 	files, err := filepath.Glob("../form/testdata/calls/*.cbor")
 	require.NoError(t, err)
 	require.Len(t, files, 9, "one of each verb")
-	h := &replayer{replies: map[form.Verb]form.Reply{}, calls: map[form.Verb]form.Call{}}
+	h := &replayer{replies: map[form.Verb]form.Reply{}, calls: map[form.Verb]form.Request{}}
 	calls, replies := map[form.Verb][]byte{}, map[form.Verb][]byte{}
 	for _, file := range files {
 		v := form.Verb(filepath.Base(file[:len(file)-len(".cbor")]))
@@ -49,12 +49,12 @@
 		require.NoError(t, form.Decode("reply", replies[v], &reply))
 		h.replies[v] = reply
 	}
-	r := newRig(t, Spoken, h)
+	r := newRig(t, SupportedVersions, h)
 	conf, err := r.keys.Source(keys.Operator, "ayla").Client("a1")
 	require.NoError(t, err)
 	plainHTTP := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
 	t.Cleanup(plainHTTP.CloseIdleConnections)
-	c := r.client(Spoken)
+	c := r.client(SupportedVersions)
 	for v, raw := range calls {
 		q, err := http.NewRequest(http.MethodPost, "https://"+r.at+"/fleet", bytes.NewReader(raw))
 		require.NoError(t, err)
--- a/internal/fleet/form/form_test.go
+++ b/internal/fleet/form/form_test.go
@@ -12,19 +12,21 @@
 )
 
 func TestMessagesReadBackTheSame(t *testing.T) {
-	c := Call{Verb: Act, Epoch: 3, Holder: "h", Name: "n1", Step: plan.Step{Rollout: "r", Number: 2, Instance: 4}}
-	got, err := DecodeCall(Encode(c))
+	c := Request{Verb: BeginStepVerb, Epoch: 3, Holder: "h", InstanceName: "n1", Step: plan.Step{Rollout: "r", Number: 2, Instance: 4}}
+	got, err := DecodeRequest(Encode(c))
 	require.NoError(t, err)
 	assert.Equal(t, c, got)
-	r := Reply{Agent: "a", Refusal: claim.RanOut, Record: claim.Record{Stamp: claim.Stamp{Epoch: 1, Number: 2}, Body: []byte("b")},
-		Instances: []Told{{Name: "n", Sight: plan.Sight{Seen: math.Inf(-1), Life: plan.Ready, Last: plan.Step{Number: 9}}}}}
+	r := Reply{
+		Agent: "a", Denial: claim.RanOut, Record: claim.Record{Stamp: claim.Stamp{Epoch: 1, Number: 2}, Body: []byte("b")},
+		Instances: []InstanceStatus{{Name: "n", Sight: plan.Sight{Seen: math.Inf(-1), Life: plan.Ready, Last: plan.Step{Number: 9}}}},
+	}
 	var back Reply
 	require.NoError(t, Decode("reply", Encode(r), &back))
 	assert.Equal(t, r, back)
 }
 
 func TestFieldsOfALaterVersionArePassedOver(t *testing.T) {
-	got, err := DecodeCall(Encode(map[string]any{"verb": "look", "epoch": 4, "colour": "green"}))
+	got, err := DecodeRequest(Encode(map[string]any{"verb": "look", "epoch": 4, "colour": "green"}))
 	require.NoError(t, err)
 	assert.EqualValues(t, 4, got.Epoch)
 }
@@ -38,20 +40,20 @@
 		"exceeded":                append([]byte{0xa1, 0x64, 'v', 'e', 'r', 'b'}, []byte("\x81\x81\x81\x81\x81\x81\x81\x81\x81\x81\x81\x81\x81\x81\x81\x81\x81\x81\x00")...),
 		"found duplicate map key": append([]byte{0xa2}, []byte("\x64verb\x64look\x64verb\x63bid")...),
 	} {
-		_, err := DecodeCall(raw)
+		_, err := DecodeRequest(raw)
 		assert.ErrorContains(t, err, says)
 	}
 }
 
 func FuzzDecodeCall(f *testing.F) {
-	f.Add(Encode(Call{Verb: Bid, Bid: claim.Bid{Epoch: 1, Holder: "x"}}))
-	f.Add(Encode(Call{Verb: Put, Revision: Revision{Digest: "d", Content: []byte("{}")}}))
+	f.Add(Encode(Request{Verb: RequestLeaseVerb, LeaseRequest: claim.Bid{Epoch: 1, Holder: "x"}}))
+	f.Add(Encode(Request{Verb: PutRevisionVerb, Revision: Revision{Digest: "d", Content: []byte("{}")}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		c, err := DecodeCall(raw)
+		c, err := DecodeRequest(raw)
 		if err != nil {
 			return
 		}
-		again, err := DecodeCall(Encode(c))
+		again, err := DecodeRequest(Encode(c))
 		require.NoError(t, err)
 		assert.Equal(t, Encode(c), Encode(again))
 	})
--- a/internal/fleet/form/recorded_test.go
+++ b/internal/fleet/form/recorded_test.go
@@ -17,32 +17,32 @@
 // them. Tools and agents of different releases meet during an upgrade, so these bytes must be read and written
 // the same by every later release that speaks version 1. The tests below state every value that the files hold.
 
-func recordedCalls() map[Verb]Call {
-	return map[Verb]Call{
-		Look: {Verb: Look, Agents: "a1b2c3d4e5f60718", Epoch: 41, Holder: "ayla/host-1/00ff"},
-		Bid: {
-			Verb: Bid, Agents: "a1b2c3d4e5f60718",
-			Bid: claim.Bid{Epoch: 42, Holder: "ayla/host-1/00ff", Takeover: true},
+func recordedCalls() map[Verb]Request {
+	return map[Verb]Request{
+		StatusVerb: {Verb: StatusVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 41, Holder: "ayla/host-1/00ff"},
+		RequestLeaseVerb: {
+			Verb: RequestLeaseVerb, AgentsDigest: "a1b2c3d4e5f60718",
+			LeaseRequest: claim.Bid{Epoch: 42, Holder: "ayla/host-1/00ff", Takeover: true},
 		},
-		Keep: {
-			Verb: Keep, Agents: "a1b2c3d4e5f60718", Epoch: 43, Holder: "ayla/host-1/00ff",
+		StoreRecordVerb: {
+			Verb: StoreRecordVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 43, Holder: "ayla/host-1/00ff",
 			Record: claim.Record{Stamp: claim.Stamp{Epoch: 43, Number: 7}, Body: []byte{0x01, 0x02, 0xff}},
 		},
-		Act: {
-			Verb: Act, Agents: "a1b2c3d4e5f60718", Epoch: 44, Holder: "ayla/host-1/00ff", Name: "n1",
+		BeginStepVerb: {
+			Verb: BeginStepVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 44, Holder: "ayla/host-1/00ff", InstanceName: "n1",
 			Step: plan.Step{Rollout: "0123456789ab", Number: 8, Instance: 3, Revision: "feedbeef", Back: true, Restart: true, Idle: true},
 		},
-		Release: {Verb: Release, Agents: "a1b2c3d4e5f60718", Epoch: 45, Holder: "ayla/host-1/00ff"},
-		Ask: {
-			Verb: Ask, Agents: "a1b2c3d4e5f60718",
-			Wish: Wish{Rollout: "0123456789ab", Run: 2, Wish: plan.Rollback, By: "mehmet"},
+		ReleaseLeaseVerb: {Verb: ReleaseLeaseVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 45, Holder: "ayla/host-1/00ff"},
+		RequestActionVerb: {
+			Verb: RequestActionVerb, AgentsDigest: "a1b2c3d4e5f60718",
+			OperatorRequest: OperatorRequest{RolloutID: "0123456789ab", Run: 2, Action: plan.Rollback, Operator: "mehmet"},
 		},
-		Put: {Verb: Put, Revision: Revision{
-			Digest: "feedbeef", Name: "bigger pool", By: "ayla", At: 1767323045,
+		PutRevisionVerb: {Verb: PutRevisionVerb, Revision: Revision{
+			Digest: "feedbeef", Name: "bigger pool", PushedBy: "ayla", PushedAt: 1767323045,
 			Content: []byte(`{"discovery":"127.0.0.1:9"}`),
 		}},
-		Get:     {Verb: Get, Revision: Revision{Digest: "feedbeef"}},
-		History: {Verb: History},
+		GetRevisionVerb: {Verb: GetRevisionVerb, Revision: Revision{Digest: "feedbeef"}},
+		HistoryVerb:     {Verb: HistoryVerb},
 	}
 }
 
@@ -59,20 +59,20 @@
 			},
 			Was: plan.Tally{Ended: 1000, Unanswered: 10}, Steps: 9, Undone: 2,
 		},
-		Run: 3, Name: "bigger pool", By: "ayla", Began: 1767323046, Asked: "mehmet", Fleet: "1122334455667788",
+		Run: 3, RevisionName: "bigger pool", StartedBy: "ayla", StartedAt: 1767323046, RequestedBy: "mehmet", InstancesDigest: "1122334455667788",
 	}
 }
 
 func recordedReplies() map[Verb]Reply {
 	return map[Verb]Reply{
-		Look: {
+		StatusVerb: {
 			Agent: "a1", Program: "stoatctl 1",
-			Standing: claim.Standing{Epoch: 41, Holder: "ayla/host-1/00ff", Held: true, Since: 12.5, Left: 2.25},
-			Record:   claim.Record{Stamp: claim.Stamp{Epoch: 41, Number: 6}, Body: []byte{0xa0}},
-			Wish:     Wish{Rollout: "0123456789ab", Run: 2, Wish: plan.Pause, By: "mehmet"},
-			Instances: []Told{
+			LeaseState:      claim.Standing{Epoch: 41, Holder: "ayla/host-1/00ff", Held: true, Since: 12.5, Left: 2.25},
+			Record:          claim.Record{Stamp: claim.Stamp{Epoch: 41, Number: 6}, Body: []byte{0xa0}},
+			OperatorRequest: OperatorRequest{RolloutID: "0123456789ab", Run: 2, Action: plan.Pause, Operator: "mehmet"},
+			Instances: []InstanceStatus{
 				{
-					Name: "n1", Age: 0.5, Listen: "127.0.0.1:5432", Process: 4711, Crashes: 2, Wants: "feedbeef",
+					Name: "n1", AgeSeconds: 0.5, Listen: "127.0.0.1:5432", ProcessID: 4711, Crashes: 2, TargetRevision: "feedbeef",
 					Sight: plan.Sight{
 						Seen: 17.5, Life: plan.Draining, Revision: "0ddba11",
 						Last: plan.Step{Rollout: "0123456789ab", Number: 8, Instance: 3, Revision: "feedbeef", Back: true, Restart: true, Idle: true},
@@ -83,33 +83,33 @@
 				{Name: "n2", Sight: plan.Sight{Seen: math.Inf(-1)}},
 			},
 		},
-		Bid: {
-			Agent: "a1", Program: "stoatctl 1", Refusal: claim.HeldByOther,
-			Standing: claim.Standing{Epoch: 41, Holder: "mehmet/host-2/11ee", Held: true, Since: 1, Left: 14},
+		RequestLeaseVerb: {
+			Agent: "a1", Program: "stoatctl 1", Denial: claim.HeldByOther,
+			LeaseState: claim.Standing{Epoch: 41, Holder: "mehmet/host-2/11ee", Held: true, Since: 1, Left: 14},
 		},
-		Keep: {
-			Agent: "a1", Program: "stoatctl 1", Refusal: claim.OldRecord,
-			Standing: claim.Standing{Epoch: 43, Holder: "ayla/host-1/00ff", Held: true, Since: 2, Left: 13},
+		StoreRecordVerb: {
+			Agent: "a1", Program: "stoatctl 1", Denial: claim.OldRecord,
+			LeaseState: claim.Standing{Epoch: 43, Holder: "ayla/host-1/00ff", Held: true, Since: 2, Left: 13},
 		},
-		Act: {
-			Agent: "a1", Program: "stoatctl 1", Fault: "there is no instance n1 here",
-			Standing: claim.Standing{Epoch: 44, Holder: "ayla/host-1/00ff", Held: true, Since: 3, Left: 15},
+		BeginStepVerb: {
+			Agent: "a1", Program: "stoatctl 1", Failure: "there is no instance n1 here",
+			LeaseState: claim.Standing{Epoch: 44, Holder: "ayla/host-1/00ff", Held: true, Since: 3, Left: 15},
 		},
-		Release: {
-			Agent: "a1", Program: "stoatctl 1", Refusal: claim.LowerEpoch,
-			Standing: claim.Standing{Epoch: 46, Holder: "mehmet/host-2/11ee", Since: 4},
+		ReleaseLeaseVerb: {
+			Agent: "a1", Program: "stoatctl 1", Denial: claim.LowerEpoch,
+			LeaseState: claim.Standing{Epoch: 46, Holder: "mehmet/host-2/11ee", Since: 4},
 		},
-		Ask: {
+		RequestActionVerb: {
 			Agent: "a1", Program: "stoatctl 1",
-			Refusal: claim.NotHolder, Fault: "it goes by another list of agents: bring the fleet file of the agent and the tool together",
+			Denial: claim.NotHolder, Failure: "it goes by another list of agents: bring the fleet file of the agent and the tool together",
 		},
-		Put: {Agent: "a1", Program: "stoatctl 1", Fault: "instance n1: discovery: not an address"},
-		Get: {Agent: "a1", Program: "stoatctl 1", Revisions: []Revision{{
-			Digest: "feedbeef", Name: "bigger pool", By: "ayla", At: 1767323045, Content: []byte(`{"discovery":"127.0.0.1:9"}`),
+		PutRevisionVerb: {Agent: "a1", Program: "stoatctl 1", Failure: "instance n1: discovery: not an address"},
+		GetRevisionVerb: {Agent: "a1", Program: "stoatctl 1", Revisions: []Revision{{
+			Digest: "feedbeef", Name: "bigger pool", PushedBy: "ayla", PushedAt: 1767323045, Content: []byte(`{"discovery":"127.0.0.1:9"}`),
 		}}},
-		History: {
-			Agent: "a1", Program: "stoatctl 1", Refusal: claim.RanOut,
-			Revisions: []Revision{{Digest: "feedbeef", Name: "bigger pool", By: "ayla", At: 1767323045}, {Digest: "0ddba11", At: 1767323044}},
+		HistoryVerb: {
+			Agent: "a1", Program: "stoatctl 1", Denial: claim.RanOut,
+			Revisions: []Revision{{Digest: "feedbeef", Name: "bigger pool", PushedBy: "ayla", PushedAt: 1767323045}, {Digest: "0ddba11", PushedAt: 1767323044}},
 			Rollouts: []Rollout{
 				recordedRollout("r-none", plan.None), recordedRollout("r-running", plan.Running),
 				recordedRollout("r-paused", plan.Paused), recordedRollout("r-complete", plan.Complete),
@@ -128,10 +128,10 @@
 
 func TestRecordedCallsAreReadAndWrittenTheSame(t *testing.T) {
 	calls := recordedCalls()
-	assert.Len(t, calls, len(known), "a call of each verb")
+	assert.Len(t, calls, len(knownVerbs), "a call of each verb")
 	for v, want := range calls {
 		raw := recorded(t, "calls", v)
-		got, err := DecodeCall(raw)
+		got, err := DecodeRequest(raw)
 		require.NoError(t, err, v)
 		assert.Equal(t, want, got, v)
 		assert.Equal(t, raw, Encode(want), "%s: written as recorded", v)
@@ -140,7 +140,7 @@
 
 func TestRecordedRepliesAreReadAndWrittenTheSame(t *testing.T) {
 	replies := recordedReplies()
-	assert.Len(t, replies, len(known), "a reply to each verb")
+	assert.Len(t, replies, len(knownVerbs), "a reply to each verb")
 	for v, want := range replies {
 		raw := recorded(t, "replies", v)
 		var got Reply
--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/roll/roll.go
@@ -48,7 +48,7 @@
 type Send struct {
 	ID    uint64
 	Agent int
-	Call  form.Call
+	Call  form.Request
 }
 
 // Kind of an outcome.
@@ -110,7 +110,7 @@
 	granted  bool // the epoch
 	standing claim.Standing
 	record   claim.Record
-	wish     form.Wish
+	wish     form.OperatorRequest
 	fault    string
 	looking  uint64 // call that is out, or 0
 	saying   uint64
@@ -152,7 +152,7 @@
 	planner *plan.Planner
 	rollout form.Rollout
 	sights  []plan.Sight
-	told    []form.Told
+	told    []form.InstanceStatus
 	number  uint64 // of the record kept last, in this epoch
 	keeping *keeping
 	acting  plan.Step // to be sent
@@ -177,7 +177,7 @@
 	d := &Driver{
 		fleet: f, names: names, list: list, holder: holder, times: t, task: task, chance: chance,
 		agents: make([]agent, agents), byAgent: make([][]int, agents), calls: map[uint64]out{},
-		sights: make([]plan.Sight, len(names)), told: make([]form.Told, len(names)),
+		sights: make([]plan.Sight, len(names)), told: make([]form.InstanceStatus, len(names)),
 	}
 	slices.Sort(d.task.LeaveOut)
 	for i, x := range f.Instances {
@@ -210,7 +210,7 @@
 	Rollout   form.Rollout
 	Finished  int
 	Serving   int
-	Instances []form.Told
+	Instances []form.InstanceStatus
 	Epoch     uint64
 }
 
@@ -224,19 +224,19 @@
 	return v
 }
 
-func (d *Driver) send(now float64, a int, c form.Call) Send {
+func (d *Driver) send(now float64, a int, c form.Request) Send {
 	d.last++
 	o := out{agent: a, verb: c.Verb, sent: now, stamp: c.Record.Stamp, step: c.Step.Number, epoch: c.Epoch}
-	if c.Verb == form.Bid {
-		o.epoch = c.Bid.Epoch
+	if c.Verb == form.RequestLeaseVerb {
+		o.epoch = c.LeaseRequest.Epoch
 	}
 	d.calls[d.last] = o
-	if c.Verb == form.Look || c.Verb == form.Bid {
+	if c.Verb == form.StatusVerb || c.Verb == form.RequestLeaseVerb {
 		d.agents[a].looking = d.last
 	} else {
 		d.agents[a].saying = d.last
 	}
-	c.Agents = d.list
+	c.AgentsDigest = d.list
 	return Send{d.last, a, c}
 }
 
@@ -285,34 +285,34 @@
 }
 
 // look is the call that learns how an agent stands.
-func (d *Driver) look(now float64, i int) (form.Call, bool) {
+func (d *Driver) look(now float64, i int) (form.Request, bool) {
 	a := &d.agents[i]
 	if a.looking != 0 || now < a.next {
-		return form.Call{}, false
+		return form.Request{}, false
 	}
 	switch d.phase {
 	case asking:
 		if !a.heard {
-			return form.Call{Verb: form.Look}, true
+			return form.Request{Verb: form.StatusVerb}, true
 		}
 	case bidding:
 		if !a.heard {
-			return form.Call{Verb: form.Bid, Bid: d.campaign.Bid}, true
+			return form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: d.campaign.Bid}, true
 		}
 	case running:
 		if !a.granted {
-			return form.Call{Verb: form.Bid, Bid: d.campaign.Bid}, true
+			return form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: d.campaign.Bid}, true
 		}
-		return form.Call{Verb: form.Look, Epoch: d.campaign.Bid.Epoch, Holder: d.holder}, true
+		return form.Request{Verb: form.StatusVerb, Epoch: d.campaign.Bid.Epoch, Holder: d.holder}, true
 	}
-	return form.Call{}, false
+	return form.Request{}, false
 }
 
 // say is the call that changes something.
-func (d *Driver) say(now float64, i int) (form.Call, bool) {
+func (d *Driver) say(now float64, i int) (form.Request, bool) {
 	a := &d.agents[i]
 	if a.saying != 0 || now < a.again {
-		return form.Call{}, false
+		return form.Request{}, false
 	}
 	epoch := uint64(0)
 	if d.campaign != nil {
@@ -320,16 +320,16 @@
 	}
 	switch {
 	case d.phase == releasing && !a.released:
-		return form.Call{Verb: form.Release, Epoch: epoch, Holder: d.holder}, true
+		return form.Request{Verb: form.ReleaseLeaseVerb, Epoch: epoch, Holder: d.holder}, true
 	case d.phase != running || !a.granted:
 	case d.keeping != nil && !a.kept:
-		return form.Call{Verb: form.Keep, Epoch: epoch, Holder: d.holder, Record: d.keeping.record}, true
+		return form.Request{Verb: form.StoreRecordVerb, Epoch: epoch, Holder: d.holder, Record: d.keeping.record}, true
 	case d.acting.Number != 0 && d.fleet.Instances[d.acting.Instance].Agent == i && now >= d.actAt:
 		step := d.acting
 		d.acting, d.actAt = plan.Step{}, now+d.times.Period
-		return form.Call{Verb: form.Act, Epoch: epoch, Holder: d.holder, Name: d.names[step.Instance], Step: step}, true
+		return form.Request{Verb: form.BeginStepVerb, Epoch: epoch, Holder: d.holder, InstanceName: d.names[step.Instance], Step: step}, true
 	}
-	return form.Call{}, false
+	return form.Request{}, false
 }
 
 // take gives a call's agent free again. A call that is no longer waited for is not known.
@@ -374,9 +374,9 @@
 	if !ok {
 		return
 	}
-	a.standing, a.fault = r.Standing, r.Fault
-	if o.verb == form.Look {
-		a.wish = r.Wish
+	a.standing, a.fault = r.LeaseState, r.Failure
+	if o.verb == form.StatusVerb {
+		a.wish = r.OperatorRequest
 		d.see(o, r)
 	}
 	switch d.phase {
@@ -384,8 +384,8 @@
 		a.heard, a.record = true, r.Record
 	case bidding:
 		a.heard = true
-		a.granted = r.Refusal == claim.Granted
-		d.campaign.Heard(o.agent, r.Refusal, r.Standing, r.Record)
+		a.granted = r.Denial == claim.Granted
+		d.campaign.Heard(o.agent, r.Denial, r.LeaseState, r.Record)
 	case releasing:
 		a.released = true
 	case running:
@@ -398,36 +398,36 @@
 	switch {
 	case o.epoch != epoch:
 		return
-	case r.Standing.Epoch > epoch || r.Refusal == claim.LowerEpoch:
+	case r.LeaseState.Epoch > epoch || r.Denial == claim.LowerEpoch:
 		// Somebody bid higher: either the claim is theirs, or they failed and this driver must bid again.
 		a.granted = false
-		d.bid(now, max(r.Standing.Epoch, epoch)+1, false)
+		d.bid(now, max(r.LeaseState.Epoch, epoch)+1, false)
 		return
-	case r.Refusal != claim.Granted:
+	case r.Denial != claim.Granted:
 		a.granted = false // its claim ran out there, or it was never granted: bid there anew
 		a.again = now + d.times.Period
-		if r.Refusal == claim.RanOut {
+		if r.Denial == claim.RanOut {
 			d.bid(now, epoch+1, false)
 		}
 		return
 	}
 	switch o.verb {
-	case form.Bid:
+	case form.RequestLeaseVerb:
 		a.granted, a.next = true, now
-	case form.Keep:
+	case form.StoreRecordVerb:
 		if d.keeping != nil && o.stamp == d.keeping.record.Stamp {
 			a.kept = true
 			d.commit(now)
 		}
-	case form.Act:
-		if r.Fault == "" {
+	case form.BeginStepVerb:
+		if r.Failure == "" {
 			d.refused = 0
 			a.next = now
 			return
 		}
-		d.events = append(d.events, Event{At: now, Refusals: r.Fault, Step: d.rollout.Step, Rollout: d.rollout})
+		d.events = append(d.events, Event{At: now, Refusals: r.Failure, Step: d.rollout.Step, Rollout: d.rollout})
 		if d.refused++; d.refused >= refusals && d.keeping == nil && o.step == d.rollout.Step.Number {
-			d.follow(now, d.planner.Refused(r.Fault))
+			d.follow(now, d.planner.Refused(r.Failure))
 		}
 	}
 }
@@ -435,7 +435,7 @@
 // see takes in what an agent tells of its instances. In a run it counts only from an agent that has granted
 // the epoch, and it is as old as the call at least.
 func (d *Driver) see(o out, r form.Reply) {
-	if d.phase == running && (r.Refusal != claim.Granted || o.epoch != d.campaign.Bid.Epoch) {
+	if d.phase == running && (r.Denial != claim.Granted || o.epoch != d.campaign.Bid.Epoch) {
 		return
 	}
 	for _, i := range d.byAgent[o.agent] {
@@ -443,7 +443,7 @@
 			if t.Name == d.names[i] {
 				d.told[i] = t
 				d.sights[i] = t.Sight
-				d.sights[i].Seen = o.sent - t.Age
+				d.sights[i].Seen = o.sent - t.AgeSeconds
 			}
 		}
 	}
@@ -634,23 +634,23 @@
 	switch {
 	case !existed || d.task.Verb != Rollback && r.State.Over():
 		return r, &Outcome{Kind: NothingThere, Rollout: r}
-	case r.Fleet != d.task.Fleet:
+	case r.InstancesDigest != d.task.Fleet:
 		return r, &Outcome{Kind: OtherFleet, Rollout: r}
 	}
 	r.Run++
 	r.Undone = 0
 	switch d.task.Verb {
 	case Halt:
-		r.State, r.Asked, r.Why = plan.Paused, d.task.By, plan.Reason{Kind: plan.ByWord}
+		r.State, r.RequestedBy, r.Why = plan.Paused, d.task.By, plan.Reason{Kind: plan.ByWord}
 		return r, nil
 	case Abandon:
-		r.State, r.Asked, r.Why = plan.Aborted, d.task.By, plan.Reason{Kind: plan.ByWord}
+		r.State, r.RequestedBy, r.Why = plan.Aborted, d.task.By, plan.Reason{Kind: plan.ByWord}
 		return r, nil
 	case Rollback:
 		if !r.Back {
 			r.Back, r.Cause = true, plan.Reason{Kind: plan.ByWord}
 		}
-		r.Asked = d.task.By
+		r.RequestedBy = d.task.By
 	}
 	if why := plan.Possible(d.fleet, d.task.LeaveOut); why.Kind != plan.NoReason {
 		return r, &Outcome{Kind: Impossible, Reason: why, Rollout: r}
@@ -674,8 +674,8 @@
 func (d *Driver) follow(now float64, dec plan.Decision) {
 	r := d.rollout
 	r.Rollout = dec.Rollout
-	if by := d.wish().By; by != "" && dec.Why.Kind == plan.ByWord {
-		r.Asked = by
+	if by := d.wish().Operator; by != "" && dec.Why.Kind == plan.ByWord {
+		r.RequestedBy = by
 	}
 	d.keep(now, r, dec.What, dec.Why)
 }
@@ -707,10 +707,10 @@
 	}
 }
 
-func (d *Driver) wish() form.Wish {
-	var best form.Wish
+func (d *Driver) wish() form.OperatorRequest {
+	var best form.OperatorRequest
 	for i := range d.agents {
-		if w := d.agents[i].wish; w.Rollout == d.rollout.ID && w.Run == d.rollout.Run && w.Wish > best.Wish {
+		if w := d.agents[i].wish; w.RolloutID == d.rollout.ID && w.Run == d.rollout.Run && w.Action > best.Action {
 			best = w
 		}
 	}
@@ -726,7 +726,7 @@
 		return
 	}
 	d.majorAt = now
-	switch dec := d.planner.Next(now, d.sights, d.wish().Wish); dec.What {
+	switch dec := d.planner.Next(now, d.sights, d.wish().Action); dec.What {
 	case plan.Wait:
 	case plan.Repeat:
 		if now >= d.actAt {
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -82,13 +82,13 @@
 			d.Failed(f.now, s.ID, "cut")
 			continue
 		}
-		if s.Call.Verb == form.Act && f.full[s.Agent] {
-			d.Heard(f.now, s.ID, form.Reply{Fault: "disk full", Standing: f.desks[s.Agent].Claims.Standing(f.now)})
+		if s.Call.Verb == form.BeginStepVerb && f.full[s.Agent] {
+			d.Heard(f.now, s.ID, form.Reply{Failure: "disk full", LeaseState: f.desks[s.Agent].Claims.Standing(f.now)})
 			continue
 		}
 		r, saves := f.desks[s.Agent].Handle(f.now, s.Call)
 		if saves.Instance >= 0 {
-			f.steps = append(f.steps, fmt.Sprint(s.Call.Name, " ", s.Call.Step.Revision))
+			f.steps = append(f.steps, fmt.Sprint(s.Call.InstanceName, " ", s.Call.Step.Revision))
 		}
 		f.carry(s.Agent, saves.Do)
 		d.Heard(f.now, s.ID, r)
@@ -141,7 +141,7 @@
 	o = f.finish(f.driver("h2", Task{Verb: Rollback, By: "ayla"}))
 	assert.Equal(t, plan.RolledBack, o.Rollout.State)
 	assert.Equal(t, []string{"old", "old", "old"}, f.revisions())
-	assert.Equal(t, "ayla", o.Rollout.Asked)
+	assert.Equal(t, "ayla", o.Rollout.RequestedBy)
 }
 
 func TestBadRevisionGoesBackByItself(t *testing.T) {
@@ -282,15 +282,15 @@
 		f.pass(0.9, a)
 		require.NotEmpty(t, f.steps)
 		for i, d := range f.desks {
-			w := form.Wish{Rollout: "r1", Run: 1, Wish: wish, By: "ayla"}
+			w := form.OperatorRequest{RolloutID: "r1", Run: 1, Action: wish, Operator: "ayla"}
 			if i == 0 {
 				w.Run = 9 // of another run: passed over
 			}
-			d.Handle(f.now, form.Call{Verb: form.Ask, Wish: w})
+			d.Handle(f.now, form.Request{Verb: form.RequestActionVerb, OperatorRequest: w})
 		}
 		o := f.finish(a)
 		assert.Equal(t, state, o.Rollout.State)
-		assert.Equal(t, "ayla", o.Rollout.Asked)
+		assert.Equal(t, "ayla", o.Rollout.RequestedBy)
 	}
 	f := newField(t, 3)
 	f.pass(0.9, f.driver("a", begin("r1", "new")))
@@ -336,8 +336,8 @@
 	a.agents[0].next = 0
 	sends, _ := a.Tick(f.now)
 	for _, s := range sends {
-		if s.Agent == 0 && s.Call.Verb == form.Look {
-			a.Heard(f.now, s.ID, form.Reply{Refusal: claim.NotHolder, Instances: []form.Told{{Name: "n0", Sight: plan.Sight{Life: plan.Broken}}}})
+		if s.Agent == 0 && s.Call.Verb == form.StatusVerb {
+			a.Heard(f.now, s.ID, form.Reply{Denial: claim.NotHolder, Instances: []form.InstanceStatus{{Name: "n0", Sight: plan.Sight{Life: plan.Broken}}}})
 			assert.NotEqual(t, plan.Broken, a.sights[0].Life)
 			assert.False(t, a.agents[0].granted, "and is asked for its grant anew")
 			return
--- a/internal/fleet/store/recorded_test.go
+++ b/internal/fleet/store/recorded_test.go
@@ -45,10 +45,10 @@
 // recordedRevisions are those of the recorded store, newest first.
 func recordedRevisions() []form.Revision {
 	return []form.Revision{
-		{Digest: movedRevision, Name: "moved", By: "op", At: 1767323044, Content: content("127.0.0.1:10", 256, 3, 0)},
-		{Digest: exitsRevision, Name: "exits", By: "op", At: 1767323043, Content: content("127.0.0.1:9", 256, 0, 3)},
-		{Digest: secondRevision, Name: "second", By: "op", At: 1767323042, Content: content("127.0.0.1:9", 300, 3, 0)},
-		{Digest: firstRevision, Name: "first", By: "op", At: 1767323041, Content: content("127.0.0.1:9", 256, 3, 0)},
+		{Digest: movedRevision, Name: "moved", PushedBy: "op", PushedAt: 1767323044, Content: content("127.0.0.1:10", 256, 3, 0)},
+		{Digest: exitsRevision, Name: "exits", PushedBy: "op", PushedAt: 1767323043, Content: content("127.0.0.1:9", 256, 0, 3)},
+		{Digest: secondRevision, Name: "second", PushedBy: "op", PushedAt: 1767323042, Content: content("127.0.0.1:9", 300, 3, 0)},
+		{Digest: firstRevision, Name: "first", PushedBy: "op", PushedAt: 1767323041, Content: content("127.0.0.1:9", 256, 3, 0)},
 	}
 }
 
@@ -77,7 +77,7 @@
 				Step:  plan.Step{Rollout: x.id, Number: 11, Revision: secondRevision, Restart: true},
 				Was:   plan.Tally{Ended: 1000, Unanswered: 10}, Steps: 11, Undone: 2,
 			},
-			Run: run, Name: "name of " + x.id, By: "ayla", Began: 1767323050 + int64(run), Asked: "mehmet", Fleet: "b279a452f0494508",
+			Run: run, RevisionName: "name of " + x.id, StartedBy: "ayla", StartedAt: 1767323050 + int64(run), RequestedBy: "mehmet", InstancesDigest: "b279a452f0494508",
 		})
 	}
 	return out
@@ -85,11 +85,11 @@
 
 func recordedState() State {
 	return State{
-		Claims: claim.Durable{
+		Lease: claim.Durable{
 			Epoch: 7, Holder: "ayla/host-1/00ff", Held: true,
 			Record: claim.Record{Stamp: claim.Stamp{Epoch: 7, Number: 6}, Body: form.Encode(recordedRollouts()[0])},
 		},
-		Wish: form.Wish{Rollout: "r-running", Run: 6, Wish: plan.Pause, By: "op"},
+		OperatorRequest: form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: plan.Pause, Operator: "op"},
 		Instances: map[string]tend.Record{
 			"open": {
 				Up: true, Revision: firstRevision, Mark: 1, Before: firstRevision, Acted: true, Drain: 1.7,
@@ -148,7 +148,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, recordedRollouts(), rollouts)
 	var body form.Rollout
-	require.NoError(t, form.Decode("record", st.Claims.Record.Body, &body))
+	require.NoError(t, form.Decode("record", st.Lease.Record.Body, &body))
 	assert.Equal(t, recordedRollouts()[0], body)
 }
 
@@ -159,7 +159,7 @@
 	require.NoError(t, err)
 	defer func() { assert.NoError(t, written.Close()) }()
 	st := recordedState()
-	require.NoError(t, written.Save(Change{Claims: &st.Claims, Wish: &st.Wish, Instances: st.Instances}))
+	require.NoError(t, written.Save(Change{Lease: &st.Lease, OperatorRequest: &st.OperatorRequest, Instances: st.Instances}))
 	for _, r := range recordedRevisions() {
 		require.NoError(t, written.Save(Change{Revision: &r}))
 	}
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -21,10 +21,10 @@
 )
 
 // Format of the records. A store of another one is refused.
-const Format = 1
+const FormatVersion = 1
 
 // Kept are the most revisions and rollouts that a store keeps; the oldest go, but for what is in use.
-const Kept = 100
+const MaxHistory = 100
 
 var (
 	metaBucket      = []byte("meta")
@@ -34,10 +34,10 @@
 )
 
 const (
-	formatKey = "format"
-	claimsKey = "claims"
-	wishKey   = "wish"
-	dialing   = time.Second // that an open store is waited for
+	formatKey          = "format"
+	leaseKey           = "claims"
+	operatorRequestKey = "wish"
+	openTimeout        = time.Second // that an open store is waited for
 )
 
 // Store is an open store.
@@ -45,18 +45,18 @@
 
 // State is what a store holds for the decisions.
 type State struct {
-	Claims    claim.Durable
-	Wish      form.Wish
-	Instances map[string]tend.Record
+	Lease           claim.Durable
+	OperatorRequest form.OperatorRequest
+	Instances       map[string]tend.Record
 }
 
 // Change is what Save writes; nil parts stay.
 type Change struct {
-	Claims    *claim.Durable
-	Wish      *form.Wish
-	Instances map[string]tend.Record
-	Revision  *form.Revision
-	Rollout   *form.Rollout
+	Lease           *claim.Durable
+	OperatorRequest *form.OperatorRequest
+	Instances       map[string]tend.Record
+	Revision        *form.Revision
+	Rollout         *form.Rollout
 }
 
 // Open opens or makes a store. One that another process has open is told as such.
@@ -64,7 +64,7 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: dialing})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout})
 	if errors.Is(err, bbolterrors.ErrTimeout) {
 		return nil, fmt.Errorf("store: %s is open in another agent", path)
 	}
@@ -92,9 +92,9 @@
 		case err != nil:
 			return err
 		case !found:
-			return put(tx, metaBucket, formatKey, Format)
-		case format != Format:
-			return fmt.Errorf("its records are of format %d, and this program knows format %d", format, Format)
+			return put(tx, metaBucket, formatKey, FormatVersion)
+		case format != FormatVersion:
+			return fmt.Errorf("its records are of format %d, and this program knows format %d", format, FormatVersion)
 		}
 		return nil
 	})
@@ -129,10 +129,10 @@
 func (s *Store) Load() (State, error) {
 	st := State{Instances: map[string]tend.Record{}}
 	err := s.db.View(func(tx *bbolt.Tx) error {
-		if _, err := get(tx, metaBucket, claimsKey, &st.Claims); err != nil {
+		if _, err := get(tx, metaBucket, leaseKey, &st.Lease); err != nil {
 			return err
 		}
-		if _, err := get(tx, metaBucket, wishKey, &st.Wish); err != nil {
+		if _, err := get(tx, metaBucket, operatorRequestKey, &st.OperatorRequest); err != nil {
 			return err
 		}
 		return tx.Bucket(instancesBucket).ForEach(func(k, raw []byte) error {
@@ -153,13 +153,13 @@
 // Save writes a change.
 func (s *Store) Save(c Change) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
-		if c.Claims != nil {
-			if err := put(tx, metaBucket, claimsKey, *c.Claims); err != nil {
+		if c.Lease != nil {
+			if err := put(tx, metaBucket, leaseKey, *c.Lease); err != nil {
 				return err
 			}
 		}
-		if c.Wish != nil {
-			if err := put(tx, metaBucket, wishKey, *c.Wish); err != nil {
+		if c.OperatorRequest != nil {
+			if err := put(tx, metaBucket, operatorRequestKey, *c.OperatorRequest); err != nil {
 				return err
 			}
 		}
@@ -172,7 +172,7 @@
 			if err := put(tx, rolloutsBucket, c.Rollout.ID, *c.Rollout); err != nil {
 				return err
 			}
-			if err := prune[form.Rollout](tx, rolloutsBucket, func(r form.Rollout) int64 { return r.Began }, nil); err != nil {
+			if err := prune[form.Rollout](tx, rolloutsBucket, func(r form.Rollout) int64 { return r.StartedAt }, nil); err != nil {
 				return err
 			}
 		}
@@ -180,12 +180,12 @@
 			if err := put(tx, revisionsBucket, c.Revision.Digest, *c.Revision); err != nil {
 				return err
 			}
-			used, err := inUse(tx)
+			used, err := revisionsInUse(tx)
 			if err != nil {
 				return err
 			}
 			used[c.Revision.Digest] = true
-			return prune[form.Revision](tx, revisionsBucket, func(r form.Revision) int64 { return r.At }, used)
+			return prune[form.Revision](tx, revisionsBucket, func(r form.Revision) int64 { return r.PushedAt }, used)
 		}
 		return nil
 	})
@@ -195,7 +195,7 @@
 	return nil
 }
 
-func inUse(tx *bbolt.Tx) (map[string]bool, error) {
+func revisionsInUse(tx *bbolt.Tx) (map[string]bool, error) {
 	used := map[string]bool{}
 	err := tx.Bucket(instancesBucket).ForEach(func(k, raw []byte) error {
 		var r tend.Record
@@ -211,7 +211,7 @@
 // prune drops the oldest records beyond Kept.
 func prune[T any](tx *bbolt.Tx, bucket []byte, at func(T) int64, used map[string]bool) error {
 	b := tx.Bucket(bucket)
-	if b.Inspect().KeyN <= Kept {
+	if b.Inspect().KeyN <= MaxHistory {
 		return nil
 	}
 	type entry struct {
@@ -231,7 +231,7 @@
 		return err
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].at < all[j].at })
-	for _, e := range all[:max(0, len(all)-Kept)] {
+	for _, e := range all[:max(0, len(all)-MaxHistory)] {
 		if used[e.key] {
 			continue
 		}
@@ -262,14 +262,14 @@
 	for i := range out {
 		out[i].Content = nil
 	}
-	sort.SliceStable(out, func(i, j int) bool { return out[i].At > out[j].At })
+	sort.SliceStable(out, func(i, j int) bool { return out[i].PushedAt > out[j].PushedAt })
 	return out, err
 }
 
 // Rollouts lists what is kept, newest first.
 func (s *Store) Rollouts() ([]form.Rollout, error) {
 	out, err := all[form.Rollout](s, rolloutsBucket)
-	sort.SliceStable(out, func(i, j int) bool { return out[i].Began > out[j].Began })
+	sort.SliceStable(out, func(i, j int) bool { return out[i].StartedAt > out[j].StartedAt })
 	return out, err
 }
 
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		panic(err)
 	}
-	for n := st.Claims.Epoch + 1; ; n++ {
+	for n := st.Lease.Epoch + 1; ; n++ {
 		if err := s.Save(change(n)); err != nil {
 			panic(err)
 		}
@@ -47,8 +47,10 @@
 }
 
 func change(n uint64) Change {
-	return Change{Claims: &claim.Durable{Epoch: n, Holder: strings.Repeat("h", int(n%50)*100)},
-		Instances: map[string]tend.Record{"n1": {Mark: n, Step: plan.Step{Number: n}}}}
+	return Change{
+		Lease:     &claim.Durable{Epoch: n, Holder: strings.Repeat("h", int(n%50)*100)},
+		Instances: map[string]tend.Record{"n1": {Mark: n, Step: plan.Step{Number: n}}},
+	}
 }
 
 func TestWhatIsSavedIsFound(t *testing.T) {
@@ -56,7 +58,7 @@
 	s, err := Open(path)
 	require.NoError(t, err)
 	require.NoError(t, s.Save(change(7)))
-	require.NoError(t, s.Save(Change{Wish: &form.Wish{Rollout: "r", Wish: plan.Pause}}))
+	require.NoError(t, s.Save(Change{OperatorRequest: &form.OperatorRequest{RolloutID: "r", Action: plan.Pause}}))
 	_, err = Open(path)
 	assert.ErrorContains(t, err, "open in another agent")
 	require.NoError(t, s.Close())
@@ -64,9 +66,9 @@
 	require.NoError(t, err)
 	st, err := s.Load()
 	require.NoError(t, err)
-	assert.Equal(t, *change(7).Claims, st.Claims)
+	assert.Equal(t, *change(7).Lease, st.Lease)
 	assert.Equal(t, change(7).Instances, st.Instances)
-	assert.Equal(t, plan.Pause, st.Wish.Wish)
+	assert.Equal(t, plan.Pause, st.OperatorRequest.Action)
 	require.NoError(t, s.Close())
 }
 
@@ -75,9 +77,11 @@
 	require.NoError(t, err)
 	defer func() { _ = s.Close() }()
 	require.NoError(t, s.Save(Change{Instances: map[string]tend.Record{"n1": {Revision: "d0", Before: "d1"}}}))
-	for i := range Kept + 20 {
-		require.NoError(t, s.Save(Change{Revision: &form.Revision{Digest: fmt.Sprint("d", i), At: int64(i), Content: []byte("x")},
-			Rollout: &form.Rollout{Rollout: plan.Rollout{ID: fmt.Sprint("r", i)}, Began: int64(i)}}))
+	for i := range MaxHistory + 20 {
+		require.NoError(t, s.Save(Change{
+			Revision: &form.Revision{Digest: fmt.Sprint("d", i), PushedAt: int64(i), Content: []byte("x")},
+			Rollout:  &form.Rollout{Rollout: plan.Rollout{ID: fmt.Sprint("r", i)}, StartedAt: int64(i)},
+		}))
 	}
 	for digest, kept := range map[string]bool{"d0": true, "d1": true, "d2": false, "d119": true} {
 		_, found, err := s.Revision(digest)
@@ -90,7 +94,7 @@
 	assert.Nil(t, list[0].Content)
 	rollouts, err := s.Rollouts()
 	require.NoError(t, err)
-	assert.Len(t, rollouts, Kept)
+	assert.Len(t, rollouts, MaxHistory)
 	assert.Equal(t, "r119", rollouts[0].ID)
 }
 
@@ -139,9 +143,9 @@
 		require.NoError(t, err)
 		st, err := s.Load()
 		require.NoError(t, err)
-		assert.GreaterOrEqual(t, st.Claims.Epoch, said)
-		assert.Equal(t, *change(st.Claims.Epoch).Claims, st.Claims)
-		assert.Equal(t, change(st.Claims.Epoch).Instances, st.Instances, "all of a change or none")
+		assert.GreaterOrEqual(t, st.Lease.Epoch, said)
+		assert.Equal(t, *change(st.Lease.Epoch).Lease, st.Lease)
+		assert.Equal(t, change(st.Lease.Epoch).Instances, st.Instances, "all of a change or none")
 		require.NoError(t, s.Close())
 	}
 }
--- a/internal/fleet/tend/desk.go
+++ b/internal/fleet/tend/desk.go
@@ -14,7 +14,7 @@
 	Program   string // that answers, and its version
 	Agents    string // digest of the list of agents that this one goes by
 	Claims    claim.Ledger
-	Wish      form.Wish
+	Wish      form.OperatorRequest
 	Names     []string
 	Instances []Instance
 	Listens   []string
@@ -29,19 +29,19 @@
 }
 
 // Handle answers a call. The calls for revisions and history are not the desk's.
-func (d *Desk) Handle(now float64, c form.Call) (form.Reply, Saves) {
+func (d *Desk) Handle(now float64, c form.Request) (form.Reply, Saves) {
 	r := form.Reply{Agent: d.Agent, Program: d.Program}
 	s := Saves{Instance: -1}
-	if c.Agents != "" && c.Agents != d.Agents && c.Verb != form.Look {
-		r.Refusal = claim.NotHolder
-		r.Fault = "it goes by another list of agents: bring the fleet file of the agent and the tool together"
-		r.Standing = d.Claims.Standing(now)
+	if c.AgentsDigest != "" && c.AgentsDigest != d.Agents && c.Verb != form.StatusVerb {
+		r.Denial = claim.NotHolder
+		r.Failure = "it goes by another list of agents: bring the fleet file of the agent and the tool together"
+		r.LeaseState = d.Claims.Standing(now)
 		return r, s
 	}
 	switch c.Verb {
-	case form.Look:
+	case form.StatusVerb:
 		if c.Epoch != 0 {
-			r.Refusal = d.Claims.Admit(now, c.Epoch, c.Holder)
+			r.Denial = d.Claims.Admit(now, c.Epoch, c.Holder)
 		}
 		for i := range d.Instances {
 			r.Instances = append(r.Instances, d.told(now, i))
@@ -50,28 +50,28 @@
 		if c.Epoch != 0 {
 			r.Record.Body = nil // its holder has it
 		}
-		r.Wish = d.Wish
-	case form.Bid:
-		r.Refusal = d.Claims.Bid(now, c.Bid)
+		r.OperatorRequest = d.Wish
+	case form.RequestLeaseVerb:
+		r.Denial = d.Claims.Bid(now, c.LeaseRequest)
 		r.Record = d.Claims.Record
-		s.Claims = r.Refusal == claim.Granted
-	case form.Keep:
-		r.Refusal = d.Claims.Keep(now, c.Epoch, c.Holder, c.Record)
-		s.Claims = r.Refusal == claim.Granted
-	case form.Release:
-		r.Refusal = d.Claims.Release(now, c.Epoch, c.Holder)
-		s.Claims = r.Refusal == claim.Granted
-	case form.Ask:
-		d.Wish, s.Wish = c.Wish, true
-	case form.Act:
-		r.Refusal = d.Claims.Admit(now, c.Epoch, c.Holder)
-		if r.Refusal == claim.Granted {
-			s, r.Fault = d.begin(now, c.Name, c.Step)
+		s.Claims = r.Denial == claim.Granted
+	case form.StoreRecordVerb:
+		r.Denial = d.Claims.Keep(now, c.Epoch, c.Holder, c.Record)
+		s.Claims = r.Denial == claim.Granted
+	case form.ReleaseLeaseVerb:
+		r.Denial = d.Claims.Release(now, c.Epoch, c.Holder)
+		s.Claims = r.Denial == claim.Granted
+	case form.RequestActionVerb:
+		d.Wish, s.Wish = c.OperatorRequest, true
+	case form.BeginStepVerb:
+		r.Denial = d.Claims.Admit(now, c.Epoch, c.Holder)
+		if r.Denial == claim.Granted {
+			s, r.Failure = d.begin(now, c.InstanceName, c.Step)
 		}
 	default:
-		r.Fault = fmt.Sprintf("%s is not answered here", c.Verb)
+		r.Failure = fmt.Sprintf("%s is not answered here", c.Verb)
 	}
-	r.Standing = d.Claims.Standing(now)
+	r.LeaseState = d.Claims.Standing(now)
 	return r, s
 }
 
@@ -90,14 +90,14 @@
 	return s, fmt.Sprintf("there is no instance %s here", name)
 }
 
-func (d *Desk) told(now float64, i int) form.Told {
+func (d *Desk) told(now float64, i int) form.InstanceStatus {
 	x := &d.Instances[i]
-	t := form.Told{Name: d.Names[i], Crashes: x.Crashes(), Sight: x.Sight(now), Wants: x.Revision}
+	t := form.InstanceStatus{Name: d.Names[i], Crashes: x.Crashes(), Sight: x.Sight(now), TargetRevision: x.Revision}
 	if i < len(d.Listens) {
 		t.Listen = d.Listens[i]
 	}
 	if x.open() {
-		t.Wants = x.Step.Revision
+		t.TargetRevision = x.Step.Revision
 	}
 	return t
 }
--- a/internal/fleet/tool/tool.go
+++ b/internal/fleet/tool/tool.go
@@ -48,7 +48,7 @@
 	t := &Tool{Fleet: f, Operator: operator, log: log,
 		within: max(time.Second, time.Duration(4*float64(f.Times.Look)*float64(time.Second)))}
 	for _, a := range f.Agents {
-		t.clients = append(t.clients, api.NewClient(a.Name, a.Listen.String(), source, api.Spoken))
+		t.clients = append(t.clients, api.NewClient(a.Name, a.Listen.String(), source, api.SupportedVersions))
 	}
 	return t, nil
 }
@@ -67,9 +67,9 @@
 	Err   error // it could not be asked, or refused
 }
 
-func (t *Tool) call(ctx context.Context, agent int, c form.Call) (form.Reply, error) {
+func (t *Tool) call(ctx context.Context, agent int, c form.Request) (form.Reply, error) {
 	within := t.within
-	if c.Verb == form.Put || c.Verb == form.Get || c.Verb == form.History {
+	if c.Verb == form.PutRevisionVerb || c.Verb == form.GetRevisionVerb || c.Verb == form.HistoryVerb {
 		within *= 5 // they carry more
 	}
 	ctx, cancel := context.WithTimeout(ctx, within)
@@ -78,15 +78,15 @@
 }
 
 // All asks every agent the same.
-func (t *Tool) All(ctx context.Context, c form.Call) []Answer {
+func (t *Tool) All(ctx context.Context, c form.Request) []Answer {
 	out := make([]Answer, len(t.clients))
 	var g errgroup.Group
 	g.SetLimit(atOnce)
 	for i := range t.clients {
 		g.Go(func() error {
 			r, err := t.call(ctx, i, c)
-			if err == nil && r.Fault != "" {
-				err = fmt.Errorf("agent %s: %s", t.clients[i].Agent, r.Fault)
+			if err == nil && r.Failure != "" {
+				err = fmt.Errorf("agent %s: %s", t.clients[i].Agent, r.Failure)
 			}
 			out[i] = Answer{Agent: t.clients[i].Agent, Reply: r, Err: err}
 			return nil
@@ -163,12 +163,12 @@
 
 // Status asks all agents.
 func (t *Tool) Status(ctx context.Context) Status {
-	return t.status(t.All(ctx, form.Call{Verb: form.Look}))
+	return t.status(t.All(ctx, form.Request{Verb: form.StatusVerb}))
 }
 
 func (t *Tool) status(answers []Answer) Status {
 	s := Status{Fleet: t.Fleet.Name, Of: len(t.Fleet.Instances)}
-	told := map[string]form.Told{}
+	told := map[string]form.InstanceStatus{}
 	for _, a := range answers {
 		state := AgentState{Name: a.Agent, Heard: a.Err == nil, Program: a.Reply.Program}
 		if a.Err != nil {
@@ -182,11 +182,11 @@
 	for _, x := range t.Fleet.Instances {
 		row := Instance{Name: x.Name, Agent: x.Agent, Hall: t.Fleet.Agent(x.Agent).Hall, Life: plan.Unknown.String()}
 		if got, ok := told[x.Name]; ok {
-			row.Known, row.Life, row.Process, row.Crashes = true, got.Life.String(), got.Process, got.Crashes
+			row.Known, row.Life, row.Process, row.Crashes = true, got.Life.String(), got.ProcessID, got.Crashes
 			row.Revision, row.ReadyFor = revision.Short(got.Revision), got.ReadyFor
 			row.Ended, row.Failed = got.Recent.Ended, got.Recent.Unanswered
-			if got.Wants != got.Revision {
-				row.Wants = revision.Short(got.Wants)
+			if got.TargetRevision != got.Revision {
+				row.Wants = revision.Short(got.TargetRevision)
 			}
 			switch {
 			case got.Last.Number != 0 && got.End == plan.Open:
@@ -227,7 +227,7 @@
 			continue
 		}
 		c.Present++
-		st := a.Reply.Standing
+		st := a.Reply.LeaseState
 		c.Epoch = max(c.Epoch, st.Epoch)
 		if st.Held {
 			grants[st.Holder]++
@@ -242,8 +242,8 @@
 
 // Rollout is one for people.
 func (t *Tool) Rollout(r form.Rollout) *RolloutState {
-	s := &RolloutState{ID: r.ID, Revision: revision.Short(r.Revision), Name: r.Name, State: r.State.String(), Back: r.Back,
-		Why: t.Explain(r.Why), Cause: t.Explain(r.Cause), By: r.By, Asked: r.Asked, Began: time.Unix(r.Began, 0).UTC().Format(time.RFC3339), Steps: r.Steps}
+	s := &RolloutState{ID: r.ID, Revision: revision.Short(r.Revision), Name: r.RevisionName, State: r.State.String(), Back: r.Back,
+		Why: t.Explain(r.Why), Cause: t.Explain(r.Cause), By: r.StartedBy, Asked: r.RequestedBy, Began: time.Unix(r.StartedAt, 0).UTC().Format(time.RFC3339), Steps: r.Steps}
 	for _, i := range r.Out {
 		s.Out = append(s.Out, t.name(i))
 	}
@@ -339,9 +339,9 @@
 
 // Push has every agent keep a revision.
 func (t *Tool) Push(ctx context.Context, content []byte, name string) Pushed {
-	rev := form.Revision{Digest: revision.Digest(content), Name: name, By: t.Operator, At: time.Now().Unix(), Content: content}
+	rev := form.Revision{Digest: revision.Digest(content), Name: name, PushedBy: t.Operator, PushedAt: time.Now().Unix(), Content: content}
 	p := Pushed{Digest: rev.Digest, Name: name, Agents: len(t.clients)}
-	for _, a := range t.All(ctx, form.Call{Verb: form.Put, Revision: rev}) {
+	for _, a := range t.All(ctx, form.Request{Verb: form.PutRevisionVerb, Revision: rev}) {
 		if a.Err != nil {
 			p.Missing = append(p.Missing, AgentState{Name: a.Agent, Fault: a.Err.Error()})
 			continue
@@ -363,14 +363,14 @@
 	revs, rolls := map[string]form.Revision{}, map[string]form.Rollout{}
 	var faults []error
 	heard := 0
-	for _, a := range t.All(ctx, form.Call{Verb: form.History}) {
+	for _, a := range t.All(ctx, form.Request{Verb: form.HistoryVerb}) {
 		if a.Err != nil {
 			faults = append(faults, a.Err)
 			continue
 		}
 		heard++
 		for _, r := range a.Reply.Revisions {
-			if old, has := revs[r.Digest]; !has || old.At < r.At {
+			if old, has := revs[r.Digest]; !has || old.PushedAt < r.PushedAt {
 				revs[r.Digest] = r
 			}
 		}
@@ -391,11 +391,11 @@
 	}
 	sort.Slice(h.Revisions, func(i, j int) bool {
 		a, b := h.Revisions[i], h.Revisions[j]
-		return a.At > b.At || a.At == b.At && a.Digest < b.Digest
+		return a.PushedAt > b.PushedAt || a.PushedAt == b.PushedAt && a.Digest < b.Digest
 	})
 	sort.Slice(h.Rollouts, func(i, j int) bool {
 		a, b := h.Rollouts[i], h.Rollouts[j]
-		return a.Began > b.Began || a.Began == b.Began && a.ID < b.ID
+		return a.StartedAt > b.StartedAt || a.StartedAt == b.StartedAt && a.ID < b.ID
 	})
 	return h, nil
 }
@@ -428,7 +428,7 @@
 func (t *Tool) Content(ctx context.Context, digest string) ([]byte, error) {
 	var faults []error
 	for i := range t.clients {
-		r, err := t.call(ctx, i, form.Call{Verb: form.Get, Revision: form.Revision{Digest: digest}})
+		r, err := t.call(ctx, i, form.Request{Verb: form.GetRevisionVerb, Revision: form.Revision{Digest: digest}})
 		if err != nil {
 			faults = append(faults, err)
 			continue
@@ -451,7 +451,7 @@
 func (t *Tool) Effects(ctx context.Context, content []byte) ([]Effect, error) {
 	to := revision.Digest(content)
 	running := map[string]string{}
-	for _, a := range t.All(ctx, form.Call{Verb: form.Look}) {
+	for _, a := range t.All(ctx, form.Request{Verb: form.StatusVerb}) {
 		for _, x := range a.Reply.Instances {
 			running[x.Name] = x.Revision
 		}
@@ -498,8 +498,8 @@
 // Ask leaves a wish with the agents for whoever drives a rollout. It tells how many took it.
 func (t *Tool) Ask(ctx context.Context, r form.Rollout, w plan.Wish) int {
 	took := 0
-	for _, a := range t.All(ctx, form.Call{Verb: form.Ask, Agents: t.Fleet.AgentsDigest(),
-		Wish: form.Wish{Rollout: r.ID, Run: r.Run, Wish: w, By: t.Operator}}) {
+	for _, a := range t.All(ctx, form.Request{Verb: form.RequestActionVerb, AgentsDigest: t.Fleet.AgentsDigest(),
+		OperatorRequest: form.OperatorRequest{RolloutID: r.ID, Run: r.Run, Action: w, Operator: t.Operator}}) {
 		if a.Err == nil {
 			took++
 		}
@@ -509,7 +509,7 @@
 
 // Newest is the newest rollout that can be heard of, and whether a tool drives it now.
 func (t *Tool) Newest(ctx context.Context) (r form.Rollout, driven, found bool) {
-	answers := t.All(ctx, form.Call{Verb: form.Look})
+	answers := t.All(ctx, form.Request{Verb: form.StatusVerb})
 	r, found = newest(answers)
 	return r, t.claim(answers).Held, found
 }
@@ -524,8 +524,8 @@
 // Begin is the task of a new rollout.
 func (t *Tool) Begin(r form.Revision, restart bool) roll.Task {
 	return roll.Task{Verb: roll.Begin, By: t.Operator, Fleet: t.Fleet.InstancesDigest(), Rollout: form.Rollout{
-		Rollout: plan.Rollout{ID: Unique(), Revision: r.Digest, Restart: restart}, Name: r.Name, By: t.Operator,
-		Began: time.Now().Unix(), Fleet: t.Fleet.InstancesDigest()}}
+		Rollout: plan.Rollout{ID: Unique(), Revision: r.Digest, Restart: restart}, RevisionName: r.Name, StartedBy: t.Operator,
+		StartedAt: time.Now().Unix(), InstancesDigest: t.Fleet.InstancesDigest()}}
 }
 
 // Drive carries a task out. Once ctx ends the driver gives its claim back, and the rollout waits to be taken
@@ -535,7 +535,7 @@
 	host, _ := os.Hostname() // for people only
 	look := float64(t.Fleet.Times.Look)
 	d := roll.New(t.Fleet.Plan(), t.Fleet.Names(), len(t.clients), t.Fleet.AgentsDigest(),
-		api.Holder(t.Operator, host+"/"+Unique()), roll.Times{Period: look, Giving: float64(t.Fleet.Times.Contact)}, task,
+		api.HolderName(t.Operator, host+"/"+Unique()), roll.Times{Period: look, Giving: float64(t.Fleet.Times.Contact)}, task,
 		mathrand.Float64)
 	began := time.Now()
 	now := func() float64 { return time.Since(began).Seconds() }
--- a/internal/fleet/tool/tool_test.go
+++ b/internal/fleet/tool/tool_test.go
@@ -91,7 +91,7 @@
 	require.NoError(r.t, err)
 	l, err := net.Listen("tcp", me.Listen.String())
 	require.NoError(r.t, err)
-	server := api.NewServer(l, a, r.keys.Source(keys.Agent, me.Name), api.Spoken, zerolog.New(io.Discard))
+	server := api.NewServer(l, a, r.keys.Source(keys.Agent, me.Name), api.SupportedVersions, zerolog.New(io.Discard))
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Add(2)
@@ -263,7 +263,7 @@
 		}
 	})
 	assert.Equal(t, plan.Paused, o.Rollout.State)
-	assert.Equal(t, "mehmet", o.Rollout.Asked)
+	assert.Equal(t, "mehmet", o.Rollout.RequestedBy)
 	r.end(3)
 	o = r.drive(mehmet, roll.Task{Verb: roll.Resume, By: "mehmet"}, nil)
 	assert.Equal(t, plan.Paused, o.Rollout.State)
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -79,7 +79,7 @@
 	Tool int
 	ID   uint64
 	At   int
-	Call form.Call
+	Call form.Request
 }
 
 func newRollout(b Bounds, fault string) *rollout {
@@ -133,7 +133,7 @@
 			x.driver.Events()
 			for _, s := range sends {
 				c := rollCall{Tool: t, ID: s.ID, At: s.Agent, Call: s.Call}
-				if s.Call.Verb != form.Look {
+				if s.Call.Verb != form.StatusVerb {
 					x.out = append(x.out, c)
 					continue
 				}
@@ -168,13 +168,13 @@
 func (r *rollout) answer(c rollCall) form.Reply {
 	a := r.agents[c.At]
 	switch {
-	case r.fault == "unkept" && c.Call.Verb == form.Keep:
-		return form.Reply{Standing: a.desk.Claims.Standing(r.now)}
-	case r.fault == "epoch-twice" && c.Call.Verb == form.Bid && c.Call.Bid.Epoch == a.desk.Claims.Epoch:
+	case r.fault == "unkept" && c.Call.Verb == form.StoreRecordVerb:
+		return form.Reply{LeaseState: a.desk.Claims.Standing(r.now)}
+	case r.fault == "epoch-twice" && c.Call.Verb == form.RequestLeaseVerb && c.Call.LeaseRequest.Epoch == a.desk.Claims.Epoch:
 		a.desk.Claims.Epoch--
 		a.desk.Claims.Held = false
 	}
-	if c.Call.Verb == form.Act {
+	if c.Call.Verb == form.BeginStepVerb {
 		c.Call.Step.Idle = c.Call.Step.Idle && r.fault != "rash"
 		var kept int
 		for _, b := range r.agents {
@@ -192,7 +192,7 @@
 			}
 		}
 	}
-	if reply.Refusal == claim.Granted && (c.Call.Verb == form.Act || c.Call.Verb == form.Keep) {
+	if reply.Denial == claim.Granted && (c.Call.Verb == form.BeginStepVerb || c.Call.Verb == form.StoreRecordVerb) {
 		r.check.Acted(c.Call.Epoch, c.Call.Holder)
 	}
 	if saves.Claims {
@@ -343,7 +343,7 @@
 	}
 	for _, t := range r.tools {
 		for _, c := range t.out {
-			if c.Call.Verb == form.Act {
+			if c.Call.Verb == form.BeginStepVerb {
 				return false
 			}
 		}
