--- a/cmd/stoatctl/main_test.go
+++ b/cmd/stoatctl/main_test.go
@@ -272,13 +272,13 @@
 	require.NoError(t, cmd.Start())
 	for late := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
 		require.True(t, time.Now().Before(late))
-		if running, err := agent.Running(dir); err == nil && len(running) > 1 {
+		if running, err := agent.RunningRouters(dir); err == nil && len(running) > 1 {
 			break
 		}
 	}
 	require.NoError(t, cmd.Process.Signal(os.Interrupt))
 	assert.Error(t, cmd.Wait())
-	running, err := agent.Running(dir)
+	running, err := agent.RunningRouters(dir)
 	require.NoError(t, err)
 	assert.Empty(t, running)
 }
--- a/internal/cli/agent.go
+++ b/internal/cli/agent.go
@@ -71,7 +71,7 @@
 		served <- server.Serve()
 		cancel() // an agent that cannot be spoken to is of no use
 	}()
-	a.log.Info().Str("agent", me.Name).Stringer("listen", me.Listen).Str("program", program()).Int("instances", len(f.Of(me.Name))).Msg("serving")
+	a.log.Info().Str("agent", me.Name).Stringer("listen", me.Listen).Str("program", program()).Int("instances", len(f.InstancesOf(me.Name))).Msg("serving")
 	x.Run(ctx)
 	server.Close()
 	err = <-served
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -28,7 +28,7 @@
 	file, folder, operator string
 }
 
-func (f *fleetFlags) open(a *app) (*tool.Tool, error) {
+func (f *fleetFlags) open(a *app) (*tool.Client, error) {
 	l, err := layout.Load(f.file)
 	if err != nil {
 		return nil, status(Misused, err)
@@ -67,24 +67,24 @@
 			if err != nil {
 				return status(Misused, err)
 			}
-			t := &tool.Tool{Fleet: f}
-			said := map[string]any{"fleet": f.Name, "halls": len(f.Halls), "agents": len(f.Agents), "instances": len(f.Instances)}
+			t := &tool.Client{Fleet: f}
+			said := map[string]any{"fleet": f.Name, "halls": len(f.Zones), "agents": len(f.Agents), "instances": len(f.Instances)}
 			if len(args) == 2 {
-				content, err := t.Read(args[1])
+				content, err := t.ReadRevision(args[1])
 				if err != nil {
 					return status(Misused, err)
 				}
 				said["revision"] = revision.Digest(content)
 			}
 			if err := a.show(said, func(w io.Writer) {
-				fmt.Fprintf(w, "%s: %d halls, %d agents, %d instances\n", f.Name, len(f.Halls), len(f.Agents), len(f.Instances))
+				fmt.Fprintf(w, "%s: %d halls, %d agents, %d instances\n", f.Name, len(f.Zones), len(f.Agents), len(f.Instances))
 				if d, ok := said["revision"]; ok {
 					fmt.Fprintf(w, "revision %s is right for all of them\n", d)
 				}
 			}); err != nil {
 				return err
 			}
-			if why := plan.Possible(f.Plan(), nil); why.Kind != plan.NoReason {
+			if why := plan.Possible(f.PlannerFleet(), nil); why.Kind != plan.NoReason {
 				return refuse("no rollout is possible with these floors: %s", t.Explain(why))
 			}
 			return nil
@@ -119,8 +119,8 @@
 					}
 				}
 				for _, x := range s.Agents {
-					if !x.Heard {
-						return status(Failed, errors.New(x.Fault))
+					if !x.Reachable {
+						return status(Failed, errors.New(x.Failure))
 					}
 				}
 				return nil
@@ -133,25 +133,25 @@
 }
 
 func printStatus(w io.Writer, s tool.Status) {
-	fmt.Fprintf(w, "%s: %d of %d serve\n\n", s.Fleet, s.Serving, s.Of)
+	fmt.Fprintf(w, "%s: %d of %d serve\n\n", s.Fleet, s.Serving, s.Total)
 	t := grid(w, "instance", "hall", "agent", "life", "revision", "process", "crashes", "unanswered", "")
 	for _, x := range s.Instances {
 		rev := x.Revision
-		if x.Wants != "" {
-			rev += " -> " + x.Wants
+		if x.TargetRevision != "" {
+			rev += " -> " + x.TargetRevision
 		}
-		t.AppendRow(table.Row{x.Name, x.Hall, x.Agent, x.Life, rev, x.Process, x.Crashes, fmt.Sprintf("%d of %d", x.Failed, x.Ended), x.Step})
+		t.AppendRow(table.Row{x.Name, x.Zone, x.Agent, x.State, rev, x.ProcessID, x.Crashes, fmt.Sprintf("%d of %d", x.UnansweredCommands, x.EndedCommands), x.Step})
 	}
 	t.Render()
 	for _, x := range s.Agents {
-		if !x.Heard {
-			fmt.Fprintf(w, "\n%s", x.Fault)
+		if !x.Reachable {
+			fmt.Fprintf(w, "\n%s", x.Failure)
 		}
 	}
 	fmt.Fprintln(w)
 	if r := s.Rollout; r != nil {
-		fmt.Fprintf(w, "rollout %s of revision %s by %s, begun %s: %s", r.ID, r.Revision, r.By, r.Began, r.State)
-		if r.Back {
+		fmt.Fprintf(w, "rollout %s of revision %s by %s, begun %s: %s", r.ID, r.Revision, r.StartedBy, r.StartedAt, r.State)
+		if r.RollingBack {
 			fmt.Fprintf(w, ", going back (%s)", r.Cause)
 		}
 		if r.Why != "" {
@@ -162,16 +162,16 @@
 		}
 		fmt.Fprintln(w)
 	}
-	printClaim(w, s.Claim)
+	printClaim(w, s.Lease)
 }
 
-func printClaim(w io.Writer, c *tool.ClaimState) {
+func printClaim(w io.Writer, c *tool.LeaseStatus) {
 	if !c.Held {
-		fmt.Fprintf(w, "nobody holds the claim (epoch %d, %d of %d agents heard)\n", c.Epoch, c.Present, c.Agents)
+		fmt.Fprintf(w, "nobody holds the claim (epoch %d, %d of %d agents heard)\n", c.Epoch, c.ReachableAgents, c.Agents)
 		return
 	}
 	fmt.Fprintf(w, "%s holds the claim under epoch %d since %.0f s, for %.0f s more unless renewed (%d of %d agents)\n", c.Holder, c.Epoch,
-		c.Since, c.Left, c.Grants, c.Agents)
+		c.SinceSeconds, c.LeftSeconds, c.Grants, c.Agents)
 }
 
 func (a *app) diff(f *fleetFlags) *cobra.Command {
@@ -193,23 +193,23 @@
 }
 
 // content takes a revision from a file or from the agents.
-func (a *app) content(ctx context.Context, t *tool.Tool, called string) ([]byte, error) {
+func (a *app) content(ctx context.Context, t *tool.Client, called string) ([]byte, error) {
 	if _, err := os.Stat(called); err == nil {
-		c, err := t.Read(called)
+		c, err := t.ReadRevision(called)
 		return c, status(Misused, err)
 	}
-	r, err := t.Find(ctx, called)
+	r, err := t.FindRevision(ctx, called)
 	if err != nil {
 		return nil, status(Failed, err)
 	}
-	c, err := t.Content(ctx, r.Digest)
+	c, err := t.RevisionContent(ctx, r.Digest)
 	return c, status(Failed, err)
 }
 
-func (a *app) differ(ctx context.Context, t *tool.Tool, args []string) error {
+func (a *app) differ(ctx context.Context, t *tool.Client, args []string) error {
 	type said struct {
-		Changes []revision.Change `json:"changes"`
-		Effects []tool.Effect     `json:"instances,omitempty"`
+		Changes []revision.Change     `json:"changes"`
+		Effects []tool.RevisionEffect `json:"instances,omitempty"`
 	}
 	var s said
 	to, err := a.content(ctx, t, args[len(args)-1])
@@ -222,7 +222,7 @@
 			return err
 		}
 	} else {
-		if s.Effects, err = t.Effects(ctx, to); err != nil {
+		if s.Effects, err = t.PreviewEffects(ctx, to); err != nil {
 			return status(Failed, err)
 		}
 		for _, x := range t.Status(ctx).Instances { // what most of them run is what one would compare with
@@ -251,7 +251,7 @@
 			}
 		}
 		for _, x := range s.Effects {
-			fmt.Fprintf(w, "%s: %s %s\n", x.Instance, x.How, strings.Join(x.Keys, ", "))
+			fmt.Fprintf(w, "%s: %s %s\n", x.Instance, x.Change, strings.Join(x.Keys, ", "))
 		}
 	})
 }
@@ -270,21 +270,21 @@
 				return err
 			}
 			defer t.Close()
-			content, err := t.Read(args[0])
+			content, err := t.ReadRevision(args[0])
 			if err != nil {
 				return status(Misused, err)
 			}
-			p := t.Push(cmd.Context(), content, name)
+			p := t.PushRevision(cmd.Context(), content, name)
 			if err := a.show(p, func(w io.Writer) {
-				fmt.Fprintf(w, "revision %s is kept by %d of %d agents\n", p.Digest, p.Kept, p.Agents)
+				fmt.Fprintf(w, "revision %s is kept by %d of %d agents\n", p.Digest, p.Stored, p.Agents)
 				for _, m := range p.Missing {
-					fmt.Fprintln(w, m.Fault)
+					fmt.Fprintln(w, m.Failure)
 				}
 			}); err != nil {
 				return err
 			}
-			if p.Kept == 0 {
-				return status(Failed, errors.New(p.Missing[0].Fault))
+			if p.Stored == 0 {
+				return status(Failed, errors.New(p.Missing[0].Failure))
 			}
 			if len(p.Missing) > 0 {
 				return status(Paused, fmt.Errorf("%d agents do not keep the revision", len(p.Missing)))
@@ -324,14 +324,14 @@
 				return err
 			}
 			defer t.Close()
-			r, err := t.Find(cmd.Context(), args[0])
+			r, err := t.FindRevision(cmd.Context(), args[0])
 			if err != nil {
 				return status(Failed, err)
 			}
 			if dry {
 				return a.differ(cmd.Context(), t, []string{r.Digest})
 			}
-			return a.drive(cmd.Context(), t, t.Begin(r, restart), &d)
+			return a.drive(cmd.Context(), t, t.NewRollout(r, restart), &d)
 		},
 	}
 	d.flags(c)
@@ -374,13 +374,13 @@
 			defer t.Close()
 			ctx := cmd.Context()
 			if len(args) == 1 {
-				r, err := t.Find(ctx, args[0])
+				r, err := t.FindRevision(ctx, args[0])
 				if err != nil {
 					return status(Failed, err)
 				}
-				return a.drive(ctx, t, t.Begin(r, false), &d)
+				return a.drive(ctx, t, t.NewRollout(r, false), &d)
 			}
-			if r, driven, found := t.Newest(ctx); found && driven && !r.State.Over() && !d.takeOver {
+			if r, driven, found := t.NewestRollout(ctx); found && driven && !r.State.Over() && !d.takeOver {
 				return a.wish(ctx, t, r, plan.Rollback)
 			}
 			return a.drive(ctx, t, roll.Task{Verb: roll.Rollback, By: t.Operator}, &d)
@@ -403,7 +403,7 @@
 				return err
 			}
 			defer t.Close()
-			r, driven, found := t.Newest(cmd.Context())
+			r, driven, found := t.NewestRollout(cmd.Context())
 			if found && driven && r.State == plan.Running && !d.takeOver {
 				return a.wish(cmd.Context(), t, r, w)
 			}
@@ -416,12 +416,12 @@
 }
 
 // wish asks the tool that drives, and waits until it has followed or is gone.
-func (a *app) wish(ctx context.Context, t *tool.Tool, r form.Rollout, w plan.Wish) error {
-	if n := t.Ask(ctx, r, w); n == 0 {
+func (a *app) wish(ctx context.Context, t *tool.Client, r form.Rollout, w plan.Wish) error {
+	if n := t.RequestAction(ctx, r, w); n == 0 {
 		return status(Failed, errors.New("no agent took the wish"))
 	}
 	for {
-		now, driven, found := t.Newest(ctx)
+		now, driven, found := t.NewestRollout(ctx)
 		switch {
 		case !found || now.ID != r.ID || now.Run != r.Run:
 			return status(Failed, errors.New("another rollout, or another run of it, has come meanwhile"))
@@ -435,7 +435,7 @@
 			return status(Paused, errors.New("the tool that drove the rollout is gone: say it again"))
 		}
 		select {
-		case <-time.After(time.Duration(float64(t.Fleet.Times.Look) * float64(time.Second))):
+		case <-time.After(time.Duration(float64(t.Fleet.Times.PollInterval) * float64(time.Second))):
 		case <-ctx.Done():
 			return status(Paused, errors.New("interrupted; the wish stands"))
 		}
@@ -462,25 +462,25 @@
 				At     string `json:"at"`
 			}
 			var s struct {
-				Revisions []rev               `json:"revisions"`
-				Rollouts  []tool.RolloutState `json:"rollouts"`
+				Revisions []rev                `json:"revisions"`
+				Rollouts  []tool.RolloutStatus `json:"rollouts"`
 			}
 			for _, r := range h.Revisions {
 				s.Revisions = append(s.Revisions, rev{r.Digest, r.Name, r.PushedBy, time.Unix(r.PushedAt, 0).UTC().Format(time.RFC3339)})
 			}
 			for _, r := range h.Rollouts {
-				s.Rollouts = append(s.Rollouts, *t.Rollout(r))
+				s.Rollouts = append(s.Rollouts, *t.DescribeRollout(r))
 			}
 			return a.show(s, func(w io.Writer) {
 				g := grid(w, "revision", "name", "by", "at")
 				for _, r := range s.Revisions {
-					g.AppendRow(table.Row{revision.Short(r.Digest), r.Name, r.By, r.At})
+					g.AppendRow(table.Row{revision.ShortDigest(r.Digest), r.Name, r.By, r.At})
 				}
 				g.Render()
 				fmt.Fprintln(w)
 				g = grid(w, "rollout", "revision", "by", "began", "state", "")
 				for _, r := range s.Rollouts {
-					g.AppendRow(table.Row{r.ID, r.Revision + " " + r.Name, r.By, r.Began, r.State, r.Why})
+					g.AppendRow(table.Row{r.ID, r.Revision + " " + r.RevisionName, r.StartedBy, r.StartedAt, r.State, r.Why})
 				}
 				g.Render()
 			})
@@ -500,7 +500,7 @@
 			}
 			defer t.Close()
 			s := t.Status(cmd.Context())
-			return a.show(s.Claim, func(w io.Writer) { printClaim(w, s.Claim) })
+			return a.show(s.Lease, func(w io.Writer) { printClaim(w, s.Lease) })
 		},
 	}
 	a.asJSON(c)
@@ -508,9 +508,9 @@
 }
 
 // drive carries a task out, shows how it goes, and tells its end by the exit status.
-func (a *app) drive(ctx context.Context, t *tool.Tool, task roll.Task, d *driving) error {
+func (a *app) drive(ctx context.Context, t *tool.Client, task roll.Task, d *driving) error {
 	task.Takeover = d.takeOver
-	names := t.Fleet.Names()
+	names := t.Fleet.InstanceNames()
 	for _, n := range d.leaveOut {
 		i := -1
 		for j := range names {
@@ -533,7 +533,7 @@
 	live := a.live(len(names))
 	o := t.Drive(ctx, task, func(v roll.View, events []roll.Event) {
 		if spans != nil {
-			spans.Watch(v, events)
+			spans.Record(v, events)
 		}
 		for _, e := range events {
 			a.event(t, e)
@@ -549,7 +549,7 @@
 	return a.outcome(t, o)
 }
 
-func (a *app) event(t *tool.Tool, e roll.Event) {
+func (a *app) event(t *tool.Client, e roll.Event) {
 	name := ""
 	if i := e.Step.Instance; e.Step.Number != 0 && i < len(t.Fleet.Instances) {
 		name = t.Fleet.Instances[i].Name
@@ -569,13 +569,13 @@
 }
 
 // outcome tells a driver's end.
-func (a *app) outcome(t *tool.Tool, o roll.Outcome) error {
-	r := t.Rollout(o.Rollout)
+func (a *app) outcome(t *tool.Client, o roll.Outcome) error {
+	r := t.DescribeRollout(o.Rollout)
 	said := struct {
-		Outcome string             `json:"outcome"`
-		Why     string             `json:"why,omitempty"`
-		Rollout *tool.RolloutState `json:"rollout,omitempty"`
-		Faults  []string           `json:"faults,omitempty"`
+		Outcome string              `json:"outcome"`
+		Why     string              `json:"why,omitempty"`
+		Rollout *tool.RolloutStatus `json:"rollout,omitempty"`
+		Faults  []string            `json:"faults,omitempty"`
 	}{Outcome: r.State, Why: r.Why, Rollout: r, Faults: o.Faults}
 	code := Done
 	var err error
@@ -588,7 +588,7 @@
 				code = Done
 			}
 			err = fmt.Errorf("the rollout is paused: %s", r.Why)
-			if r.Back {
+			if r.RollingBack {
 				err = fmt.Errorf("%w; it was going back: %s", err, r.Cause)
 			}
 		case plan.RolledBack:
@@ -608,7 +608,7 @@
 		said.Outcome, said.Why = "paused", "no majority of agents can be heard: nothing more was begun"
 		code = Paused
 	case roll.Unfinished:
-		said.Outcome, said.Why = "refused", fmt.Sprintf("rollout %s by %s is %s: resume, abort or roll it back first", r.ID, r.By, r.State)
+		said.Outcome, said.Why = "refused", fmt.Sprintf("rollout %s by %s is %s: resume, abort or roll it back first", r.ID, r.StartedBy, r.State)
 		code = Refused
 	case roll.Impossible:
 		said.Outcome, said.Why = "refused", "no step is possible: "+t.Explain(o.Reason)
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -94,7 +94,7 @@
 	Rollout
 	dir      string
 	fleet    *layout.Fleet
-	tool     *tool.Tool
+	tool     *tool.Client
 	member   [3]*stand.Member
 	list     *stand.Discovery
 	load     *stand.Load
@@ -214,9 +214,9 @@
 // layOut writes the fleet file: three halls, one agent an instance.
 func (s *stage) layOut() error {
 	away := s.away()
-	f := layout.Fleet{Name: "drill", Floor: s.Instances - away, Times: layout.Times{
-		Soak: 0.3, Fresh: 1, Contact: 6, Step: 60,
-		Claim: 4, Look: 0.1, Ready: 10, Grace: 1,
+	f := layout.Fleet{Name: "drill", MinAvailable: s.Instances - away, Times: layout.Times{
+		Soak: 0.3, FreshFor: 1, ContactTimeout: 6, StepTimeout: 60,
+		LeaseTerm: 4, PollInterval: 0.1, ReadyTimeout: 10, DrainGrace: 1,
 	}}
 	halls := min(3, s.Instances/2)
 	counts := make([]int, halls)
@@ -225,7 +225,7 @@
 		counts[hall]++
 		host := stand.Host()
 		f.Agents = append(f.Agents, layout.Agent{
-			Name: agent, Hall: fmt.Sprint("hall", hall+1),
+			Name: agent, Zone: fmt.Sprint("hall", hall+1),
 			Listen: netip.MustParseAddrPort(host + ":7400"), Folder: filepath.Join(s.dir, agent), Program: s.Router,
 		})
 		f.Instances = append(f.Instances, layout.Instance{
@@ -235,7 +235,7 @@
 		s.load.Routers = append(s.load.Routers, host+":5432")
 	}
 	for i, n := range counts {
-		f.Halls = append(f.Halls, layout.Hall{Name: fmt.Sprint("hall", i+1), Floor: max(0, n-away)})
+		f.Zones = append(f.Zones, layout.Zone{Name: fmt.Sprint("hall", i+1), MinAvailable: max(0, n-away)})
 	}
 	path := filepath.Join(s.dir, "fleet.sexp")
 	if err := os.WriteFile(path, f.Text(), 0o600); err != nil {
@@ -272,10 +272,10 @@
 		st := s.tool.Status(ctx)
 		ok := true
 		for _, a := range st.Agents {
-			ok = ok && a.Heard
+			ok = ok && a.Reachable
 		}
 		for _, x := range st.Instances {
-			ok = ok && x.Life != plan.Unknown.String()
+			ok = ok && x.State != plan.Unknown.String()
 		}
 		if ok {
 			return nil
@@ -296,7 +296,7 @@
 	if err != nil {
 		return "", err
 	}
-	if p := s.tool.Push(ctx, content, name); len(p.Missing) > 0 {
+	if p := s.tool.PushRevision(ctx, content, name); len(p.Missing) > 0 {
 		return "", fmt.Errorf("pushing %s: %+v", name, p.Missing)
 	}
 	return revision.Digest(content), nil
@@ -311,7 +311,7 @@
 		return err
 	}
 	s.say("agents are up; the first revision goes out")
-	o := s.tool.Drive(ctx, s.tool.Begin(form.Revision{Digest: s.first, Name: "first"}, false), nil)
+	o := s.tool.Drive(ctx, s.tool.NewRollout(form.Revision{Digest: s.first, Name: "first"}, false), nil)
 	if o.Kind != roll.Ended || o.Rollout.State != plan.Complete {
 		return fmt.Errorf("the first rollout: %d %s %s %v", o.Kind, o.Rollout.State, s.tool.Explain(o.Reason), o.Faults)
 	}
@@ -354,14 +354,14 @@
 	defer work.Wait()
 	watch := func(v roll.View, events []roll.Event) {
 		if spans != nil {
-			spans.Watch(v, events)
+			spans.Record(v, events)
 		}
 		for _, e := range events {
 			s.follow(ctx, v, e, &work)
 		}
 		s.report.Finished = v.Finished
 	}
-	o := s.tool.Drive(ctx, s.tool.Begin(form.Revision{Digest: s.second, Name: "second"}, false), watch)
+	o := s.tool.Drive(ctx, s.tool.NewRollout(form.Revision{Digest: s.second, Name: "second"}, false), watch)
 	if s.Gone && o.Kind == roll.Ended && o.Rollout.State == plan.Paused && s.killed >= 0 {
 		s.report.PausedOn = s.tool.Explain(o.Reason)
 		s.say("paused: %s; it is left out by word", s.report.PausedOn)
@@ -438,7 +438,7 @@
 
 // note remembers the routers that run: those whose agent is killed are this process's to wait for.
 func (s *stage) note() {
-	running, err := agent.Running(s.dir)
+	running, err := agent.RunningRouters(s.dir)
 	if err != nil {
 		return
 	}
@@ -557,7 +557,7 @@
 	if s.Hard {
 		return nil
 	}
-	running, err := agent.Running(s.dir)
+	running, err := agent.RunningRouters(s.dir)
 	if err != nil {
 		return err
 	}
@@ -566,7 +566,7 @@
 		r.Consistent = false
 		r.Break(format, args...)
 	}
-	content, err := s.tool.Content(ctx, s.second)
+	content, err := s.tool.RevisionContent(ctx, s.second)
 	if err != nil {
 		return err
 	}
@@ -609,7 +609,7 @@
 	if err != nil {
 		return err
 	}
-	want, err := revision.Render(content, s.fleet.Instances[i].Revised(), 0)
+	want, err := revision.Render(content, s.fleet.Instances[i].RevisionInstance(), 0)
 	if err != nil {
 		return err
 	}
--- a/internal/drill/status.go
+++ b/internal/drill/status.go
@@ -107,8 +107,8 @@
 		return Size{}, err
 	}
 	f := &layout.Fleet{
-		Name: "sizes", Floor: n - 1, Halls: []layout.Hall{{Name: "h", Floor: n - 1}},
-		Times: layout.Times{Soak: 1, Fresh: 10, Contact: 30, Step: 60, Claim: 60, Look: 5, Ready: 10},
+		Name: "sizes", MinAvailable: n - 1, Zones: []layout.Zone{{Name: "h", MinAvailable: n - 1}},
+		Times: layout.Times{Soak: 1, FreshFor: 10, ContactTimeout: 30, StepTimeout: 60, LeaseTerm: 60, PollInterval: 5, ReadyTimeout: 10},
 	}
 	var servers []*api.Server
 	defer func() {
@@ -133,7 +133,7 @@
 			return Size{}, err
 		}
 		f.Agents = append(f.Agents, layout.Agent{
-			Name: a.name, Hall: "h", Folder: dir, Program: "none",
+			Name: a.name, Zone: "h", Folder: dir, Program: "none",
 			Listen: netip.MustParseAddrPort(l.Addr().String()),
 		})
 		server := api.NewServer(l, a, folder.Source(keys.Agent, a.name), api.SupportedVersions, zerolog.Nop())
@@ -148,7 +148,7 @@
 		return Size{}, err
 	}
 	defer t.Close()
-	size := Size{Instances: n, Agents: len(f.Agents), PlanUs: planStep(f.Plan())}
+	size := Size{Instances: n, Agents: len(f.Agents), PlanUs: planStep(f.PlannerFleet())}
 	var took []float64
 	for i := range s.Rounds + 1 {
 		from := time.Now()
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -29,16 +29,16 @@
 )
 
 const (
-	configName = "config.json"
-	nextName   = "next.json"
-	logName    = "router.log"
-	storeName  = "agent.db"
-	again      = time.Second // before what could not be stored is tried anew
-	queued     = 256
+	configName       = "config.json"
+	nextName         = "next.json"
+	logName          = "router.log"
+	storeName        = "agent.db"
+	storeRetryDelay  = time.Second // before what could not be stored is tried anew
+	eventQueueLength = 256
 )
 
 // Keeper is the store, as the agent needs it.
-type Keeper interface {
+type Store interface {
 	Load() (store.State, error)
 	Save(store.Change) error
 	Revision(digest string) (form.Revision, bool, error)
@@ -48,25 +48,25 @@
 
 // Agent is one machine's.
 type Agent struct {
-	fleet   *layout.Fleet
-	me      *layout.Agent
-	own     []layout.Instance
-	store   Keeper
-	log     zerolog.Logger
-	desk    tend.Desk
-	limits  tend.Limits
-	routers []router
-	events  chan func()
-	began   time.Time // its monotonic reading is the agent's clock
-	ctx     context.Context
+	fleet     *layout.Fleet
+	self      *layout.Agent
+	instances []layout.Instance
+	store     Store
+	log       zerolog.Logger
+	handler   tend.Desk
+	limits    tend.Limits
+	routers   []router
+	events    chan func()
+	startedAt time.Time // its monotonic reading is the agent's clock
+	ctx       context.Context
 }
 
 // router is what is open of one.
 type router struct {
-	folder  string
-	process *process
-	probing bool
-	hold    float64 // until then nothing is tried that was not stored
+	folder         string
+	process        *processHandle
+	healthChecking bool
+	retryAt        float64 // until then nothing is tried that was not stored
 }
 
 // OpenStore opens the store in an agent's folder.
@@ -75,7 +75,7 @@
 }
 
 // New is an agent that has read its store. program names this program and its version.
-func New(f *layout.Fleet, name, program string, keeper Keeper, log zerolog.Logger) (*Agent, error) {
+func New(f *layout.Fleet, name, program string, keeper Store, log zerolog.Logger) (*Agent, error) {
 	me := f.Agent(name)
 	if me == nil {
 		return nil, fmt.Errorf("the fleet file has no agent %s", name)
@@ -84,12 +84,16 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{fleet: f, me: me, own: f.Of(name), store: keeper, log: log, limits: tend.DefaultLimits(),
-		events: make(chan func(), queued), began: time.Now()}
-	a.limits.Ready, a.limits.Window = float64(f.Times.Ready), max(float64(f.Times.Soak), 5)
-	a.desk = tend.Desk{Agent: name, Program: program, Agents: f.AgentsDigest(), Wish: st.OperatorRequest,
-		Claims: claim.Restore(st.Lease, float64(f.Times.Claim), 0)}
-	for _, x := range a.own {
+	a := &Agent{
+		fleet: f, self: me, instances: f.InstancesOf(name), store: keeper, log: log, limits: tend.DefaultLimits(),
+		events: make(chan func(), eventQueueLength), startedAt: time.Now(),
+	}
+	a.limits.Ready, a.limits.Window = float64(f.Times.ReadyTimeout), max(float64(f.Times.Soak), 5)
+	a.handler = tend.Desk{
+		Agent: name, Program: program, Agents: f.AgentsDigest(), Wish: st.OperatorRequest,
+		Claims: claim.Restore(st.Lease, float64(f.Times.LeaseTerm), 0),
+	}
+	for _, x := range a.instances {
 		folder, err := filepath.Abs(filepath.Join(me.Folder, x.Name))
 		if err != nil {
 			return nil, fmt.Errorf("instance %s: %w", x.Name, err)
@@ -98,27 +102,27 @@
 			return nil, fmt.Errorf("instance %s: %w", x.Name, err)
 		}
 		a.routers = append(a.routers, router{folder: folder})
-		a.desk.Names = append(a.desk.Names, x.Name)
-		a.desk.Listens = append(a.desk.Listens, x.Listen.String())
+		a.handler.Names = append(a.handler.Names, x.Name)
+		a.handler.Listens = append(a.handler.Listens, x.Listen.String())
 		inst, _ := tend.NewInstance(st.Instances[x.Name], &a.limits) // its first effects come with Run
-		a.desk.Instances = append(a.desk.Instances, inst)
+		a.handler.Instances = append(a.handler.Instances, inst)
 	}
 	return a, nil
 }
 
-func (a *Agent) now() float64 { return time.Since(a.began).Seconds() }
+func (a *Agent) now() float64 { return time.Since(a.startedAt).Seconds() }
 
 // Run serves until ctx ends. The routers stay as they are.
 func (a *Agent) Run(ctx context.Context) {
 	a.ctx = ctx
-	for i := range a.own {
-		x := &a.desk.Instances[i]
+	for i := range a.instances {
+		x := &a.handler.Instances[i]
 		inst, out := tend.NewInstance(x.Record, &a.limits)
 		*x = inst
-		a.carry(i, out)
+		a.carryOut(i, out)
 	}
 	for ctx.Err() == nil {
-		timer := time.NewTimer(time.Duration(min(a.wake()-a.now(), 60) * float64(time.Second)))
+		timer := time.NewTimer(time.Duration(min(a.nextWake()-a.now(), 60) * float64(time.Second)))
 		select {
 		case f := <-a.events:
 			f()
@@ -126,19 +130,19 @@
 		case <-ctx.Done():
 		}
 		timer.Stop()
-		for i := range a.own {
+		for i := range a.instances {
 			now := a.now()
-			if x := &a.desk.Instances[i]; now >= x.Wake() && now >= a.routers[i].hold {
-				a.event(i, func(x *tend.Instance) tend.Out { return x.Tick(a.now()) }, false)
+			if x := &a.handler.Instances[i]; now >= x.Wake() && now >= a.routers[i].retryAt {
+				a.handleEvent(i, func(x *tend.Instance) tend.Out { return x.Tick(a.now()) }, false)
 			}
 		}
 	}
 }
 
-func (a *Agent) wake() float64 {
+func (a *Agent) nextWake() float64 {
 	wake := math.Inf(1)
-	for i := range a.own {
-		wake = min(wake, max(a.desk.Instances[i].Wake(), a.routers[i].hold))
+	for i := range a.instances {
+		wake = min(wake, max(a.handler.Instances[i].Wake(), a.routers[i].retryAt))
 	}
 	return wake
 }
@@ -153,105 +157,105 @@
 
 // event hands an event to an instance. If what follows cannot be stored it has not happened; it comes again
 // unless a tick brought it, which comes by itself.
-func (a *Agent) event(i int, do func(x *tend.Instance) tend.Out, repeat bool) {
-	before := a.desk.Instances[i]
-	x := &a.desk.Instances[i]
+func (a *Agent) handleEvent(i int, do func(x *tend.Instance) tend.Out, repeat bool) {
+	before := a.handler.Instances[i]
+	x := &a.handler.Instances[i]
 	out := do(x)
 	if out.Store {
-		if err := a.store.Save(store.Change{Instances: map[string]tend.Record{a.own[i].Name: x.Record}}); err != nil {
+		if err := a.store.Save(store.Change{Instances: map[string]tend.Record{a.instances[i].Name: x.Record}}); err != nil {
 			*x = before
-			a.routers[i].hold = a.now() + again.Seconds()
-			a.log.Error().Err(err).Str("instance", a.own[i].Name).Msg("not stored, and so not done")
+			a.routers[i].retryAt = a.now() + storeRetryDelay.Seconds()
+			a.log.Error().Err(err).Str("instance", a.instances[i].Name).Msg("not stored, and so not done")
 			if repeat {
-				time.AfterFunc(again, func() { a.post(func() { a.event(i, do, true) }) })
+				time.AfterFunc(storeRetryDelay, func() { a.post(func() { a.handleEvent(i, do, true) }) })
 			}
 			return
 		}
 	}
 	if x.End != before.End || x.Step.Number != before.Step.Number {
-		a.tell(i, x)
+		a.logStep(i, x)
 	}
 	if was, is := before.Sight(0).Life, x.Sight(0).Life; was != is {
-		a.log.Info().Str("instance", a.own[i].Name).Stringer("from", was).Stringer("life", is).Int("crashes", x.Crashes()).Msg("router")
+		a.log.Info().Str("instance", a.instances[i].Name).Stringer("from", was).Stringer("life", is).Int("crashes", x.Crashes()).Msg("router")
 	}
-	a.carry(i, out)
+	a.carryOut(i, out)
 }
 
-func (a *Agent) tell(i int, x *tend.Instance) {
+func (a *Agent) logStep(i int, x *tend.Instance) {
 	e := a.log.Info()
 	if x.End == plan.Failed {
 		e = a.log.Error()
 	}
-	e.Str("instance", a.own[i].Name).Str("rollout", x.Step.Rollout).Uint64("step", x.Step.Number).
-		Str("revision", revision.Short(x.Step.Revision)).Int("end", int(x.End)).Str("why", x.Why).Msg("step")
+	e.Str("instance", a.instances[i].Name).Str("rollout", x.Step.Rollout).Uint64("step", x.Step.Number).
+		Str("revision", revision.ShortDigest(x.Step.Revision)).Int("end", int(x.End)).Str("why", x.Why).Msg("step")
 }
 
-func (a *Agent) carry(i int, out tend.Out) {
+func (a *Agent) carryOut(i int, out tend.Out) {
 	for _, e := range out.Do {
-		a.do(i, e)
+		a.carryOutAction(i, e)
 	}
 }
 
 // later runs something that may take its time, and hands in what comes of it.
-func (a *Agent) later(i int, work func() func(x *tend.Instance) tend.Out) {
+func (a *Agent) runAsync(i int, work func() func(x *tend.Instance) tend.Out) {
 	go func() {
 		event := work()
-		a.post(func() { a.event(i, event, true) })
+		a.post(func() { a.handleEvent(i, event, true) })
 	}()
 }
 
-func (a *Agent) mark(i int, n uint64) string {
+func (a *Agent) incarnation(i int, n uint64) string {
 	return fmt.Sprintf("%s/%d", a.routers[i].folder, n)
 }
 
-func (a *Agent) do(i int, e tend.Effect) {
-	r, name := &a.routers[i], a.own[i].Name
+func (a *Agent) carryOutAction(i int, e tend.Effect) {
+	r, name := &a.routers[i], a.instances[i].Name
 	switch e.Act {
 	case tend.Find:
 		go func() {
-			var p *process
+			var p *processHandle
 			var err error
 			if e.Mark != 0 { // else none was ever started
-				p, err = a.find(a.mark(i, e.Mark))
+				p, err = a.findProcess(a.incarnation(i, e.Mark))
 			}
 			if err != nil {
 				a.log.Error().Err(err).Str("instance", name).Msg("looking for its process")
 			}
 			a.post(func() {
-				a.hold(i, p)
-				a.event(i, func(x *tend.Instance) tend.Out { return x.Found(a.now(), p != nil) }, true)
+				a.adoptProcess(i, p)
+				a.handleEvent(i, func(x *tend.Instance) tend.Out { return x.Found(a.now(), p != nil) }, true)
 			})
 		}()
 	case tend.Prepare:
-		from, to := a.desk.Instances[i].Revision, e.Revision
-		a.later(i, func() func(x *tend.Instance) tend.Out {
+		from, to := a.handler.Instances[i].Revision, e.Revision
+		a.runAsync(i, func() func(x *tend.Instance) tend.Out {
 			reload, drain, err := a.prepare(i, from, to)
-			return func(x *tend.Instance) tend.Out { return x.Prepared(a.now(), reload, drain, text(err)) }
+			return func(x *tend.Instance) tend.Out { return x.Prepared(a.now(), reload, drain, errorText(err)) }
 		})
 	case tend.Place:
-		a.later(i, func() func(x *tend.Instance) tend.Out {
-			err := a.place(i, e.Revision, configName)
-			return func(x *tend.Instance) tend.Out { return x.Placed(a.now(), text(err)) }
+		a.runAsync(i, func() func(x *tend.Instance) tend.Out {
+			err := a.placeConfig(i, e.Revision, configName)
+			return func(x *tend.Instance) tend.Out { return x.Placed(a.now(), errorText(err)) }
 		})
 	case tend.Start:
 		go func() {
-			p, err := launch(a.me.Program, r.folder, a.mark(i, e.Mark))
+			p, err := launch(a.self.Program, r.folder, a.incarnation(i, e.Mark))
 			a.post(func() {
-				a.hold(i, p)
-				a.event(i, func(x *tend.Instance) tend.Out { return x.Started(a.now(), e.Mark, text(err)) }, true)
+				a.adoptProcess(i, p)
+				a.handleEvent(i, func(x *tend.Instance) tend.Out { return x.Started(a.now(), e.Mark, errorText(err)) }, true)
 			})
 		}()
 	case tend.Probe:
-		if r.probing {
+		if r.healthChecking {
 			return // its answer is on the way
 		}
-		r.probing = true
-		at := a.own[i].Listen.String()
+		r.healthChecking = true
+		at := a.instances[i].Listen.String()
 		go func() {
-			err := probe(a.ctx, at)
+			err := healthCheck(a.ctx, at)
 			a.post(func() {
-				a.routers[i].probing = false
-				a.event(i, func(x *tend.Instance) tend.Out { return x.Probed(a.now(), err == nil) }, true)
+				a.routers[i].healthChecking = false
+				a.handleEvent(i, func(x *tend.Instance) tend.Out { return x.Probed(a.now(), err == nil) }, true)
 			})
 		}()
 	case tend.Count:
@@ -266,7 +270,7 @@
 	}
 }
 
-func text(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
@@ -274,76 +278,76 @@
 }
 
 // find looks twice: a process whose agent died as it started it may just be coming up.
-func (a *Agent) find(mark string) (*process, error) {
-	p, err := adopt(mark)
+func (a *Agent) findProcess(mark string) (*processHandle, error) {
+	p, err := findRunning(mark)
 	if p != nil || err != nil {
 		return p, err
 	}
 	select {
-	case <-time.After(2 * watchEvery):
+	case <-time.After(2 * watchInterval):
 	case <-a.ctx.Done():
 	}
-	return adopt(mark)
+	return findRunning(mark)
 }
 
 func (a *Agent) signal(i int, s unix.Signal) {
 	p := a.routers[i].process
 	if p == nil {
-		a.event(i, func(x *tend.Instance) tend.Out { return x.Exited(a.now(), "there is no process") }, true)
+		a.handleEvent(i, func(x *tend.Instance) tend.Out { return x.Exited(a.now(), "there is no process") }, true)
 		return
 	}
 	if err := p.signal(s); err != nil && !errors.Is(err, unix.ESRCH) { // one that has gone is told of by watch
-		a.log.Error().Err(err).Str("instance", a.own[i].Name).Stringer("signal", s).Msg("signal")
+		a.log.Error().Err(err).Str("instance", a.instances[i].Name).Stringer("signal", s).Msg("signal")
 	}
 }
 
 // hold takes a process over and watches it.
-func (a *Agent) hold(i int, p *process) {
+func (a *Agent) adoptProcess(i int, p *processHandle) {
 	r := &a.routers[i]
 	if r.process = p; p == nil {
 		return
 	}
-	a.log.Info().Str("instance", a.own[i].Name).Int("process", p.pid).Msg("holding")
-	go a.watch(i, p, newTail(filepath.Join(r.folder, logName)))
+	a.log.Info().Str("instance", a.instances[i].Name).Int("process", p.pid).Msg("holding")
+	go a.watch(i, p, newLogTail(filepath.Join(r.folder, logName)))
 }
 
 // watch hands in what a router logs, and its end.
-func (a *Agent) watch(i int, p *process, t *tail) {
+func (a *Agent) watch(i int, p *processHandle, t *logTail) {
 	defer p.close()
 	for a.ctx.Err() == nil {
-		gone, how := p.gone()
-		err := t.read(func(s spoken) {
+		gone, how := p.exited()
+		err := t.read(func(s logEvent) {
 			a.post(func() {
 				if a.routers[i].process != p {
 					return
 				}
-				a.event(i, func(x *tend.Instance) tend.Out {
-					if s.counted != nil {
-						x.Counted(a.now(), *s.counted)
+				a.handleEvent(i, func(x *tend.Instance) tend.Out {
+					if s.counts != nil {
+						x.Counted(a.now(), *s.counts)
 						return tend.Out{}
 					}
-					return x.Reloaded(a.now(), *s.reloaded)
+					return x.Reloaded(a.now(), *s.reloadResult)
 				}, true)
 			})
 		})
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
-			a.log.Error().Err(err).Str("instance", a.own[i].Name).Msg("reading its log")
+			a.log.Error().Err(err).Str("instance", a.instances[i].Name).Msg("reading its log")
 		}
 		if gone {
-			if t.last != "" {
-				how += ": " + t.last
+			if t.lastError != "" {
+				how += ": " + t.lastError
 			}
 			a.post(func() {
 				if a.routers[i].process == p {
 					a.routers[i].process = nil
-					a.log.Warn().Str("instance", a.own[i].Name).Str("how", how).Msg("router ended")
-					a.event(i, func(x *tend.Instance) tend.Out { return x.Exited(a.now(), how) }, true)
+					a.log.Warn().Str("instance", a.instances[i].Name).Str("how", how).Msg("router ended")
+					a.handleEvent(i, func(x *tend.Instance) tend.Out { return x.Exited(a.now(), how) }, true)
 				}
 			})
 			return
 		}
 		select {
-		case <-time.After(watchEvery):
+		case <-time.After(watchInterval):
 		case <-a.ctx.Done():
 		}
 	}
@@ -352,41 +356,41 @@
 // prepare sees that a revision can be put in place: it is here, right for this instance, and there is room
 // for its file. It tells whether a reload is enough for it, and how long the running router may take to end.
 func (a *Agent) prepare(i int, from, to string) (reload bool, drain float64, err error) {
-	next, err := a.check(i, to)
+	next, err := a.checkRevision(i, to)
 	if err != nil {
 		return false, 0, err
 	}
-	if err := a.place(i, to, nextName); err != nil {
+	if err := a.placeConfig(i, to, nextName); err != nil {
 		return false, 0, err
 	}
 	if from == "" {
-		return false, revision.Drain(&next, float64(a.fleet.Times.Grace)), nil
+		return false, revision.DrainSeconds(&next, float64(a.fleet.Times.DrainGrace)), nil
 	}
-	before, err := a.check(i, from)
+	before, err := a.checkRevision(i, from)
 	if err != nil { // what runs is no longer known: take the new one's times, and restart
-		return false, revision.Drain(&next, float64(a.fleet.Times.Grace)), nil
+		return false, revision.DrainSeconds(&next, float64(a.fleet.Times.DrainGrace)), nil
 	}
-	return len(revision.Restarts(&before, &next)) == 0, revision.Drain(&before, float64(a.fleet.Times.Grace)), nil
+	return len(revision.RestartKeys(&before, &next)) == 0, revision.DrainSeconds(&before, float64(a.fleet.Times.DrainGrace)), nil
 }
 
 func (a *Agent) content(digest string) ([]byte, error) {
 	rev, found, err := a.store.Revision(digest)
 	if err == nil && !found {
-		err = fmt.Errorf("revision %s is not at agent %s: push it", revision.Short(digest), a.me.Name)
+		err = fmt.Errorf("revision %s is not at agent %s: push it", revision.ShortDigest(digest), a.self.Name)
 	}
 	return rev.Content, err
 }
 
-func (a *Agent) check(i int, digest string) (site.Config, error) {
+func (a *Agent) checkRevision(i int, digest string) (site.Config, error) {
 	content, err := a.content(digest)
 	if err != nil {
 		return site.Config{}, err
 	}
-	return revision.Check(content, a.own[i].Revised())
+	return revision.Check(content, a.instances[i].RevisionInstance())
 }
 
 // place writes an instance's file whole.
-func (a *Agent) place(i int, digest, name string) error {
+func (a *Agent) placeConfig(i int, digest, name string) error {
 	content, err := a.content(digest)
 	if err != nil {
 		return err
@@ -395,12 +399,12 @@
 	if _, err := rand.Read(seed[:]); err != nil {
 		return fmt.Errorf("seed: %w", err)
 	}
-	raw, err := revision.Render(content, a.own[i].Revised(), binary.LittleEndian.Uint64(seed[:]))
+	raw, err := revision.Render(content, a.instances[i].RevisionInstance(), binary.LittleEndian.Uint64(seed[:]))
 	if err != nil {
 		return err
 	}
 	if err := renameio.WriteFile(filepath.Join(a.routers[i].folder, name), raw, 0o600); err != nil {
-		return fmt.Errorf("instance %s: %w", a.own[i].Name, err)
+		return fmt.Errorf("instance %s: %w", a.instances[i].Name, err)
 	}
 	return nil
 }
@@ -423,47 +427,49 @@
 }
 
 func (a *Agent) handle(operator string, c form.Request) form.Reply {
-	r := form.Reply{Agent: a.desk.Agent, Program: a.desk.Program}
+	r := form.Reply{Agent: a.handler.Agent, Program: a.handler.Program}
 	switch c.Verb {
 	case form.PutRevisionVerb:
-		r.Failure = text(a.put(operator, c.Revision))
+		r.Failure = errorText(a.putRevision(operator, c.Revision))
 		return r
 	case form.GetRevisionVerb:
 		rev, found, err := a.store.Revision(c.Revision.Digest)
 		if err == nil && found {
 			r.Revisions = []form.Revision{rev}
 		}
-		r.Failure = text(err)
+		r.Failure = errorText(err)
 		return r
 	case form.HistoryVerb:
 		var err, more error
 		r.Revisions, err = a.store.Revisions()
 		r.Rollouts, more = a.store.Rollouts()
-		r.Failure = text(errors.Join(err, more))
+		r.Failure = errorText(errors.Join(err, more))
 		return r
 	}
 	c.OperatorRequest.Operator = operator
-	before := a.desk
-	before.Instances = append([]tend.Instance(nil), a.desk.Instances...)
-	r, s := a.desk.Handle(a.now(), c)
+	before := a.handler
+	before.Instances = append([]tend.Instance(nil), a.handler.Instances...)
+	r, s := a.handler.Handle(a.now(), c)
 	change, dirty := a.change(c, s)
 	if dirty {
 		if err := a.store.Save(change); err != nil {
-			a.desk = before
+			a.handler = before
 			a.log.Error().Err(err).Str("verb", string(c.Verb)).Msg("not stored, and so refused")
-			return form.Reply{Agent: r.Agent, Program: r.Program, Denial: claim.NotHolder, Failure: err.Error(),
-				LeaseState: a.desk.Claims.Standing(a.now())}
+			return form.Reply{
+				Agent: r.Agent, Program: r.Program, Denial: claim.NotHolder, Failure: err.Error(),
+				LeaseState: a.handler.Claims.Standing(a.now()),
+			}
 		}
 	}
-	a.logged(operator, c, r)
+	a.logRequest(operator, c, r)
 	for i := range r.Instances {
 		if p := a.routers[i].process; p != nil {
 			r.Instances[i].ProcessID = p.pid
 		}
 	}
 	if s.Instance >= 0 {
-		a.tell(s.Instance, &a.desk.Instances[s.Instance])
-		a.carry(s.Instance, tend.Out{Do: s.Do})
+		a.logStep(s.Instance, &a.handler.Instances[s.Instance])
+		a.carryOut(s.Instance, tend.Out{Do: s.Do})
 	}
 	return r
 }
@@ -472,7 +478,7 @@
 func (a *Agent) change(c form.Request, s tend.Saves) (store.Change, bool) {
 	var ch store.Change
 	if s.Claims {
-		d := a.desk.Claims.Durable
+		d := a.handler.Claims.Durable
 		ch.Lease = &d
 	}
 	if s.Claims && c.Verb == form.StoreRecordVerb {
@@ -482,15 +488,15 @@
 		}
 	}
 	if s.Wish {
-		ch.OperatorRequest = &a.desk.Wish
+		ch.OperatorRequest = &a.handler.Wish
 	}
 	if s.Instance >= 0 {
-		ch.Instances = map[string]tend.Record{a.own[s.Instance].Name: a.desk.Instances[s.Instance].Record}
+		ch.Instances = map[string]tend.Record{a.instances[s.Instance].Name: a.handler.Instances[s.Instance].Record}
 	}
 	return ch, s.Claims || s.Wish || s.Instance >= 0
 }
 
-func (a *Agent) logged(operator string, c form.Request, r form.Reply) {
+func (a *Agent) logRequest(operator string, c form.Request, r form.Reply) {
 	if c.Verb == form.StatusVerb || c.Verb == form.StoreRecordVerb && r.Denial == claim.Granted {
 		return
 	}
@@ -499,16 +505,16 @@
 }
 
 // put keeps a revision that is right for every instance here.
-func (a *Agent) put(operator string, rev form.Revision) error {
+func (a *Agent) putRevision(operator string, rev form.Revision) error {
 	canonical, err := revision.Canonical("revision", rev.Content)
 	if err != nil {
 		return err
 	}
 	if is := revision.Digest(canonical); is != rev.Digest {
-		return fmt.Errorf("the revision's content is %s, and it is called %s", revision.Short(is), revision.Short(rev.Digest))
+		return fmt.Errorf("the revision's content is %s, and it is called %s", revision.ShortDigest(is), revision.ShortDigest(rev.Digest))
 	}
-	for i := range a.own {
-		if _, err := revision.Check(canonical, a.own[i].Revised()); err != nil {
+	for i := range a.instances {
+		if _, err := revision.Check(canonical, a.instances[i].RevisionInstance()); err != nil {
 			return err
 		}
 	}
@@ -516,6 +522,6 @@
 	if err := a.store.Save(store.Change{Revision: &rev}); err != nil {
 		return err
 	}
-	a.log.Info().Str("operator", operator).Str("revision", revision.Short(rev.Digest)).Str("name", rev.Name).Msg("revision kept")
+	a.log.Info().Str("operator", operator).Str("revision", revision.ShortDigest(rev.Digest)).Str("name", rev.Name).Msg("revision kept")
 	return nil
 }
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -32,7 +32,7 @@
 
 // TestMain is also the stand-in router that agents start.
 func TestMain(m *testing.M) {
-	if os.Getenv(markVariable) != "" {
+	if os.Getenv(incarnationVariable) != "" {
 		stand.Router()
 	}
 	goleak.VerifyTestMain(m)
@@ -75,7 +75,7 @@
 		r.stop()
 		if p != nil {
 			_ = p.signal(unix.SIGKILL)
-			for gone := false; !gone; gone, _ = p.gone() {
+			for gone := false; !gone; gone, _ = p.exited() {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -113,7 +113,9 @@
 	return reply
 }
 
-func (r *rig) sight() form.InstanceStatus { return r.call(form.Request{Verb: form.StatusVerb}).Instances[0] }
+func (r *rig) sight() form.InstanceStatus {
+	return r.call(form.Request{Verb: form.StatusVerb}).Instances[0]
+}
 
 // inLoop runs something in the agent's turn.
 func (r *rig) inLoop(f func()) {
@@ -122,8 +124,8 @@
 	<-done
 }
 
-func (r *rig) process() *process {
-	var p *process
+func (r *rig) process() *processHandle {
+	var p *processHandle
 	r.inLoop(func() { p = r.agent.routers[0].process })
 	return p
 }
@@ -167,8 +169,10 @@
 
 func (r *rig) begin(digest string) string {
 	r.number++
-	reply := r.call(form.Request{Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n",
-		Step: plan.Step{Rollout: "r", Number: r.number, Revision: digest}})
+	reply := r.call(form.Request{
+		Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n",
+		Step: plan.Step{Rollout: "r", Number: r.number, Revision: digest},
+	})
 	if reply.Denial != claim.Granted {
 		return reply.Denial.String() + " " + reply.Failure
 	}
@@ -204,8 +208,10 @@
 	r := newRig(t)
 	good := r.push(stand.Conduct{}, nil)
 	r.step(good)
-	for says, conduct := range map[string]stand.Conduct{"it ended with status 3: stand-in: told to end": {Exit: 3},
-		"it was not ready within 2 s": {Silent: true}} {
+	for says, conduct := range map[string]stand.Conduct{
+		"it ended with status 3: stand-in: told to end": {Exit: 3},
+		"it was not ready within 2 s":                   {Silent: true},
+	} {
 		told := r.step(r.push(conduct, map[string]any{"limits": map[string]any{"sockets": 300}}))
 		assert.Equal(t, plan.Failed, told.End)
 		assert.Contains(t, told.Why, says)
@@ -256,14 +262,14 @@
 	r := newRig(t)
 	told := r.step(r.push(stand.Conduct{}, nil))
 	r.stop()
-	p, err := adopt(r.agent.mark(0, 1))
+	p, err := findRunning(r.agent.incarnation(0, 1))
 	require.NoError(t, err)
 	require.Equal(t, told.ProcessID, p.pid)
 	require.NoError(t, p.signal(unix.SIGKILL))
-	for gone := false; !gone; gone, _ = p.gone() {
+	for gone := false; !gone; gone, _ = p.exited() {
 		time.Sleep(time.Millisecond)
 	}
-	p, err = adopt(r.agent.mark(0, 1))
+	p, err = findRunning(r.agent.incarnation(0, 1))
 	require.NoError(t, err)
 	assert.Nil(t, p, "only the mark tells a router, and this test's own process bears none")
 	r.start()
@@ -272,8 +278,10 @@
 
 func TestAgentThatEndsInAStepResolvesIt(t *testing.T) {
 	t.Parallel()
-	for name, after := range map[string]time.Duration{"at once": 0, "in the drain": 200 * time.Millisecond,
-		"before it is ready": 700 * time.Millisecond} {
+	for name, after := range map[string]time.Duration{
+		"at once": 0, "in the drain": 200 * time.Millisecond,
+		"before it is ready": 700 * time.Millisecond,
+	} {
 		r := newRig(t)
 		r.step(r.push(stand.Conduct{Drain: 0.5}, nil))
 		b := r.push(stand.Conduct{Ready: 0.5}, map[string]any{"limits": map[string]any{"sockets": 300}})
@@ -315,31 +323,31 @@
 func TestLogIsReadByLinesAndBegunAnew(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	require.NoError(t, os.WriteFile(path, []byte("old\n"), 0o600))
-	tl := newTail(path)
+	tl := newLogTail(path)
 	f, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0o600)
 	require.NoError(t, err)
 	defer func() { _ = f.Close() }()
-	var got []spoken
+	var got []logEvent
 	read := func(text string) {
 		_, err := f.WriteString(text)
 		require.NoError(t, err)
-		require.NoError(t, tl.read(func(s spoken) { got = append(got, s) }))
+		require.NoError(t, tl.read(func(s logEvent) { got = append(got, s) }))
 	}
 	read(`{"message":"counters","counters":{"answered":5,"failed":1,"thr`)
 	assert.Empty(t, got)
 	read(`ottled":2,"bad_input":1}}` + "\n" + `{"message":"reloaded"}` + "\n" + `{"message":"reload refused","error":"no"}` + "\n")
 	require.Len(t, got, 3)
-	assert.Equal(t, plan.Tally{Ended: 9, Unanswered: 4}, *got[0].counted)
-	assert.Equal(t, "", *got[1].reloaded)
-	assert.Equal(t, "no", *got[2].reloaded)
+	assert.Equal(t, plan.Tally{Ended: 9, Unanswered: 4}, *got[0].counts)
+	assert.Equal(t, "", *got[1].reloadResult)
+	assert.Equal(t, "no", *got[2].reloadResult)
 	read("panic: something\n")
-	assert.Equal(t, "panic: something", tl.last)
+	assert.Equal(t, "panic: something", tl.lastError)
 	for range 9 {
 		read(strings.Repeat(strings.Repeat("x", 1023)+"\n", 1<<10))
 	}
 	info, err := os.Stat(path)
 	require.NoError(t, err)
-	assert.Less(t, info.Size(), int64(logLongest))
+	assert.Less(t, info.Size(), int64(maxLogBytes))
 	read(`{"message":"reloaded"}` + "\n")
 	assert.Len(t, got, 4, "it goes on from the new beginning")
 }
--- a/internal/fleet/agent/process.go
+++ b/internal/fleet/agent/process.go
@@ -23,24 +23,24 @@
 
 // markVariable is in the environment of every router that an agent starts. Its value is that of no other
 // process, so a router is known by it whatever its number is.
-const markVariable = "STOATDALE_MARK"
+const incarnationVariable = "STOATDALE_MARK"
 
 const (
-	watchEvery  = 100 * time.Millisecond // how often a process's end and its log are looked for
-	probeWithin = time.Second
-	logLongest  = 8 << 20 // bytes; then it is begun anew, and the one before is kept
-	lineLongest = 1 << 20
-	answerMost  = 64 << 10
+	watchInterval      = 100 * time.Millisecond // how often a process's end and its log are looked for
+	healthCheckTimeout = time.Second
+	maxLogBytes        = 8 << 20 // bytes; then it is begun anew, and the one before is kept
+	maxLineBytes       = 1 << 20
+	maxAnswerBytes     = 64 << 10
 )
 
 // process is a router that runs.
-type process struct {
+type processHandle struct {
 	pid int
 	fd  int // stands for the process for good, also when its number is given to another
 }
 
 // launch starts a router that outlives the agent: in a session of its own, its log in a file.
-func launch(program, folder, mark string) (*process, error) {
+func launch(program, folder, mark string) (*processHandle, error) {
 	log, err := os.OpenFile(filepath.Join(folder, logName), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -51,9 +51,11 @@
 		return nil, err
 	}
 	defer func() { _ = null.Close() }()
-	env := append(os.Environ(), "GW_CONFIG="+filepath.Join(folder, configName), markVariable+"="+mark)
-	p, err := os.StartProcess(program, []string{program}, &os.ProcAttr{Env: env, Files: []*os.File{null, log, log},
-		Sys: &unix.SysProcAttr{Setsid: true}})
+	env := append(os.Environ(), "GW_CONFIG="+filepath.Join(folder, configName), incarnationVariable+"="+mark)
+	p, err := os.StartProcess(program, []string{program}, &os.ProcAttr{
+		Env: env, Files: []*os.File{null, log, log},
+		Sys: &unix.SysProcAttr{Setsid: true},
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -66,34 +68,34 @@
 	}
 	pid := p.Pid
 	_ = p.Release()
-	return &process{pid: pid, fd: fd}, nil
+	return &processHandle{pid: pid, fd: fd}, nil
 }
 
 // adopt finds the running router that bears a mark, or nil.
-func adopt(mark string) (*process, error) {
+func findRunning(mark string) (*processHandle, error) {
 	entries, err := os.ReadDir("/proc")
 	if err != nil {
 		return nil, err
 	}
-	want := []byte(markVariable + "=" + mark)
+	want := []byte(incarnationVariable + "=" + mark)
 	for _, e := range entries {
 		pid, err := strconv.Atoi(e.Name())
-		if err != nil || !bears(pid, want) {
+		if err != nil || !hasEnvironment(pid, want) {
 			continue
 		}
 		fd, err := unix.PidfdOpen(pid, 0)
 		if err != nil {
 			continue
 		}
-		if bears(pid, want) { // still: so the descriptor is that of the right one
-			return &process{pid: pid, fd: fd}, nil
+		if hasEnvironment(pid, want) { // still: so the descriptor is that of the right one
+			return &processHandle{pid: pid, fd: fd}, nil
 		}
 		_ = unix.Close(fd)
 	}
 	return nil, nil
 }
 
-func bears(pid int, want []byte) bool {
+func hasEnvironment(pid int, want []byte) bool {
 	env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
 	if err != nil {
 		return false
@@ -106,10 +108,10 @@
 	return false
 }
 
-func (p *process) signal(s unix.Signal) error { return unix.PidfdSendSignal(p.fd, s, nil, 0) }
+func (p *processHandle) signal(s unix.Signal) error { return unix.PidfdSendSignal(p.fd, s, nil, 0) }
 
 // gone tells whether the process has ended, and how if that can be known.
-func (p *process) gone() (bool, string) {
+func (p *processHandle) exited() (bool, string) {
 	fds := []unix.PollFd{{Fd: int32(p.fd), Events: unix.POLLIN}}
 	if n, err := unix.Poll(fds, 0); err != nil || n == 0 {
 		return false, ""
@@ -129,59 +131,59 @@
 	}
 }
 
-func (p *process) close() { _ = unix.Close(p.fd) }
+func (p *processHandle) close() { _ = unix.Close(p.fd) }
 
 // spoken is what a line of a router's log tells the agent.
-type spoken struct {
-	counted  *plan.Tally
-	reloaded *string // why not; empty: it has
+type logEvent struct {
+	counts       *plan.Tally
+	reloadResult *string // why not; empty: it has
 }
 
 // tail reads a router's log as it grows.
-type tail struct {
-	path string
-	at   int64
-	last string // what it said last that was a fault
+type logTail struct {
+	path      string
+	offset    int64
+	lastError string // what it said last that was a fault
 }
 
 // newTail starts at the end of what is there.
-func newTail(path string) *tail {
-	t := &tail{path: path}
+func newLogTail(path string) *logTail {
+	t := &logTail{path: path}
 	if info, err := os.Stat(path); err == nil {
-		t.at = info.Size()
+		t.offset = info.Size()
 	}
 	return t
 }
 
 // read hands out what came since the last call. A log that has grown long is begun anew.
-func (t *tail) read(each func(spoken)) error {
+func (t *logTail) read(each func(logEvent)) error {
 	f, err := os.Open(t.path)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = f.Close() }()
-	if info, err := f.Stat(); err == nil && info.Size() < t.at {
-		t.at = 0 // begun anew by somebody else
+	if info, err := f.Stat(); err == nil && info.Size() < t.offset {
+		t.offset = 0 // begun anew by somebody else
 	}
-	if _, err := f.Seek(t.at, io.SeekStart); err != nil {
+	if _, err := f.Seek(t.offset, io.SeekStart); err != nil {
 		return err
 	}
-	r := bufio.NewReaderSize(io.LimitReader(f, 4*lineLongest), 64<<10)
+	r := bufio.NewReaderSize(io.LimitReader(f, 4*maxLineBytes), 64<<10)
 	for {
 		line, err := r.ReadSlice('\n')
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			break // half a line is read once it is whole
 		}
-		t.at += int64(len(line))
-		t.line(line, each)
+		t.offset += int64(len(line))
+		t.parseLine(line, each)
 	}
-	if t.at > logLongest {
-		return t.anew()
+	if t.offset > maxLogBytes {
+		return t.rotate()
 	}
 	return nil
 }
 
-func (t *tail) anew() error {
+func (t *logTail) rotate() error {
 	raw, err := os.ReadFile(t.path)
 	if err != nil {
 		return err
@@ -192,11 +194,11 @@
 	if err := os.Truncate(t.path, 0); err != nil { // the router goes on writing to its end
 		return err
 	}
-	t.at = 0
+	t.offset = 0
 	return nil
 }
 
-func (t *tail) line(line []byte, each func(spoken)) {
+func (t *logTail) parseLine(line []byte, each func(logEvent)) {
 	var l struct {
 		Level    string `json:"level"`
 		Message  string `json:"message"`
@@ -209,40 +211,40 @@
 		} `json:"counters"`
 	}
 	if json.Unmarshal(line, &l) != nil {
-		t.last = strings.TrimSpace(string(line)) // a program's last words need not be JSON
+		t.lastError = strings.TrimSpace(string(line)) // a program's last words need not be JSON
 		return
 	}
 	switch {
 	case l.Counters != nil:
 		c := l.Counters
 		left := c.Throttled + c.Failed + c.BadInput
-		each(spoken{counted: &plan.Tally{Ended: c.Answered + left, Unanswered: left}})
+		each(logEvent{counts: &plan.Tally{Ended: c.Answered + left, Unanswered: left}})
 	case l.Message == "reloaded":
 		no := ""
-		each(spoken{reloaded: &no})
+		each(logEvent{reloadResult: &no})
 	case l.Message == "reload refused":
-		each(spoken{reloaded: &l.Error})
+		each(logEvent{reloadResult: &l.Error})
 	case l.Level == "error" || l.Level == "fatal":
-		t.last = strings.TrimSpace(l.Message + " " + l.Error)
+		t.lastError = strings.TrimSpace(l.Message + " " + l.Error)
 	}
 }
 
 // probe asks a router an empty query, which it answers by itself.
-func probe(ctx context.Context, at string) error {
-	ctx, cancel := context.WithTimeout(ctx, probeWithin)
+func healthCheck(ctx context.Context, at string) error {
+	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
 	c, err := new(net.Dialer).DialContext(ctx, "tcp", at)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(probeWithin))
+	_ = c.SetDeadline(time.Now().Add(healthCheckTimeout))
 	if _, err := c.Write(pg.Query(pg.Hello(nil), "")); err != nil {
 		return err
 	}
 	r := bufio.NewReader(c)
 	for empty := false; ; {
-		kind, _, err := pg.Receive(r, answerMost)
+		kind, _, err := pg.Receive(r, maxAnswerBytes)
 		switch {
 		case err != nil:
 			return err
@@ -259,7 +261,7 @@
 // EndRouters ends all routers whose files lie under a folder, and tells how many there were. It is for whoever
 // takes a whole fleet down: a drill, a test.
 func EndRouters(folder string) (int, error) {
-	running, err := Running(folder)
+	running, err := RunningRouters(folder)
 	if err != nil {
 		return 0, err
 	}
@@ -275,12 +277,12 @@
 }
 
 // Running lists the processes of routers whose files lie under a folder, by the folder of each.
-func Running(under string) (map[string][]int, error) {
+func RunningRouters(under string) (map[string][]int, error) {
 	entries, err := os.ReadDir("/proc")
 	if err != nil {
 		return nil, err
 	}
-	prefix := []byte(markVariable + "=" + under + "/")
+	prefix := []byte(incarnationVariable + "=" + under + "/")
 	out := map[string][]int{}
 	for _, e := range entries {
 		pid, err := strconv.Atoi(e.Name())
@@ -293,7 +295,7 @@
 		}
 		for _, v := range bytes.Split(env, []byte{0}) {
 			if bytes.HasPrefix(v, prefix) {
-				folder := filepath.Dir(string(v[len(markVariable)+1:]))
+				folder := filepath.Dir(string(v[len(incarnationVariable)+1:]))
 				out[folder] = append(out[folder], pid)
 			}
 		}
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -95,7 +95,7 @@
 		rev, found, err := s.Revision(st.Instances[x.Name].Revision)
 		require.NoError(t, err)
 		require.True(t, found)
-		raw, err := revision.Render(rev.Content, x.Revised(), 1)
+		raw, err := revision.Render(rev.Content, x.RevisionInstance(), 1)
 		require.NoError(t, err)
 		folder := filepath.Join(f.Agents[0].Folder, x.Name)
 		require.NoError(t, os.MkdirAll(folder, 0o700))
--- a/internal/fleet/layout/layout.go
+++ b/internal/fleet/layout/layout.go
@@ -16,40 +16,40 @@
 
 // Fleet is the file.
 type Fleet struct {
-	Name      string     `sexp:"name,must"`
-	Floor     int        `sexp:"floor,must"` // instances of the whole that must serve
-	Times     Times      `sexp:"times"`
-	Halls     []Hall     `sexp:"hall"`
-	Agents    []Agent    `sexp:"agent"`
-	Instances []Instance `sexp:"instance"`
-	hall      map[string]int
-	agent     map[string]int
+	Name         string     `sexp:"name,must"`
+	MinAvailable int        `sexp:"floor,must"` // instances of the whole that must serve
+	Times        Times      `sexp:"times"`
+	Zones        []Zone     `sexp:"hall"`
+	Agents       []Agent    `sexp:"agent"`
+	Instances    []Instance `sexp:"instance"`
+	zoneIndex    map[string]int
+	agentIndex   map[string]int
 }
 
 // Times of a rollout, an agent and a claim.
 type Times struct {
-	Soak    sexp.Seconds `sexp:"soak"`
-	Fresh   sexp.Seconds `sexp:"fresh"`
-	Contact sexp.Seconds `sexp:"contact"`
-	Step    sexp.Seconds `sexp:"step"`
-	Claim   sexp.Seconds `sexp:"claim"`
-	Look    sexp.Seconds `sexp:"look"`
-	Ready   sexp.Seconds `sexp:"ready"`
-	Grace   sexp.Seconds `sexp:"grace"`
+	Soak           sexp.Seconds `sexp:"soak"`
+	FreshFor       sexp.Seconds `sexp:"fresh"`
+	ContactTimeout sexp.Seconds `sexp:"contact"`
+	StepTimeout    sexp.Seconds `sexp:"step"`
+	LeaseTerm      sexp.Seconds `sexp:"claim"`
+	PollInterval   sexp.Seconds `sexp:"look"`
+	ReadyTimeout   sexp.Seconds `sexp:"ready"`
+	DrainGrace     sexp.Seconds `sexp:"grace"`
 }
 
 // Hall is where instances serve.
-type Hall struct {
-	Name  string     `sexp:",name"`
-	Floor int        `sexp:"floor,must"`
-	At    sexp.Place `sexp:",place"`
+type Zone struct {
+	Name         string     `sexp:",name"`
+	MinAvailable int        `sexp:"floor,must"`
+	Place        sexp.Place `sexp:",place"`
 }
 
 // Agent is one machine's.
 type Agent struct {
 	Name    string         `sexp:",name"`
 	Listen  netip.AddrPort `sexp:"listen,must"`
-	Hall    string         `sexp:"hall,must"`
+	Zone    string         `sexp:"hall,must"`
 	Folder  string         `sexp:"folder,must"`  // for its store and its routers' files
 	Program string         `sexp:"program,must"` // the router
 	Place   sexp.Place     `sexp:",place"`
@@ -57,16 +57,16 @@
 
 // Instance is one router.
 type Instance struct {
-	Name      string         `sexp:",name"`
-	Agent     string         `sexp:"agent,must"`
-	Listen    netip.AddrPort `sexp:"listen,must"`
-	Discovery string         `sexp:"discovery"` // in place of the revision's
-	Me        *int           `sexp:"me"`        // in place of the revision's settings.me
-	Place     sexp.Place     `sexp:",place"`
+	Name        string         `sexp:",name"`
+	Agent       string         `sexp:"agent,must"`
+	Listen      netip.AddrPort `sexp:"listen,must"`
+	Discovery   string         `sexp:"discovery"` // in place of the revision's
+	RouterIndex *int           `sexp:"me"`        // in place of the revision's settings.me
+	Place       sexp.Place     `sexp:",place"`
 }
 
 func defaults() Fleet {
-	return Fleet{Times: Times{Soak: 5, Fresh: 3, Contact: 30, Step: 120, Claim: 15, Look: 0.5, Ready: 10, Grace: 2}}
+	return Fleet{Times: Times{Soak: 5, FreshFor: 3, ContactTimeout: 30, StepTimeout: 120, LeaseTerm: 15, PollInterval: 0.5, ReadyTimeout: 10, DrainGrace: 2}}
 }
 
 // Load reads and checks a fleet file.
@@ -105,28 +105,34 @@
 	for _, t := range []struct {
 		key   string
 		value sexp.Seconds
-	}{{"fresh", f.Times.Fresh}, {"contact", f.Times.Contact}, {"step", f.Times.Step}, {"claim", f.Times.Claim},
-		{"look", f.Times.Look}, {"ready", f.Times.Ready}} {
+	}{
+		{"fresh", f.Times.FreshFor},
+		{"contact", f.Times.ContactTimeout},
+		{"step", f.Times.StepTimeout},
+		{"claim", f.Times.LeaseTerm},
+		{"look", f.Times.PollInterval},
+		{"ready", f.Times.ReadyTimeout},
+	} {
 		if t.value <= 0 {
 			return fault(whole, "times: %s must be above 0", t.key)
 		}
 	}
 	switch {
-	case f.Times.Fresh < 2*f.Times.Look:
+	case f.Times.FreshFor < 2*f.Times.PollInterval:
 		return fault(whole, "times: fresh must be twice look at least, or nothing is ever known")
-	case f.Times.Claim < 4*f.Times.Look:
+	case f.Times.LeaseTerm < 4*f.Times.PollInterval:
 		return fault(whole, "times: claim must be four times look at least, or claims run out in use")
 	case len(f.Agents) == 0:
 		return fault(whole, "the file has no agent")
 	case len(f.Instances) == 0:
 		return fault(whole, "the file has no instance")
 	}
-	f.hall, f.agent = map[string]int{}, map[string]int{}
-	for i, h := range f.Halls {
-		if _, twice := f.hall[h.Name]; twice {
-			return fault(h.At, "hall %s is given twice", h.Name)
+	f.zoneIndex, f.agentIndex = map[string]int{}, map[string]int{}
+	for i, h := range f.Zones {
+		if _, twice := f.zoneIndex[h.Name]; twice {
+			return fault(h.Place, "hall %s is given twice", h.Name)
 		}
-		f.hall[h.Name] = i
+		f.zoneIndex[h.Name] = i
 	}
 	taken := map[netip.AddrPort]string{}
 	listen := func(at sexp.Place, a netip.AddrPort, who string) error {
@@ -140,26 +146,27 @@
 		return nil
 	}
 	for i, a := range f.Agents {
-		if _, twice := f.agent[a.Name]; twice {
+		if _, twice := f.agentIndex[a.Name]; twice {
 			return fault(a.Place, "agent %s is given twice", a.Name)
 		}
-		if _, known := f.hall[a.Hall]; !known {
-			return fault(a.Place, "agent %s: there is no hall %s", a.Name, a.Hall)
+		if _, known := f.zoneIndex[a.Zone]; !known {
+			return fault(a.Place, "agent %s: there is no hall %s", a.Name, a.Zone)
 		}
 		if err := listen(a.Place, a.Listen, "agent "+a.Name); err != nil {
 			return err
 		}
-		f.agent[a.Name] = i
+		f.agentIndex[a.Name] = i
 	}
 	return f.checkInstances(fault, listen, whole)
 }
 
 func (f *Fleet) checkInstances(fault func(sexp.Place, string, ...any) error,
-	listen func(sexp.Place, netip.AddrPort, string) error, whole sexp.Place) error {
+	listen func(sexp.Place, netip.AddrPort, string) error, whole sexp.Place,
+) error {
 	names := map[string]bool{}
-	perHall := make([]int, len(f.Halls))
+	perHall := make([]int, len(f.Zones))
 	for _, x := range f.Instances {
-		a, known := f.agent[x.Agent]
+		a, known := f.agentIndex[x.Agent]
 		switch {
 		case names[x.Name]:
 			return fault(x.Place, "instance %s is given twice", x.Name)
@@ -167,7 +174,7 @@
 			return fault(x.Place, "instance %s: there is no agent %s", x.Name, x.Agent)
 		case strings.ContainsAny(x.Name, "/\x00") || x.Name == "" || x.Name[0] == '.':
 			return fault(x.Place, "instance %q: the name must do as a folder's", x.Name)
-		case x.Me != nil && *x.Me < 0:
+		case x.RouterIndex != nil && *x.RouterIndex < 0:
 			return fault(x.Place, "instance %s: me must not be below 0", x.Name)
 		}
 		if x.Discovery != "" {
@@ -179,35 +186,37 @@
 			return err
 		}
 		names[x.Name] = true
-		perHall[f.hall[f.Agents[a].Hall]]++
+		perHall[f.zoneIndex[f.Agents[a].Zone]]++
 	}
-	for i, h := range f.Halls {
-		if h.Floor < 0 || h.Floor > perHall[i] {
-			return fault(h.At, "hall %s: its floor is %d, and it has %d instances", h.Name, h.Floor, perHall[i])
+	for i, h := range f.Zones {
+		if h.MinAvailable < 0 || h.MinAvailable > perHall[i] {
+			return fault(h.Place, "hall %s: its floor is %d, and it has %d instances", h.Name, h.MinAvailable, perHall[i])
 		}
 	}
-	if f.Floor < 0 || f.Floor > len(f.Instances) {
-		return fault(whole, "the floor is %d, and there are %d instances", f.Floor, len(f.Instances))
+	if f.MinAvailable < 0 || f.MinAvailable > len(f.Instances) {
+		return fault(whole, "the floor is %d, and there are %d instances", f.MinAvailable, len(f.Instances))
 	}
 	return nil
 }
 
 // Plan is the fleet as the decisions see it; instances, halls and agents keep the file's order.
-func (f *Fleet) Plan() *plan.Fleet {
-	p := &plan.Fleet{Floor: f.Floor, Times: plan.Times{Soak: float64(f.Times.Soak), Fresh: float64(f.Times.Fresh),
-		Contact: float64(f.Times.Contact), Step: float64(f.Times.Step)}}
-	for _, h := range f.Halls {
-		p.Halls = append(p.Halls, h.Floor)
+func (f *Fleet) PlannerFleet() *plan.Fleet {
+	p := &plan.Fleet{Floor: f.MinAvailable, Times: plan.Times{
+		Soak: float64(f.Times.Soak), Fresh: float64(f.Times.FreshFor),
+		Contact: float64(f.Times.ContactTimeout), Step: float64(f.Times.StepTimeout),
+	}}
+	for _, h := range f.Zones {
+		p.Halls = append(p.Halls, h.MinAvailable)
 	}
 	for _, x := range f.Instances {
-		a := f.agent[x.Agent]
-		p.Instances = append(p.Instances, plan.Instance{Hall: f.hall[f.Agents[a].Hall], Agent: a})
+		a := f.agentIndex[x.Agent]
+		p.Instances = append(p.Instances, plan.Instance{Hall: f.zoneIndex[f.Agents[a].Zone], Agent: a})
 	}
 	return p
 }
 
 // Names are the instances'.
-func (f *Fleet) Names() []string {
+func (f *Fleet) InstanceNames() []string {
 	var out []string
 	for _, x := range f.Instances {
 		out = append(out, x.Name)
@@ -217,14 +226,14 @@
 
 // Agent finds one by its name, or returns nil.
 func (f *Fleet) Agent(name string) *Agent {
-	if i, ok := f.agent[name]; ok {
+	if i, ok := f.agentIndex[name]; ok {
 		return &f.Agents[i]
 	}
 	return nil
 }
 
 // Of are an agent's instances.
-func (f *Fleet) Of(agent string) []Instance {
+func (f *Fleet) InstancesOf(agent string) []Instance {
 	var out []Instance
 	for _, x := range f.Instances {
 		if x.Agent == agent {
@@ -235,10 +244,10 @@
 }
 
 // Revised is what belongs to an instance and not to a revision.
-func (x *Instance) Revised() revision.At {
-	at := revision.At{Name: x.Name, Listen: x.Listen.String(), Discovery: x.Discovery, Me: -1}
-	if x.Me != nil {
-		at.Me = *x.Me
+func (x *Instance) RevisionInstance() revision.Instance {
+	at := revision.Instance{Name: x.Name, Listen: x.Listen.String(), Discovery: x.Discovery, RouterIndex: -1}
+	if x.RouterIndex != nil {
+		at.RouterIndex = *x.RouterIndex
 	}
 	return at
 }
--- a/internal/fleet/revision/revision.go
+++ b/internal/fleet/revision/revision.go
@@ -20,18 +20,18 @@
 )
 
 // Longest is the most bytes that a revision may have.
-const Longest = 4 << 20
+const MaxBytes = 4 << 20
 
 // At is what belongs to one instance.
-type At struct {
-	Name      string
-	Listen    string
-	Discovery string // in place of the revision's; empty: as the revision has it
-	Me        int    // in place of settings.me; below 0: as the revision has it
+type Instance struct {
+	Name        string
+	Listen      string
+	Discovery   string // in place of the revision's; empty: as the revision has it
+	RouterIndex int    // in place of settings.me; below 0: as the revision has it
 }
 
 // own are keys that a revision must not hold.
-var own = []string{"name", "listen", "seed"}
+var instanceKeys = []string{"name", "listen", "seed"}
 
 // document is JSON that keeps numbers as they were written.
 type document = map[string]any
@@ -39,13 +39,13 @@
 // Canonical returns a revision's bytes in the one form that its digest is taken of: compact, keys in order.
 // Errors name the line and column, or the key.
 func Canonical(file string, raw []byte) ([]byte, error) {
-	doc, err := read(file, raw)
+	doc, err := decodeDocument(file, raw)
 	if err != nil {
 		return nil, err
 	}
 	for k := range doc {
 		// The router's reader takes keys in any case.
-		if slices.ContainsFunc(own, func(o string) bool { return strings.EqualFold(o, k) }) {
+		if slices.ContainsFunc(instanceKeys, func(o string) bool { return strings.EqualFold(o, k) }) {
 			return nil, fmt.Errorf("%s: the key %s belongs to an instance, and is put in for each", file, k)
 		}
 	}
@@ -63,22 +63,22 @@
 }
 
 // Short is a digest for people.
-func Short(digest string) string { return digest[:min(len(digest), 10)] }
+func ShortDigest(digest string) string { return digest[:min(len(digest), 10)] }
 
-func read(file string, raw []byte) (document, error) {
-	if len(raw) > Longest {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(raw), Longest)
+func decodeDocument(file string, raw []byte) (document, error) {
+	if len(raw) > MaxBytes {
+		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(raw), MaxBytes)
 	}
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
-	v, err := value(d, "", 0)
+	v, err := decodeValue(d, "", 0)
 	if err == nil {
 		if _, more := d.Token(); !errors.Is(more, io.EOF) {
 			err = errors.New("something follows the document")
 		}
 	}
 	if err != nil {
-		line, column := place(raw, d.InputOffset())
+		line, column := lineAndColumn(raw, d.InputOffset())
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
@@ -91,12 +91,12 @@
 	return doc, nil
 }
 
-const deepest = 64
+const maxDepth = 64
 
 // value reads one value. A key that is given twice is refused: a reader would take one of them without a word.
-func value(d *json.Decoder, at string, deep int) (any, error) {
-	if deep > deepest {
-		return nil, fmt.Errorf("%s nests more than %d deep", at, deepest)
+func decodeValue(d *json.Decoder, at string, deep int) (any, error) {
+	if deep > maxDepth {
+		return nil, fmt.Errorf("%s nests more than %d deep", at, maxDepth)
 	}
 	t, err := d.Token()
 	if err != nil {
@@ -112,9 +112,9 @@
 			}
 			key, _ := k.(string)
 			if _, twice := doc[key]; twice {
-				return nil, fmt.Errorf("%s is given twice", join(at, key))
+				return nil, fmt.Errorf("%s is given twice", joinKey(at, key))
 			}
-			if doc[key], err = value(d, join(at, key), deep+1); err != nil {
+			if doc[key], err = decodeValue(d, joinKey(at, key), deep+1); err != nil {
 				return nil, err
 			}
 		}
@@ -123,7 +123,7 @@
 	case json.Delim('['):
 		list := []any{}
 		for d.More() {
-			v, err := value(d, at+"["+strconv.Itoa(len(list))+"]", deep+1)
+			v, err := decodeValue(d, at+"["+strconv.Itoa(len(list))+"]", deep+1)
 			if err != nil {
 				return nil, err
 			}
@@ -135,21 +135,21 @@
 	return t, nil
 }
 
-func join(at, key string) string {
+func joinKey(at, key string) string {
 	if at == "" {
 		return key
 	}
 	return at + "." + key
 }
 
-func place(raw []byte, offset int64) (line, column int) {
+func lineAndColumn(raw []byte, offset int64) (line, column int) {
 	before := raw[:min(offset, int64(len(raw)))]
 	return bytes.Count(before, []byte{'\n'}) + 1, len(before) - bytes.LastIndexByte(before, '\n')
 }
 
 // Render writes the document of one instance. The seed is for this start of it.
-func Render(canonical []byte, at At, seed uint64) ([]byte, error) {
-	doc, err := read("revision", canonical)
+func Render(canonical []byte, at Instance, seed uint64) ([]byte, error) {
+	doc, err := decodeDocument("revision", canonical)
 	if err != nil {
 		return nil, err
 	}
@@ -157,12 +157,12 @@
 	if at.Discovery != "" {
 		doc["discovery"] = at.Discovery
 	}
-	if at.Me >= 0 {
+	if at.RouterIndex >= 0 {
 		settings, ok := doc["settings"].(document)
 		if !ok {
 			return nil, errors.New("settings is missing, or no object")
 		}
-		settings["me"] = at.Me
+		settings["me"] = at.RouterIndex
 	}
 	out, err := json.Marshal(doc)
 	if err != nil {
@@ -172,7 +172,7 @@
 }
 
 // Check has the router's own reader look at what one instance would be given.
-func Check(canonical []byte, at At) (site.Config, error) {
+func Check(canonical []byte, at Instance) (site.Config, error) {
 	raw, err := Render(canonical, at, 1)
 	if err != nil {
 		return site.Config{}, err
@@ -186,11 +186,11 @@
 
 // Restarts names the keys for which an instance must be restarted if it goes from one configuration to
 // another; none: a reload is enough.
-func Restarts(from, to *site.Config) []string { return from.RestartKeys(to) }
+func RestartKeys(from, to *site.Config) []string { return from.RestartKeys(to) }
 
 // Drain is how long a router may take to end once it is told to: the longest that a command in hand may wait,
 // and a grace, in seconds.
-func Drain(s *site.Config, grace float64) float64 {
+func DrainSeconds(s *site.Config, grace float64) float64 {
 	return s.Limits.Durations.MaxClientTimeout + s.Limits.Durations.AcceptLinger + grace
 }
 
@@ -203,28 +203,28 @@
 
 // Diff lists what differs, by key.
 func Diff(from, to []byte) ([]Change, error) {
-	a, err := read("the first revision", from)
+	a, err := decodeDocument("the first revision", from)
 	if err != nil {
 		return nil, err
 	}
-	b, err := read("the second revision", to)
+	b, err := decodeDocument("the second revision", to)
 	if err != nil {
 		return nil, err
 	}
 	var out []Change
-	differ("", a, b, true, true, &out)
+	appendDifferences("", a, b, true, true, &out)
 	return out, nil
 }
 
-func differ(at string, a, b any, hasA, hasB bool, out *[]Change) {
+func appendDifferences(at string, a, b any, hasA, hasB bool, out *[]Change) {
 	if hasA && hasB {
 		x, okA := a.(document)
 		y, okB := b.(document)
 		if okA && okB {
-			for _, k := range keys(x, y) {
+			for _, k := range unionKeys(x, y) {
 				p, hasP := x[k]
 				q, hasQ := y[k]
-				differ(join(at, k), p, q, hasP, hasQ, out)
+				appendDifferences(joinKey(at, k), p, q, hasP, hasQ, out)
 			}
 			return
 		}
@@ -232,24 +232,24 @@
 		m, okB := b.([]any)
 		if okA && okB && len(l) == len(m) {
 			for i := range l {
-				differ(at+"["+strconv.Itoa(i)+"]", l[i], m[i], true, true, out)
+				appendDifferences(at+"["+strconv.Itoa(i)+"]", l[i], m[i], true, true, out)
 			}
 			return
 		}
 	}
 	c := Change{Key: at}
 	if hasA {
-		c.From = text(a)
+		c.From = jsonText(a)
 	}
 	if hasB {
-		c.To = text(b)
+		c.To = jsonText(b)
 	}
 	if c.From != c.To {
 		*out = append(*out, c)
 	}
 }
 
-func keys(x, y document) []string {
+func unionKeys(x, y document) []string {
 	var out []string
 	for k := range x {
 		out = append(out, k)
@@ -261,7 +261,7 @@
 	return slices.Compact(out)
 }
 
-func text(v any) string {
+func jsonText(v any) string {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return err.Error()
--- a/internal/fleet/revision/revision_test.go
+++ b/internal/fleet/revision/revision_test.go
@@ -20,7 +20,7 @@
   "limits":{"mostTries":4,"dialTimeoutNs":250000000,"connIdleNs":15000000000,"probes":true},
   "invariants":{"startCapacity":0.2,"rampTimeNs":9000000000,"overloadFactor":2,"fallNs":2000000000}}}`
 
-var here = At{Name: "n1", Listen: "127.0.0.1:5432", Me: 1}
+var here = Instance{Name: "n1", Listen: "127.0.0.1:5432", RouterIndex: 1}
 
 func canonical(t *testing.T, text string) []byte {
 	t.Helper()
@@ -46,11 +46,11 @@
 	assert.Equal(t, "127.0.0.1:5432", s.Listen.String())
 	assert.Equal(t, 1, s.Settings.Instance)
 	assert.Equal(t, "127.2.0.1:8500", s.Discovery.String())
-	s, err = Check(canonical(t, sample), At{Name: "n1", Listen: "127.0.0.1:1", Discovery: "127.0.0.9:1", Me: -1})
+	s, err = Check(canonical(t, sample), Instance{Name: "n1", Listen: "127.0.0.1:1", Discovery: "127.0.0.9:1", RouterIndex: -1})
 	require.NoError(t, err)
 	assert.Equal(t, 2, s.Settings.Instance)
 	assert.Equal(t, "127.0.0.9:1", s.Discovery.String())
-	assert.InDelta(t, 20+0.5+1, Drain(&s, 1), 1e-9)
+	assert.InDelta(t, 20+0.5+1, DrainSeconds(&s, 1), 1e-9)
 }
 
 func TestBadRevisionsAreToldByPlaceAndKey(t *testing.T) {
@@ -68,10 +68,12 @@
 		_, err := Canonical("f", []byte(text))
 		assert.ErrorContains(t, err, says, text)
 	}
-	_, err := Canonical("f", make([]byte, Longest+1))
+	_, err := Canonical("f", make([]byte, MaxBytes+1))
 	assert.ErrorContains(t, err, "at most")
-	for change, says := range map[string]string{`"targetNs"`: "instance n1: settings: classes[0]", `"known"`: "instance n1: known is missing",
-		`"settings":`: "settings is missing"} {
+	for change, says := range map[string]string{
+		`"targetNs"`: "instance n1: settings: classes[0]", `"known"`: "instance n1: known is missing",
+		`"settings":`: "settings is missing",
+	} {
 		_, err := Check(canonical(t, strings.Replace(sample, change, strings.Replace(change, `"`, `"x`, 1), 1)), here)
 		assert.ErrorContains(t, err, says)
 	}
@@ -82,10 +84,10 @@
 	require.NoError(t, err)
 	b, err := Check(canonical(t, strings.Replace(sample, "127.2.0.1:8500", "127.2.0.2:8500", 1)), here)
 	require.NoError(t, err)
-	assert.Empty(t, Restarts(&a, &b))
+	assert.Empty(t, RestartKeys(&a, &b))
 	b, err = Check(canonical(t, strings.Replace(strings.Replace(sample, "600", "601", 1), `"mostTries":4`, `"mostTries":5`, 1)), here)
 	require.NoError(t, err)
-	assert.Equal(t, []string{"limits", "settings"}, Restarts(&a, &b))
+	assert.Equal(t, []string{"limits", "settings"}, RestartKeys(&a, &b))
 }
 
 func TestDiff(t *testing.T) {
--- a/internal/fleet/tool/tool.go
+++ b/internal/fleet/tool/tool.go
@@ -28,25 +28,27 @@
 )
 
 // atOnce is how many agents are spoken to at once.
-const atOnce = 128
+const maxConcurrentCalls = 128
 
 // Tool speaks for one operator.
-type Tool struct {
-	Fleet    *layout.Fleet
-	Operator string
-	clients  []*api.Client
-	log      zerolog.Logger
-	within   time.Duration // that a call may take
+type Client struct {
+	Fleet       *layout.Fleet
+	Operator    string
+	clients     []*api.Client
+	log         zerolog.Logger
+	callTimeout time.Duration // that a call may take
 }
 
 // New is a tool that has not connected to any agent.
-func New(f *layout.Fleet, folder keys.Folder, operator string, log zerolog.Logger) (*Tool, error) {
+func New(f *layout.Fleet, folder keys.Folder, operator string, log zerolog.Logger) (*Client, error) {
 	source := folder.Source(keys.Operator, operator)
 	if err := source.Check(); err != nil {
 		return nil, fmt.Errorf("operator %s: %w", operator, err)
 	}
-	t := &Tool{Fleet: f, Operator: operator, log: log,
-		within: max(time.Second, time.Duration(4*float64(f.Times.Look)*float64(time.Second)))}
+	t := &Client{
+		Fleet: f, Operator: operator, log: log,
+		callTimeout: max(time.Second, time.Duration(4*float64(f.Times.PollInterval)*float64(time.Second))),
+	}
 	for _, a := range f.Agents {
 		t.clients = append(t.clients, api.NewClient(a.Name, a.Listen.String(), source, api.SupportedVersions))
 	}
@@ -54,7 +56,7 @@
 }
 
 // Close ends the tool's connections.
-func (t *Tool) Close() {
+func (t *Client) Close() {
 	for _, c := range t.clients {
 		c.Close()
 	}
@@ -67,8 +69,8 @@
 	Err   error // it could not be asked, or refused
 }
 
-func (t *Tool) call(ctx context.Context, agent int, c form.Request) (form.Reply, error) {
-	within := t.within
+func (t *Client) call(ctx context.Context, agent int, c form.Request) (form.Reply, error) {
+	within := t.callTimeout
 	if c.Verb == form.PutRevisionVerb || c.Verb == form.GetRevisionVerb || c.Verb == form.HistoryVerb {
 		within *= 5 // they carry more
 	}
@@ -78,10 +80,10 @@
 }
 
 // All asks every agent the same.
-func (t *Tool) All(ctx context.Context, c form.Request) []Answer {
+func (t *Client) Broadcast(ctx context.Context, c form.Request) []Answer {
 	out := make([]Answer, len(t.clients))
 	var g errgroup.Group
-	g.SetLimit(atOnce)
+	g.SetLimit(maxConcurrentCalls)
 	for i := range t.clients {
 		g.Go(func() error {
 			r, err := t.call(ctx, i, c)
@@ -98,81 +100,81 @@
 
 // Status is how a fleet stands.
 type Status struct {
-	Fleet     string        `json:"fleet"`
-	Serving   int           `json:"serving"`
-	Of        int           `json:"of"`
-	Agents    []AgentState  `json:"agents"`
-	Instances []Instance    `json:"instances"`
-	Rollout   *RolloutState `json:"rollout,omitempty"`
-	Claim     *ClaimState   `json:"claim,omitempty"`
+	Fleet     string           `json:"fleet"`
+	Serving   int              `json:"serving"`
+	Total     int              `json:"of"`
+	Agents    []AgentStatus    `json:"agents"`
+	Instances []InstanceStatus `json:"instances"`
+	Rollout   *RolloutStatus   `json:"rollout,omitempty"`
+	Lease     *LeaseStatus     `json:"claim,omitempty"`
 }
 
 // AgentState is one agent's.
-type AgentState struct {
-	Name    string `json:"name"`
-	Heard   bool   `json:"heard"`
-	Program string `json:"program,omitempty"`
-	Fault   string `json:"fault,omitempty"`
+type AgentStatus struct {
+	Name      string `json:"name"`
+	Reachable bool   `json:"heard"`
+	Program   string `json:"program,omitempty"`
+	Failure   string `json:"fault,omitempty"`
 }
 
 // Instance is one router's state.
-type Instance struct {
-	Name     string  `json:"name"`
-	Hall     string  `json:"hall"`
-	Agent    string  `json:"agent"`
-	Known    bool    `json:"known"`
-	Life     string  `json:"life"`
-	Revision string  `json:"revision,omitempty"`
-	Wants    string  `json:"wants,omitempty"`
-	Process  int     `json:"process,omitempty"`
-	Crashes  int     `json:"crashes,omitempty"`
-	Ended    uint64  `json:"ended"`      // commands of the last while
-	Failed   uint64  `json:"unanswered"` // of them
-	ReadyFor float64 `json:"ready_seconds"`
-	Step     string  `json:"step,omitempty"` // open, or failed and why
+type InstanceStatus struct {
+	Name               string  `json:"name"`
+	Zone               string  `json:"hall"`
+	Agent              string  `json:"agent"`
+	Known              bool    `json:"known"`
+	State              string  `json:"life"`
+	Revision           string  `json:"revision,omitempty"`
+	TargetRevision     string  `json:"wants,omitempty"`
+	ProcessID          int     `json:"process,omitempty"`
+	Crashes            int     `json:"crashes,omitempty"`
+	EndedCommands      uint64  `json:"ended"`      // commands of the last while
+	UnansweredCommands uint64  `json:"unanswered"` // of them
+	ReadySeconds       float64 `json:"ready_seconds"`
+	Step               string  `json:"step,omitempty"` // open, or failed and why
 }
 
 // RolloutState is the newest rollout's.
-type RolloutState struct {
-	ID       string   `json:"id"`
-	Revision string   `json:"revision"`
-	Name     string   `json:"name,omitempty"`
-	State    string   `json:"state"`
-	Back     bool     `json:"back"`
-	Why      string   `json:"why,omitempty"`
-	Cause    string   `json:"cause,omitempty"` // it goes back
-	By       string   `json:"by"`
-	Asked    string   `json:"asked,omitempty"`
-	Began    string   `json:"began"`
-	Steps    uint64   `json:"steps"`
-	Out      []string `json:"left_out,omitempty"`
-	Step     string   `json:"step,omitempty"` // under way
+type RolloutStatus struct {
+	ID           string   `json:"id"`
+	Revision     string   `json:"revision"`
+	RevisionName string   `json:"name,omitempty"`
+	State        string   `json:"state"`
+	RollingBack  bool     `json:"back"`
+	Why          string   `json:"why,omitempty"`
+	Cause        string   `json:"cause,omitempty"` // it goes back
+	StartedBy    string   `json:"by"`
+	RequestedBy  string   `json:"asked,omitempty"`
+	StartedAt    string   `json:"began"`
+	Steps        uint64   `json:"steps"`
+	LeftOut      []string `json:"left_out,omitempty"`
+	Step         string   `json:"step,omitempty"` // under way
 }
 
 // ClaimState is who may change the fleet.
-type ClaimState struct {
-	Epoch   uint64  `json:"epoch"`
-	Holder  string  `json:"holder"`
-	Held    bool    `json:"held"` // by a majority
-	Grants  int     `json:"grants"`
-	Since   float64 `json:"since_seconds"`
-	Left    float64 `json:"left_seconds"`
-	Agents  int     `json:"agents"`
-	Present int     `json:"heard"`
+type LeaseStatus struct {
+	Epoch           uint64  `json:"epoch"`
+	Holder          string  `json:"holder"`
+	Held            bool    `json:"held"` // by a majority
+	Grants          int     `json:"grants"`
+	SinceSeconds    float64 `json:"since_seconds"`
+	LeftSeconds     float64 `json:"left_seconds"`
+	Agents          int     `json:"agents"`
+	ReachableAgents int     `json:"heard"`
 }
 
 // Status asks all agents.
-func (t *Tool) Status(ctx context.Context) Status {
-	return t.status(t.All(ctx, form.Request{Verb: form.StatusVerb}))
+func (t *Client) Status(ctx context.Context) Status {
+	return t.status(t.Broadcast(ctx, form.Request{Verb: form.StatusVerb}))
 }
 
-func (t *Tool) status(answers []Answer) Status {
-	s := Status{Fleet: t.Fleet.Name, Of: len(t.Fleet.Instances)}
+func (t *Client) status(answers []Answer) Status {
+	s := Status{Fleet: t.Fleet.Name, Total: len(t.Fleet.Instances)}
 	told := map[string]form.InstanceStatus{}
 	for _, a := range answers {
-		state := AgentState{Name: a.Agent, Heard: a.Err == nil, Program: a.Reply.Program}
+		state := AgentStatus{Name: a.Agent, Reachable: a.Err == nil, Program: a.Reply.Program}
 		if a.Err != nil {
-			state.Fault = a.Err.Error()
+			state.Failure = a.Err.Error()
 		}
 		s.Agents = append(s.Agents, state)
 		for _, x := range a.Reply.Instances {
@@ -180,13 +182,13 @@
 		}
 	}
 	for _, x := range t.Fleet.Instances {
-		row := Instance{Name: x.Name, Agent: x.Agent, Hall: t.Fleet.Agent(x.Agent).Hall, Life: plan.Unknown.String()}
+		row := InstanceStatus{Name: x.Name, Agent: x.Agent, Zone: t.Fleet.Agent(x.Agent).Zone, State: plan.Unknown.String()}
 		if got, ok := told[x.Name]; ok {
-			row.Known, row.Life, row.Process, row.Crashes = true, got.Life.String(), got.ProcessID, got.Crashes
-			row.Revision, row.ReadyFor = revision.Short(got.Revision), got.ReadyFor
-			row.Ended, row.Failed = got.Recent.Ended, got.Recent.Unanswered
+			row.Known, row.State, row.ProcessID, row.Crashes = true, got.Life.String(), got.ProcessID, got.Crashes
+			row.Revision, row.ReadySeconds = revision.ShortDigest(got.Revision), got.ReadyFor
+			row.EndedCommands, row.UnansweredCommands = got.Recent.Ended, got.Recent.Unanswered
 			if got.TargetRevision != got.Revision {
-				row.Wants = revision.Short(got.TargetRevision)
+				row.TargetRevision = revision.ShortDigest(got.TargetRevision)
 			}
 			switch {
 			case got.Last.Number != 0 && got.End == plan.Open:
@@ -200,15 +202,15 @@
 		}
 		s.Instances = append(s.Instances, row)
 	}
-	s.Claim = t.claim(answers)
-	if r, ok := newest(answers); ok {
-		s.Rollout = t.Rollout(r)
+	s.Lease = t.leaseStatus(answers)
+	if r, ok := newestRecord(answers); ok {
+		s.Rollout = t.DescribeRollout(r)
 	}
 	return s
 }
 
 // newest is the newest record told of; what a majority has not kept may be among it.
-func newest(answers []Answer) (form.Rollout, bool) {
+func newestRecord(answers []Answer) (form.Rollout, bool) {
 	var best claim.Record
 	for _, a := range answers {
 		if a.Err == nil && best.Stamp.Before(a.Reply.Record.Stamp) {
@@ -219,20 +221,20 @@
 	return r, best.Body != nil && form.Decode("record", best.Body, &r) == nil && r.ID != ""
 }
 
-func (t *Tool) claim(answers []Answer) *ClaimState {
-	c := ClaimState{Agents: len(answers)}
+func (t *Client) leaseStatus(answers []Answer) *LeaseStatus {
+	c := LeaseStatus{Agents: len(answers)}
 	grants := map[string]int{}
 	for _, a := range answers {
 		if a.Err != nil {
 			continue
 		}
-		c.Present++
+		c.ReachableAgents++
 		st := a.Reply.LeaseState
 		c.Epoch = max(c.Epoch, st.Epoch)
 		if st.Held {
 			grants[st.Holder]++
 			if n := grants[st.Holder]; n >= c.Grants {
-				c.Holder, c.Grants, c.Since, c.Left = st.Holder, n, max(c.Since, st.Since), max(c.Left, st.Left)
+				c.Holder, c.Grants, c.SinceSeconds, c.LeftSeconds = st.Holder, n, max(c.SinceSeconds, st.Since), max(c.LeftSeconds, st.Left)
 			}
 		}
 	}
@@ -241,19 +243,21 @@
 }
 
 // Rollout is one for people.
-func (t *Tool) Rollout(r form.Rollout) *RolloutState {
-	s := &RolloutState{ID: r.ID, Revision: revision.Short(r.Revision), Name: r.RevisionName, State: r.State.String(), Back: r.Back,
-		Why: t.Explain(r.Why), Cause: t.Explain(r.Cause), By: r.StartedBy, Asked: r.RequestedBy, Began: time.Unix(r.StartedAt, 0).UTC().Format(time.RFC3339), Steps: r.Steps}
+func (t *Client) DescribeRollout(r form.Rollout) *RolloutStatus {
+	s := &RolloutStatus{
+		ID: r.ID, Revision: revision.ShortDigest(r.Revision), RevisionName: r.RevisionName, State: r.State.String(), RollingBack: r.Back,
+		Why: t.Explain(r.Why), Cause: t.Explain(r.Cause), StartedBy: r.StartedBy, RequestedBy: r.RequestedBy, StartedAt: time.Unix(r.StartedAt, 0).UTC().Format(time.RFC3339), Steps: r.Steps,
+	}
 	for _, i := range r.Out {
-		s.Out = append(s.Out, t.name(i))
+		s.LeftOut = append(s.LeftOut, t.instanceName(i))
 	}
 	if r.Step.Number != 0 {
-		s.Step = fmt.Sprintf("step %d, %s", r.Step.Number, t.name(r.Step.Instance))
+		s.Step = fmt.Sprintf("step %d, %s", r.Step.Number, t.instanceName(r.Step.Instance))
 	}
 	return s
 }
 
-func (t *Tool) name(i int) string {
+func (t *Client) instanceName(i int) string {
 	if i < 0 || i >= len(t.Fleet.Instances) {
 		return fmt.Sprint("instance ", i)
 	}
@@ -261,8 +265,8 @@
 }
 
 // Explain is a reason in names; empty for none.
-func (t *Tool) Explain(r plan.Reason) string {
-	name := t.name(r.Instance)
+func (t *Client) Explain(r plan.Reason) string {
+	name := t.instanceName(r.Instance)
 	agent := ""
 	if r.Instance < len(t.Fleet.Instances) {
 		agent = t.Fleet.Instances[r.Instance].Agent
@@ -283,8 +287,8 @@
 		return fmt.Sprintf("the step of instance %s has no end", name)
 	case plan.HallFloor:
 		hall := ""
-		if r.Hall < len(t.Fleet.Halls) {
-			hall = t.Fleet.Halls[r.Hall].Name
+		if r.Hall < len(t.Fleet.Zones) {
+			hall = t.Fleet.Zones[r.Hall].Name
 		}
 		return fmt.Sprintf("hall %s would be left with %d serving, and its floor is %d", hall, r.Have, r.Need)
 	case plan.WholeFloor:
@@ -311,16 +315,16 @@
 }
 
 // Pushed is what came of a push.
-type Pushed struct {
-	Digest  string       `json:"revision"`
-	Name    string       `json:"name,omitempty"`
-	Kept    int          `json:"kept"`
-	Agents  int          `json:"agents"`
-	Missing []AgentState `json:"missing,omitempty"`
+type PushResult struct {
+	Digest  string        `json:"revision"`
+	Name    string        `json:"name,omitempty"`
+	Stored  int           `json:"kept"`
+	Agents  int           `json:"agents"`
+	Missing []AgentStatus `json:"missing,omitempty"`
 }
 
 // Read reads a revision's file and checks it for every instance, without an agent.
-func (t *Tool) Read(file string) ([]byte, error) {
+func (t *Client) ReadRevision(file string) ([]byte, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("revision: %w", err)
@@ -330,7 +334,7 @@
 		return nil, err
 	}
 	for i := range t.Fleet.Instances {
-		if _, err := revision.Check(content, t.Fleet.Instances[i].Revised()); err != nil {
+		if _, err := revision.Check(content, t.Fleet.Instances[i].RevisionInstance()); err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 	}
@@ -338,15 +342,15 @@
 }
 
 // Push has every agent keep a revision.
-func (t *Tool) Push(ctx context.Context, content []byte, name string) Pushed {
+func (t *Client) PushRevision(ctx context.Context, content []byte, name string) PushResult {
 	rev := form.Revision{Digest: revision.Digest(content), Name: name, PushedBy: t.Operator, PushedAt: time.Now().Unix(), Content: content}
-	p := Pushed{Digest: rev.Digest, Name: name, Agents: len(t.clients)}
-	for _, a := range t.All(ctx, form.Request{Verb: form.PutRevisionVerb, Revision: rev}) {
+	p := PushResult{Digest: rev.Digest, Name: name, Agents: len(t.clients)}
+	for _, a := range t.Broadcast(ctx, form.Request{Verb: form.PutRevisionVerb, Revision: rev}) {
 		if a.Err != nil {
-			p.Missing = append(p.Missing, AgentState{Name: a.Agent, Fault: a.Err.Error()})
+			p.Missing = append(p.Missing, AgentStatus{Name: a.Agent, Failure: a.Err.Error()})
 			continue
 		}
-		p.Kept++
+		p.Stored++
 	}
 	return p
 }
@@ -358,12 +362,12 @@
 }
 
 // History gathers it.
-func (t *Tool) History(ctx context.Context) (History, error) {
+func (t *Client) History(ctx context.Context) (History, error) {
 	var h History
 	revs, rolls := map[string]form.Revision{}, map[string]form.Rollout{}
 	var faults []error
 	heard := 0
-	for _, a := range t.All(ctx, form.Request{Verb: form.HistoryVerb}) {
+	for _, a := range t.Broadcast(ctx, form.Request{Verb: form.HistoryVerb}) {
 		if a.Err != nil {
 			faults = append(faults, a.Err)
 			continue
@@ -401,7 +405,7 @@
 }
 
 // Find finds a revision by its name, the newest if it was given twice, or by the beginning of its digest.
-func (t *Tool) Find(ctx context.Context, called string) (form.Revision, error) {
+func (t *Client) FindRevision(ctx context.Context, called string) (form.Revision, error) {
 	h, err := t.History(ctx)
 	if err != nil {
 		return form.Revision{}, err
@@ -425,7 +429,7 @@
 }
 
 // Content fetches a revision from whichever agent keeps it.
-func (t *Tool) Content(ctx context.Context, digest string) ([]byte, error) {
+func (t *Client) RevisionContent(ctx context.Context, digest string) ([]byte, error) {
 	var faults []error
 	for i := range t.clients {
 		r, err := t.call(ctx, i, form.Request{Verb: form.GetRevisionVerb, Revision: form.Revision{Digest: digest}})
@@ -437,57 +441,57 @@
 			return r.Revisions[0].Content, nil
 		}
 	}
-	return nil, errors.Join(append(faults, fmt.Errorf("no agent that can be heard keeps revision %s", revision.Short(digest)))...)
+	return nil, errors.Join(append(faults, fmt.Errorf("no agent that can be heard keeps revision %s", revision.ShortDigest(digest)))...)
 }
 
 // Effect is what a revision would mean for one instance.
-type Effect struct {
+type RevisionEffect struct {
 	Instance string   `json:"instance"`
-	How      string   `json:"how"` // none, reload, restart, start, unknown
+	Change   string   `json:"how"` // none, reload, restart, start, unknown
 	Keys     []string `json:"keys,omitempty"`
 }
 
 // Effects tells beforehand what needs a restart and what moves by a reload.
-func (t *Tool) Effects(ctx context.Context, content []byte) ([]Effect, error) {
+func (t *Client) PreviewEffects(ctx context.Context, content []byte) ([]RevisionEffect, error) {
 	to := revision.Digest(content)
 	running := map[string]string{}
-	for _, a := range t.All(ctx, form.Request{Verb: form.StatusVerb}) {
+	for _, a := range t.Broadcast(ctx, form.Request{Verb: form.StatusVerb}) {
 		for _, x := range a.Reply.Instances {
 			running[x.Name] = x.Revision
 		}
 	}
 	contents := map[string][]byte{}
-	var out []Effect
+	var out []RevisionEffect
 	for i := range t.Fleet.Instances {
 		x := &t.Fleet.Instances[i]
-		e := Effect{Instance: x.Name}
+		e := RevisionEffect{Instance: x.Name}
 		switch from, known := running[x.Name]; {
 		case !known:
-			e.How = "unknown"
+			e.Change = "unknown"
 		case from == "":
-			e.How = "start"
+			e.Change = "start"
 		case from == to:
-			e.How = "none"
+			e.Change = "none"
 		default:
 			if contents[from] == nil {
-				c, err := t.Content(ctx, from)
+				c, err := t.RevisionContent(ctx, from)
 				if err != nil {
 					return nil, err
 				}
 				contents[from] = c
 			}
-			before, err := revision.Check(contents[from], x.Revised())
+			before, err := revision.Check(contents[from], x.RevisionInstance())
 			if err != nil {
 				return nil, err
 			}
-			after, err := revision.Check(content, x.Revised())
+			after, err := revision.Check(content, x.RevisionInstance())
 			if err != nil {
 				return nil, err
 			}
-			if e.Keys = revision.Restarts(&before, &after); len(e.Keys) > 0 {
-				e.How = "restart"
+			if e.Keys = revision.RestartKeys(&before, &after); len(e.Keys) > 0 {
+				e.Change = "restart"
 			} else {
-				e.How = "reload"
+				e.Change = "reload"
 			}
 		}
 		out = append(out, e)
@@ -496,10 +500,12 @@
 }
 
 // Ask leaves a wish with the agents for whoever drives a rollout. It tells how many took it.
-func (t *Tool) Ask(ctx context.Context, r form.Rollout, w plan.Wish) int {
+func (t *Client) RequestAction(ctx context.Context, r form.Rollout, w plan.Wish) int {
 	took := 0
-	for _, a := range t.All(ctx, form.Request{Verb: form.RequestActionVerb, AgentsDigest: t.Fleet.AgentsDigest(),
-		OperatorRequest: form.OperatorRequest{RolloutID: r.ID, Run: r.Run, Action: w, Operator: t.Operator}}) {
+	for _, a := range t.Broadcast(ctx, form.Request{
+		Verb: form.RequestActionVerb, AgentsDigest: t.Fleet.AgentsDigest(),
+		OperatorRequest: form.OperatorRequest{RolloutID: r.ID, Run: r.Run, Action: w, Operator: t.Operator},
+	}) {
 		if a.Err == nil {
 			took++
 		}
@@ -508,34 +514,35 @@
 }
 
 // Newest is the newest rollout that can be heard of, and whether a tool drives it now.
-func (t *Tool) Newest(ctx context.Context) (r form.Rollout, driven, found bool) {
-	answers := t.All(ctx, form.Request{Verb: form.StatusVerb})
-	r, found = newest(answers)
-	return r, t.claim(answers).Held, found
+func (t *Client) NewestRollout(ctx context.Context) (r form.Rollout, driven, found bool) {
+	answers := t.Broadcast(ctx, form.Request{Verb: form.StatusVerb})
+	r, found = newestRecord(answers)
+	return r, t.leaseStatus(answers).Held, found
 }
 
 // Unique is a name that nothing else has.
-func Unique() string {
+func NewID() string {
 	var b [6]byte
 	_, _ = rand.Read(b[:]) // it never fails
 	return hex.EncodeToString(b[:])
 }
 
 // Begin is the task of a new rollout.
-func (t *Tool) Begin(r form.Revision, restart bool) roll.Task {
+func (t *Client) NewRollout(r form.Revision, restart bool) roll.Task {
 	return roll.Task{Verb: roll.Begin, By: t.Operator, Fleet: t.Fleet.InstancesDigest(), Rollout: form.Rollout{
-		Rollout: plan.Rollout{ID: Unique(), Revision: r.Digest, Restart: restart}, RevisionName: r.Name, StartedBy: t.Operator,
-		StartedAt: time.Now().Unix(), InstancesDigest: t.Fleet.InstancesDigest()}}
+		Rollout: plan.Rollout{ID: NewID(), Revision: r.Digest, Restart: restart}, RevisionName: r.Name, StartedBy: t.Operator,
+		StartedAt: time.Now().Unix(), InstancesDigest: t.Fleet.InstancesDigest(),
+	}}
 }
 
 // Drive carries a task out. Once ctx ends the driver gives its claim back, and the rollout waits to be taken
 // up. watch is called, if it is not nil, with what has come about.
-func (t *Tool) Drive(ctx context.Context, task roll.Task, watch func(roll.View, []roll.Event)) roll.Outcome {
+func (t *Client) Drive(ctx context.Context, task roll.Task, watch func(roll.View, []roll.Event)) roll.Outcome {
 	task.Fleet = t.Fleet.InstancesDigest()
 	host, _ := os.Hostname() // for people only
-	look := float64(t.Fleet.Times.Look)
-	d := roll.New(t.Fleet.Plan(), t.Fleet.Names(), len(t.clients), t.Fleet.AgentsDigest(),
-		api.HolderName(t.Operator, host+"/"+Unique()), roll.Times{Period: look, Giving: float64(t.Fleet.Times.Contact)}, task,
+	look := float64(t.Fleet.Times.PollInterval)
+	d := roll.New(t.Fleet.PlannerFleet(), t.Fleet.InstanceNames(), len(t.clients), t.Fleet.AgentsDigest(),
+		api.HolderName(t.Operator, host+"/"+NewID()), roll.Times{Period: look, Giving: float64(t.Fleet.Times.ContactTimeout)}, task,
 		mathrand.Float64)
 	began := time.Now()
 	now := func() float64 { return time.Since(began).Seconds() }
@@ -550,7 +557,7 @@
 	defer out.Wait()
 	defer cancel()
 	left := ctx.Done()
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	for {
 		sends, wake := d.Tick(now())
 		for _, s := range sends {
--- a/internal/fleet/tool/tool_test.go
+++ b/internal/fleet/tool/tool_test.go
@@ -102,7 +102,7 @@
 
 func (r *rig) end(i int) { r.agents[i](); r.agents[i] = nil }
 
-func (r *rig) tool(operator string) *Tool {
+func (r *rig) tool(operator string) *Client {
 	t, err := New(r.fleet, r.keys, operator, zerolog.New(io.Discard))
 	require.NoError(r.t, err)
 	r.t.Cleanup(t.Close)
@@ -110,19 +110,19 @@
 }
 
 // push pushes a revision whose routers conduct themselves so; sockets make it another one.
-func (r *rig) push(t *Tool, name string, conduct stand.Conduct, sockets int) form.Revision {
+func (r *rig) push(t *Client, name string, conduct stand.Conduct, sockets int) form.Revision {
 	r.t.Helper()
 	doc := stand.Deployment("127.0.0.1:9", 0.1, map[string]any{"stand": conduct, "limits": map[string]any{"sockets": sockets}})
 	file := filepath.Join(r.t.TempDir(), name+".json")
 	require.NoError(r.t, os.WriteFile(file, stand.JSON(doc), 0o600))
-	content, err := t.Read(file)
+	content, err := t.ReadRevision(file)
 	require.NoError(r.t, err)
-	p := t.Push(context.Background(), content, name)
+	p := t.PushRevision(context.Background(), content, name)
 	require.Empty(r.t, p.Missing)
 	return form.Revision{Digest: p.Digest, Name: name}
 }
 
-func (r *rig) drive(t *Tool, task roll.Task, watch func(roll.View, []roll.Event)) roll.Outcome {
+func (r *rig) drive(t *Client, task roll.Task, watch func(roll.View, []roll.Event)) roll.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	return t.Drive(ctx, task, watch)
@@ -134,12 +134,12 @@
 	require.Equal(r.t, plan.Complete, o.Rollout.State, "%v", o)
 }
 
-func (r *rig) allRun(t *Tool, digest string) {
+func (r *rig) allRun(t *Client, digest string) {
 	r.t.Helper()
 	s := t.Status(context.Background())
 	for _, x := range s.Instances {
-		assert.Equal(r.t, revision.Short(digest), x.Revision, x.Name)
-		assert.Equal(r.t, "ready", x.Life, x.Name)
+		assert.Equal(r.t, revision.ShortDigest(digest), x.Revision, x.Name)
+		assert.Equal(r.t, "ready", x.State, x.Name)
 	}
 }
 
@@ -148,7 +148,7 @@
 	r := newRig(t, 3)
 	ayla := r.tool("ayla")
 	good := r.push(ayla, "good", stand.Conduct{}, 100)
-	r.complete(r.drive(ayla, ayla.Begin(good, false), nil))
+	r.complete(r.drive(ayla, ayla.NewRollout(good, false), nil))
 	time.Sleep(1200 * time.Millisecond) // counters are read once a second
 	for name, c := range map[string]struct {
 		conduct stand.Conduct
@@ -161,7 +161,7 @@
 		if name == "fails" {
 			r.fleet.Times.Soak = 2 // long enough for a reading of the counters
 		}
-		o := r.drive(ayla, ayla.Begin(r.push(ayla, name, c.conduct, 100), true), nil)
+		o := r.drive(ayla, ayla.NewRollout(r.push(ayla, name, c.conduct, 100), true), nil)
 		assert.Equal(t, plan.RolledBack, o.Rollout.State, name)
 		assert.Contains(t, ayla.Explain(o.Reason), c.says)
 		assert.Contains(t, ayla.Explain(o.Reason), "instance n0")
@@ -170,7 +170,7 @@
 	}
 	file := filepath.Join(t.TempDir(), "x.json")
 	require.NoError(t, os.WriteFile(file, []byte(`{"discovery":"nowhere"}`), 0o600))
-	_, err := ayla.Read(file)
+	_, err := ayla.ReadRevision(file)
 	assert.ErrorContains(t, err, "x.json: instance n0: discovery:", "refused before any agent is asked")
 }
 
@@ -179,11 +179,11 @@
 	r := newRig(t, 4)
 	ayla, mehmet := r.tool("ayla"), r.tool("mehmet")
 	a := r.push(ayla, "a", stand.Conduct{}, 100)
-	r.complete(r.drive(ayla, ayla.Begin(a, false), nil))
+	r.complete(r.drive(ayla, ayla.NewRollout(a, false), nil))
 	b := r.push(ayla, "b", stand.Conduct{Ready: 0.2}, 101)
 	ctx, kill := context.WithCancel(context.Background())
 	began := 0
-	o := ayla.Drive(ctx, ayla.Begin(b, false), func(v roll.View, events []roll.Event) {
+	o := ayla.Drive(ctx, ayla.NewRollout(b, false), func(v roll.View, events []roll.Event) {
 		for _, e := range events {
 			if e.What == plan.Begin {
 				if began++; began == 2 {
@@ -196,8 +196,8 @@
 	s := mehmet.Status(context.Background())
 	require.NotNil(t, s.Rollout)
 	assert.Equal(t, "running", s.Rollout.State)
-	assert.Equal(t, "ayla", s.Rollout.By)
-	assert.Equal(t, roll.Unfinished, r.drive(mehmet, mehmet.Begin(a, false), nil).Kind)
+	assert.Equal(t, "ayla", s.Rollout.StartedBy)
+	assert.Equal(t, roll.Unfinished, r.drive(mehmet, mehmet.NewRollout(a, false), nil).Kind)
 	steps := 0
 	o = r.drive(mehmet, roll.Task{Verb: roll.Resume, By: "mehmet"}, func(_ roll.View, events []roll.Event) {
 		for _, e := range events {
@@ -226,11 +226,11 @@
 	var got [2]roll.Outcome
 	var both sync.WaitGroup
 	for i, x := range []struct {
-		t *Tool
+		t *Client
 		r form.Revision
 	}{{ayla, a}, {mehmet, b}} {
 		both.Add(1)
-		go func() { defer both.Done(); got[i] = r.drive(x.t, x.t.Begin(x.r, false), nil) }()
+		go func() { defer both.Done(); got[i] = r.drive(x.t, x.t.NewRollout(x.r, false), nil) }()
 	}
 	both.Wait()
 	won := -1
@@ -250,16 +250,16 @@
 func TestAnotherOperatorPausesAndAGoneAgentIsLeftOut(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 4)
-	r.fleet.Floor = 2
+	r.fleet.MinAvailable = 2
 	ayla, mehmet := r.tool("ayla"), r.tool("mehmet")
 	a := r.push(ayla, "a", stand.Conduct{}, 100)
-	r.complete(r.drive(ayla, ayla.Begin(a, false), nil))
+	r.complete(r.drive(ayla, ayla.NewRollout(a, false), nil))
 	b := r.push(ayla, "b", stand.Conduct{Ready: 0.3}, 101)
 	asked := false
-	o := r.drive(ayla, ayla.Begin(b, false), func(v roll.View, events []roll.Event) {
+	o := r.drive(ayla, ayla.NewRollout(b, false), func(v roll.View, events []roll.Event) {
 		if !asked && v.Rollout.Step.Number == 1 {
 			asked = true
-			assert.Equal(t, 4, mehmet.Ask(context.Background(), v.Rollout, plan.Pause))
+			assert.Equal(t, 4, mehmet.RequestAction(context.Background(), v.Rollout, plan.Pause))
 		}
 	})
 	assert.Equal(t, plan.Paused, o.Rollout.State)
@@ -280,30 +280,30 @@
 	r := newRig(t, 3)
 	ayla := r.tool("ayla")
 	a := r.push(ayla, "a", stand.Conduct{}, 100)
-	effects := func(sockets int, discovery string) []Effect {
+	effects := func(sockets int, discovery string) []RevisionEffect {
 		doc := stand.Deployment(discovery, 0.1, map[string]any{"stand": stand.Conduct{}, "limits": map[string]any{"sockets": sockets}})
 		content, err := revision.Canonical("f", stand.JSON(doc))
 		require.NoError(t, err)
-		e, err := ayla.Effects(context.Background(), content)
+		e, err := ayla.PreviewEffects(context.Background(), content)
 		require.NoError(t, err)
 		return e
 	}
-	assert.Equal(t, Effect{Instance: "n0", How: "start"}, effects(100, "127.0.0.1:9")[0])
-	r.complete(r.drive(ayla, ayla.Begin(a, false), nil))
-	assert.Equal(t, Effect{Instance: "n0", How: "none"}, effects(100, "127.0.0.1:9")[0])
-	assert.Equal(t, Effect{Instance: "n1", How: "reload"}, effects(100, "127.0.0.1:10")[1])
-	assert.Equal(t, Effect{Instance: "n2", How: "restart", Keys: []string{"limits"}}, effects(101, "127.0.0.1:9")[2])
-	found, err := ayla.Find(context.Background(), a.Digest[:6])
+	assert.Equal(t, RevisionEffect{Instance: "n0", Change: "start"}, effects(100, "127.0.0.1:9")[0])
+	r.complete(r.drive(ayla, ayla.NewRollout(a, false), nil))
+	assert.Equal(t, RevisionEffect{Instance: "n0", Change: "none"}, effects(100, "127.0.0.1:9")[0])
+	assert.Equal(t, RevisionEffect{Instance: "n1", Change: "reload"}, effects(100, "127.0.0.1:10")[1])
+	assert.Equal(t, RevisionEffect{Instance: "n2", Change: "restart", Keys: []string{"limits"}}, effects(101, "127.0.0.1:9")[2])
+	found, err := ayla.FindRevision(context.Background(), a.Digest[:6])
 	require.NoError(t, err)
 	assert.Equal(t, a.Digest, found.Digest)
-	_, err = ayla.Find(context.Background(), "nothing")
+	_, err = ayla.FindRevision(context.Background(), "nothing")
 	assert.ErrorContains(t, err, `no agent keeps a revision "nothing"`)
 	_, err = New(r.fleet, r.keys, "nobody", zerolog.Nop())
 	assert.ErrorContains(t, err, "operator nobody:")
 	path := filepath.Join(t.TempDir(), "spans")
 	spans, err := ayla.NewTrace(path)
 	require.NoError(t, err)
-	o := r.drive(ayla, ayla.Begin(a, true), spans.Watch)
+	o := r.drive(ayla, ayla.NewRollout(a, true), spans.Record)
 	r.complete(o)
 	require.NoError(t, spans.Close(o))
 	raw, err := os.ReadFile(path)
--- a/internal/fleet/tool/trace.go
+++ b/internal/fleet/tool/trace.go
@@ -18,7 +18,7 @@
 
 // Trace writes a rollout and its steps as spans to a file.
 type Trace struct {
-	t        *Tool
+	client   *Client
 	file     *os.File
 	provider *sdk.TracerProvider
 	tracer   trace.Tracer
@@ -28,7 +28,7 @@
 }
 
 // NewTrace begins a file of spans, one JSON object each.
-func (t *Tool) NewTrace(path string) (*Trace, error) {
+func (t *Client) NewTrace(path string) (*Trace, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
@@ -39,13 +39,13 @@
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	p := sdk.NewTracerProvider(sdk.WithBatcher(e))
-	x := &Trace{t: t, file: f, provider: p, tracer: p.Tracer("stoatdale/fleet")}
+	x := &Trace{client: t, file: f, provider: p, tracer: p.Tracer("stoatdale/fleet")}
 	x.ctx, x.rollout = x.tracer.Start(context.Background(), "rollout")
 	return x, nil
 }
 
 // Watch takes in what has come about.
-func (x *Trace) Watch(_ roll.View, events []roll.Event) {
+func (x *Trace) Record(_ roll.View, events []roll.Event) {
 	for _, e := range events {
 		if e.Claimed != 0 {
 			x.rollout.AddEvent("claimed", trace.WithAttributes(attribute.Int64("epoch", int64(e.Claimed))))
@@ -53,8 +53,8 @@
 		switch e.What {
 		case plan.Begin:
 			_, x.step = x.tracer.Start(x.ctx, "step", trace.WithAttributes(
-				attribute.String("instance", x.t.name(e.Step.Instance)), attribute.Int64("number", int64(e.Step.Number)),
-				attribute.String("revision", revision.Short(e.Step.Revision)), attribute.Bool("back", e.Step.Back)))
+				attribute.String("instance", x.client.instanceName(e.Step.Instance)), attribute.Int64("number", int64(e.Step.Number)),
+				attribute.String("revision", revision.ShortDigest(e.Step.Revision)), attribute.Bool("back", e.Step.Back)))
 		case plan.Settle, plan.Turn, plan.Finish:
 			x.endStep(e)
 		}
@@ -66,7 +66,7 @@
 		return
 	}
 	if e.What != plan.Settle {
-		x.step.SetStatus(codes.Error, x.t.Explain(e.Why))
+		x.step.SetStatus(codes.Error, x.client.Explain(e.Why))
 	}
 	x.step.End()
 	x.step = nil
@@ -79,7 +79,7 @@
 		x.step.End()
 	}
 	x.rollout.SetAttributes(attribute.String("id", o.Rollout.ID), attribute.String("state", o.Rollout.State.String()),
-		attribute.String("why", x.t.Explain(o.Reason)))
+		attribute.String("why", x.client.Explain(o.Reason)))
 	x.rollout.End()
 	if err := x.provider.Shutdown(context.Background()); err != nil {
 		return fmt.Errorf("trace: %w", err)
