--- a/internal/drill/status.go
+++ b/internal/drill/status.go
@@ -58,13 +58,13 @@
 }
 
 // Handle implements api.Handler.
-func (c *canned) Handle(_ context.Context, _ string, call form.Call) (form.Reply, error) {
-	if call.Verb != form.Look {
-		return form.Reply{Fault: "this agent only looks"}, nil
+func (c *canned) Handle(_ context.Context, _ string, call form.Request) (form.Reply, error) {
+	if call.Verb != form.StatusVerb {
+		return form.Reply{Failure: "this agent only looks"}, nil
 	}
-	r := form.Reply{Agent: c.name, Program: "stand-in", Standing: claim.Standing{Epoch: 3}}
+	r := form.Reply{Agent: c.name, Program: "stand-in", LeaseState: claim.Standing{Epoch: 3}}
 	for _, n := range c.names {
-		r.Instances = append(r.Instances, form.Told{Name: n, Listen: "127.0.0.1:5432", Sight: plan.Sight{
+		r.Instances = append(r.Instances, form.InstanceStatus{Name: n, Listen: "127.0.0.1:5432", Sight: plan.Sight{
 			Life:     plan.Ready,
 			Revision: "0123456789abcdef0123456789abcdef", Recent: plan.Tally{Ended: 1000, Unanswered: 3}, ReadyFor: 100,
 		}})
@@ -107,8 +107,8 @@
 		return Size{}, err
 	}
 	f := &layout.Fleet{
-		Name: "sizes", Floor: n - 1, Halls: []layout.Hall{{Name: "h", Floor: n - 1}},
-		Times: layout.Times{Soak: 1, Fresh: 10, Contact: 30, Step: 60, Claim: 60, Look: 5, Ready: 10},
+		Name: "sizes", MinAvailable: n - 1, Zones: []layout.Zone{{Name: "h", MinAvailable: n - 1}},
+		Times: layout.Times{Soak: 1, FreshFor: 10, ContactTimeout: 30, StepTimeout: 60, LeaseTerm: 60, PollInterval: 5, ReadyTimeout: 10},
 	}
 	var servers []*api.Server
 	defer func() {
@@ -133,10 +133,10 @@
 			return Size{}, err
 		}
 		f.Agents = append(f.Agents, layout.Agent{
-			Name: a.name, Hall: "h", Folder: dir, Program: "none",
+			Name: a.name, Zone: "h", Folder: dir, Program: "none",
 			Listen: netip.MustParseAddrPort(l.Addr().String()),
 		})
-		server := api.NewServer(l, a, folder.Source(keys.Agent, a.name), api.Spoken, zerolog.Nop())
+		server := api.NewServer(l, a, folder.Source(keys.Agent, a.name), api.SupportedVersions, zerolog.Nop())
 		servers = append(servers, server)
 		go func() { _ = server.Serve() }()
 	}
@@ -148,7 +148,7 @@
 		return Size{}, err
 	}
 	defer t.Close()
-	size := Size{Instances: n, Agents: len(f.Agents), PlanUs: planStep(f.Plan())}
+	size := Size{Instances: n, Agents: len(f.Agents), PlanUs: planStep(f.PlannerFleet())}
 	var took []float64
 	for i := range s.Rounds + 1 {
 		from := time.Now()
