--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -9,37 +9,37 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-type state int
+type connState int
 
 const (
-	starting state = iota
-	open
-	skipping // past an error in extended queries, until Sync
-	parting  // no more is sent; what comes is read away until the client closes
-	closed
+	stateStartup connState = iota
+	stateOpen
+	stateSkippingToSync // past an error in extended queries, until Sync
+	stateClosing        // no more is sent; what comes is read away until the client closes
+	stateClosed
 )
 
 // conn is one client.
 type conn struct {
-	f        *Front
-	fd       int
-	state    state
-	in, out  buffer.Chain
-	slots    []*slot
-	last     bool // end after the answers that are owed
-	asked    bool // a whole query came
-	faults   int  // queries that were no command
-	away     int  // bytes that were read away
-	queue    *list.List
-	place    *list.Element // in the queue of those that may make room
-	queuedAt float64
-	paused   bool
-	left     bool    // has messages left for the next turn
-	held     bool    // not read at present
-	since    float64 // the earliest time at which what was read last may have come
-	born     float64
-	phase    phase
-	timer    *loop.Timer
+	server            *Server
+	fd                int
+	state             connState
+	input, output     buffer.Chain
+	replies           []*reply
+	closeAfterReplies bool // end after the answers that are owed
+	hasQueried        bool // a whole query came
+	rejectedQueries   int  // queries that were no command
+	discardedBytes    int  // bytes that were read away
+	shedQueue         *list.List
+	shedElement       *list.Element // in the queue of those that may make room
+	queuedAt          float64
+	awaitsBuffers     bool
+	hasPending        bool    // has messages left for the next turn
+	readSuspended     bool    // not read at present
+	earliestArrival   float64 // the earliest time at which what was read last may have come
+	acceptedAt        float64
+	phase             phase
+	timer             *loop.Timer
 }
 
 // Left implements loop.Leaver. What the client asked for and has not heard, or what was not read of it, nobody waits for.
@@ -47,133 +47,133 @@
 
 // Ready implements loop.Handler.
 func (c *conn) Ready(readable, writable bool) {
-	if writable && c.out.Len() > 0 {
+	if writable && c.output.Len() > 0 {
 		c.flush()
-		if c.state != closed && !readable {
-			c.step()
+		if c.state != stateClosed && !readable {
+			c.process()
 		}
 	}
-	if readable && c.state != closed {
+	if readable && c.state != stateClosed {
 		c.read()
 	}
 }
 
 func (c *conn) read() {
-	most := c.f.limits.Sizes.ReadPerTurn
-	if c.f.blocks.Scarce() && c.state != parting {
-		if most = c.f.limits.Sizes.BufferBlock; c.in.Len() >= most { // short commands are taken all the same
-			c.pause()
+	most := c.server.limits.Sizes.ReadPerTurn
+	if c.server.buffers.Scarce() && c.state != stateClosing {
+		if most = c.server.limits.Sizes.BufferBlock; c.input.Len() >= most { // short commands are taken all the same
+			c.awaitBuffers()
 			return
 		}
 	}
-	if !c.held { // what comes after it was left unread has waited since then
-		c.since = c.f.loop.Since()
+	if !c.readSuspended { // what comes after it was left unread has waited since then
+		c.earliestArrival = c.server.loop.Since()
 	}
-	c.held = false
-	got, err := c.f.loop.Read(c.fd, &c.in, most)
-	if c.state == parting {
-		c.in.Free()
-		if c.away += got; c.away > c.f.limits.Sizes.DiscardedInput {
+	c.readSuspended = false
+	got, err := c.server.loop.Read(c.fd, &c.input, most)
+	if c.state == stateClosing {
+		c.input.Free()
+		if c.discardedBytes += got; c.discardedBytes > c.server.limits.Sizes.DiscardedInput {
 			c.close()
 			return
 		}
 	}
-	c.step()
-	if err != nil && c.state != closed {
+	c.process()
+	if err != nil && c.state != stateClosed {
 		c.close()
 	}
 }
 
-// pause leaves the client unread until buffers are free.
-func (c *conn) pause() {
-	if !c.paused {
-		c.paused = true
-		c.f.waiting = append(c.f.waiting, c)
-		c.watch()
+// awaitBuffers leaves the client unread until buffers are free.
+func (c *conn) awaitBuffers() {
+	if !c.awaitsBuffers {
+		c.awaitsBuffers = true
+		c.server.awaitingBuffers = append(c.server.awaitingBuffers, c)
+		c.updateWatch()
 	}
 }
 
-// step does what can be done now: takes messages, so many in a turn that others' turns come, and sets what is
+// process does what can be done now: takes messages, so many in a turn that others' turns come, and sets what is
 // waited for.
-func (c *conn) step() {
-	for n := 0; c.state != parting && c.state != closed && !c.last && !c.left && !c.full(); n++ {
-		if n == c.f.limits.Counts.MessagesPerTurn {
-			c.left = true
-			c.f.more = append(c.f.more, c)
+func (c *conn) process() {
+	for n := 0; c.state != stateClosing && c.state != stateClosed && !c.closeAfterReplies && !c.hasPending && !c.atCapacity(); n++ {
+		if n == c.server.limits.Counts.MessagesPerTurn {
+			c.hasPending = true
+			c.server.pending = append(c.server.pending, c)
 			break
 		}
-		if more := c.message(); !more {
+		if more := c.processMessage(); !more {
 			break
 		}
-		c.phase = unset // the next message has its own time
+		c.phase = phaseUnset // the next message has its own time
 	}
-	if c.state == closed {
+	if c.state == stateClosed {
 		return
 	}
-	if len(c.slots) == 0 && c.out.Len() == 0 && c.state != parting {
+	if len(c.replies) == 0 && c.output.Len() == 0 && c.state != stateClosing {
 		switch {
-		case c.last:
-			c.part()
-		case c.f.over && !c.left && (!c.asked || c.in.Len() > 0): // it was about to ask: elsewhere it may
-			c.farewell(pg.CodeEnding, "the router is ending")
-			c.step()
+		case c.closeAfterReplies:
+			c.beginClosing()
+		case c.server.deadlinePassed && !c.hasPending && (!c.hasQueried || c.input.Len() > 0): // it was about to ask: elsewhere it may
+			c.finalError(pg.CodeEnding, "the router is ending")
+			c.process()
 			return
-		case c.f.over && !c.left,
+		case c.server.deadlinePassed && !c.hasPending,
 			// What waits to be read was asked in time: it is read next.
-			c.f.ending && c.asked && c.in.Len() == 0 && c.f.loop.Quiet(c.fd):
-			c.part()
+			c.server.listenerClosed && c.hasQueried && c.input.Len() == 0 && c.server.loop.Quiet(c.fd):
+			c.beginClosing()
 		}
 	}
-	c.watch()
+	c.updateWatch()
 }
 
-// full says that the connection owes so much that no more is taken from it.
-func (c *conn) full() bool {
-	return len(c.slots) >= c.f.limits.Counts.PipelinedCommands || c.out.Len() > c.f.limits.Sizes.UnsentAnswers
+// atCapacity says that the connection owes so much that no more is taken from it.
+func (c *conn) atCapacity() bool {
+	return len(c.replies) >= c.server.limits.Counts.PipelinedCommands || c.output.Len() > c.server.limits.Sizes.UnsentAnswers
 }
 
-// watch sets the descriptor, the timer and the place among those that may make room by what the connection
+// updateWatch sets the descriptor, the timer and the place among those that may make room by what the connection
 // does.
-func (c *conn) watch() {
-	reads := !c.paused && !c.left && !c.last && !c.full() && !c.f.over || c.state == parting
-	if !reads && !c.held {
-		c.held, c.since = true, c.f.loop.Now()
+func (c *conn) updateWatch() {
+	reads := !c.awaitsBuffers && !c.hasPending && !c.closeAfterReplies && !c.atCapacity() && !c.server.deadlinePassed || c.state == stateClosing
+	if !reads && !c.readSuspended {
+		c.readSuspended, c.earliestArrival = true, c.server.loop.Now()
 	}
-	c.f.loop.Want(c.fd, reads, c.out.Len() > 0)
-	c.enter(c.doing())
+	c.server.loop.Want(c.fd, reads, c.output.Len() > 0)
+	c.enterPhase(c.currentPhase())
 }
 
-// part ends the connection between commands: closing on unread bytes would reset an answer just written,
+// beginClosing ends the connection between commands: closing on unread bytes would reset an answer just written,
 // so the client is left to close, and what it still sends is read away for a while.
-func (c *conn) part() {
-	c.state = parting
-	c.in.Free()
-	c.f.loop.EndSending(c.fd)
+func (c *conn) beginClosing() {
+	c.state = stateClosing
+	c.input.Free()
+	c.server.loop.EndSending(c.fd)
 }
 
 // close ends the connection; the commands in hand have lost their client.
 func (c *conn) close() {
-	if c.state == closed {
+	if c.state == stateClosed {
 		return
 	}
-	c.state = closed
-	c.unqueue()
-	if delete(c.f.conns, c); c.f.ending && len(c.f.conns) == 0 {
-		c.f.loop.Unset(c.f.end)
+	c.state = stateClosed
+	c.leaveShedQueue()
+	if delete(c.server.conns, c); c.server.listenerClosed && len(c.server.conns) == 0 {
+		c.server.loop.Unset(c.server.drainTimer)
 	}
-	c.f.loop.Unset(c.timer)
-	c.f.loop.Close(c.fd)
-	c.in.Free()
-	c.out.Free()
+	c.server.loop.Unset(c.timer)
+	c.server.loop.Close(c.fd)
+	c.input.Free()
+	c.output.Free()
 	var left []*core.Command
-	for _, s := range c.slots {
-		if s.cmd != nil && !s.own {
-			left = append(left, s.cmd)
+	for _, s := range c.replies {
+		if s.command != nil && !s.complete {
+			left = append(left, s.command)
 		}
-		s.out.Free()
+		s.data.Free()
 	}
 	if len(left) > 0 {
-		c.f.core.Left(left)
+		c.server.dispatcher.Left(left)
 	}
-	c.slots = nil
+	c.replies = nil
 }
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -4,35 +4,35 @@
 	"math"
 )
 
-// End stops listening once what waits to be accepted is taken in, and ends connections between commands. Who came
+// Shutdown stops listening once what waits to be accepted is taken in, and ends connections between commands. Who came
 // late, or is in the middle of a message, has until the last call to say what it came for.
-func (f *Front) End() {
-	if f.lastCall > 0 {
+func (f *Server) Shutdown() {
+	if f.drainDeadline > 0 {
 		return
 	}
-	f.lastCall = f.loop.Now() + f.limits.Durations.DrainDeadline
-	f.endOn()
+	f.drainDeadline = f.loop.Now() + f.limits.Durations.DrainDeadline
+	f.continueDrain()
 }
 
-// endOn goes on with the end. Where all descriptors are taken those that are spared make room in a moment: a
+// continueDrain goes on with the end. Where all descriptors are taken those that are spared make room in a moment: a
 // listener that is closed resets whom it has not accepted.
-func (f *Front) endOn() {
+func (f *Server) continueDrain() {
 	now := f.loop.Now()
-	if !f.ending {
+	if !f.listenerClosed {
 		f.accept(f.limits.Counts.ListenBacklog)
-		if f.loop.Waiting(f.listener) && now < f.lastCall {
-			f.loop.Set(f.end, math.Min(now+f.limits.Durations.ShedGrace, f.lastCall))
+		if f.loop.Waiting(f.listener) && now < f.drainDeadline {
+			f.loop.Set(f.drainTimer, math.Min(now+f.limits.Durations.ShedGrace, f.drainDeadline))
 			return
 		}
-		f.ending = true
-		f.loop.Unset(f.resume)
+		f.listenerClosed = true
+		f.loop.Unset(f.resumeTimer)
 		f.loop.Close(f.listener)
 		f.listener = -1
 	}
-	if f.over = now >= f.lastCall; !f.over && len(f.conns) > 0 {
-		f.loop.Set(f.end, f.lastCall)
+	if f.deadlinePassed = now >= f.drainDeadline; !f.deadlinePassed && len(f.conns) > 0 {
+		f.loop.Set(f.drainTimer, f.drainDeadline)
 	}
 	for c := range f.conns {
-		c.step()
+		c.process()
 	}
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -24,37 +24,37 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-// desk is a front whose one member takes connections and says nothing.
-type desk struct {
-	t     *testing.T
-	f     *Front
-	l     *loop.Loop
-	core  *core.Core
-	count count.Counters
-
-	node   net.Listener // the member's
-	member roster.Member
-	blocks *buffer.Pool
+// harness is a front whose one member takes connections and says nothing.
+type harness struct {
+	t          *testing.T
+	server     *Server
+	loop       *loop.Loop
+	dispatcher *core.Core
+	counters   count.Counters
+
+	backendListener net.Listener // the member's
+	endpoint        roster.Member
+	buffers         *buffer.Pool
 }
 
-func newDesk(t *testing.T, change func(*site.Limits)) *desk {
+func newHarness(t *testing.T, change func(*site.Limits)) *harness {
 	mute := func() net.Listener {
 		n, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = n.Close() })
 		return n
 	}
-	d := &desk{t: t, count: count.Counters{TakenByGroup: make([]uint64, 2)}, node: mute()}
-	raw, err := d.node.(*net.TCPListener).SyscallConn()
+	d := &harness{t: t, counters: count.Counters{TakenByGroup: make([]uint64, 2)}, backendListener: mute()}
+	raw, err := d.backendListener.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
 	require.NoError(t, raw.Control(func(fd uintptr) { // connections that it accepts have it too
 		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 	}))
 	require.NoError(t, err)
-	d.l, err = loop.New(16)
+	d.loop, err = loop.New(16)
 	require.NoError(t, err)
-	d.member = roster.Member{ID: "a", At: netip.MustParseAddrPort(d.node.Addr().String()), Cell: 2, State: roster.Ready, Primary: true}
-	s := &site.Config{KnownList: roster.List{Whole: true, Members: []roster.Member{d.member}}}
+	d.endpoint = roster.Member{ID: "a", At: netip.MustParseAddrPort(d.backendListener.Addr().String()), Cell: 2, State: roster.Ready, Primary: true}
+	s := &site.Config{KnownList: roster.List{Whole: true, Members: []roster.Member{d.endpoint}}}
 	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 500, ClientTimeout: 500, PriorityWeight: 1}
 	keyed := router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, LatencyObjective: 500, ClientTimeout: 500, PriorityWeight: 1}
 	s.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{group, keyed}, RouterCount: 1, MaxAttempts: 4, BatchInterval: 0.005, PollList: true, SlowStart: 1, OverloadWindow: 1}
@@ -78,23 +78,23 @@
 	}
 	s.Limits.Counts.BufferBlocks = 1 << 20
 	change(&s.Limits)
-	d.blocks = buffer.NewPool(4096, s.Limits.Counts.BufferBlocks)
-	d.core = core.New(s, d.l, d.blocks, &d.count, zerolog.Nop())
-	d.core.Settle(0)
-	d.f, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), d.l, &s.Limits, d.blocks, d.core, &s.Settings, &d.count, zerolog.Nop())
+	d.buffers = buffer.NewPool(4096, s.Limits.Counts.BufferBlocks)
+	d.dispatcher = core.New(s, d.loop, d.buffers, &d.counters, zerolog.Nop())
+	d.dispatcher.Settle(0)
+	d.server, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), d.loop, &s.Limits, d.buffers, d.dispatcher, &s.Settings, &d.counters, zerolog.Nop())
 	require.NoError(t, err)
 	return d
 }
 
-// run turns the loop until something holds.
-func (d *desk) run(until func() bool) {
+// runUntil turns the loop until something holds.
+func (d *harness) runUntil(until func() bool) {
 	d.t.Helper()
 	late := time.Now().Add(20 * time.Second)
-	require.NoError(d.t, d.l.Run(func(now float64) float64 {
-		d.f.Refresh()
-		d.core.Settle(now)
+	require.NoError(d.t, d.loop.Run(func(now float64) float64 {
+		d.server.ProcessPending()
+		d.dispatcher.Settle(now)
 		if until() || time.Now().After(late) {
-			d.l.Stop()
+			d.loop.Stop()
 		}
 		return now + 0.002
 	}))
@@ -102,9 +102,9 @@
 }
 
 // client connects and sends, and then its answers are read until the end.
-func (d *desk) client(say ...[]byte) (net.Conn, chan string) {
+func (d *harness) client(say ...[]byte) (net.Conn, chan string) {
 	d.t.Helper()
-	c, err := net.Dial("tcp", d.f.At.String())
+	c, err := net.Dial("tcp", d.server.Address.String())
 	require.NoError(d.t, err)
 	d.t.Cleanup(func() { _ = c.Close() })
 	for _, b := range say {
@@ -119,10 +119,10 @@
 	return c, heard
 }
 
-func (d *desk) hear(from chan string) string {
+func (d *harness) readAll(from chan string) string {
 	d.t.Helper()
 	said, ok := "", false
-	d.run(func() bool {
+	d.runUntil(func() bool {
 		select {
 		case said = <-from:
 			ok = true
@@ -141,12 +141,12 @@
 	for what, half := range map[string][]byte{
 		"start-up": pg.Hello(nil)[:20], "query": append(pg.Hello(nil), query("1", "c=look,d=300")[:30]...),
 	} {
-		d := newDesk(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
+		d := newHarness(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
 		_, heard := d.client(half)
-		assert.Contains(t, d.hear(heard), pg.CodeProtocol, what)
-		assert.EqualValues(t, 1, d.count.CutShort, what)
+		assert.Contains(t, d.readAll(heard), pg.CodeProtocol, what)
+		assert.EqualValues(t, 1, d.counters.CutShort, what)
 	}
-	d := newDesk(t, func(l *site.Limits) { l.Durations.MessageTimeout = 0.05 })
+	d := newHarness(t, func(l *site.Limits) { l.Durations.MessageTimeout = 0.05 })
 	c, heard := d.client(pg.Hello(nil), pg.Query(nil, ""))
 	go func() { // drips, which renews nothing
 		for _, b := range query("1", "c=look,d=300") {
@@ -156,77 +156,77 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	assert.Contains(t, d.hear(heard), pg.CodeProtocol)
-	assert.Zero(t, d.count.Taken)
+	assert.Contains(t, d.readAll(heard), pg.CodeProtocol)
+	assert.Zero(t, d.counters.Taken)
 }
 
 func TestClientThatNeverAsksIsClosed(t *testing.T) {
-	d := newDesk(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
+	d := newHarness(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
 	_, nothing := d.client()
 	_, hello := d.client(pg.Hello(nil))
-	assert.Empty(t, d.hear(nothing))
-	assert.NotEmpty(t, d.hear(hello), "the welcome")
-	assert.EqualValues(t, 2, d.count.NeverAsked)
-	assert.Zero(t, d.f.Open())
-	assert.Zero(t, d.f.mute.Len()+d.f.idle.Len()+d.f.parting.Len())
+	assert.Empty(t, d.readAll(nothing))
+	assert.NotEmpty(t, d.readAll(hello), "the welcome")
+	assert.EqualValues(t, 2, d.counters.NeverAsked)
+	assert.Zero(t, d.server.OpenConnections())
+	assert.Zero(t, d.server.silent.Len()+d.server.idle.Len()+d.server.closing.Len())
 }
 
 func TestThoseThatNeverAskedMakeRoomFirst(t *testing.T) {
-	d := newDesk(t, func(l *site.Limits) { l.Counts.ClientConnections = 2 })
+	d := newHarness(t, func(l *site.Limits) { l.Counts.ClientConnections = 2 })
 	_, asked := d.client(pg.Hello(nil), pg.Query(nil, ""))
-	d.run(func() bool { return d.f.idle.Len() == 1 })
+	d.runUntil(func() bool { return d.server.idle.Len() == 1 })
 	_, silent := d.client()
-	d.run(func() bool { return d.f.mute.Len() == 1 })
+	d.runUntil(func() bool { return d.server.silent.Len() == 1 })
 	d.client()
-	d.hear(silent)
-	assert.EqualValues(t, 1, d.count.Shed)
+	d.readAll(silent)
+	assert.EqualValues(t, 1, d.counters.Shed)
 	assert.Empty(t, asked, "it asked, and stays")
 }
 
 func TestClientsThatAskOnceAndStayMakeRoom(t *testing.T) {
-	d := newDesk(t, func(l *site.Limits) { l.Counts.IdleClients = 2 })
+	d := newHarness(t, func(l *site.Limits) { l.Counts.IdleClients = 2 })
 	_, first := d.client(pg.Hello(nil), pg.Query(nil, ""))
-	d.run(func() bool { return d.f.idle.Len() == 1 })
+	d.runUntil(func() bool { return d.server.idle.Len() == 1 })
 	for range 2 {
 		d.client(pg.Hello(nil), pg.Query(nil, ""))
 	}
-	d.hear(first)
-	d.run(func() bool { return d.f.idle.Len() == 2 })
-	assert.EqualValues(t, 1, d.count.Shed)
+	d.readAll(first)
+	d.runUntil(func() bool { return d.server.idle.Len() == 2 })
+	assert.EqualValues(t, 1, d.counters.Shed)
 }
 
 func TestWhatMembersMustNotSeeIsAnErrorOfTheFront(t *testing.T) {
-	d := newDesk(t, func(*site.Limits) {})
+	d := newHarness(t, func(*site.Limits) {})
 	d.client(pg.Hello(nil), query("a1", "c=look,d=300000"))
-	d.run(func() bool { return d.count.Taken == 1 })
+	d.runUntil(func() bool { return d.counters.Taken == 1 })
 	for what, b := range map[string][]byte{
 		"id in hand": query("a1", "c=look,d=300"), "no key": query("b", "c=order,d=300"), "absurd wait": query("b", "c=look,d=2000000"),
 		"no id": pg.Query(nil, "SELECT 1 /* c=look,d=300,cluster=2 */"), "group": query("b", "c=gaze,d=300"),
 		"set": pg.Query(nil, "SELECT 1 /* id=b,c=look,d=300,cluster=77 */"),
 	} {
 		_, heard := d.client(pg.Hello(nil), b, []byte("X\x00\x00\x00\x04"))
-		said := d.hear(heard)
+		said := d.readAll(heard)
 		assert.True(t, strings.Contains(said, pg.CodeValue) || strings.Contains(said, pg.CodeSyntax), "%s: %q", what, said)
 	}
-	assert.EqualValues(t, 1, d.count.Taken)
-	assert.EqualValues(t, 6, d.count.BadInput)
+	assert.EqualValues(t, 1, d.counters.Taken)
+	assert.EqualValues(t, 6, d.counters.BadInput)
 }
 
 func TestClientThatRepeatsWhatIsNoCommandIsEnded(t *testing.T) {
-	d := newDesk(t, func(l *site.Limits) { l.Counts.InvalidQueries = 3 })
+	d := newHarness(t, func(l *site.Limits) { l.Counts.InvalidQueries = 3 })
 	bad := query("b", "c=gaze,d=300")
 	c, heard := d.client(pg.Hello(nil), bad, bad, bad, bad)
-	d.run(func() bool { return d.f.parting.Len() == 1 })
+	d.runUntil(func() bool { return d.server.closing.Len() == 1 })
 	go func() { _, _ = c.Write(make([]byte, 64<<20)) }() // far more than is read away
-	assert.Equal(t, 3, strings.Count(d.hear(heard), pg.CodeValue))
-	d.run(func() bool { return d.f.Open() == 0 })
+	assert.Equal(t, 3, strings.Count(d.readAll(heard), pg.CodeValue))
+	d.runUntil(func() bool { return d.server.OpenConnections() == 0 })
 }
 
 func TestOneClientHasItsShareOfATurn(t *testing.T) {
-	d := newDesk(t, func(l *site.Limits) { l.Counts.MessagesPerTurn = 4 })
+	d := newHarness(t, func(l *site.Limits) { l.Counts.MessagesPerTurn = 4 })
 	d.client(append(pg.Hello(nil), strings.Repeat(string(pg.Query(nil, "")), 50)...))
-	d.run(func() bool { return len(d.f.more) > 0 })
+	d.runUntil(func() bool { return len(d.server.pending) > 0 })
 	turns := 0
-	d.run(func() bool { turns++; return len(d.f.more) == 0 })
+	d.runUntil(func() bool { turns++; return len(d.server.pending) == 0 })
 	assert.Greater(t, turns, 8)
 }
--- a/internal/front/phase.go
+++ b/internal/front/phase.go
@@ -11,94 +11,94 @@
 type phase int
 
 const (
-	unset   phase = iota
-	busy          // only the commands' own time counts
-	asking        // it has not asked for anything yet
-	amid          // it is in the middle of a message
-	taking        // it has an answer to take
-	between       // it has nothing in hand
-	leaving
+	phaseUnset              phase = iota
+	phaseCommandsInFlight         // only the commands' own time counts
+	phaseAwaitingFirstQuery       // it has not asked for anything yet
+	phaseReadingMessage           // it is in the middle of a message
+	phaseWritingAnswer            // it has an answer to take
+	phaseIdle                     // it has nothing in hand
+	phaseClosing
 )
 
-// doing is the phase that the connection is in.
-func (c *conn) doing() phase {
+// currentPhase is the phase that the connection is in.
+func (c *conn) currentPhase() phase {
 	switch {
-	case c.state == parting:
-		return leaving
-	case c.out.Len() > 0:
-		return taking
-	case len(c.slots) > 0 || c.left || c.last:
-		return busy
-	case !c.asked:
-		return asking
-	case c.in.Len() > 0:
-		return amid
+	case c.state == stateClosing:
+		return phaseClosing
+	case c.output.Len() > 0:
+		return phaseWritingAnswer
+	case len(c.replies) > 0 || c.hasPending || c.closeAfterReplies:
+		return phaseCommandsInFlight
+	case !c.hasQueried:
+		return phaseAwaitingFirstQuery
+	case c.input.Len() > 0:
+		return phaseReadingMessage
 	}
-	return between
+	return phaseIdle
 }
 
-// enter begins a phase: each has its time and its place among those that may make room. What comes meanwhile
+// enterPhase begins a phase: each has its time and its place among those that may make room. What comes meanwhile
 // renews no time, or a client that drips its bytes would stay for good; only answers may be taken slowly.
-func (c *conn) enter(p phase) {
+func (c *conn) enterPhase(p phase) {
 	if p == c.phase {
 		return
 	}
 	c.phase = p
-	l, now := c.f.limits, c.f.loop.Now()
+	l, now := c.server.limits, c.server.loop.Now()
 	var queue *list.List
 	until := math.Inf(1)
 	switch p {
-	case asking:
-		queue, until = &c.f.mute, c.born+l.Durations.FirstQueryTimeout
-	case amid:
+	case phaseAwaitingFirstQuery:
+		queue, until = &c.server.silent, c.acceptedAt+l.Durations.FirstQueryTimeout
+	case phaseReadingMessage:
 		until = now + l.Durations.MessageTimeout
-	case taking:
+	case phaseWritingAnswer:
 		until = now + l.Durations.WriteStallTimeout
-	case between:
-		queue, until = &c.f.idle, now+l.Durations.IdleTimeout
-	case leaving:
-		queue, until = &c.f.parting, now+l.Durations.CloseLinger
+	case phaseIdle:
+		queue, until = &c.server.idle, now+l.Durations.IdleTimeout
+	case phaseClosing:
+		queue, until = &c.server.closing, now+l.Durations.CloseLinger
 	}
-	if queue != c.queue || queue == &c.f.idle {
-		c.unqueue()
+	if queue != c.shedQueue || queue == &c.server.idle {
+		c.leaveShedQueue()
 		if queue != nil {
-			c.queue, c.place, c.queuedAt = queue, queue.PushBack(c), now
+			c.shedQueue, c.shedElement, c.queuedAt = queue, queue.PushBack(c), now
 		}
 	}
-	c.f.loop.Unset(c.timer)
+	c.server.loop.Unset(c.timer)
 	if !math.IsInf(until, 1) {
-		c.f.loop.Set(c.timer, until)
+		c.server.loop.Set(c.timer, until)
 	}
 	// Clients that ask once and stay use up what their side may hold open long before descriptors run out here.
-	if p == between && c.f.idle.Len() > l.Counts.IdleClients {
-		c.f.shedFrom(&c.f.idle)
+	if p == phaseIdle && c.server.idle.Len() > l.Counts.IdleClients {
+		c.server.shedFirstOf(&c.server.idle)
 	}
 }
 
-func (c *conn) unqueue() {
-	if c.queue != nil {
-		c.queue.Remove(c.place)
-		c.queue, c.place = nil, nil
+func (c *conn) leaveShedQueue() {
+	if c.shedQueue != nil {
+		c.shedQueue.Remove(c.shedElement)
+		c.shedQueue, c.shedElement = nil, nil
 	}
 }
 
-// due ends a client whose time is over: with an error if it began a message and has not finished it.
-func (c *conn) due() {
+// timerExpired ends a client whose time is over: with an error if it began a message and has not finished it.
+func (c *conn) timerExpired() {
 	switch {
-	case (c.phase == asking || c.phase == amid || c.phase == between) && !c.paused && !c.f.loop.Quiet(c.fd):
-		c.f.loop.Set(c.timer, c.f.loop.Now()+c.f.limits.Durations.MinBackoff) // it is asking just now
-	case (c.phase == asking || c.phase == amid) && c.in.Len() > 0:
-		c.f.count.CutShort++
-		c.fatal(pg.CodeProtocol, "a message was not whole in time")
-		c.step()
+	case (c.phase == phaseAwaitingFirstQuery || c.phase == phaseReadingMessage || c.phase == phaseIdle) && !c.awaitsBuffers && !c.server.loop.Quiet(c.fd):
+		c.server.loop.Set(c.timer, c.server.loop.Now()+c.server.limits.Durations.MinBackoff) // it is asking just now
+	case (c.phase == phaseAwaitingFirstQuery || c.phase == phaseReadingMessage) && c.input.Len() > 0:
+		c.server.counters.CutShort++
+		c.protocolError(pg.CodeProtocol, "a message was not whole in time")
+		c.process()
 	default:
 		switch c.phase {
-		case asking:
-			c.f.count.NeverAsked++
-		case between:
-			c.f.count.LongIdle++
-		case taking:
-			c.f.count.Stalled++
+		case phaseAwaitingFirstQuery:
+			c.server.counters.NeverAsked++
+		case phaseIdle:
+			c.server.counters.LongIdle++
+		case phaseWritingAnswer:
+			c.server.counters.Stalled++
 		}
 		c.close()
 	}
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -43,7 +43,7 @@
 	bounds  Bounds
 	fault   string
 	wire    *listening
-	front   *front.Front
+	front   *front.Server
 	blocks  *buffer.Pool
 	check   verdict.Clients
 	clients []*asker
@@ -361,14 +361,14 @@
 	case "drain":
 		s.faults++
 		s.drained = true
-		s.front.End()
+		s.front.Shutdown()
 	case "tick":
 		s.ticks++
 		s.wire.fire(s.order())
 	default:
 		s.core(what, n)
 	}
-	s.front.Refresh()
+	s.front.ProcessPending()
 	s.judge()
 }
 
@@ -416,7 +416,7 @@
 		}
 		s.check.Read(i, answers(c.got), may)
 	}
-	if s.drained && s.front.Open() == 0 {
+	if s.drained && s.front.OpenConnections() == 0 {
 		open := 0
 		for _, t := range s.taken {
 			if t.open {
@@ -439,14 +439,14 @@
 func (s *clients) Broken() (string, string) { return s.check.Broken() }
 
 // Ended implements explore.System: the front has drained.
-func (s *clients) Ended() bool { return s.drained && s.front.Open() == 0 }
+func (s *clients) Ended() bool { return s.drained && s.front.OpenConnections() == 0 }
 
 // clientRules leave out the lists of those that may make room, for there is room for all, and what is the same in all
 // states or stands for the same thing elsewhere.
 var clientRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
 	"buffer.Chain":    {"pool"},
 	"core.Command":    {"Front", "Owner"},
-	"front.conn":      {"f", "fd", "place", "queue", "timer"},
+	"front.conn":      {"fd", "server", "shedElement", "shedQueue", "timer"},
 	"systems.clients": {"blocks", "bounds", "fault", "front", "wire"},
 	"systems.sock":    {"handler"},
 }}
--- a/internal/systems/settle.go
+++ b/internal/systems/settle.go
@@ -68,7 +68,7 @@
 		s.Take("drain")
 	}
 	if !calm(s, s.Ended) {
-		return verdict.ComesToEnd, fmt.Sprintf("the front has %d connections and does not end", s.front.Open())
+		return verdict.ComesToEnd, fmt.Sprintf("the front has %d connections and does not end", s.front.OpenConnections())
 	}
 	return s.Broken()
 }
--- a/service/counters.go
+++ b/service/counters.go
@@ -32,7 +32,7 @@
 func (r *Router) snapshot() Counters {
 	counters := r.counters
 	counters.TakenByGroup = append([]uint64(nil), counters.TakenByGroup...)
-	counters.ClientsOpen = uint64(r.front.Open())
+	counters.ClientsOpen = uint64(r.front.OpenConnections())
 	counters.InHand = uint64(r.core.InHand())
 	counters.MembersOpen = uint64(r.core.Members())
 	counters.BlocksInUse = uint64(r.buffers.Out())
--- a/service/reload.go
+++ b/service/reload.go
@@ -38,7 +38,7 @@
 	r.core.Settle(r.loop.Now()) // commands already received name their group by the earlier settings
 	r.config.AdoptSettings(next)
 	r.renameGroups(next.Settings.GroupNames)
-	r.front.Regroup()
+	r.front.ReloadGroups()
 	r.core.Move()
 	r.counters.Moves++
 	r.log.Info().Int("in_flight", r.core.InHand()).Strs("groups", next.Settings.GroupNames).
--- a/service/service.go
+++ b/service/service.go
@@ -33,7 +33,7 @@
 	loop     *loop.Loop
 	buffers  *buffer.Pool
 	core     *core.Core
-	front    *front.Front
+	front    *front.Server
 	counters Counters
 	log      zerolog.Logger
 	draining bool
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	log.Info().Str("name", config.Name).Stringer("listen", r.front.At).Msg("serving")
+	log.Info().Str("name", config.Name).Stringer("listen", r.front.Address).Msg("serving")
 	return r, nil
 }
 
@@ -77,7 +77,7 @@
 // afterEvents does what one turn of the event loop has left to do, and returns when the next turn is due at the
 // latest.
 func (r *Router) afterEvents(now float64) float64 {
-	unfinished := r.front.Refresh()
+	unfinished := r.front.ProcessPending()
 	next := r.core.Settle(now)
 	if unfinished {
 		next = now
@@ -90,7 +90,7 @@
 
 // idle reports whether nothing is left to wait for: no listener, no client and no command in flight.
 func (r *Router) idle() bool {
-	return r.front.Closed() && r.front.Open() == 0 && r.core.InHand() == 0
+	return r.front.ListenerClosed() && r.front.OpenConnections() == 0 && r.core.InHand() == 0
 }
 
 // Drain begins a graceful shutdown: the router goes on accepting clients for a while, answers the commands in flight,
@@ -103,6 +103,6 @@
 		r.draining = true
 		r.log.Info().Int("in_flight", r.core.InHand()).Msg("draining")
 		stopAccepting := r.loop.Now() + r.config.Limits.Durations.AcceptLinger
-		r.loop.Set(loop.NewTimer(r.front.End), stopAccepting)
+		r.loop.Set(loop.NewTimer(r.front.Shutdown), stopAccepting)
 	})
 }
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -50,7 +50,7 @@
 	first, err := New(testConfig(), zerolog.Nop())
 	require.NoError(t, err)
 	config := testConfig()
-	config.Listen = first.front.At
+	config.Listen = first.front.Address
 	_, err = New(config, zerolog.Nop())
-	assert.ErrorContains(t, err, "listening on "+first.front.At.String())
+	assert.ErrorContains(t, err, "listening on "+first.front.Address.String())
 }
