--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -52,8 +52,8 @@
 	c.PersistentFlags().StringVar(&f.folder, "keys", "keys", "folder of the keys")
 	c.PersistentFlags().StringVar(&f.operator, "as", os.Getenv("USER"), "operator whose certificate is shown")
 	c.AddCommand(a.check(), a.status(&f), a.diff(&f), a.push(&f), a.roll(&f), a.resume(&f), a.rollback(&f),
-		a.halt(&f, "pause", "Pauses the rollout before its next step", plan.Pause, roll.Halt),
-		a.halt(&f, "abort", "Gives the rollout up: instances stay as they are", plan.Abort, roll.Abandon),
+		a.halt(&f, "pause", "Pauses the rollout before its next step", plan.RequestPause, roll.OperationPause),
+		a.halt(&f, "abort", "Gives the rollout up: instances stay as they are", plan.RequestAbort, roll.OperationAbort),
 		a.history(&f), a.claimed(&f))
 	return group(c)
 }
@@ -84,7 +84,7 @@
 			}); err != nil {
 				return err
 			}
-			if why := plan.Possible(f.PlannerFleet(), nil); why.Kind != plan.NoReason {
+			if why := plan.CheckFeasible(f.PlannerFleet(), nil); why.Kind != plan.ReasonNone {
 				return refuse("no rollout is possible with these floors: %s", t.Explain(why))
 			}
 			return nil
@@ -352,7 +352,7 @@
 				return err
 			}
 			defer t.Close()
-			return a.drive(cmd.Context(), t, roll.Task{Verb: roll.Resume, By: t.Operator}, &d)
+			return a.drive(cmd.Context(), t, roll.Task{Operation: roll.OperationResume, Operator: t.Operator}, &d)
 		},
 	}
 	d.flags(c)
@@ -380,10 +380,10 @@
 				}
 				return a.drive(ctx, t, t.NewRollout(r, false), &d)
 			}
-			if r, driven, found := t.NewestRollout(ctx); found && driven && !r.State.Over() && !d.takeOver {
-				return a.wish(ctx, t, r, plan.Rollback)
+			if r, driven, found := t.NewestRollout(ctx); found && driven && !r.State.Terminal() && !d.takeOver {
+				return a.wish(ctx, t, r, plan.RequestRollback)
 			}
-			return a.drive(ctx, t, roll.Task{Verb: roll.Rollback, By: t.Operator}, &d)
+			return a.drive(ctx, t, roll.Task{Operation: roll.OperationRollback, Operator: t.Operator}, &d)
 		},
 	}
 	d.flags(c)
@@ -391,7 +391,7 @@
 	return c
 }
 
-func (a *app) halt(f *fleetFlags, use, short string, w plan.Wish, verb roll.Verb) *cobra.Command {
+func (a *app) halt(f *fleetFlags, use, short string, w plan.OperatorRequest, verb roll.Operation) *cobra.Command {
 	var d driving
 	c := &cobra.Command{
 		Use: use, Short: short,
@@ -407,7 +407,7 @@
 			if found && driven && r.State == plan.Running && !d.takeOver {
 				return a.wish(cmd.Context(), t, r, w)
 			}
-			return a.drive(cmd.Context(), t, roll.Task{Verb: verb, By: t.Operator}, &d)
+			return a.drive(cmd.Context(), t, roll.Task{Operation: verb, Operator: t.Operator}, &d)
 		},
 	}
 	c.Flags().BoolVar(&d.takeOver, "take-over", false, "do not ask the tool that drives: take the claim from it")
@@ -416,7 +416,7 @@
 }
 
 // wish asks the tool that drives, and waits until it has followed or is gone.
-func (a *app) wish(ctx context.Context, t *tool.Client, r form.Rollout, w plan.Wish) error {
+func (a *app) wish(ctx context.Context, t *tool.Client, r form.Rollout, w plan.OperatorRequest) error {
 	if n := t.RequestAction(ctx, r, w); n == 0 {
 		return status(Failed, errors.New("no agent took the wish"))
 	}
@@ -425,11 +425,11 @@
 		switch {
 		case !found || now.ID != r.ID || now.Run != r.Run:
 			return status(Failed, errors.New("another rollout, or another run of it, has come meanwhile"))
-		case now.State == plan.Paused && w == plan.Pause, now.State == plan.Aborted && w == plan.Abort, now.Back && w == plan.Rollback:
+		case now.State == plan.Paused && w == plan.RequestPause, now.State == plan.Aborted && w == plan.RequestAbort, now.RollingBack && w == plan.RequestRollback:
 			return a.show(map[string]string{"rollout": now.ID, "state": now.State.String()}, func(out io.Writer) {
 				fmt.Fprintf(out, "rollout %s: %s\n", now.ID, now.State)
 			})
-		case now.State.Over():
+		case now.State.Terminal():
 			return refuse("rollout %s has ended meanwhile: %s", now.ID, now.State)
 		case !driven:
 			return status(Paused, errors.New("the tool that drove the rollout is gone: say it again"))
@@ -521,7 +521,7 @@
 		if i < 0 {
 			return status(Misused, fmt.Errorf("--leave-out: there is no instance %s", n))
 		}
-		task.LeaveOut = append(task.LeaveOut, i)
+		task.ExcludedInstances = append(task.ExcludedInstances, i)
 	}
 	var spans *tool.Trace
 	if d.trace != "" {
@@ -555,16 +555,16 @@
 		name = t.Fleet.Instances[i].Name
 	}
 	switch {
-	case e.Claimed != 0:
-		a.log.Info().Uint64("epoch", e.Claimed).Msg("claimed")
-	case e.Refusals != "":
-		a.log.Warn().Str("instance", name).Str("says", e.Refusals).Msg("its agent refuses the step")
-	case e.What == plan.Begin:
-		a.log.Info().Str("instance", name).Uint64("step", e.Step.Number).Bool("back", e.Step.Back).Msg("step")
-	case e.What == plan.Settle:
+	case e.AcquiredEpoch != 0:
+		a.log.Info().Uint64("epoch", e.AcquiredEpoch).Msg("claimed")
+	case e.StepRefusal != "":
+		a.log.Warn().Str("instance", name).Str("says", e.StepRefusal).Msg("its agent refuses the step")
+	case e.Action == plan.ActionBeginStep:
+		a.log.Info().Str("instance", name).Uint64("step", e.Step.Number).Bool("back", e.Step.Rollback).Msg("step")
+	case e.Action == plan.ActionCompleteStep:
 		a.log.Info().Str("instance", name).Uint64("step", e.Step.Number).Msg("step ended")
-	case e.What == plan.Turn:
-		a.log.Warn().Str("why", t.Explain(e.Why)).Msg("the rollout goes back")
+	case e.Action == plan.ActionStartRollback:
+		a.log.Warn().Str("why", t.Explain(e.Reason)).Msg("the rollout goes back")
 	}
 }
 
@@ -580,11 +580,11 @@
 	code := Done
 	var err error
 	switch o.Kind {
-	case roll.Ended:
+	case roll.OutcomeEnded:
 		switch o.Rollout.State {
 		case plan.Paused:
 			code = Paused
-			if o.Reason.Kind == plan.ByWord {
+			if o.Reason.Kind == plan.ReasonOperator {
 				code = Done
 			}
 			err = fmt.Errorf("the rollout is paused: %s", r.Why)
@@ -592,34 +592,34 @@
 				err = fmt.Errorf("%w; it was going back: %s", err, r.Cause)
 			}
 		case plan.RolledBack:
-			if o.Reason.Kind != plan.ByWord {
+			if o.Reason.Kind != plan.ReasonOperator {
 				code = Failed
 			}
 			err = fmt.Errorf("the rollout went back: %s", r.Why)
 		}
-	case roll.Held:
+	case roll.OutcomeLeaseHeld:
 		said.Outcome, said.Why = "refused", fmt.Sprintf("%s holds the claim since %.0f s, for %.0f s more unless renewed; --take-over fences it off",
-			o.Holder.Holder, o.Holder.Since, o.Holder.Left)
+			o.Holder.Holder, o.Holder.HeldSeconds, o.Holder.RemainingSeconds)
 		code = Refused
-	case roll.Fenced:
+	case roll.OutcomeFenced:
 		said.Outcome, said.Why = "fenced", fmt.Sprintf("the claim was taken over by %s", o.Holder.Holder)
 		code = Refused
-	case roll.NoMajority:
+	case roll.OutcomeNoMajority:
 		said.Outcome, said.Why = "paused", "no majority of agents can be heard: nothing more was begun"
 		code = Paused
-	case roll.Unfinished:
+	case roll.OutcomeUnfinishedRollout:
 		said.Outcome, said.Why = "refused", fmt.Sprintf("rollout %s by %s is %s: resume, abort or roll it back first", r.ID, r.StartedBy, r.State)
 		code = Refused
-	case roll.Impossible:
+	case roll.OutcomeInfeasible:
 		said.Outcome, said.Why = "refused", "no step is possible: "+t.Explain(o.Reason)
 		code = Refused
-	case roll.NothingThere:
+	case roll.OutcomeNoRollout:
 		said.Outcome, said.Why = "refused", "there is no rollout to go on with"
 		code = Refused
-	case roll.OtherFleet:
+	case roll.OutcomeOtherFleet:
 		said.Outcome, said.Why = "refused", "the rollout goes over another list of instances than this fleet file's"
 		code = Refused
-	case roll.Left:
+	case roll.OutcomeInterrupted:
 		said.Outcome, said.Why = "paused", "interrupted; the claim was given back, and fleet resume goes on"
 		code = Paused
 	}
@@ -665,8 +665,8 @@
 	}
 	l.t.SetValue(int64(v.Finished))
 	what := fmt.Sprintf("%d serve", v.Serving)
-	if s := v.Rollout.Step; s.Number != 0 && s.Instance < len(v.Instances) {
-		what = fmt.Sprintf("%s: %s, %s", v.Instances[s.Instance].Name, v.Instances[s.Instance].Life, what)
+	if s := v.Rollout.CurrentStep; s.Number != 0 && s.Instance < len(v.Instances) {
+		what = fmt.Sprintf("%s: %s, %s", v.Instances[s.Instance].Name, v.Instances[s.Instance].State, what)
 	}
 	l.t.UpdateMessage(what)
 }
--- a/internal/drill/claims.go
+++ b/internal/drill/claims.go
@@ -90,8 +90,8 @@
 	limits tend.Limits
 	agents []*actor
 	tools  []*console
-	spoken int         // holders so far
-	kept   claim.Stamp // newest record that a majority was said to keep
+	spoken int           // holders so far
+	kept   claim.Version // newest record that a majority was said to keep
 	ops    []porcupine.Operation
 	acts   map[string]int64 // when the record of a step began to be kept, by holder and number
 }
@@ -100,8 +100,8 @@
 type actor struct {
 	w      *theatre
 	i      int
-	desk   tend.Desk
-	claims claim.Durable
+	desk   tend.RequestHandler
+	claims claim.PersistentState
 	record tend.Record
 	alive  bool
 	life   int // which; events of an earlier one are lost
@@ -119,11 +119,11 @@
 type console struct {
 	w       *theatre
 	i       int
-	driver  *roll.Driver
+	driver  *roll.Coordinator
 	holder  string
 	life    int
-	bidding int64       // when it first bid
-	found   claim.Stamp // kept by then
+	bidding int64         // when it first bid
+	found   claim.Version // kept by then
 	last    form.Rollout
 	alarm   float64
 }
@@ -154,14 +154,14 @@
 		Claims: c, n: n, report: r, rng: rand.New(rand.NewPCG(c.Seed, uint64(n))), acts: map[string]int64{},
 		limits: tend.DefaultLimits(),
 	}
-	w.limits.Probe, w.limits.Count, w.limits.Settle = 0.2, 5, 1
+	w.limits.HealthCheckSeconds, w.limits.CounterReadSeconds, w.limits.TerminationGraceSeconds = 0.2, 5, 1
 	count := 3 + w.rng.IntN(3)
-	w.fleet = &plan.Fleet{Halls: []int{0}, Floor: 1, Times: plan.Times{Soak: 0.3, Fresh: 1.5, Contact: 6, Step: 20}}
+	w.fleet = &plan.Fleet{ZoneMinAvailable: []int{0}, MinAvailable: 1, Timing: plan.Timing{SoakSeconds: 0.3, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 6, StepTimeoutSeconds: 20}}
 	for i := range count {
 		w.fleet.Instances = append(w.fleet.Instances, plan.Instance{Agent: i})
 		w.names = append(w.names, fmt.Sprint("n", i))
 		a := &actor{w: w, i: i, drift: 0.9 + 0.2*w.rng.Float64()}
-		a.record = tend.Record{Up: true, Revision: "a", Mark: 1}
+		a.record = tend.Record{ShouldRun: true, Revision: "a", Incarnation: 1}
 		a.router.runs, a.router.mark = true, 1
 		w.agents = append(w.agents, a)
 		a.birth()
@@ -219,17 +219,17 @@
 	a.alive, a.born, a.leap = true, a.w.now, 0
 	a.life++
 	if a.w.Break == "forget" {
-		a.claims = claim.Durable{}
+		a.claims = claim.PersistentState{}
 	}
-	a.desk = tend.Desk{Agent: fmt.Sprint("a", a.i), Names: []string{a.w.names[a.i]}, Claims: claim.Restore(a.claims, 5, 0)}
-	x, out := tend.NewInstance(a.record, &a.w.limits)
-	a.desk.Instances = []tend.Instance{x}
-	a.carry(out.Do)
+	a.desk = tend.RequestHandler{Agent: fmt.Sprint("a", a.i), InstanceNames: []string{a.w.names[a.i]}, Lease: claim.Restore(a.claims, 5, 0)}
+	x, out := tend.NewSupervisor(a.record, &a.w.limits)
+	a.desk.Supervisors = []tend.Supervisor{x}
+	a.carry(out.Actions)
 	a.tick()
 }
 
 // later is something that this life of the agent hears of after a while.
-func (a *actor) later(in float64, do func(x *tend.Instance) tend.Out) {
+func (a *actor) later(in float64, do func(x *tend.Supervisor) tend.Transition) {
 	life := a.life
 	a.w.at(in, func() {
 		if a.life == life {
@@ -238,18 +238,18 @@
 	})
 }
 
-func (a *actor) event(do func(x *tend.Instance) tend.Out) {
-	out := do(&a.desk.Instances[0])
+func (a *actor) event(do func(x *tend.Supervisor) tend.Transition) {
+	out := do(&a.desk.Supervisors[0])
 	if out.Store {
 		a.store()
 	}
-	a.carry(out.Do)
+	a.carry(out.Actions)
 	a.tick()
 }
 
 // store makes the record durable; now and then the agent dies right after it.
 func (a *actor) store() {
-	x := &a.desk.Instances[0]
+	x := &a.desk.Supervisors[0]
 	a.record = x.Record
 	a.saw()
 	if a.w.rng.IntN(40) == 0 {
@@ -257,46 +257,46 @@
 	}
 }
 
-func (a *actor) carry(do []tend.Effect) {
+func (a *actor) carry(do []tend.Action) {
 	w := a.w
 	for _, e := range do {
 		if !a.alive {
 			return
 		}
-		switch e.Act {
-		case tend.Find:
-			running := a.router.runs && a.router.mark == e.Mark
-			a.later(0.01, func(x *tend.Instance) tend.Out { return x.Found(a.now(), running) })
-		case tend.Prepare:
+		switch e.Kind {
+		case tend.ActionFindProcess:
+			running := a.router.runs && a.router.mark == e.Incarnation
+			a.later(0.01, func(x *tend.Supervisor) tend.Transition { return x.ProcessFound(a.now(), running) })
+		case tend.ActionPrepareRevision:
 			reload := w.rng.IntN(3) == 0
-			a.later(0.02, func(x *tend.Instance) tend.Out { return x.Prepared(a.now(), reload, 3, "") })
-		case tend.Place:
-			a.later(0.02, func(x *tend.Instance) tend.Out { return x.Placed(a.now(), "") })
-		case tend.Start:
+			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.RevisionPrepared(a.now(), reload, 3, "") })
+		case tend.ActionInstallRevision:
+			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.RevisionInstalled(a.now(), "") })
+		case tend.ActionStart:
 			if a.router.runs {
 				w.report.Break("round %d, seed %d: a second router was started by agent %d at %.3f", w.n, w.Seed, a.i, w.now)
 			}
-			a.router.runs, a.router.mark = true, e.Mark
-			a.later(0.02, func(x *tend.Instance) tend.Out { return x.Started(a.now(), e.Mark, "") })
-		case tend.Probe:
+			a.router.runs, a.router.mark = true, e.Incarnation
+			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.ProcessStarted(a.now(), e.Incarnation, "") })
+		case tend.ActionHealthCheck:
 			ok := a.router.runs
-			a.later(0.02, func(x *tend.Instance) tend.Out { return x.Probed(a.now(), ok) })
-		case tend.Term, tend.Kill:
+			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.HealthChecked(a.now(), ok) })
+		case tend.ActionTerminate, tend.ActionKill:
 			mark := a.router.mark
 			w.at(0.05+w.rng.ExpFloat64()*0.3, func() {
 				if a.router.runs && a.router.mark == mark {
 					a.router.runs = false
-					a.later(0, func(x *tend.Instance) tend.Out { return x.Exited(a.now(), "ended") })
+					a.later(0, func(x *tend.Supervisor) tend.Transition { return x.ProcessExited(a.now(), "ended") })
 				}
 			})
-		case tend.Hup:
-			a.later(0.05, func(x *tend.Instance) tend.Out { return x.Reloaded(a.now(), "") })
+		case tend.ActionReload:
+			a.later(0.05, func(x *tend.Supervisor) tend.Transition { return x.ReloadReported(a.now(), "") })
 		}
 	}
 }
 
 func (a *actor) tick() {
-	wake := a.desk.Instances[0].Wake()
+	wake := a.desk.Supervisors[0].NextTick()
 	if !a.alive || wake > 1e9 {
 		return
 	}
@@ -306,7 +306,7 @@
 	life := a.life
 	a.w.at(in, func() {
 		if a.life == life && a.alarm == alarm {
-			a.event(func(x *tend.Instance) tend.Out { return x.Tick(a.now()) })
+			a.event(func(x *tend.Supervisor) tend.Transition { return x.Tick(a.now()) })
 		}
 	})
 }
@@ -316,8 +316,8 @@
 	w := a.w
 	r := &a.record
 	name := ""
-	if r.Step.Number != 0 && r.End == plan.Open {
-		name = fmt.Sprint(r.Step.Rollout, "/", r.Step.Number, "/", a.i)
+	if r.Step.Number != 0 && r.Result == plan.StepPending {
+		name = fmt.Sprint(r.Step.RolloutID, "/", r.Step.Number, "/", a.i)
 	}
 	if name == a.open {
 		return
@@ -327,7 +327,7 @@
 			ClientId: 100 + a.i, Input: deed{end: true, step: a.open},
 			Call: w.stamp(), Return: w.stamp(),
 		})
-		if r.End == plan.Undone {
+		if r.Result == plan.StepNotApplied {
 			w.report.Undone++
 		}
 	}
@@ -340,8 +340,8 @@
 			w.report.Break("round %d, seed %d: at %.3f step %s begins while %s is open", w.n, w.Seed, w.now, name, b.open)
 		}
 	}
-	d := a.desk.Claims
-	call, known := w.acts[fmt.Sprint(d.Epoch, r.Step.Rollout, r.Step.Number)]
+	d := a.desk.Lease
+	call, known := w.acts[fmt.Sprint(d.Epoch, r.Step.RolloutID, r.Step.Number)]
 	if !known {
 		call = w.stamp() // a step that nobody had kept: the history will tell
 	}
@@ -364,13 +364,13 @@
 	w.spoken++
 	t.holder = fmt.Sprint("operator ", t.i, ".", w.spoken)
 	task := roll.Task{
-		Verb: roll.Begin, By: t.holder, Takeover: w.rng.IntN(4) == 0,
+		Operation: roll.OperationBegin, Operator: t.holder, Takeover: w.rng.IntN(4) == 0,
 		Rollout: form.Rollout{Rollout: plan.Rollout{ID: t.holder, Revision: fmt.Sprint("r", w.spoken)}},
 	}
-	if t.last.ID != "" && !t.last.State.Over() {
-		task.Verb = []roll.Verb{roll.Resume, roll.Resume, roll.Rollback, roll.Abandon}[w.rng.IntN(4)]
+	if t.last.ID != "" && !t.last.State.Terminal() {
+		task.Operation = []roll.Operation{roll.OperationResume, roll.OperationResume, roll.OperationRollback, roll.OperationAbort}[w.rng.IntN(4)]
 	}
-	t.driver = roll.New(w.fleet, w.names, len(w.agents), "", t.holder, roll.Times{Period: 0.3, Giving: 4}, task, w.rng.Float64)
+	t.driver = roll.New(w.fleet, w.names, len(w.agents), "", t.holder, roll.Timing{PollSeconds: 0.3, MajorityTimeoutSeconds: 4}, task, w.rng.Float64)
 	t.bidding, t.found = w.stamp(), w.kept
 	t.turn()
 	if w.rng.IntN(2) == 0 {
@@ -394,18 +394,18 @@
 func (t *console) turn() {
 	w := t.w
 	sends, wake := t.driver.Tick(w.now)
-	for _, e := range t.driver.Events() {
-		if e.Claimed == 0 && w.kept.Before(e.Stamp) {
-			w.kept = e.Stamp
+	for _, e := range t.driver.TakeEvents() {
+		if e.AcquiredEpoch == 0 && w.kept.Before(e.RecordVersion) {
+			w.kept = e.RecordVersion
 		}
-		if e.Claimed != 0 {
-			if e.Stamp.Before(t.found) {
+		if e.AcquiredEpoch != 0 {
+			if e.RecordVersion.Before(t.found) {
 				w.report.Break("round %d, seed %d: %s found record %v, but %v had been kept before it bid", w.n, w.Seed,
-					t.holder, e.Stamp, t.found)
+					t.holder, e.RecordVersion, t.found)
 			}
 			w.report.Claims++
 			w.ops = append(w.ops, porcupine.Operation{
-				ClientId: t.i, Input: deed{claim: true, epoch: e.Claimed, holder: t.holder},
+				ClientId: t.i, Input: deed{claim: true, epoch: e.AcquiredEpoch, holder: t.holder},
 				Call: t.bidding, Return: w.stamp(),
 			})
 		}
@@ -416,13 +416,13 @@
 		}
 		t.post(s)
 	}
-	if o, over := t.driver.Over(); over {
+	if o, over := t.driver.Outcome(); over {
 		t.last = o.Rollout
 		switch o.Kind {
-		case roll.Ended:
+		case roll.OutcomeEnded:
 			w.report.Ended++
 			t.last = o.Rollout
-		case roll.Held, roll.Fenced:
+		case roll.OutcomeLeaseHeld, roll.OutcomeFenced:
 			w.report.Denied++
 		}
 		t.end(w.rng.ExpFloat64() * 2)
@@ -440,8 +440,8 @@
 // noted keeps when the record of a step was first sent to be kept.
 func (t *console) noted(c form.Request) {
 	var r form.Rollout
-	if form.Decode("record", c.Record.Body, &r) == nil && r.Step.Number != 0 {
-		key := fmt.Sprint(c.Epoch, r.ID, r.Step.Number)
+	if form.Decode("record", c.Record.Body, &r) == nil && r.CurrentStep.Number != 0 {
+		key := fmt.Sprint(c.Epoch, r.ID, r.CurrentStep.Number)
 		if _, had := t.w.acts[key]; !had {
 			t.w.acts[key] = t.w.stamp()
 		}
@@ -462,7 +462,7 @@
 }
 
 // post sends a call. Its answer counts within a second; the call may arrive later, and more than once.
-func (t *console) post(s roll.Send) {
+func (t *console) post(s roll.OutgoingCall) {
 	w, life := t.w, t.life
 	answered := false
 	copies := 1
@@ -484,7 +484,7 @@
 			w.at(back, func() {
 				if t.life == life && !answered {
 					answered = true
-					t.driver.Heard(w.now, s.ID, r)
+					t.driver.HandleReply(w.now, s.ID, r)
 					t.turn()
 				}
 			})
@@ -493,7 +493,7 @@
 	w.at(1, func() {
 		if t.life == life && !answered {
 			answered = true
-			t.driver.Failed(w.now, s.ID, "no answer")
+			t.driver.HandleFailure(w.now, s.ID, "no answer")
 			t.turn()
 		}
 	})
@@ -504,26 +504,26 @@
 		return form.Reply{}, false
 	}
 	if a.w.Break == "unfenced" && c.Verb == form.BeginStepVerb {
-		c.Epoch, c.Holder = a.desk.Claims.Epoch, a.desk.Claims.Holder
-		a.desk.Claims.Bid(a.now(), claim.Bid{Epoch: c.Epoch, Holder: c.Holder})
+		c.Epoch, c.Holder = a.desk.Lease.Epoch, a.desk.Lease.Holder
+		a.desk.Lease.Acquire(a.now(), claim.Request{Epoch: c.Epoch, Holder: c.Holder})
 	}
 	if a.w.Break == "unkept" && c.Verb == form.StoreRecordVerb {
-		return form.Reply{LeaseState: a.desk.Claims.Standing(a.now())}, true
+		return form.Reply{LeaseState: a.desk.Lease.State(a.now())}, true
 	}
 	r, s := a.desk.Handle(a.now(), c)
-	if c.Verb == form.BeginStepVerb && (r.Denial == claim.LowerEpoch || r.Denial == claim.RanOut) {
+	if c.Verb == form.BeginStepVerb && (r.Denial == claim.StaleEpoch || r.Denial == claim.Expired) {
 		a.w.report.Late++
 	}
-	if s.Claims {
-		a.claims = a.desk.Claims.Durable
+	if s.Lease {
+		a.claims = a.desk.Lease.PersistentState
 	}
-	if s.Instance >= 0 {
+	if s.ChangedInstance >= 0 {
 		a.store()
 		if !a.alive { // it was stored, and not answered
 			return form.Reply{}, false
 		}
 	}
-	a.carry(s.Do)
+	a.carry(s.Actions)
 	a.tick()
 	return r, true
 }
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -275,7 +275,7 @@
 			ok = ok && a.Reachable
 		}
 		for _, x := range st.Instances {
-			ok = ok && x.State != plan.Unknown.String()
+			ok = ok && x.State != plan.ProcessUnknown.String()
 		}
 		if ok {
 			return nil
@@ -312,7 +312,7 @@
 	}
 	s.say("agents are up; the first revision goes out")
 	o := s.tool.Drive(ctx, s.tool.NewRollout(form.Revision{Digest: s.first, Name: "first"}, false), nil)
-	if o.Kind != roll.Ended || o.Rollout.State != plan.Complete {
+	if o.Kind != roll.OutcomeEnded || o.Rollout.State != plan.Complete {
 		return fmt.Errorf("the first rollout: %d %s %s %v", o.Kind, o.Rollout.State, s.tool.Explain(o.Reason), o.Faults)
 	}
 	s.say("routers serve; the load begins")
@@ -362,10 +362,10 @@
 		s.report.Finished = v.Finished
 	}
 	o := s.tool.Drive(ctx, s.tool.NewRollout(form.Revision{Digest: s.second, Name: "second"}, false), watch)
-	if s.Gone && o.Kind == roll.Ended && o.Rollout.State == plan.Paused && s.killed >= 0 {
+	if s.Gone && o.Kind == roll.OutcomeEnded && o.Rollout.State == plan.Paused && s.killed >= 0 {
 		s.report.PausedOn = s.tool.Explain(o.Reason)
 		s.say("paused: %s; it is left out by word", s.report.PausedOn)
-		o = s.tool.Drive(ctx, roll.Task{Verb: roll.Resume, By: operatorName, LeaveOut: []int{s.killed}}, watch)
+		o = s.tool.Drive(ctx, roll.Task{Operation: roll.OperationResume, Operator: operatorName, ExcludedInstances: []int{s.killed}}, watch)
 	}
 	if spans != nil {
 		if err := spans.Close(o); err != nil {
@@ -375,9 +375,9 @@
 	s.report.State, s.report.Why = o.Rollout.State.String(), s.tool.Explain(o.Reason)
 	s.report.Paused = o.Rollout.State == plan.Paused
 	switch {
-	case o.Kind != roll.Ended:
+	case o.Kind != roll.OutcomeEnded:
 		s.report.Break("the rollout ended as no rollout ends: %d, held by %s, %v", o.Kind, o.Holder.Holder, o.Faults)
-	case s.Gone && (!s.report.Paused || o.Reason.Kind != plan.LeftOut):
+	case s.Gone && (!s.report.Paused || o.Reason.Kind != plan.ReasonInstancesExcluded):
 		s.report.Break("with an agent gone the rollout ended %s: %s", s.report.State, s.report.Why)
 	case !s.Gone && o.Rollout.State != plan.Complete:
 		s.report.Break("the rollout ended %s: %s", s.report.State, s.report.Why)
@@ -387,8 +387,8 @@
 
 // follow does what the drill is for as steps go by.
 func (s *stage) follow(ctx context.Context, v roll.View, e roll.Event, work *sync.WaitGroup) {
-	switch e.What {
-	case plan.Begin:
+	switch e.Action {
+	case plan.ActionBeginStep:
 		s.began[e.Step.Number] = time.Now()
 		s.stepping.Store(int64(e.Step.Instance))
 		if (s.Kill || s.Gone) && s.killed < 0 && v.Finished >= s.midway {
@@ -405,7 +405,7 @@
 		if s.Break == "two-at-once" && e.Step.Number == 2 {
 			time.AfterFunc(600*time.Millisecond, func() { s.killRouter((e.Step.Instance + 1) % s.Instances) }) // as the step's has ended
 		}
-	case plan.Settle, plan.Turn, plan.Finish:
+	case plan.ActionCompleteStep, plan.ActionStartRollback, plan.ActionFinish:
 		if b, ok := s.began[e.Step.Number]; ok && e.Step.Number != 0 {
 			s.steps = append(s.steps, time.Since(b).Seconds())
 			delete(s.began, e.Step.Number)
--- a/internal/drill/status.go
+++ b/internal/drill/status.go
@@ -62,11 +62,11 @@
 	if call.Verb != form.StatusVerb {
 		return form.Reply{Failure: "this agent only looks"}, nil
 	}
-	r := form.Reply{Agent: c.name, Program: "stand-in", LeaseState: claim.Standing{Epoch: 3}}
+	r := form.Reply{Agent: c.name, Program: "stand-in", LeaseState: claim.State{Epoch: 3}}
 	for _, n := range c.names {
-		r.Instances = append(r.Instances, form.InstanceStatus{Name: n, Listen: "127.0.0.1:5432", Sight: plan.Sight{
-			Life:     plan.Ready,
-			Revision: "0123456789abcdef0123456789abcdef", Recent: plan.Tally{Ended: 1000, Unanswered: 3}, ReadyFor: 100,
+		r.Instances = append(r.Instances, form.InstanceStatus{Name: n, Listen: "127.0.0.1:5432", Observation: plan.Observation{
+			State:    plan.ProcessReady,
+			Revision: "0123456789abcdef0123456789abcdef", RecentCommands: plan.CommandCounts{Completed: 1000, Unanswered: 3}, ReadySeconds: 100,
 		}})
 	}
 	return r, nil
@@ -170,18 +170,18 @@
 
 // planStep is the median time of a decision over a fleet of which half is done, in microseconds.
 func planStep(f *plan.Fleet) float64 {
-	sights := make([]plan.Sight, len(f.Instances))
+	sights := make([]plan.Observation, len(f.Instances))
 	for i := range sights {
-		sights[i] = plan.Sight{Life: plan.Ready, Revision: "a"}
+		sights[i] = plan.Observation{State: plan.ProcessReady, Revision: "a"}
 		if i < len(sights)/2 {
-			sights[i].Last, sights[i].End = plan.Step{Rollout: "r", Number: 1}, plan.Done
+			sights[i].LastStep, sights[i].LastResult = plan.Step{RolloutID: "r", Number: 1}, plan.StepSucceeded
 		}
 	}
 	p := plan.NewPlanner(f, plan.Rollout{ID: "r", Revision: "b", State: plan.Running})
 	var took []float64
 	for range 201 {
 		from := time.Now()
-		p.Next(0, sights, plan.Nothing)
+		p.Next(0, sights, plan.RequestNone)
 		took = append(took, time.Since(from).Seconds()*1e6)
 	}
 	sort.Float64s(took)
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -53,7 +53,7 @@
 	instances []layout.Instance
 	store     Store
 	log       zerolog.Logger
-	handler   tend.Desk
+	handler   tend.RequestHandler
 	limits    tend.Limits
 	routers   []router
 	events    chan func()
@@ -88,10 +88,10 @@
 		fleet: f, self: me, instances: f.InstancesOf(name), store: keeper, log: log, limits: tend.DefaultLimits(),
 		events: make(chan func(), eventQueueLength), startedAt: time.Now(),
 	}
-	a.limits.Ready, a.limits.Window = float64(f.Times.ReadyTimeout), max(float64(f.Times.Soak), 5)
-	a.handler = tend.Desk{
-		Agent: name, Program: program, Agents: f.AgentsDigest(), Wish: st.OperatorRequest,
-		Claims: claim.Restore(st.Lease, float64(f.Times.LeaseTerm), 0),
+	a.limits.ReadyTimeoutSeconds, a.limits.RecentSeconds = float64(f.Times.ReadyTimeout), max(float64(f.Times.Soak), 5)
+	a.handler = tend.RequestHandler{
+		Agent: name, Program: program, AgentsDigest: f.AgentsDigest(), OperatorRequest: st.OperatorRequest,
+		Lease: claim.Restore(st.Lease, float64(f.Times.LeaseTerm), 0),
 	}
 	for _, x := range a.instances {
 		folder, err := filepath.Abs(filepath.Join(me.Folder, x.Name))
@@ -102,10 +102,10 @@
 			return nil, fmt.Errorf("instance %s: %w", x.Name, err)
 		}
 		a.routers = append(a.routers, router{folder: folder})
-		a.handler.Names = append(a.handler.Names, x.Name)
-		a.handler.Listens = append(a.handler.Listens, x.Listen.String())
-		inst, _ := tend.NewInstance(st.Instances[x.Name], &a.limits) // its first effects come with Run
-		a.handler.Instances = append(a.handler.Instances, inst)
+		a.handler.InstanceNames = append(a.handler.InstanceNames, x.Name)
+		a.handler.ListenAddresses = append(a.handler.ListenAddresses, x.Listen.String())
+		inst, _ := tend.NewSupervisor(st.Instances[x.Name], &a.limits) // its first effects come with Run
+		a.handler.Supervisors = append(a.handler.Supervisors, inst)
 	}
 	return a, nil
 }
@@ -116,8 +116,8 @@
 func (a *Agent) Run(ctx context.Context) {
 	a.ctx = ctx
 	for i := range a.instances {
-		x := &a.handler.Instances[i]
-		inst, out := tend.NewInstance(x.Record, &a.limits)
+		x := &a.handler.Supervisors[i]
+		inst, out := tend.NewSupervisor(x.Record, &a.limits)
 		*x = inst
 		a.carryOut(i, out)
 	}
@@ -132,8 +132,8 @@
 		timer.Stop()
 		for i := range a.instances {
 			now := a.now()
-			if x := &a.handler.Instances[i]; now >= x.Wake() && now >= a.routers[i].retryAt {
-				a.handleEvent(i, func(x *tend.Instance) tend.Out { return x.Tick(a.now()) }, false)
+			if x := &a.handler.Supervisors[i]; now >= x.NextTick() && now >= a.routers[i].retryAt {
+				a.handleEvent(i, func(x *tend.Supervisor) tend.Transition { return x.Tick(a.now()) }, false)
 			}
 		}
 	}
@@ -142,7 +142,7 @@
 func (a *Agent) nextWake() float64 {
 	wake := math.Inf(1)
 	for i := range a.instances {
-		wake = min(wake, max(a.handler.Instances[i].Wake(), a.routers[i].retryAt))
+		wake = min(wake, max(a.handler.Supervisors[i].NextTick(), a.routers[i].retryAt))
 	}
 	return wake
 }
@@ -157,9 +157,9 @@
 
 // event hands an event to an instance. If what follows cannot be stored it has not happened; it comes again
 // unless a tick brought it, which comes by itself.
-func (a *Agent) handleEvent(i int, do func(x *tend.Instance) tend.Out, repeat bool) {
-	before := a.handler.Instances[i]
-	x := &a.handler.Instances[i]
+func (a *Agent) handleEvent(i int, do func(x *tend.Supervisor) tend.Transition, repeat bool) {
+	before := a.handler.Supervisors[i]
+	x := &a.handler.Supervisors[i]
 	out := do(x)
 	if out.Store {
 		if err := a.store.Save(store.Change{Instances: map[string]tend.Record{a.instances[i].Name: x.Record}}); err != nil {
@@ -172,32 +172,32 @@
 			return
 		}
 	}
-	if x.End != before.End || x.Step.Number != before.Step.Number {
+	if x.Result != before.Result || x.Step.Number != before.Step.Number {
 		a.logStep(i, x)
 	}
-	if was, is := before.Sight(0).Life, x.Sight(0).Life; was != is {
+	if was, is := before.Observe(0).State, x.Observe(0).State; was != is {
 		a.log.Info().Str("instance", a.instances[i].Name).Stringer("from", was).Stringer("life", is).Int("crashes", x.Crashes()).Msg("router")
 	}
 	a.carryOut(i, out)
 }
 
-func (a *Agent) logStep(i int, x *tend.Instance) {
+func (a *Agent) logStep(i int, x *tend.Supervisor) {
 	e := a.log.Info()
-	if x.End == plan.Failed {
+	if x.Result == plan.StepFailed {
 		e = a.log.Error()
 	}
-	e.Str("instance", a.instances[i].Name).Str("rollout", x.Step.Rollout).Uint64("step", x.Step.Number).
-		Str("revision", revision.ShortDigest(x.Step.Revision)).Int("end", int(x.End)).Str("why", x.Why).Msg("step")
+	e.Str("instance", a.instances[i].Name).Str("rollout", x.Step.RolloutID).Uint64("step", x.Step.Number).
+		Str("revision", revision.ShortDigest(x.Step.Revision)).Int("end", int(x.Result)).Str("why", x.Failure).Msg("step")
 }
 
-func (a *Agent) carryOut(i int, out tend.Out) {
-	for _, e := range out.Do {
+func (a *Agent) carryOut(i int, out tend.Transition) {
+	for _, e := range out.Actions {
 		a.carryOutAction(i, e)
 	}
 }
 
 // later runs something that may take its time, and hands in what comes of it.
-func (a *Agent) runAsync(i int, work func() func(x *tend.Instance) tend.Out) {
+func (a *Agent) runAsync(i int, work func() func(x *tend.Supervisor) tend.Transition) {
 	go func() {
 		event := work()
 		a.post(func() { a.handleEvent(i, event, true) })
@@ -208,44 +208,48 @@
 	return fmt.Sprintf("%s/%d", a.routers[i].folder, n)
 }
 
-func (a *Agent) carryOutAction(i int, e tend.Effect) {
+func (a *Agent) carryOutAction(i int, e tend.Action) {
 	r, name := &a.routers[i], a.instances[i].Name
-	switch e.Act {
-	case tend.Find:
+	switch e.Kind {
+	case tend.ActionFindProcess:
 		go func() {
 			var p *processHandle
 			var err error
-			if e.Mark != 0 { // else none was ever started
-				p, err = a.findProcess(a.incarnation(i, e.Mark))
+			if e.Incarnation != 0 { // else none was ever started
+				p, err = a.findProcess(a.incarnation(i, e.Incarnation))
 			}
 			if err != nil {
 				a.log.Error().Err(err).Str("instance", name).Msg("looking for its process")
 			}
 			a.post(func() {
 				a.adoptProcess(i, p)
-				a.handleEvent(i, func(x *tend.Instance) tend.Out { return x.Found(a.now(), p != nil) }, true)
+				a.handleEvent(i, func(x *tend.Supervisor) tend.Transition { return x.ProcessFound(a.now(), p != nil) }, true)
 			})
 		}()
-	case tend.Prepare:
-		from, to := a.handler.Instances[i].Revision, e.Revision
-		a.runAsync(i, func() func(x *tend.Instance) tend.Out {
+	case tend.ActionPrepareRevision:
+		from, to := a.handler.Supervisors[i].Revision, e.Revision
+		a.runAsync(i, func() func(x *tend.Supervisor) tend.Transition {
 			reload, drain, err := a.prepare(i, from, to)
-			return func(x *tend.Instance) tend.Out { return x.Prepared(a.now(), reload, drain, errorText(err)) }
+			return func(x *tend.Supervisor) tend.Transition {
+				return x.RevisionPrepared(a.now(), reload, drain, errorText(err))
+			}
 		})
-	case tend.Place:
-		a.runAsync(i, func() func(x *tend.Instance) tend.Out {
+	case tend.ActionInstallRevision:
+		a.runAsync(i, func() func(x *tend.Supervisor) tend.Transition {
 			err := a.placeConfig(i, e.Revision, configName)
-			return func(x *tend.Instance) tend.Out { return x.Placed(a.now(), errorText(err)) }
+			return func(x *tend.Supervisor) tend.Transition { return x.RevisionInstalled(a.now(), errorText(err)) }
 		})
-	case tend.Start:
+	case tend.ActionStart:
 		go func() {
-			p, err := launch(a.self.Program, r.folder, a.incarnation(i, e.Mark))
+			p, err := launch(a.self.Program, r.folder, a.incarnation(i, e.Incarnation))
 			a.post(func() {
 				a.adoptProcess(i, p)
-				a.handleEvent(i, func(x *tend.Instance) tend.Out { return x.Started(a.now(), e.Mark, errorText(err)) }, true)
+				a.handleEvent(i, func(x *tend.Supervisor) tend.Transition {
+					return x.ProcessStarted(a.now(), e.Incarnation, errorText(err))
+				}, true)
 			})
 		}()
-	case tend.Probe:
+	case tend.ActionHealthCheck:
 		if r.healthChecking {
 			return // its answer is on the way
 		}
@@ -255,17 +259,17 @@
 			err := healthCheck(a.ctx, at)
 			a.post(func() {
 				a.routers[i].healthChecking = false
-				a.handleEvent(i, func(x *tend.Instance) tend.Out { return x.Probed(a.now(), err == nil) }, true)
+				a.handleEvent(i, func(x *tend.Supervisor) tend.Transition { return x.HealthChecked(a.now(), err == nil) }, true)
 			})
 		}()
-	case tend.Count:
+	case tend.ActionReadCounters:
 		a.signal(i, unix.SIGUSR1)
-	case tend.Term:
+	case tend.ActionTerminate:
 		a.signal(i, unix.SIGTERM)
-	case tend.Kill:
+	case tend.ActionKill:
 		a.log.Warn().Str("instance", name).Msg("killed: it did not end within its time")
 		a.signal(i, unix.SIGKILL)
-	case tend.Hup:
+	case tend.ActionReload:
 		a.signal(i, unix.SIGHUP)
 	}
 }
@@ -293,7 +297,7 @@
 func (a *Agent) signal(i int, s unix.Signal) {
 	p := a.routers[i].process
 	if p == nil {
-		a.handleEvent(i, func(x *tend.Instance) tend.Out { return x.Exited(a.now(), "there is no process") }, true)
+		a.handleEvent(i, func(x *tend.Supervisor) tend.Transition { return x.ProcessExited(a.now(), "there is no process") }, true)
 		return
 	}
 	if err := p.signal(s); err != nil && !errors.Is(err, unix.ESRCH) { // one that has gone is told of by watch
@@ -321,12 +325,12 @@
 				if a.routers[i].process != p {
 					return
 				}
-				a.handleEvent(i, func(x *tend.Instance) tend.Out {
+				a.handleEvent(i, func(x *tend.Supervisor) tend.Transition {
 					if s.counts != nil {
-						x.Counted(a.now(), *s.counts)
-						return tend.Out{}
+						x.CountersRead(a.now(), *s.counts)
+						return tend.Transition{}
 					}
-					return x.Reloaded(a.now(), *s.reloadResult)
+					return x.ReloadReported(a.now(), *s.reloadResult)
 				}, true)
 			})
 		})
@@ -341,7 +345,7 @@
 				if a.routers[i].process == p {
 					a.routers[i].process = nil
 					a.log.Warn().Str("instance", a.instances[i].Name).Str("how", how).Msg("router ended")
-					a.handleEvent(i, func(x *tend.Instance) tend.Out { return x.Exited(a.now(), how) }, true)
+					a.handleEvent(i, func(x *tend.Supervisor) tend.Transition { return x.ProcessExited(a.now(), how) }, true)
 				}
 			})
 			return
@@ -448,7 +452,7 @@
 	}
 	c.OperatorRequest.Operator = operator
 	before := a.handler
-	before.Instances = append([]tend.Instance(nil), a.handler.Instances...)
+	before.Supervisors = append([]tend.Supervisor(nil), a.handler.Supervisors...)
 	r, s := a.handler.Handle(a.now(), c)
 	change, dirty := a.change(c, s)
 	if dirty {
@@ -457,7 +461,7 @@
 			a.log.Error().Err(err).Str("verb", string(c.Verb)).Msg("not stored, and so refused")
 			return form.Reply{
 				Agent: r.Agent, Program: r.Program, Denial: claim.NotHolder, Failure: err.Error(),
-				LeaseState: a.handler.Claims.Standing(a.now()),
+				LeaseState: a.handler.Lease.State(a.now()),
 			}
 		}
 	}
@@ -467,33 +471,33 @@
 			r.Instances[i].ProcessID = p.pid
 		}
 	}
-	if s.Instance >= 0 {
-		a.logStep(s.Instance, &a.handler.Instances[s.Instance])
-		a.carryOut(s.Instance, tend.Out{Do: s.Do})
+	if s.ChangedInstance >= 0 {
+		a.logStep(s.ChangedInstance, &a.handler.Supervisors[s.ChangedInstance])
+		a.carryOut(s.ChangedInstance, tend.Transition{Actions: s.Actions})
 	}
 	return r
 }
 
 // change is what a call has changed that must be stored.
-func (a *Agent) change(c form.Request, s tend.Saves) (store.Change, bool) {
+func (a *Agent) change(c form.Request, s tend.Changes) (store.Change, bool) {
 	var ch store.Change
-	if s.Claims {
-		d := a.handler.Claims.Durable
+	if s.Lease {
+		d := a.handler.Lease.PersistentState
 		ch.Lease = &d
 	}
-	if s.Claims && c.Verb == form.StoreRecordVerb {
+	if s.Lease && c.Verb == form.StoreRecordVerb {
 		var r form.Rollout
 		if err := form.Decode("record", c.Record.Body, &r); err == nil && r.ID != "" {
 			ch.Rollout = &r
 		}
 	}
-	if s.Wish {
-		ch.OperatorRequest = &a.handler.Wish
+	if s.OperatorRequest {
+		ch.OperatorRequest = &a.handler.OperatorRequest
 	}
-	if s.Instance >= 0 {
-		ch.Instances = map[string]tend.Record{a.instances[s.Instance].Name: a.handler.Instances[s.Instance].Record}
+	if s.ChangedInstance >= 0 {
+		ch.Instances = map[string]tend.Record{a.instances[s.ChangedInstance].Name: a.handler.Supervisors[s.ChangedInstance].Record}
 	}
-	return ch, s.Claims || s.Wish || s.Instance >= 0
+	return ch, s.Lease || s.OperatorRequest || s.ChangedInstance >= 0
 }
 
 func (a *Agent) logRequest(operator string, c form.Request, r form.Reply) {
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -80,8 +80,8 @@
 			}
 		}
 	})
-	r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Bid{Epoch: 1, Holder: "h", Takeover: true}})
-	r.until("it knows its router", func(t form.InstanceStatus) bool { return t.Life != plan.Unknown })
+	r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 1, Holder: "h", Takeover: true}})
+	r.until("it knows its router", func(t form.InstanceStatus) bool { return t.State != plan.ProcessUnknown })
 	return r
 }
 
@@ -164,14 +164,16 @@
 	r.t.Helper()
 	fault := r.begin(digest)
 	require.Empty(r.t, fault)
-	return r.until("its end", func(t form.InstanceStatus) bool { return t.Last.Number == r.number && t.End != plan.Open })
+	return r.until("its end", func(t form.InstanceStatus) bool {
+		return t.LastStep.Number == r.number && t.LastResult != plan.StepPending
+	})
 }
 
 func (r *rig) begin(digest string) string {
 	r.number++
 	reply := r.call(form.Request{
 		Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n",
-		Step: plan.Step{Rollout: "r", Number: r.number, Revision: digest},
+		Step: plan.Step{RolloutID: "r", Number: r.number, Revision: digest},
 	})
 	if reply.Denial != claim.Granted {
 		return reply.Denial.String() + " " + reply.Failure
@@ -179,24 +181,24 @@
 	return reply.Failure
 }
 
-func ready(t form.InstanceStatus) bool { return t.Life == plan.Ready }
+func ready(t form.InstanceStatus) bool { return t.State == plan.ProcessReady }
 
 func TestStepsStartRestartAndReload(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	a := r.push(stand.Conduct{}, nil)
 	told := r.step(a)
-	assert.Equal(t, plan.Done, told.End, told.Why)
+	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
 	first := told.ProcessID
 	assert.NotZero(t, first)
-	r.until("counters", func(t form.InstanceStatus) bool { return t.Since.Ended >= 200 })
+	r.until("counters", func(t form.InstanceStatus) bool { return t.CommandsSinceStep.Completed >= 200 })
 	b := r.push(stand.Conduct{}, map[string]any{"discovery": "127.0.0.1:10"})
 	told = r.step(b)
-	assert.Equal(t, plan.Done, told.End, told.Why)
+	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
 	assert.Equal(t, first, told.ProcessID, "another address of discovery moves by SIGHUP")
 	c := r.push(stand.Conduct{Ready: 0.3}, map[string]any{"limits": map[string]any{"sockets": 300}})
 	told = r.step(c)
-	assert.Equal(t, plan.Done, told.End, told.Why)
+	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
 	assert.NotEqual(t, first, told.ProcessID)
 	raw, err := os.ReadFile(filepath.Join(r.folder, "n", configName))
 	require.NoError(t, err)
@@ -213,13 +215,13 @@
 		"it was not ready within 2 s":                   {Silent: true},
 	} {
 		told := r.step(r.push(conduct, map[string]any{"limits": map[string]any{"sockets": 300}}))
-		assert.Equal(t, plan.Failed, told.End)
-		assert.Contains(t, told.Why, says)
+		assert.Equal(t, plan.StepFailed, told.LastResult)
+		assert.Contains(t, told.LastFailure, says)
 		told = r.step(good)
-		assert.Equal(t, plan.Done, told.End, told.Why)
-		assert.Equal(t, plan.Ready, told.Life)
+		assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
+		assert.Equal(t, plan.ProcessReady, told.State)
 	}
-	assert.Contains(t, r.step(strings.Repeat("0", 32)).Why, "is not at agent a: push it")
+	assert.Contains(t, r.step(strings.Repeat("0", 32)).LastFailure, "is not at agent a: push it")
 	reply := r.call(form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Digest: "x", Content: []byte(`{"discovery":"x"}`)}})
 	assert.Contains(t, reply.Failure, "and it is called x")
 	raw := []byte(`{"discovery":"x"}`)
@@ -233,12 +235,12 @@
 	r.step(r.push(stand.Conduct{Deaf: true}, nil))
 	began := time.Now()
 	told := r.step(r.push(stand.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}}))
-	assert.Equal(t, plan.Done, told.End, told.Why)
+	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
 	assert.GreaterOrEqual(t, time.Since(began), 1500*time.Millisecond, "ten client timeouts, half a second, the grace")
 	r.step(r.push(stand.Conduct{Drain: 0.7}, map[string]any{"limits": map[string]any{"sockets": 301}}))
 	p := r.process()
 	told = r.step(r.push(stand.Conduct{}, nil))
-	assert.Equal(t, plan.Done, told.End)
+	assert.Equal(t, plan.StepSucceeded, told.LastResult)
 	assert.NotEqual(t, p.pid, told.ProcessID)
 }
 
@@ -253,7 +255,7 @@
 	require.NoError(t, p.signal(unix.SIGKILL))
 	after := r.until("a new one", func(t form.InstanceStatus) bool { return ready(t) && t.ProcessID != told.ProcessID })
 	assert.Equal(t, 1, after.Crashes)
-	assert.NotEqual(t, claim.Granted, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Bid{Epoch: 1, Holder: "other"}}).Denial,
+	assert.NotEqual(t, claim.Granted, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 1, Holder: "other"}}).Denial,
 		"promises outlive the agent")
 }
 
@@ -288,9 +290,9 @@
 		require.Empty(t, r.begin(b), name)
 		time.Sleep(after)
 		r.restart()
-		told := r.until("an end", func(t form.InstanceStatus) bool { return t.End != plan.Open && ready(t) })
-		assert.NotEqual(t, plan.Failed, told.End, "%s: %s", name, told.Why)
-		if told.End == plan.Done {
+		told := r.until("an end", func(t form.InstanceStatus) bool { return t.LastResult != plan.StepPending && ready(t) })
+		assert.NotEqual(t, plan.StepFailed, told.LastResult, "%s: %s", name, told.LastFailure)
+		if told.LastResult == plan.StepSucceeded {
 			assert.Equal(t, b, told.Revision, name)
 		}
 	}
@@ -303,20 +305,20 @@
 	b := r.push(stand.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}})
 	r.store.full.Store(true)
 	assert.Contains(t, r.begin(b), "no space left")
-	assert.Contains(t, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Bid{Epoch: 9, Holder: "h"}}).Failure, "no space left")
+	assert.Contains(t, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 9, Holder: "h"}}).Failure, "no space left")
 	assert.Equal(t, told.ProcessID, r.sight().ProcessID)
 	assert.EqualValues(t, 1, r.call(form.Request{Verb: form.StatusVerb}).LeaseState.Epoch, "nothing is promised that is not kept")
 	r.store.full.Store(false)
-	assert.Equal(t, plan.Done, r.step(b).End)
+	assert.Equal(t, plan.StepSucceeded, r.step(b).LastResult)
 }
 
 func TestCrashLoopIsTold(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	r.inLoop(func() { r.agent.limits.Restart, r.agent.limits.Crashes = 0.01, 3 })
+	r.inLoop(func() { r.agent.limits.MinBackoffSeconds, r.agent.limits.MaxCrashes = 0.01, 3 })
 	told := r.step(r.push(stand.Conduct{LiveFor: 0.3}, nil))
-	assert.Equal(t, plan.Done, told.End)
-	told = r.until("broken", func(t form.InstanceStatus) bool { return t.Life == plan.Broken })
+	assert.Equal(t, plan.StepSucceeded, told.LastResult)
+	told = r.until("broken", func(t form.InstanceStatus) bool { return t.State == plan.ProcessCrashLooping })
 	assert.Equal(t, 4, told.Crashes)
 }
 
@@ -337,7 +339,7 @@
 	assert.Empty(t, got)
 	read(`ottled":2,"bad_input":1}}` + "\n" + `{"message":"reloaded"}` + "\n" + `{"message":"reload refused","error":"no"}` + "\n")
 	require.Len(t, got, 3)
-	assert.Equal(t, plan.Tally{Ended: 9, Unanswered: 4}, *got[0].counts)
+	assert.Equal(t, plan.CommandCounts{Completed: 9, Unanswered: 4}, *got[0].counts)
 	assert.Equal(t, "", *got[1].reloadResult)
 	assert.Equal(t, "no", *got[2].reloadResult)
 	read("panic: something\n")
--- a/internal/fleet/agent/process.go
+++ b/internal/fleet/agent/process.go
@@ -135,7 +135,7 @@
 
 // spoken is what a line of a router's log tells the agent.
 type logEvent struct {
-	counts       *plan.Tally
+	counts       *plan.CommandCounts
 	reloadResult *string // why not; empty: it has
 }
 
@@ -218,7 +218,7 @@
 	case l.Counters != nil:
 		c := l.Counters
 		left := c.Throttled + c.Failed + c.BadInput
-		each(logEvent{counts: &plan.Tally{Ended: c.Answered + left, Unanswered: left}})
+		each(logEvent{counts: &plan.CommandCounts{Completed: c.Answered + left, Unanswered: left}})
 	case l.Message == "reloaded":
 		no := ""
 		each(logEvent{reloadResult: &no})
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -47,10 +47,10 @@
 	r.start()
 	t.Cleanup(func() { r.stop() })
 
-	told := r.until("the open step is done", func(x form.InstanceStatus) bool { return x.End != plan.Open })
-	assert.Equal(t, plan.Done, told.End, told.Why)
+	told := r.until("the open step is done", func(x form.InstanceStatus) bool { return x.LastResult != plan.StepPending })
+	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
 	assert.Equal(t, recordedSecond, told.Revision)
-	assert.Equal(t, plan.Step{Rollout: "r-running", Number: 11, Revision: recordedSecond, Restart: true}, told.Last)
+	assert.Equal(t, plan.Step{RolloutID: "r-running", Number: 11, Revision: recordedSecond, Restart: true}, told.LastStep)
 	for i, name := range names {
 		if name == "failed" {
 			continue // its revision ends at once, again and again
@@ -60,25 +60,25 @@
 		})
 	}
 	now := r.call(form.Request{Verb: form.StatusVerb})
-	assert.Equal(t, plan.Failed, now.Instances[1].End)
+	assert.Equal(t, plan.StepFailed, now.Instances[1].LastResult)
 	assert.Equal(t, "6fea0983c1f16ffcf364e43900f86fcb", now.Instances[2].Revision)
 	assert.Equal(t, recordedFirst, now.Instances[3].Revision)
 	assert.EqualValues(t, 7, now.LeaseState.Epoch)
 	assert.Equal(t, recordedHolder, now.LeaseState.Holder)
 	assert.True(t, now.LeaseState.Held)
-	assert.Equal(t, claim.Stamp{Epoch: 7, Number: 6}, now.Record.Stamp)
-	assert.Equal(t, form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: plan.Pause, Operator: "op"}, now.OperatorRequest)
+	assert.Equal(t, claim.Version{Epoch: 7, Number: 6}, now.Record.Version)
+	assert.Equal(t, form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: plan.RequestPause, Operator: "op"}, now.OperatorRequest)
 
-	refused := r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Bid{Epoch: 7, Holder: "other"}})
-	assert.Equal(t, claim.LowerEpoch, refused.Denial, "what was promised stays promised")
+	refused := r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 7, Holder: "other"}})
+	assert.Equal(t, claim.StaleEpoch, refused.Denial, "what was promised stays promised")
 	reply := r.call(form.Request{
 		Verb: form.BeginStepVerb, Epoch: 7, Holder: recordedHolder, InstanceName: "open",
-		Step: plan.Step{Rollout: "r-running", Number: 12, Revision: recordedFirst, Back: true},
+		Step: plan.Step{RolloutID: "r-running", Number: 12, Revision: recordedFirst, Rollback: true},
 	})
 	require.Equal(t, claim.Granted, reply.Denial)
 	require.Empty(t, reply.Failure)
-	told = r.until("the next step", func(x form.InstanceStatus) bool { return x.Last.Number == 12 && x.End != plan.Open })
-	assert.Equal(t, plan.Done, told.End, told.Why)
+	told = r.until("the next step", func(x form.InstanceStatus) bool { return x.LastStep.Number == 12 && x.LastResult != plan.StepPending })
+	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
 	assert.Equal(t, recordedFirst, told.Revision)
 }
 
--- a/internal/fleet/api/api_test.go
+++ b/internal/fleet/api/api_test.go
@@ -79,9 +79,9 @@
 		assert.Equal(t, "ayla", got.Agent, "known by the certificate")
 		assert.Equal(t, "look", got.Failure)
 	}
-	_, err := c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Bid{Holder: "ayla/1"}})
+	_, err := c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Holder: "ayla/1"}})
 	assert.NoError(t, err)
-	_, err = c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Bid{Holder: "mehmet/1"}})
+	_, err = c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Holder: "mehmet/1"}})
 	assert.ErrorContains(t, err, "agent a1: 400 Bad Request: call: operator ayla cannot speak as mehmet/1")
 	big := make([]byte, 4<<20)
 	_, err = c.Call(context.Background(), form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Content: big}})
--- a/internal/fleet/claim/claim.go
+++ b/internal/fleet/claim/claim.go
@@ -9,108 +9,108 @@
 // that is for package plan, which lets nothing happen while an agent is unknown.
 package claim
 
-// Bid asks for an epoch.
-type Bid struct {
+// Request asks for an epoch.
+type Request struct {
 	Epoch    uint64 `cbor:"Epoch"`
 	Holder   string `cbor:"Holder"`   // one running tool: no two are the same
 	Takeover bool   `cbor:"Takeover"` // also from a holder whose claim still runs
 }
 
-// Stamp orders records: by epoch, then by number.
-type Stamp struct {
+// Version orders records: by epoch, then by number.
+type Version struct {
 	Epoch  uint64 `cbor:"Epoch"`
 	Number uint64 `cbor:"Number"`
 }
 
 // Before tells whether a record with another stamp is newer.
-func (s Stamp) Before(o Stamp) bool {
+func (s Version) Before(o Version) bool {
 	return s.Epoch < o.Epoch || s.Epoch == o.Epoch && s.Number < o.Number
 }
 
 // Record is what a holder has the agents keep.
 type Record struct {
-	Stamp Stamp  `cbor:"Stamp"`
-	Body  []byte `cbor:"Body"`
+	Version Version `cbor:"Stamp"`
+	Body    []byte  `cbor:"Body"`
 }
 
-// Standing is what an agent tells of the claim that it granted last.
-type Standing struct {
-	Epoch  uint64  `cbor:"Epoch"`  // the highest promised; what is below is refused
-	Holder string  `cbor:"Holder"` // to whom
-	Held   bool    `cbor:"Held"`   // and whether it still runs
-	Since  float64 `cbor:"Since"`  // seconds ago
-	Left   float64 `cbor:"Left"`   // seconds, if it runs
+// State is what an agent tells of the claim that it granted last.
+type State struct {
+	Epoch            uint64  `cbor:"Epoch"`  // the highest promised; what is below is refused
+	Holder           string  `cbor:"Holder"` // to whom
+	Held             bool    `cbor:"Held"`   // and whether it still runs
+	HeldSeconds      float64 `cbor:"Since"`  // seconds ago
+	RemainingSeconds float64 `cbor:"Left"`   // seconds, if it runs
 }
 
-// Refusal is why an agent does not do what it was asked.
-type Refusal int
+// Denial is why an agent does not do what it was asked.
+type Denial int
 
 // Refusals.
 const (
-	Granted     Refusal = iota
-	LowerEpoch          // a higher one was promised: the asker has been fenced, or must bid higher
-	HeldByOther         // a claim still runs
-	NotHolder           // the epoch was granted to another, or not here
-	RanOut              // the asker's claim has run out by this agent's clock
-	OldRecord           // a newer one is kept
+	Granted     Denial = iota
+	StaleEpoch         // a higher one was promised: the asker has been fenced, or must bid higher
+	HeldByOther        // a claim still runs
+	NotHolder          // the epoch was granted to another, or not here
+	Expired            // the asker's claim has run out by this agent's clock
+	StaleRecord        // a newer one is kept
 )
 
-var refusals = [...]string{
+var denials = [...]string{
 	"granted", "a higher epoch was promised", "held by another", "not the holder of this epoch",
 	"the claim has run out", "a newer record is kept",
 }
 
-func (r Refusal) String() string { return refusals[r] }
+func (r Denial) String() string { return denials[r] }
 
-// Durable is what an agent must have stored before it acknowledges anything that changed it.
-type Durable struct {
+// PersistentState is what an agent must have stored before it acknowledges anything that changed it.
+type PersistentState struct {
 	Epoch  uint64 `cbor:"Epoch"`
 	Holder string `cbor:"Holder"`
 	Held   bool   `cbor:"Held"`
 	Record Record `cbor:"Record"`
 }
 
-// Ledger is an agent's side. The zero value has promised nothing. It is a plain value: a copy is a state to
+// Lease is an agent's side. The zero value has promised nothing. It is a plain value: a copy is a state to
 // go back to where storing fails.
-type Ledger struct {
-	Durable
-	Term         float64 // seconds that a claim runs without a sign of its holder
+type Lease struct {
+	PersistentState
+	TermSeconds  float64 // seconds that a claim runs without a sign of its holder
 	now          float64
 	since, until float64
 }
 
 // Restore is the ledger of an agent that starts again. Its clock is a new one, so a claim that was held
 // counts as renewed just now: it may run too long by that, and never too short.
-func Restore(d Durable, term, now float64) Ledger {
-	return Ledger{Durable: d, Term: term, now: now, since: now, until: now + term}
+func Restore(d PersistentState, term, now float64) Lease {
+	return Lease{PersistentState: d, TermSeconds: term, now: now, since: now, until: now + term}
 }
 
 // at takes in the time. One that goes back is taken as standing still: a claim must not come alive again.
-func (l *Ledger) at(now float64) {
+func (l *Lease) at(now float64) {
 	l.now = max(l.now, now)
 	if l.Held && l.now >= l.until {
 		l.Held = false
 	}
 }
 
-// Standing tells how things stand.
-func (l *Ledger) Standing(now float64) Standing {
+// State tells how things stand.
+func (l *Lease) State(now float64) State {
 	l.at(now)
-	s := Standing{Epoch: l.Epoch, Holder: l.Holder, Held: l.Held, Since: l.now - l.since}
+	s := State{Epoch: l.Epoch, Holder: l.Holder, Held: l.Held, HeldSeconds: l.now - l.since}
 	if l.Held {
-		s.Left = l.until - l.now
+		s.RemainingSeconds = l.until - l.now
 	}
 	return s
 }
 
-// Bid grants an epoch or refuses it. A repeat of the bid that was granted is granted again.
-func (l *Ledger) Bid(now float64, b Bid) Refusal {
+// Acquire grants an epoch or refuses it. A repeat of the bid that was granted is granted again.
+func (l *Lease) Acquire(now float64, b Request) Denial {
 	l.at(now)
 	switch {
 	case b.Epoch == l.Epoch && b.Holder == l.Holder && l.Held:
 		return Granted
 	case b.Epoch <= l.Epoch:
-		return LowerEpoch
+		return StaleEpoch
 	case l.Held && b.Holder != l.Holder && !b.Takeover:
 		return HeldByOther
 	}
@@ -118,40 +118,40 @@
 		l.since = l.now
 	}
 	l.Epoch, l.Holder, l.Held = b.Epoch, b.Holder, true
-	l.until = l.now + l.Term
+	l.until = l.now + l.TermSeconds
 	return Granted
 }
 
-// Admit tells whether a holder may act here now, and renews its claim if so.
-func (l *Ledger) Admit(now float64, epoch uint64, holder string) Refusal {
+// Renew tells whether a holder may act here now, and renews its claim if so.
+func (l *Lease) Renew(now float64, epoch uint64, holder string) Denial {
 	l.at(now)
 	switch {
 	case epoch < l.Epoch:
-		return LowerEpoch
+		return StaleEpoch
 	case epoch > l.Epoch || holder != l.Holder:
 		return NotHolder
 	case !l.Held:
-		return RanOut
+		return Expired
 	}
-	l.until = l.now + l.Term
+	l.until = l.now + l.TermSeconds
 	return Granted
 }
 
-// Keep takes a holder's record in place of an older one. A repeat is granted.
-func (l *Ledger) Keep(now float64, epoch uint64, holder string, r Record) Refusal {
-	if no := l.Admit(now, epoch, holder); no != Granted {
+// StoreRecord takes a holder's record in place of an older one. A repeat is granted.
+func (l *Lease) StoreRecord(now float64, epoch uint64, holder string, r Record) Denial {
+	if no := l.Renew(now, epoch, holder); no != Granted {
 		return no
 	}
-	if r.Stamp.Epoch != epoch || r.Stamp.Before(l.Record.Stamp) {
-		return OldRecord
+	if r.Version.Epoch != epoch || r.Version.Before(l.Record.Version) {
+		return StaleRecord
 	}
 	l.Record = r
 	return Granted
 }
 
 // Release ends a claim before it runs out. The promise stays.
-func (l *Ledger) Release(now float64, epoch uint64, holder string) Refusal {
-	if no := l.Admit(now, epoch, holder); no != Granted && no != RanOut {
+func (l *Lease) Release(now float64, epoch uint64, holder string) Denial {
+	if no := l.Renew(now, epoch, holder); no != Granted && no != Expired {
 		return no
 	}
 	l.Held = false
@@ -163,33 +163,33 @@
 
 // Campaign is a bidder's side: it gathers what the agents say to one bid.
 type Campaign struct {
-	Bid    Bid
-	agents int
-	says   map[int]Refusal
-	newest Record
-	held   Standing // the one that stands in the way, with the longest to run
-	top    uint64
+	Request Request
+	agents  int
+	says    map[int]Denial
+	newest  Record
+	held    State // the one that stands in the way, with the longest to run
+	top     uint64
 }
 
 // NewCampaign is one that nobody has answered.
-func NewCampaign(b Bid, agents int) *Campaign {
-	return &Campaign{Bid: b, agents: agents, says: map[int]Refusal{}, top: b.Epoch}
+func NewCampaign(b Request, agents int) *Campaign {
+	return &Campaign{Request: b, agents: agents, says: map[int]Denial{}, top: b.Epoch}
 }
 
-// Heard takes in one agent's answer, with its standing and record as they are after it.
-func (c *Campaign) Heard(agent int, no Refusal, s Standing, r Record) {
+// AddReply takes in one agent's answer, with its standing and record as they are after it.
+func (c *Campaign) AddReply(agent int, no Denial, s State, r Record) {
 	c.says[agent] = no
 	c.top = max(c.top, s.Epoch)
-	if no == Granted && c.newest.Stamp.Before(r.Stamp) {
+	if no == Granted && c.newest.Version.Before(r.Version) {
 		c.newest = r
 	}
-	if no != Granted && s.Held && s.Holder != c.Bid.Holder && s.Left >= c.held.Left {
+	if no != Granted && s.Held && s.Holder != c.Request.Holder && s.RemainingSeconds >= c.held.RemainingSeconds {
 		c.held = s
 	}
 }
 
-// Gone notes that an agent cannot be heard.
-func (c *Campaign) Gone(agent int) {
+// AddUnreachable notes that an agent cannot be heard.
+func (c *Campaign) AddUnreachable(agent int) {
 	if _, said := c.says[agent]; !said {
 		c.says[agent] = NotHolder
 	}
@@ -200,7 +200,7 @@
 
 // Results. Lost is final: enough agents refused or are gone that no majority can come.
 const (
-	Open Result = iota
+	Pending Result = iota
 	Won
 	Lost
 )
@@ -219,18 +219,18 @@
 	case c.agents-len(c.says)+granted < need:
 		return Lost
 	}
-	return Open
+	return Pending
 }
 
-// Record is the newest that those who granted keep. Once the campaign is won no newer one can come to be
+// NewestRecord is the newest that those who granted keep. Once the campaign is won no newer one can come to be
 // under a lower epoch, for that would need a majority too.
-func (c *Campaign) Record() Record { return c.newest }
+func (c *Campaign) NewestRecord() Record { return c.newest }
 
-// Holder is who stands in the way, if any.
-func (c *Campaign) Holder() Standing { return c.held }
+// BlockedBy is who stands in the way, if any.
+func (c *Campaign) BlockedBy() State { return c.held }
 
-// Top is the highest epoch heard of: the next bid must be above it.
-func (c *Campaign) Top() uint64 { return c.top }
+// HighestEpoch is the highest epoch heard of: the next bid must be above it.
+func (c *Campaign) HighestEpoch() uint64 { return c.top }
 
 // GrantedBy tells whether an agent has granted.
 func (c *Campaign) GrantedBy(agent int) bool {
--- a/internal/fleet/form/form.go
+++ b/internal/fleet/form/form.go
@@ -44,7 +44,7 @@
 type Request struct {
 	Verb            Verb            `cbor:"verb"`
 	AgentsDigest    string          `cbor:"agents,omitempty"` // digest of the caller's list of agents; must be the agent's own
-	LeaseRequest    claim.Bid       `cbor:"bid,omitzero"`
+	LeaseRequest    claim.Request   `cbor:"bid,omitzero"`
 	Epoch           uint64          `cbor:"epoch,omitempty"`
 	Holder          string          `cbor:"holder,omitempty"`
 	Record          claim.Record    `cbor:"record,omitzero"`
@@ -56,10 +56,10 @@
 
 // Wish is what an operator asks of a running rollout. It counts for one run of it only.
 type OperatorRequest struct {
-	RolloutID string    `cbor:"rollout"`
-	Run       uint64    `cbor:"run"`
-	Action    plan.Wish `cbor:"wish"`
-	Operator  string    `cbor:"by"`
+	RolloutID string               `cbor:"rollout"`
+	Run       uint64               `cbor:"run"`
+	Action    plan.OperatorRequest `cbor:"wish"`
+	Operator  string               `cbor:"by"`
 }
 
 // Revision is a configuration that routers are to run: what is the same for all of them.
@@ -89,7 +89,7 @@
 	Listen     string  `cbor:"listen"`
 	ProcessID  int     `cbor:"process"`
 	Crashes    int     `cbor:"crashes"` // since it last ran calmly
-	plan.Sight
+	plan.Observation
 	TargetRevision string `cbor:"wants"` // revision that it is to run
 }
 
@@ -97,9 +97,9 @@
 type Reply struct {
 	Agent           string           `cbor:"agent"`
 	Program         string           `cbor:"program"`
-	Denial          claim.Refusal    `cbor:"refusal"`
+	Denial          claim.Denial     `cbor:"refusal"`
 	Failure         string           `cbor:"fault,omitempty"` // why it was not done, for people, where no refusal says so
-	LeaseState      claim.Standing   `cbor:"standing"`
+	LeaseState      claim.State      `cbor:"standing"`
 	Record          claim.Record     `cbor:"record,omitzero"`
 	OperatorRequest OperatorRequest  `cbor:"wish,omitzero"`
 	Instances       []InstanceStatus `cbor:"instances,omitempty"`
--- a/internal/fleet/form/form_test.go
+++ b/internal/fleet/form/form_test.go
@@ -12,13 +12,13 @@
 )
 
 func TestMessagesReadBackTheSame(t *testing.T) {
-	c := Request{Verb: BeginStepVerb, Epoch: 3, Holder: "h", InstanceName: "n1", Step: plan.Step{Rollout: "r", Number: 2, Instance: 4}}
+	c := Request{Verb: BeginStepVerb, Epoch: 3, Holder: "h", InstanceName: "n1", Step: plan.Step{RolloutID: "r", Number: 2, Instance: 4}}
 	got, err := DecodeRequest(Encode(c))
 	require.NoError(t, err)
 	assert.Equal(t, c, got)
 	r := Reply{
-		Agent: "a", Denial: claim.RanOut, Record: claim.Record{Stamp: claim.Stamp{Epoch: 1, Number: 2}, Body: []byte("b")},
-		Instances: []InstanceStatus{{Name: "n", Sight: plan.Sight{Seen: math.Inf(-1), Life: plan.Ready, Last: plan.Step{Number: 9}}}},
+		Agent: "a", Denial: claim.Expired, Record: claim.Record{Version: claim.Version{Epoch: 1, Number: 2}, Body: []byte("b")},
+		Instances: []InstanceStatus{{Name: "n", Observation: plan.Observation{SeenAt: math.Inf(-1), State: plan.ProcessReady, LastStep: plan.Step{Number: 9}}}},
 	}
 	var back Reply
 	require.NoError(t, Decode("reply", Encode(r), &back))
@@ -46,7 +46,7 @@
 }
 
 func FuzzDecodeCall(f *testing.F) {
-	f.Add(Encode(Request{Verb: RequestLeaseVerb, LeaseRequest: claim.Bid{Epoch: 1, Holder: "x"}}))
+	f.Add(Encode(Request{Verb: RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 1, Holder: "x"}}))
 	f.Add(Encode(Request{Verb: PutRevisionVerb, Revision: Revision{Digest: "d", Content: []byte("{}")}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := DecodeRequest(raw)
--- a/internal/fleet/form/record_names_test.go
+++ b/internal/fleet/form/record_names_test.go
@@ -22,27 +22,27 @@
 // claim, plan and tend: each value must encode to the bytes that the program wrote before its fields had tags,
 // and those bytes must be read back as the value.
 func TestStoredRecordsKeepTheirNames(t *testing.T) {
-	step := plan.Step{Rollout: "r", Number: 7, Instance: 3, Revision: "b", Back: true, Restart: true, Idle: true}
-	reason := plan.Reason{Kind: plan.HallFloor, Instance: 3, Hall: 2, Have: 4, Need: 5, Detail: "detail"}
-	record := claim.Record{Stamp: claim.Stamp{Epoch: 4, Number: 9}, Body: []byte("body")}
-	holdsNames(t, "bid", claim.Bid{Epoch: 4, Holder: "ayla/host", Takeover: true})
+	step := plan.Step{RolloutID: "r", Number: 7, Instance: 3, Revision: "b", Rollback: true, Restart: true, OnlyIfNotServing: true}
+	reason := plan.Reason{Kind: plan.ReasonZoneMinimum, Instance: 3, Zone: 2, Have: 4, Need: 5, Detail: "detail"}
+	record := claim.Record{Version: claim.Version{Epoch: 4, Number: 9}, Body: []byte("body")}
+	holdsNames(t, "bid", claim.Request{Epoch: 4, Holder: "ayla/host", Takeover: true})
 	holdsNames(t, "record", record)
-	holdsNames(t, "standing", claim.Standing{Epoch: 4, Holder: "ayla/host", Held: true, Since: 1.5, Left: 2.5})
-	holdsNames(t, "durable", claim.Durable{Epoch: 4, Holder: "ayla/host", Held: true, Record: record})
+	holdsNames(t, "standing", claim.State{Epoch: 4, Holder: "ayla/host", Held: true, HeldSeconds: 1.5, RemainingSeconds: 2.5})
+	holdsNames(t, "durable", claim.PersistentState{Epoch: 4, Holder: "ayla/host", Held: true, Record: record})
 	holdsNames(t, "step", step)
-	holdsNames(t, "tally", plan.Tally{Ended: 90, Unanswered: 4})
+	holdsNames(t, "tally", plan.CommandCounts{Completed: 90, Unanswered: 4})
 	holdsNames(t, "reason", reason)
-	holdsNames(t, "sight", plan.Sight{
-		Seen: 1.5, Life: plan.Ready, Revision: "b", Last: step, End: plan.Failed, Why: "why", Before: "a",
-		Recent: plan.Tally{Ended: 90, Unanswered: 4}, Since: plan.Tally{Ended: 80, Unanswered: 3}, ReadyFor: 2.5,
+	holdsNames(t, "sight", plan.Observation{
+		SeenAt: 1.5, State: plan.ProcessReady, Revision: "b", LastStep: step, LastResult: plan.StepFailed, LastFailure: "why", PreviousRevision: "a",
+		RecentCommands: plan.CommandCounts{Completed: 90, Unanswered: 4}, CommandsSinceStep: plan.CommandCounts{Completed: 80, Unanswered: 3}, ReadySeconds: 2.5,
 	})
 	holdsNames(t, "rollout", plan.Rollout{
-		ID: "r", Revision: "b", Restart: true, Back: true, State: plan.Paused, Why: reason, Cause: reason,
-		Out: []int{1, 4}, Step: step, Was: plan.Tally{Ended: 70, Unanswered: 2}, Steps: 7, Undone: 2,
+		ID: "r", Revision: "b", Restart: true, RollingBack: true, State: plan.Paused, Reason: reason, RollbackCause: reason,
+		ExcludedInstances: []int{1, 4}, CurrentStep: step, CommandsBeforeStep: plan.CommandCounts{Completed: 70, Unanswered: 2}, StepsBegun: 7, StepsNotApplied: 2,
 	})
 	holdsNames(t, "instance", tend.Record{
-		Up: true, Revision: "b", Mark: 11, Step: step, End: plan.Undone, Why: "why", Before: "a",
-		Acted: true, Reload: true, Replaced: true, Drain: 3.5,
+		ShouldRun: true, Revision: "b", Incarnation: 11, Step: step, Result: plan.StepNotApplied, Failure: "why", PreviousRevision: "a",
+		MayHaveChanged: true, Reload: true, Replaced: true, DrainSeconds: 3.5,
 	})
 }
 
--- a/internal/fleet/form/recorded_test.go
+++ b/internal/fleet/form/recorded_test.go
@@ -22,20 +22,20 @@
 		StatusVerb: {Verb: StatusVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 41, Holder: "ayla/host-1/00ff"},
 		RequestLeaseVerb: {
 			Verb: RequestLeaseVerb, AgentsDigest: "a1b2c3d4e5f60718",
-			LeaseRequest: claim.Bid{Epoch: 42, Holder: "ayla/host-1/00ff", Takeover: true},
+			LeaseRequest: claim.Request{Epoch: 42, Holder: "ayla/host-1/00ff", Takeover: true},
 		},
 		StoreRecordVerb: {
 			Verb: StoreRecordVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 43, Holder: "ayla/host-1/00ff",
-			Record: claim.Record{Stamp: claim.Stamp{Epoch: 43, Number: 7}, Body: []byte{0x01, 0x02, 0xff}},
+			Record: claim.Record{Version: claim.Version{Epoch: 43, Number: 7}, Body: []byte{0x01, 0x02, 0xff}},
 		},
 		BeginStepVerb: {
 			Verb: BeginStepVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 44, Holder: "ayla/host-1/00ff", InstanceName: "n1",
-			Step: plan.Step{Rollout: "0123456789ab", Number: 8, Instance: 3, Revision: "feedbeef", Back: true, Restart: true, Idle: true},
+			Step: plan.Step{RolloutID: "0123456789ab", Number: 8, Instance: 3, Revision: "feedbeef", Rollback: true, Restart: true, OnlyIfNotServing: true},
 		},
 		ReleaseLeaseVerb: {Verb: ReleaseLeaseVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 45, Holder: "ayla/host-1/00ff"},
 		RequestActionVerb: {
 			Verb: RequestActionVerb, AgentsDigest: "a1b2c3d4e5f60718",
-			OperatorRequest: OperatorRequest{RolloutID: "0123456789ab", Run: 2, Action: plan.Rollback, Operator: "mehmet"},
+			OperatorRequest: OperatorRequest{RolloutID: "0123456789ab", Run: 2, Action: plan.RequestRollback, Operator: "mehmet"},
 		},
 		PutRevisionVerb: {Verb: PutRevisionVerb, Revision: Revision{
 			Digest: "feedbeef", Name: "bigger pool", PushedBy: "ayla", PushedAt: 1767323045,
@@ -49,15 +49,15 @@
 func recordedRollout(id string, state plan.State) Rollout {
 	return Rollout{
 		Rollout: plan.Rollout{
-			ID: id, Revision: "feedbeef", Restart: true, Back: true, State: state,
-			Why:   plan.Reason{Kind: plan.HallFloor, Instance: 2, Hall: 1, Have: 3, Need: 4, Detail: "detail of why"},
-			Cause: plan.Reason{Kind: plan.StepFailed, Instance: 5, Hall: 6, Have: 7, Need: 8, Detail: "detail of cause"},
-			Out:   []int{1, 4},
-			Step: plan.Step{
-				Rollout: id, Number: 9, Instance: 2, Revision: "0ddba11", Back: true, Restart: true,
-				Idle: true,
+			ID: id, Revision: "feedbeef", Restart: true, RollingBack: true, State: state,
+			Reason:            plan.Reason{Kind: plan.ReasonZoneMinimum, Instance: 2, Zone: 1, Have: 3, Need: 4, Detail: "detail of why"},
+			RollbackCause:     plan.Reason{Kind: plan.ReasonStepFailed, Instance: 5, Zone: 6, Have: 7, Need: 8, Detail: "detail of cause"},
+			ExcludedInstances: []int{1, 4},
+			CurrentStep: plan.Step{
+				RolloutID: id, Number: 9, Instance: 2, Revision: "0ddba11", Rollback: true, Restart: true,
+				OnlyIfNotServing: true,
 			},
-			Was: plan.Tally{Ended: 1000, Unanswered: 10}, Steps: 9, Undone: 2,
+			CommandsBeforeStep: plan.CommandCounts{Completed: 1000, Unanswered: 10}, StepsBegun: 9, StepsNotApplied: 2,
 		},
 		Run: 3, RevisionName: "bigger pool", StartedBy: "ayla", StartedAt: 1767323046, RequestedBy: "mehmet", InstancesDigest: "1122334455667788",
 	}
@@ -67,37 +67,37 @@
 	return map[Verb]Reply{
 		StatusVerb: {
 			Agent: "a1", Program: "stoatctl 1",
-			LeaseState:      claim.Standing{Epoch: 41, Holder: "ayla/host-1/00ff", Held: true, Since: 12.5, Left: 2.25},
-			Record:          claim.Record{Stamp: claim.Stamp{Epoch: 41, Number: 6}, Body: []byte{0xa0}},
-			OperatorRequest: OperatorRequest{RolloutID: "0123456789ab", Run: 2, Action: plan.Pause, Operator: "mehmet"},
+			LeaseState:      claim.State{Epoch: 41, Holder: "ayla/host-1/00ff", Held: true, HeldSeconds: 12.5, RemainingSeconds: 2.25},
+			Record:          claim.Record{Version: claim.Version{Epoch: 41, Number: 6}, Body: []byte{0xa0}},
+			OperatorRequest: OperatorRequest{RolloutID: "0123456789ab", Run: 2, Action: plan.RequestPause, Operator: "mehmet"},
 			Instances: []InstanceStatus{
 				{
 					Name: "n1", AgeSeconds: 0.5, Listen: "127.0.0.1:5432", ProcessID: 4711, Crashes: 2, TargetRevision: "feedbeef",
-					Sight: plan.Sight{
-						Seen: 17.5, Life: plan.Draining, Revision: "0ddba11",
-						Last: plan.Step{Rollout: "0123456789ab", Number: 8, Instance: 3, Revision: "feedbeef", Back: true, Restart: true, Idle: true},
-						End:  plan.Failed, Why: "it ended with status 3", Before: "0ddba11",
-						Recent: plan.Tally{Ended: 500, Unanswered: 5}, Since: plan.Tally{Ended: 70, Unanswered: 6}, ReadyFor: 3.75,
+					Observation: plan.Observation{
+						SeenAt: 17.5, State: plan.ProcessDraining, Revision: "0ddba11",
+						LastStep:   plan.Step{RolloutID: "0123456789ab", Number: 8, Instance: 3, Revision: "feedbeef", Rollback: true, Restart: true, OnlyIfNotServing: true},
+						LastResult: plan.StepFailed, LastFailure: "it ended with status 3", PreviousRevision: "0ddba11",
+						RecentCommands: plan.CommandCounts{Completed: 500, Unanswered: 5}, CommandsSinceStep: plan.CommandCounts{Completed: 70, Unanswered: 6}, ReadySeconds: 3.75,
 					},
 				},
-				{Name: "n2", Sight: plan.Sight{Seen: math.Inf(-1)}},
+				{Name: "n2", Observation: plan.Observation{SeenAt: math.Inf(-1)}},
 			},
 		},
 		RequestLeaseVerb: {
 			Agent: "a1", Program: "stoatctl 1", Denial: claim.HeldByOther,
-			LeaseState: claim.Standing{Epoch: 41, Holder: "mehmet/host-2/11ee", Held: true, Since: 1, Left: 14},
+			LeaseState: claim.State{Epoch: 41, Holder: "mehmet/host-2/11ee", Held: true, HeldSeconds: 1, RemainingSeconds: 14},
 		},
 		StoreRecordVerb: {
-			Agent: "a1", Program: "stoatctl 1", Denial: claim.OldRecord,
-			LeaseState: claim.Standing{Epoch: 43, Holder: "ayla/host-1/00ff", Held: true, Since: 2, Left: 13},
+			Agent: "a1", Program: "stoatctl 1", Denial: claim.StaleRecord,
+			LeaseState: claim.State{Epoch: 43, Holder: "ayla/host-1/00ff", Held: true, HeldSeconds: 2, RemainingSeconds: 13},
 		},
 		BeginStepVerb: {
 			Agent: "a1", Program: "stoatctl 1", Failure: "there is no instance n1 here",
-			LeaseState: claim.Standing{Epoch: 44, Holder: "ayla/host-1/00ff", Held: true, Since: 3, Left: 15},
+			LeaseState: claim.State{Epoch: 44, Holder: "ayla/host-1/00ff", Held: true, HeldSeconds: 3, RemainingSeconds: 15},
 		},
 		ReleaseLeaseVerb: {
-			Agent: "a1", Program: "stoatctl 1", Denial: claim.LowerEpoch,
-			LeaseState: claim.Standing{Epoch: 46, Holder: "mehmet/host-2/11ee", Since: 4},
+			Agent: "a1", Program: "stoatctl 1", Denial: claim.StaleEpoch,
+			LeaseState: claim.State{Epoch: 46, Holder: "mehmet/host-2/11ee", HeldSeconds: 4},
 		},
 		RequestActionVerb: {
 			Agent: "a1", Program: "stoatctl 1",
@@ -108,7 +108,7 @@
 			Digest: "feedbeef", Name: "bigger pool", PushedBy: "ayla", PushedAt: 1767323045, Content: []byte(`{"discovery":"127.0.0.1:9"}`),
 		}}},
 		HistoryVerb: {
-			Agent: "a1", Program: "stoatctl 1", Denial: claim.RanOut,
+			Agent: "a1", Program: "stoatctl 1", Denial: claim.Expired,
 			Revisions: []Revision{{Digest: "feedbeef", Name: "bigger pool", PushedBy: "ayla", PushedAt: 1767323045}, {Digest: "0ddba11", PushedAt: 1767323044}},
 			Rollouts: []Rollout{
 				recordedRollout("r-none", plan.None), recordedRollout("r-running", plan.Running),
--- a/internal/fleet/layout/layout.go
+++ b/internal/fleet/layout/layout.go
@@ -201,16 +201,16 @@
 
 // Plan is the fleet as the decisions see it; instances, halls and agents keep the file's order.
 func (f *Fleet) PlannerFleet() *plan.Fleet {
-	p := &plan.Fleet{Floor: f.MinAvailable, Times: plan.Times{
-		Soak: float64(f.Times.Soak), Fresh: float64(f.Times.FreshFor),
-		Contact: float64(f.Times.ContactTimeout), Step: float64(f.Times.StepTimeout),
+	p := &plan.Fleet{MinAvailable: f.MinAvailable, Timing: plan.Timing{
+		SoakSeconds: float64(f.Times.Soak), StaleAfterSeconds: float64(f.Times.FreshFor),
+		ContactTimeoutSeconds: float64(f.Times.ContactTimeout), StepTimeoutSeconds: float64(f.Times.StepTimeout),
 	}}
 	for _, h := range f.Zones {
-		p.Halls = append(p.Halls, h.MinAvailable)
+		p.ZoneMinAvailable = append(p.ZoneMinAvailable, h.MinAvailable)
 	}
 	for _, x := range f.Instances {
 		a := f.agentIndex[x.Agent]
-		p.Instances = append(p.Instances, plan.Instance{Hall: f.zoneIndex[f.Agents[a].Zone], Agent: a})
+		p.Instances = append(p.Instances, plan.Instance{Zone: f.zoneIndex[f.Agents[a].Zone], Agent: a})
 	}
 	return p
 }
--- a/internal/fleet/layout/layout_test.go
+++ b/internal/fleet/layout/layout_test.go
@@ -23,10 +23,10 @@
 	f, err := Parse("f", []byte(sample))
 	require.NoError(t, err)
 	p := f.PlannerFleet()
-	assert.Equal(t, []plan.Instance{{Hall: 0, Agent: 0}, {Hall: 1, Agent: 1}}, p.Instances)
-	assert.Equal(t, []int{1, 0}, p.Halls)
-	assert.Equal(t, 2.0, p.Times.Soak)
-	assert.Equal(t, 30.0, p.Times.Contact, "what is not given has a default")
+	assert.Equal(t, []plan.Instance{{Zone: 0, Agent: 0}, {Zone: 1, Agent: 1}}, p.Instances)
+	assert.Equal(t, []int{1, 0}, p.ZoneMinAvailable)
+	assert.Equal(t, 2.0, p.Timing.SoakSeconds)
+	assert.Equal(t, 30.0, p.Timing.ContactTimeoutSeconds, "what is not given has a default")
 	assert.Equal(t, revision.Instance{Name: "n1", Listen: "127.0.0.1:5001", RouterIndex: 0}, f.Instances[0].RevisionInstance())
 	assert.Equal(t, revision.Instance{Name: "n2", Listen: "127.0.0.1:5002", Discovery: "127.0.0.1:8500", RouterIndex: -1}, f.Instances[1].RevisionInstance())
 	again, err := Parse("f", f.Text())
@@ -71,6 +71,6 @@
 func TestExampleIsRight(t *testing.T) {
 	f, err := Load("../../../deploy/fleet.sexp")
 	require.NoError(t, err)
-	assert.Equal(t, plan.NoReason, plan.Possible(f.PlannerFleet(), nil).Kind)
+	assert.Equal(t, plan.ReasonNone, plan.CheckFeasible(f.PlannerFleet(), nil).Kind)
 	assert.Len(t, f.Instances, 6)
 }
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -14,80 +14,80 @@
 
 // Fleet is what a rollout goes over.
 type Fleet struct {
-	Instances []Instance
-	Halls     []int // the floor of each: instances that must serve
-	Floor     int   // of the whole
-	Times     Times
+	Instances        []Instance
+	ZoneMinAvailable []int // the floor of each: instances that must serve
+	MinAvailable     int   // of the whole
+	Timing           Timing
 }
 
 // Instance is where one router belongs.
-type Instance struct{ Hall, Agent int }
+type Instance struct{ Zone, Agent int }
 
-// Times are in seconds.
-type Times struct {
-	Soak    float64 // that a changed instance must serve well before the next
-	Fresh   float64 // after which what was seen is no longer known
-	Contact float64 // that an unknown or missing instance is waited for before a rollout pauses
-	Step    float64 // that a step may take
+// Timing are in seconds.
+type Timing struct {
+	SoakSeconds           float64 // that a changed instance must serve well before the next
+	StaleAfterSeconds     float64 // after which what was seen is no longer known
+	ContactTimeoutSeconds float64 // that an unknown or missing instance is waited for before a rollout pauses
+	StepTimeoutSeconds    float64 // that a step may take
 }
 
-// Life is what an agent knows of an instance's process.
-type Life int
+// ProcessState is what an agent knows of an instance's process.
+type ProcessState int
 
 // Lives of an instance.
 const (
-	Unknown  Life = iota // its agent has not found out yet
-	Down                 // no process
-	Starting             // not yet ready
-	Ready                // answers an empty query
-	Draining             // told to end
-	Broken               // ended so often that it is no longer started
+	ProcessUnknown      ProcessState = iota // its agent has not found out yet
+	ProcessDown                             // no process
+	ProcessStarting                         // not yet ready
+	ProcessReady                            // answers an empty query
+	ProcessDraining                         // told to end
+	ProcessCrashLooping                     // ended so often that it is no longer started
 )
 
-var lives = [...]string{"unknown", "down", "starting", "ready", "draining", "broken"}
+var processStates = [...]string{"unknown", "down", "starting", "ready", "draining", "broken"}
 
-func (l Life) String() string { return lives[l] }
+func (l ProcessState) String() string { return processStates[l] }
 
-// End is how a step ended.
-type End int
+// StepResult is how a step ended.
+type StepResult int
 
 // Ends of a step.
 const (
-	Open   End = iota // not yet
-	Done              // the instance runs the revision and was seen ready
-	Failed            // it does not
-	Undone            // it came to nothing, as when its agent died before it did anything: nothing has changed
+	StepPending    StepResult = iota // not yet
+	StepSucceeded                    // the instance runs the revision and was seen ready
+	StepFailed                       // it does not
+	StepNotApplied                   // it came to nothing, as when its agent died before it did anything: nothing has changed
 )
 
 // Step is one change of one instance. Numbers grow over a rollout, also over its epochs.
 type Step struct {
-	Rollout  string `cbor:"Rollout"`
-	Number   uint64 `cbor:"Number"`
-	Instance int    `cbor:"Instance"`
-	Revision string `cbor:"Revision"`
-	Back     bool   `cbor:"Back"`    // to what ran before the rollout
-	Restart  bool   `cbor:"Restart"` // also where a reload would do
-	Idle     bool   `cbor:"Idle"`    // sent with no floor asked, as the instance did not serve: an agent that finds it ready does nothing
-}
-
-// Tally counts commands that came to an end.
-type Tally struct {
-	Ended      uint64 `cbor:"Ended"`
+	RolloutID        string `cbor:"Rollout"`
+	Number           uint64 `cbor:"Number"`
+	Instance         int    `cbor:"Instance"`
+	Revision         string `cbor:"Revision"`
+	Rollback         bool   `cbor:"Back"`    // to what ran before the rollout
+	Restart          bool   `cbor:"Restart"` // also where a reload would do
+	OnlyIfNotServing bool   `cbor:"Idle"`    // sent with no floor asked, as the instance did not serve: an agent that finds it ready does nothing
+}
+
+// CommandCounts counts commands that came to an end.
+type CommandCounts struct {
+	Completed  uint64 `cbor:"Ended"`
 	Unanswered uint64 `cbor:"Unanswered"`
 }
 
-// Sight is what was last seen of an instance.
-type Sight struct {
-	Seen     float64 `cbor:"Seen"` // when, on the asker's clock; -Inf: never
-	Life     Life    `cbor:"Life"`
-	Revision string  `cbor:"Revision"` // that it runs, or is to run
-	Last     Step    `cbor:"Last"`     // the newest that its agent began
-	End      End     `cbor:"End"`      // of that
-	Why      string  `cbor:"Why"`      // it failed
-	Before   string  `cbor:"Before"`   // revision before the first step of Last.Rollout
-	Recent   Tally   `cbor:"Recent"`   // of the last while, a soak's length or so
-	Since    Tally   `cbor:"Since"`    // since the end of the last step
-	ReadyFor float64 `cbor:"ReadyFor"`
+// Observation is what was last seen of an instance.
+type Observation struct {
+	SeenAt            float64       `cbor:"Seen"` // when, on the asker's clock; -Inf: never
+	State             ProcessState  `cbor:"Life"`
+	Revision          string        `cbor:"Revision"` // that it runs, or is to run
+	LastStep          Step          `cbor:"Last"`     // the newest that its agent began
+	LastResult        StepResult    `cbor:"End"`      // of that
+	LastFailure       string        `cbor:"Why"`      // it failed
+	PreviousRevision  string        `cbor:"Before"`   // revision before the first step of Last.Rollout
+	RecentCommands    CommandCounts `cbor:"Recent"`   // of the last while, a soak's length or so
+	CommandsSinceStep CommandCounts `cbor:"Since"`    // since the end of the last step
+	ReadySeconds      float64       `cbor:"ReadyFor"`
 }
 
 // State of a rollout.
@@ -107,88 +107,88 @@
 
 func (s State) String() string { return states[s] }
 
-// Over tells whether a rollout takes no more steps unless it is begun again.
-func (s State) Over() bool { return s != Running && s != Paused }
+// Terminal tells whether a rollout takes no more steps unless it is begun again.
+func (s State) Terminal() bool { return s != Running && s != Paused }
 
-// Wish is what an operator asks of a rollout that another tool drives.
-type Wish int
+// OperatorRequest is what an operator asks of a rollout that another tool drives.
+type OperatorRequest int
 
 // Wishes.
 const (
-	Nothing Wish = iota
-	Pause
-	Abort
-	Rollback
+	RequestNone OperatorRequest = iota
+	RequestPause
+	RequestAbort
+	RequestRollback
 )
 
 // Rollout is what is wanted and how far it has come; what the agents keep of it.
 type Rollout struct {
-	ID       string `cbor:"ID"`
-	Revision string `cbor:"Revision"`
-	Restart  bool   `cbor:"Restart"` // restart also what a reload would do for
-	Back     bool   `cbor:"Back"`    // it goes back to what ran before
-	State    State  `cbor:"State"`
-	Why      Reason `cbor:"Why"`    // it paused or ended
-	Cause    Reason `cbor:"Cause"`  // it turned
-	Out      []int  `cbor:"Out"`    // instances left out by an operator's word, in order
-	Step     Step   `cbor:"Step"`   // under way; Number 0: none
-	Was      Tally  `cbor:"Was"`    // of the step's instance before it
-	Steps    uint64 `cbor:"Steps"`  // begun so far
-	Undone   int    `cbor:"Undone"` // steps in a row that came to nothing
-}
-
-// Kind of a reason.
-type Kind int
+	ID                 string        `cbor:"ID"`
+	Revision           string        `cbor:"Revision"`
+	Restart            bool          `cbor:"Restart"` // restart also what a reload would do for
+	RollingBack        bool          `cbor:"Back"`    // it goes back to what ran before
+	State              State         `cbor:"State"`
+	Reason             Reason        `cbor:"Why"`    // it paused or ended
+	RollbackCause      Reason        `cbor:"Cause"`  // it turned
+	ExcludedInstances  []int         `cbor:"Out"`    // instances left out by an operator's word, in order
+	CurrentStep        Step          `cbor:"Step"`   // under way; Number 0: none
+	CommandsBeforeStep CommandCounts `cbor:"Was"`    // of the step's instance before it
+	StepsBegun         uint64        `cbor:"Steps"`  // begun so far
+	StepsNotApplied    int           `cbor:"Undone"` // steps in a row that came to nothing
+}
+
+// ReasonKind of a reason.
+type ReasonKind int
 
 // Kinds of reasons.
 const (
-	NoReason     Kind = iota
-	ByWord            // an operator's
-	Unheard           // Instance's agent is not heard from
-	UnknownLife       // Instance's agent does not know it yet
-	Busy              // Instance is in a step of another rollout
-	Unresolved        // Instance's step has no known end in time
-	HallFloor         // Hall would keep Have instances, its floor is Need
-	WholeFloor        // the fleet would keep Have, its floor is Need
-	StepFailed        // Instance did not come up with the revision
-	SoakFailed        // Instance ended or was not ready in its soak
-	SoakWorse         // Instance leaves Have of Need commands unanswered, more than before
-	CannotGoBack      // Instance's way back failed as well, or it ran nothing before
-	LeftOut           // Have instances were left out
-	KeepsDying        // Instance's agent died before acting, or its router came up by itself, Have times in a row
-	Refused           // Instance's agent will not begin the step
-	NothingToDo       // nothing to be done
+	ReasonNone              ReasonKind = iota
+	ReasonOperator                     // an operator's
+	ReasonAgentUnreachable             // Instance's agent is not heard from
+	ReasonProcessUnknown               // Instance's agent does not know it yet
+	ReasonInstanceBusy                 // Instance is in a step of another rollout
+	ReasonStepUnresolved               // Instance's step has no known end in time
+	ReasonZoneMinimum                  // Hall would keep Have instances, its floor is Need
+	ReasonFleetMinimum                 // the fleet would keep Have, its floor is Need
+	ReasonStepFailed                   // Instance did not come up with the revision
+	ReasonSoakFailed                   // Instance ended or was not ready in its soak
+	ReasonMoreUnanswered               // Instance leaves Have of Need commands unanswered, more than before
+	ReasonCannotRollBack               // Instance's way back failed as well, or it ran nothing before
+	ReasonInstancesExcluded            // Have instances were left out
+	ReasonStepNeverApplied             // Instance's agent died before acting, or its router came up by itself, Have times in a row
+	ReasonStepRefused                  // Instance's agent will not begin the step
+	ReasonNothingToDo                  // nothing to be done
 )
 
 // Reason says why, for people to be told in names.
 type Reason struct {
-	Kind     Kind   `cbor:"Kind"`
-	Instance int    `cbor:"Instance"`
-	Hall     int    `cbor:"Hall"`
-	Have     int    `cbor:"Have"`
-	Need     int    `cbor:"Need"`
-	Detail   string `cbor:"Detail"`
+	Kind     ReasonKind `cbor:"Kind"`
+	Instance int        `cbor:"Instance"`
+	Zone     int        `cbor:"Hall"`
+	Have     int        `cbor:"Have"`
+	Need     int        `cbor:"Need"`
+	Detail   string     `cbor:"Detail"`
 }
 
-// What to do.
-type What int
+// Action to do.
+type Action int
 
 // What is to be done next.
 const (
-	Wait   What = iota // look again
-	Begin              // have Step kept, then carried out
-	Repeat             // send the step under way once more: its agent has not begun it
-	Settle             // the step under way has ended well: keep that
-	Finish             // have Rollout's new State kept: it has come to an end or pauses
-	Turn               // have it kept that the rollout goes back from here
+	ActionWait          Action = iota // look again
+	ActionBeginStep                   // have Step kept, then carried out
+	ActionResendStep                  // send the step under way once more: its agent has not begun it
+	ActionCompleteStep                // the step under way has ended well: keep that
+	ActionFinish                      // have Rollout's new State kept: it has come to an end or pauses
+	ActionStartRollback               // have it kept that the rollout goes back from here
 )
 
 // Decision is what to do next. Rollout is as it is to be kept first, for all but Wait and Repeat.
 type Decision struct {
-	What    What
+	Action  Action
 	Step    Step
 	Rollout Rollout
-	Why     Reason
+	Reason  Reason
 }
 
 // patience with what keeps ending before it begins, and what a share of failures may differ by chance:
@@ -220,28 +220,28 @@
 }
 
 func (f *Fleet) count(which func(i int) bool) counts {
-	c := counts{hall: make([]int, len(f.Halls))}
+	c := counts{hall: make([]int, len(f.ZoneMinAvailable))}
 	for i := range f.Instances {
 		if which(i) {
-			c.hall[f.Instances[i].Hall]++
+			c.hall[f.Instances[i].Zone]++
 			c.whole++
 		}
 	}
 	return c
 }
 
-// Possible tells at once whether floors let any step be taken, were every instance but the left out ones
+// CheckFeasible tells at once whether floors let any step be taken, were every instance but the left out ones
 // serving. Instances of a hall that allows none are told of, one of them.
-func Possible(f *Fleet, out []int) Reason {
+func CheckFeasible(f *Fleet, out []int) Reason {
 	c := f.count(func(i int) bool { return !has(out, i) })
 	if c.whole == 0 {
-		return Reason{Kind: NothingToDo}
+		return Reason{Kind: ReasonNothingToDo}
 	}
 	for hall, n := range c.hall {
 		if n == 0 {
 			continue
 		}
-		if why := f.floors(c, hall); why.Kind != NoReason {
+		if why := f.floors(c, hall); why.Kind != ReasonNone {
 			return why
 		}
 	}
@@ -250,24 +250,26 @@
 
 // floors tells whether enough would still serve with one of a hall's serving instances less.
 func (f *Fleet) floors(serving counts, hall int) Reason {
-	if have := serving.hall[hall] - 1; have < f.Halls[hall] {
-		return Reason{Kind: HallFloor, Hall: hall, Have: have, Need: f.Halls[hall]}
+	if have := serving.hall[hall] - 1; have < f.ZoneMinAvailable[hall] {
+		return Reason{Kind: ReasonZoneMinimum, Zone: hall, Have: have, Need: f.ZoneMinAvailable[hall]}
 	}
-	if have := serving.whole - 1; have < f.Floor {
-		return Reason{Kind: WholeFloor, Have: have, Need: f.Floor}
+	if have := serving.whole - 1; have < f.MinAvailable {
+		return Reason{Kind: ReasonFleetMinimum, Have: have, Need: f.MinAvailable}
 	}
 	return Reason{}
 }
 
-func (p *Planner) known(s *Sight, now float64) bool { return now-s.Seen <= p.Fleet.Times.Fresh }
+func (p *Planner) known(s *Observation, now float64) bool {
+	return now-s.SeenAt <= p.Fleet.Timing.StaleAfterSeconds
+}
 
 // serving is for the floors: known, ready, and not in a step.
-func (p *Planner) serving(s *Sight, now float64) bool {
-	return p.known(s, now) && s.Life == Ready && (s.Last.Number == 0 || s.End != Open)
+func (p *Planner) serving(s *Observation, now float64) bool {
+	return p.known(s, now) && s.State == ProcessReady && (s.LastStep.Number == 0 || s.LastResult != StepPending)
 }
 
-// Serving counts the instances that serve.
-func (p *Planner) Serving(now float64, sights []Sight) int {
+// ServingCount counts the instances that serve.
+func (p *Planner) ServingCount(now float64, sights []Observation) int {
 	n := 0
 	for i := range sights {
 		if p.serving(&sights[i], now) {
@@ -279,16 +281,16 @@
 
 // Finished tells whether an instance is where the rollout wants it, and counts as touched if the rollout
 // has ever changed it.
-func (p *Planner) finished(s *Sight) bool {
-	mine := s.Last.Rollout == p.Rollout.ID
-	if p.Rollout.Back {
-		return !mine || s.Last.Back && s.End == Done || !s.Last.Back && s.End == Undone && s.Revision == s.Before
+func (p *Planner) finished(s *Observation) bool {
+	mine := s.LastStep.RolloutID == p.Rollout.ID
+	if p.Rollout.RollingBack {
+		return !mine || s.LastStep.Rollback && s.LastResult == StepSucceeded || !s.LastStep.Rollback && s.LastResult == StepNotApplied && s.Revision == s.PreviousRevision
 	}
-	return mine && !s.Last.Back && s.End == Done
+	return mine && !s.LastStep.Rollback && s.LastResult == StepSucceeded
 }
 
-// Finished counts the instances that are where the rollout wants them.
-func (p *Planner) Finished(sights []Sight) int {
+// FinishedCount counts the instances that are where the rollout wants them.
+func (p *Planner) FinishedCount(sights []Observation) int {
 	n := 0
 	for i := range sights {
 		if p.finished(&sights[i]) {
@@ -299,63 +301,63 @@
 }
 
 // Next decides. wish is what was asked of the rollout from outside.
-func (p *Planner) Next(now float64, sights []Sight, wish Wish) Decision {
+func (p *Planner) Next(now float64, sights []Observation, wish OperatorRequest) Decision {
 	if p.Rollout.State != Running {
-		return p.wait(Reason{Kind: NothingToDo})
+		return p.wait(Reason{Kind: ReasonNothingToDo})
 	}
-	if p.Rollout.Step.Number != 0 {
+	if p.Rollout.CurrentStep.Number != 0 {
 		if d, settled := p.underWay(now, sights); !settled {
 			return d
 		}
 		r := p.Rollout
-		r.Step, r.Undone = Step{}, 0
-		return p.keep(Settle, r, Reason{})
+		r.CurrentStep, r.StepsNotApplied = Step{}, 0
+		return p.keep(ActionCompleteStep, r, Reason{})
 	}
 	switch wish {
-	case Pause:
-		return p.finish(Paused, Reason{Kind: ByWord})
-	case Abort:
-		return p.finish(Aborted, Reason{Kind: ByWord})
-	case Rollback:
-		if !p.Rollout.Back {
-			return p.turn(Reason{Kind: ByWord})
+	case RequestPause:
+		return p.finish(Paused, Reason{Kind: ReasonOperator})
+	case RequestAbort:
+		return p.finish(Aborted, Reason{Kind: ReasonOperator})
+	case RequestRollback:
+		if !p.Rollout.RollingBack {
+			return p.turn(Reason{Kind: ReasonOperator})
 		}
 	}
-	if why := p.obstacle(now, sights); why.Kind != NoReason {
-		return p.patience(now, why, p.Fleet.Times.Contact)
+	if why := p.obstacle(now, sights); why.Kind != ReasonNone {
+		return p.patience(now, why, p.Fleet.Timing.ContactTimeoutSeconds)
 	}
 	return p.choose(now, sights)
 }
 
 // obstacle is the first instance that may be busy: one that is not known, or in a step that is not ours.
-func (p *Planner) obstacle(now float64, sights []Sight) Reason {
+func (p *Planner) obstacle(now float64, sights []Observation) Reason {
 	for i := range sights {
 		s := &sights[i]
 		switch {
-		case has(p.Rollout.Out, i):
+		case has(p.Rollout.ExcludedInstances, i):
 		case !p.known(s, now):
-			return Reason{Kind: Unheard, Instance: i}
-		case s.Life == Unknown:
-			return Reason{Kind: UnknownLife, Instance: i}
-		case s.Last.Number != 0 && s.End == Open:
-			return Reason{Kind: Busy, Instance: i}
+			return Reason{Kind: ReasonAgentUnreachable, Instance: i}
+		case s.State == ProcessUnknown:
+			return Reason{Kind: ReasonProcessUnknown, Instance: i}
+		case s.LastStep.Number != 0 && s.LastResult == StepPending:
+			return Reason{Kind: ReasonInstanceBusy, Instance: i}
 		}
 	}
 	return Reason{}
 }
 
 // choose picks the next instance: one that does not serve anyway comes first, since it can only gain.
-func (p *Planner) choose(now float64, sights []Sight) Decision {
+func (p *Planner) choose(now float64, sights []Observation) Decision {
 	serving := p.Fleet.count(func(i int) bool { return p.serving(&sights[i], now) })
 	var first Reason
 	for _, idle := range []bool{true, false} {
 		for i := range sights {
 			s := &sights[i]
-			if has(p.Rollout.Out, i) || p.finished(s) || p.serving(s, now) == idle {
+			if has(p.Rollout.ExcludedInstances, i) || p.finished(s) || p.serving(s, now) == idle {
 				continue
 			}
-			if why := p.Fleet.floors(serving, p.Fleet.Instances[i].Hall); !idle && why.Kind != NoReason {
-				if first.Kind == NoReason {
+			if why := p.Fleet.floors(serving, p.Fleet.Instances[i].Zone); !idle && why.Kind != ReasonNone {
+				if first.Kind == ReasonNone {
 					first = why
 					first.Instance = i
 				}
@@ -364,128 +366,128 @@
 			return p.begin(i, s)
 		}
 	}
-	if first.Kind != NoReason {
-		return p.patience(now, first, p.Fleet.Times.Contact)
+	if first.Kind != ReasonNone {
+		return p.patience(now, first, p.Fleet.Timing.ContactTimeoutSeconds)
 	}
 	left := 0
-	for _, i := range p.Rollout.Out {
+	for _, i := range p.Rollout.ExcludedInstances {
 		if !p.finished(&sights[i]) {
 			left++
 		}
 	}
 	switch {
 	case left > 0:
-		return p.finish(Paused, Reason{Kind: LeftOut, Have: left})
-	case p.Rollout.Back:
-		return p.finish(RolledBack, p.Rollout.Cause)
+		return p.finish(Paused, Reason{Kind: ReasonInstancesExcluded, Have: left})
+	case p.Rollout.RollingBack:
+		return p.finish(RolledBack, p.Rollout.RollbackCause)
 	}
 	return p.finish(Complete, Reason{})
 }
 
-func (p *Planner) begin(i int, s *Sight) Decision {
+func (p *Planner) begin(i int, s *Observation) Decision {
 	r := p.Rollout
-	r.Steps++
-	r.Step = Step{Rollout: r.ID, Number: r.Steps, Instance: i, Revision: r.Revision, Back: r.Back, Restart: r.Restart}
-	r.Was = s.Recent
-	if r.Back {
-		if s.Before == "" {
-			return p.finish(Paused, Reason{Kind: CannotGoBack, Instance: i, Detail: "it ran nothing before"})
+	r.StepsBegun++
+	r.CurrentStep = Step{RolloutID: r.ID, Number: r.StepsBegun, Instance: i, Revision: r.Revision, Rollback: r.RollingBack, Restart: r.Restart}
+	r.CommandsBeforeStep = s.RecentCommands
+	if r.RollingBack {
+		if s.PreviousRevision == "" {
+			return p.finish(Paused, Reason{Kind: ReasonCannotRollBack, Instance: i, Detail: "it ran nothing before"})
 		}
-		r.Step.Revision = s.Before
+		r.CurrentStep.Revision = s.PreviousRevision
 	}
-	return p.keep(Begin, r, Reason{})
+	return p.keep(ActionBeginStep, r, Reason{})
 }
 
 // underWay looks after the step that has begun; settled once nothing of it is open.
-func (p *Planner) underWay(now float64, sights []Sight) (Decision, bool) {
-	step := p.Rollout.Step
+func (p *Planner) underWay(now float64, sights []Observation) (Decision, bool) {
+	step := p.Rollout.CurrentStep
 	i := step.Instance
-	s, t := &sights[i], &p.Fleet.Times
-	if has(p.Rollout.Out, i) {
+	s, t := &sights[i], &p.Fleet.Timing
+	if has(p.Rollout.ExcludedInstances, i) {
 		return Decision{}, true
 	}
 	if !p.known(s, now) {
-		return p.patience(now, Reason{Kind: Unheard, Instance: i}, t.Contact), false
+		return p.patience(now, Reason{Kind: ReasonAgentUnreachable, Instance: i}, t.ContactTimeoutSeconds), false
 	}
-	begun := s.Last.Rollout == step.Rollout && s.Last.Number == step.Number
+	begun := s.LastStep.RolloutID == step.RolloutID && s.LastStep.Number == step.Number
 	switch {
-	case !begun && s.Last.Number != 0 && s.End == Open:
-		return p.patience(now, Reason{Kind: Busy, Instance: i}, t.Contact), false
+	case !begun && s.LastStep.Number != 0 && s.LastResult == StepPending:
+		return p.patience(now, Reason{Kind: ReasonInstanceBusy, Instance: i}, t.ContactTimeoutSeconds), false
 	case !begun:
 		return p.send(now, sights), false
-	case s.End == Open:
-		return p.patience(now, Reason{Kind: Unresolved, Instance: i}, t.Step), false
-	case s.End == Undone:
+	case s.LastResult == StepPending:
+		return p.patience(now, Reason{Kind: ReasonStepUnresolved, Instance: i}, t.StepTimeoutSeconds), false
+	case s.LastResult == StepNotApplied:
 		r := p.Rollout
-		r.Step = Step{}
-		if r.Undone++; r.Undone >= undoneTries {
+		r.CurrentStep = Step{}
+		if r.StepsNotApplied++; r.StepsNotApplied >= undoneTries {
 			r.State = Paused
-			return p.keep(Finish, r, Reason{Kind: KeepsDying, Instance: i, Have: r.Undone}), false
+			return p.keep(ActionFinish, r, Reason{Kind: ReasonStepNeverApplied, Instance: i, Have: r.StepsNotApplied}), false
 		}
-		return p.keep(Settle, r, Reason{}), false
-	case s.End == Failed:
-		return p.bad(Reason{Kind: StepFailed, Instance: i, Detail: s.Why}), false
+		return p.keep(ActionCompleteStep, r, Reason{}), false
+	case s.LastResult == StepFailed:
+		return p.bad(Reason{Kind: ReasonStepFailed, Instance: i, Detail: s.LastFailure}), false
 	}
 	return p.soak(now, i, s)
 }
 
-// Refused pauses because the agent of the step under way will not begin it. The step stays on record.
-func (p *Planner) Refused(detail string) Decision {
-	return p.finish(Paused, Reason{Kind: Refused, Instance: p.Rollout.Step.Instance, Detail: detail})
+// StepRefused pauses because the agent of the step under way will not begin it. The step stays on record.
+func (p *Planner) StepRefused(detail string) Decision {
+	return p.finish(Paused, Reason{Kind: ReasonStepRefused, Instance: p.Rollout.CurrentStep.Instance, Detail: detail})
 }
 
 // send has the step under way sent, if it may still be: what was seen when it was decided, perhaps by another
 // tool, need no longer hold.
-func (p *Planner) send(now float64, sights []Sight) Decision {
-	i := p.Rollout.Step.Instance
+func (p *Planner) send(now float64, sights []Observation) Decision {
+	i := p.Rollout.CurrentStep.Instance
 	why := p.obstacle(now, sights)
 	idle := !p.serving(&sights[i], now)
-	if why.Kind == NoReason && !idle {
+	if why.Kind == ReasonNone && !idle {
 		serving := p.Fleet.count(func(j int) bool { return p.serving(&sights[j], now) })
-		why = p.Fleet.floors(serving, p.Fleet.Instances[i].Hall)
+		why = p.Fleet.floors(serving, p.Fleet.Instances[i].Zone)
 	}
-	if why.Kind != NoReason {
-		return p.patience(now, why, p.Fleet.Times.Contact)
+	if why.Kind != ReasonNone {
+		return p.patience(now, why, p.Fleet.Timing.ContactTimeoutSeconds)
 	}
-	d := p.patience(now, Reason{Kind: Unresolved, Instance: i}, p.Fleet.Times.Step)
-	if d.What == Wait {
-		d.What, d.Step = Repeat, p.Rollout.Step
-		d.Step.Idle = idle
+	d := p.patience(now, Reason{Kind: ReasonStepUnresolved, Instance: i}, p.Fleet.Timing.StepTimeoutSeconds)
+	if d.Action == ActionWait {
+		d.Action, d.Step = ActionResendStep, p.Rollout.CurrentStep
+		d.Step.OnlyIfNotServing = idle
 	}
 	return d
 }
 
 // soak sees a changed instance serve before the next is touched.
-func (p *Planner) soak(now float64, i int, s *Sight) (Decision, bool) {
+func (p *Planner) soak(now float64, i int, s *Observation) (Decision, bool) {
 	switch {
-	case s.Life != Ready:
-		return p.bad(Reason{Kind: SoakFailed, Instance: i, Detail: s.Life.String()}), false
-	case worse(p.Rollout.Was, s.Since):
-		return p.bad(Reason{Kind: SoakWorse, Instance: i, Have: int(s.Since.Unanswered), Need: int(s.Since.Ended)}), false
-	case s.ReadyFor < p.Fleet.Times.Soak:
-		return p.wait(Reason{Kind: NoReason, Instance: i}), false
+	case s.State != ProcessReady:
+		return p.bad(Reason{Kind: ReasonSoakFailed, Instance: i, Detail: s.State.String()}), false
+	case worse(p.Rollout.CommandsBeforeStep, s.CommandsSinceStep):
+		return p.bad(Reason{Kind: ReasonMoreUnanswered, Instance: i, Have: int(s.CommandsSinceStep.Unanswered), Need: int(s.CommandsSinceStep.Completed)}), false
+	case s.ReadySeconds < p.Fleet.Timing.SoakSeconds:
+		return p.wait(Reason{Kind: ReasonNone, Instance: i}), false
 	}
 	return Decision{}, true
 }
 
 // worse tells whether the share of commands left unanswered has grown by more than chance explains. It
 // guards against a revision with which a router serves, but fails.
-func worse(was, is Tally) bool {
-	if is.Ended == 0 {
+func worse(was, is CommandCounts) bool {
+	if is.Completed == 0 {
 		return false
 	}
 	share := 0.0
-	if was.Ended > 0 {
-		share = float64(was.Unanswered) / float64(was.Ended)
+	if was.Completed > 0 {
+		share = float64(was.Unanswered) / float64(was.Completed)
 	}
-	expected := share * float64(is.Ended)
+	expected := share * float64(is.Completed)
 	return float64(is.Unanswered) > expected+deviations*math.Sqrt(expected*(1-share))+grainOfSalt
 }
 
 // bad turns the rollout round, or pauses one that goes back already.
 func (p *Planner) bad(why Reason) Decision {
-	if p.Rollout.Back {
-		why.Kind, why.Detail = CannotGoBack, "the way back failed too: "+why.Detail
+	if p.Rollout.RollingBack {
+		why.Kind, why.Detail = ReasonCannotRollBack, "the way back failed too: "+why.Detail
 		return p.finish(Paused, why)
 	}
 	return p.turn(why)
@@ -493,23 +495,23 @@
 
 func (p *Planner) turn(why Reason) Decision {
 	r := p.Rollout
-	r.Back, r.Step, r.Cause, r.Undone = true, Step{}, why, 0
-	return p.keep(Turn, r, why)
+	r.RollingBack, r.CurrentStep, r.RollbackCause, r.StepsNotApplied = true, Step{}, why, 0
+	return p.keep(ActionStartRollback, r, why)
 }
 
 // finish ends or pauses. The step under way stays on record: a rollout that is taken up again resolves it.
 func (p *Planner) finish(s State, why Reason) Decision {
 	r := p.Rollout
-	r.State, r.Why = s, why
-	return p.keep(Finish, r, why)
+	r.State, r.Reason = s, why
+	return p.keep(ActionFinish, r, why)
 }
 
-func (p *Planner) keep(w What, r Rollout, why Reason) Decision {
+func (p *Planner) keep(w Action, r Rollout, why Reason) Decision {
 	p.since, p.why = math.Inf(-1), Reason{}
-	if w == Finish {
-		r.Why = why
+	if w == ActionFinish {
+		r.Reason = why
 	}
-	return Decision{What: w, Step: r.Step, Rollout: r, Why: why}
+	return Decision{Action: w, Step: r.CurrentStep, Rollout: r, Reason: why}
 }
 
 // patience waits for something to pass by itself, for so long, and then pauses. Have and Need may change
@@ -525,7 +527,7 @@
 }
 
 func (p *Planner) wait(why Reason) Decision {
-	return Decision{What: Wait, Rollout: p.Rollout, Why: why}
+	return Decision{Action: ActionWait, Rollout: p.Rollout, Reason: why}
 }
 
 // has looks into a list that is in order.
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -20,7 +20,7 @@
 	fleet  *plan.Fleet
 	names  []string
 	limits tend.Limits
-	desks  []*tend.Desk
+	desks  []*tend.RequestHandler
 	cut    map[int]bool      // agents that cannot be reached
 	bad    map[string]string // revisions: exits
 	full   map[int]bool      // agents that refuse steps
@@ -30,77 +30,77 @@
 func newField(t *testing.T, n int) *field {
 	f := &field{
 		t: t, cut: map[int]bool{}, bad: map[string]string{}, full: map[int]bool{}, limits: tend.DefaultLimits(),
-		fleet: &plan.Fleet{Halls: []int{0}, Floor: n - 1, Times: plan.Times{Soak: 0.3, Fresh: 1, Contact: 3, Step: 20}},
+		fleet: &plan.Fleet{ZoneMinAvailable: []int{0}, MinAvailable: n - 1, Timing: plan.Timing{SoakSeconds: 0.3, StaleAfterSeconds: 1, ContactTimeoutSeconds: 3, StepTimeoutSeconds: 20}},
 	}
 	for i := range n {
 		f.fleet.Instances = append(f.fleet.Instances, plan.Instance{Agent: i})
 		f.names = append(f.names, fmt.Sprint("n", i))
-		x, out := tend.NewInstance(tend.Record{Up: true, Revision: "old", Mark: 1}, &f.limits)
-		f.desks = append(f.desks, &tend.Desk{Names: []string{f.names[i]}, Claims: claim.Ledger{Term: 3}, Instances: []tend.Instance{x}})
-		f.carry(i, out.Do)
+		x, out := tend.NewSupervisor(tend.Record{ShouldRun: true, Revision: "old", Incarnation: 1}, &f.limits)
+		f.desks = append(f.desks, &tend.RequestHandler{InstanceNames: []string{f.names[i]}, Lease: claim.Lease{TermSeconds: 3}, Supervisors: []tend.Supervisor{x}})
+		f.carry(i, out.Actions)
 	}
 	return f
 }
 
-func (f *field) carry(i int, do []tend.Effect) {
-	x := &f.desks[i].Instances[0]
+func (f *field) carry(i int, do []tend.Action) {
+	x := &f.desks[i].Supervisors[0]
 	for _, e := range do {
-		var out tend.Out
-		switch e.Act {
-		case tend.Find:
-			out = x.Found(f.now, true)
-		case tend.Prepare:
-			out = x.Prepared(f.now, false, 1, "")
-		case tend.Place:
-			out = x.Placed(f.now, "")
-		case tend.Start:
-			if out = x.Started(f.now, e.Mark, ""); f.bad[x.Revision] == "exits" {
-				out = x.Exited(f.now, "status 1")
+		var out tend.Transition
+		switch e.Kind {
+		case tend.ActionFindProcess:
+			out = x.ProcessFound(f.now, true)
+		case tend.ActionPrepareRevision:
+			out = x.RevisionPrepared(f.now, false, 1, "")
+		case tend.ActionInstallRevision:
+			out = x.RevisionInstalled(f.now, "")
+		case tend.ActionStart:
+			if out = x.ProcessStarted(f.now, e.Incarnation, ""); f.bad[x.Revision] == "exits" {
+				out = x.ProcessExited(f.now, "status 1")
 			}
-		case tend.Probe:
-			out = x.Probed(f.now, true)
-		case tend.Term:
-			out = x.Exited(f.now, "ended")
+		case tend.ActionHealthCheck:
+			out = x.HealthChecked(f.now, true)
+		case tend.ActionTerminate:
+			out = x.ProcessExited(f.now, "ended")
 		}
-		f.carry(i, out.Do)
+		f.carry(i, out.Actions)
 	}
 }
 
-func (f *field) driver(holder string, task Task) *Driver {
-	return New(f.fleet, f.names, len(f.desks), "", holder, Times{Period: 0.1, Giving: 2}, task, func() float64 { return 0.5 })
+func (f *field) driver(holder string, task Task) *Coordinator {
+	return New(f.fleet, f.names, len(f.desks), "", holder, Timing{PollSeconds: 0.1, MajorityTimeoutSeconds: 2}, task, func() float64 { return 0.5 })
 }
 
 func begin(id, revision string) Task {
-	return Task{Verb: Begin, Rollout: form.Rollout{Rollout: plan.Rollout{ID: id, Revision: revision}}}
+	return Task{Operation: OperationBegin, Rollout: form.Rollout{Rollout: plan.Rollout{ID: id, Revision: revision}}}
 }
 
 // turn lets one driver have its turn, and delivers what it sends.
-func (f *field) turn(d *Driver) {
+func (f *field) turn(d *Coordinator) {
 	sends, _ := d.Tick(f.now)
 	for _, s := range sends {
 		if f.cut[s.Agent] {
-			d.Failed(f.now, s.ID, "cut")
+			d.HandleFailure(f.now, s.ID, "cut")
 			continue
 		}
 		if s.Call.Verb == form.BeginStepVerb && f.full[s.Agent] {
-			d.Heard(f.now, s.ID, form.Reply{Failure: "disk full", LeaseState: f.desks[s.Agent].Claims.Standing(f.now)})
+			d.HandleReply(f.now, s.ID, form.Reply{Failure: "disk full", LeaseState: f.desks[s.Agent].Lease.State(f.now)})
 			continue
 		}
 		r, saves := f.desks[s.Agent].Handle(f.now, s.Call)
-		if saves.Instance >= 0 {
+		if saves.ChangedInstance >= 0 {
 			f.steps = append(f.steps, fmt.Sprint(s.Call.InstanceName, " ", s.Call.Step.Revision))
 		}
-		f.carry(s.Agent, saves.Do)
-		d.Heard(f.now, s.ID, r)
+		f.carry(s.Agent, saves.Actions)
+		d.HandleReply(f.now, s.ID, r)
 	}
 }
 
 // pass lets time pass for agents and drivers.
-func (f *field) pass(seconds float64, ds ...*Driver) {
+func (f *field) pass(seconds float64, ds ...*Coordinator) {
 	for end := f.now + seconds; f.now < end; f.now += 0.05 {
 		for i, d := range f.desks {
-			if x := &d.Instances[0]; f.now >= x.Wake() {
-				f.carry(i, x.Tick(f.now).Do)
+			if x := &d.Supervisors[0]; f.now >= x.NextTick() {
+				f.carry(i, x.Tick(f.now).Actions)
 			}
 		}
 		for _, d := range ds {
@@ -110,10 +110,10 @@
 }
 
 // finish plays a driver to its end.
-func (f *field) finish(d *Driver) Outcome {
+func (f *field) finish(d *Coordinator) Outcome {
 	f.t.Helper()
 	for range 200 {
-		if o, over := d.Over(); over {
+		if o, over := d.Outcome(); over {
 			return o
 		}
 		f.pass(1, d)
@@ -124,7 +124,7 @@
 
 func (f *field) revisions() (out []string) {
 	for _, d := range f.desks {
-		out = append(out, d.Instances[0].Revision)
+		out = append(out, d.Supervisors[0].Revision)
 	}
 	return out
 }
@@ -132,13 +132,13 @@
 func TestRolloutRuns(t *testing.T) {
 	f := newField(t, 3)
 	o := f.finish(f.driver("h1", begin("r1", "new")))
-	assert.Equal(t, Ended, o.Kind)
+	assert.Equal(t, OutcomeEnded, o.Kind)
 	assert.Equal(t, plan.Complete, o.Rollout.State)
 	assert.Equal(t, []string{"n0 new", "n1 new", "n2 new"}, f.steps)
 	for _, d := range f.desks {
-		assert.False(t, d.Claims.Standing(f.now).Held, "the claim was given back")
+		assert.False(t, d.Lease.State(f.now).Held, "the claim was given back")
 	}
-	o = f.finish(f.driver("h2", Task{Verb: Rollback, By: "ayla"}))
+	o = f.finish(f.driver("h2", Task{Operation: OperationRollback, Operator: "ayla"}))
 	assert.Equal(t, plan.RolledBack, o.Rollout.State)
 	assert.Equal(t, []string{"old", "old", "old"}, f.revisions())
 	assert.Equal(t, "ayla", o.Rollout.RequestedBy)
@@ -149,7 +149,7 @@
 	f.bad["new"] = "exits"
 	o := f.finish(f.driver("h1", begin("r1", "new")))
 	assert.Equal(t, plan.RolledBack, o.Rollout.State)
-	assert.Equal(t, plan.StepFailed, o.Reason.Kind)
+	assert.Equal(t, plan.ReasonStepFailed, o.Reason.Kind)
 	assert.Equal(t, []string{"n0 new", "n0 old"}, f.steps, "no other instance was touched")
 	assert.Equal(t, []string{"old", "old", "old"}, f.revisions())
 }
@@ -159,7 +159,7 @@
 	a, b := f.driver("a", begin("r1", "new")), f.driver("b", begin("r2", "other"))
 	f.pass(1, a)
 	o := f.finish(b)
-	assert.Equal(t, Held, o.Kind)
+	assert.Equal(t, OutcomeLeaseHeld, o.Kind)
 	assert.Equal(t, "a", o.Holder.Holder)
 	assert.Equal(t, "r1", o.Rollout.ID)
 	assert.Equal(t, plan.Complete, f.finish(a).Rollout.State, "and the winner goes on")
@@ -171,12 +171,12 @@
 	for range 400 {
 		f.pass(0.1, a, b)
 	}
-	oa, overA := a.Over()
-	ob, overB := b.Over()
+	oa, overA := a.Outcome()
+	ob, overB := b.Outcome()
 	require.True(t, overA && overB)
 	won := 0
 	for _, o := range []Outcome{oa, ob} {
-		if o.Kind == Ended {
+		if o.Kind == OutcomeEnded {
 			won++
 			assert.Equal(t, plan.Complete, o.Rollout.State)
 		}
@@ -189,10 +189,10 @@
 	a := f.driver("a", begin("r1", "new"))
 	f.pass(1.2, a)
 	require.NotEmpty(t, f.steps)
-	b := f.driver("b", Task{Verb: Resume, Takeover: true})
+	b := f.driver("b", Task{Operation: OperationResume, Takeover: true})
 	f.pass(0.5, b)
 	o := f.finish(a)
-	assert.Equal(t, Fenced, o.Kind)
+	assert.Equal(t, OutcomeFenced, o.Kind)
 	assert.Equal(t, "b", o.Holder.Holder)
 	assert.Equal(t, plan.Complete, f.finish(b).Rollout.State)
 	assert.Equal(t, []string{"n0 new", "n1 new", "n2 new", "n3 new"}, f.steps, "each once")
@@ -202,55 +202,55 @@
 	f := newField(t, 3)
 	a := f.driver("a", begin("r1", "new"))
 	f.pass(0.9, a)
-	assert.Equal(t, Held, f.finish(f.driver("b", Task{Verb: Resume})).Kind)
+	assert.Equal(t, OutcomeLeaseHeld, f.finish(f.driver("b", Task{Operation: OperationResume})).Kind)
 	f.pass(4)
-	assert.Equal(t, Unfinished, f.finish(f.driver("c", begin("r2", "other"))).Kind)
-	f.fleet.Instances[0].Hall = 0
-	assert.Equal(t, OtherFleet, f.finish(f.driver("d", Task{Verb: Resume, Fleet: "another"})).Kind)
-	o := f.finish(f.driver("e", Task{Verb: Resume}))
+	assert.Equal(t, OutcomeUnfinishedRollout, f.finish(f.driver("c", begin("r2", "other"))).Kind)
+	f.fleet.Instances[0].Zone = 0
+	assert.Equal(t, OutcomeOtherFleet, f.finish(f.driver("d", Task{Operation: OperationResume, FleetDigest: "another"})).Kind)
+	o := f.finish(f.driver("e", Task{Operation: OperationResume}))
 	assert.Equal(t, plan.Complete, o.Rollout.State)
 	assert.EqualValues(t, 2, o.Rollout.Run)
-	assert.Equal(t, NothingThere, f.finish(f.driver("g", Task{Verb: Resume})).Kind, "it is over")
+	assert.Equal(t, OutcomeNoRollout, f.finish(f.driver("g", Task{Operation: OperationResume})).Kind, "it is over")
 }
 
 func TestAgentThatIsCutOffHoldsTheRolloutUntilItIsLeftOut(t *testing.T) {
 	f := newField(t, 5)
-	f.fleet.Floor = 3
+	f.fleet.MinAvailable = 3
 	a := f.driver("a", begin("r1", "new"))
 	f.pass(0.6, a)
 	f.cut[3] = true
 	o := f.finish(a)
 	assert.Equal(t, plan.Paused, o.Rollout.State)
-	assert.Equal(t, plan.Reason{Kind: plan.Unheard, Instance: 3}, o.Reason)
-	o = f.finish(f.driver("b", Task{Verb: Resume, LeaveOut: []int{3}}))
+	assert.Equal(t, plan.Reason{Kind: plan.ReasonAgentUnreachable, Instance: 3}, o.Reason)
+	o = f.finish(f.driver("b", Task{Operation: OperationResume, ExcludedInstances: []int{3}}))
 	assert.Equal(t, plan.Paused, o.Rollout.State)
-	assert.Equal(t, plan.Reason{Kind: plan.LeftOut, Have: 1}, o.Reason)
+	assert.Equal(t, plan.Reason{Kind: plan.ReasonInstancesExcluded, Have: 1}, o.Reason)
 	assert.Equal(t, []string{"new", "new", "new", "old", "new"}, f.revisions())
 	f.cut[3] = false
-	assert.Equal(t, plan.Complete, f.finish(f.driver("c", Task{Verb: Resume})).Rollout.State)
+	assert.Equal(t, plan.Complete, f.finish(f.driver("c", Task{Operation: OperationResume})).Rollout.State)
 	assert.Equal(t, "new", f.revisions()[3])
 }
 
 func TestNoMajorityBeginsNothing(t *testing.T) {
 	f := newField(t, 3)
 	f.cut[0], f.cut[1] = true, true
-	assert.Equal(t, NoMajority, f.finish(f.driver("a", begin("r1", "new"))).Kind)
+	assert.Equal(t, OutcomeNoMajority, f.finish(f.driver("a", begin("r1", "new"))).Kind)
 	assert.Empty(t, f.steps)
 	f.cut = map[int]bool{}
 	b := f.driver("b", begin("r1", "new"))
 	f.pass(0.5, b)
 	f.cut[1], f.cut[2] = true, true
 	o := f.finish(b)
-	assert.Equal(t, NoMajority, o.Kind)
+	assert.Equal(t, OutcomeNoMajority, o.Kind)
 	assert.LessOrEqual(t, len(f.steps), 1, "what had begun may end, no other begins")
 }
 
 func TestImpossibleIsToldBeforeAnythingIsDone(t *testing.T) {
 	f := newField(t, 3)
-	f.fleet.Floor = 3
+	f.fleet.MinAvailable = 3
 	o := f.finish(f.driver("a", begin("r1", "new")))
-	assert.Equal(t, Impossible, o.Kind)
-	assert.Equal(t, plan.Reason{Kind: plan.WholeFloor, Have: 2, Need: 3}, o.Reason)
+	assert.Equal(t, OutcomeInfeasible, o.Kind)
+	assert.Equal(t, plan.Reason{Kind: plan.ReasonFleetMinimum, Have: 2, Need: 3}, o.Reason)
 	assert.Empty(t, f.steps)
 }
 
@@ -259,16 +259,16 @@
 	a := f.driver("a", begin("r1", "new"))
 	for range 400 { // until the step is kept, and not yet sent
 		f.pass(0.05, a)
-		if a.rollout.Step.Number == 1 || len(f.steps) > 0 {
+		if a.rollout.CurrentStep.Number == 1 || len(f.steps) > 0 {
 			break
 		}
 	}
 	require.Empty(t, f.steps, "the step's record comes first")
-	x := &f.desks[2].Instances[0]
-	x.Exited(f.now, "by itself")
-	f.limits.Restart = 1e9 // it does not come back
-	a.sights[2] = x.Sight(f.now)
-	a.sights[2].Seen = f.now
+	x := &f.desks[2].Supervisors[0]
+	x.ProcessExited(f.now, "by itself")
+	f.limits.MinBackoffSeconds = 1e9 // it does not come back
+	a.sights[2] = x.Observe(f.now)
+	a.sights[2].SeenAt = f.now
 	a.agents[2].next = f.now + 1e9
 	o := f.finish(a)
 	assert.Equal(t, plan.Paused, o.Rollout.State)
@@ -276,7 +276,7 @@
 }
 
 func TestWishesOfOthersAreFollowed(t *testing.T) {
-	for wish, state := range map[plan.Wish]plan.State{plan.Pause: plan.Paused, plan.Abort: plan.Aborted, plan.Rollback: plan.RolledBack} {
+	for wish, state := range map[plan.OperatorRequest]plan.State{plan.RequestPause: plan.Paused, plan.RequestAbort: plan.Aborted, plan.RequestRollback: plan.RolledBack} {
 		f := newField(t, 3)
 		a := f.driver("a", begin("r1", "new"))
 		f.pass(0.9, a)
@@ -295,7 +295,7 @@
 	f := newField(t, 3)
 	f.pass(0.9, f.driver("a", begin("r1", "new")))
 	f.pass(5) // its tool is gone: another does it
-	o := f.finish(f.driver("b", Task{Verb: Abandon, By: "ayla"}))
+	o := f.finish(f.driver("b", Task{Operation: OperationAbort, Operator: "ayla"}))
 	assert.Equal(t, plan.Aborted, o.Rollout.State)
 	assert.Equal(t, plan.Complete, f.finish(f.driver("c", begin("r2", "other"))).Rollout.State)
 }
@@ -305,9 +305,9 @@
 	f.full[1] = true
 	o := f.finish(f.driver("a", begin("r1", "new")))
 	assert.Equal(t, plan.Paused, o.Rollout.State)
-	assert.Equal(t, plan.Reason{Kind: plan.Refused, Instance: 1, Detail: "disk full"}, o.Reason)
+	assert.Equal(t, plan.Reason{Kind: plan.ReasonStepRefused, Instance: 1, Detail: "disk full"}, o.Reason)
 	f.full[1] = false
-	assert.Equal(t, plan.Complete, f.finish(f.driver("b", Task{Verb: Resume})).Rollout.State)
+	assert.Equal(t, plan.Complete, f.finish(f.driver("b", Task{Operation: OperationResume})).Rollout.State)
 }
 
 func TestQuitGivesTheClaimBack(t *testing.T) {
@@ -315,15 +315,15 @@
 	a := f.driver("a", begin("r1", "new"))
 	f.pass(0.9, a)
 	a.Quit(f.now)
-	assert.Equal(t, Left, f.finish(a).Kind)
-	assert.Equal(t, plan.Complete, f.finish(f.driver("b", Task{Verb: Resume})).Rollout.State, "at once")
+	assert.Equal(t, OutcomeInterrupted, f.finish(a).Kind)
+	assert.Equal(t, plan.Complete, f.finish(f.driver("b", Task{Operation: OperationResume})).Rollout.State, "at once")
 }
 
 func TestClockOfAnAgentThatLeapsEndsNothing(t *testing.T) {
 	f := newField(t, 3)
 	a := f.driver("a", begin("r1", "new"))
 	f.pass(0.9, a)
-	f.desks[1].Claims.Admit(f.now+100, 1, "a") // its clock leapt: the claim has run out there
+	f.desks[1].Lease.Renew(f.now+100, 1, "a") // its clock leapt: the claim has run out there
 	assert.Equal(t, plan.Complete, f.finish(a).Rollout.State, "the holder bids higher and goes on")
 	assert.Len(t, f.steps, 3)
 }
@@ -337,8 +337,8 @@
 	sends, _ := a.Tick(f.now)
 	for _, s := range sends {
 		if s.Agent == 0 && s.Call.Verb == form.StatusVerb {
-			a.Heard(f.now, s.ID, form.Reply{Denial: claim.NotHolder, Instances: []form.InstanceStatus{{Name: "n0", Sight: plan.Sight{Life: plan.Broken}}}})
-			assert.NotEqual(t, plan.Broken, a.sights[0].Life)
+			a.HandleReply(f.now, s.ID, form.Reply{Denial: claim.NotHolder, Instances: []form.InstanceStatus{{Name: "n0", Observation: plan.Observation{State: plan.ProcessCrashLooping}}}})
+			assert.NotEqual(t, plan.ProcessCrashLooping, a.sights[0].State)
 			assert.False(t, a.agents[0].granted, "and is asked for its grant anew")
 			return
 		}
--- a/internal/fleet/store/recorded_test.go
+++ b/internal/fleet/store/recorded_test.go
@@ -70,12 +70,12 @@
 		run := uint64(6 - i)
 		out = append(out, form.Rollout{
 			Rollout: plan.Rollout{
-				ID: x.id, Revision: secondRevision, Restart: true, Back: x.back, State: x.state,
-				Why:   plan.Reason{Kind: plan.HallFloor, Instance: 2, Hall: 1, Have: 3, Need: 4, Detail: "detail of why"},
-				Cause: plan.Reason{Kind: plan.StepFailed, Instance: 1, Hall: 6, Have: 7, Need: 8, Detail: "detail of cause"},
-				Out:   []int{1, 3},
-				Step:  plan.Step{Rollout: x.id, Number: 11, Revision: secondRevision, Restart: true},
-				Was:   plan.Tally{Ended: 1000, Unanswered: 10}, Steps: 11, Undone: 2,
+				ID: x.id, Revision: secondRevision, Restart: true, RollingBack: x.back, State: x.state,
+				Reason:             plan.Reason{Kind: plan.ReasonZoneMinimum, Instance: 2, Zone: 1, Have: 3, Need: 4, Detail: "detail of why"},
+				RollbackCause:      plan.Reason{Kind: plan.ReasonStepFailed, Instance: 1, Zone: 6, Have: 7, Need: 8, Detail: "detail of cause"},
+				ExcludedInstances:  []int{1, 3},
+				CurrentStep:        plan.Step{RolloutID: x.id, Number: 11, Revision: secondRevision, Restart: true},
+				CommandsBeforeStep: plan.CommandCounts{Completed: 1000, Unanswered: 10}, StepsBegun: 11, StepsNotApplied: 2,
 			},
 			Run: run, RevisionName: "name of " + x.id, StartedBy: "ayla", StartedAt: 1767323050 + int64(run), RequestedBy: "mehmet", InstancesDigest: "b279a452f0494508",
 		})
@@ -85,31 +85,31 @@
 
 func recordedState() State {
 	return State{
-		Lease: claim.Durable{
+		Lease: claim.PersistentState{
 			Epoch: 7, Holder: "ayla/host-1/00ff", Held: true,
-			Record: claim.Record{Stamp: claim.Stamp{Epoch: 7, Number: 6}, Body: form.Encode(recordedRollouts()[0])},
+			Record: claim.Record{Version: claim.Version{Epoch: 7, Number: 6}, Body: form.Encode(recordedRollouts()[0])},
 		},
-		OperatorRequest: form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: plan.Pause, Operator: "op"},
+		OperatorRequest: form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: plan.RequestPause, Operator: "op"},
 		Instances: map[string]tend.Record{
 			"open": {
-				Up: true, Revision: firstRevision, Mark: 1, Before: firstRevision, Acted: true, Drain: 1.7,
-				Step: plan.Step{Rollout: "r-running", Number: 11, Revision: secondRevision, Restart: true},
-				End:  plan.Open,
+				ShouldRun: true, Revision: firstRevision, Incarnation: 1, PreviousRevision: firstRevision, MayHaveChanged: true, DrainSeconds: 1.7,
+				Step:   plan.Step{RolloutID: "r-running", Number: 11, Revision: secondRevision, Restart: true},
+				Result: plan.StepPending,
 			},
 			"failed": {
-				Up: true, Revision: exitsRevision, Mark: 2, Before: firstRevision, Acted: true, Replaced: true, Drain: 1.7,
-				Step: plan.Step{Rollout: "r-aborted", Number: 8, Instance: 1, Revision: exitsRevision, Restart: true},
-				End:  plan.Failed, Why: "it ended before it was ready: it ended with status 3: stand-in: told to end",
+				ShouldRun: true, Revision: exitsRevision, Incarnation: 2, PreviousRevision: firstRevision, MayHaveChanged: true, Replaced: true, DrainSeconds: 1.7,
+				Step:   plan.Step{RolloutID: "r-aborted", Number: 8, Instance: 1, Revision: exitsRevision, Restart: true},
+				Result: plan.StepFailed, Failure: "it ended before it was ready: it ended with status 3: stand-in: told to end",
 			},
 			"reloaded": {
-				Up: true, Revision: movedRevision, Mark: 1, Before: firstRevision, Acted: true, Reload: true, Drain: 1.7,
-				Step: plan.Step{Rollout: "r-paused", Number: 5, Instance: 2, Revision: movedRevision},
-				End:  plan.Done,
+				ShouldRun: true, Revision: movedRevision, Incarnation: 1, PreviousRevision: firstRevision, MayHaveChanged: true, Reload: true, DrainSeconds: 1.7,
+				Step:   plan.Step{RolloutID: "r-paused", Number: 5, Instance: 2, Revision: movedRevision},
+				Result: plan.StepSucceeded,
 			},
 			"rolled-back": {
-				Up: true, Revision: firstRevision, Mark: 3, Before: firstRevision, Acted: true, Replaced: true, Drain: 1.7,
-				Step: plan.Step{Rollout: "r-rolled-back", Number: 7, Instance: 3, Revision: firstRevision, Back: true, Restart: true},
-				End:  plan.Done,
+				ShouldRun: true, Revision: firstRevision, Incarnation: 3, PreviousRevision: firstRevision, MayHaveChanged: true, Replaced: true, DrainSeconds: 1.7,
+				Step:   plan.Step{RolloutID: "r-rolled-back", Number: 7, Instance: 3, Revision: firstRevision, Rollback: true, Restart: true},
+				Result: plan.StepSucceeded,
 			},
 		},
 	}
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -45,14 +45,14 @@
 
 // State is what a store holds for the decisions.
 type State struct {
-	Lease           claim.Durable
+	Lease           claim.PersistentState
 	OperatorRequest form.OperatorRequest
 	Instances       map[string]tend.Record
 }
 
 // Change is what Save writes; nil parts stay.
 type Change struct {
-	Lease           *claim.Durable
+	Lease           *claim.PersistentState
 	OperatorRequest *form.OperatorRequest
 	Instances       map[string]tend.Record
 	Revision        *form.Revision
@@ -202,7 +202,7 @@
 		if err := decode(instancesBucket, string(k), raw, &r); err != nil {
 			return err
 		}
-		used[r.Revision], used[r.Before], used[r.Step.Revision] = true, true, true
+		used[r.Revision], used[r.PreviousRevision], used[r.Step.Revision] = true, true, true
 		return nil
 	})
 	return used, err
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -48,8 +48,8 @@
 
 func change(n uint64) Change {
 	return Change{
-		Lease:     &claim.Durable{Epoch: n, Holder: strings.Repeat("h", int(n%50)*100)},
-		Instances: map[string]tend.Record{"n1": {Mark: n, Step: plan.Step{Number: n}}},
+		Lease:     &claim.PersistentState{Epoch: n, Holder: strings.Repeat("h", int(n%50)*100)},
+		Instances: map[string]tend.Record{"n1": {Incarnation: n, Step: plan.Step{Number: n}}},
 	}
 }
 
@@ -58,7 +58,7 @@
 	s, err := Open(path)
 	require.NoError(t, err)
 	require.NoError(t, s.Save(change(7)))
-	require.NoError(t, s.Save(Change{OperatorRequest: &form.OperatorRequest{RolloutID: "r", Action: plan.Pause}}))
+	require.NoError(t, s.Save(Change{OperatorRequest: &form.OperatorRequest{RolloutID: "r", Action: plan.RequestPause}}))
 	_, err = Open(path)
 	assert.ErrorContains(t, err, "open in another agent")
 	require.NoError(t, s.Close())
@@ -68,7 +68,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, *change(7).Lease, st.Lease)
 	assert.Equal(t, change(7).Instances, st.Instances)
-	assert.Equal(t, plan.Pause, st.OperatorRequest.Action)
+	assert.Equal(t, plan.RequestPause, st.OperatorRequest.Action)
 	require.NoError(t, s.Close())
 }
 
@@ -76,7 +76,7 @@
 	s, err := Open(filepath.Join(t.TempDir(), "store.db"))
 	require.NoError(t, err)
 	defer func() { _ = s.Close() }()
-	require.NoError(t, s.Save(Change{Instances: map[string]tend.Record{"n1": {Revision: "d0", Before: "d1"}}}))
+	require.NoError(t, s.Save(Change{Instances: map[string]tend.Record{"n1": {Revision: "d0", PreviousRevision: "d1"}}}))
 	for i := range MaxHistory + 20 {
 		require.NoError(t, s.Save(Change{
 			Revision: &form.Revision{Digest: fmt.Sprint("d", i), PushedAt: int64(i), Content: []byte("x")},
--- a/internal/fleet/tend/instance_test.go
+++ b/internal/fleet/tend/instance_test.go
@@ -20,7 +20,7 @@
 type world struct {
 	t       require.TestingT
 	limits  Limits
-	x       Instance
+	x       Supervisor
 	stored  Record
 	now     float64
 	file    string
@@ -32,9 +32,9 @@
 		terminating bool
 		stubborn    bool // it must be killed
 	}
-	queue   []func() Out
+	queue   []func() Transition
 	storing func() bool // whether storing works
-	acts    []Act
+	acts    []ActionKind
 	served  int // terms sent to a process that served
 }
 
@@ -47,13 +47,13 @@
 // birth starts the agent anew: what was not stored is lost, what was under way is not heard of again.
 func (w *world) birth() {
 	w.queue = nil
-	var out Out
-	w.x, out = NewInstance(w.stored, &w.limits)
+	var out Transition
+	w.x, out = NewSupervisor(w.stored, &w.limits)
 	w.carry(out, nil)
 }
 
 // take hands an event in; if it cannot be stored it has not happened and comes again.
-func (w *world) take(event func() Out) {
+func (w *world) take(event func() Transition) {
 	before := w.x
 	out := event()
 	if out.Store && !w.storing() {
@@ -64,62 +64,62 @@
 	w.carry(out, nil)
 }
 
-func (w *world) carry(out Out, cut func(Act) bool) {
+func (w *world) carry(out Transition, cut func(ActionKind) bool) {
 	if out.Store {
 		w.stored = w.x.Record
 	}
-	for _, e := range out.Do {
-		w.acts = append(w.acts, e.Act)
+	for _, e := range out.Actions {
+		w.acts = append(w.acts, e.Kind)
 		w.do(e)
-		if cut != nil && cut(e.Act) {
+		if cut != nil && cut(e.Kind) {
 			return
 		}
 	}
 }
 
-func (w *world) later(event func() Out) { w.queue = append(w.queue, event) }
+func (w *world) later(event func() Transition) { w.queue = append(w.queue, event) }
 
-func (w *world) do(e Effect) {
+func (w *world) do(e Action) {
 	p := &w.process
-	switch e.Act {
-	case Find:
-		running := p.runs && p.mark == e.Mark
-		w.later(func() Out { return w.x.Found(w.now, running) })
-	case Prepare:
+	switch e.Kind {
+	case ActionFindProcess:
+		running := p.runs && p.mark == e.Incarnation
+		w.later(func() Transition { return w.x.ProcessFound(w.now, running) })
+	case ActionPrepareRevision:
 		fault := ""
 		if w.bad[e.Revision] == "refused" {
 			fault = "refused by the reader"
 		}
-		w.later(func() Out { return w.x.Prepared(w.now, e.Revision[0] == 'r', 5, fault) })
-	case Place:
+		w.later(func() Transition { return w.x.RevisionPrepared(w.now, e.Revision[0] == 'r', 5, fault) })
+	case ActionInstallRevision:
 		w.file = e.Revision
-		w.later(func() Out { return w.x.Placed(w.now, "") })
-	case Start:
+		w.later(func() Transition { return w.x.RevisionInstalled(w.now, "") })
+	case ActionStart:
 		require.False(w.t, p.runs, "a second process is started")
-		p.runs, p.mark, p.file, p.terminating = true, e.Mark, w.file, false
-		w.later(func() Out { return w.x.Started(w.now, e.Mark, "") })
+		p.runs, p.mark, p.file, p.terminating = true, e.Incarnation, w.file, false
+		w.later(func() Transition { return w.x.ProcessStarted(w.now, e.Incarnation, "") })
 		if w.bad[w.file] == "exits" {
 			w.exit()
 		}
-	case Probe:
+	case ActionHealthCheck:
 		ok := p.runs && !p.terminating && w.bad[p.file] != "silent"
-		w.later(func() Out { return w.x.Probed(w.now, ok) })
-	case Term:
+		w.later(func() Transition { return w.x.HealthChecked(w.now, ok) })
+	case ActionTerminate:
 		if !p.stubborn {
 			p.terminating = true
 		}
-	case Kill:
+	case ActionKill:
 		w.exit()
-	case Hup:
+	case ActionReload:
 		p.file = w.file
-		w.later(func() Out { return w.x.Reloaded(w.now, "") })
+		w.later(func() Transition { return w.x.ReloadReported(w.now, "") })
 	}
 }
 
 func (w *world) exit() {
 	if w.process.runs {
 		w.process.runs, w.process.terminating = false, false
-		w.later(func() Out { return w.x.Exited(w.now, "status 1") })
+		w.later(func() Transition { return w.x.ProcessExited(w.now, "status 1") })
 	}
 }
 
@@ -139,15 +139,15 @@
 			continue
 		}
 		w.now += 0.05
-		if w.now >= w.x.Wake() {
-			w.take(func() Out { return w.x.Tick(w.now) })
+		if w.now >= w.x.NextTick() {
+			w.take(func() Transition { return w.x.Tick(w.now) })
 		}
 	}
 }
 
 func (w *world) step(n uint64, revision string) string {
 	before := w.x
-	out, fault := w.x.Begin(w.now, plan.Step{Rollout: "roll", Number: n, Revision: revision})
+	out, fault := w.x.BeginStep(w.now, plan.Step{RolloutID: "roll", Number: n, Revision: revision})
 	if out.Store && !w.storing() {
 		w.x = before
 		return "not stored"
@@ -162,8 +162,8 @@
 	w.run(1)
 	w.step(1, "a")
 	w.run(3)
-	require.Equal(t, plan.Done, w.x.End, w.x.Why)
-	require.Equal(t, plan.Ready, w.x.life)
+	require.Equal(t, plan.StepSucceeded, w.x.Result, w.x.Failure)
+	require.Equal(t, plan.ProcessReady, w.x.life)
 	w.acts = nil
 	return w
 }
@@ -175,20 +175,20 @@
 	assert.Contains(t, w.step(1, "a"), "comes after")
 	assert.Contains(t, w.step(3, "c"), "under way")
 	w.run(3)
-	assert.Equal(t, plan.Done, w.x.End)
+	assert.Equal(t, plan.StepSucceeded, w.x.Result)
 	assert.Equal(t, "b", w.process.file)
-	assert.Contains(t, w.acts, Term)
+	assert.Contains(t, w.acts, ActionTerminate)
 	w.acts = nil
 	assert.Empty(t, w.step(3, "reloaded"))
 	w.run(3)
-	assert.Equal(t, plan.Done, w.x.End)
+	assert.Equal(t, plan.StepSucceeded, w.x.Result)
 	assert.Equal(t, "reloaded", w.process.file)
-	assert.NotContains(t, w.acts, Term)
+	assert.NotContains(t, w.acts, ActionTerminate)
 	w.acts = nil
 	assert.Empty(t, w.step(4, "reloaded"))
-	assert.Equal(t, plan.Done, w.x.End, "it runs that already")
-	assert.NotContains(t, w.acts, Prepare)
-	assert.Equal(t, "", w.x.Sight(w.now).Before)
+	assert.Equal(t, plan.StepSucceeded, w.x.Result, "it runs that already")
+	assert.NotContains(t, w.acts, ActionPrepareRevision)
+	assert.Equal(t, "", w.x.Observe(w.now).PreviousRevision)
 }
 
 // An agent that starts again finds its router running and has yet to hear whether it serves.
@@ -196,38 +196,38 @@
 	w := serving(t)
 	w.birth()
 	w.take(w.queue[0]) // Found
-	assert.Equal(t, plan.Unknown, w.x.Sight(w.now).Life, "it may serve")
+	assert.Equal(t, plan.ProcessUnknown, w.x.Observe(w.now).State, "it may serve")
 	assert.Contains(t, w.step(2, "b"), "does not know its routers yet")
 	w.queue = w.queue[1:]
 	w.run(1)
-	assert.Equal(t, plan.Ready, w.x.Sight(w.now).Life)
+	assert.Equal(t, plan.ProcessReady, w.x.Observe(w.now).State)
 	assert.Empty(t, w.step(2, "b"))
 
 	w = serving(t)
 	w.bad["a"] = "silent"
 	w.birth()
-	w.run(float64(w.limits.Misses-2) * w.limits.Probe)
-	assert.Equal(t, plan.Unknown, w.x.Sight(w.now).Life, "an answer may be late")
-	w.run(3 * w.limits.Probe)
-	assert.Equal(t, plan.Starting, w.x.Sight(w.now).Life, "and one that does not answer does not serve")
+	w.run(float64(w.limits.MaxMissedHealthChecks-2) * w.limits.HealthCheckSeconds)
+	assert.Equal(t, plan.ProcessUnknown, w.x.Observe(w.now).State, "an answer may be late")
+	w.run(3 * w.limits.HealthCheckSeconds)
+	assert.Equal(t, plan.ProcessStarting, w.x.Observe(w.now).State, "and one that does not answer does not serve")
 	assert.Empty(t, w.step(2, "b"))
 }
 
 // A step that asked no floor leaves a router alone that serves by the time it comes.
 func TestStepForAnIdleRouterLeavesOneThatServes(t *testing.T) {
 	idle := func(w *world, n uint64) {
-		out, fault := w.x.Begin(w.now, plan.Step{Rollout: "roll", Number: n, Revision: "b", Idle: true})
+		out, fault := w.x.BeginStep(w.now, plan.Step{RolloutID: "roll", Number: n, Revision: "b", OnlyIfNotServing: true})
 		assert.Empty(t, fault)
 		w.carry(out, nil)
 	}
 	w := serving(t)
 	idle(w, 2)
 	w.run(3)
-	assert.Equal(t, plan.Undone, w.x.End)
-	assert.Equal(t, cameUp, w.x.Why)
-	assert.NotContains(t, w.acts, Term)
+	assert.Equal(t, plan.StepNotApplied, w.x.Result)
+	assert.Equal(t, cameUp, w.x.Failure)
+	assert.NotContains(t, w.acts, ActionTerminate)
 	assert.Equal(t, "a", w.x.Revision)
-	assert.Equal(t, plan.Ready, w.x.life)
+	assert.Equal(t, plan.ProcessReady, w.x.life)
 
 	w.exit() // and it is started again: the step comes while the first probe is out
 	next := func() {
@@ -236,24 +236,24 @@
 		w.take(event)
 	}
 	next() // Exited
-	w.now = w.x.Wake()
-	w.take(func() Out { return w.x.Tick(w.now) })
+	w.now = w.x.NextTick()
+	w.take(func() Transition { return w.x.Tick(w.now) })
 	next() // Started
 	require.Equal(t, coming, w.x.phase)
 	w.acts = nil
 	idle(w, 3)
 	w.run(3)
-	assert.Equal(t, plan.Undone, w.x.End)
-	assert.NotContains(t, w.acts, Term)
+	assert.Equal(t, plan.StepNotApplied, w.x.Result)
+	assert.NotContains(t, w.acts, ActionTerminate)
 
 	w.exit()
 	for len(w.queue) > 0 {
 		next()
 	}
-	require.Equal(t, plan.Down, w.x.life)
+	require.Equal(t, plan.ProcessDown, w.x.life)
 	idle(w, 4)
 	w.run(3)
-	assert.Equal(t, plan.Done, w.x.End, "one that does not serve is changed")
+	assert.Equal(t, plan.StepSucceeded, w.x.Result, "one that does not serve is changed")
 	assert.Equal(t, "b", w.process.file)
 }
 
@@ -266,12 +266,12 @@
 		w.bad["b"] = kind
 		w.step(2, "b")
 		w.run(15)
-		assert.Equal(t, plan.Failed, w.x.End, kind)
-		assert.Contains(t, w.x.Why, says)
-		assert.Equal(t, kind == "refused", w.x.life == plan.Ready, kind)
+		assert.Equal(t, plan.StepFailed, w.x.Result, kind)
+		assert.Contains(t, w.x.Failure, says)
+		assert.Equal(t, kind == "refused", w.x.life == plan.ProcessReady, kind)
 		assert.Empty(t, w.step(3, "a"), "the way back")
 		w.run(10)
-		assert.Equal(t, plan.Done, w.x.End, kind)
+		assert.Equal(t, plan.StepSucceeded, w.x.Result, kind)
 		assert.Equal(t, "a", w.process.file)
 	}
 }
@@ -283,26 +283,26 @@
 	w.run(300)
 	starts := 0
 	for _, a := range w.acts {
-		if a == Start {
+		if a == ActionStart {
 			starts++
 		}
 	}
-	assert.Equal(t, w.limits.Crashes, starts)
-	assert.Equal(t, plan.Broken, w.x.life)
-	assert.Equal(t, math.Inf(1), w.x.Wake())
+	assert.Equal(t, w.limits.MaxCrashes, starts)
+	assert.Equal(t, plan.ProcessCrashLooping, w.x.life)
+	assert.Equal(t, math.Inf(1), w.x.NextTick())
 	w.bad["a"] = ""
 	assert.Empty(t, w.step(2, "b"), "a step begins anew")
 	w.run(3)
-	assert.Equal(t, plan.Ready, w.x.life)
+	assert.Equal(t, plan.ProcessReady, w.x.life)
 }
 
 func TestRouterThatServedCalmlyIsStartedAtOnceEachTime(t *testing.T) {
 	w := serving(t)
 	for range 20 {
-		w.run(w.limits.Calm + 1)
+		w.run(w.limits.StableSeconds + 1)
 		w.exit()
 		w.run(2)
-		require.Equal(t, plan.Ready, w.x.life)
+		require.Equal(t, plan.ProcessReady, w.x.life)
 		assert.LessOrEqual(t, w.x.Crashes(), 1)
 	}
 }
@@ -312,29 +312,29 @@
 	w.process.stubborn = true
 	w.step(2, "b")
 	w.run(4.5)
-	assert.NotContains(t, w.acts, Kill)
+	assert.NotContains(t, w.acts, ActionKill)
 	w.run(2)
-	assert.Contains(t, w.acts, Kill)
+	assert.Contains(t, w.acts, ActionKill)
 	w.run(3)
-	assert.Equal(t, plan.Done, w.x.End)
+	assert.Equal(t, plan.StepSucceeded, w.x.Result)
 }
 
 func TestSilentRouterNoLongerCountsAsReady(t *testing.T) {
 	w := serving(t)
 	w.bad["a"] = "silent"
 	w.run(15)
-	assert.Equal(t, plan.Starting, w.x.life)
+	assert.Equal(t, plan.ProcessStarting, w.x.life)
 	assert.True(t, w.process.runs, "it is left to the operator")
 	w.bad["a"] = ""
 	w.run(2)
-	assert.Equal(t, plan.Ready, w.x.life)
+	assert.Equal(t, plan.ProcessReady, w.x.life)
 }
 
 // TestAgentThatDiesAtAnyActResolvesItsStep kills the agent after each act of a step, before its outcome is
 // heard, and once before anything was done.
 func TestAgentThatDiesAtAnyActResolvesItsStep(t *testing.T) {
 	for _, revision := range []string{"b", "reloaded"} {
-		for _, after := range []Act{Prepare, Term, Place, Start, Hup, Probe} {
+		for _, after := range []ActionKind{ActionPrepareRevision, ActionTerminate, ActionInstallRevision, ActionStart, ActionReload, ActionHealthCheck} {
 			for _, away := range []float64{0, 20} {
 				w := serving(t)
 				died := false
@@ -349,8 +349,8 @@
 					}
 					e := w.queue[0]
 					w.queue = w.queue[1:]
-					w.carry(e(), func(a Act) bool { died = a == after; return died })
-					if !died && w.x.End != plan.Open {
+					w.carry(e(), func(a ActionKind) bool { died = a == after; return died })
+					if !died && w.x.Result != plan.StepPending {
 						break
 					}
 				}
@@ -367,16 +367,16 @@
 				w.birth()
 				w.run(20)
 				name := fmt.Sprint(revision, " ", after, " ", away)
-				assert.NotEqual(t, plan.Open, w.x.End, name)
-				assert.NotEqual(t, plan.Failed, w.x.End, name)
-				assert.Equal(t, plan.Ready, w.x.life, name)
+				assert.NotEqual(t, plan.StepPending, w.x.Result, name)
+				assert.NotEqual(t, plan.StepFailed, w.x.Result, name)
+				assert.Equal(t, plan.ProcessReady, w.x.life, name)
 				want := "a"
-				if w.x.End == plan.Done {
+				if w.x.Result == plan.StepSucceeded {
 					want = revision
 				}
 				assert.Equal(t, want, w.process.file, name)
 				if before {
-					assert.NotContains(t, w.acts, Term, "a router that serves is left alone: %s", name)
+					assert.NotContains(t, w.acts, ActionTerminate, "a router that serves is left alone: %s", name)
 				}
 			}
 		}
@@ -387,11 +387,11 @@
 	w := serving(t)
 	w.step(2, "b")
 	out := w.queue[len(w.queue)-1]() // prepared: stored, and the agent dies before Term
-	require.Equal(t, Term, out.Do[0].Act)
+	require.Equal(t, ActionTerminate, out.Actions[0].Kind)
 	w.stored = w.x.Record
 	w.birth()
 	w.run(10)
-	assert.Equal(t, plan.Undone, w.x.End)
+	assert.Equal(t, plan.StepNotApplied, w.x.Result)
 	assert.Equal(t, "a", w.process.file)
 	assert.EqualValues(t, 1, w.process.mark, "the same process")
 }
@@ -401,16 +401,16 @@
 	works := false
 	w.storing = func() bool { return works }
 	assert.Equal(t, "not stored", w.step(2, "b"))
-	assert.Equal(t, plan.Done, w.x.End)
+	assert.Equal(t, plan.StepSucceeded, w.x.Result)
 	works = true
 	w.step(2, "b")
 	works = false
 	w.run(5)
-	assert.Equal(t, plan.Open, w.x.End)
+	assert.Equal(t, plan.StepPending, w.x.Result)
 	assert.Equal(t, "a", w.process.file, "nothing is touched that was not stored")
 	works = true
 	w.run(5)
-	assert.Equal(t, plan.Done, w.x.End)
+	assert.Equal(t, plan.StepSucceeded, w.x.Result)
 }
 
 // TestWhateverHappensThereIsOneProcessAndAnEnd mixes steps, crashes, agents that die and stores that fail.
@@ -442,13 +442,13 @@
 		if w.x.Step.Number == 0 {
 			return
 		}
-		assert.NotEqual(t, plan.Open, w.x.End)
-		if w.x.End == plan.Done && w.x.life == plan.Ready {
+		assert.NotEqual(t, plan.StepPending, w.x.Result)
+		if w.x.Result == plan.StepSucceeded && w.x.life == plan.ProcessReady {
 			assert.Equal(t, w.x.Revision, w.process.file)
 		}
-		if w.x.life == plan.Ready {
+		if w.x.life == plan.ProcessReady {
 			assert.True(t, w.process.runs)
-			assert.Equal(t, w.x.Mark, w.process.mark)
+			assert.Equal(t, w.x.Incarnation, w.process.mark)
 		}
 	})
 }
@@ -457,45 +457,45 @@
 	w := serving(t)
 	x := &w.x
 	for i := range 30 {
-		x.Counted(float64(i), plan.Tally{Ended: uint64(10 * i), Unanswered: uint64(i)})
+		x.CountersRead(float64(i), plan.CommandCounts{Completed: uint64(10 * i), Unanswered: uint64(i)})
 	}
-	s := x.Sight(29)
-	assert.Equal(t, plan.Tally{Ended: 100, Unanswered: 10}, s.Recent)
-	assert.Equal(t, plan.Tally{Ended: 290, Unanswered: 29}, s.Since)
-	assert.Equal(t, plan.Tally{Ended: 3}, minus(plan.Tally{Ended: 3}, plan.Tally{Ended: 9}), "a new process")
+	s := x.Observe(29)
+	assert.Equal(t, plan.CommandCounts{Completed: 100, Unanswered: 10}, s.RecentCommands)
+	assert.Equal(t, plan.CommandCounts{Completed: 290, Unanswered: 29}, s.CommandsSinceStep)
+	assert.Equal(t, plan.CommandCounts{Completed: 3}, minus(plan.CommandCounts{Completed: 3}, plan.CommandCounts{Completed: 9}), "a new process")
 }
 
 func TestDesk(t *testing.T) {
 	w := serving(t)
-	d := &Desk{Agent: "a1", Agents: "list", Claims: claim.Ledger{Term: 10}, Names: []string{"n1"}, Instances: []Instance{w.x}}
+	d := &RequestHandler{Agent: "a1", AgentsDigest: "list", Lease: claim.Lease{TermSeconds: 10}, InstanceNames: []string{"n1"}, Supervisors: []Supervisor{w.x}}
 	now := w.now
-	call := func(c form.Request) (form.Reply, Saves) { return d.Handle(now, c) }
-	r, s := call(form.Request{Verb: form.RequestLeaseVerb, AgentsDigest: "other", LeaseRequest: claim.Bid{Epoch: 1, Holder: "h"}})
+	call := func(c form.Request) (form.Reply, Changes) { return d.Handle(now, c) }
+	r, s := call(form.Request{Verb: form.RequestLeaseVerb, AgentsDigest: "other", LeaseRequest: claim.Request{Epoch: 1, Holder: "h"}})
 	assert.NotEqual(t, claim.Granted, r.Denial)
 	assert.Contains(t, r.Failure, "another list of agents")
-	assert.False(t, s.Claims)
-	r, s = call(form.Request{Verb: form.RequestLeaseVerb, AgentsDigest: "list", LeaseRequest: claim.Bid{Epoch: 1, Holder: "h"}})
+	assert.False(t, s.Lease)
+	r, s = call(form.Request{Verb: form.RequestLeaseVerb, AgentsDigest: "list", LeaseRequest: claim.Request{Epoch: 1, Holder: "h"}})
 	assert.Equal(t, claim.Granted, r.Denial)
-	assert.True(t, s.Claims)
-	step := plan.Step{Rollout: "r", Number: 1, Revision: "b"}
+	assert.True(t, s.Lease)
+	step := plan.Step{RolloutID: "r", Number: 1, Revision: "b"}
 	r, s = call(form.Request{Verb: form.BeginStepVerb, Epoch: 1, Holder: "x", InstanceName: "n1", Step: step})
 	assert.Equal(t, claim.NotHolder, r.Denial)
-	assert.Equal(t, -1, s.Instance)
+	assert.Equal(t, -1, s.ChangedInstance)
 	r, _ = call(form.Request{Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n9", Step: step})
 	assert.Contains(t, r.Failure, "no instance n9")
 	_, s = call(form.Request{Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n1", Step: step})
-	assert.Equal(t, 0, s.Instance)
-	assert.Equal(t, Prepare, s.Do[0].Act)
-	_, s = call(form.Request{Verb: form.RequestActionVerb, OperatorRequest: form.OperatorRequest{RolloutID: "r", Action: plan.Pause}})
-	assert.True(t, s.Wish)
+	assert.Equal(t, 0, s.ChangedInstance)
+	assert.Equal(t, ActionPrepareRevision, s.Actions[0].Kind)
+	_, s = call(form.Request{Verb: form.RequestActionVerb, OperatorRequest: form.OperatorRequest{RolloutID: "r", Action: plan.RequestPause}})
+	assert.True(t, s.OperatorRequest)
 	r, _ = call(form.Request{Verb: form.StatusVerb, Epoch: 1, Holder: "h"})
-	assert.Equal(t, plan.Pause, r.OperatorRequest.Action)
+	assert.Equal(t, plan.RequestPause, r.OperatorRequest.Action)
 	require.Len(t, r.Instances, 1)
 	assert.Equal(t, "b", r.Instances[0].TargetRevision)
 	assert.Equal(t, "a", r.Instances[0].Revision)
 	now += 20
 	r, _ = call(form.Request{Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n1", Step: step})
-	assert.Equal(t, claim.RanOut, r.Denial)
+	assert.Equal(t, claim.Expired, r.Denial)
 	r, _ = call(form.Request{Verb: form.PutRevisionVerb})
 	assert.NotEmpty(t, r.Failure)
 }
@@ -506,7 +506,7 @@
 	w.process.runs = false
 	w.birth()
 	w.run(5)
-	assert.Equal(t, plan.Undone, w.x.End)
+	assert.Equal(t, plan.StepNotApplied, w.x.Result)
 	assert.Equal(t, "a", w.process.file)
-	assert.Equal(t, plan.Ready, w.x.life)
+	assert.Equal(t, plan.ProcessReady, w.x.life)
 }
--- a/internal/fleet/tool/tool.go
+++ b/internal/fleet/tool/tool.go
@@ -182,21 +182,21 @@
 		}
 	}
 	for _, x := range t.Fleet.Instances {
-		row := InstanceStatus{Name: x.Name, Agent: x.Agent, Zone: t.Fleet.Agent(x.Agent).Zone, State: plan.Unknown.String()}
+		row := InstanceStatus{Name: x.Name, Agent: x.Agent, Zone: t.Fleet.Agent(x.Agent).Zone, State: plan.ProcessUnknown.String()}
 		if got, ok := told[x.Name]; ok {
-			row.Known, row.State, row.ProcessID, row.Crashes = true, got.Life.String(), got.ProcessID, got.Crashes
-			row.Revision, row.ReadySeconds = revision.ShortDigest(got.Revision), got.ReadyFor
-			row.EndedCommands, row.UnansweredCommands = got.Recent.Ended, got.Recent.Unanswered
+			row.Known, row.State, row.ProcessID, row.Crashes = true, got.State.String(), got.ProcessID, got.Crashes
+			row.Revision, row.ReadySeconds = revision.ShortDigest(got.Revision), got.ReadySeconds
+			row.EndedCommands, row.UnansweredCommands = got.RecentCommands.Completed, got.RecentCommands.Unanswered
 			if got.TargetRevision != got.Revision {
 				row.TargetRevision = revision.ShortDigest(got.TargetRevision)
 			}
 			switch {
-			case got.Last.Number != 0 && got.End == plan.Open:
-				row.Step = fmt.Sprintf("step %d of %s is open", got.Last.Number, got.Last.Rollout)
-			case got.End == plan.Failed:
-				row.Step = "failed: " + got.Why
+			case got.LastStep.Number != 0 && got.LastResult == plan.StepPending:
+				row.Step = fmt.Sprintf("step %d of %s is open", got.LastStep.Number, got.LastStep.RolloutID)
+			case got.LastResult == plan.StepFailed:
+				row.Step = "failed: " + got.LastFailure
 			}
-			if got.Life == plan.Ready {
+			if got.State == plan.ProcessReady {
 				s.Serving++
 			}
 		}
@@ -213,7 +213,7 @@
 func newestRecord(answers []Answer) (form.Rollout, bool) {
 	var best claim.Record
 	for _, a := range answers {
-		if a.Err == nil && best.Stamp.Before(a.Reply.Record.Stamp) {
+		if a.Err == nil && best.Version.Before(a.Reply.Record.Version) {
 			best = a.Reply.Record
 		}
 	}
@@ -234,7 +234,7 @@
 		if st.Held {
 			grants[st.Holder]++
 			if n := grants[st.Holder]; n >= c.Grants {
-				c.Holder, c.Grants, c.SinceSeconds, c.LeftSeconds = st.Holder, n, max(c.SinceSeconds, st.Since), max(c.LeftSeconds, st.Left)
+				c.Holder, c.Grants, c.SinceSeconds, c.LeftSeconds = st.Holder, n, max(c.SinceSeconds, st.HeldSeconds), max(c.LeftSeconds, st.RemainingSeconds)
 			}
 		}
 	}
@@ -245,14 +245,14 @@
 // Rollout is one for people.
 func (t *Client) DescribeRollout(r form.Rollout) *RolloutStatus {
 	s := &RolloutStatus{
-		ID: r.ID, Revision: revision.ShortDigest(r.Revision), RevisionName: r.RevisionName, State: r.State.String(), RollingBack: r.Back,
-		Why: t.Explain(r.Why), Cause: t.Explain(r.Cause), StartedBy: r.StartedBy, RequestedBy: r.RequestedBy, StartedAt: time.Unix(r.StartedAt, 0).UTC().Format(time.RFC3339), Steps: r.Steps,
+		ID: r.ID, Revision: revision.ShortDigest(r.Revision), RevisionName: r.RevisionName, State: r.State.String(), RollingBack: r.RollingBack,
+		Why: t.Explain(r.Reason), Cause: t.Explain(r.RollbackCause), StartedBy: r.StartedBy, RequestedBy: r.RequestedBy, StartedAt: time.Unix(r.StartedAt, 0).UTC().Format(time.RFC3339), Steps: r.StepsBegun,
 	}
-	for _, i := range r.Out {
+	for _, i := range r.ExcludedInstances {
 		s.LeftOut = append(s.LeftOut, t.instanceName(i))
 	}
-	if r.Step.Number != 0 {
-		s.Step = fmt.Sprintf("step %d, %s", r.Step.Number, t.instanceName(r.Step.Instance))
+	if r.CurrentStep.Number != 0 {
+		s.Step = fmt.Sprintf("step %d, %s", r.CurrentStep.Number, t.instanceName(r.CurrentStep.Instance))
 	}
 	return s
 }
@@ -272,43 +272,43 @@
 		agent = t.Fleet.Instances[r.Instance].Agent
 	}
 	switch r.Kind {
-	case plan.NoReason:
+	case plan.ReasonNone:
 		return r.Detail
-	case plan.ByWord:
+	case plan.ReasonOperator:
 		return "by an operator's word"
-	case plan.Unheard:
+	case plan.ReasonAgentUnreachable:
 		return fmt.Sprintf("agent %s of instance %s is not heard from: bring it back and resume, or resume with --leave-out %s",
 			agent, name, name)
-	case plan.UnknownLife:
+	case plan.ReasonProcessUnknown:
 		return fmt.Sprintf("agent %s does not know instance %s yet", agent, name)
-	case plan.Busy:
+	case plan.ReasonInstanceBusy:
 		return fmt.Sprintf("instance %s is in a step of another rollout", name)
-	case plan.Unresolved:
+	case plan.ReasonStepUnresolved:
 		return fmt.Sprintf("the step of instance %s has no end", name)
-	case plan.HallFloor:
+	case plan.ReasonZoneMinimum:
 		hall := ""
-		if r.Hall < len(t.Fleet.Zones) {
-			hall = t.Fleet.Zones[r.Hall].Name
+		if r.Zone < len(t.Fleet.Zones) {
+			hall = t.Fleet.Zones[r.Zone].Name
 		}
 		return fmt.Sprintf("hall %s would be left with %d serving, and its floor is %d", hall, r.Have, r.Need)
-	case plan.WholeFloor:
+	case plan.ReasonFleetMinimum:
 		return fmt.Sprintf("the fleet would be left with %d serving, and its floor is %d", r.Have, r.Need)
-	case plan.StepFailed:
+	case plan.ReasonStepFailed:
 		return fmt.Sprintf("instance %s did not come up with the revision: %s", name, r.Detail)
-	case plan.SoakFailed:
+	case plan.ReasonSoakFailed:
 		return fmt.Sprintf("instance %s was %s in its soak", name, r.Detail)
-	case plan.SoakWorse:
+	case plan.ReasonMoreUnanswered:
 		return fmt.Sprintf("instance %s left %d of %d commands unanswered in its soak, a larger share than before", name, r.Have, r.Need)
-	case plan.CannotGoBack:
+	case plan.ReasonCannotRollBack:
 		return fmt.Sprintf("instance %s cannot go back: %s", name, r.Detail)
-	case plan.LeftOut:
+	case plan.ReasonInstancesExcluded:
 		return fmt.Sprintf("%d instances were left out and are not done", r.Have)
-	case plan.KeepsDying:
+	case plan.ReasonStepNeverApplied:
 		return fmt.Sprintf("the step of %s came to nothing %d times in a row: its agent %s ended before it did anything, or the router "+
 			"came up by itself", name, r.Have, agent)
-	case plan.Refused:
+	case plan.ReasonStepRefused:
 		return fmt.Sprintf("agent %s refuses the step of %s: %s", agent, name, r.Detail)
-	case plan.NothingToDo:
+	case plan.ReasonNothingToDo:
 		return "there is nothing to do"
 	}
 	return "for a reason that this tool does not know"
@@ -379,7 +379,7 @@
 			}
 		}
 		for _, r := range a.Reply.Rollouts {
-			if old, has := rolls[r.ID]; !has || old.Run < r.Run || old.Run == r.Run && (old.Steps < r.Steps || r.State.Over()) {
+			if old, has := rolls[r.ID]; !has || old.Run < r.Run || old.Run == r.Run && (old.StepsBegun < r.StepsBegun || r.State.Terminal()) {
 				rolls[r.ID] = r
 			}
 		}
@@ -500,7 +500,7 @@
 }
 
 // Ask leaves a wish with the agents for whoever drives a rollout. It tells how many took it.
-func (t *Client) RequestAction(ctx context.Context, r form.Rollout, w plan.Wish) int {
+func (t *Client) RequestAction(ctx context.Context, r form.Rollout, w plan.OperatorRequest) int {
 	took := 0
 	for _, a := range t.Broadcast(ctx, form.Request{
 		Verb: form.RequestActionVerb, AgentsDigest: t.Fleet.AgentsDigest(),
@@ -529,7 +529,7 @@
 
 // Begin is the task of a new rollout.
 func (t *Client) NewRollout(r form.Revision, restart bool) roll.Task {
-	return roll.Task{Verb: roll.Begin, By: t.Operator, Fleet: t.Fleet.InstancesDigest(), Rollout: form.Rollout{
+	return roll.Task{Operation: roll.OperationBegin, Operator: t.Operator, FleetDigest: t.Fleet.InstancesDigest(), Rollout: form.Rollout{
 		Rollout: plan.Rollout{ID: NewID(), Revision: r.Digest, Restart: restart}, RevisionName: r.Name, StartedBy: t.Operator,
 		StartedAt: time.Now().Unix(), InstancesDigest: t.Fleet.InstancesDigest(),
 	}}
@@ -538,11 +538,11 @@
 // Drive carries a task out. Once ctx ends the driver gives its claim back, and the rollout waits to be taken
 // up. watch is called, if it is not nil, with what has come about.
 func (t *Client) Drive(ctx context.Context, task roll.Task, watch func(roll.View, []roll.Event)) roll.Outcome {
-	task.Fleet = t.Fleet.InstancesDigest()
+	task.FleetDigest = t.Fleet.InstancesDigest()
 	host, _ := os.Hostname() // for people only
 	look := float64(t.Fleet.Times.PollInterval)
 	d := roll.New(t.Fleet.PlannerFleet(), t.Fleet.InstanceNames(), len(t.clients), t.Fleet.AgentsDigest(),
-		api.HolderName(t.Operator, host+"/"+NewID()), roll.Times{Period: look, Giving: float64(t.Fleet.Times.ContactTimeout)}, task,
+		api.HolderName(t.Operator, host+"/"+NewID()), roll.Timing{PollSeconds: look, MajorityTimeoutSeconds: float64(t.Fleet.Times.ContactTimeout)}, task,
 		mathrand.Float64)
 	began := time.Now()
 	now := func() float64 { return time.Since(began).Seconds() }
@@ -571,11 +571,11 @@
 			}()
 		}
 		if watch != nil {
-			watch(d.View(now()), d.Events())
+			watch(d.View(now()), d.TakeEvents())
 		} else {
-			d.Events()
+			d.TakeEvents()
 		}
-		if o, over := d.Over(); over {
+		if o, over := d.Outcome(); over {
 			return o
 		}
 		timer := time.NewTimer(time.Duration(max(0, wake-now()) * float64(time.Second)))
@@ -583,9 +583,9 @@
 		case h := <-answers:
 			take := func(h heard) {
 				if h.err != nil {
-					d.Failed(now(), h.id, h.err.Error())
+					d.HandleFailure(now(), h.id, h.err.Error())
 				} else {
-					d.Heard(now(), h.id, h.r)
+					d.HandleReply(now(), h.id, h.r)
 				}
 			}
 			take(h)
--- a/internal/fleet/tool/tool_test.go
+++ b/internal/fleet/tool/tool_test.go
@@ -130,7 +130,7 @@
 
 func (r *rig) complete(o roll.Outcome) {
 	r.t.Helper()
-	require.Equal(r.t, roll.Ended, o.Kind, "%v", o)
+	require.Equal(r.t, roll.OutcomeEnded, o.Kind, "%v", o)
 	require.Equal(r.t, plan.Complete, o.Rollout.State, "%v", o)
 }
 
@@ -185,23 +185,23 @@
 	began := 0
 	o := ayla.Drive(ctx, ayla.NewRollout(b, false), func(v roll.View, events []roll.Event) {
 		for _, e := range events {
-			if e.What == plan.Begin {
+			if e.Action == plan.ActionBeginStep {
 				if began++; began == 2 {
 					kill()
 				}
 			}
 		}
 	})
-	require.Equal(t, roll.Left, o.Kind)
+	require.Equal(t, roll.OutcomeInterrupted, o.Kind)
 	s := mehmet.Status(context.Background())
 	require.NotNil(t, s.Rollout)
 	assert.Equal(t, "running", s.Rollout.State)
 	assert.Equal(t, "ayla", s.Rollout.StartedBy)
-	assert.Equal(t, roll.Unfinished, r.drive(mehmet, mehmet.NewRollout(a, false), nil).Kind)
+	assert.Equal(t, roll.OutcomeUnfinishedRollout, r.drive(mehmet, mehmet.NewRollout(a, false), nil).Kind)
 	steps := 0
-	o = r.drive(mehmet, roll.Task{Verb: roll.Resume, By: "mehmet"}, func(_ roll.View, events []roll.Event) {
+	o = r.drive(mehmet, roll.Task{Operation: roll.OperationResume, Operator: "mehmet"}, func(_ roll.View, events []roll.Event) {
 		for _, e := range events {
-			if e.What == plan.Begin {
+			if e.Action == plan.ActionBeginStep {
 				steps++
 			}
 		}
@@ -209,7 +209,7 @@
 	r.complete(o)
 	assert.LessOrEqual(t, steps, 3, "it goes on where the other was")
 	r.allRun(mehmet, b.Digest)
-	o = r.drive(mehmet, roll.Task{Verb: roll.Rollback, By: "mehmet"}, nil)
+	o = r.drive(mehmet, roll.Task{Operation: roll.OperationRollback, Operator: "mehmet"}, nil)
 	assert.Equal(t, plan.RolledBack, o.Rollout.State)
 	r.allRun(mehmet, a.Digest)
 	h, err := ayla.History(context.Background())
@@ -235,14 +235,14 @@
 	both.Wait()
 	won := -1
 	for i, o := range got {
-		if o.Kind == roll.Ended && o.Rollout.State == plan.Complete {
+		if o.Kind == roll.OutcomeEnded && o.Rollout.State == plan.Complete {
 			assert.Equal(t, -1, won, "both cannot have it")
 			won = i
 		}
 	}
 	require.NotEqual(t, -1, won, "%v", got)
 	loser := got[1-won]
-	assert.Equal(t, roll.Held, loser.Kind)
+	assert.Equal(t, roll.OutcomeLeaseHeld, loser.Kind)
 	assert.True(t, strings.HasPrefix(loser.Holder.Holder, []string{"ayla/", "mehmet/"}[won]), loser.Holder.Holder)
 	r.allRun(ayla, []form.Revision{a, b}[won].Digest)
 }
@@ -257,21 +257,21 @@
 	b := r.push(ayla, "b", stand.Conduct{Ready: 0.3}, 101)
 	asked := false
 	o := r.drive(ayla, ayla.NewRollout(b, false), func(v roll.View, events []roll.Event) {
-		if !asked && v.Rollout.Step.Number == 1 {
+		if !asked && v.Rollout.CurrentStep.Number == 1 {
 			asked = true
-			assert.Equal(t, 4, mehmet.RequestAction(context.Background(), v.Rollout, plan.Pause))
+			assert.Equal(t, 4, mehmet.RequestAction(context.Background(), v.Rollout, plan.RequestPause))
 		}
 	})
 	assert.Equal(t, plan.Paused, o.Rollout.State)
 	assert.Equal(t, "mehmet", o.Rollout.RequestedBy)
 	r.end(3)
-	o = r.drive(mehmet, roll.Task{Verb: roll.Resume, By: "mehmet"}, nil)
+	o = r.drive(mehmet, roll.Task{Operation: roll.OperationResume, Operator: "mehmet"}, nil)
 	assert.Equal(t, plan.Paused, o.Rollout.State)
 	assert.Contains(t, mehmet.Explain(o.Reason), "agent a3 of instance n3 is not heard from")
-	o = r.drive(mehmet, roll.Task{Verb: roll.Resume, By: "mehmet", LeaveOut: []int{3}}, nil)
+	o = r.drive(mehmet, roll.Task{Operation: roll.OperationResume, Operator: "mehmet", ExcludedInstances: []int{3}}, nil)
 	assert.Equal(t, "1 instances were left out and are not done", mehmet.Explain(o.Reason))
 	r.start(3)
-	r.complete(r.drive(ayla, roll.Task{Verb: roll.Resume, By: "ayla"}, nil))
+	r.complete(r.drive(ayla, roll.Task{Operation: roll.OperationResume, Operator: "ayla"}, nil))
 	r.allRun(ayla, b.Digest)
 }
 
--- a/internal/fleet/tool/trace.go
+++ b/internal/fleet/tool/trace.go
@@ -47,15 +47,15 @@
 // Watch takes in what has come about.
 func (x *Trace) Record(_ roll.View, events []roll.Event) {
 	for _, e := range events {
-		if e.Claimed != 0 {
-			x.rollout.AddEvent("claimed", trace.WithAttributes(attribute.Int64("epoch", int64(e.Claimed))))
+		if e.AcquiredEpoch != 0 {
+			x.rollout.AddEvent("claimed", trace.WithAttributes(attribute.Int64("epoch", int64(e.AcquiredEpoch))))
 		}
-		switch e.What {
-		case plan.Begin:
+		switch e.Action {
+		case plan.ActionBeginStep:
 			_, x.step = x.tracer.Start(x.ctx, "step", trace.WithAttributes(
 				attribute.String("instance", x.client.instanceName(e.Step.Instance)), attribute.Int64("number", int64(e.Step.Number)),
-				attribute.String("revision", revision.ShortDigest(e.Step.Revision)), attribute.Bool("back", e.Step.Back)))
-		case plan.Settle, plan.Turn, plan.Finish:
+				attribute.String("revision", revision.ShortDigest(e.Step.Revision)), attribute.Bool("back", e.Step.Rollback)))
+		case plan.ActionCompleteStep, plan.ActionStartRollback, plan.ActionFinish:
 			x.endStep(e)
 		}
 	}
@@ -65,8 +65,8 @@
 	if x.step == nil {
 		return
 	}
-	if e.What != plan.Settle {
-		x.step.SetStatus(codes.Error, x.client.Explain(e.Why))
+	if e.Action != plan.ActionCompleteStep {
+		x.step.SetStatus(codes.Error, x.client.Explain(e.Reason))
 	}
 	x.step.End()
 	x.step = nil
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -54,11 +54,11 @@
 }
 
 type rollAgent struct {
-	desk   tend.Desk
-	claims claim.Durable
+	desk   tend.RequestHandler
+	claims claim.PersistentState
 	record tend.Record
 	alive  bool
-	todo   []tend.Effect // acts that are still to be carried out
+	todo   []tend.Action // acts that are still to be carried out
 	runs   bool
 	serves bool // it has answered since it started, whichever life of the agent asked
 	mark   uint64
@@ -67,7 +67,7 @@
 }
 
 type rollTool struct {
-	driver *roll.Driver
+	driver *roll.Coordinator
 	holder string
 	out    []rollCall
 	ended  bool
@@ -84,17 +84,17 @@
 
 func newRollout(b Bounds, fault string) *rollout {
 	r := &rollout{bounds: b, fault: fault, check: verdict.NewFleet(b.Agents - 1), limits: tend.Limits{
-		Ready: 100, Settle: 0.5,
-		Probe: 1e9, Count: 1e9, Window: 1, Restart: 0.5, Longest: 1, Calm: 1e9, Crashes: 9, Misses: 9, Patient: 100,
+		ReadyTimeoutSeconds: 100, TerminationGraceSeconds: 0.5,
+		HealthCheckSeconds: 1e9, CounterReadSeconds: 1e9, RecentSeconds: 1, MinBackoffSeconds: 0.5, MaxBackoffSeconds: 1, StableSeconds: 1e9, MaxCrashes: 9, MaxMissedHealthChecks: 9, KillRetrySeconds: 100,
 	}}
-	r.fleet = &plan.Fleet{Halls: []int{0}, Floor: b.Agents - 1, Times: plan.Times{Soak: 0, Fresh: 1.5, Contact: 100, Step: 100}}
+	r.fleet = &plan.Fleet{ZoneMinAvailable: []int{0}, MinAvailable: b.Agents - 1, Timing: plan.Timing{SoakSeconds: 0, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 100, StepTimeoutSeconds: 100}}
 	if fault == "floorless" {
-		r.fleet.Floor--
+		r.fleet.MinAvailable--
 	}
 	for i := range b.Agents {
 		r.fleet.Instances = append(r.fleet.Instances, plan.Instance{Agent: i})
 		r.names = append(r.names, fmt.Sprint("n", i))
-		a := &rollAgent{runs: true, serves: true, mark: 1, record: tend.Record{Up: true, Revision: "old", Mark: 1}}
+		a := &rollAgent{runs: true, serves: true, mark: 1, record: tend.Record{ShouldRun: true, Revision: "old", Incarnation: 1}}
 		r.agents = append(r.agents, a)
 		r.birth(i)
 		for len(a.todo) > 0 {
@@ -113,13 +113,13 @@
 func (r *rollout) start(t int) {
 	x := r.tools[t]
 	x.holder = fmt.Sprint("t", t)
-	task := roll.Task{Verb: roll.Begin, Takeover: t > 0, Rollout: form.Rollout{
+	task := roll.Task{Operation: roll.OperationBegin, Takeover: t > 0, Rollout: form.Rollout{
 		Rollout: plan.Rollout{ID: x.holder, Revision: fmt.Sprint("new", t)},
 	}}
 	if t > 0 {
-		task.Verb = roll.Resume
+		task.Operation = roll.OperationResume
 	}
-	x.driver = roll.New(r.fleet, r.names, len(r.agents), "", x.holder, roll.Times{Period: rollTick, Giving: 50}, task,
+	x.driver = roll.New(r.fleet, r.names, len(r.agents), "", x.holder, roll.Timing{PollSeconds: rollTick, MajorityTimeoutSeconds: 50}, task,
 		func() float64 { return 0.5 })
 	x.out, x.ended = nil, false
 }
@@ -130,7 +130,7 @@
 		for again := true; again && x.driver != nil; {
 			again = false
 			sends, _ := x.driver.Tick(r.now)
-			x.driver.Events()
+			x.driver.TakeEvents()
 			for _, s := range sends {
 				c := rollCall{Tool: t, ID: s.ID, At: s.Agent, Call: s.Call}
 				if s.Call.Verb != form.StatusVerb {
@@ -140,9 +140,9 @@
 				r.deliver(c, true)
 				again = true
 			}
-			if o, over := x.driver.Over(); over {
+			if o, over := x.driver.Outcome(); over {
 				x.driver, x.out, x.outcome = nil, nil, o
-				x.ended = o.Kind == roll.Ended && o.Rollout.State.Over()
+				x.ended = o.Kind == roll.OutcomeEnded && o.Rollout.State.Terminal()
 			}
 		}
 	}
@@ -153,15 +153,15 @@
 	a, d := r.agents[c.At], r.tools[c.Tool].driver
 	if !a.alive {
 		if d != nil { // no call is out for good
-			d.Failed(r.now, c.ID, "gone")
+			d.HandleFailure(r.now, c.ID, "gone")
 		}
 		return
 	}
 	reply := r.answer(c)
 	if heard && d != nil {
-		d.Heard(r.now, c.ID, reply)
+		d.HandleReply(r.now, c.ID, reply)
 	} else if d != nil {
-		d.Failed(r.now, c.ID, "lost")
+		d.HandleFailure(r.now, c.ID, "lost")
 	}
 }
 
@@ -169,50 +169,50 @@
 	a := r.agents[c.At]
 	switch {
 	case r.fault == "unkept" && c.Call.Verb == form.StoreRecordVerb:
-		return form.Reply{LeaseState: a.desk.Claims.Standing(r.now)}
-	case r.fault == "epoch-twice" && c.Call.Verb == form.RequestLeaseVerb && c.Call.LeaseRequest.Epoch == a.desk.Claims.Epoch:
-		a.desk.Claims.Epoch--
-		a.desk.Claims.Held = false
+		return form.Reply{LeaseState: a.desk.Lease.State(r.now)}
+	case r.fault == "epoch-twice" && c.Call.Verb == form.RequestLeaseVerb && c.Call.LeaseRequest.Epoch == a.desk.Lease.Epoch:
+		a.desk.Lease.Epoch--
+		a.desk.Lease.Held = false
 	}
 	if c.Call.Verb == form.BeginStepVerb {
-		c.Call.Step.Idle = c.Call.Step.Idle && r.fault != "rash"
+		c.Call.Step.OnlyIfNotServing = c.Call.Step.OnlyIfNotServing && r.fault != "rash"
 		var kept int
 		for _, b := range r.agents {
-			if s := b.claims.Record.Stamp; s.Epoch >= c.Call.Epoch {
+			if s := b.claims.Record.Version; s.Epoch >= c.Call.Epoch {
 				kept++
 			}
 		}
-		r.check.Sent(fmt.Sprint(c.Call.Step.Rollout, "/", c.Call.Step.Number), kept >= claim.Majority(len(r.agents)))
+		r.check.Sent(fmt.Sprint(c.Call.Step.RolloutID, "/", c.Call.Step.Number), kept >= claim.Majority(len(r.agents)))
 	}
 	reply, saves := a.desk.Handle(r.now, c.Call)
 	if r.fault == "two-begin" {
 		for i := range reply.Instances {
-			if x := &reply.Instances[i]; x.Last.Number != 0 && x.End == plan.Open {
-				x.End, x.Life, x.Revision = plan.Done, plan.Ready, x.Last.Revision
+			if x := &reply.Instances[i]; x.LastStep.Number != 0 && x.LastResult == plan.StepPending {
+				x.LastResult, x.State, x.Revision = plan.StepSucceeded, plan.ProcessReady, x.LastStep.Revision
 			}
 		}
 	}
 	if reply.Denial == claim.Granted && (c.Call.Verb == form.BeginStepVerb || c.Call.Verb == form.StoreRecordVerb) {
 		r.check.Acted(c.Call.Epoch, c.Call.Holder)
 	}
-	if saves.Claims {
-		a.claims = a.desk.Claims.Durable
+	if saves.Lease {
+		a.claims = a.desk.Lease.PersistentState
 	}
-	if saves.Instance >= 0 {
+	if saves.ChangedInstance >= 0 {
 		r.stored(c.At)
 	}
-	a.todo = append(a.todo, saves.Do...)
+	a.todo = append(a.todo, saves.Actions...)
 	return reply
 }
 
 // stored keeps an instance's record, and sees steps begin and end.
 func (r *rollout) stored(i int) {
 	a := r.agents[i]
-	a.record = a.desk.Instances[0].Record
-	open := a.record.Step.Number != 0 && a.record.End == plan.Open
+	a.record = a.desk.Supervisors[0].Record
+	open := a.record.Step.Number != 0 && a.record.Result == plan.StepPending
 	switch {
 	case open && !a.open:
-		r.check.Begun(i, fmt.Sprint(a.record.Step.Rollout, "/", a.record.Step.Number))
+		r.check.Begun(i, fmt.Sprint(a.record.Step.RolloutID, "/", a.record.Step.Number))
 	case !open && a.open:
 		r.check.Ended(i)
 	}
@@ -224,44 +224,44 @@
 	a.alive, a.todo = true, nil
 	a.lives++
 	if r.fault == "forgetful" {
-		a.claims = claim.Durable{}
+		a.claims = claim.PersistentState{}
 	}
-	x, out := tend.NewInstance(a.record, &r.limits)
-	a.desk = tend.Desk{
-		Agent: fmt.Sprint("a", i), Names: []string{r.names[i]}, Claims: claim.Restore(a.claims, rollTerm, r.now),
-		Instances: []tend.Instance{x},
+	x, out := tend.NewSupervisor(a.record, &r.limits)
+	a.desk = tend.RequestHandler{
+		Agent: fmt.Sprint("a", i), InstanceNames: []string{r.names[i]}, Lease: claim.Restore(a.claims, rollTerm, r.now),
+		Supervisors: []tend.Supervisor{x},
 	}
-	a.todo = append(a.todo, out.Do...)
+	a.todo = append(a.todo, out.Actions...)
 }
 
 // act carries out an agent's next act, and hands its outcome in.
 func (r *rollout) act(i int) {
 	a := r.agents[i]
-	x := &a.desk.Instances[0]
+	x := &a.desk.Supervisors[0]
 	e := a.todo[0]
 	a.todo = a.todo[1:]
-	var out tend.Out
-	switch e.Act {
-	case tend.Find:
-		out = x.Found(r.now, a.runs && a.mark == e.Mark && (r.fault != "twin" || a.lives == 1))
-	case tend.Prepare:
-		out = x.Prepared(r.now, false, 100, "")
-	case tend.Place:
-		out = x.Placed(r.now, "")
-	case tend.Start:
+	var out tend.Transition
+	switch e.Kind {
+	case tend.ActionFindProcess:
+		out = x.ProcessFound(r.now, a.runs && a.mark == e.Incarnation && (r.fault != "twin" || a.lives == 1))
+	case tend.ActionPrepareRevision:
+		out = x.RevisionPrepared(r.now, false, 100, "")
+	case tend.ActionInstallRevision:
+		out = x.RevisionInstalled(r.now, "")
+	case tend.ActionStart:
 		running := 0
 		if a.runs {
 			running = 1
 		}
 		r.check.Started(i, running)
-		a.runs, a.serves, a.mark = true, false, e.Mark
+		a.runs, a.serves, a.mark = true, false, e.Incarnation
 		if r.fault != "untold-start" {
-			out = x.Started(r.now, e.Mark, "")
+			out = x.ProcessStarted(r.now, e.Incarnation, "")
 		}
-	case tend.Probe:
+	case tend.ActionHealthCheck:
 		a.serves = a.runs
-		out = x.Probed(r.now, a.runs)
-	case tend.Term:
+		out = x.HealthChecked(r.now, a.runs)
+	case tend.ActionTerminate:
 		others := 0
 		for j, b := range r.agents {
 			if j != i && b.serves {
@@ -272,12 +272,12 @@
 			r.check.Taken(i, others)
 		}
 		a.runs, a.serves = false, false
-		out = x.Exited(r.now, "ended")
+		out = x.ProcessExited(r.now, "ended")
 	}
 	if out.Store {
 		r.stored(i)
 	}
-	a.todo = append(a.todo, out.Do...)
+	a.todo = append(a.todo, out.Actions...)
 }
 
 // Steps implements explore.System.
@@ -356,12 +356,12 @@
 	r.ticks++
 	r.now += rollTick
 	for i, a := range r.agents {
-		if x := &a.desk.Instances[0]; a.alive && r.now >= x.Wake() {
+		if x := &a.desk.Supervisors[0]; a.alive && r.now >= x.NextTick() {
 			out := x.Tick(r.now)
 			if out.Store {
 				r.stored(i)
 			}
-			a.todo = append(a.todo, out.Do...)
+			a.todo = append(a.todo, out.Actions...)
 		}
 	}
 }
@@ -394,7 +394,7 @@
 		r.faults++
 		a := r.agents[n]
 		a.runs, a.serves = false, false
-		if out := a.desk.Instances[0].Exited(r.now, "by itself"); out.Store {
+		if out := a.desk.Supervisors[0].ProcessExited(r.now, "by itself"); out.Store {
 			r.stored(n)
 		}
 		r.ticks++
@@ -417,7 +417,7 @@
 			r.deliver(c, false)
 		default: // lost, or late
 			r.faults++
-			x.driver.Failed(r.now, c.ID, "lost")
+			x.driver.HandleFailure(r.now, c.ID, "lost")
 			if what == "delay" {
 				r.late = append(r.late, c)
 			}
@@ -431,21 +431,21 @@
 var rolloutRules = &explore.Rules{
 	Grain: 1e-6,
 	Ignored: explore.Fields{
-		"claim.Standing":   {"Left", "Since"},
+		"claim.State":      {"HeldSeconds", "RemainingSeconds"},
 		"plan.Planner":     {"Fleet"},
-		"plan.Sight":       {"ReadyFor"},
-		"roll.Driver":      {"calls", "chance", "events", "fleet", "last", "times", "told"},
+		"plan.Observation": {"ReadySeconds"},
+		"roll.Coordinator": {"calls", "chance", "events", "fleet", "last", "times", "told"},
 		"roll.agent":       {"looking", "saying", "standing"},
 		"systems.rollCall": {"ID"},
-		"tend.Instance":    {"countAt", "limits", "past", "probeAt", "readyAt"},
+		"tend.Supervisor":  {"countAt", "limits", "past", "probeAt", "readyAt"},
 	},
 	Times: explore.Fields{
-		"claim.Ledger":  {"now", "since", "until"},
-		"plan.Planner":  {"since"},
-		"plan.Sight":    {"Seen"},
-		"roll.Driver":   {"actAt", "majorAt", "since"},
-		"roll.agent":    {"again", "next"},
-		"tend.Instance": {"at"},
+		"claim.Lease":      {"now", "since", "until"},
+		"plan.Planner":     {"since"},
+		"plan.Observation": {"SeenAt"},
+		"roll.Coordinator": {"actAt", "majorAt", "since"},
+		"roll.agent":       {"again", "next"},
+		"tend.Supervisor":  {"at"},
 	},
 }
 
@@ -463,7 +463,7 @@
 		h.Value(t.ended)
 		if t.driver != nil {
 			h.Value(t.driver)
-			h.Uint(uint64(t.driver.Waiting()))
+			h.Uint(uint64(t.driver.PendingCalls()))
 		} else {
 			h.Uint(math.MaxUint64)
 		}
--- a/internal/systems/settle.go
+++ b/internal/systems/settle.go
@@ -160,7 +160,7 @@
 			return verdict.ComesToEnd, "a tool neither goes on nor ends"
 		}
 		o := r.tools[len(r.tools)-1].outcome
-		if last = fmt.Sprintf("outcome %d, %+v", o.Kind, o.Reason); r.Ended() || o.Kind == roll.NothingThere {
+		if last = fmt.Sprintf("outcome %d, %+v", o.Kind, o.Reason); r.Ended() || o.Kind == roll.OutcomeNoRollout {
 			return r.Broken()
 		}
 		for range calmTicks { // an agent that started again grants nothing for a term
