--- a/internal/fleet/claim/lease.go
+++ b/internal/fleet/claim/lease.go
@@ -1,41 +1,32 @@
-// Package claim decides who may change a fleet: the agents' side of a claim that a majority grants, and the
-// bidder's. It does no input or output and has no clock; time is handed in, in seconds on the clock of
-// whoever asks, and is never compared with another's.
-//
-// A claim is an epoch. An agent grants an epoch to one holder only and then refuses all that bears a lower
-// one, whenever it arrives, so two majorities cannot grant the same epoch to two. What a holder is doing
-// stands in a record that it has a majority keep before it acts; the next holder reads it from the majority
-// that grants, and so learns of every step that may have begun. Who may not be heard may still be acting:
-// that is for package plan, which lets nothing happen while an agent is unknown.
 package claim
 
-// Request asks for an epoch.
+// Request asks an agent for a lease under an epoch.
 type Request struct {
 	Epoch    uint64 `cbor:"Epoch"`
-	Holder   string `cbor:"Holder"`   // one running tool: no two are the same
-	Takeover bool   `cbor:"Takeover"` // also from a holder whose claim still runs
+	Holder   string `cbor:"Holder"`   // identifies one running tool; no two share it
+	Takeover bool   `cbor:"Takeover"` // also from a holder whose lease has not expired
 }
 
-// State is what an agent tells of the claim that it granted last.
+// State is what an agent reports of the lease that it granted last.
 type State struct {
-	Epoch            uint64  `cbor:"Epoch"`  // the highest promised; what is below is refused
-	Holder           string  `cbor:"Holder"` // to whom
-	Held             bool    `cbor:"Held"`   // and whether it still runs
-	HeldSeconds      float64 `cbor:"Since"`  // seconds ago
-	RemainingSeconds float64 `cbor:"Left"`   // seconds, if it runs
+	Epoch            uint64  `cbor:"Epoch"`  // the highest granted; requests with a lower one are denied
+	Holder           string  `cbor:"Holder"` // to whom it was granted
+	Held             bool    `cbor:"Held"`   // neither expired nor released
+	HeldSeconds      float64 `cbor:"Since"`  // since Holder acquired it
+	RemainingSeconds float64 `cbor:"Left"`   // until it expires; 0 if it is not held
 }
 
 // Denial is why an agent does not do what it was asked.
 type Denial int
 
-// Refusals.
+// Denials. Granted, the zero value, is none. The numbers are sent: their order must stay.
 const (
 	Granted     Denial = iota
-	StaleEpoch         // a higher one was promised: the asker has been fenced, or must bid higher
-	HeldByOther        // a claim still runs
-	NotHolder          // the epoch was granted to another, or not here
-	Expired            // the asker's claim has run out by this agent's clock
-	StaleRecord        // a newer one is kept
+	StaleEpoch         // a higher epoch was granted: the caller is fenced off, or must request a higher one
+	HeldByOther        // another holder's lease has not expired
+	NotHolder          // this epoch was granted to another holder, or not by this agent
+	Expired            // the caller's lease has expired by this agent's clock
+	StaleRecord        // a newer record is stored
 )
 
 var denials = [...]string{
@@ -43,9 +34,9 @@
 	"the claim has run out", "a newer record is kept",
 }
 
-func (r Denial) String() string { return denials[r] }
+func (d Denial) String() string { return denials[d] }
 
-// PersistentState is what an agent must have stored before it acknowledges anything that changed it.
+// PersistentState is what an agent must have stored before it acknowledges a call that changed it.
 type PersistentState struct {
 	Epoch  uint64 `cbor:"Epoch"`
 	Holder string `cbor:"Holder"`
@@ -53,61 +44,64 @@
 	Record Record `cbor:"Record"`
 }
 
-// Lease is an agent's side. The zero value has promised nothing. It is a plain value: a copy is a state to
-// go back to where storing fails.
+// Lease is an agent's side of the lease. The zero value has granted nothing. It is a plain value: a caller that
+// fails to store a change goes back to a copy taken before.
 type Lease struct {
 	PersistentState
-	TermSeconds  float64 // seconds that a claim runs without a sign of its holder
-	now          float64
-	since, until float64
+	TermSeconds float64 // after which a lease expires unless it is renewed
+	now         float64 // the latest time handed in
+	heldSince   float64
+	expiresAt   float64
 }
 
-// Restore is the ledger of an agent that starts again. Its clock is a new one, so a claim that was held
-// counts as renewed just now: it may run too long by that, and never too short.
-func Restore(d PersistentState, term, now float64) Lease {
-	return Lease{PersistentState: d, TermSeconds: term, now: now, since: now, until: now + term}
+// Restore returns the lease of an agent that starts again. Its clock is a new one, so a lease that was held counts
+// as renewed at now: it may last too long by that, and never too short.
+func Restore(p PersistentState, termSeconds, now float64) Lease {
+	return Lease{PersistentState: p, TermSeconds: termSeconds, now: now, heldSince: now, expiresAt: now + termSeconds}
 }
 
-// at takes in the time. One that goes back is taken as standing still: a claim must not come alive again.
-func (l *Lease) at(now float64) {
+// advance takes in the time and expires the lease. A time before the latest counts as that one: an expired lease
+// must not become valid again.
+func (l *Lease) advance(now float64) {
 	l.now = max(l.now, now)
-	if l.Held && l.now >= l.until {
+	if l.Held && l.now >= l.expiresAt {
 		l.Held = false
 	}
 }
 
-// State tells how things stand.
+// State reports the lease as of now.
 func (l *Lease) State(now float64) State {
-	l.at(now)
-	s := State{Epoch: l.Epoch, Holder: l.Holder, Held: l.Held, HeldSeconds: l.now - l.since}
+	l.advance(now)
+	s := State{Epoch: l.Epoch, Holder: l.Holder, Held: l.Held, HeldSeconds: l.now - l.heldSince}
 	if l.Held {
-		s.RemainingSeconds = l.until - l.now
+		s.RemainingSeconds = l.expiresAt - l.now
 	}
 	return s
 }
 
-// Acquire grants an epoch or refuses it. A repeat of the bid that was granted is granted again.
-func (l *Lease) Acquire(now float64, b Request) Denial {
-	l.at(now)
+// Acquire grants the lease under a new epoch, or denies it. A repeat of the request that was granted last is
+// granted again.
+func (l *Lease) Acquire(now float64, r Request) Denial {
+	l.advance(now)
 	switch {
-	case b.Epoch == l.Epoch && b.Holder == l.Holder && l.Held:
+	case r.Epoch == l.Epoch && r.Holder == l.Holder && l.Held:
 		return Granted
-	case b.Epoch <= l.Epoch:
+	case r.Epoch <= l.Epoch:
 		return StaleEpoch
-	case l.Held && b.Holder != l.Holder && !b.Takeover:
+	case l.Held && r.Holder != l.Holder && !r.Takeover:
 		return HeldByOther
 	}
-	if b.Holder != l.Holder || !l.Held {
-		l.since = l.now
+	if r.Holder != l.Holder || !l.Held {
+		l.heldSince = l.now
 	}
-	l.Epoch, l.Holder, l.Held = b.Epoch, b.Holder, true
-	l.until = l.now + l.TermSeconds
+	l.Epoch, l.Holder, l.Held = r.Epoch, r.Holder, true
+	l.expiresAt = l.now + l.TermSeconds
 	return Granted
 }
 
-// Renew tells whether a holder may act here now, and renews its claim if so.
+// Renew tells whether the holder may act here now, and extends its lease by a term if so.
 func (l *Lease) Renew(now float64, epoch uint64, holder string) Denial {
-	l.at(now)
+	l.advance(now)
 	switch {
 	case epoch < l.Epoch:
 		return StaleEpoch
@@ -116,14 +110,14 @@
 	case !l.Held:
 		return Expired
 	}
-	l.until = l.now + l.TermSeconds
+	l.expiresAt = l.now + l.TermSeconds
 	return Granted
 }
 
-// StoreRecord takes a holder's record in place of an older one. A repeat is granted.
+// StoreRecord renews the lease and replaces the stored record by one of the holder's that is not older.
 func (l *Lease) StoreRecord(now float64, epoch uint64, holder string, r Record) Denial {
-	if no := l.Renew(now, epoch, holder); no != Granted {
-		return no
+	if denial := l.Renew(now, epoch, holder); denial != Granted {
+		return denial
 	}
 	if r.Version.Epoch != epoch || r.Version.Before(l.Record.Version) {
 		return StaleRecord
@@ -132,14 +126,11 @@
 	return Granted
 }
 
-// Release ends a claim before it runs out. The promise stays.
+// Release ends the lease before it expires. Lower epochs stay denied. Releasing an expired lease is granted.
 func (l *Lease) Release(now float64, epoch uint64, holder string) Denial {
-	if no := l.Renew(now, epoch, holder); no != Granted && no != Expired {
-		return no
+	if denial := l.Renew(now, epoch, holder); denial != Granted && denial != Expired {
+		return denial
 	}
 	l.Held = false
 	return Granted
 }
-
-// Majority is how many of so many agents have a say together: any two such groups share one.
-func Majority(agents int) int { return agents/2 + 1 }
--- /dev/null
+++ b/internal/fleet/claim/model_test.go
@@ -0,0 +1,144 @@
+package claim
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"pgregory.net/rapid"
+
+	_ "stoatdale.example/stoatdale/internal/lab/fixed"
+)
+
+const modelTermSeconds = 10
+
+// candidate is a tool that requests leases, one after another, and stores records while it holds one.
+type candidate struct {
+	campaign *Campaign
+	records  uint64 // stored under the campaign's epoch
+}
+
+// lateCall is a holder's call that may arrive at an agent at any later time.
+type lateCall struct {
+	epoch  uint64
+	holder string
+}
+
+// leaseModel is candidates and agents that restart and whose clocks leap, with messages lost and late.
+type leaseModel struct {
+	agents      []Lease
+	clocks      []float64 // of the agents
+	candidates  []candidate
+	winners     map[uint64]string // holder by epoch
+	lateCalls   []lateCall
+	actedEpochs []uint64 // highest epoch that acted, by agent
+	stored      Version  // of the newest record that a majority was seen to store
+}
+
+func newLeaseModel(agents int) *leaseModel {
+	m := &leaseModel{
+		agents: make([]Lease, agents), clocks: make([]float64, agents), actedEpochs: make([]uint64, agents),
+		candidates: make([]candidate, 3), winners: map[uint64]string{},
+	}
+	for i := range m.agents {
+		m.agents[i].TermSeconds = modelTermSeconds
+	}
+	return m
+}
+
+func TestNoEpochHasTwoHoldersAndStoredRecordsAreFound(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newLeaseModel(rapid.IntRange(1, 5).Draw(t, "agents"))
+		for range rapid.IntRange(1, 150).Draw(t, "turns") {
+			m.turn(t)
+		}
+	})
+}
+
+func (m *leaseModel) turn(t *rapid.T) {
+	number := rapid.IntRange(0, len(m.candidates)-1).Draw(t, "candidate")
+	agent := rapid.IntRange(0, len(m.agents)-1).Draw(t, "agent")
+	m.clocks[agent] += rapid.SampledFrom([]float64{0, 0, 1, 20, -5}).Draw(t, "clock")
+	c := &m.candidates[number]
+	switch rapid.IntRange(0, 5).Draw(t, "event") {
+	case 0:
+		m.startCampaign(t, number)
+	case 1, 2:
+		m.request(t, c, agent)
+	case 3:
+		m.agents[agent] = Restore(m.agents[agent].PersistentState, modelTermSeconds, 0)
+		m.clocks[agent] = 0
+	case 4:
+		m.storeRecord(t, c)
+	default:
+		m.deliverLateCall(t, agent)
+	}
+}
+
+func (m *leaseModel) startCampaign(t *rapid.T, number int) {
+	c := &m.candidates[number]
+	highest := uint64(0)
+	if c.campaign != nil {
+		highest = c.campaign.HighestEpoch()
+	}
+	takeover := rapid.Bool().Draw(t, "takeover")
+	r := Request{Epoch: highest + 1, Holder: fmt.Sprint(number, highest), Takeover: takeover}
+	*c = candidate{campaign: NewCampaign(r, len(m.agents))}
+}
+
+// request delivers a candidate's request to an agent, and its reply unless that is lost.
+func (m *leaseModel) request(t *rapid.T, c *candidate, agent int) {
+	if c.campaign == nil {
+		return
+	}
+	l := &m.agents[agent]
+	denial := l.Acquire(m.clocks[agent], c.campaign.Request)
+	if replyLost := rapid.IntRange(0, 4).Draw(t, "lost") == 0; replyLost {
+		return
+	}
+	c.campaign.AddReply(agent, denial, l.State(m.clocks[agent]), l.Record)
+	if c.campaign.Result() != Won {
+		return
+	}
+	epoch := c.campaign.Request.Epoch
+	if winner, taken := m.winners[epoch]; taken {
+		assert.Equal(t, winner, c.campaign.Request.Holder, "two hold epoch %d", epoch)
+	}
+	m.winners[epoch] = c.campaign.Request.Holder
+}
+
+// storeRecord has a lease holder store a record with those agents that it reaches.
+func (m *leaseModel) storeRecord(t *rapid.T, c *candidate) {
+	if c.campaign == nil || c.campaign.Result() != Won {
+		return
+	}
+	epoch, holder := c.campaign.Request.Epoch, c.campaign.Request.Holder
+	found := c.campaign.NewestRecord().Version.Epoch
+	assert.False(t, found < m.stored.Epoch && m.stored.Epoch < epoch, "a stored record was not found")
+	c.records++
+	r := Record{Version: Version{Epoch: epoch, Number: c.records}}
+	granted := 0
+	for i := range m.agents {
+		reached := rapid.Bool().Draw(t, "reached")
+		if reached && m.agents[i].StoreRecord(m.clocks[i], epoch, holder, r) == Granted {
+			granted++
+		}
+	}
+	if granted >= Majority(len(m.agents)) {
+		m.stored = r.Version
+	}
+	m.lateCalls = append(m.lateCalls, lateCall{epoch, holder})
+}
+
+func (m *leaseModel) deliverLateCall(t *rapid.T, agent int) {
+	if len(m.lateCalls) == 0 {
+		return
+	}
+	call := m.lateCalls[rapid.IntRange(0, len(m.lateCalls)-1).Draw(t, "late")]
+	if m.agents[agent].Renew(m.clocks[agent], call.epoch, call.holder) != Granted {
+		return
+	}
+	assert.GreaterOrEqual(t, call.epoch, m.actedEpochs[agent], "a fenced holder acted")
+	assert.Equal(t, m.winners[call.epoch], call.holder)
+	m.actedEpochs[agent] = call.epoch
+}
--- a/internal/fleet/claim/record.go
+++ b/internal/fleet/claim/record.go
@@ -1,17 +1,20 @@
 package claim
 
-// Version orders records: by epoch, then by number.
+// Version orders records: by the epoch under which they were written, then by number.
 type Version struct {
 	Epoch  uint64 `cbor:"Epoch"`
-	Number uint64 `cbor:"Number"`
+	Number uint64 `cbor:"Number"` // grows within an epoch
 }
 
-// Before tells whether a record with another stamp is newer.
-func (s Version) Before(o Version) bool {
-	return s.Epoch < o.Epoch || s.Epoch == o.Epoch && s.Number < o.Number
+// Before tells whether other is newer.
+func (v Version) Before(other Version) bool {
+	if v.Epoch != other.Epoch {
+		return v.Epoch < other.Epoch
+	}
+	return v.Number < other.Number
 }
 
-// Record is what a holder has the agents keep.
+// Record is what a lease holder has the agents store. Only holders interpret the body.
 type Record struct {
 	Version Version `cbor:"Stamp"`
 	Body    []byte  `cbor:"Body"`
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -440,8 +440,8 @@
 		"tend.Supervisor":  {"countAt", "limits", "past", "probeAt", "readyAt"},
 	},
 	Times: explore.Fields{
-		"claim.Lease":      {"now", "since", "until"},
-		"plan.Planner":     {"since"},
+		"claim.Lease":      {"expiresAt", "heldSince", "now"},
+		"plan.Planner":     {"waitingSince"},
 		"plan.Observation": {"SeenAt"},
 		"roll.Coordinator": {"actAt", "majorAt", "since"},
 		"roll.agent":       {"again", "next"},
