--- a/internal/fleet/plan/current_step.go
+++ b/internal/fleet/plan/current_step.go
@@ -2,88 +2,136 @@
 
 import "math"
 
-// underWay looks after the step that has begun; settled once nothing of it is open.
-func (p *Planner) underWay(now float64, sights []Observation) (Decision, bool) {
+// maxStepsNotApplied is how many steps in a row may not be applied before the rollout pauses.
+const maxStepsNotApplied = 3
+
+// A share of unanswered commands is larger than before only if chance does not explain it: the count must exceed
+// what the earlier share predicts by this many standard deviations and, as small counts vary more, commands.
+const (
+	unansweredDeviations = 3
+	unansweredAllowance  = 1
+)
+
+// beginStep decides on a step of an instance.
+func (p *Planner) beginStep(instance int, o *Observation) Decision {
+	r := p.Rollout
+	r.StepsBegun++
+	r.CommandsBeforeStep = o.RecentCommands
+	r.CurrentStep = Step{
+		RolloutID: r.ID, Number: r.StepsBegun, Instance: instance, Revision: r.Revision, Rollback: r.RollingBack,
+		Restart: r.Restart,
+	}
+	if r.RollingBack {
+		if o.PreviousRevision == "" {
+			reason := Reason{Kind: ReasonCannotRollBack, Instance: instance, Detail: "it ran nothing before"}
+			return p.finish(Paused, reason)
+		}
+		r.CurrentStep.Revision = o.PreviousRevision
+	}
+	return p.decide(ActionBeginStep, r, Reason{})
+}
+
+// continueStep decides while there is a current step. It tells whether the step is completed; then there is no decision.
+func (p *Planner) continueStep(now float64, observations []Observation) (decision Decision, completed bool) {
 	step := p.Rollout.CurrentStep
-	i := step.Instance
-	s, t := &sights[i], &p.Fleet.Timing
-	if has(p.Rollout.ExcludedInstances, i) {
+	if p.Rollout.excludes(step.Instance) {
 		return Decision{}, true
 	}
-	if !p.known(s, now) {
-		return p.patience(now, Reason{Kind: ReasonAgentUnreachable, Instance: i}, t.ContactTimeoutSeconds), false
+	o := &observations[step.Instance]
+	timing := &p.Fleet.Timing
+	if !p.known(o, now) {
+		reason := Reason{Kind: ReasonAgentUnreachable, Instance: step.Instance}
+		return p.waitFor(now, reason, timing.ContactTimeoutSeconds), false
 	}
-	begun := s.LastStep.RolloutID == step.RolloutID && s.LastStep.Number == step.Number
-	switch {
-	case !begun && s.LastStep.Number != 0 && s.LastResult == StepPending:
-		return p.patience(now, Reason{Kind: ReasonInstanceBusy, Instance: i}, t.ContactTimeoutSeconds), false
-	case !begun:
-		return p.send(now, sights), false
-	case s.LastResult == StepPending:
-		return p.patience(now, Reason{Kind: ReasonStepUnresolved, Instance: i}, t.StepTimeoutSeconds), false
-	case s.LastResult == StepNotApplied:
-		r := p.Rollout
-		r.CurrentStep = Step{}
-		if r.StepsNotApplied++; r.StepsNotApplied >= undoneTries {
-			r.State = Paused
-			return p.keep(ActionFinish, r, Reason{Kind: ReasonStepNeverApplied, Instance: i, Have: r.StepsNotApplied}), false
+	begun := o.LastStep.RolloutID == step.RolloutID && o.LastStep.Number == step.Number
+	if !begun {
+		if o.stepPending() {
+			reason := Reason{Kind: ReasonInstanceBusy, Instance: step.Instance}
+			return p.waitFor(now, reason, timing.ContactTimeoutSeconds), false
 		}
-		return p.keep(ActionCompleteStep, r, Reason{}), false
-	case s.LastResult == StepFailed:
-		return p.bad(Reason{Kind: ReasonStepFailed, Instance: i, Detail: s.LastFailure}), false
+		return p.resendStep(now, observations), false
+	}
+	switch o.LastResult {
+	case StepPending:
+		reason := Reason{Kind: ReasonStepUnresolved, Instance: step.Instance}
+		return p.waitFor(now, reason, timing.StepTimeoutSeconds), false
+	case StepNotApplied:
+		return p.stepNotApplied(), false
+	case StepFailed:
+		reason := Reason{Kind: ReasonStepFailed, Instance: step.Instance, Detail: o.LastFailure}
+		return p.rollBackOrPause(reason), false
+	case StepSucceeded:
 	}
-	return p.soak(now, i, s)
+	return p.soak(o)
 }
 
-// StepRefused pauses because the agent of the step under way will not begin it. The step stays on record.
-func (p *Planner) StepRefused(detail string) Decision {
-	return p.finish(Paused, Reason{Kind: ReasonStepRefused, Instance: p.Rollout.CurrentStep.Instance, Detail: detail})
+// stepNotApplied gives the current step up. The instance is chosen anew, or the rollout pauses after several in a row.
+func (p *Planner) stepNotApplied() Decision {
+	r := p.Rollout
+	instance := r.CurrentStep.Instance
+	r.CurrentStep = Step{}
+	r.StepsNotApplied++
+	if r.StepsNotApplied >= maxStepsNotApplied {
+		r.State = Paused
+		r.Reason = Reason{Kind: ReasonStepNeverApplied, Instance: instance, Have: r.StepsNotApplied}
+		return p.decide(ActionFinish, r, r.Reason)
+	}
+	return p.decide(ActionCompleteStep, r, Reason{})
 }
 
-// send has the step under way sent, if it may still be: what was seen when it was decided, perhaps by another
-// tool, need no longer hold.
-func (p *Planner) send(now float64, sights []Observation) Decision {
-	i := p.Rollout.CurrentStep.Instance
-	why := p.obstacle(now, sights)
-	idle := !p.serving(&sights[i], now)
-	if why.Kind == ReasonNone && !idle {
-		serving := p.Fleet.count(func(j int) bool { return p.serving(&sights[j], now) })
-		why = p.Fleet.floors(serving, p.Fleet.Instances[i].Zone)
+// resendStep has the current step sent if it is still allowed: what was observed when it was decided, perhaps by
+// another tool, may no longer hold.
+func (p *Planner) resendStep(now float64, observations []Observation) Decision {
+	step := p.Rollout.CurrentStep
+	reason := p.findBusy(now, observations)
+	serving := p.serving(&observations[step.Instance], now)
+	if !reason.isSet() && serving {
+		zone := p.Fleet.Instances[step.Instance].Zone
+		reason = p.Fleet.checkMinimums(p.countServing(now, observations), zone)
 	}
-	if why.Kind != ReasonNone {
-		return p.patience(now, why, p.Fleet.Timing.ContactTimeoutSeconds)
+	if reason.isSet() {
+		return p.waitFor(now, reason, p.Fleet.Timing.ContactTimeoutSeconds)
 	}
-	d := p.patience(now, Reason{Kind: ReasonStepUnresolved, Instance: i}, p.Fleet.Timing.StepTimeoutSeconds)
-	if d.Action == ActionWait {
-		d.Action, d.Step = ActionResendStep, p.Rollout.CurrentStep
-		d.Step.OnlyIfNotServing = idle
+	unresolved := Reason{Kind: ReasonStepUnresolved, Instance: step.Instance}
+	decision := p.waitFor(now, unresolved, p.Fleet.Timing.StepTimeoutSeconds)
+	if decision.Action == ActionWait {
+		step.OnlyIfNotServing = !serving
+		decision.Action = ActionResendStep
+		decision.Step = step
 	}
-	return d
+	return decision
 }
 
-// soak sees a changed instance serve before the next is touched.
-func (p *Planner) soak(now float64, i int, s *Observation) (Decision, bool) {
+// soak watches the changed instance serve before the next one is touched.
+func (p *Planner) soak(o *Observation) (decision Decision, completed bool) {
+	instance := p.Rollout.CurrentStep.Instance
+	after := o.CommandsSinceStep
 	switch {
-	case s.State != ProcessReady:
-		return p.bad(Reason{Kind: ReasonSoakFailed, Instance: i, Detail: s.State.String()}), false
-	case worse(p.Rollout.CommandsBeforeStep, s.CommandsSinceStep):
-		return p.bad(Reason{Kind: ReasonMoreUnanswered, Instance: i, Have: int(s.CommandsSinceStep.Unanswered), Need: int(s.CommandsSinceStep.Completed)}), false
-	case s.ReadySeconds < p.Fleet.Timing.SoakSeconds:
-		return p.wait(Reason{Kind: ReasonNone, Instance: i}), false
+	case o.State != ProcessReady:
+		reason := Reason{Kind: ReasonSoakFailed, Instance: instance, Detail: o.State.String()}
+		return p.rollBackOrPause(reason), false
+	case moreUnanswered(p.Rollout.CommandsBeforeStep, after):
+		reason := Reason{
+			Kind: ReasonMoreUnanswered, Instance: instance, Have: int(after.Unanswered), Need: int(after.Completed),
+		}
+		return p.rollBackOrPause(reason), false
+	case o.ReadySeconds < p.Fleet.Timing.SoakSeconds:
+		return p.wait(Reason{Kind: ReasonNone, Instance: instance}), false
 	}
 	return Decision{}, true
 }
 
-// worse tells whether the share of commands left unanswered has grown by more than chance explains. It
-// guards against a revision with which a router serves, but fails.
-func worse(was, is CommandCounts) bool {
-	if is.Completed == 0 {
+// moreUnanswered tells whether the share of unanswered commands has grown by more than chance explains. It guards
+// against a revision with which a router is ready but fails.
+func moreUnanswered(before, after CommandCounts) bool {
+	if after.Completed == 0 {
 		return false
 	}
 	share := 0.0
-	if was.Completed > 0 {
-		share = float64(was.Unanswered) / float64(was.Completed)
+	if before.Completed > 0 {
+		share = float64(before.Unanswered) / float64(before.Completed)
 	}
-	expected := share * float64(is.Completed)
-	return float64(is.Unanswered) > expected+deviations*math.Sqrt(expected*(1-share))+grainOfSalt
+	expected := share * float64(after.Completed)
+	deviation := math.Sqrt(expected * (1 - share))
+	return float64(after.Unanswered) > expected+unansweredDeviations*deviation+unansweredAllowance
 }
--- a/internal/fleet/plan/fleet.go
+++ b/internal/fleet/plan/fleet.go
@@ -2,73 +2,76 @@
 
 import "slices"
 
-// Fleet is what a rollout goes over.
+// Fleet is the instances that a rollout changes and the limits that it keeps to.
 type Fleet struct {
 	Instances        []Instance
-	ZoneMinAvailable []int // the floor of each: instances that must serve
-	MinAvailable     int   // of the whole
+	ZoneMinAvailable []int // by zone: how many of its instances must serve
+	MinAvailable     int   // how many instances of the fleet must serve
 	Timing           Timing
 }
 
 // Instance is where one router belongs.
-type Instance struct{ Zone, Agent int }
+type Instance struct {
+	Zone  int // index into Fleet.ZoneMinAvailable
+	Agent int // index of the agent that runs the router
+}
 
-// Timing are in seconds.
+// Timing is how long a rollout waits for what.
 type Timing struct {
-	SoakSeconds           float64 // that a changed instance must serve well before the next
-	StaleAfterSeconds     float64 // after which what was seen is no longer known
-	ContactTimeoutSeconds float64 // that an unknown or missing instance is waited for before a rollout pauses
-	StepTimeoutSeconds    float64 // that a step may take
+	SoakSeconds           float64 // a changed instance must have served well before the next is changed
+	StaleAfterSeconds     float64 // an older observation says nothing any more
+	ContactTimeoutSeconds float64 // the rollout pauses if an obstacle, such as an unknown instance, lasts
+	StepTimeoutSeconds    float64 // the rollout pauses if a step has no result
 }
 
-// counts are instances by hall and in all.
-type counts struct {
-	hall  []int
-	whole int
+// instanceCounts counts some of a fleet's instances.
+type instanceCounts struct {
+	byZone []int
+	total  int
 }
 
-func (f *Fleet) count(which func(i int) bool) counts {
-	c := counts{hall: make([]int, len(f.ZoneMinAvailable))}
+// count counts the instances for which include is true.
+func (f *Fleet) count(include func(instance int) bool) instanceCounts {
+	c := instanceCounts{byZone: make([]int, len(f.ZoneMinAvailable))}
 	for i := range f.Instances {
-		if which(i) {
-			c.hall[f.Instances[i].Zone]++
-			c.whole++
+		if include(i) {
+			c.byZone[f.Instances[i].Zone]++
+			c.total++
 		}
 	}
 	return c
 }
 
-// CheckFeasible tells at once whether floors let any step be taken, were every instance but the left out ones
-// serving. Instances of a hall that allows none are told of, one of them.
-func CheckFeasible(f *Fleet, out []int) Reason {
-	c := f.count(func(i int) bool { return !has(out, i) })
-	if c.whole == 0 {
+// CheckFeasible tells why the minimums allow no step in one of the zones even if all instances but the excluded ones
+// served; ReasonNone if they allow one in each. The list excluded must be sorted.
+func CheckFeasible(f *Fleet, excluded []int) Reason {
+	available := f.count(func(instance int) bool { return !containsSorted(excluded, instance) })
+	if available.total == 0 {
 		return Reason{Kind: ReasonNothingToDo}
 	}
-	for hall, n := range c.hall {
-		if n == 0 {
+	for zone, instances := range available.byZone {
+		if instances == 0 {
 			continue
 		}
-		if why := f.floors(c, hall); why.Kind != ReasonNone {
-			return why
+		if reason := f.checkMinimums(available, zone); reason.isSet() {
+			return reason
 		}
 	}
 	return Reason{}
 }
 
-// floors tells whether enough would still serve with one of a hall's serving instances less.
-func (f *Fleet) floors(serving counts, hall int) Reason {
-	if have := serving.hall[hall] - 1; have < f.ZoneMinAvailable[hall] {
-		return Reason{Kind: ReasonZoneMinimum, Zone: hall, Have: have, Need: f.ZoneMinAvailable[hall]}
+// checkMinimums tells whether enough instances would still serve with one of the zone's serving instances less.
+func (f *Fleet) checkMinimums(serving instanceCounts, zone int) Reason {
+	if have := serving.byZone[zone] - 1; have < f.ZoneMinAvailable[zone] {
+		return Reason{Kind: ReasonZoneMinimum, Zone: zone, Have: have, Need: f.ZoneMinAvailable[zone]}
 	}
-	if have := serving.whole - 1; have < f.MinAvailable {
+	if have := serving.total - 1; have < f.MinAvailable {
 		return Reason{Kind: ReasonFleetMinimum, Have: have, Need: f.MinAvailable}
 	}
 	return Reason{}
 }
 
-// has looks into a list that is in order.
-func has(list []int, i int) bool {
-	_, found := slices.BinarySearch(list, i)
+func containsSorted(list []int, value int) bool {
+	_, found := slices.BinarySearch(list, value)
 	return found
 }
--- a/internal/fleet/plan/planner.go
+++ b/internal/fleet/plan/planner.go
@@ -1,240 +1,226 @@
-// Package plan decides what happens next in a rollout: from what was seen of a fleet, with its age, and from
-// what is wanted, the next step, a wait, or an end with its reason. It does no input or output and has no
-// clock: times are seconds on the clock of whoever asks. Instances, halls and agents are indices.
-//
-// One instance at a time. What is not known counts as not serving where the floors are concerned, and as
-// perhaps busy for everything else, so nothing begins while an instance is unknown that nobody left out by
-// word. A step whose end is not known is resolved before another instance is touched.
 package plan
 
-import (
-	"math"
-)
-
-// Action to do.
-type Action int
-
-// What is to be done next.
-const (
-	ActionWait          Action = iota // look again
-	ActionBeginStep                   // have Step kept, then carried out
-	ActionResendStep                  // send the step under way once more: its agent has not begun it
-	ActionCompleteStep                // the step under way has ended well: keep that
-	ActionFinish                      // have Rollout's new State kept: it has come to an end or pauses
-	ActionStartRollback               // have it kept that the rollout goes back from here
-)
-
-// Decision is what to do next. Rollout is as it is to be kept first, for all but Wait and Repeat.
-type Decision struct {
-	Action  Action
-	Step    Step
-	Rollout Rollout
-	Reason  Reason
-}
-
-// patience with what keeps ending before it begins, and what a share of failures may differ by chance:
-// standard deviations, and commands.
-const (
-	undoneTries = 3
-	deviations  = 3
-	grainOfSalt = 1
-)
-
-// Planner goes over one rollout. What it keeps beside that is how long it has been waiting for the same
-// thing; a planner made anew waits anew.
+import "math"
+
+// Planner decides over one rollout. Beside the rollout it keeps only how long it has been waiting for the same
+// thing: a new planner for the same rollout waits anew.
 type Planner struct {
 	Fleet   *Fleet
-	Rollout Rollout
-	why     Reason
-	since   float64
-}
-
-// NewPlanner takes up a rollout.
-func NewPlanner(f *Fleet, r Rollout) *Planner {
-	return &Planner{Fleet: f, Rollout: r, since: math.Inf(-1)}
-}
-
-func (p *Planner) known(s *Observation, now float64) bool {
-	return now-s.SeenAt <= p.Fleet.Timing.StaleAfterSeconds
-}
-
-// serving is for the floors: known, ready, and not in a step.
-func (p *Planner) serving(s *Observation, now float64) bool {
-	return p.known(s, now) && s.State == ProcessReady && (s.LastStep.Number == 0 || s.LastResult != StepPending)
-}
-
-// ServingCount counts the instances that serve.
-func (p *Planner) ServingCount(now float64, sights []Observation) int {
-	n := 0
-	for i := range sights {
-		if p.serving(&sights[i], now) {
-			n++
-		}
-	}
-	return n
-}
+	Rollout Rollout // as a majority of agents stores it; the caller replaces it once a decision is stored
 
-// Finished tells whether an instance is where the rollout wants it, and counts as touched if the rollout
-// has ever changed it.
-func (p *Planner) finished(s *Observation) bool {
-	mine := s.LastStep.RolloutID == p.Rollout.ID
-	if p.Rollout.RollingBack {
-		return !mine || s.LastStep.Rollback && s.LastResult == StepSucceeded || !s.LastStep.Rollback && s.LastResult == StepNotApplied && s.Revision == s.PreviousRevision
-	}
-	return mine && !s.LastStep.Rollback && s.LastResult == StepSucceeded
+	waitReason   Reason
+	waitingSince float64 // -Inf: it is not waiting
 }
 
-// FinishedCount counts the instances that are where the rollout wants them.
-func (p *Planner) FinishedCount(sights []Observation) int {
-	n := 0
-	for i := range sights {
-		if p.finished(&sights[i]) {
-			n++
-		}
-	}
-	return n
+// NewPlanner returns a planner that continues a rollout.
+func NewPlanner(f *Fleet, r Rollout) *Planner {
+	return &Planner{Fleet: f, Rollout: r, waitingSince: math.Inf(-1)}
 }
 
-// Next decides. wish is what was asked of the rollout from outside.
-func (p *Planner) Next(now float64, sights []Observation, wish OperatorRequest) Decision {
+// Next decides what to do at a time, given one observation of each instance and what an operator has requested of
+// the rollout from another tool. A request is followed once no step is under way.
+func (p *Planner) Next(now float64, observations []Observation, request OperatorRequest) Decision {
 	if p.Rollout.State != Running {
 		return p.wait(Reason{Kind: ReasonNothingToDo})
 	}
 	if p.Rollout.CurrentStep.Number != 0 {
-		if d, settled := p.underWay(now, sights); !settled {
-			return d
+		decision, completed := p.continueStep(now, observations)
+		if !completed {
+			return decision
 		}
 		r := p.Rollout
-		r.CurrentStep, r.StepsNotApplied = Step{}, 0
-		return p.keep(ActionCompleteStep, r, Reason{})
+		r.CurrentStep = Step{}
+		r.StepsNotApplied = 0
+		return p.decide(ActionCompleteStep, r, Reason{})
 	}
-	switch wish {
+	switch request {
+	case RequestNone:
 	case RequestPause:
 		return p.finish(Paused, Reason{Kind: ReasonOperator})
 	case RequestAbort:
 		return p.finish(Aborted, Reason{Kind: ReasonOperator})
 	case RequestRollback:
 		if !p.Rollout.RollingBack {
-			return p.turn(Reason{Kind: ReasonOperator})
+			return p.startRollback(Reason{Kind: ReasonOperator})
 		}
 	}
-	if why := p.obstacle(now, sights); why.Kind != ReasonNone {
-		return p.patience(now, why, p.Fleet.Timing.ContactTimeoutSeconds)
+	if reason := p.findBusy(now, observations); reason.isSet() {
+		return p.waitFor(now, reason, p.Fleet.Timing.ContactTimeoutSeconds)
 	}
-	return p.choose(now, sights)
+	return p.nextInstance(now, observations)
+}
+
+// StepRefused decides to pause because the agent of the current step refuses to begin it. The step stays in the
+// rollout: whoever resumes it resolves the step first.
+func (p *Planner) StepRefused(detail string) Decision {
+	reason := Reason{Kind: ReasonStepRefused, Instance: p.Rollout.CurrentStep.Instance, Detail: detail}
+	return p.finish(Paused, reason)
+}
+
+// ServingCount counts the instances that serve.
+func (p *Planner) ServingCount(now float64, observations []Observation) int {
+	return p.countServing(now, observations).total
 }
 
-// obstacle is the first instance that may be busy: one that is not known, or in a step that is not ours.
-func (p *Planner) obstacle(now float64, sights []Observation) Reason {
-	for i := range sights {
-		s := &sights[i]
+// FinishedCount counts the instances that are where the rollout wants them.
+func (p *Planner) FinishedCount(observations []Observation) int {
+	finished := 0
+	for i := range observations {
+		if p.finished(&observations[i]) {
+			finished++
+		}
+	}
+	return finished
+}
+
+func (p *Planner) countServing(now float64, observations []Observation) instanceCounts {
+	return p.Fleet.count(func(instance int) bool { return p.serving(&observations[instance], now) })
+}
+
+// known tells whether an observation is not stale.
+func (p *Planner) known(o *Observation, now float64) bool {
+	return now-o.SeenAt <= p.Fleet.Timing.StaleAfterSeconds
+}
+
+// serving tells whether an instance counts as serving: it is known to be ready and not in a step.
+func (p *Planner) serving(o *Observation, now float64) bool {
+	return p.known(o, now) && o.State == ProcessReady && !o.stepPending()
+}
+
+// finished tells whether an instance is where the rollout wants it. A rollback wants only those instances back
+// that the rollout has changed.
+func (p *Planner) finished(o *Observation) bool {
+	changed := o.LastStep.RolloutID == p.Rollout.ID
+	if !p.Rollout.RollingBack {
+		return changed && !o.LastStep.Rollback && o.LastResult == StepSucceeded
+	}
+	if !changed {
+		return true
+	}
+	if o.LastStep.Rollback {
+		return o.LastResult == StepSucceeded
+	}
+	return o.LastResult == StepNotApplied && o.Revision == o.PreviousRevision
+}
+
+// findBusy looks for an instance that may be in a step of another rollout, and gives the reason of the first:
+// excluded instances aside, each must be known and in no step.
+func (p *Planner) findBusy(now float64, observations []Observation) Reason {
+	for i := range observations {
+		o := &observations[i]
 		switch {
-		case has(p.Rollout.ExcludedInstances, i):
-		case !p.known(s, now):
+		case p.Rollout.excludes(i):
+		case !p.known(o, now):
 			return Reason{Kind: ReasonAgentUnreachable, Instance: i}
-		case s.State == ProcessUnknown:
+		case o.State == ProcessUnknown:
 			return Reason{Kind: ReasonProcessUnknown, Instance: i}
-		case s.LastStep.Number != 0 && s.LastResult == StepPending:
+		case o.stepPending():
 			return Reason{Kind: ReasonInstanceBusy, Instance: i}
 		}
 	}
 	return Reason{}
 }
 
-// choose picks the next instance: one that does not serve anyway comes first, since it can only gain.
-func (p *Planner) choose(now float64, sights []Observation) Decision {
-	serving := p.Fleet.count(func(i int) bool { return p.serving(&sights[i], now) })
-	var first Reason
-	for _, idle := range []bool{true, false} {
-		for i := range sights {
-			s := &sights[i]
-			if has(p.Rollout.ExcludedInstances, i) || p.finished(s) || p.serving(s, now) == idle {
-				continue
-			}
-			if why := p.Fleet.floors(serving, p.Fleet.Instances[i].Zone); !idle && why.Kind != ReasonNone {
-				if first.Kind == ReasonNone {
-					first = why
-					first.Instance = i
-				}
-				continue
-			}
-			return p.begin(i, s)
+// nextInstance begins a step of the next instance. One that does not serve comes first: its step cannot lower the
+// number of serving instances.
+func (p *Planner) nextInstance(now float64, observations []Observation) Decision {
+	for i := range observations {
+		if p.remaining(i, observations) && !p.serving(&observations[i], now) {
+			return p.beginStep(i, &observations[i])
 		}
 	}
-	if first.Kind != ReasonNone {
-		return p.patience(now, first, p.Fleet.Timing.ContactTimeoutSeconds)
+	serving := p.countServing(now, observations)
+	var blocked Reason
+	for i := range observations {
+		if !p.remaining(i, observations) {
+			continue
+		}
+		reason := p.Fleet.checkMinimums(serving, p.Fleet.Instances[i].Zone)
+		if !reason.isSet() {
+			return p.beginStep(i, &observations[i])
+		}
+		if !blocked.isSet() {
+			blocked = reason
+			blocked.Instance = i
+		}
 	}
-	left := 0
+	if blocked.isSet() {
+		return p.waitFor(now, blocked, p.Fleet.Timing.ContactTimeoutSeconds)
+	}
+	return p.finishAll(observations)
+}
+
+// remaining tells whether an instance is still to be changed.
+func (p *Planner) remaining(instance int, observations []Observation) bool {
+	return !p.Rollout.excludes(instance) && !p.finished(&observations[instance])
+}
+
+// finishAll ends a rollout in which only excluded instances may remain. If some do, it pauses.
+func (p *Planner) finishAll(observations []Observation) Decision {
+	skipped := 0
 	for _, i := range p.Rollout.ExcludedInstances {
-		if !p.finished(&sights[i]) {
-			left++
+		if !p.finished(&observations[i]) {
+			skipped++
 		}
 	}
 	switch {
-	case left > 0:
-		return p.finish(Paused, Reason{Kind: ReasonInstancesExcluded, Have: left})
+	case skipped > 0:
+		return p.finish(Paused, Reason{Kind: ReasonInstancesExcluded, Have: skipped})
 	case p.Rollout.RollingBack:
 		return p.finish(RolledBack, p.Rollout.RollbackCause)
 	}
 	return p.finish(Complete, Reason{})
 }
 
-func (p *Planner) begin(i int, s *Observation) Decision {
-	r := p.Rollout
-	r.StepsBegun++
-	r.CurrentStep = Step{RolloutID: r.ID, Number: r.StepsBegun, Instance: i, Revision: r.Revision, Rollback: r.RollingBack, Restart: r.Restart}
-	r.CommandsBeforeStep = s.RecentCommands
-	if r.RollingBack {
-		if s.PreviousRevision == "" {
-			return p.finish(Paused, Reason{Kind: ReasonCannotRollBack, Instance: i, Detail: "it ran nothing before"})
-		}
-		r.CurrentStep.Revision = s.PreviousRevision
-	}
-	return p.keep(ActionBeginStep, r, Reason{})
-}
-
-// bad turns the rollout round, or pauses one that goes back already.
-func (p *Planner) bad(why Reason) Decision {
+// rollBackOrPause reacts to a failure: a rollout rolls back, a rollback pauses.
+func (p *Planner) rollBackOrPause(reason Reason) Decision {
 	if p.Rollout.RollingBack {
-		why.Kind, why.Detail = ReasonCannotRollBack, "the way back failed too: "+why.Detail
-		return p.finish(Paused, why)
+		reason.Kind = ReasonCannotRollBack
+		reason.Detail = "the way back failed too: " + reason.Detail
+		return p.finish(Paused, reason)
 	}
-	return p.turn(why)
+	return p.startRollback(reason)
 }
 
-func (p *Planner) turn(why Reason) Decision {
+func (p *Planner) startRollback(cause Reason) Decision {
 	r := p.Rollout
-	r.RollingBack, r.CurrentStep, r.RollbackCause, r.StepsNotApplied = true, Step{}, why, 0
-	return p.keep(ActionStartRollback, r, why)
+	r.RollingBack = true
+	r.RollbackCause = cause
+	r.CurrentStep = Step{}
+	r.StepsNotApplied = 0
+	return p.decide(ActionStartRollback, r, cause)
 }
 
-// finish ends or pauses. The step under way stays on record: a rollout that is taken up again resolves it.
-func (p *Planner) finish(s State, why Reason) Decision {
+// finish ends or pauses the rollout. Its current step stays: whoever resumes the rollout resolves the step first.
+func (p *Planner) finish(s State, reason Reason) Decision {
 	r := p.Rollout
-	r.State, r.Reason = s, why
-	return p.keep(ActionFinish, r, why)
+	r.State = s
+	r.Reason = reason
+	return p.decide(ActionFinish, r, reason)
 }
 
-func (p *Planner) keep(w Action, r Rollout, why Reason) Decision {
-	p.since, p.why = math.Inf(-1), Reason{}
-	if w == ActionFinish {
-		r.Reason = why
-	}
-	return Decision{Action: w, Step: r.CurrentStep, Rollout: r, Reason: why}
+// decide returns a decision that changes the rollout to r. Whatever was waited for is over.
+func (p *Planner) decide(action Action, r Rollout, reason Reason) Decision {
+	p.waitingSince = math.Inf(-1)
+	p.waitReason = Reason{}
+	return Decision{Action: action, Step: r.CurrentStep, Rollout: r, Reason: reason}
 }
 
-// patience waits for something to pass by itself, for so long, and then pauses. Have and Need may change
-// meanwhile: it is the same wait.
-func (p *Planner) patience(now float64, why Reason, most float64) Decision {
-	if p.since == math.Inf(-1) || p.why.Kind != why.Kind || p.why.Instance != why.Instance {
-		p.since, p.why = now, why
+// waitFor waits for a reason to pass, and pauses the rollout after a timeout. Reasons that differ only in their
+// numbers are the same wait.
+func (p *Planner) waitFor(now float64, reason Reason, timeoutSeconds float64) Decision {
+	waiting := p.waitingSince != math.Inf(-1)
+	sameReason := p.waitReason.Kind == reason.Kind && p.waitReason.Instance == reason.Instance
+	if !waiting || !sameReason {
+		p.waitingSince = now
+		p.waitReason = reason
 	}
-	if now-p.since >= most {
-		return p.finish(Paused, why)
+	if now-p.waitingSince >= timeoutSeconds {
+		return p.finish(Paused, reason)
 	}
-	return p.wait(why)
+	return p.wait(reason)
 }
 
-func (p *Planner) wait(why Reason) Decision {
-	return Decision{Action: ActionWait, Rollout: p.Rollout, Reason: why}
+func (p *Planner) wait(reason Reason) Decision {
+	return Decision{Action: ActionWait, Rollout: p.Rollout, Reason: reason}
 }
--- a/internal/fleet/plan/rollout.go
+++ b/internal/fleet/plan/rollout.go
@@ -3,27 +3,27 @@
 // State of a rollout.
 type State int
 
-// States of a rollout.
+// States of a rollout. The numbers are stored: their order must stay.
 const (
 	None State = iota
 	Running
 	Paused
-	Complete   // every instance is on the revision
-	RolledBack // every instance that was touched is back on what it ran before
-	Aborted    // given up by word, as it stood
+	Complete   // every instance runs the revision
+	RolledBack // every instance that was changed runs again what it ran before
+	Aborted    // given up by an operator; instances stay as they are
 )
 
 var states = [...]string{"none", "running", "paused", "complete", "rolled back", "aborted"}
 
 func (s State) String() string { return states[s] }
 
-// Terminal tells whether a rollout takes no more steps unless it is begun again.
+// Terminal tells whether the rollout takes no more steps, unless an operator rolls it back.
 func (s State) Terminal() bool { return s != Running && s != Paused }
 
-// OperatorRequest is what an operator asks of a rollout that another tool drives.
+// OperatorRequest is what an operator requests of a rollout that another tool drives.
 type OperatorRequest int
 
-// Wishes.
+// Operator requests. The numbers are sent and stored, and of several requests the highest counts: their order must stay.
 const (
 	RequestNone OperatorRequest = iota
 	RequestPause
@@ -31,18 +31,20 @@
 	RequestRollback
 )
 
-// Rollout is what is wanted and how far it has come; what the agents keep of it.
+// Rollout is what is wanted and how far it has come. The agents store it.
 type Rollout struct {
 	ID                 string        `cbor:"ID"`
-	Revision           string        `cbor:"Revision"`
-	Restart            bool          `cbor:"Restart"` // restart also what a reload would do for
-	RollingBack        bool          `cbor:"Back"`    // it goes back to what ran before
+	Revision           string        `cbor:"Revision"` // digest of the revision to be rolled out
+	Restart            bool          `cbor:"Restart"`  // restart routers also where a reload would be enough
+	RollingBack        bool          `cbor:"Back"`     // changed instances return to what they ran before
 	State              State         `cbor:"State"`
-	Reason             Reason        `cbor:"Why"`    // it paused or ended
-	RollbackCause      Reason        `cbor:"Cause"`  // it turned
-	ExcludedInstances  []int         `cbor:"Out"`    // instances left out by an operator's word, in order
-	CurrentStep        Step          `cbor:"Step"`   // under way; Number 0: none
-	CommandsBeforeStep CommandCounts `cbor:"Was"`    // of the step's instance before it
-	StepsBegun         uint64        `cbor:"Steps"`  // begun so far
-	StepsNotApplied    int           `cbor:"Undone"` // steps in a row that came to nothing
+	Reason             Reason        `cbor:"Why"`    // of the pause or end
+	RollbackCause      Reason        `cbor:"Cause"`  // set if RollingBack
+	ExcludedInstances  []int         `cbor:"Out"`    // excluded by an operator, sorted
+	CurrentStep        Step          `cbor:"Step"`   // Number 0: none
+	CommandsBeforeStep CommandCounts `cbor:"Was"`    // RecentCommands of CurrentStep's instance as it began
+	StepsBegun         uint64        `cbor:"Steps"`  // the number of the newest step
+	StepsNotApplied    int           `cbor:"Undone"` // in a row
 }
+
+func (r *Rollout) excludes(instance int) bool { return containsSorted(r.ExcludedInstances, instance) }
