--- /dev/null
+++ b/internal/fleet/claim/lease_test.go
@@ -0,0 +1,65 @@
+package claim
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func newLease() Lease { return Lease{TermSeconds: 10} }
+
+func TestEpochIsGrantedToOneHolderOnly(t *testing.T) {
+	l := newLease()
+	assert.Equal(t, Granted, l.Acquire(0, Request{Epoch: 1, Holder: "a"}))
+	assert.Equal(t, Granted, l.Acquire(1, Request{Epoch: 1, Holder: "a"}), "a repeat")
+	assert.Equal(t, StaleEpoch, l.Acquire(1, Request{Epoch: 1, Holder: "b", Takeover: true}))
+	assert.Equal(t, HeldByOther, l.Acquire(1, Request{Epoch: 2, Holder: "b"}))
+	s := l.State(4)
+	assert.Equal(t, State{Epoch: 1, Holder: "a", Held: true, HeldSeconds: 4, RemainingSeconds: 6}, s)
+	assert.Equal(t, Granted, l.Acquire(4, Request{Epoch: 2, Holder: "b", Takeover: true}))
+	assert.Equal(t, StaleEpoch, l.Renew(5, 1, "a"), "fenced")
+	assert.Equal(t, NotHolder, l.Renew(5, 2, "a"))
+	assert.Equal(t, NotHolder, l.Renew(5, 3, "b"), "never granted here")
+	assert.Equal(t, Granted, l.Acquire(5, Request{Epoch: 3, Holder: "b"}), "a holder may go higher")
+	assert.Equal(t, StaleEpoch, l.Renew(5, 2, "b"))
+}
+
+func TestLeaseExpiresByTheAgentsClock(t *testing.T) {
+	l := newLease()
+	l.Acquire(0, Request{Epoch: 1, Holder: "a"})
+	assert.Equal(t, Granted, l.Renew(9, 1, "a"))
+	assert.Equal(t, Granted, l.Renew(18, 1, "a"), "renewed by being used")
+	assert.Equal(t, Expired, l.Renew(28, 1, "a"))
+	assert.Equal(t, Expired, l.Renew(20, 1, "a"), "a clock that goes back brings nothing to life")
+	assert.Equal(t, Granted, l.Acquire(28, Request{Epoch: 2, Holder: "b"}))
+	assert.Equal(t, Granted, l.Release(28, 2, "b"))
+	assert.Equal(t, Expired, l.Renew(28, 2, "b"))
+	assert.Equal(t, StaleEpoch, l.Release(28, 1, "a"))
+}
+
+func TestRestartKeepsEpochAndRecord(t *testing.T) {
+	l := newLease()
+	l.Acquire(100, Request{Epoch: 4, Holder: "a"})
+	r := Record{Version: Version{Epoch: 4, Number: 7}, Body: []byte("x")}
+	assert.Equal(t, Granted, l.StoreRecord(100, 4, "a", r))
+	l = Restore(l.PersistentState, 10, 0)
+	assert.Equal(t, HeldByOther, l.Acquire(9, Request{Epoch: 5, Holder: "b"}))
+	assert.Equal(t, StaleEpoch, l.Acquire(9, Request{Epoch: 4, Holder: "b"}))
+	assert.Equal(t, Granted, l.Acquire(10, Request{Epoch: 5, Holder: "b"}))
+	assert.Equal(t, r, l.Record)
+}
+
+func TestOlderRecordsAreDenied(t *testing.T) {
+	l := newLease()
+	l.Acquire(0, Request{Epoch: 2, Holder: "a"})
+	assert.Equal(t, Granted, l.StoreRecord(0, 2, "a", Record{Version: Version{Epoch: 2, Number: 5}}))
+	assert.Equal(t, StaleRecord, l.StoreRecord(0, 2, "a", Record{Version: Version{Epoch: 2, Number: 4}}))
+	assert.Equal(t, StaleRecord, l.StoreRecord(0, 2, "a", Record{Version: Version{Epoch: 1, Number: 9}}), "of another epoch than the holder's")
+	assert.Equal(t, Granted, l.StoreRecord(0, 2, "a", Record{Version: Version{Epoch: 2, Number: 5}}), "a repeat")
+}
+
+func TestClockThatGoesBackCountsAsStopped(t *testing.T) {
+	l := newLease()
+	l.Acquire(50, Request{Epoch: 1, Holder: "a"})
+	assert.Equal(t, State{Epoch: 1, Holder: "a", Held: true, RemainingSeconds: 10}, l.State(40))
+}
--- /dev/null
+++ b/internal/fleet/plan/current_step.go
@@ -0,0 +1,137 @@
+package plan
+
+import "math"
+
+// maxStepsNotApplied is how many steps in a row may not be applied before the rollout pauses.
+const maxStepsNotApplied = 3
+
+// A share of unanswered commands is larger than before only if chance does not explain it: the count must exceed
+// what the earlier share predicts by this many standard deviations and, as small counts vary more, commands.
+const (
+	unansweredDeviations = 3
+	unansweredAllowance  = 1
+)
+
+// beginStep decides on a step of an instance.
+func (p *Planner) beginStep(instance int, o *Observation) Decision {
+	r := p.Rollout
+	r.StepsBegun++
+	r.CommandsBeforeStep = o.RecentCommands
+	r.CurrentStep = Step{
+		RolloutID: r.ID, Number: r.StepsBegun, Instance: instance, Revision: r.Revision, Rollback: r.RollingBack,
+		Restart: r.Restart,
+	}
+	if r.RollingBack {
+		if o.PreviousRevision == "" {
+			reason := Reason{Kind: ReasonCannotRollBack, Instance: instance, Detail: "it ran nothing before"}
+			return p.finish(Paused, reason)
+		}
+		r.CurrentStep.Revision = o.PreviousRevision
+	}
+	return p.decide(ActionBeginStep, r, Reason{})
+}
+
+// continueStep decides while there is a current step. It tells whether the step is completed; then there is no decision.
+func (p *Planner) continueStep(now float64, observations []Observation) (decision Decision, completed bool) {
+	step := p.Rollout.CurrentStep
+	if p.Rollout.excludes(step.Instance) {
+		return Decision{}, true
+	}
+	o := &observations[step.Instance]
+	timing := &p.Fleet.Timing
+	if !p.known(o, now) {
+		reason := Reason{Kind: ReasonAgentUnreachable, Instance: step.Instance}
+		return p.waitFor(now, reason, timing.ContactTimeoutSeconds), false
+	}
+	begun := o.LastStep.RolloutID == step.RolloutID && o.LastStep.Number == step.Number
+	if !begun {
+		if o.stepPending() {
+			reason := Reason{Kind: ReasonInstanceBusy, Instance: step.Instance}
+			return p.waitFor(now, reason, timing.ContactTimeoutSeconds), false
+		}
+		return p.resendStep(now, observations), false
+	}
+	switch o.LastResult {
+	case StepPending:
+		reason := Reason{Kind: ReasonStepUnresolved, Instance: step.Instance}
+		return p.waitFor(now, reason, timing.StepTimeoutSeconds), false
+	case StepNotApplied:
+		return p.stepNotApplied(), false
+	case StepFailed:
+		reason := Reason{Kind: ReasonStepFailed, Instance: step.Instance, Detail: o.LastFailure}
+		return p.rollBackOrPause(reason), false
+	case StepSucceeded:
+	}
+	return p.soak(o)
+}
+
+// stepNotApplied gives the current step up. The instance is chosen anew, or the rollout pauses after several in a row.
+func (p *Planner) stepNotApplied() Decision {
+	r := p.Rollout
+	instance := r.CurrentStep.Instance
+	r.CurrentStep = Step{}
+	r.StepsNotApplied++
+	if r.StepsNotApplied >= maxStepsNotApplied {
+		r.State = Paused
+		r.Reason = Reason{Kind: ReasonStepNeverApplied, Instance: instance, Have: r.StepsNotApplied}
+		return p.decide(ActionFinish, r, r.Reason)
+	}
+	return p.decide(ActionCompleteStep, r, Reason{})
+}
+
+// resendStep has the current step sent if it is still allowed: what was observed when it was decided, perhaps by
+// another tool, may no longer hold.
+func (p *Planner) resendStep(now float64, observations []Observation) Decision {
+	step := p.Rollout.CurrentStep
+	reason := p.findBusy(now, observations)
+	serving := p.serving(&observations[step.Instance], now)
+	if !reason.isSet() && serving {
+		zone := p.Fleet.Instances[step.Instance].Zone
+		reason = p.Fleet.checkMinimums(p.countServing(now, observations), zone)
+	}
+	if reason.isSet() {
+		return p.waitFor(now, reason, p.Fleet.Timing.ContactTimeoutSeconds)
+	}
+	unresolved := Reason{Kind: ReasonStepUnresolved, Instance: step.Instance}
+	decision := p.waitFor(now, unresolved, p.Fleet.Timing.StepTimeoutSeconds)
+	if decision.Action == ActionWait {
+		step.OnlyIfNotServing = !serving
+		decision.Action = ActionResendStep
+		decision.Step = step
+	}
+	return decision
+}
+
+// soak watches the changed instance serve before the next one is touched.
+func (p *Planner) soak(o *Observation) (decision Decision, completed bool) {
+	instance := p.Rollout.CurrentStep.Instance
+	after := o.CommandsSinceStep
+	switch {
+	case o.State != ProcessReady:
+		reason := Reason{Kind: ReasonSoakFailed, Instance: instance, Detail: o.State.String()}
+		return p.rollBackOrPause(reason), false
+	case moreUnanswered(p.Rollout.CommandsBeforeStep, after):
+		reason := Reason{
+			Kind: ReasonMoreUnanswered, Instance: instance, Have: int(after.Unanswered), Need: int(after.Completed),
+		}
+		return p.rollBackOrPause(reason), false
+	case o.ReadySeconds < p.Fleet.Timing.SoakSeconds:
+		return p.wait(Reason{Kind: ReasonNone, Instance: instance}), false
+	}
+	return Decision{}, true
+}
+
+// moreUnanswered tells whether the share of unanswered commands has grown by more than chance explains. It guards
+// against a revision with which a router is ready but fails.
+func moreUnanswered(before, after CommandCounts) bool {
+	if after.Completed == 0 {
+		return false
+	}
+	share := 0.0
+	if before.Completed > 0 {
+		share = float64(before.Unanswered) / float64(before.Completed)
+	}
+	expected := share * float64(after.Completed)
+	deviation := math.Sqrt(expected * (1 - share))
+	return float64(after.Unanswered) > expected+unansweredDeviations*deviation+unansweredAllowance
+}
