--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -127,14 +127,14 @@
 
 func (s *searching) run(ctx context.Context, k systems.Kind, b systems.Bounds, fault string, tell func(explore.Progress)) (explore.Result, error) {
 	x := b.Explore(s.workers)
-	x.Whole = s.whole
+	x.TakeAllSteps = s.whole
 	if s.deep {
-		if x.Depth == 0 {
+		if x.MaxDepth == 0 {
 			return explore.Result{}, status(Misused, fmt.Errorf("%s: --deep needs a bound of depth", b.Place))
 		}
-		return explore.Deep(ctx, k.New(b, fault), x), nil
+		return explore.RunDepthFirst(ctx, k.New(b, fault), x), nil
 	}
-	r, saved := explore.RunFrom(ctx, k.New(b, fault), x, s.from, tell)
+	r, saved := explore.Resume(ctx, k.New(b, fault), x, s.from, tell)
 	if saved == nil || s.stop == "" {
 		return r, nil
 	}
@@ -157,11 +157,11 @@
 		}
 		all.Runs = append(all.Runs, r)
 		all.States, all.Steps, all.Depth = all.States+r.States, all.Steps+r.Steps, max(all.Depth, r.Depth)
-		all.Heap, all.Seconds = max(all.Heap, r.Heap), all.Seconds+r.Seconds
-		all.Complete = all.Complete && (r.Complete || r.Broken != nil)
-		if r.Broken != nil {
+		all.Heap, all.Seconds = max(all.Heap, r.PeakHeapBytes), all.Seconds+r.Seconds
+		all.Complete = all.Complete && (r.Complete || r.Counterexample != nil)
+		if r.Counterexample != nil {
 			all.OK = false
-			broken = &systems.Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *r.Broken}
+			broken = &systems.Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *r.Counterexample}
 			break
 		}
 	}
@@ -175,7 +175,7 @@
 		t := grid(w, "bounds", "states", "steps", "depth", "complete", "ends", "clash", "seconds", "states a second")
 		for i, r := range all.Runs {
 			t.AppendRow(table.Row{
-				bounds[i].Place, r.States, r.Steps, r.Depth, r.Complete, r.Ends, fmt.Sprintf("%.1e", r.Clash),
+				bounds[i].Place, r.States, r.Steps, r.Depth, r.Complete, r.EndStates, fmt.Sprintf("%.1e", r.CollisionChance),
 				fmt.Sprintf("%.2f", r.Seconds), int(float64(r.States) / r.Seconds),
 			})
 		}
--- a/internal/explore/breadth.go
+++ b/internal/explore/breadth.go
@@ -14,46 +14,46 @@
 	step   int32
 }
 
-const shards = 64
+const seenShards = 64
 
 type explorer struct {
-	make     func() System
-	bounds   Bounds
-	mu       sync.Mutex // over what follows
-	nodes    []node
-	names    []string
-	byName   map[string]int32
-	taken    map[string]int
-	edges    [][2]int32
-	ended    []bool
-	prints   []uint64
-	asleep   []map[int32]bool // steps that need not be taken, if any commute
-	expanded []bool
-	again    map[int32]map[int32]bool // states of the next depth that must take some steps after all
-	commutes bool
-	spared   atomic.Int64
-	broken   *Trace
-	brokenAt int32
-	steps    atomic.Int64
-	stopped  atomic.Pointer[string]
-	seen     [shards]struct {
+	newSystem      func() System
+	bounds         Bounds
+	mu             sync.Mutex // over what follows
+	nodes          []node
+	stepNames      []string
+	stepIndex      map[string]int32
+	stepsByKind    map[string]int
+	edges          [][2]int32
+	isEnd          []bool
+	fingerprints   []uint64
+	sleepSets      []map[int32]bool // steps that need not be taken, if any commute
+	expanded       []bool
+	wakeSets       map[int32]map[int32]bool // states of the next depth that must take some steps after all
+	commutes       bool
+	stepsSkipped   atomic.Int64
+	counterexample *Trace
+	brokenAt       int32
+	stepsTaken     atomic.Int64
+	stopReason     atomic.Pointer[string]
+	seen           [seenShards]struct {
 		sync.Mutex
 		at map[uint64]int32
 	}
-	heap uint64
+	peakHeapBytes uint64
 }
 
-func (e *explorer) measure() uint64 {
+func (e *explorer) measureHeap() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	e.heap = max(e.heap, m.HeapAlloc)
+	e.peakHeapBytes = max(e.peakHeapBytes, m.HeapAlloc)
 	return m.HeapAlloc
 }
 
-func (e *explorer) stop(why string) { e.stopped.CompareAndSwap(nil, &why) }
+func (e *explorer) stop(why string) { e.stopReason.CompareAndSwap(nil, &why) }
 
-// level takes every step of every state of one depth, and returns the states that are new.
-func (e *explorer) level(ctx context.Context, frontier []int32) []int32 {
+// expandLevel takes every step of every state of one depth, and returns the states that are new.
+func (e *explorer) expandLevel(ctx context.Context, frontier []int32) []int32 {
 	var next atomic.Int64
 	var work sync.WaitGroup
 	found := make([][]int32, e.bounds.Workers)
@@ -61,7 +61,7 @@
 		work.Add(1)
 		go func() {
 			defer work.Done()
-			for e.stopped.Load() == nil {
+			for e.stopReason.Load() == nil {
 				i := int(next.Add(1)) - 1
 				if i >= len(frontier) {
 					return
@@ -70,11 +70,11 @@
 					e.stop("it was ended before it was complete")
 					return
 				}
-				if i%256 == 0 && e.bounds.Memory > 0 {
+				if i%256 == 0 && e.bounds.MaxHeapBytes > 0 {
 					var m runtime.MemStats
 					runtime.ReadMemStats(&m)
-					if m.HeapAlloc > e.bounds.Memory {
-						e.stop(fmt.Sprintf("memory: %d bytes are in use, %d at most", m.HeapAlloc, e.bounds.Memory))
+					if m.HeapAlloc > e.bounds.MaxHeapBytes {
+						e.stop(fmt.Sprintf("memory: %d bytes are in use, %d at most", m.HeapAlloc, e.bounds.MaxHeapBytes))
 						return
 					}
 				}
@@ -87,7 +87,7 @@
 	for _, f := range found {
 		all = append(all, f...)
 	}
-	for at := range e.again { // and those that were there before, and must take more steps after all
+	for at := range e.wakeSets { // and those that were there before, and must take more steps after all
 		all = append(all, at)
 	}
 	return all
@@ -99,7 +99,7 @@
 	defer e.mu.Unlock()
 	var back []string
 	for n := e.nodes[at]; n.parent >= 0; n = e.nodes[n.parent] {
-		back = append(back, e.names[n.step])
+		back = append(back, e.stepNames[n.step])
 	}
 	for i, j := 0, len(back)-1; i < j; i, j = i+1, j-1 {
 		back[i], back[j] = back[j], back[i]
@@ -108,7 +108,7 @@
 }
 
 func (e *explorer) replay(path []string) System {
-	s := e.make()
+	s := e.newSystem()
 	for _, p := range path {
 		s.Take(p)
 	}
@@ -119,14 +119,14 @@
 	path := e.path(at)
 	s := e.replay(path)
 	steps := s.Steps()
-	asleep, only := e.sleeping(at)
-	commuter, _ := s.(Commuter)
+	asleep, only := e.stepsToSkip(at)
+	commuter, _ := s.(Commutes)
 	var done []int32 // steps that were taken here before
 	used := false
 	for _, step := range steps {
-		n := e.name(step)
+		n := e.internStep(step)
 		if only != nil && !only[n] || only == nil && asleep[n] {
-			e.spared.Add(1)
+			e.stepsSkipped.Add(1)
 			if only != nil && !asleep[n] {
 				done = append(done, n)
 			}
@@ -137,18 +137,18 @@
 		}
 		used = true
 		s.Take(step)
-		e.steps.Add(1)
-		e.count(step)
+		e.stepsTaken.Add(1)
+		e.countStep(step)
 		var rest map[int32]bool
 		if e.commutes {
 			rest = map[int32]bool{}
 			for o := range asleep {
-				if !only[o] && commuter.Commute(e.text(o), step) {
+				if !only[o] && commuter.Commute(e.stepName(o), step) {
 					rest[o] = true
 				}
 			}
 			for _, o := range done {
-				if commuter.Commute(e.text(o), step) {
+				if commuter.Commute(e.stepName(o), step) {
 					rest[o] = true
 				}
 			}
@@ -156,49 +156,49 @@
 		done = append(done, n)
 		if c, isNew := e.add(s, at, n, path, rest); isNew {
 			fresh = append(fresh, c)
-			e.settle(s, c)
+			e.checkPromise(s, c)
 		}
 	}
 	return fresh
 }
 
-// sleeping are the steps that a state need not take; if it was expanded before, only are those that it must take
+// stepsToSkip are the steps that a state need not take; if it was expanded before, only are those that it must take
 // after all.
-func (e *explorer) sleeping(at int32) (asleep, only map[int32]bool) {
+func (e *explorer) stepsToSkip(at int32) (asleep, only map[int32]bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.expanded[at] {
 		e.expanded[at] = true
-		return e.asleep[at], nil
+		return e.sleepSets[at], nil
 	}
-	only = e.again[at]
-	delete(e.again, at)
+	only = e.wakeSets[at]
+	delete(e.wakeSets, at)
 	if only == nil {
 		only = map[int32]bool{}
 	}
-	return e.asleep[at], only
+	return e.sleepSets[at], only
 }
 
-func (e *explorer) text(step int32) string {
+func (e *explorer) stepName(step int32) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.names[step]
+	return e.stepNames[step]
 }
 
-func (e *explorer) count(step string) {
+func (e *explorer) countStep(step string) {
 	e.mu.Lock()
-	e.taken[Kind(step)]++
+	e.stepsByKind[Kind(step)]++
 	e.mu.Unlock()
 }
 
-func (e *explorer) name(step string) int32 {
+func (e *explorer) internStep(step string) int32 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n, ok := e.byName[step]
+	n, ok := e.stepIndex[step]
 	if !ok {
-		n = int32(len(e.names))
-		e.names = append(e.names, step)
-		e.byName[step] = n
+		n = int32(len(e.stepNames))
+		e.stepNames = append(e.stepNames, step)
+		e.stepIndex[step] = n
 	}
 	return n
 }
@@ -206,12 +206,12 @@
 // add notes a state; isNew if it was not seen before.
 func (e *explorer) add(s System, parent, step int32, path []string, rest map[int32]bool) (at int32, isNew bool) {
 	buffer := buffers.Get().(*[]byte)
-	h := Hash{raw: (*buffer)[:0]}
+	h := Hash{bytes: (*buffer)[:0]}
 	s.Fingerprint(&h)
 	f := h.Sum()
-	*buffer = h.raw
+	*buffer = h.bytes
 	buffers.Put(buffer)
-	shard := &e.seen[f%shards]
+	shard := &e.seen[f%seenShards]
 	shard.Lock()
 	defer shard.Unlock()
 	at, seen := shard.at[f]
@@ -225,40 +225,40 @@
 		at = int32(len(e.nodes))
 		shard.at[f] = at
 		e.nodes = append(e.nodes, node{parent, step})
-		e.ended = append(e.ended, s.Ended())
-		e.prints, e.asleep, e.expanded = append(e.prints, f), append(e.asleep, rest), append(e.expanded, false)
-		if e.bounds.States > 0 && len(e.nodes) >= e.bounds.States {
+		e.isEnd = append(e.isEnd, s.Ended())
+		e.fingerprints, e.sleepSets, e.expanded = append(e.fingerprints, f), append(e.sleepSets, rest), append(e.expanded, false)
+		if e.bounds.MaxStates > 0 && len(e.nodes) >= e.bounds.MaxStates {
 			e.stop(fmt.Sprintf("%d states are kept, which is the bound", len(e.nodes)))
 		}
-		if property != "" && e.broken == nil {
+		if property != "" && e.counterexample == nil {
 			steps := append([]string{}, path...)
 			if step >= 0 {
-				steps = append(steps, e.names[step])
+				steps = append(steps, e.stepNames[step])
 			}
-			e.broken = &Trace{Steps: steps, Property: property, How: how}
+			e.counterexample = &Trace{Steps: steps, Property: property, How: how}
 			e.stop("a property is broken")
 		}
 	}
 	if seen && e.commutes {
 		e.wake(at, rest)
 	}
-	if e.bounds.Live && parent >= 0 {
+	if e.bounds.CheckLiveness && parent >= 0 {
 		e.edges = append(e.edges, [2]int32{parent, at})
 	}
 	return at, !seen
 }
 
-// settle sees whether a new state's promise comes, left alone.
-func (e *explorer) settle(s System, at int32) {
-	if e.stopped.Load() != nil {
+// checkPromise sees whether a new state's promise comes, left alone.
+func (e *explorer) checkPromise(s System, at int32) {
+	if e.stopReason.Load() != nil {
 		return
 	}
 	if property, how := Settled(s); property != "" {
 		path := e.path(at)
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.broken == nil {
-			e.broken = &Trace{Steps: path, Property: property, How: how}
+		if e.counterexample == nil {
+			e.counterexample = &Trace{Steps: path, Property: property, How: how}
 			e.stop("a property is broken")
 		}
 	}
@@ -268,7 +268,7 @@
 // were left out before and may not be now are taken after all.
 func (e *explorer) wake(at int32, rest map[int32]bool) {
 	kept := map[int32]bool{}
-	for o := range e.asleep[at] {
+	for o := range e.sleepSets[at] {
 		if rest[o] {
 			kept[o] = true
 			continue
@@ -276,12 +276,12 @@
 		if !e.expanded[at] {
 			continue // it will be taken with the others
 		}
-		if e.again[at] == nil {
-			e.again[at] = map[int32]bool{}
+		if e.wakeSets[at] == nil {
+			e.wakeSets[at] = map[int32]bool{}
 		}
-		e.again[at][o] = true
+		e.wakeSets[at][o] = true
 	}
-	if len(kept) < len(e.asleep[at]) {
-		e.asleep[at] = kept
+	if len(kept) < len(e.sleepSets[at]) {
+		e.sleepSets[at] = kept
 	}
 }
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -53,51 +53,51 @@
 
 func TestEveryStateIsSeenOnce(t *testing.T) {
 	for _, workers := range []int{1, 4} {
-		r := Run(context.Background(), of(counters{most: 20}), Bounds{Workers: workers, Live: true}, nil)
-		assert.True(t, r.Complete, r.Stopped)
+		r := Run(context.Background(), of(counters{most: 20}), Bounds{Workers: workers, CheckLiveness: true}, nil)
+		assert.True(t, r.Complete, r.StopReason)
 		assert.Equal(t, 21*21, r.States)
 		assert.Equal(t, 2*20*21, r.Steps)
 		assert.Equal(t, 40, r.Depth)
-		assert.Equal(t, 1, r.Ends)
-		assert.Equal(t, map[string]int{"grow": 840}, r.Taken)
-		assert.Nil(t, r.Broken)
-		assert.Less(t, r.Clash, 1e-10)
+		assert.Equal(t, 1, r.EndStates)
+		assert.Equal(t, map[string]int{"grow": 840}, r.StepsByKind)
+		assert.Nil(t, r.Counterexample)
+		assert.Less(t, r.CollisionChance, 1e-10)
 	}
 }
 
 func TestShortestTraceIsFound(t *testing.T) {
 	r := Run(context.Background(), of(counters{most: 20, bad: 5}), Bounds{}, nil)
-	require.NotNil(t, r.Broken)
-	assert.Equal(t, "never so", r.Broken.Property)
-	assert.Len(t, r.Broken.Steps, 6)
+	require.NotNil(t, r.Counterexample)
+	assert.Equal(t, "never so", r.Counterexample.Property)
+	assert.Len(t, r.Counterexample.Steps, 6)
 	assert.False(t, r.Complete)
-	taken, property, how := Replay(&counters{most: 20, bad: 5}, *r.Broken)
+	taken, property, how := Replay(&counters{most: 20, bad: 5}, *r.Counterexample)
 	assert.Equal(t, 6, taken)
 	assert.Equal(t, "never so", property)
 	assert.Equal(t, "5", how)
-	_, property, how = Replay(&counters{most: 2}, *r.Broken)
+	_, property, how = Replay(&counters{most: 2}, *r.Counterexample)
 	assert.Empty(t, property)
 	assert.Contains(t, how, "is not possible any more")
 }
 
 func TestStateWithoutAWayToTheEndIsFound(t *testing.T) {
-	r := Run(context.Background(), of(counters{most: 5, dead: 3}), Bounds{Live: true}, nil)
-	require.NotNil(t, r.Broken)
-	assert.Equal(t, Stuck, r.Broken.Property)
-	r = Run(context.Background(), of(counters{most: 5, dead: 3}), Bounds{Live: true, Depth: 2}, nil)
-	assert.Nil(t, r.Broken, "what lies at the edge may still reach it")
-	assert.Equal(t, 3, r.Edge)
+	r := Run(context.Background(), of(counters{most: 5, dead: 3}), Bounds{CheckLiveness: true}, nil)
+	require.NotNil(t, r.Counterexample)
+	assert.Equal(t, EndReachable, r.Counterexample.Property)
+	r = Run(context.Background(), of(counters{most: 5, dead: 3}), Bounds{CheckLiveness: true, MaxDepth: 2}, nil)
+	assert.Nil(t, r.Counterexample, "what lies at the edge may still reach it")
+	assert.Equal(t, 3, r.AtDepthBound)
 }
 
 func TestBoundsEndWithWhatWasCovered(t *testing.T) {
-	r := Run(context.Background(), of(counters{most: 1000}), Bounds{States: 500}, nil)
-	assert.Contains(t, r.Stopped, "which is the bound")
+	r := Run(context.Background(), of(counters{most: 1000}), Bounds{MaxStates: 500}, nil)
+	assert.Contains(t, r.StopReason, "which is the bound")
 	assert.False(t, r.Complete)
 	assert.GreaterOrEqual(t, r.States, 500)
-	r = Run(context.Background(), of(counters{most: 1000}), Bounds{Memory: 1}, nil)
-	assert.Contains(t, r.Stopped, "memory")
-	r = Run(context.Background(), of(counters{most: 1 << 30}), Bounds{For: 20 * time.Millisecond}, nil)
-	assert.Contains(t, r.Stopped, "before it was complete")
+	r = Run(context.Background(), of(counters{most: 1000}), Bounds{MaxHeapBytes: 1}, nil)
+	assert.Contains(t, r.StopReason, "memory")
+	r = Run(context.Background(), of(counters{most: 1 << 30}), Bounds{MaxDuration: 20 * time.Millisecond}, nil)
+	assert.Contains(t, r.StopReason, "before it was complete")
 }
 
 func TestWalk(t *testing.T) {
@@ -105,7 +105,7 @@
 	taken := map[string]int{}
 	found := 0
 	for range 200 {
-		if tr := Walk(&counters{most: 9, bad: 2}, 30, rng.IntN, taken); tr != nil {
+		if tr := RandomWalk(&counters{most: 9, bad: 2}, 30, rng.IntN, taken); tr != nil {
 			found++
 		}
 	}
@@ -124,7 +124,7 @@
 		f func()
 	}
 	sum := func(v any, grain float64) uint64 {
-		h := Hash{Rules: &Rules{Grain: grain}}
+		h := Hash{Rules: &Rules{FloatGrain: grain}}
 		h.Value(v)
 		return h.Sum()
 	}
@@ -144,7 +144,7 @@
 		calls int
 	}
 	sum := func(c clock, zero float64) uint64 {
-		h := Hash{Zero: zero, Rules: &Rules{Ignored: Fields{"explore.clock": {"calls"}}, Times: Fields{"explore.clock": {"at"}}}}
+		h := Hash{TimeZero: zero, Rules: &Rules{Ignored: Fields{"explore.clock": {"calls"}}, Times: Fields{"explore.clock": {"at"}}}}
 		h.Value(c)
 		return h.Sum()
 	}
@@ -182,16 +182,16 @@
 
 func TestDepthFirstWithLittleMemorySeesTheSame(t *testing.T) {
 	for _, states := range []int{0, 50} {
-		r := Deep(context.Background(), of(counters{most: 6}), Bounds{Depth: 12, States: states})
+		r := RunDepthFirst(context.Background(), of(counters{most: 6}), Bounds{MaxDepth: 12, MaxStates: states})
 		assert.True(t, r.Complete)
 		assert.GreaterOrEqual(t, r.States, 49)
-		assert.Positive(t, r.Ends)
-		r = Deep(context.Background(), of(counters{most: 9, bad: 4}), Bounds{Depth: 18, States: states})
-		require.NotNil(t, r.Broken)
-		assert.Equal(t, "never so", r.Broken.Property)
+		assert.Positive(t, r.EndStates)
+		r = RunDepthFirst(context.Background(), of(counters{most: 9, bad: 4}), Bounds{MaxDepth: 18, MaxStates: states})
+		require.NotNil(t, r.Counterexample)
+		assert.Equal(t, "never so", r.Counterexample.Property)
 	}
-	r := Deep(context.Background(), of(counters{most: 1 << 20}), Bounds{Depth: 1 << 20, For: 5 * time.Millisecond})
-	assert.Contains(t, r.Stopped, "before it was complete")
+	r := RunDepthFirst(context.Background(), of(counters{most: 1 << 20}), Bounds{MaxDepth: 1 << 20, MaxDuration: 5 * time.Millisecond})
+	assert.Contains(t, r.StopReason, "before it was complete")
 }
 
 func TestStoppedExplorationIsTakenUpAgain(t *testing.T) {
@@ -199,14 +199,14 @@
 	var saved *Saved
 	var r Result
 	for states := 100; ; states += 100 {
-		if r, saved = RunFrom(context.Background(), of(counters{most: 30}), Bounds{States: states}, saved, nil); saved == nil {
+		if r, saved = Resume(context.Background(), of(counters{most: 30}), Bounds{MaxStates: states}, saved, nil); saved == nil {
 			break
 		}
 		assert.False(t, r.Complete)
 	}
 	assert.True(t, r.Complete)
 	assert.Equal(t, whole.States, r.States)
-	assert.Equal(t, whole.Ends, r.Ends)
+	assert.Equal(t, whole.EndStates, r.EndStates)
 	assert.Equal(t, whole.Depth, r.Depth)
 }
 
@@ -220,7 +220,7 @@
 	r := Run(context.Background(), make_, Bounds{}, nil)
 	assert.Equal(t, 21*21, r.States)
 	assert.Equal(t, 21*21-1, r.Steps, "each state once")
-	r = Run(context.Background(), make_, Bounds{Whole: true}, nil)
+	r = Run(context.Background(), make_, Bounds{TakeAllSteps: true}, nil)
 	assert.Equal(t, 2*20*21, r.Steps)
 }
 
@@ -239,15 +239,15 @@
 	make_ := func() System { return &promising{counters{most: 4}} }
 	for _, workers := range []int{1, 4} {
 		r := Run(context.Background(), make_, Bounds{Workers: workers}, nil)
-		require.NotNil(t, r.Broken)
-		assert.Equal(t, "it grows", r.Broken.Property)
-		assert.Len(t, r.Broken.Steps, 3, "the shortest way")
-		taken, property, _ := Replay(make_(), *r.Broken)
+		require.NotNil(t, r.Counterexample)
+		assert.Equal(t, "it grows", r.Counterexample.Property)
+		assert.Len(t, r.Counterexample.Steps, 3, "the shortest way")
+		taken, property, _ := Replay(make_(), *r.Counterexample)
 		assert.Equal(t, 3, taken)
 		assert.Equal(t, "it grows", property)
 	}
-	assert.Nil(t, Run(context.Background(), func() System { return &promising{counters{most: 1}} }, Bounds{}, nil).Broken)
-	w := Walk(&promising{counters{a: 1, b: 1, most: 4}}, 1, func(int) int { return 0 }, map[string]int{})
+	assert.Nil(t, Run(context.Background(), func() System { return &promising{counters{most: 1}} }, Bounds{}, nil).Counterexample)
+	w := RandomWalk(&promising{counters{a: 1, b: 1, most: 4}}, 1, func(int) int { return 0 }, map[string]int{})
 	require.NotNil(t, w, "also at the end of a way at random")
 	assert.Equal(t, "it grows", w.Property)
 }
--- a/internal/explore/hash.go
+++ b/internal/explore/hash.go
@@ -21,10 +21,10 @@
 // not be changed once a hash has used them. A rule that names a field which its type does not have is an error: Hash.Value
 // panics when it first meets the type. Types that were never met are told by Unmet.
 type Rules struct {
-	Ignored Fields   // fields that decide nothing
-	Times   Fields   // fields of type float64 that hold times, which count from Hash.Zero
-	Grain   float64  // floats are rounded to it; 0: they are taken as they are
-	plans   sync.Map // of struct types met so far, by reflect.Type
+	Ignored    Fields   // fields that decide nothing
+	Times      Fields   // fields of type float64 that hold times, which count from Hash.Zero
+	FloatGrain float64  // floats are rounded to it; 0: they are taken as they are
+	plans      sync.Map // of struct types met so far, by reflect.Type
 }
 
 // Unmet returns the types that the rules name and that no hash has met so far, in order. After an exploration that
@@ -78,10 +78,10 @@
 
 // Hash gathers what decides a state's future. The zero value is empty.
 type Hash struct {
-	Rules *Rules
-	Zero  float64
-	raw   []byte
-	depth int
+	Rules    *Rules
+	TimeZero float64
+	bytes    []byte
+	depth    int
 }
 
 // plan is which fields of a struct count, and which of them are times.
@@ -116,21 +116,21 @@
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 16<<10); return &b }}
 
 // Sum is the fingerprint.
-func (h *Hash) Sum() uint64 { return xxh3.Hash(h.raw) }
+func (h *Hash) Sum() uint64 { return xxh3.Hash(h.bytes) }
 
 // Uint adds a number.
-func (h *Hash) Uint(v uint64) { h.raw = binary.LittleEndian.AppendUint64(h.raw, v) }
+func (h *Hash) Uint(v uint64) { h.bytes = binary.LittleEndian.AppendUint64(h.bytes, v) }
 
 // Text adds a text.
 func (h *Hash) Text(s string) {
 	h.Uint(uint64(len(s)))
-	h.raw = append(h.raw, s...)
+	h.bytes = append(h.bytes, s...)
 }
 
 // Float adds a float, rounded to the grain.
 func (h *Hash) Float(f float64) {
-	if h.Rules != nil && h.Rules.Grain > 0 && !math.IsInf(f, 0) {
-		f = math.Round(f / h.Rules.Grain)
+	if h.Rules != nil && h.Rules.FloatGrain > 0 && !math.IsInf(f, 0) {
+		f = math.Round(f / h.Rules.FloatGrain)
 	}
 	if f == 0 {
 		f = 0 // not minus nought
@@ -148,10 +148,10 @@
 	h.value(reflect.ValueOf(v))
 }
 
-const deepest = 64
+const maxValueDepth = 64
 
 func (h *Hash) value(v reflect.Value) {
-	if h.depth++; h.depth > deepest {
+	if h.depth++; h.depth > maxValueDepth {
 		panic("explore: a state that leads back to itself")
 	}
 	defer func() { h.depth-- }()
@@ -188,7 +188,7 @@
 		p := h.Rules.plan(v.Type())
 		for i, n := range p.fields {
 			if f := v.Field(n); p.times[i] {
-				h.Float(f.Float() - h.Zero)
+				h.Float(f.Float() - h.TimeZero)
 			} else {
 				h.value(f)
 			}
@@ -199,7 +199,7 @@
 func (h *Hash) entries(v reflect.Value) {
 	var sums []uint64
 	for it := v.MapRange(); it.Next(); {
-		e := Hash{Rules: h.Rules, Zero: h.Zero, depth: h.depth}
+		e := Hash{Rules: h.Rules, TimeZero: h.TimeZero, depth: h.depth}
 		e.value(it.Key())
 		e.value(it.Value())
 		sums = append(sums, e.Sum())
--- a/internal/explore/live.go
+++ b/internal/explore/live.go
@@ -1,12 +1,12 @@
 package explore
 
-// Stuck is the property that no state is without a way to the promised end.
-const Stuck = "the end can be reached"
+// EndReachable is the property that no state is without a way to the promised end.
+const EndReachable = "the end can be reached"
 
-// live looks for a state from which no state that has ended can be reached. States at the bound of depth may
+// checkLiveness looks for a state from which no state that has ended can be reached. States at the bound of depth may
 // still reach one, and count as if they did.
-func (e *explorer) live(frontier []int32, edge int) {
-	reaches := append([]bool{}, e.ended...)
+func (e *explorer) checkLiveness(frontier []int32, edge int) {
+	reaches := append([]bool{}, e.isEnd...)
 	if edge > 0 {
 		for _, f := range frontier {
 			reaches[f] = true
@@ -34,7 +34,7 @@
 	}
 	for i, r := range reaches {
 		if !r { // they are in the order of their depth
-			e.broken = &Trace{Steps: e.path(int32(i)), Property: Stuck, How: "from here no order of steps leads to it"}
+			e.counterexample = &Trace{Steps: e.path(int32(i)), Property: EndReachable, How: "from here no order of steps leads to it"}
 			return
 		}
 	}
--- a/internal/explore/resume.go
+++ b/internal/explore/resume.go
@@ -17,10 +17,10 @@
 // save keeps a stopped exploration. States whose steps commuted are marked as not expanded if some of them
 // were spared: what is taken up spares none.
 func (e *explorer) save() *Saved {
-	s := &Saved{Prints: e.prints, Ended: e.ended, Names: e.names, Steps: int(e.steps.Load())}
+	s := &Saved{Prints: e.fingerprints, Ended: e.isEnd, Names: e.stepNames, Steps: int(e.stepsTaken.Load())}
 	for i, n := range e.nodes {
 		s.Parents, s.By = append(s.Parents, n.parent), append(s.By, n.step)
-		s.Expanded = append(s.Expanded, e.expanded[i] && len(e.asleep[i]) == 0 && e.again[int32(i)] == nil)
+		s.Expanded = append(s.Expanded, e.expanded[i] && len(e.sleepSets[i]) == 0 && e.wakeSets[int32(i)] == nil)
 	}
 	return s
 }
@@ -29,15 +29,15 @@
 func (e *explorer) restore(s *Saved) (first, later []int32, depth int) {
 	for i, p := range s.Prints {
 		e.nodes = append(e.nodes, node{s.Parents[i], s.By[i]})
-		e.seen[p%shards].at[p] = int32(i)
+		e.seen[p%seenShards].at[p] = int32(i)
 	}
-	e.prints, e.ended = append(e.prints, s.Prints...), append(e.ended, s.Ended...)
-	e.asleep, e.expanded = make([]map[int32]bool, len(s.Prints)), make([]bool, len(s.Prints))
+	e.fingerprints, e.isEnd = append(e.fingerprints, s.Prints...), append(e.isEnd, s.Ended...)
+	e.sleepSets, e.expanded = make([]map[int32]bool, len(s.Prints)), make([]bool, len(s.Prints))
 	for i, n := range s.Names {
-		e.names = append(e.names, n)
-		e.byName[n] = int32(i)
+		e.stepNames = append(e.stepNames, n)
+		e.stepIndex[n] = int32(i)
 	}
-	e.steps.Store(int64(s.Steps))
+	e.stepsTaken.Store(int64(s.Steps))
 	depths := make([]int, len(s.Parents))
 	least := math.MaxInt
 	for i, p := range s.Parents { // a parent comes before its children
--- a/internal/explore/system.go
+++ b/internal/explore/system.go
@@ -14,10 +14,10 @@
 	Ended() bool
 }
 
-// Commuter is a System that knows of steps that may change places: after either order of the two, both being
+// Commutes is a System that knows of steps that may change places: after either order of the two, both being
 // possible, the state is the same and neither makes the other possible or impossible. What commutes is taken in
 // one order only. All states are still seen; fewer steps are taken.
-type Commuter interface {
+type Commutes interface {
 	Commute(a, b string) bool
 }
 
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -11,8 +11,8 @@
 	How      string   `json:"how"`
 }
 
-// Walk takes one way at random, so many steps long, and tells the first broken property on it, or what does not come after it.
-func Walk(s System, steps int, pick func(n int) int, taken map[string]int) *Trace {
+// RandomWalk takes one way at random, so many steps long, and tells the first broken property on it, or what does not come after it.
+func RandomWalk(s System, steps int, pick func(n int) int, taken map[string]int) *Trace {
 	var path []string
 	for range steps {
 		enabled := s.Steps()
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -443,7 +443,7 @@
 
 // clientRules leave out the lists of those that may make room, for there is room for all, and what is the same in all
 // states or stands for the same thing elsewhere.
-var clientRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
+var clientRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
 	"buffer.Chain":    {"pool"},
 	"core.Command":    {"Front", "Owner"},
 	"front.conn":      {"fd", "server", "shedElement", "shedQueue", "timer"},
--- a/internal/systems/cold.go
+++ b/internal/systems/cold.go
@@ -212,7 +212,7 @@
 	}
 }
 
-var coldRules = &explore.Rules{Grain: 1e-9, Ignored: commandRules.Ignored}
+var coldRules = &explore.Rules{FloatGrain: 1e-9, Ignored: commandRules.Ignored}
 
 // Fingerprint implements explore.System.
 func (c *cold) Fingerprint(h *explore.Hash) {
--- a/internal/systems/command.go
+++ b/internal/systems/command.go
@@ -535,7 +535,7 @@
 }
 
 // commandRules leave out to whom the commands in hand report, and the numbers that tell timers of one time apart.
-var commandRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
+var commandRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
 	"hand.Tracker": {"out", "seq"},
 	"hand.due":     {"seq"},
 }}
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -401,7 +401,7 @@
 }
 
 // memberRules leave out what is the same in all states or stands for the same thing elsewhere.
-var memberRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
+var memberRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
 	"buffer.Chain":    {"pool"},
 	"member.Dispatch": {"conn"},
 	"member.Members":  {"blocks", "count", "limits", "loop", "sink"},
--- a/internal/systems/recorded_test.go
+++ b/internal/systems/recorded_test.go
@@ -63,10 +63,10 @@
 	k, err := Find(s.System)
 	require.NoError(t, err)
 	s.Bounds.States = 0
-	r, saved := explore.RunFrom(context.Background(), k.New(s.Bounds, s.Fault), s.Bounds.Explore(0), &s.Saved, nil)
+	r, saved := explore.Resume(context.Background(), k.New(s.Bounds, s.Fault), s.Bounds.Explore(0), &s.Saved, nil)
 	assert.Nil(t, saved)
-	assert.True(t, r.Complete, r.Stopped)
-	assert.Nil(t, r.Broken)
+	assert.True(t, r.Complete, r.StopReason)
+	assert.Nil(t, r.Counterexample)
 	whole := explore.Run(context.Background(), k.New(s.Bounds, s.Fault), s.Bounds.Explore(0), nil)
 	// Fingerprints are of the fields of the code. Where those have changed since the file was written, states of it
 	// are not known again and are explored once more: none may be missed.
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -429,7 +429,7 @@
 // rolloutRules leave out what decides nothing: numbers of calls, which only tell them apart, readings of counters and of
 // a claim's age, which nothing here goes by, and what is the same in all states. Times count from now.
 var rolloutRules = &explore.Rules{
-	Grain: 1e-6,
+	FloatGrain: 1e-6,
 	Ignored: explore.Fields{
 		"claim.Standing":   {"Left", "Since"},
 		"plan.Planner":     {"Fleet"},
@@ -452,7 +452,7 @@
 // Fingerprint implements explore.System. Left out are numbers of calls, which only tell them apart, and readings
 // that nothing here goes by.
 func (r *rollout) Fingerprint(h *explore.Hash) {
-	h.Rules, h.Zero = rolloutRules, r.now
+	h.Rules, h.TimeZero = rolloutRules, r.now
 	h.Uint(uint64(r.bounds.Faults - r.faults))
 	h.Uint(uint64(r.bounds.Ticks - r.ticks))
 	for _, a := range r.agents {
--- a/internal/systems/run.go
+++ b/internal/systems/run.go
@@ -85,12 +85,12 @@
 	b.System = k.Name
 	r := explore.Run(ctx, k.New(b, fault), b.Explore(workers), nil)
 	out := Found{System: k.Name, Fault: fault, Words: f.Words, States: r.States, Seconds: r.Seconds}
-	if r.Broken != nil {
-		out.Found, out.Property, out.Length = true, r.Broken.Property, len(r.Broken.Steps)
-		out.Trace = &Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *r.Broken}
+	if r.Counterexample != nil {
+		out.Found, out.Property, out.Length = true, r.Counterexample.Property, len(r.Counterexample.Steps)
+		out.Trace = &Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *r.Counterexample}
 	}
 	clean := explore.Run(ctx, k.New(b, ""), b.Explore(workers), nil)
-	out.Clean = clean.Complete && clean.Broken == nil
+	out.Clean = clean.Complete && clean.Counterexample == nil
 	return out
 }
 
@@ -120,7 +120,7 @@
 	rng := rand.New(rand.NewPCG(seed, 0))
 	began := time.Now()
 	for ; w.Walks < walks && ctx.Err() == nil && (most == 0 || time.Since(began) < most); w.Walks++ {
-		if t := explore.Walk(k.New(b, fault)(), steps, rng.IntN, w.Taken); t != nil {
+		if t := explore.RandomWalk(k.New(b, fault)(), steps, rng.IntN, w.Taken); t != nil {
 			w.Broken = &Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *t}
 			break
 		}
--- a/internal/systems/systems.go
+++ b/internal/systems/systems.go
@@ -128,7 +128,7 @@
 // Explore are the explorer's bounds.
 func (b *Bounds) Explore(workers int) explore.Bounds {
 	return explore.Bounds{
-		Depth: b.Depth, States: b.States, Memory: uint64(b.Memory) << 20,
-		For: time.Duration(float64(b.For) * float64(time.Second)), Workers: workers, Live: b.Live,
+		MaxDepth: b.Depth, MaxStates: b.States, MaxHeapBytes: uint64(b.Memory) << 20,
+		MaxDuration: time.Duration(float64(b.For) * float64(time.Second)), Workers: workers, CheckLiveness: b.Live,
 	}
 }
--- a/internal/systems/systems_test.go
+++ b/internal/systems/systems_test.go
@@ -59,7 +59,7 @@
 		bounds, err := Load("../../deploy/bounds/ci.sexp", k.Name)
 		require.NoError(t, err)
 		within := bounds[0].Explore(0)
-		within.States = 2000
+		within.MaxStates = 2000
 		explore.Run(context.Background(), k.New(bounds[0], ""), within, nil)
 		assert.Empty(t, rules[k.Name].Unmet(), "%s: rules name types that are not met", k.Name)
 	}
@@ -78,10 +78,10 @@
 		if fault == "" { // a search that finds something ends wherever its cores are
 			assert.GreaterOrEqual(t, without.States, with.States)
 		}
-		assert.Equal(t, with.Broken == nil, without.Broken == nil, fault)
-		if with.Broken != nil {
-			assert.Equal(t, with.Broken.Property, without.Broken.Property, fault)
-			assert.Len(t, without.Broken.Steps, len(with.Broken.Steps), fault)
+		assert.Equal(t, with.Counterexample == nil, without.Counterexample == nil, fault)
+		if with.Counterexample != nil {
+			assert.Equal(t, with.Counterexample.Property, without.Counterexample.Property, fault)
+			assert.Len(t, without.Counterexample.Steps, len(with.Counterexample.Steps), fault)
 		}
 	}
 }
@@ -100,12 +100,12 @@
 		require.NoError(t, err)
 		spared := explore.Run(context.Background(), k.New(b, ""), b.Explore(0), nil)
 		x := b.Explore(0)
-		x.Whole = true
+		x.TakeAllSteps = true
 		whole := explore.Run(context.Background(), k.New(b, ""), x, nil)
 		assert.True(t, spared.Complete && whole.Complete)
 		assert.Equal(t, whole.States, spared.States, "%v", b)
 		assert.Less(t, spared.Steps, whole.Steps, "%v", b)
-		assert.Zero(t, whole.Spared)
+		assert.Zero(t, whole.StepsSkipped)
 	}
 }
 
@@ -267,8 +267,8 @@
 		require.NoError(t, err)
 		for _, b := range bounds {
 			r := explore.Run(context.Background(), k.New(b, ""), b.Explore(0), nil)
-			assert.True(t, r.Complete, "%s: %s", b.Place, r.Stopped)
-			assert.Nil(t, r.Broken, "%s", b.Place)
+			assert.True(t, r.Complete, "%s: %s", b.Place, r.StopReason)
+			assert.Nil(t, r.Counterexample, "%s", b.Place)
 			assert.Greater(t, r.States, 1000, "%s", b.Place)
 		}
 	}
--- a/internal/systems/watch.go
+++ b/internal/systems/watch.go
@@ -267,7 +267,7 @@
 }
 
 // watchRules leave out what is the same in all states or stands for the same thing elsewhere.
-var watchRules = &explore.Rules{Grain: 1e-9, Ignored: explore.Fields{
+var watchRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
 	"buffer.Chain":     {"pool"},
 	"discovery.Watch":  {"limits", "log", "loop", "sink", "timer"},
 	"systems.sock":     {"handler"},
