--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -49,11 +49,11 @@
 
 func (c *counters) Ended() bool { return c.a == c.most && c.b == c.most }
 
-func of(c counters) func() System { return func() System { x := c; return &x } }
+func newCounters(c counters) func() System { return func() System { x := c; return &x } }
 
 func TestEveryStateIsSeenOnce(t *testing.T) {
 	for _, workers := range []int{1, 4} {
-		r := Run(context.Background(), of(counters{most: 20}), Bounds{Workers: workers, CheckLiveness: true}, nil)
+		r := Run(context.Background(), newCounters(counters{most: 20}), Bounds{Workers: workers, CheckLiveness: true}, nil)
 		assert.True(t, r.Complete, r.StopReason)
 		assert.Equal(t, 21*21, r.States)
 		assert.Equal(t, 2*20*21, r.Steps)
@@ -65,8 +65,8 @@
 	}
 }
 
-func TestShortestTraceIsFound(t *testing.T) {
-	r := Run(context.Background(), of(counters{most: 20, bad: 5}), Bounds{}, nil)
+func TestCounterexampleIsAShortestTrace(t *testing.T) {
+	r := Run(context.Background(), newCounters(counters{most: 20, bad: 5}), Bounds{}, nil)
 	require.NotNil(t, r.Counterexample)
 	assert.Equal(t, "never so", r.Counterexample.Property)
 	assert.Len(t, r.Counterexample.Steps, 6)
@@ -80,27 +80,27 @@
 	assert.Contains(t, how, "is not possible any more")
 }
 
-func TestStateWithoutAWayToTheEndIsFound(t *testing.T) {
-	r := Run(context.Background(), of(counters{most: 5, dead: 3}), Bounds{CheckLiveness: true}, nil)
+func TestStateFromWhichNoEndIsReachedIsFound(t *testing.T) {
+	r := Run(context.Background(), newCounters(counters{most: 5, dead: 3}), Bounds{CheckLiveness: true}, nil)
 	require.NotNil(t, r.Counterexample)
 	assert.Equal(t, EndReachable, r.Counterexample.Property)
-	r = Run(context.Background(), of(counters{most: 5, dead: 3}), Bounds{CheckLiveness: true, MaxDepth: 2}, nil)
+	r = Run(context.Background(), newCounters(counters{most: 5, dead: 3}), Bounds{CheckLiveness: true, MaxDepth: 2}, nil)
 	assert.Nil(t, r.Counterexample, "what lies at the edge may still reach it")
 	assert.Equal(t, 3, r.AtDepthBound)
 }
 
-func TestBoundsEndWithWhatWasCovered(t *testing.T) {
-	r := Run(context.Background(), of(counters{most: 1000}), Bounds{MaxStates: 500}, nil)
+func TestExplorationThatMeetsABoundSaysWhich(t *testing.T) {
+	r := Run(context.Background(), newCounters(counters{most: 1000}), Bounds{MaxStates: 500}, nil)
 	assert.Contains(t, r.StopReason, "which is the bound")
 	assert.False(t, r.Complete)
 	assert.GreaterOrEqual(t, r.States, 500)
-	r = Run(context.Background(), of(counters{most: 1000}), Bounds{MaxHeapBytes: 1}, nil)
+	r = Run(context.Background(), newCounters(counters{most: 1000}), Bounds{MaxHeapBytes: 1}, nil)
 	assert.Contains(t, r.StopReason, "memory")
-	r = Run(context.Background(), of(counters{most: 1 << 30}), Bounds{MaxDuration: 20 * time.Millisecond}, nil)
+	r = Run(context.Background(), newCounters(counters{most: 1 << 30}), Bounds{MaxDuration: 20 * time.Millisecond}, nil)
 	assert.Contains(t, r.StopReason, "before it was complete")
 }
 
-func TestWalk(t *testing.T) {
+func TestRandomWalkFindsWhatBreaks(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	taken := map[string]int{}
 	found := 0
@@ -113,7 +113,7 @@
 	assert.Positive(t, taken["grow"])
 }
 
-func TestHash(t *testing.T) {
+func TestHashTakesInAllThatAValueHolds(t *testing.T) {
 	type inner struct {
 		at float64
 		m  map[string]int
@@ -167,39 +167,39 @@
 		"explore: rules take explore.clock.at for a time and ignore it":             {Ignored: Fields{"explore.clock": {"at"}}, Times: Fields{"explore.clock": {"at"}}},
 	} {
 		h := Hash{Rules: rules}
-		assert.PanicsWithValue(t, says, func() { h.Value(clock{}) })
+		assert.PanicsWithValue(t, says, func() { h.Value(clock{embedded: embedded{inherited: 1}, at: 2, calls: 3}) })
 	}
 }
 
-func TestTypesThatNoHashHasMetAreTold(t *testing.T) {
+func TestUnmetReturnsTheTypesThatNoHashHasMet(t *testing.T) {
 	type clock struct{ at, unused float64 }
 	rules := &Rules{Ignored: Fields{"explore.clock": {"unused"}, "explore.watch": {"face"}}, Times: Fields{"explore.clock": {"at"}, "explore.bell": {"at"}}}
 	assert.Equal(t, []string{"explore.bell", "explore.clock", "explore.watch"}, rules.Unmet())
 	h := Hash{Rules: rules}
-	h.Value(clock{})
+	h.Value(clock{at: 1, unused: 2})
 	assert.Equal(t, []string{"explore.bell", "explore.watch"}, rules.Unmet())
 }
 
-func TestDepthFirstWithLittleMemorySeesTheSame(t *testing.T) {
+func TestDepthFirstFindsTheSameWithLittleMemory(t *testing.T) {
 	for _, states := range []int{0, 50} {
-		r := RunDepthFirst(context.Background(), of(counters{most: 6}), Bounds{MaxDepth: 12, MaxStates: states})
+		r := RunDepthFirst(context.Background(), newCounters(counters{most: 6}), Bounds{MaxDepth: 12, MaxStates: states})
 		assert.True(t, r.Complete)
 		assert.GreaterOrEqual(t, r.States, 49)
 		assert.Positive(t, r.EndStates)
-		r = RunDepthFirst(context.Background(), of(counters{most: 9, bad: 4}), Bounds{MaxDepth: 18, MaxStates: states})
+		r = RunDepthFirst(context.Background(), newCounters(counters{most: 9, bad: 4}), Bounds{MaxDepth: 18, MaxStates: states})
 		require.NotNil(t, r.Counterexample)
 		assert.Equal(t, "never so", r.Counterexample.Property)
 	}
-	r := RunDepthFirst(context.Background(), of(counters{most: 1 << 20}), Bounds{MaxDepth: 1 << 20, MaxDuration: 5 * time.Millisecond})
+	r := RunDepthFirst(context.Background(), newCounters(counters{most: 1 << 20}), Bounds{MaxDepth: 1 << 20, MaxDuration: 5 * time.Millisecond})
 	assert.Contains(t, r.StopReason, "before it was complete")
 }
 
-func TestStoppedExplorationIsTakenUpAgain(t *testing.T) {
-	whole := Run(context.Background(), of(counters{most: 30}), Bounds{}, nil)
+func TestStoppedExplorationIsResumed(t *testing.T) {
+	whole := Run(context.Background(), newCounters(counters{most: 30}), Bounds{}, nil)
 	var saved *Saved
 	var r Result
 	for states := 100; ; states += 100 {
-		if r, saved = Resume(context.Background(), of(counters{most: 30}), Bounds{MaxStates: states}, saved, nil); saved == nil {
+		if r, saved = Resume(context.Background(), newCounters(counters{most: 30}), Bounds{MaxStates: states}, saved, nil); saved == nil {
 			break
 		}
 		assert.False(t, r.Complete)
@@ -210,17 +210,17 @@
 	assert.Equal(t, whole.Depth, r.Depth)
 }
 
-// Commute makes the two numbers of counters commute, where neither is at an end.
+// commuting are counters whose two steps commute.
 type commuting struct{ counters }
 
 func (c *commuting) Commute(a, b string) bool { return a != b }
 
-func TestCommutingStepsAreSpared(t *testing.T) {
-	make_ := func() System { return &commuting{counters{most: 20}} }
-	r := Run(context.Background(), make_, Bounds{}, nil)
+func TestStepsThatCommuteAreSkipped(t *testing.T) {
+	newSystem := func() System { return &commuting{counters{most: 20}} }
+	r := Run(context.Background(), newSystem, Bounds{}, nil)
 	assert.Equal(t, 21*21, r.States)
 	assert.Equal(t, 21*21-1, r.Steps, "each state once")
-	r = Run(context.Background(), make_, Bounds{TakeAllSteps: true}, nil)
+	r = Run(context.Background(), newSystem, Bounds{TakeAllSteps: true}, nil)
 	assert.Equal(t, 2*20*21, r.Steps)
 }
 
@@ -235,14 +235,14 @@
 }
 
 // What a state promises is asked of each, also of those that have steps to go on with, and the state that broke it is told.
-func TestPromisesAreAskedInEveryState(t *testing.T) {
-	make_ := func() System { return &promising{counters{most: 4}} }
+func TestPromiseIsCheckedInEveryState(t *testing.T) {
+	newSystem := func() System { return &promising{counters{most: 4}} }
 	for _, workers := range []int{1, 4} {
-		r := Run(context.Background(), make_, Bounds{Workers: workers}, nil)
+		r := Run(context.Background(), newSystem, Bounds{Workers: workers}, nil)
 		require.NotNil(t, r.Counterexample)
 		assert.Equal(t, "it grows", r.Counterexample.Property)
 		assert.Len(t, r.Counterexample.Steps, 3, "the shortest way")
-		taken, property, _ := Replay(make_(), *r.Counterexample)
+		taken, property, _ := Replay(newSystem(), *r.Counterexample)
 		assert.Equal(t, 3, taken)
 		assert.Equal(t, "it grows", property)
 	}
