--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -149,7 +149,7 @@
 		r, err := how.run(ctx, k, b, fault, func(p explore.Progress) {
 			if time.Since(last) > 2*time.Second {
 				last = time.Now()
-				fmt.Fprintf(a.err, "%s: %d states, depth %d, %d to go on from, %d MB\n", k.Name, p.States, p.Depth, p.Frontier, p.Heap>>20)
+				fmt.Fprintf(a.err, "%s: %d states, depth %d, %d to go on from, %d MB\n", k.Name, p.States, p.Depth, p.Frontier, p.HeapBytes>>20)
 			}
 		})
 		if err != nil {
--- a/internal/explore/breadth.go
+++ b/internal/explore/breadth.go
@@ -4,179 +4,232 @@
 	"context"
 	"fmt"
 	"runtime"
+	"slices"
 	"sync"
 	"sync/atomic"
+	"time"
 )
 
-// node is a state that was reached: by which step from which other.
-type node struct {
-	parent int32
-	step   int32
+const (
+	seenShards        = 64  // of the table of states, so that workers seldom wait for each other
+	heapCheckInterval = 256 // states between two looks at the heap
+	noParent          = -1  // of the first state
+)
+
+// Reasons for which an exploration stops before it is complete.
+const (
+	stoppedEarly      = "it was ended before it was complete"
+	stoppedByProperty = "a property is broken"
+)
+
+// stepSet is a set of steps by their index.
+type stepSet map[int32]bool
+
+// state is one that was reached.
+type state struct {
+	parent, step int32 // from which state by which step it was reached first
+	fingerprint  uint64
+	isEnd        bool
+	expanded     bool
+	sleep        stepSet // steps that need not be taken from here; nil where no steps commute
 }
 
-const seenShards = 64
+// seenShard is a part of the table of states.
+type seenShard struct {
+	sync.Mutex
+	at map[uint64]int32 // fingerprint to index of state
+}
 
+// explorer explores breadth first. Its workers share it during a level; between levels one goroutine has it alone.
 type explorer struct {
-	newSystem      func() System
-	bounds         Bounds
-	mu             sync.Mutex // over what follows
-	nodes          []node
+	newSystem func() System
+	bounds    Bounds
+	report    func(Progress)
+	reduces   bool // steps that commute are taken in one order only
+
+	peakHeapBytes uint64
+	stepsTaken    atomic.Int64
+	stepsSkipped  atomic.Int64
+	stopReason    atomic.Pointer[string]
+	seen          [seenShards]seenShard // a shard is locked before mu
+
+	mu             sync.Mutex // guards what follows
+	states         []state
 	stepNames      []string
 	stepIndex      map[string]int32
 	stepsByKind    map[string]int
-	edges          [][2]int32
-	isEnd          []bool
-	fingerprints   []uint64
-	sleepSets      []map[int32]bool // steps that need not be taken, if any commute
-	expanded       []bool
-	wakeSets       map[int32]map[int32]bool // states of the next depth that must take some steps after all
-	commutes       bool
-	stepsSkipped   atomic.Int64
+	edges          [][2]int32        // from, to; for liveness only
+	wakeSets       map[int32]stepSet // states of the next level that must take some steps after all
 	counterexample *Trace
-	brokenAt       int32
-	stepsTaken     atomic.Int64
-	stopReason     atomic.Pointer[string]
-	seen           [seenShards]struct {
-		sync.Mutex
-		at map[uint64]int32
+}
+
+func newExplorer(newSystem func() System, b Bounds, report func(Progress)) *explorer {
+	e := &explorer{
+		newSystem: newSystem, bounds: b, report: report,
+		stepIndex: map[string]int32{}, stepsByKind: map[string]int{}, wakeSets: map[int32]stepSet{},
 	}
-	peakHeapBytes uint64
+	for i := range e.seen {
+		e.seen[i].at = map[uint64]int32{}
+	}
+	return e
 }
 
-func (e *explorer) measureHeap() uint64 {
+// start notes the first state and returns the first level.
+func (e *explorer) start() []int32 {
+	first := e.newSystem()
+	_, commutes := first.(Commuter)
+	e.reduces = commutes && !e.bounds.TakeAllSteps && !e.bounds.CheckLiveness
+	at, _ := e.add(first, arrival{parent: noParent})
+	e.checkPromise(first, at)
+	return []int32{at}
+}
+
+// level is the states of one depth that are to be expanded, and those of the next that are known beforehand.
+type level struct {
+	depth  int
+	states []int32
+	next   []int32
+}
+
+// runEnd is where a run ended.
+type runEnd struct {
+	depth int     // of the last level that was begun
+	edge  []int32 // states at the bound of depth, whose steps were not taken
+}
+
+// run expands level after level until there is none, a bound is met or a property breaks.
+func (e *explorer) run(ctx context.Context, l level) (end runEnd) {
+	for len(l.states) > 0 && e.counterexample == nil {
+		end.depth = l.depth
+		if e.bounds.MaxDepth > 0 && l.depth >= e.bounds.MaxDepth {
+			end.edge = l.states
+			break
+		}
+		if e.report != nil {
+			e.report(Progress{States: len(e.states), Depth: l.depth, Frontier: len(l.states), HeapBytes: e.measureHeap()})
+		}
+		l = level{depth: l.depth + 1, states: append(e.expandLevel(ctx, l.states), l.next...)}
+		if e.stopReason.Load() != nil {
+			break
+		}
+	}
+	return end
+}
+
+// heapInUse is this process's heap, in bytes.
+func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	e.peakHeapBytes = max(e.peakHeapBytes, m.HeapAlloc)
 	return m.HeapAlloc
 }
 
+func (e *explorer) measureHeap() uint64 {
+	inUse := heapInUse()
+	e.peakHeapBytes = max(e.peakHeapBytes, inUse)
+	return inUse
+}
+
+// stop ends the exploration. The first reason counts.
 func (e *explorer) stop(why string) { e.stopReason.CompareAndSwap(nil, &why) }
 
-// expandLevel takes every step of every state of one depth, and returns the states that are new.
-func (e *explorer) expandLevel(ctx context.Context, frontier []int32) []int32 {
+// expandLevel takes every step of the states of one depth. It returns the states of the next level: those that are new, and
+// those that were known and must take some steps after all.
+func (e *explorer) expandLevel(ctx context.Context, states []int32) []int32 {
 	var next atomic.Int64
-	var work sync.WaitGroup
+	var workers sync.WaitGroup
 	found := make([][]int32, e.bounds.Workers)
-	for w := range e.bounds.Workers {
-		work.Add(1)
-		go func() {
-			defer work.Done()
-			for e.stopReason.Load() == nil {
-				i := int(next.Add(1)) - 1
-				if i >= len(frontier) {
-					return
-				}
-				if ctx.Err() != nil {
-					e.stop("it was ended before it was complete")
-					return
-				}
-				if i%256 == 0 && e.bounds.MaxHeapBytes > 0 {
-					var m runtime.MemStats
-					runtime.ReadMemStats(&m)
-					if m.HeapAlloc > e.bounds.MaxHeapBytes {
-						e.stop(fmt.Sprintf("memory: %d bytes are in use, %d at most", m.HeapAlloc, e.bounds.MaxHeapBytes))
-						return
-					}
-				}
-				found[w] = append(found[w], e.expand(frontier[i])...)
-			}
-		}()
-	}
-	work.Wait()
-	var all []int32
-	for _, f := range found {
-		all = append(all, f...)
+	for w := range found {
+		workers.Go(func() { found[w] = e.expandShare(ctx, states, &next) })
 	}
-	for at := range e.wakeSets { // and those that were there before, and must take more steps after all
-		all = append(all, at)
+	workers.Wait()
+	nextLevel := slices.Concat(found...)
+	for at := range e.wakeSets {
+		nextLevel = append(nextLevel, at)
 	}
-	return all
+	return nextLevel
 }
 
-// path is the steps that lead to a state.
-func (e *explorer) path(at int32) []string {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	var back []string
-	for n := e.nodes[at]; n.parent >= 0; n = e.nodes[n.parent] {
-		back = append(back, e.stepNames[n.step])
-	}
-	for i, j := 0, len(back)-1; i < j; i, j = i+1, j-1 {
-		back[i], back[j] = back[j], back[i]
+// expandShare is one worker: it expands states, by the index that all workers share, until none is left or the
+// exploration stops.
+func (e *explorer) expandShare(ctx context.Context, states []int32, next *atomic.Int64) (found []int32) {
+	for e.stopReason.Load() == nil {
+		i := int(next.Add(1)) - 1
+		if i >= len(states) {
+			break
+		}
+		if ctx.Err() != nil {
+			e.stop(stoppedEarly)
+			break
+		}
+		if i%heapCheckInterval == 0 && e.isHeapFull() {
+			break
+		}
+		found = append(found, e.expand(states[i])...)
 	}
-	return back
+	return found
 }
 
-func (e *explorer) replay(path []string) System {
-	s := e.newSystem()
-	for _, p := range path {
-		s.Take(p)
+// isHeapFull tells whether the bound of memory is met, and stops the exploration then.
+func (e *explorer) isHeapFull() bool {
+	if e.bounds.MaxHeapBytes == 0 {
+		return false
 	}
-	return s
+	inUse := heapInUse()
+	if inUse <= e.bounds.MaxHeapBytes {
+		return false
+	}
+	e.stop(fmt.Sprintf("memory: %d bytes are in use, %d at most", inUse, e.bounds.MaxHeapBytes))
+	return true
 }
 
+// expand takes the steps of a state and returns the states that are new.
 func (e *explorer) expand(at int32) (fresh []int32) {
 	path := e.path(at)
 	s := e.replay(path)
-	steps := s.Steps()
-	asleep, only := e.stepsToSkip(at)
-	commuter, _ := s.(Commutes)
-	var done []int32 // steps that were taken here before
-	used := false
-	for _, step := range steps {
-		n := e.internStep(step)
-		if only != nil && !only[n] || only == nil && asleep[n] {
+	x := e.beginExpansion(at, s)
+	for _, name := range s.Steps() {
+		step := e.internStep(name)
+		if x.skips(step) {
 			e.stepsSkipped.Add(1)
-			if only != nil && !asleep[n] {
-				done = append(done, n)
-			}
 			continue
 		}
-		if used {
+		if s == nil {
 			s = e.replay(path)
 		}
-		used = true
-		s.Take(step)
-		e.stepsTaken.Add(1)
-		e.countStep(step)
-		var rest map[int32]bool
-		if e.commutes {
-			rest = map[int32]bool{}
-			for o := range asleep {
-				if !only[o] && commuter.Commute(e.stepName(o), step) {
-					rest[o] = true
-				}
-			}
-			for _, o := range done {
-				if commuter.Commute(e.stepName(o), step) {
-					rest[o] = true
-				}
-			}
-		}
-		done = append(done, n)
-		if c, isNew := e.add(s, at, n, path, rest); isNew {
-			fresh = append(fresh, c)
-			e.checkPromise(s, c)
+		s.Take(name)
+		e.countStep(name)
+		child, isNew := e.add(s, arrival{parent: at, step: step, path: path, sleep: e.sleepAfter(x, name)})
+		x.taken = append(x.taken, step)
+		if isNew {
+			fresh = append(fresh, child)
+			e.checkPromise(s, child)
 		}
+		s = nil // a system cannot go back: the next step needs one that is played anew
 	}
 	return fresh
 }
 
-// stepsToSkip are the steps that a state need not take; if it was expanded before, only are those that it must take
-// after all.
-func (e *explorer) stepsToSkip(at int32) (asleep, only map[int32]bool) {
+// path is the steps that lead to a state.
+func (e *explorer) path(at int32) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.expanded[at] {
-		e.expanded[at] = true
-		return e.sleepSets[at], nil
+	var path []string
+	for s := e.states[at]; s.parent != noParent; s = e.states[s.parent] {
+		path = append(path, e.stepNames[s.step])
 	}
-	only = e.wakeSets[at]
-	delete(e.wakeSets, at)
-	if only == nil {
-		only = map[int32]bool{}
+	slices.Reverse(path)
+	return path
+}
+
+func (e *explorer) replay(path []string) System { return replayed(e.newSystem, path) }
+
+// replayed returns a new system that has taken the steps of a path.
+func replayed(newSystem func() System, path []string) System {
+	s := newSystem()
+	for _, step := range path {
+		s.Take(step)
 	}
-	return e.sleepSets[at], only
+	return s
 }
 
 func (e *explorer) stepName(step int32) string {
@@ -185,103 +238,113 @@
 	return e.stepNames[step]
 }
 
-func (e *explorer) countStep(step string) {
+func (e *explorer) countStep(name string) {
+	e.stepsTaken.Add(1)
 	e.mu.Lock()
-	e.stepsByKind[Kind(step)]++
-	e.mu.Unlock()
+	defer e.mu.Unlock()
+	e.stepsByKind[Kind(name)]++
 }
 
-func (e *explorer) internStep(step string) int32 {
+// internStep returns the index of a step's name.
+func (e *explorer) internStep(name string) int32 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n, ok := e.stepIndex[step]
-	if !ok {
-		n = int32(len(e.stepNames))
-		e.stepNames = append(e.stepNames, step)
-		e.stepIndex[step] = n
+	step, known := e.stepIndex[name]
+	if !known {
+		step = int32(len(e.stepNames))
+		e.stepNames = append(e.stepNames, name)
+		e.stepIndex[name] = step
 	}
-	return n
+	return step
 }
 
-// add notes a state; isNew if it was not seen before.
-func (e *explorer) add(s System, parent, step int32, path []string, rest map[int32]bool) (at int32, isNew bool) {
-	buffer := buffers.Get().(*[]byte)
-	h := Hash{bytes: (*buffer)[:0]}
-	s.Fingerprint(&h)
-	f := h.Sum()
-	*buffer = h.bytes
-	buffers.Put(buffer)
-	shard := &e.seen[f%seenShards]
+// arrival is how a state was reached.
+type arrival struct {
+	parent, step int32
+	path         []string // to the parent
+	sleep        stepSet  // steps that need not be taken after it
+}
+
+// add notes that a state was reached, and tells whether it is new.
+func (e *explorer) add(s System, a arrival) (at int32, isNew bool) {
+	fingerprint := fingerprintOf(s)
+	shard := &e.seen[fingerprint%seenShards]
 	shard.Lock()
 	defer shard.Unlock()
-	at, seen := shard.at[f]
-	property, how := "", ""
-	if !seen {
-		property, how = s.Broken()
+	at, known := shard.at[fingerprint]
+	if !known {
+		at = e.addNew(s, a, fingerprint)
+		shard.at[fingerprint] = at
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !seen {
-		at = int32(len(e.nodes))
-		shard.at[f] = at
-		e.nodes = append(e.nodes, node{parent, step})
-		e.isEnd = append(e.isEnd, s.Ended())
-		e.fingerprints, e.sleepSets, e.expanded = append(e.fingerprints, f), append(e.sleepSets, rest), append(e.expanded, false)
-		if e.bounds.MaxStates > 0 && len(e.nodes) >= e.bounds.MaxStates {
-			e.stop(fmt.Sprintf("%d states are kept, which is the bound", len(e.nodes)))
-		}
-		if property != "" && e.counterexample == nil {
-			steps := append([]string{}, path...)
-			if step >= 0 {
-				steps = append(steps, e.stepNames[step])
-			}
-			e.counterexample = &Trace{Steps: steps, Property: property, How: how}
-			e.stop("a property is broken")
-		}
+	if known && e.reduces {
+		e.wake(at, a.sleep)
 	}
-	if seen && e.commutes {
-		e.wake(at, rest)
+	if e.bounds.CheckLiveness && a.parent != noParent {
+		e.edges = append(e.edges, [2]int32{a.parent, at})
 	}
-	if e.bounds.CheckLiveness && parent >= 0 {
-		e.edges = append(e.edges, [2]int32{parent, at})
+	return at, !known
+}
+
+func (e *explorer) addNew(s System, a arrival, fingerprint uint64) int32 {
+	property, how := s.Broken()
+	isEnd := s.Ended()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	at := int32(len(e.states))
+	e.states = append(e.states, state{parent: a.parent, step: a.step, fingerprint: fingerprint, isEnd: isEnd, sleep: a.sleep})
+	if e.bounds.MaxStates > 0 && len(e.states) >= e.bounds.MaxStates {
+		e.stop(fmt.Sprintf("%d states are kept, which is the bound", len(e.states)))
+	}
+	if property != "" {
+		steps := append([]string{}, a.path...)
+		if a.parent != noParent {
+			steps = append(steps, e.stepNames[a.step])
+		}
+		e.breaks(Trace{Steps: steps, Property: property, How: how})
+	}
+	return at
+}
+
+// breaks notes the first counterexample and stops the exploration. The caller holds mu.
+func (e *explorer) breaks(t Trace) {
+	if e.counterexample == nil {
+		e.counterexample = &t
+		e.stop(stoppedByProperty)
 	}
-	return at, !seen
 }
 
-// checkPromise sees whether a new state's promise comes, left alone.
+// checkPromise sees whether a new state's promise comes, left alone. The system is not used after it.
 func (e *explorer) checkPromise(s System, at int32) {
 	if e.stopReason.Load() != nil {
 		return
 	}
-	if property, how := Settled(s); property != "" {
-		path := e.path(at)
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		if e.counterexample == nil {
-			e.counterexample = &Trace{Steps: path, Property: property, How: how}
-			e.stop("a property is broken")
-		}
+	property, how := Settled(s)
+	if property == "" {
+		return
 	}
+	path := e.path(at)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.breaks(Trace{Steps: path, Property: property, How: how})
 }
 
-// wake notes that a state was reached again by a way on which fewer of its steps may be left out: those that
-// were left out before and may not be now are taken after all.
-func (e *explorer) wake(at int32, rest map[int32]bool) {
-	kept := map[int32]bool{}
-	for o := range e.sleepSets[at] {
-		if rest[o] {
-			kept[o] = true
-			continue
-		}
-		if !e.expanded[at] {
-			continue // it will be taken with the others
-		}
-		if e.wakeSets[at] == nil {
-			e.wakeSets[at] = map[int32]bool{}
+// result sums up how the exploration stands.
+func (e *explorer) result(end runEnd, began time.Time) Result {
+	r := Result{
+		Depth: end.depth, AtDepthBound: len(end.edge),
+		States: len(e.states), Steps: int(e.stepsTaken.Load()), StepsSkipped: int(e.stepsSkipped.Load()),
+		CollisionChance: collisionChance(len(e.states)), PeakHeapBytes: e.peakHeapBytes,
+		StepsByKind: e.stepsByKind, Counterexample: e.counterexample, Seconds: time.Since(began).Seconds(),
+	}
+	for i := range e.states {
+		if e.states[i].isEnd {
+			r.EndStates++
 		}
-		e.wakeSets[at][o] = true
 	}
-	if len(kept) < len(e.sleepSets[at]) {
-		e.sleepSets[at] = kept
+	if why := e.stopReason.Load(); why != nil {
+		r.StopReason = *why
 	}
+	return r
 }
--- a/internal/explore/hash.go
+++ b/internal/explore/hash.go
@@ -76,12 +76,12 @@
 	return f, ok && len(f.Index) == 1
 }
 
-// Hash gathers what decides a state's future. The zero value is empty.
+// Hash gathers what decides a state's future. The zero value is empty. It is used by one goroutine.
 type Hash struct {
-	Rules    *Rules
-	TimeZero float64
+	Rules    *Rules  // for Float and Value; nil: everything counts as it is
+	TimeZero float64 // from which the fields in Rules.Times count
 	bytes    []byte
-	depth    int
+	depth    int // of the value that is being added
 }
 
 // plan is which fields of a struct count, and which of them are times.
@@ -111,10 +111,22 @@
 	return p
 }
 
+// plainRules are of hashes without rules: everything counts.
 var plainRules = &Rules{}
 
+// buffers are reused for the bytes of fingerprints.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 16<<10); return &b }}
 
+// fingerprintOf returns a system's fingerprint.
+func fingerprintOf(s System) uint64 {
+	buffer := buffers.Get().(*[]byte)
+	defer buffers.Put(buffer)
+	h := Hash{bytes: (*buffer)[:0]}
+	s.Fingerprint(&h)
+	*buffer = h.bytes
+	return h.Sum()
+}
+
 // Sum is the fingerprint.
 func (h *Hash) Sum() uint64 { return xxh3.Hash(h.bytes) }
 
@@ -127,7 +139,7 @@
 	h.bytes = append(h.bytes, s...)
 }
 
-// Float adds a float, rounded to the grain.
+// Float adds a float, rounded to the rules' grain.
 func (h *Hash) Float(f float64) {
 	if h.Rules != nil && h.Rules.FloatGrain > 0 && !math.IsInf(f, 0) {
 		f = math.Round(f / h.Rules.FloatGrain)
@@ -148,6 +160,7 @@
 	h.value(reflect.ValueOf(v))
 }
 
+// maxValueDepth is how deep a state may be nested; a deeper one is taken to lead back to itself.
 const maxValueDepth = 64
 
 func (h *Hash) value(v reflect.Value) {
@@ -157,11 +170,7 @@
 	defer func() { h.depth-- }()
 	switch v.Kind() {
 	case reflect.Bool:
-		if v.Bool() {
-			h.Uint(1)
-		} else {
-			h.Uint(0)
-		}
+		h.flag(v.Bool())
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
 		h.Uint(uint64(v.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
@@ -171,32 +180,45 @@
 	case reflect.String:
 		h.Text(v.String())
 	case reflect.Pointer, reflect.Interface:
-		if v.IsNil() {
-			h.Uint(0)
-			return
+		h.flag(!v.IsNil())
+		if !v.IsNil() {
+			h.value(v.Elem())
 		}
-		h.Uint(1)
-		h.value(v.Elem())
 	case reflect.Slice, reflect.Array:
 		h.Uint(uint64(v.Len()))
 		for i := range v.Len() {
 			h.value(v.Index(i))
 		}
 	case reflect.Map:
-		h.entries(v)
+		h.mapEntries(v)
 	case reflect.Struct:
-		p := h.Rules.plan(v.Type())
-		for i, n := range p.fields {
-			if f := v.Field(n); p.times[i] {
-				h.Float(f.Float() - h.TimeZero)
-			} else {
-				h.value(f)
-			}
+		h.structFields(v)
+	default: // functions, channels and what no state holds add nothing
+	}
+}
+
+// flag adds a truth value.
+func (h *Hash) flag(is bool) {
+	if is {
+		h.Uint(1)
+	} else {
+		h.Uint(0)
+	}
+}
+
+func (h *Hash) structFields(v reflect.Value) {
+	p := h.Rules.plan(v.Type())
+	for i, n := range p.fields {
+		if field := v.Field(n); p.times[i] {
+			h.Float(field.Float() - h.TimeZero)
+		} else {
+			h.value(field)
 		}
 	}
 }
 
-func (h *Hash) entries(v reflect.Value) {
+// mapEntries adds the entries in the order of their hashes: a map has none of its own.
+func (h *Hash) mapEntries(v reflect.Value) {
 	var sums []uint64
 	for it := v.MapRange(); it.Next(); {
 		e := Hash{Rules: h.Rules, TimeZero: h.TimeZero, depth: h.depth}
--- a/internal/explore/live.go
+++ b/internal/explore/live.go
@@ -3,39 +3,49 @@
 // EndReachable is the property that no state is without a way to the promised end.
 const EndReachable = "the end can be reached"
 
-// checkLiveness looks for a state from which no state that has ended can be reached. States at the bound of depth may
-// still reach one, and count as if they did.
-func (e *explorer) checkLiveness(frontier []int32, edge int) {
-	reaches := append([]bool{}, e.isEnd...)
-	if edge > 0 {
-		for _, f := range frontier {
-			reaches[f] = true
+// checkLiveness looks for a state from which no end can be reached. States at the bound of depth may still reach one, and
+// count as if they did.
+func (e *explorer) checkLiveness(edge []int32) {
+	for i, reaches := range e.reachEnd(edge) {
+		if !reaches { // states are in the order of their depth: the first has a shortest trace
+			e.counterexample = &Trace{
+				Steps: e.path(int32(i)), Property: EndReachable,
+				How: "from here no order of steps leads to it",
+			}
+			return
 		}
 	}
-	back := make([][]int32, len(e.nodes))
-	for _, x := range e.edges {
-		back[x[1]] = append(back[x[1]], x[0])
+}
+
+// reachEnd tells of each state whether it reaches an end or the edge: it goes back from those along all steps taken.
+func (e *explorer) reachEnd(edge []int32) []bool {
+	before := make([][]int32, len(e.states))
+	for _, step := range e.edges {
+		from, to := step[0], step[1]
+		before[to] = append(before[to], from)
 	}
+	reaches := make([]bool, len(e.states))
 	var queue []int32
-	for i, r := range reaches {
-		if r {
-			queue = append(queue, int32(i))
+	visit := func(at int32) {
+		if !reaches[at] {
+			reaches[at] = true
+			queue = append(queue, at)
 		}
 	}
-	for len(queue) > 0 {
-		n := queue[0]
-		queue = queue[1:]
-		for _, p := range back[n] {
-			if !reaches[p] {
-				reaches[p] = true
-				queue = append(queue, p)
-			}
+	for i := range e.states {
+		if e.states[i].isEnd {
+			visit(int32(i))
 		}
 	}
-	for i, r := range reaches {
-		if !r { // they are in the order of their depth
-			e.counterexample = &Trace{Steps: e.path(int32(i)), Property: EndReachable, How: "from here no order of steps leads to it"}
-			return
+	for _, at := range edge {
+		visit(at)
+	}
+	for len(queue) > 0 {
+		at := queue[0]
+		queue = queue[1:]
+		for _, earlier := range before[at] {
+			visit(earlier)
 		}
 	}
+	return reaches
 }
--- a/internal/explore/resume.go
+++ b/internal/explore/resume.go
@@ -1,62 +1,72 @@
 package explore
 
-import (
-	"math"
-)
+import "math"
 
-// Saved is an exploration that was stopped, to be taken up again.
+// Saved is an exploration that was stopped, to be resumed. Its lists have an entry a state, but for Names. It is stored
+// under the names of its fields.
 type Saved struct {
-	Parents, By []int32
-	Prints      []uint64
-	Ended       []bool
-	Names       []string
-	Expanded    []bool
-	Steps       int
+	Parents  []int32 // the state before; negative for the first
+	By       []int32 // the step from there, an index into Names
+	Prints   []uint64
+	Ended    []bool
+	Names    []string // of steps
+	Expanded []bool   // all steps from the state were taken
+	Steps    int      // taken so far
 }
 
-// save keeps a stopped exploration. States whose steps commuted are marked as not expanded if some of them
-// were spared: what is taken up spares none.
+// save returns a stopped exploration. A state of which steps were skipped counts as not expanded: an exploration that is
+// resumed skips none.
 func (e *explorer) save() *Saved {
-	s := &Saved{Prints: e.fingerprints, Ended: e.isEnd, Names: e.stepNames, Steps: int(e.stepsTaken.Load())}
-	for i, n := range e.nodes {
-		s.Parents, s.By = append(s.Parents, n.parent), append(s.By, n.step)
-		s.Expanded = append(s.Expanded, e.expanded[i] && len(e.sleepSets[i]) == 0 && e.wakeSets[int32(i)] == nil)
+	saved := &Saved{Names: e.stepNames, Steps: int(e.stepsTaken.Load())}
+	for i := range e.states {
+		s := &e.states[i]
+		saved.Parents = append(saved.Parents, s.parent)
+		saved.By = append(saved.By, s.step)
+		saved.Prints = append(saved.Prints, s.fingerprint)
+		saved.Ended = append(saved.Ended, s.isEnd)
+		isWhole := s.expanded && len(s.sleep) == 0 && e.wakeSets[int32(i)] == nil
+		saved.Expanded = append(saved.Expanded, isWhole)
 	}
-	return s
+	return saved
 }
 
-// restore returns the states of the least depth that were not expanded, the others, and that depth.
-func (e *explorer) restore(s *Saved) (first, later []int32, depth int) {
-	for i, p := range s.Prints {
-		e.nodes = append(e.nodes, node{s.Parents[i], s.By[i]})
-		e.seen[p%seenShards].at[p] = int32(i)
+// restore takes over a stopped exploration and returns the level to go on with: the states of the least depth that were
+// not expanded, and the others as those of the next.
+func (e *explorer) restore(saved *Saved) level {
+	for i, fingerprint := range saved.Prints {
+		e.states = append(e.states, state{
+			parent: saved.Parents[i], step: saved.By[i], fingerprint: fingerprint,
+			isEnd: saved.Ended[i], expanded: saved.Expanded[i],
+		})
+		e.seen[fingerprint%seenShards].at[fingerprint] = int32(i)
 	}
-	e.fingerprints, e.isEnd = append(e.fingerprints, s.Prints...), append(e.isEnd, s.Ended...)
-	e.sleepSets, e.expanded = make([]map[int32]bool, len(s.Prints)), make([]bool, len(s.Prints))
-	for i, n := range s.Names {
-		e.stepNames = append(e.stepNames, n)
-		e.stepIndex[n] = int32(i)
+	for _, name := range saved.Names {
+		e.internStep(name)
 	}
-	e.stepsTaken.Store(int64(s.Steps))
-	depths := make([]int, len(s.Parents))
-	least := math.MaxInt
-	for i, p := range s.Parents { // a parent comes before its children
-		if p >= 0 {
-			depths[i] = depths[p] + 1
+	e.stepsTaken.Store(int64(saved.Steps))
+	return e.firstToExpand()
+}
+
+func (e *explorer) firstToExpand() level {
+	depths := make([]int, len(e.states))
+	first := level{depth: math.MaxInt}
+	for i := range e.states { // a state comes after its parent
+		s := &e.states[i]
+		if s.parent >= 0 {
+			depths[i] = depths[s.parent] + 1
 		}
-		if !s.Expanded[i] {
-			least = min(least, depths[i])
+		if !s.expanded {
+			first.depth = min(first.depth, depths[i])
 		}
 	}
-	for i, done := range s.Expanded {
-		e.expanded[i] = done
+	for i := range e.states {
 		switch {
-		case done:
-		case depths[i] == least:
-			first = append(first, int32(i))
+		case e.states[i].expanded:
+		case depths[i] == first.depth:
+			first.states = append(first.states, int32(i))
 		default:
-			later = append(later, int32(i))
+			first.next = append(first.next, int32(i))
 		}
 	}
-	return first, later, least
+	return first
 }
--- a/internal/explore/system.go
+++ b/internal/explore/system.go
@@ -1,6 +1,9 @@
 package explore
 
-// System is one that is explored. It must be deterministic: the same steps lead to the same state.
+import "strings"
+
+// System is what is explored. It must be deterministic: the same steps lead to the same state. It is used by one goroutine
+// at a time.
 type System interface {
 	// Steps lists what may happen now, always in the same order, each name once.
 	Steps() []string
@@ -8,16 +11,16 @@
 	Take(step string)
 	// Fingerprint adds all that decides the future to a hash.
 	Fingerprint(h *Hash)
-	// Broken names a property that does not hold any more, and how; empty: all hold.
+	// Broken names a property that does not hold any more, and how; empty if all hold.
 	Broken() (property, how string)
 	// Ended tells whether what is promised to come has come.
 	Ended() bool
 }
 
-// Commutes is a System that knows of steps that may change places: after either order of the two, both being
-// possible, the state is the same and neither makes the other possible or impossible. What commutes is taken in
-// one order only. All states are still seen; fewer steps are taken.
-type Commutes interface {
+// Commuter is a System that knows of steps that commute: after either order of the two, both being possible, the state is
+// the same, and neither makes the other possible or impossible. Steps that commute are taken in one order only. All states
+// are still seen; fewer steps are taken.
+type Commuter interface {
 	Commute(a, b string) bool
 }
 
@@ -28,7 +31,7 @@
 	Settle() (property, how string)
 }
 
-// Settled asks a system for its promise, if it has one.
+// Settled asks a system for its promise, if it has one. Empty: it is kept, or there is none.
 func Settled(s System) (property, how string) {
 	if x, ok := s.(Settler); ok {
 		return x.Settle()
@@ -38,10 +41,6 @@
 
 // Kind is a step's name up to the first blank.
 func Kind(step string) string {
-	for i := range step {
-		if step[i] == ' ' {
-			return step[:i]
-		}
-	}
-	return step
+	kind, _, _ := strings.Cut(step, " ")
+	return kind
 }
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -2,16 +2,18 @@
 
 import (
 	"fmt"
+	"slices"
 )
 
-// Trace is a way to a state.
+// Trace is a way to a state in which a property is broken.
 type Trace struct {
 	Steps    []string `json:"steps"`
 	Property string   `json:"property"`
 	How      string   `json:"how"`
 }
 
-// RandomWalk takes one way at random, so many steps long, and tells the first broken property on it, or what does not come after it.
+// RandomWalk takes at most so many steps, each picked by pick out of n, and returns the trace to the first property that
+// breaks on the way or is not kept after it; nil if none. It counts the steps by kind in taken.
 func RandomWalk(s System, steps int, pick func(n int) int, taken map[string]int) *Trace {
 	var path []string
 	for range steps {
@@ -33,14 +35,11 @@
 	return nil
 }
 
-// Replay plays a trace on a system as it is now: how far its steps could be taken, and what was broken.
+// Replay takes a trace's steps on a system as it is now. It returns how many could be taken and what was broken; without a
+// property, how says which step was not possible.
 func Replay(s System, t Trace) (taken int, property, how string) {
 	for _, step := range t.Steps {
-		enabled := false
-		for _, e := range s.Steps() {
-			enabled = enabled || e == step
-		}
-		if !enabled {
+		if !slices.Contains(s.Steps(), step) {
 			return taken, "", fmt.Sprintf("step %d, %q, is not possible any more", taken+1, step)
 		}
 		s.Take(step)
