--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter hosts router instances on the simulator's wire.
+// Command adapter hosts router instances for the simulator: it reads batches from standard input and writes replies to
+// standard output, until the input ends. It ends with status 1 and one line on standard error where a batch is invalid.
 package main
 
 import (
@@ -9,8 +10,10 @@
 	"stoatdale.example/stoatdale/internal/adapter"
 )
 
+const inputBufferSize = 1 << 20
+
 func main() {
-	in := bufio.NewReaderSize(os.Stdin, 1<<20)
+	in := bufio.NewReaderSize(os.Stdin, inputBufferSize)
 	if err := adapter.Serve(in, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
--- /dev/null
+++ b/internal/adapter/host.go
@@ -0,0 +1,212 @@
+package adapter
+
+import (
+	"errors"
+	"fmt"
+
+	"stoatdale.example/stoatdale/internal/router"
+	"stoatdale.example/stoatdale/internal/wire"
+)
+
+var (
+	errNoInstance      = errors.New("event before any instance was named")
+	errStartUnselected = errors.New("start before any instance was named")
+)
+
+// host spreads a batch's records over the instances that they concern. It implements wire.Handler.
+type host struct {
+	clock     uint64 // of the batch, in nanoseconds
+	instances map[uint32]*instance
+	lists     map[int][]wire.Endpoint // endpoint lists by their number
+	active    []*instance             // those named in this batch, in order
+	selected  bool                    // the batch has named an instance
+	currentID uint32                  // the one named last
+	current   *instance               // nil where it does not run
+	reply     wire.Reply
+}
+
+func newHost() *host {
+	return &host{instances: map[uint32]*instance{}, lists: map[int][]wire.Endpoint{}}
+}
+
+// answer returns the reply to a batch. It belongs to the host, up to the next call.
+func (h *host) answer(batch wire.Batch) ([]byte, error) {
+	h.clock = batch.Clock
+	h.active = h.active[:0]
+	h.selected = false
+	h.current = nil
+	if err := batch.Decode(h); err != nil {
+		return nil, err
+	}
+	h.reply.Reset()
+	for _, instance := range h.active {
+		instance.finish(&h.reply)
+	}
+	return h.reply.Frame(), nil
+}
+
+// SelectInstance implements wire.Handler.
+func (h *host) SelectInstance(id uint32) error {
+	h.selected = true
+	h.currentID = id
+	h.current = h.instances[id]
+	if h.current != nil {
+		h.activate(h.current)
+	}
+	return nil
+}
+
+// activate sets an instance's time, and has it finish with the batch.
+func (h *host) activate(i *instance) {
+	if !i.active {
+		i.active = true
+		h.active = append(h.active, i)
+	}
+	i.now = i.time(h.clock)
+}
+
+// instance is the one that a record concerns.
+func (h *host) instance() (*instance, error) {
+	if !h.selected {
+		return nil, errNoInstance
+	}
+	if h.current == nil {
+		return nil, fmt.Errorf("event for unknown instance %d", h.currentID)
+	}
+	return h.current, nil
+}
+
+// guarded makes a call of the selected instance's routing decisions.
+func (h *host) guarded(call func(*instance)) error {
+	i, err := h.instance()
+	if err != nil {
+		return err
+	}
+	i.guard(func() { call(i) })
+	return nil
+}
+
+// StartInstance implements wire.Handler.
+func (h *host) StartInstance(seed uint64, settings []byte) error {
+	if !h.selected {
+		return errStartUnselected
+	}
+	h.drop()
+	i := newInstance(h.currentID, h.clock, seed, settings)
+	h.instances[h.currentID] = i
+	h.current = i
+	h.activate(i)
+	return nil
+}
+
+// CrashInstance implements wire.Handler.
+func (h *host) CrashInstance() error {
+	if _, err := h.instance(); err != nil {
+		return err
+	}
+	h.drop()
+	return nil
+}
+
+// drop forgets the selected instance and all that it was about to send.
+func (h *host) drop() {
+	if h.current == nil {
+		return
+	}
+	h.current.crashed = true
+	delete(h.instances, h.currentID)
+	h.current = nil
+}
+
+// DefineList implements wire.Handler.
+func (h *host) DefineList(id int, endpoints []wire.Endpoint) error {
+	h.lists[id] = endpoints
+	return nil
+}
+
+// UpdateList implements wire.Handler.
+func (h *host) UpdateList(mode wire.UpdateMode, id int) error {
+	i, err := h.instance()
+	if err != nil {
+		return err
+	}
+	if mode > wire.ListFailed {
+		return fmt.Errorf("unknown list mode %d", mode)
+	}
+	if mode == wire.ListFailed {
+		i.guard(func() { i.router.EndpointListFailed(i.now) })
+		return nil
+	}
+	list, defined := h.lists[id]
+	if !defined {
+		return fmt.Errorf("update names list %d, which was never defined", id)
+	}
+	i.guard(func() { i.updateList(list, mode) })
+	return nil
+}
+
+// Command implements wire.Handler.
+func (h *host) Command(command wire.Command) error {
+	i, err := h.instance()
+	if err != nil {
+		return err
+	}
+	if i.fault == "" && command.Group >= i.groupCount {
+		return fmt.Errorf("command %d names command group %d of %d", command.ID, command.Group, i.groupCount)
+	}
+	i.guard(func() { i.addCommand(command) })
+	return nil
+}
+
+// FirstByte implements wire.Handler; no command group is streamed.
+func (h *host) FirstByte(uint32, int) error {
+	_, err := h.instance()
+	return err
+}
+
+// TimerFired implements wire.Handler; what is due is reviewed at the batch's end.
+func (h *host) TimerFired(timer uint32) error {
+	i, err := h.instance()
+	if err != nil {
+		return err
+	}
+	i.timerFired(timer)
+	return nil
+}
+
+// ClientGone implements wire.Handler.
+func (h *host) ClientGone(command uint32) error {
+	return h.guarded(func(i *instance) { i.commands.ClientGone(i.now, command) })
+}
+
+// results translates the simulator's result codes.
+var results = [...]router.Result{
+	router.Answered, router.Errored, router.Overloaded, router.TimedOut, router.ConnectFailed,
+	router.ConnectionLost, router.Canceled, router.NeverSent, router.NotServed,
+}
+
+// AttemptEnded implements wire.Handler.
+func (h *host) AttemptEnded(ended wire.AttemptEnded) error {
+	i, err := h.instance()
+	if err != nil {
+		return err
+	}
+	if ended.Result >= len(results) {
+		return fmt.Errorf("unknown outcome %d", ended.Result)
+	}
+	i.guard(func() { i.attemptEnded(ended) })
+	return nil
+}
+
+// HealthChecked implements wire.Handler.
+func (h *host) HealthChecked(address wire.Address, result int, elapsed uint64, report []float32) error {
+	i, err := h.instance()
+	if err != nil {
+		return err
+	}
+	if result >= len(results) {
+		return fmt.Errorf("unknown outcome %d of a probe", result)
+	}
+	i.guard(func() { i.healthChecked(address, results[result], elapsed, report) })
+	return nil
+}
--- /dev/null
+++ b/internal/adapter/instance.go
@@ -0,0 +1,229 @@
+package adapter
+
+import (
+	"fmt"
+	"math"
+
+	"stoatdale.example/stoatdale/internal/hand"
+	"stoatdale.example/stoatdale/internal/index"
+	"stoatdale.example/stoatdale/internal/router"
+	"stoatdale.example/stoatdale/internal/site"
+	"stoatdale.example/stoatdale/internal/wire"
+)
+
+const (
+	secondsPerNanosecond = 1e-9
+)
+
+func seconds(nanoseconds int64) float64 { return float64(nanoseconds) * secondsPerNanosecond }
+
+// instance is one router with its timers and its commands in flight. It implements hand.Executor. Times are in
+// seconds since its start.
+type instance struct {
+	id           uint32
+	startClock   uint64 // the simulator's clock at its start, in nanoseconds
+	now          float64
+	router       *router.Router
+	commands     *hand.Tracker
+	reportFields []string // of a load report
+	groupCount   int      // command groups
+	fault        string   // why it cannot go on; empty: it can
+	crashed      bool
+	active       bool    // named in the present batch
+	timerAt      float64 // when the timer that counts fires; infinite: none does
+	timerNumber  uint32  // of that timer
+	addresses    *index.Table[wire.Address]
+	shards       *index.Table[int]
+	actions      wire.Reply // of the present batch
+}
+
+// newInstance starts a router. Faulty settings are its fault, and reported in reply to the batch.
+func newInstance(id uint32, clock, seed uint64, rawSettings []byte) *instance {
+	i := &instance{
+		id: id, startClock: clock, timerAt: math.Inf(1),
+		addresses: index.New[wire.Address](), shards: index.New[int](),
+	}
+	i.actions.Reset()
+	settings, err := site.ParseSettings(rawSettings)
+	if err != nil {
+		i.fault = err.Error()
+		return i
+	}
+	settings.PositionEpoch = seconds(int64(settings.PositionZeroNs) - int64(clock))
+	i.reportFields = settings.ReportFields
+	i.groupCount = len(settings.CommandGroups)
+	i.router = router.New(settings.Config, seed)
+	i.commands = hand.New(i.router, i)
+	return i
+}
+
+// time is a time of the simulator's clock.
+func (i *instance) time(clock uint64) float64 { return seconds(int64(clock - i.startClock)) }
+
+// clock is the simulator's clock at a time.
+func (i *instance) clock(at float64) uint64 {
+	return i.startClock + uint64(math.Round(at/secondsPerNanosecond))
+}
+
+// guard makes a call of the routing decisions, unless they have failed before. A panic is the instance's fault, and
+// ends it alone.
+func (i *instance) guard(call func()) {
+	if i.fault != "" {
+		return
+	}
+	defer func() {
+		if cause := recover(); cause != nil {
+			i.fault = fmt.Sprint("decision code failed: ", cause)
+		}
+	}()
+	call()
+}
+
+// updateList hands an endpoint list, or changes of it, to the router.
+func (i *instance) updateList(list []wire.Endpoint, mode wire.UpdateMode) {
+	endpoints := make([]router.EndpointInfo, len(list))
+	for n, endpoint := range list {
+		endpoints[n] = router.EndpointInfo{
+			Index:     i.addresses.At(endpoint.Address),
+			Shard:     i.shards.At(endpoint.Shard),
+			Zone:      endpoint.Zone,
+			State:     router.EndpointState(endpoint.State),
+			StartedAt: i.startedAt(endpoint),
+			Primary:   endpoint.Primary,
+		}
+	}
+	complete := mode != wire.ListChanges
+	i.router.UpdateEndpoints(i.now, endpoints, complete, mode == wire.ListCached)
+}
+
+// startedAt is when an endpoint started; long ago where the list does not say.
+func (i *instance) startedAt(endpoint wire.Endpoint) float64 {
+	if endpoint.StartedAt == 0 {
+		return math.Inf(-1)
+	}
+	return i.time(endpoint.StartedAt)
+}
+
+// addCommand hands a command to the router. A shard that no list has named is -1.
+func (i *instance) addCommand(command wire.Command) {
+	shard, known := i.shards.Find(command.Shard)
+	if !known {
+		shard = -1
+	}
+	i.commands.Add(i.now, command.ID, router.Command{
+		Group:          command.Group,
+		Shard:          shard,
+		Session:        command.Session,
+		ArrivedAt:      i.now,
+		ClientDeadline: i.time(command.Deadline),
+		LastWriteAge:   command.LastWriteAgeMs / 1000,
+		ClientRetry:    command.Flags&wire.FlagClientRetry != 0,
+	})
+}
+
+// attemptEnded hands an attempt's result to the router.
+func (i *instance) attemptEnded(ended wire.AttemptEnded) {
+	result := router.AttemptResult{
+		Attempt:  ended.Attempt,
+		Result:   results[ended.Result],
+		Elapsed:  seconds(int64(ended.Elapsed)),
+		Final:    ended.Final,
+		Role:     router.Role(ended.Role),
+		Position: -1,
+	}
+	if ended.PositionMs != 0 {
+		result.Position = float64(ended.PositionMs) / 1000
+	}
+	i.commands.AttemptEnded(i.now, ended.Command, result)
+}
+
+// healthChecked hands a health check's result to the router, unless the endpoint is no longer known.
+func (i *instance) healthChecked(address wire.Address, result router.Result, elapsed uint64, report []float32) {
+	endpoint, known := i.addresses.Find(address)
+	if !known {
+		return
+	}
+	position, primary := i.readReport(report)
+	i.router.HealthChecked(i.now, endpoint, result, seconds(int64(elapsed)), position, primary)
+}
+
+// readReport returns the log position of a load report, negative where it holds none, and whether it is a primary's.
+func (i *instance) readReport(report []float32) (position float64, primary bool) {
+	position = -1
+	for n, value := range report[:min(len(report), len(i.reportFields))] {
+		switch i.reportFields[n] {
+		case site.PositionReportField:
+			position = float64(value)
+		case site.PrimaryReportField:
+			primary = value == 1
+		}
+	}
+	return position, primary
+}
+
+// timerFired notes that no timer is set, if the one that fired is the one that counts.
+func (i *instance) timerFired(timer uint32) {
+	if timer == i.timerNumber {
+		i.timerAt = math.Inf(1)
+	}
+}
+
+// Forward implements hand.Executor.
+func (i *instance) Forward(command uint32, _, endpoint int, deadline float64) {
+	i.actions.Forward(command, i.addresses.Name(endpoint), i.clock(deadline))
+}
+
+// Cancel implements hand.Executor.
+func (i *instance) Cancel(command uint32, attempt int) { i.actions.CancelAttempt(command, attempt) }
+
+// Reject implements hand.Executor.
+func (i *instance) Reject(command uint32, retryAfter float64) {
+	i.actions.Reject(command, uint64(retryAfter/secondsPerNanosecond))
+}
+
+// Fail implements hand.Executor.
+func (i *instance) Fail(command uint32) { i.actions.Fail(command) }
+
+// finish ends a batch: it reviews what is due and adds the instance's actions to the reply.
+func (i *instance) finish(reply *wire.Reply) {
+	i.active = false
+	if i.crashed {
+		return
+	}
+	i.guard(i.reviewDue)
+	if i.fault != "" {
+		i.actions.Reset()
+		i.actions.ReportFault(i.fault)
+	}
+	if i.actions.Empty() {
+		return
+	}
+	reply.SelectInstance(i.id)
+	reply.Append(&i.actions)
+	i.actions.Reset()
+}
+
+// reviewDue reviews the commands that are due, does the router's maintenance and sets the next timer.
+func (i *instance) reviewDue() {
+	next, maintenance := i.commands.ReviewDue(i.now)
+	for _, endpoint := range maintenance.HealthCheck {
+		i.actions.HealthCheck(i.addresses.Name(endpoint))
+	}
+	for _, endpoint := range maintenance.Release {
+		i.addresses.Free(endpoint)
+	}
+	if maintenance.Subscribe {
+		i.actions.Subscribe()
+	}
+	if next < i.timerAt {
+		i.setTimer(next)
+	}
+}
+
+// setTimer replaces the timer that counts; an earlier one still fires, and is passed over.
+func (i *instance) setTimer(at float64) {
+	i.timerAt = at
+	i.timerNumber++
+	delay := math.Ceil((at - i.now) / secondsPerNanosecond)
+	i.actions.SetTimer(uint64(math.Max(0, delay)), i.timerNumber)
+}
--- a/internal/site/settings.go
+++ b/internal/site/settings.go
@@ -96,11 +96,15 @@
 )
 
 const (
-	pollDiscovery  = "ask"     // of discovery: the endpoint list comes only when it is polled
-	noReports      = "none"    // of loadInfo.source
-	answerReports  = "answers" // of loadInfo.source
-	positionReport = "x0"      // of loadInfo.fields: the backend's log position
-	primaryReport  = "x1"      // of loadInfo.fields: whether it is the primary
+	pollDiscovery = "ask"     // of discovery: the endpoint list comes only when it is polled
+	noReports     = "none"    // of loadInfo.source
+	answerReports = "answers" // of loadInfo.source
+)
+
+// Names that Settings.ReportFields gives the fields of a load report which routers use.
+const (
+	PositionReportField = "x0" // the backend's log position, in seconds
+	PrimaryReportField  = "x1" // 1 from the primary
 )
 
 var errClassTimes = errors.New("targetNs and deadlineNs must be above 0")
@@ -192,7 +196,7 @@
 // hasReports reports whether load reports carry both the position and the role.
 func (d *settingsDocument) hasReports() bool {
 	return d.Load.Source != noReports &&
-		slices.Contains(d.Load.Fields, positionReport) && slices.Contains(d.Load.Fields, primaryReport)
+		slices.Contains(d.Load.Fields, PositionReportField) && slices.Contains(d.Load.Fields, PrimaryReportField)
 }
 
 // commandGroup is the command group of one class.
