--- a/internal/router/carry.go
+++ b/internal/router/carry.go
@@ -12,40 +12,40 @@
 // groups, traffic or routers (paces, work, shares, rates, how groups were served) starts afresh, and so does
 // what is out: the old router's dispatches end there.
 func (r *Router) MigrateFrom(now float64, from *Router) {
-	r.nodes = make([]node, len(from.nodes))
-	for i, n := range from.nodes {
-		n.out, n.legs, n.unheard, n.sent = 0, 0, 0, 0
-		n.lat, n.places, n.done = 0, 0, 0
-		r.nodes[i] = n
+	r.endpoints = make([]endpoint, len(from.endpoints))
+	for i, n := range from.endpoints {
+		n.queued, n.inFlight, n.unanswered, n.attemptSum = 0, 0, 0, 0
+		n.latencySum, n.queueSum, n.answerSum = 0, 0, 0
+		r.endpoints[i] = n
 	}
-	r.sets = make([]set, len(from.sets))
-	for i, s := range from.sets {
-		s.nodes, s.lat, s.done = slices.Clone(s.nodes), 0, 0
-		r.sets[i] = s
+	r.shards = make([]shard, len(from.shards))
+	for i, s := range from.shards {
+		s.endpoints, s.latencySum, s.answerSum = slices.Clone(s.endpoints), 0, 0
+		r.shards[i] = s
 	}
-	r.young, r.old, r.turnedAt = maps.Clone(from.young), maps.Clone(from.old), now
-	for _, sessions := range []map[uint64]session{r.young, r.old} {
+	r.youngSessions, r.oldSessions, r.sessionsTurnedAt = maps.Clone(from.youngSessions), maps.Clone(from.oldSessions), now
+	for _, sessions := range []map[uint64]session{r.youngSessions, r.oldSessions} {
 		for id, s := range sessions {
-			if s.out > 0 { // those writes end there: a half stands for them until LearnFrom finds none out
-				s.out = 0.5
+			if s.writesInFlight > 0 { // those writes end there: a half stands for them until LearnFrom finds none out
+				s.writesInFlight = 0.5
 				sessions[id] = s
 			}
 		}
 	}
-	r.following, r.followAt, r.followFailures = from.following, from.followAt, from.followFailures
+	r.subscribed, r.pollAt, r.pollFailures = from.subscribed, from.pollAt, from.pollFailures
 }
 
 // LearnFrom takes over what another router of the process has just learnt of a command's session: its last
 // commands end there after the switch, and a read that is taken here must see what they wrote.
 func (r *Router) LearnFrom(c *Command, from *Router) {
 	told, s := from.session(c.Session), r.session(c.Session)
-	if told.out == 0 {
-		s.out = math.Floor(s.out)
+	if told.writesInFlight == 0 {
+		s.writesInFlight = math.Floor(s.writesInFlight)
 	}
-	if s.out == r.session(c.Session).out && math.IsInf(max(told.token, told.seen), -1) {
+	if s.writesInFlight == r.session(c.Session).writesInFlight && math.IsInf(max(told.lastWrite, told.highestRead), -1) {
 		return
 	}
-	s.token, s.seen = max(s.token, told.token), max(s.seen, told.seen)
-	r.young[c.Session] = s
-	r.sets[c.Shard].top = max(r.sets[c.Shard].top, s.token, s.seen)
+	s.lastWrite, s.highestRead = max(s.lastWrite, told.lastWrite), max(s.highestRead, told.highestRead)
+	r.youngSessions[c.Session] = s
+	r.shards[c.Shard].newestPosition = max(r.shards[c.Shard].newestPosition, s.lastWrite, s.highestRead)
 }
--- a/internal/router/helper_test.go
+++ b/internal/router/helper_test.go
@@ -38,10 +38,10 @@
 	t.Helper()
 	r := New(s, 7)
 	r.UpdateEndpoints(10, []EndpointInfo{listed(0), listed(1), listed(2)}, true, true)
-	for i := range r.nodes {
-		r.tell(&r.nodes[i], 10, 10, RoleReplica)
+	for i := range r.endpoints {
+		r.recordReport(&r.endpoints[i], 10, 10, RoleReplica)
 	}
-	r.nodes[0].role = RolePrimary
+	r.endpoints[0].role = RolePrimary
 	return r
 }
 
@@ -51,8 +51,8 @@
 
 // uncovered is a bounded read at 10.2 that no replica is known to cover, but may.
 func uncovered(r *Router) *Command {
-	for i := range r.nodes {
-		r.nodes[i].pos = 9.5
+	for i := range r.endpoints {
+		r.endpoints[i].position = 9.5
 	}
 	c := command(gBound)
 	c.ArrivedAt, c.ClientDeadline = 10.2, 12.2
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -13,8 +13,8 @@
 	a, b := testRouter(t, testSite()), testRouter(t, testSite())
 	seen := map[int]bool{}
 	for range 100 {
-		x := a.chance(5)
-		require.Equal(t, x, b.chance(5))
+		x := a.randomInt(5)
+		require.Equal(t, x, b.randomInt(5))
 		seen[x] = true
 	}
 	assert.Len(t, seen, 5)
@@ -22,13 +22,13 @@
 
 func TestSessionReadNeedsTokenAndSeenMark(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.young[9] = session{token: 9, seen: 10.2}
-	r.nodes[2].pos = 10.3
+	r.youngSessions[9] = session{lastWrite: 9, highestRead: 10.2}
+	r.endpoints[2].position = 10.3
 	for range 20 {
 		a := r.Route(10.3, command(gSession))
 		assert.Equal(t, Forward, a.Action)
 		assert.Equal(t, 2, a.Endpoint, "only node 2 covers both positions")
-		r.nodes[2].out = 0
+		r.endpoints[2].queued = 0
 	}
 }
 
@@ -39,7 +39,7 @@
 	c := command(gSession)
 	c.LastWriteAge = 0.25
 	r.Route(10, c)
-	assert.InDelta(t, 9.75, c.need, 1e-9)
+	assert.InDelta(t, 9.75, c.requiredPosition, 1e-9)
 }
 
 func TestSpreadIsUniformOverQualifiers(t *testing.T) {
@@ -47,7 +47,7 @@
 	count := map[int]int{}
 	for range 400 {
 		count[r.Route(10, command(gAny)).Endpoint]++
-		r.nodes[1].out, r.nodes[2].out = 0, 0
+		r.endpoints[1].queued, r.endpoints[2].queued = 0, 0
 	}
 	assert.Zero(t, count[0], "the primary is spared")
 	assert.InDelta(t, 200, count[1], 50)
@@ -55,7 +55,7 @@
 
 func TestBoundedReadAtItsBound(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.nodes[1].pos, r.nodes[2].pos = 9.5, 9.7
+	r.endpoints[1].position, r.endpoints[2].position = 9.5, 9.7
 	assert.Equal(t, 2, r.Route(10.05, command(gBound)).Endpoint)
 	c := command(gBound)
 	c.ArrivedAt = 10.15
@@ -69,26 +69,26 @@
 	c := command(gBound)
 	c.ArrivedAt, c.ClientDeadline = 10.6, 12
 	assert.Equal(t, Wait, r.Route(10.6, c).Action, "heard 0.6 s ago, a replica may have caught up")
-	r.nodes[1].pos, r.nodes[2].pos = 5, 5
+	r.endpoints[1].position, r.endpoints[2].position = 5, 5
 	assert.Equal(t, 0, r.Route(10.6, c).Endpoint, "the primary at once")
 }
 
 func TestSpillIsOneInFive(t *testing.T) {
 	r := testRouter(t, testSite())
 	r.turnSlots(10)
-	r.reads[r.slotAt%spillSlots] = 9
-	assert.True(t, r.maySpill(10))
-	r.spills[r.slotAt%spillSlots] = 2
-	assert.False(t, r.maySpill(10))
-	assert.False(t, r.maySpill(11.5), "the last second only")
+	r.reads[r.slotAt%fallbackSlots] = 9
+	assert.True(t, r.mayFallBack(10))
+	r.fallbacks[r.slotAt%fallbackSlots] = 2
+	assert.False(t, r.mayFallBack(10))
+	assert.False(t, r.mayFallBack(11.5), "the last second only")
 }
 
 func TestLeastBehindWhereReplicasCheck(t *testing.T) {
 	s := testSite()
 	s.ReplicasCheckReads = true
 	r := testRouter(t, s)
-	r.young[9] = session{token: 10.1, seen: math.Inf(-1)}
-	r.nodes[1].lag, r.nodes[2].lag = 3, 0.01
+	r.youngSessions[9] = session{lastWrite: 10.1, highestRead: math.Inf(-1)}
+	r.endpoints[1].lag, r.endpoints[2].lag = 3, 0.01
 	c := command(gSession)
 	assert.Equal(t, 2, r.Route(10, c).Endpoint)
 	a := r.AttemptEnded(10.06, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
@@ -100,17 +100,17 @@
 	s := testSite()
 	s.ReplicasCheckReads = true
 	r := testRouter(t, s)
-	r.nodes[0].role = RoleReplica
-	for i := range r.nodes {
-		r.nodes[i].lag = float64(i)
+	r.endpoints[0].role = RoleReplica
+	for i := range r.endpoints {
+		r.endpoints[i].lag = float64(i)
 	}
 	assert.Equal(t, 0, r.Route(10.2, command(gCurrent)).Endpoint, "the least behind checks it itself")
 	c := command(gCurrent)
-	c.Attempts, c.ArrivedAt, c.asked = []Attempt{{Endpoint: 0, SentAt: 10.1, InFlight: true}}, 10.1, true
+	c.Attempts, c.ArrivedAt, c.routed = []Attempt{{Endpoint: 0, SentAt: 10.1, InFlight: true}}, 10.1, true
 	a := r.AttemptEnded(10.2, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
 	assert.Equal(t, 1, a.Endpoint, "turned away, it meets the next: one of them may be the primary")
-	assert.Equal(t, 1.0, r.behind(10.2, 1))
-	assert.Zero(t, r.behind(11, 1), "it may have caught up since")
+	assert.Equal(t, 1.0, r.recentLag(10.2, 1))
+	assert.Zero(t, r.recentLag(11, 1), "it may have caught up since")
 }
 
 func TestFreshRouterCountsUnheardAsNotQualifying(t *testing.T) {
@@ -152,17 +152,17 @@
 		r := New(s, 1)
 		r.UpdateEndpoints(10, []EndpointInfo{listed(0)}, true, true)
 		require.Equal(t, Forward, r.Route(10, command(gWrite)).Action)
-		r.nodes[0].out, r.nodes[0].unheard, r.nodes[0].role = 0, 0, RoleReplica
+		r.endpoints[0].queued, r.endpoints[0].unanswered, r.endpoints[0].role = 0, 0, RoleReplica
 		assert.Equal(t, again, r.Route(10.2, command(gWrite)).Action == Forward)
 	}
 }
 
 func TestListNeverOverridesANodesOwnWord(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.nodes[0].role = RoleReplica
-	r.nodes[1].listPrimary = true
+	r.endpoints[0].role = RoleReplica
+	r.endpoints[1].listedPrimary = true
 	assert.Equal(t, -1, r.primary(0), "node 1 has said that it is a replica; a stale read would not be excused")
-	r.nodes[1].role = RoleUnknown
+	r.endpoints[1].role = RoleUnknown
 	assert.Equal(t, 1, r.primary(0))
 }
 
@@ -170,7 +170,7 @@
 	for ending, want := range map[Result]Action{Errored: Fail, TimedOut: Fail, ConnectionLost: Fail, Canceled: Fail,
 		Overloaded: Forward, ConnectFailed: Forward, NeverSent: Forward} {
 		r := testRouter(t, testSite())
-		r.nodes[0].all, r.nodes[0].fadedAt = 9, 10
+		r.endpoints[0].resultSum, r.endpoints[0].decayedAt = 9, 10
 		c := command(gWrite)
 		r.Route(10, c)
 		assert.Equal(t, want, r.AttemptEnded(10.1, c, AttemptResult{Result: ending, Position: -1}).Action, "ending %d", ending)
@@ -190,12 +190,12 @@
 	s := testSite()
 	s.CommandGroups[gWrite].Idempotency = IdempotentWithKey
 	r := testRouter(t, s)
-	c := &Command{runs: 1, ranAt: 10}
-	assert.True(t, r.mayGoAgain(11.7, c, &r.groups[gWrite]))
-	assert.False(t, r.mayGoAgain(11.75, c, &r.groups[gWrite]), "a connection may take as long as Dial")
-	assert.Equal(t, Fail, r.never(11.9, c, &r.groups[gWrite]).Action, "known in its own group only")
+	c := &Command{uncertainRuns: 1, uncertainAt: 10}
+	assert.True(t, r.mayRetry(11.7, c, &r.groups[gWrite]))
+	assert.False(t, r.mayRetry(11.75, c, &r.groups[gWrite]), "a connection may take as long as Dial")
+	assert.Equal(t, Fail, r.giveUp(11.9, c, &r.groups[gWrite]).Action, "known in its own group only")
 	r.groups[gWrite].KeyScope = GlobalScope
-	assert.Equal(t, Reject, r.never(11.9, c, &r.groups[gWrite]).Action)
+	assert.Equal(t, Reject, r.giveUp(11.9, c, &r.groups[gWrite]).Action)
 }
 
 func TestKeyedRepeatStaysInItsZone(t *testing.T) {
@@ -203,11 +203,11 @@
 	s.CommandGroups[gWrite].Idempotency, s.CommandGroups[gWrite].KeyScope = IdempotentWithKey, ZoneScope
 	r := testRouter(t, s)
 	c := command(gWrite)
-	c.runs, c.ranAt, c.ranOn = 1, 10, 1
+	c.uncertainRuns, c.uncertainAt, c.uncertainEndpoint = 1, 10, 1
 	assert.Equal(t, Forward, r.Route(10, c).Action)
-	r.nodes[1].zone = 1
+	r.endpoints[1].zone = 1
 	c = command(gWrite)
-	c.runs, c.ranAt, c.ranOn = 1, 10, 1
+	c.uncertainRuns, c.uncertainAt, c.uncertainEndpoint = 1, 10, 1
 	assert.Equal(t, Wait, r.Route(10, c).Action)
 }
 
@@ -219,26 +219,26 @@
 	gone.State = Removed
 	r.UpdateEndpoints(10, []EndpointInfo{l, gone}, false, false)
 	assert.NotContains(t, []int{1, 2}, r.Route(10, command(gAny)).Endpoint)
-	r.site.SoftRemoval = true
+	r.config.SoftRemoval = true
 	r.UpdateEndpoints(10, []EndpointInfo{gone}, false, false)
-	assert.True(t, r.usable(&r.nodes[2]), "gone alone does not bind there")
+	assert.True(t, r.eligible(&r.endpoints[2]), "gone alone does not bind there")
 	l.State = Removed
 	r.UpdateEndpoints(10, []EndpointInfo{l}, false, false)
-	assert.False(t, r.usable(&r.nodes[1]), "but a drain before it does")
+	assert.False(t, r.eligible(&r.endpoints[1]), "but a drain before it does")
 }
 
 func TestColdNodeHasABudget(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.nodes[1].started, r.nodes[1].budgetAt = 10, 10
+	r.endpoints[1].startedAt, r.endpoints[1].slowStartBudgetAt = 10, 10
 	r.warmRate = 10
 	sent := 0
 	for at := 10.0; at < 12; at += 0.01 {
-		if r.coldRoom(at, 1) {
-			r.nodes[1].budget--
+		if r.slowStartAdmits(at, 1) {
+			r.endpoints[1].slowStartBudget--
 			sent++
 		}
 	}
-	most := r.site.OverloadFactor * r.site.SlowStartFloor * r.warmRate * r.site.OverloadWindow
+	most := r.config.OverloadFactor * r.config.SlowStartFloor * r.warmRate * r.config.OverloadWindow
 	assert.Positive(t, sent)
 	assert.LessOrEqual(t, float64(sent), most, "over one fall span")
 }
@@ -253,8 +253,8 @@
 		r.UpdateEndpoints(10, []EndpointInfo{{State: Ready, StartedAt: 9}}, true, false)
 		r.warmRate = 0.1
 		for at := 10.0; at < 12; at += 0.1 {
-			if r.coldRoom(at, 0) {
-				r.nodes[0].budget--
+			if r.slowStartAdmits(at, 0) {
+				r.endpoints[0].slowStartBudget--
 				sent++
 			}
 		}
@@ -265,48 +265,48 @@
 // Chance connect failures once made warm hosts count as cold and throttled quiet days.
 func TestOneFailedConnectionIsNoRestart(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.nodes[1].unreached(10)
-	r.revive(10.3, &r.nodes[1])
-	assert.True(t, math.IsInf(r.nodes[1].started, -1))
-	r.nodes[1].unreached(10)
-	r.revive(12, &r.nodes[1])
-	assert.True(t, math.IsInf(r.nodes[1].started, -1), "heard rarely, still one failure")
-	r.nodes[1].unreached(10)
-	r.nodes[1].unreached(11)
-	r.revive(12, &r.nodes[1])
-	assert.Equal(t, 12.0, r.nodes[1].started)
+	r.endpoints[1].recordUnreachable(10)
+	r.recordReachable(10.3, &r.endpoints[1])
+	assert.True(t, math.IsInf(r.endpoints[1].startedAt, -1))
+	r.endpoints[1].recordUnreachable(10)
+	r.recordReachable(12, &r.endpoints[1])
+	assert.True(t, math.IsInf(r.endpoints[1].startedAt, -1), "heard rarely, still one failure")
+	r.endpoints[1].recordUnreachable(10)
+	r.endpoints[1].recordUnreachable(11)
+	r.recordReachable(12, &r.endpoints[1])
+	assert.Equal(t, 12.0, r.endpoints[1].startedAt)
 }
 
 // A hung host keeps its last position and would go on qualifying.
 func TestSilentNodeIsDoubtedUntilItAnswers(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.lat = 0.05
-	n := &r.nodes[1]
-	n.out, n.unheard, n.since = 4, 4, 10
-	assert.False(t, r.doubted(10.05, 1))
-	assert.True(t, r.doubted(10.2, 1))
-	n.out = 0
-	assert.True(t, r.doubted(13, 1), "no answer since")
-	n.out = 1
-	c := &Command{Group: gAny, Attempts: []Attempt{{Endpoint: 1, InFlight: true}}, ArrivedAt: 10, ClientDeadline: 14, asked: true}
+	r.latency = 0.05
+	n := &r.endpoints[1]
+	n.queued, n.unanswered, n.unansweredSince = 4, 4, 10
+	assert.False(t, r.suspected(10.05, 1))
+	assert.True(t, r.suspected(10.2, 1))
+	n.queued = 0
+	assert.True(t, r.suspected(13, 1), "no answer since")
+	n.queued = 1
+	c := &Command{Group: gAny, Attempts: []Attempt{{Endpoint: 1, InFlight: true}}, ArrivedAt: 10, ClientDeadline: 14, routed: true}
 	r.AttemptEnded(13, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
-	assert.False(t, r.doubted(13, 1))
+	assert.False(t, r.suspected(13, 1))
 }
 
 // Lost answers once counted as queues and as seconds of work, and primaries looked full.
 func TestLostAnswersAreNoQueue(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.lat, r.places = 0.05, 1
+	r.latency, r.queueLength = 0.05, 1
 	c := command(gWrite)
-	n := &r.nodes[r.Route(10, c).Endpoint]
+	n := &r.endpoints[r.Route(10, c).Endpoint]
 	r.Route(10.1, c)
-	assert.Equal(t, 1, n.out)
-	n.lastGood, n.unheard = 10.2, 0
+	assert.Equal(t, 1, n.queued)
+	n.answeredAt, n.unanswered = 10.2, 0
 	r.Route(11, c)
-	assert.Equal(t, 0, n.out, "overtaken by another answer")
+	assert.Equal(t, 0, n.queued, "overtaken by another answer")
 	r.AttemptEnded(12, c, AttemptResult{Result: TimedOut, Elapsed: 2, Position: -1})
-	assert.Equal(t, 0, n.out)
-	assert.Less(t, n.lat, 0.5)
+	assert.Equal(t, 0, n.queued)
+	assert.Less(t, n.latencySum, 0.5)
 }
 
 // A host that turned all commands away at once looked idle and drew a third of them.
@@ -316,31 +316,31 @@
 	s.TotalWeight, s.WorstGroupWeight = 0.5, 0.25
 	r := testRouter(t, s)
 	for i := range r.groups {
-		r.groups[i].asked, r.groups[i].answered = 100, 90
+		r.groups[i].arrivals, r.groups[i].answeredInTime = 100, 90
 	}
-	r.groups[gAny].answered = 20
-	r.favour()
-	assert.Equal(t, 1.0, r.groups[gBound].weight)
-	assert.InDelta(t, 1+0.5*7, r.groups[gAny].weight, 1e-9, "one seventh of the benefit asked for")
+	r.groups[gAny].answeredInTime = 20
+	r.favourWorstGroup()
+	assert.Equal(t, 1.0, r.groups[gBound].fairnessWeight)
+	assert.InDelta(t, 1+0.5*7, r.groups[gAny].fairnessWeight, 1e-9, "one seventh of the benefit asked for")
 }
 
 func TestTurningAwayIsAFailure(t *testing.T) {
 	r := testRouter(t, testSite())
 	for range 4 {
 		c := command(gAny)
-		c.Attempts, c.asked = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}, true
+		c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}, true
 		r.AttemptEnded(10, c, AttemptResult{Result: Overloaded, Position: -1})
 	}
-	assert.True(t, r.doubted(10, 1))
+	assert.True(t, r.suspected(10, 1))
 }
 
 // Forty routers once doubted all members of all sets, and with nothing sent nothing was learnt.
 func TestWhereAllAreDoubtedOneIsAsked(t *testing.T) {
 	r := testRouter(t, testSite())
-	for i := range r.nodes {
-		r.nodes[i].shunned, r.nodes[i].trialAt = true, 10.6-float64(i)/10
+	for i := range r.endpoints {
+		r.endpoints[i].ejected, r.endpoints[i].recoveryAt = true, 10.6-float64(i)/10
 	}
-	r.triedAt, r.tryGap = 10, 100
+	r.recoveryAt, r.recoveryInterval = 10, 100
 	assert.Equal(t, 2, r.Route(10.1, command(gAny)).Endpoint, "the one that failed longest ago")
 	assert.Equal(t, Wait, r.Route(10.1, command(gAny)).Action, "one dispatch at a time, not too soon")
 }
@@ -351,9 +351,9 @@
 	s := testSite()
 	s.RouterCount = 300
 	r := testRouter(t, s)
-	r.nodes[1].shunned, r.nodes[2].shunned = true, true
-	r.nodes[2].unreached(10)
-	r.cmds, r.waitedAt = 3, 20
+	r.endpoints[1].ejected, r.endpoints[2].ejected = true, true
+	r.endpoints[2].recordUnreachable(10)
+	r.commands, r.maintainedAt = 3, 20
 	_, up := r.Maintain(25)
 	assert.Equal(t, []int{2}, up.HealthCheck)
 }
@@ -364,25 +364,25 @@
 	r := testRouter(t, testSite())
 	for at := 10.0; at < 10.4; at += 0.1 {
 		c := command(gAny)
-		c.Attempts, c.asked = []Attempt{{Endpoint: 1, SentAt: at, InFlight: true}}, true
-		r.nodes[1].unheard++
-		r.nodes[1].since = 10
-		r.nodes[1].legs++
+		c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: at, InFlight: true}}, true
+		r.endpoints[1].unanswered++
+		r.endpoints[1].unansweredSince = 10
+		r.endpoints[1].inFlight++
 		r.AttemptEnded(at+0.05, c, AttemptResult{Result: ConnectFailed, Position: -1})
 	}
-	require.True(t, r.doubted(11, 1))
+	require.True(t, r.suspected(11, 1))
 	r.HealthChecked(11, 1, Answered, 0, 11, false)
-	assert.False(t, r.doubted(12, 1))
-	r.nodes[1].unheard, r.nodes[1].since = 3, 12
+	assert.False(t, r.suspected(12, 1))
+	r.endpoints[1].unanswered, r.endpoints[1].unansweredSince = 3, 12
 	r.HealthChecked(13, 1, Answered, 0, 13, false)
-	assert.True(t, r.doubted(14, 1), "one that was reached and is silent goes on being doubted")
+	assert.True(t, r.suspected(14, 1), "one that was reached and is silent goes on being doubted")
 }
 
 // A member that was doubted as a replica and became the primary got no write, in a set with few reads for ever.
 func TestWriteReachesADoubtedMemberWhereNoPrimaryIsKnown(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.nodes[0].role = RoleReplica // the primary that was, by its own word of late
-	r.nodes[1].shunned = true
+	r.endpoints[0].role = RoleReplica // the primary that was, by its own word of late
+	r.endpoints[1].ejected = true
 	r.UpdateEndpoints(10, []EndpointInfo{listed(0), {Index: 1, State: Ready, StartedAt: math.Inf(-1), Primary: true}, listed(2)}, true, false)
 	at := map[int]int{}
 	for now := 10.05; now < 20; now += 0.5 {
@@ -404,30 +404,30 @@
 // A router that hears each host every few seconds doubted it after one answer that was lost or late.
 func TestOneLostAnswerOfManyRoutersDoubtsNobody(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.lat = 0.05
+	r.latency = 0.05
 	for lost, doubted := range []bool{false, true} {
 		c := command(gAny)
 		c.ArrivedAt = 10 + float64(lost)
 		require.Equal(t, Forward, r.Route(c.ArrivedAt, c).Action)
 		at := c.Attempts[0].Endpoint
-		for i := range r.nodes { // the same node again
-			r.nodes[i].drains = i != at
+		for i := range r.endpoints { // the same node again
+			r.endpoints[i].draining = i != at
 		}
-		c.Attempts[0].late = true
+		c.Attempts[0].overdue = true
 		r.AttemptEnded(c.ArrivedAt+0.1, c, AttemptResult{Result: TimedOut, Elapsed: 0.1, Position: -1, Final: true})
-		assert.Equal(t, doubted, r.doubted(c.ArrivedAt+0.9, at))
+		assert.Equal(t, doubted, r.suspected(c.ArrivedAt+0.9, at))
 	}
 }
 
 // Among many routers no replica is known to cover most reads: that once sent them all to a doubted primary.
 func TestNoLastHopeWhereASoundReplicaMayCover(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.nodes[0].shunned, r.nodes[0].trialAt, r.triedAt, r.tryGap = true, 9, 10, 100
+	r.endpoints[0].ejected, r.endpoints[0].recoveryAt, r.recoveryAt, r.recoveryInterval = true, 9, 10, 100
 	c := uncovered(r)
 	assert.Equal(t, Wait, r.Route(10.2, c).Action)
-	assert.Len(t, r.wanted, 1, "a replica is asked")
-	r.nodes[1].shunned, r.nodes[2].shunned = true, true
-	r.nodes[1].trialAt, r.nodes[2].trialAt = 12, 12
+	assert.Len(t, r.pendingChecks, 1, "a replica is asked")
+	r.endpoints[1].ejected, r.endpoints[2].ejected = true, true
+	r.endpoints[1].recoveryAt, r.endpoints[2].recoveryAt = 12, 12
 	a := r.Route(10.2, c)
 	require.Equal(t, Forward, a.Action, "nobody else is left")
 	assert.Equal(t, 0, a.Endpoint)
@@ -436,14 +436,14 @@
 // Reads that spilled from hundreds of routers overran primaries with writes to do.
 func TestReadDoesNotSpillOnACrowdedPrimary(t *testing.T) {
 	r := testRouter(t, testSite())
-	for i := range r.nodes {
-		r.nodes[i].lat, r.nodes[i].done, r.nodes[i].fadedAt = 0.2, 10, 10.2
+	for i := range r.endpoints {
+		r.endpoints[i].latencySum, r.endpoints[i].answerSum, r.endpoints[i].decayedAt = 0.2, 10, 10.2
 	}
-	r.lat, r.reads[2], r.slotAt = 0.02, 10, 102
-	r.nodes[0].lat = 2
+	r.latency, r.reads[2], r.slotAt = 0.02, 10, 102
+	r.endpoints[0].latencySum = 2
 	c := uncovered(r)
 	assert.Equal(t, Wait, r.Route(10.2, c).Action)
-	r.nodes[1].lat, r.nodes[2].lat = 2, 2
+	r.endpoints[1].latencySum, r.endpoints[2].latencySum = 2, 2
 	a := r.Route(10.2, c)
 	require.Equal(t, Forward, a.Action)
 	assert.Equal(t, 0, a.Endpoint, "the replicas are no better")
@@ -469,10 +469,10 @@
 		s := testSite()
 		s.Instance, s.RouterCount = me, 1000
 		r := testRouter(t, s)
-		r.nodes[1].started, r.nodes[1].budgetAt = 10, 10.2
+		r.endpoints[1].startedAt, r.endpoints[1].slowStartBudgetAt = 10, 10.2
 		c := uncovered(r)
 		require.Equal(t, Wait, r.Route(10.2, c).Action)
-		assert.Equal(t, []int{2}, r.wanted, "router %d", me)
+		assert.Equal(t, []int{2}, r.pendingChecks, "router %d", me)
 	}
 }
 
@@ -486,10 +486,10 @@
 		s.RouterCount = many
 		r := New(s, chances(seed))
 		r.UpdateEndpoints(10, []EndpointInfo{{State: Ready, StartedAt: 10}}, true, false)
-		r.base = work
+		r.serviceTime = work
 		for at := 10.0; at < 20; at += 0.1 {
-			if r.coldRoom(at, 0) {
-				r.nodes[0].budget--
+			if r.slowStartAdmits(at, 0) {
+				r.endpoints[0].slowStartBudget--
 				sent++
 			}
 		}
@@ -502,11 +502,11 @@
 // A router that hears a member every few seconds doubted it after a single failure.
 func TestOneFailureAloneDoubtsNobody(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.fade = 5 * memorySpan
-	r.blame(10, &r.nodes[1])
-	assert.False(t, r.doubted(10, 1))
-	r.blame(12, &r.nodes[1])
-	assert.True(t, r.doubted(12, 1), "two are remembered where dispatches are rare")
+	r.decayTime = 5 * decayObjectives
+	r.recordFailure(10, &r.endpoints[1])
+	assert.False(t, r.suspected(10, 1))
+	r.recordFailure(12, &r.endpoints[1])
+	assert.True(t, r.suspected(12, 1), "two are remembered where dispatches are rare")
 }
 
 // A hundred routers once probed every member at the tightest bound.
@@ -545,7 +545,7 @@
 		r.UpdateEndpoints(0, list, true, true)
 		for now := 0.0; now < 4; now += 0.2 {
 			c := command(gAny)
-			c.Shard, c.ArrivedAt, c.ClientDeadline = r.chance(hosts/6), now, now+2
+			c.Shard, c.ArrivedAt, c.ClientDeadline = r.randomInt(hosts/6), now, now+2
 			if a := r.Route(now, c); a.Action == Forward {
 				r.AttemptEnded(now+0.05, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
 			}
@@ -576,7 +576,7 @@
 			c.ArrivedAt, c.ClientDeadline = now, now+2
 			require.Equal(t, Forward, r.Route(now, c).Action)
 			taken[c.Attempts[0].Endpoint]++
-			if c.Attempts[0].fresh {
+			if c.Attempts[0].newConnection {
 				fresh++
 			}
 			r.AttemptEnded(now+0.02, c, AttemptResult{Result: Answered, Elapsed: 0.02, Position: -1, Final: true})
@@ -591,7 +591,7 @@
 // Where every member gets commands while a position is good, it is looked up before it is asked for.
 func TestBusyRouterLooksPositionsUp(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.cmds, r.waitedAt = 200, 10
+	r.commands, r.maintainedAt = 200, 10
 	_, up := r.Maintain(10.5)
 	assert.ElementsMatch(t, []int{0, 1, 2}, up.HealthCheck)
 }
@@ -600,18 +600,18 @@
 // room once had a probe every 100 ms.
 func TestNoPositionIsAskedForThatIsKnown(t *testing.T) {
 	r := testRouter(t, testSite())
-	for i := range r.nodes {
-		r.nodes[i].lat, r.nodes[i].done, r.nodes[i].out, r.nodes[i].lastGood = 400, 100, 9, 10.25
+	for i := range r.endpoints {
+		r.endpoints[i].latencySum, r.endpoints[i].answerSum, r.endpoints[i].queued, r.endpoints[i].answeredAt = 400, 100, 9, 10.25
 	}
 	c := command(gBound)
 	c.ArrivedAt, c.ClientDeadline = 10.25, 12.25
 	require.Equal(t, Wait, r.Route(10.25, c).Action)
-	assert.Empty(t, r.wanted, "both replicas cover it")
-	for i := range r.nodes {
-		r.nodes[i].pos = 9.5
+	assert.Empty(t, r.pendingChecks, "both replicas cover it")
+	for i := range r.endpoints {
+		r.endpoints[i].position = 9.5
 	}
 	require.Equal(t, Wait, r.Route(10.25, c).Action)
-	assert.Len(t, r.wanted, 1)
+	assert.Len(t, r.pendingChecks, 1)
 }
 
 // A read that goes to the primary at once has no replica asked for it.
@@ -623,30 +623,30 @@
 	a := r.Route(10.2, c)
 	require.Equal(t, Forward, a.Action)
 	assert.Equal(t, 0, a.Endpoint)
-	assert.Empty(t, r.wanted)
+	assert.Empty(t, r.pendingChecks)
 }
 
 func TestHealthIsAgainstTheFleetsMedian(t *testing.T) {
 	r := testRouter(t, testSite())
-	for i := range r.nodes {
-		r.nodes[i].bad, r.nodes[i].all, r.nodes[i].fadedAt = 4, 8, 10
+	for i := range r.endpoints {
+		r.endpoints[i].failureSum, r.endpoints[i].resultSum, r.endpoints[i].decayedAt = 4, 8, 10
 	}
-	r.weigh(10)
-	assert.False(t, r.doubted(10, 1), "all fail alike: no node stands out")
-	r.nodes[1].bad, r.nodes[1].all = 8, 8
-	assert.True(t, r.doubted(10, 1))
+	r.updateFleet(10)
+	assert.False(t, r.suspected(10, 1), "all fail alike: no node stands out")
+	r.endpoints[1].failureSum, r.endpoints[1].resultSum = 8, 8
+	assert.True(t, r.suspected(10, 1))
 }
 
 func TestOverdueReadIsCalledOff(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.lat = 0.02
+	r.latency = 0.02
 	c := command(gAny)
 	a := r.Route(10, c)
-	n := &r.nodes[a.Endpoint]
-	n.unheard = 8
+	n := &r.endpoints[a.Endpoint]
+	n.unanswered = 8
 	b := r.Route(10.4, c)
 	assert.Equal(t, 0, b.CancelAttempt)
-	assert.Positive(t, n.bad, "a hang is seen by what is overdue")
+	assert.Positive(t, n.failureSum, "a hang is seen by what is overdue")
 	w := command(gWrite)
 	w.Attempts = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}
 	assert.Equal(t, -1, r.Route(10.4, w).CancelAttempt, "a mutating command is never called off for a repeat")
@@ -664,23 +664,23 @@
 func TestRoomFollowsBenefitForWork(t *testing.T) {
 	r := testRouter(t, testSite())
 	for i := range r.groups {
-		r.groups[i].work = 0.05
+		r.groups[i].serviceTime = 0.05
 	}
-	r.groups[gAny].work, r.groups[gAny].LatencyObjective = 0.1, 2
-	assert.Less(t, r.roomOf(gAny, false), r.roomOf(gBound, false))
-	assert.Less(t, r.roomOf(gBound, true), r.roomOf(gWrite, true), "the write has the most benefit")
+	r.groups[gAny].serviceTime, r.groups[gAny].LatencyObjective = 0.1, 2
+	assert.Less(t, r.queueLimitOf(gAny, false), r.queueLimitOf(gBound, false))
+	assert.Less(t, r.queueLimitOf(gBound, true), r.queueLimitOf(gWrite, true), "the write has the most benefit")
 	// A hundred routers that see nothing of a queue once held back by a few stray answers.
 	r.warmRate = 4
-	assert.InDelta(t, roomShare*0.45, r.roomOf(gBound, false), 1e-9)
+	assert.InDelta(t, queueShare*0.45, r.queueLimitOf(gBound, false), 1e-9)
 	r.warmRate = 0
-	assert.InDelta(t, (roomShare+blindShare)*0.45, r.roomOf(gBound, false), 1e-9)
-	r.base = 0.05
-	n := &r.nodes[1]
-	n.lat, n.places, n.done, n.out = 2, 50, 10, 5
+	assert.InDelta(t, (queueShare+lowTrafficQueueShare)*0.45, r.queueLimitOf(gBound, false), 1e-9)
+	r.serviceTime = 0.05
+	n := &r.endpoints[1]
+	n.latencySum, n.queueSum, n.answerSum, n.queued = 2, 50, 10, 5
 	c := command(gBound)
-	assert.True(t, r.fits(10, c, &r.groups[gBound], 1, 0.2))
+	assert.True(t, r.admits(10, c, &r.groups[gBound], 1, 0.2))
 	c.ClientRetry = true
-	assert.False(t, r.fits(10, c, &r.groups[gBound], 1, 0.2), "a client's repeat")
+	assert.False(t, r.admits(10, c, &r.groups[gBound], 1, 0.2), "a client's repeat")
 }
 
 // Eight routers' single free places once filled hosts of four cores twice over.
@@ -688,27 +688,27 @@
 	s := testSite()
 	s.RouterCount = 12
 	r := testRouter(t, s)
-	r.base, r.lat, r.places = 0.01, 0.1, 1
-	r.nodes[1].lastGood = 10
+	r.serviceTime, r.latency, r.queueLength = 0.01, 0.1, 1
+	r.endpoints[1].answeredAt = 10
 	c := command(gAny)
-	assert.False(t, r.fits(10.1, c, &r.groups[gAny], 1, 0), "just answered: the others' turn")
-	assert.True(t, r.fits(10.35, c, &r.groups[gAny], 1, 0))
-	r.site.RouterCount = 3
-	assert.True(t, r.fits(10.1, c, &r.groups[gAny], 1, 0))
+	assert.False(t, r.admits(10.1, c, &r.groups[gAny], 1, 0), "just answered: the others' turn")
+	assert.True(t, r.admits(10.35, c, &r.groups[gAny], 1, 0))
+	r.config.RouterCount = 3
+	assert.True(t, r.admits(10.1, c, &r.groups[gAny], 1, 0))
 }
 
 // Queues once passed for work under load, and crowded replicas stopped applying the log.
 func TestWorkIsTheLeastMean(t *testing.T) {
 	r := testRouter(t, testSite())
-	g, n, l := &r.groups[gAny], &r.nodes[1], &Attempt{Endpoint: 1}
+	g, n, l := &r.groups[gAny], &r.endpoints[1], &Attempt{Endpoint: 1}
 	c := command(gAny)
 	for range 8 {
-		r.learn(10, c, g, n, l, AttemptResult{Elapsed: 0.1, Position: -1})
+		r.recordAnswer(10, c, g, n, l, AttemptResult{Elapsed: 0.1, Position: -1})
 	}
 	for k := range 80 {
-		r.learn(10+float64(k)/100, c, g, n, l, AttemptResult{Elapsed: 1, Position: -1})
+		r.recordAnswer(10+float64(k)/100, c, g, n, l, AttemptResult{Elapsed: 1, Position: -1})
 	}
-	assert.InDelta(t, 0.15, g.work, 0.06)
+	assert.InDelta(t, 0.15, g.serviceTime, 0.06)
 }
 
 // The first answer alone once stood for a group's work for minutes: at three commands a second the
@@ -716,27 +716,27 @@
 func TestFirstAnswersCountAlike(t *testing.T) {
 	r := testRouter(t, testSite())
 	for i, took := range []float64{0.01, 0.2, 0.2, 0.2} {
-		r.learn(10, command(gAny), &r.groups[gAny], &r.nodes[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: took, Position: -1})
+		r.recordAnswer(10, command(gAny), &r.groups[gAny], &r.endpoints[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: took, Position: -1})
 		seen, a := 0.01+0.2*float64(i), float64(i+1)
-		assert.InDelta(t, (seen+priorWeight*workShare*0.5)/(a+priorWeight), r.groups[gAny].work, 1e-9,
+		assert.InDelta(t, (seen+priorWeight*assumedServiceShare*0.5)/(a+priorWeight), r.groups[gAny].serviceTime, 1e-9,
 			"leaning on a quarter of the target")
 	}
-	assert.InDelta(t, r.groups[gAny].work, r.lat, 0.05, "the lucky first one is no more than one of four")
-	r.heard, r.base, r.lat, r.groups[gAny].work, r.groups[gAny].weighedAt = 100, 0.1, 0.1, 0.1, 10
-	r.learn(10, command(gAny), &r.groups[gAny], &r.nodes[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: 100, Position: -1})
-	assert.InDelta(t, 0.11, r.lat, 1e-9, "nor does one met in a jam: a twentieth of three mean works")
+	assert.InDelta(t, r.groups[gAny].serviceTime, r.latency, 0.05, "the lucky first one is no more than one of four")
+	r.answers, r.serviceTime, r.latency, r.groups[gAny].serviceTime, r.groups[gAny].batchedAt = 100, 0.1, 0.1, 0.1, 10
+	r.recordAnswer(10, command(gAny), &r.groups[gAny], &r.endpoints[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: 100, Position: -1})
+	assert.InDelta(t, 0.11, r.latency, 1e-9, "nor does one met in a jam: a twentieth of three mean works")
 }
 
 // A write went back to the primary that had just turned it away as full: 1.8 attempts a command in a burst.
 func TestFullMemberRestsForAMeanWork(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.base, r.lat = 0.1, 0.1
+	r.serviceTime, r.latency = 0.1, 0.1
 	c := command(gWrite)
 	r.Route(10, c)
 	assert.Equal(t, Wait, r.AttemptEnded(10.001, c, AttemptResult{Result: Overloaded, Elapsed: 0.001, Position: -1}).Action)
 	assert.Equal(t, Wait, r.Route(10.05, c).Action)
-	n := &r.nodes[0]
-	n.lat, n.done = 0, 0 // what it told of its pace is another matter
+	n := &r.endpoints[0]
+	n.latencySum, n.answerSum = 0, 0 // what it told of its pace is another matter
 	a := r.Route(10.102, c)
 	assert.Equal(t, Forward, a.Action)
 	assert.Equal(t, 0, a.Endpoint)
@@ -747,14 +747,14 @@
 func TestWhatWasNotWaitedForIsNotQuick(t *testing.T) {
 	for at, left := range map[int][2]float64{1: {0.01, 0.11}, 2: {9, 9.1}} { // when, and what it counts as
 		r := testRouter(t, testSite())
-		r.base, r.lat, r.groups[gAny].work = 0.1, 0.1, 0.1
+		r.serviceTime, r.latency, r.groups[gAny].serviceTime = 0.1, 0.1, 0.1
 		c := command(gAny)
-		c.Attempts, c.asked = []Attempt{{Endpoint: at, SentAt: 10, InFlight: true}}, true
+		c.Attempts, c.routed = []Attempt{{Endpoint: at, SentAt: 10, InFlight: true}}, true
 		r.AttemptEnded(10+left[0], c, AttemptResult{Result: Canceled, Elapsed: left[0], Final: true, Position: -1})
-		assert.InDelta(t, left[1], r.nodes[at].lat, 1e-9)
-		assert.InDelta(t, left[1], r.sets[0].lat, 1e-9)
-		told := math.Min(left[1]/0.1, mostStretch)
-		assert.InDelta(t, 1+groupWeight*(told-1), r.groups[gAny].stretch, 1e-9)
+		assert.InDelta(t, left[1], r.endpoints[at].latencySum, 1e-9)
+		assert.InDelta(t, left[1], r.shards[0].latencySum, 1e-9)
+		told := math.Min(left[1]/0.1, maxTailFactor)
+		assert.InDelta(t, 1+averageWeight*(told-1), r.groups[gAny].tailFactor, 1e-9)
 	}
 }
 
@@ -764,24 +764,24 @@
 	s := testSite()
 	s.RouterCount = 300
 	r := testRouter(t, s)
-	r.base, r.lat, r.groups[gAny].work = 0.05, 0.05, 0.05
+	r.serviceTime, r.latency, r.groups[gAny].serviceTime = 0.05, 0.05, 0.05
 	r.UpdateEndpoints(0, []EndpointInfo{{Index: 5, Shard: 1, State: Ready, StartedAt: math.Inf(-1)}}, false, false)
-	other := r.mean(&r.nodes[5])
+	other := r.meanLatency(&r.endpoints[5])
 	for k := range 3 {
 		c := command(gAny)
-		c.Attempts, c.asked = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}, true
-		r.nodes[1].legs, r.nodes[1].out = 1, 1
+		c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}, true
+		r.endpoints[1].inFlight, r.endpoints[1].queued = 1, 1
 		r.AttemptEnded(10.5+float64(k)*0.01, c, AttemptResult{Result: TimedOut, Elapsed: 0.5, Final: true, Position: -1})
 	}
-	assert.Greater(t, r.mean(&r.nodes[2]), 4*other)
-	assert.InDelta(t, other, r.mean(&r.nodes[5]), 1e-9)
+	assert.Greater(t, r.meanLatency(&r.endpoints[2]), 4*other)
+	assert.InDelta(t, other, r.meanLatency(&r.endpoints[5]), 1e-9)
 	c := command(gAny)
 	c.ArrivedAt, c.ClientDeadline = 10.6, 12
 	assert.Equal(t, Wait, r.Route(10.6, c).Action, "it would come too late everywhere in the set")
 	c = command(gAny)
 	c.Shard, c.ArrivedAt, c.ClientDeadline = 1, 10.6, 12
 	assert.Equal(t, 5, r.Route(10.6, c).Endpoint)
-	later := 10.6 + 4*memorySpan*r.span // what it showed fades in the time of some targets
+	later := 10.6 + 4*decayObjectives*r.longestObjective // what it showed fades in the time of some targets
 	c = command(gAny)
 	c.ArrivedAt, c.ClientDeadline = later, later+1.4
 	assert.Equal(t, Forward, r.Route(later, c).Action)
@@ -800,11 +800,11 @@
 	r.EndpointListFailed(10.1)
 	next, up := r.Maintain(10.2)
 	assert.False(t, up.Subscribe)
-	assert.InDelta(t, r.followAt, 10.2+next, 1e-9)
-	assert.Less(t, r.followAt, 10.1+askShare*r.site.PollWindow+1e-9)
-	_, up = r.Maintain(r.followAt)
+	assert.InDelta(t, r.pollAt, 10.2+next, 1e-9)
+	assert.Less(t, r.pollAt, 10.1+pollRetryShare*r.config.PollWindow+1e-9)
+	_, up = r.Maintain(r.pollAt)
 	assert.True(t, up.Subscribe)
-	next, _ = r.Maintain(r.followAt)
+	next, _ = r.Maintain(r.pollAt)
 	assert.Positive(t, next)
 	r.UpdateEndpoints(12, nil, false, false)
 	next, up = r.Maintain(12)
@@ -832,35 +832,35 @@
 // With slow handshakes each dispatch that ran out of time lost a connection that could not be replaced.
 func TestStandingConnectionsAreKeptWhereNewOnesAreDear(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.lat = 0.05
+	r.latency = 0.05
 	c := command(gAny)
-	c.Attempts, c.asked = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true, fresh: true}}, true
+	c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true, newConnection: true}}, true
 	r.AttemptEnded(10.25, c, AttemptResult{Result: Answered, Elapsed: 0.25, Position: -1, Final: true})
-	assert.InDelta(t, groupWeight*(0.25-0.05), r.dial, 0.005)
-	assert.Equal(t, 1, r.nodes[1].idle, "its connection stands")
+	assert.InDelta(t, averageWeight*(0.25-0.05), r.connectCost, 0.005)
+	assert.Equal(t, 1, r.endpoints[1].idleConnections, "its connection stands")
 	failed := command(gAny)
-	failed.Attempts, failed.asked = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true, fresh: true}}, true
+	failed.Attempts, failed.routed = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true, newConnection: true}}, true
 	r.AttemptEnded(10.26, failed, AttemptResult{Result: ConnectFailed, Elapsed: 0.25, Position: -1, Final: true})
-	assert.InDelta(t, dialWeight*0.25, r.dial, 0.01, "a failed one weighs more")
-	r.revive(10.26, &r.nodes[1])
-	r.dial, r.base, r.lat, r.nodes[1].done = 0.2, 0.05, 0.05, 0
-	r.nodes[1].lat, r.nodes[1].places, r.groups[gAny].work = 0, 0, 0.05
+	assert.InDelta(t, connectFailureWeight*0.25, r.connectCost, 0.01, "a failed one weighs more")
+	r.recordReachable(10.26, &r.endpoints[1])
+	r.connectCost, r.serviceTime, r.latency, r.endpoints[1].answerSum = 0.2, 0.05, 0.05, 0
+	r.endpoints[1].latencySum, r.endpoints[1].queueSum, r.groups[gAny].serviceTime = 0, 0, 0.05
 	for range 5 {
-		assert.Equal(t, 1, r.pick(10.1, command(gAny), &r.groups[gAny], 0), "node 2 has none")
+		assert.Equal(t, 1, r.pickReplica(10.1, command(gAny), &r.groups[gAny], 0), "node 2 has none")
 	}
 	assert.Equal(t, 12.0, r.Route(10.1, command(gAny)).AttemptDeadline, "nor is it lost at the target")
-	assert.Zero(t, r.nodes[1].idle)
+	assert.Zero(t, r.endpoints[1].idleConnections)
 }
 
 // One heavy answer among three once made a primary look full for seconds.
 func TestHeavyCommandIsNoQueue(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.base, r.groups[gAny].work = 0.1, 0.2
-	r.measure(&r.groups[gAny], &r.nodes[1], &Attempt{}, 0.25)
-	assert.InDelta(t, 0.125, r.nodes[1].lat, 1e-9, "twice the mean work: half of what it took beyond")
-	r.groups[gSession].work = 0.05
-	r.measure(&r.groups[gSession], &r.nodes[2], &Attempt{}, 0.25)
-	assert.InDelta(t, 0.3, r.nodes[2].lat, 1e-9, "a light one's is all queue")
+	r.serviceTime, r.groups[gAny].serviceTime = 0.1, 0.2
+	r.recordLatency(&r.groups[gAny], &r.endpoints[1], &Attempt{}, 0.25)
+	assert.InDelta(t, 0.125, r.endpoints[1].latencySum, 1e-9, "twice the mean work: half of what it took beyond")
+	r.groups[gSession].serviceTime = 0.05
+	r.recordLatency(&r.groups[gSession], &r.endpoints[2], &Attempt{}, 0.25)
+	assert.InDelta(t, 0.3, r.endpoints[2].latencySum, 1e-9, "a light one's is all queue")
 }
 
 // Reports of a second and a half among reads of a tenth: each was blamed on its member while it ran, and
@@ -869,19 +869,19 @@
 	s := testSite()
 	s.CommandGroups[gAny].LatencyObjective, s.CommandGroups[gAny].ClientTimeout = 6, 12
 	r := testRouter(t, s)
-	assert.Equal(t, 0.5, r.span, "how soon one must know goes by what needs fresh data")
-	r.lat, r.base, r.places = 0.1, 0.1, 1
+	assert.Equal(t, 0.5, r.longestObjective, "how soon one must know goes by what needs fresh data")
+	r.latency, r.serviceTime, r.queueLength = 0.1, 0.1, 1
 	c := command(gAny)
 	c.ClientDeadline = 22
 	a := r.Route(10, c)
 	assert.Equal(t, Forward, a.Action)
 	for now := 10.1; now < 13; now += 0.1 {
 		assert.Equal(t, -1, r.Route(now, c).CancelAttempt)
-		assert.False(t, r.doubted(now, a.Endpoint), "at %v", now)
+		assert.False(t, r.suspected(now, a.Endpoint), "at %v", now)
 	}
 	r.AttemptEnded(13, c, AttemptResult{Result: Answered, Elapsed: 3, Final: true, Position: -1})
-	assert.InDelta(t, 0.1, r.mean(&r.nodes[a.Endpoint]), 0.05)
-	assert.Equal(t, 0.1, r.base)
+	assert.InDelta(t, 0.1, r.meanLatency(&r.endpoints[a.Endpoint]), 0.05)
+	assert.Equal(t, 0.1, r.serviceTime)
 }
 
 // Spread evenly, reads of any age that run for seconds stopped the log of every replica of their set, and other
@@ -899,17 +899,17 @@
 		assert.Equal(t, 1, heavy(), "the first listed replica")
 	}
 	for range 20 {
-		assert.Equal(t, 2, r.pick(10, command(gBound), &r.groups[gBound], 10), "others leave it alone")
+		assert.Equal(t, 2, r.pickReplica(10, command(gBound), &r.groups[gBound], 10), "others leave it alone")
 	}
-	r.nodes[2].pos = 9.5
+	r.endpoints[2].position = 9.5
 	c := command(gBound)
-	c.need = 9.9
-	r.ask(10.2, c, 0)
-	assert.Equal(t, []int{2}, r.wanted, "nor is it asked for its position")
-	assert.Equal(t, 1, r.pick(10, command(gBound), &r.groups[gBound], 10), "where another will do")
-	r.nodes[1].lat, r.nodes[1].done, r.nodes[1].lastGood, r.lat = 400, 100, 10, 0.1
+	c.requiredPosition = 9.9
+	r.checkPosition(10.2, c, 0)
+	assert.Equal(t, []int{2}, r.pendingChecks, "nor is it asked for its position")
+	assert.Equal(t, 1, r.pickReplica(10, command(gBound), &r.groups[gBound], 10), "where another will do")
+	r.endpoints[1].latencySum, r.endpoints[1].answerSum, r.endpoints[1].answeredAt, r.latency = 400, 100, 10, 0.1
 	assert.Equal(t, 0, heavy(), "the primary, whose log nothing stops, where it has no room")
-	r.nodes[1].unreached(10)
+	r.endpoints[1].recordUnreachable(10)
 	assert.Equal(t, 2, heavy(), "the next once it is out of reach")
 }
 
@@ -919,21 +919,21 @@
 		s := testSite()
 		s.Zone = 1
 		r := testRouter(t, s)
-		r.nodes[2].zone = 1
+		r.endpoints[2].zone = 1
 		if r.warmRate = 0.1; !thin {
 			r.warmRate = 10
 		}
 		var met [3]int
 		for range 40 {
-			met[r.pick(10, command(gAny), &r.groups[gAny], 0)]++
+			met[r.pickReplica(10, command(gAny), &r.groups[gAny], 0)]++
 		}
 		assert.Equal(t, thin, met[1] == 0)
-		r.nodes[2].lat, r.nodes[2].done, r.lat = 100, 100, 0.01
-		assert.Equal(t, 1, r.pick(10, command(gAny), &r.groups[gAny], 0), "a crowded one is left")
+		r.endpoints[2].latencySum, r.endpoints[2].answerSum, r.latency = 100, 100, 0.01
+		assert.Equal(t, 1, r.pickReplica(10, command(gAny), &r.groups[gAny], 0), "a crowded one is left")
 		c := uncovered(r)
-		c.need = 9.9
-		r.ask(10.2, c, 0)
-		assert.Equal(t, thin, r.wanted[0] == 2, "positions are asked for there too")
+		c.requiredPosition = 9.9
+		r.checkPosition(10.2, c, 0)
+		assert.Equal(t, thin, r.pendingChecks[0] == 2, "positions are asked for there too")
 	}
 }
 
@@ -945,23 +945,23 @@
 		c.Attempts = []Attempt{{Endpoint: 1, InFlight: true}}
 		assert.Equal(t, 0, r.ClientGone(10.1, c), "its dispatch is called off")
 	}
-	assert.InDelta(t, 10.1, r.horizon(command(gAny), &r.groups[gAny]), 0.001)
-	assert.Equal(t, 10.5, r.horizon(command(gBound), &r.groups[gBound]))
+	assert.InDelta(t, 10.1, r.usefulUntil(command(gAny), &r.groups[gAny]), 0.001)
+	assert.Equal(t, 10.5, r.usefulUntil(command(gBound), &r.groups[gBound]))
 	// A router that stalled once took its own lateness for leaving clients and never sent again.
 	r.Maintain(11)
 	r.Maintain(20)
-	assert.Equal(t, 10.5, r.horizon(command(gAny), &r.groups[gAny]), "not seen again, it is forgotten")
+	assert.Equal(t, 10.5, r.usefulUntil(command(gAny), &r.groups[gAny]), "not seen again, it is forgotten")
 }
 
 func TestEvictedTokensRaiseTheFloor(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.young[1], r.sets[0].top = session{token: 9}, 9
-	span := keepSpans * 2.0
-	r.forget(10 + span)
-	assert.Contains(t, r.old, uint64(1))
-	r.forget(10 + 2*span)
-	assert.NotContains(t, r.old, uint64(1))
-	assert.Equal(t, 9.0, r.sets[0].floor)
+	r.youngSessions[1], r.shards[0].newestPosition = session{lastWrite: 9}, 9
+	span := retentionTimeouts * 2.0
+	r.expireSessions(10 + span)
+	assert.Contains(t, r.oldSessions, uint64(1))
+	r.expireSessions(10 + 2*span)
+	assert.NotContains(t, r.oldSessions, uint64(1))
+	assert.Equal(t, 9.0, r.shards[0].positionFloor)
 }
 
 func TestListCallsBackOff(t *testing.T) {
@@ -973,7 +973,7 @@
 	last := 0.0
 	for range 4 {
 		r.EndpointListFailed(10)
-		gap := r.followAt - 10
+		gap := r.pollAt - 10
 		assert.Greater(t, gap, last/2)
 		last = gap
 	}
@@ -987,8 +987,8 @@
 
 func TestCommandNeverSentIsGivenUpByHalfOfItsClientsTime(t *testing.T) {
 	r := testRouter(t, testSite())
-	for i := range r.nodes {
-		r.nodes[i].drains = true
+	for i := range r.endpoints {
+		r.endpoints[i].draining = true
 	}
 	c := command(gAny)
 	c.ClientDeadline = 10.4 // well before the target
@@ -996,33 +996,33 @@
 	assert.Equal(t, Reject, r.Route(10.195, c).Action, "in time for a look a tick later")
 	c = command(gAny)
 	c.ClientDeadline = 10.4
-	r.nodes[1].drains = false
+	r.endpoints[1].draining = false
 	require.Equal(t, Forward, r.Route(10, c).Action)
-	r.nodes[2].drains = false
+	r.endpoints[2].draining = false
 	assert.Equal(t, Forward, r.AttemptEnded(10.25, c, AttemptResult{Result: Overloaded, Position: -1}).Action, "one that was sent goes on")
 }
 
 func TestRowOfAGoneNodeIsLetGoAndStartsClean(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.nodes[2].set, r.nodes[2].started = 0, 9
+	r.endpoints[2].shard, r.endpoints[2].startedAt = 0, 9
 	gone := listed(2)
 	gone.State = Removed
 	r.UpdateEndpoints(10, []EndpointInfo{gone}, false, false)
-	span := r.site.SlowStart + keepSpans*r.longest
-	r.nodes[2].legs = 1
+	span := r.config.SlowStart + retentionTimeouts*r.longestTimeout
+	r.endpoints[2].inFlight = 1
 	_, up := r.Maintain(11 + span)
 	assert.Empty(t, up.Release, "a dispatch is out there")
-	r.nodes[2].legs = 0
+	r.endpoints[2].inFlight = 0
 	_, up = r.Maintain(9 + span)
 	assert.Empty(t, up.Release, "a list may flap")
 	_, up = r.Maintain(12 + span)
 	assert.Equal(t, []int{2}, up.Release)
-	assert.Equal(t, []int{0, 1}, r.sets[0].nodes)
+	assert.Equal(t, []int{0, 1}, r.shards[0].endpoints)
 	_, up = r.Maintain(13 + span)
 	assert.Empty(t, up.Release, "once")
 	r.UpdateEndpoints(14+span, []EndpointInfo{{Index: 2, Shard: 1, State: Ready, StartedAt: math.Inf(-1)}}, false, false)
-	assert.True(t, r.usable(&r.nodes[2]))
-	assert.True(t, math.IsInf(r.nodes[2].pos, -1), "nothing of the one before counts")
+	assert.True(t, r.eligible(&r.endpoints[2]))
+	assert.True(t, math.IsInf(r.endpoints[2].position, -1), "nothing of the one before counts")
 	_, up = r.Maintain(99 + span)
 	assert.Empty(t, up.Release, "what is listed stays")
 }
@@ -1043,24 +1043,24 @@
 
 func TestShortSilenceDoubtsNobodyHoweverQuickAnswersAre(t *testing.T) {
 	r := testRouter(t, testSite())
-	n := &r.nodes[1]
-	n.lat, n.done, n.fadedAt = 0.02, 10, 10 // 2 ms each
-	n.unheard, n.since = 3, 10
-	assert.False(t, r.doubted(10.04, 1), "twenty answer times, but little of a target")
-	assert.True(t, r.doubted(10.06, 1))
+	n := &r.endpoints[1]
+	n.latencySum, n.answerSum, n.decayedAt = 0.02, 10, 10 // 2 ms each
+	n.unanswered, n.unansweredSince = 3, 10
+	assert.False(t, r.suspected(10.04, 1), "twenty answer times, but little of a target")
+	assert.True(t, r.suspected(10.06, 1))
 }
 
 func TestLostAnswerIsTriedAgainElsewhereInTime(t *testing.T) {
 	for left, again := range map[float64]bool{0.4: true, 0.02: false} {
 		r := testRouter(t, testSite())
-		for i := range r.nodes {
-			r.nodes[i].lat, r.nodes[i].done, r.nodes[i].fadedAt = 0.1, 10, 10 // 10 ms each
+		for i := range r.endpoints {
+			r.endpoints[i].latencySum, r.endpoints[i].answerSum, r.endpoints[i].decayedAt = 0.1, 10, 10 // 10 ms each
 		}
 		c := command(gAny)
 		c.ClientDeadline = 10.1 + left
 		require.Equal(t, Forward, r.Route(10, c).Action)
-		n := &r.nodes[c.Attempts[0].Endpoint]
-		n.lastGood, n.unheard = 10.05, 0 // it has answered others since
+		n := &r.endpoints[c.Attempts[0].Endpoint]
+		n.answeredAt, n.unanswered = 10.05, 0 // it has answered others since
 		a := r.Route(10.1, c)
 		assert.Equal(t, again, a.CancelAttempt == 0, "%v seconds are left", left)
 	}
@@ -1070,10 +1070,10 @@
 	for effect, recall := range map[Idempotency]int{IdempotentWithKey: 0, NonIdempotent: -1} {
 		r := testRouter(t, testSite())
 		r.groups[gWrite].Idempotency = effect
-		r.nodes[0].lat, r.nodes[0].done, r.nodes[0].fadedAt = 0.1, 10, 10
+		r.endpoints[0].latencySum, r.endpoints[0].answerSum, r.endpoints[0].decayedAt = 0.1, 10, 10
 		c := command(gWrite)
 		require.Equal(t, 0, r.Route(10, c).Endpoint)
-		r.nodes[0].lastGood, r.nodes[0].unheard = 10.05, 0
+		r.endpoints[0].answeredAt, r.endpoints[0].unanswered = 10.05, 0
 		assert.Equal(t, recall, r.Route(10.1, c).CancelAttempt)
 		if effect == IdempotentWithKey {
 			a := r.AttemptEnded(10.1, c, AttemptResult{Result: Canceled, Position: -1})
@@ -1086,10 +1086,10 @@
 func TestFewEarlyLeaversDoNotCutOthersTime(t *testing.T) {
 	r := testRouter(t, testSite())
 	g := &r.groups[gAny]
-	g.left, g.stay = 0.2, 0.01
-	assert.Equal(t, 10.5, r.horizon(command(gAny), g))
-	g.left = 0.6
-	assert.Equal(t, 10.01, r.horizon(command(gAny), g))
+	g.leaverShare, g.leaverStay = 0.2, 0.01
+	assert.Equal(t, 10.5, r.usefulUntil(command(gAny), g))
+	g.leaverShare = 0.6
+	assert.Equal(t, 10.01, r.usefulUntil(command(gAny), g))
 }
 
 func TestWriteOfThisMomentOrAheadIsNoneNotTold(t *testing.T) {
@@ -1099,11 +1099,11 @@
 		c := command(gSession)
 		c.LastWriteAge = age
 		testRouter(t, s).Route(10, c)
-		assert.InDelta(t, 10-age, c.need, 1e-9)
+		assert.InDelta(t, 10-age, c.requiredPosition, 1e-9)
 	}
 	c := command(gSession)
 	testRouter(t, s).Route(10, c)
-	assert.Less(t, c.need, 10.0, "0: none is known")
+	assert.Less(t, c.requiredPosition, 10.0, "0: none is known")
 }
 
 // Where probes failed for half a minute at hosts that served as usual these counted as out of reach and, once a
@@ -1111,19 +1111,19 @@
 func TestFailedProbesOfHostsThatServeTellNothing(t *testing.T) {
 	r := testRouter(t, testSite())
 	for now := 10.1; now < 20; now += 0.5 {
-		r.nodes[1].lastGood = now - 0.05
+		r.endpoints[1].answeredAt = now - 0.05
 		r.HealthChecked(now, 1, Errored, 0.01, -1, false)
 		r.HealthChecked(now+0.01, 1, TimedOut, 0.25, -1, false)
 	}
-	n := &r.nodes[1]
-	assert.True(t, math.IsInf(n.downAt, 1), "commands were answered meanwhile")
+	n := &r.endpoints[1]
+	assert.True(t, math.IsInf(n.unreachableSince, 1), "commands were answered meanwhile")
 	r.HealthChecked(20.5, 1, TimedOut, 0.25, -1, false)
-	assert.Equal(t, 20.5, n.downAt, "nothing answered since")
+	assert.Equal(t, 20.5, n.unreachableSince, "nothing answered since")
 	r.HealthChecked(21.5, 1, TimedOut, 0.25, -1, false)
 	r.HealthChecked(21.6, 1, Errored, 0.01, -1, false)
-	assert.Equal(t, 20.5, n.downAt, "an error is no sign of health either")
+	assert.Equal(t, 20.5, n.unreachableSince, "an error is no sign of health either")
 	r.HealthChecked(21.7, 1, Answered, 0.01, -1, false)
-	assert.Equal(t, 21.7, n.started, "away for longer than chance, it may have started anew")
+	assert.Equal(t, 21.7, n.startedAt, "away for longer than chance, it may have started anew")
 }
 
 // Where replicas check reads a miss tells their position for nothing; probes for it cost a service point in thirty.
@@ -1132,10 +1132,10 @@
 		s := testSite()
 		s.ReplicasCheckReads = guarded
 		r := testRouter(t, s)
-		r.maySpill(10.2)
-		r.reads[r.slotAt%spillSlots], r.spills[r.slotAt%spillSlots] = 1, 1
+		r.mayFallBack(10.2)
+		r.reads[r.slotAt%fallbackSlots], r.fallbacks[r.slotAt%fallbackSlots] = 1, 1
 		r.Route(10.2, uncovered(r))
-		assert.Equal(t, guarded, len(r.wanted) == 0)
+		assert.Equal(t, guarded, len(r.pendingChecks) == 0)
 	}
 }
 
@@ -1144,11 +1144,11 @@
 	r := testRouter(t, testSite())
 	for _, ending := range []Result{Errored, Overloaded, NotServed, TimedOut, ConnectionLost} {
 		r.HealthChecked(20, 1, ending, 0.01, 19, true)
-		assert.Equal(t, 10.0, r.nodes[1].pos)
-		assert.Equal(t, RoleReplica, r.nodes[1].role)
+		assert.Equal(t, 10.0, r.endpoints[1].position)
+		assert.Equal(t, RoleReplica, r.endpoints[1].role)
 	}
 	r.HealthChecked(20, 1, Answered, 0.01, 19, false)
-	assert.InDelta(t, 19, r.nodes[1].pos, 1e-3)
+	assert.InDelta(t, 19, r.endpoints[1].position, 1e-3)
 }
 
 // A session read is sent while a write of its session is out, or after one that broke: the member may have run the write
@@ -1173,10 +1173,10 @@
 	} {
 		for _, held := range []float64{-0.001, 0.001} { // what replicas hold, beside that
 			r := testRouter(t, s)
-			r.base, r.lat = 0.01, 0.01
+			r.serviceTime, r.latency = 0.01, 0.01
 			hold := func(pos float64) {
 				for _, i := range replicas {
-					r.nodes[i].pos, r.nodes[i].heardAt, r.nodes[i].lag = pos, 10.15, 10.15-pos
+					r.endpoints[i].position, r.endpoints[i].reportedAt, r.endpoints[i].lag = pos, 10.15, 10.15-pos
 				}
 			}
 			first := command(gSession)
@@ -1185,7 +1185,7 @@
 			c := command(gWrite)
 			require.Equal(t, 0, r.Route(10, c).Endpoint)
 			waits := command(gSession) // arrived before the write ended, and found no replica
-			waits.asked, waits.need = true, 10
+			waits.routed, waits.requiredPosition = true, 10
 			if w.o != nil {
 				o := *w.o
 				o.Elapsed, o.Final, o.Position = 0.1, true, -1
@@ -1194,12 +1194,12 @@
 				}
 				r.AttemptEnded(10.1, c, o)
 			}
-			assert.Equal(t, w.o == nil, r.session(9).out == 1, what)
+			assert.Equal(t, w.o == nil, r.session(9).writesInFlight == 1, what)
 			hold(w.covers + held)
 			other := command(gSession)
 			other.Session, other.ArrivedAt, other.ClientDeadline = 8, 10.15, 12
 			assert.Contains(t, replicas, r.Route(10.15, other).Endpoint, "%s: of another session", what)
-			assert.Equal(t, held > 0, slices.Contains(replicas, r.pick(10.15, waits, &r.groups[gSession], r.owed(10.15, waits))), "%s, %g", what, held)
+			assert.Equal(t, held > 0, slices.Contains(replicas, r.pickReplica(10.15, waits, &r.groups[gSession], r.sessionPosition(10.15, waits))), "%s, %g", what, held)
 		}
 	}
 }
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -108,13 +108,13 @@
 
 	Attempts []Attempt // in the order in which they were sent
 
-	wrote  bool    // a member has had a dispatch whole
-	runs   int     // dispatches that may have run and gave no answer
-	ranAt  float64 // when the first of those was sent
-	ranOn  int     // and where
-	asked  bool    // seen by Route before
-	need   float64 // position that its data must cover
-	missed bool    // a replica turned it away as too far behind
+	delivered         bool    // a member has had a dispatch whole
+	uncertainRuns     int     // dispatches that may have run and gave no answer
+	uncertainAt       float64 // when the first of those was sent
+	uncertainEndpoint int     // and where
+	routed            bool    // seen by Route before
+	requiredPosition  float64 // position that its data must cover
+	tooStale          bool    // a replica turned it away as too far behind
 }
 
 // Attempt is one sending of a command to an endpoint.
@@ -123,11 +123,11 @@
 	SentAt   float64
 	InFlight bool
 
-	ahead  int  // own dispatches out at the node when it was sent
-	fresh  bool // needed a new connection
-	late   bool // counted as overdue
-	recall bool // called off
-	lost   bool // overtaken by other answers for too long
+	queuePosition int  // own dispatches out at the node when it was sent
+	newConnection bool // needed a new connection
+	overdue       bool // counted as overdue
+	canceled      bool // called off
+	lost          bool // overtaken by other answers for too long
 }
 
 // Result is how an attempt or a health check ended.
