--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -6,51 +6,72 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/core"
 	"stoatdale.example/stoatdale/internal/loop"
-	"stoatdale.example/stoatdale/internal/pg"
 )
 
+// connState is what a connection does with what its client sends.
 type connState int
 
 const (
-	stateStartup connState = iota
-	stateOpen
-	stateSkippingToSync // past an error in extended queries, until Sync
-	stateClosing        // no more is sent; what comes is read away until the client closes
+	stateStartup        connState = iota // waits for the start-up packet
+	stateOpen                            // takes queries
+	stateSkippingToSync                  // ignores messages of a failed extended query, until Sync or a simple query
+	stateClosing                         // sends nothing more and discards its input until the client closes
 	stateClosed
 )
 
-// conn is one client.
+// conn is one client connection.
 type conn struct {
-	server            *Server
-	fd                int
-	state             connState
-	input, output     buffer.Chain
-	replies           []*reply
-	closeAfterReplies bool // end after the answers that are owed
-	hasQueried        bool // a whole query came
-	rejectedQueries   int  // queries that were no command
-	discardedBytes    int  // bytes that were read away
-	shedQueue         *list.List
-	shedElement       *list.Element // in the queue of those that may make room
-	queuedAt          float64
-	awaitsBuffers     bool
-	hasPending        bool    // has messages left for the next turn
-	readSuspended     bool    // not read at present
-	earliestArrival   float64 // the earliest time at which what was read last may have come
-	acceptedAt        float64
-	phase             phase
-	timer             *loop.Timer
-}
-
-// Left implements loop.Leaver. What the client asked for and has not heard, or what was not read of it, nobody waits for.
+	server *Server
+	fd     int
+	state  connState
+	phase  phase
+	timer  *loop.Timer // ends the phase; internal/systems finds it by this name
+
+	input   buffer.Chain // read, and not yet processed
+	output  buffer.Chain // to be written
+	replies []*reply     // owed, in the order of the queries
+
+	hasQueried        bool // a complete query came
+	closeAfterReplies bool // it ends once the replies that are owed are written
+	rejectedQueries   int
+	discardedBytes    int // read while closing
+
+	// Why it is not read, and when its input may have come.
+	awaitsBuffers   bool    // it is in Server.awaitingBuffers
+	hasPending      bool    // it is in Server.pending
+	readSuspended   bool    // not watched for input at present
+	earliestArrival float64 // the earliest time at which what was read last may have come
+	acceptedAt      float64
+
+	// Its place among the connections that may be closed to free a descriptor.
+	shedQueue   *list.List    // nil: it is in none
+	shedElement *list.Element // in shedQueue
+	queuedAt    float64       // when it entered shedQueue
+}
+
+// newConn returns the state of a connection that has just been accepted.
+func newConn(s *Server, fd int) *conn {
+	c := &conn{
+		server:     s,
+		fd:         fd,
+		input:      s.buffers.New(),
+		output:     s.buffers.New(),
+		acceptedAt: s.loop.Now(),
+	}
+	c.timer = loop.NewTimer(c.timerExpired)
+	return c
+}
+
+// Left implements loop.Leaver. Nobody waits any more for what the client has asked for, so nothing is read before the
+// connection is closed.
 func (c *conn) Left() { c.close() }
 
 // Ready implements loop.Handler.
 func (c *conn) Ready(readable, writable bool) {
 	if writable && c.output.Len() > 0 {
 		c.flush()
-		if c.state != stateClosed && !readable {
-			c.process()
+		if !readable {
+			c.processUnlessClosed()
 		}
 	}
 	if readable && c.state != stateClosed {
@@ -58,25 +79,23 @@
 	}
 }
 
+// read reads what the socket holds, up to the limit of a turn, and processes it.
 func (c *conn) read() {
-	most := c.server.limits.Sizes.ReadPerTurn
+	limit := c.server.limits.Sizes.ReadPerTurn
 	if c.server.buffers.Scarce() && c.state != stateClosing {
-		if most = c.server.limits.Sizes.BufferBlock; c.input.Len() >= most { // short commands are taken all the same
+		limit = c.server.limits.Sizes.BufferBlock
+		if c.input.Len() >= limit { // short commands are taken all the same
 			c.awaitBuffers()
 			return
 		}
 	}
-	if !c.readSuspended { // what comes after it was left unread has waited since then
+	if !c.readSuspended { // otherwise the input has waited since reading was suspended
 		c.earliestArrival = c.server.loop.Since()
 	}
 	c.readSuspended = false
-	got, err := c.server.loop.Read(c.fd, &c.input, most)
-	if c.state == stateClosing {
-		c.input.Free()
-		if c.discardedBytes += got; c.discardedBytes > c.server.limits.Sizes.DiscardedInput {
-			c.close()
-			return
-		}
+	got, err := c.server.loop.Read(c.fd, &c.input, limit)
+	if c.state == stateClosing && !c.discardInput(got) {
+		return
 	}
 	c.process()
 	if err != nil && c.state != stateClosed {
@@ -84,7 +103,19 @@
 	}
 }
 
-// awaitBuffers leaves the client unread until buffers are free.
+// discardInput drops input of a closing connection. A client that goes on sending is closed: it reports whether the
+// connection is still open.
+func (c *conn) discardInput(got int) bool {
+	c.input.Free()
+	c.discardedBytes += got
+	if c.discardedBytes > c.server.limits.Sizes.DiscardedInput {
+		c.close()
+		return false
+	}
+	return true
+}
+
+// awaitBuffers suspends reading until buffers are free.
 func (c *conn) awaitBuffers() {
 	if !c.awaitsBuffers {
 		c.awaitsBuffers = true
@@ -93,87 +124,115 @@
 	}
 }
 
-// process does what can be done now: takes messages, so many in a turn that others' turns come, and sets what is
-// waited for.
+func (c *conn) processUnlessClosed() {
+	if c.state != stateClosed {
+		c.process()
+	}
+}
+
+// process does all that can be done now: processes messages, ends the connection if that is due, and sets what is waited
+// for next.
 func (c *conn) process() {
-	for n := 0; c.state != stateClosing && c.state != stateClosed && !c.closeAfterReplies && !c.hasPending && !c.atCapacity(); n++ {
+	c.processMessages()
+	if c.state != stateClosed && c.state != stateClosing {
+		c.closeIfDue()
+	}
+	if c.state != stateClosed {
+		c.updateWatch()
+	}
+}
+
+// processMessages processes the messages of the input, so many at the most that other clients have their turn.
+func (c *conn) processMessages() {
+	for n := 0; c.takesMessages(); n++ {
 		if n == c.server.limits.Counts.MessagesPerTurn {
 			c.hasPending = true
 			c.server.pending = append(c.server.pending, c)
-			break
+			return
 		}
 		if more := c.processMessage(); !more {
-			break
-		}
-		c.phase = phaseUnset // the next message has its own time
-	}
-	if c.state == stateClosed {
-		return
-	}
-	if len(c.replies) == 0 && c.output.Len() == 0 && c.state != stateClosing {
-		switch {
-		case c.closeAfterReplies:
-			c.beginClosing()
-		case c.server.deadlinePassed && !c.hasPending && (!c.hasQueried || c.input.Len() > 0): // it was about to ask: elsewhere it may
-			c.finalError(pg.CodeEnding, "the router is ending")
-			c.process()
 			return
-		case c.server.deadlinePassed && !c.hasPending,
-			// What waits to be read was asked in time: it is read next.
-			c.server.listenerClosed && c.hasQueried && c.input.Len() == 0 && c.server.loop.Quiet(c.fd):
-			c.beginClosing()
 		}
+		c.phase = phaseUnset // the next message has a timeout of its own
 	}
-	c.updateWatch()
 }
 
-// atCapacity says that the connection owes so much that no more is taken from it.
+// takesMessages reports whether another message may be processed now.
+func (c *conn) takesMessages() bool {
+	if c.state == stateClosing || c.state == stateClosed {
+		return false
+	}
+	return !c.closeAfterReplies && !c.hasPending && !c.atCapacity()
+}
+
+// atCapacity reports whether the connection owes so much that no more is taken from it.
 func (c *conn) atCapacity() bool {
-	return len(c.replies) >= c.server.limits.Counts.PipelinedCommands || c.output.Len() > c.server.limits.Sizes.UnsentAnswers
+	return len(c.replies) >= c.server.limits.Counts.PipelinedCommands ||
+		c.output.Len() > c.server.limits.Sizes.UnsentAnswers
 }
 
-// updateWatch sets the descriptor, the timer and the place among those that may make room by what the connection
-// does.
+// owesReplies reports whether the client has a reply to get or to take.
+func (c *conn) owesReplies() bool { return len(c.replies) > 0 || c.output.Len() > 0 }
+
+// updateWatch sets what the descriptor is watched for, the phase and its timer by the state of the connection.
 func (c *conn) updateWatch() {
-	reads := !c.awaitsBuffers && !c.hasPending && !c.closeAfterReplies && !c.atCapacity() && !c.server.deadlinePassed || c.state == stateClosing
+	reads := c.wantsInput()
 	if !reads && !c.readSuspended {
-		c.readSuspended, c.earliestArrival = true, c.server.loop.Now()
+		c.readSuspended = true
+		c.earliestArrival = c.server.loop.Now()
 	}
 	c.server.loop.Want(c.fd, reads, c.output.Len() > 0)
 	c.enterPhase(c.currentPhase())
 }
 
-// beginClosing ends the connection between commands: closing on unread bytes would reset an answer just written,
-// so the client is left to close, and what it still sends is read away for a while.
+// wantsInput reports whether the client is read at present.
+func (c *conn) wantsInput() bool {
+	if c.state == stateClosing {
+		return true
+	}
+	if c.awaitsBuffers || c.server.deadlinePassed {
+		return false
+	}
+	return c.takesMessages()
+}
+
+// beginClosing ends the connection between commands. Closing with unread input would reset the connection under a reply
+// just written, so only sending ends, and what the client still sends is discarded until it closes.
 func (c *conn) beginClosing() {
 	c.state = stateClosing
 	c.input.Free()
 	c.server.loop.EndSending(c.fd)
 }
 
-// close ends the connection; the commands in hand have lost their client.
+// close closes the connection and notifies the dispatcher that the commands in flight have lost their client.
 func (c *conn) close() {
 	if c.state == stateClosed {
 		return
 	}
 	c.state = stateClosed
 	c.leaveShedQueue()
-	if delete(c.server.conns, c); c.server.listenerClosed && len(c.server.conns) == 0 {
+	delete(c.server.conns, c)
+	if c.server.listenerClosed && len(c.server.conns) == 0 {
 		c.server.loop.Unset(c.server.drainTimer)
 	}
 	c.server.loop.Unset(c.timer)
 	c.server.loop.Close(c.fd)
 	c.input.Free()
 	c.output.Free()
-	var left []*core.Command
-	for _, s := range c.replies {
-		if s.command != nil && !s.complete {
-			left = append(left, s.command)
+	c.abandonReplies()
+}
+
+// abandonReplies frees the replies that are owed and hands their commands back to the dispatcher.
+func (c *conn) abandonReplies() {
+	var abandoned []*core.Command
+	for _, r := range c.replies {
+		if r.command != nil && !r.complete {
+			abandoned = append(abandoned, r.command)
 		}
-		s.data.Free()
+		r.data.Free()
 	}
-	if len(left) > 0 {
-		c.server.dispatcher.Left(left)
+	if len(abandoned) > 0 {
+		c.server.dispatcher.Left(abandoned)
 	}
 	c.replies = nil
 }
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -2,37 +2,87 @@
 
 import (
 	"math"
+
+	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// Shutdown stops listening once what waits to be accepted is taken in, and ends connections between commands. Who came
-// late, or is in the middle of a message, has until the last call to say what it came for.
-func (f *Server) Shutdown() {
-	if f.drainDeadline > 0 {
+// Shutdown begins a graceful shutdown: the listener is closed once the waiting connections are accepted, and connections
+// are closed between commands. Clients that have not sent a query yet, or are in the middle of a message, have until the
+// drain deadline. Calling it again changes nothing. The shutdown is complete once ListenerClosed reports true and
+// OpenConnections returns 0.
+func (s *Server) Shutdown() {
+	if s.drainDeadline > 0 {
 		return
 	}
-	f.drainDeadline = f.loop.Now() + f.limits.Durations.DrainDeadline
-	f.continueDrain()
+	s.drainDeadline = s.loop.Now() + s.limits.Durations.DrainDeadline
+	s.continueDrain()
 }
 
-// continueDrain goes on with the end. Where all descriptors are taken those that are spared make room in a moment: a
-// listener that is closed resets whom it has not accepted.
-func (f *Server) continueDrain() {
-	now := f.loop.Now()
-	if !f.listenerClosed {
-		f.accept(f.limits.Counts.ListenBacklog)
-		if f.loop.Waiting(f.listener) && now < f.drainDeadline {
-			f.loop.Set(f.drainTimer, math.Min(now+f.limits.Durations.ShedGrace, f.drainDeadline))
-			return
-		}
-		f.listenerClosed = true
-		f.loop.Unset(f.resumeTimer)
-		f.loop.Close(f.listener)
-		f.listener = -1
-	}
-	if f.deadlinePassed = now >= f.drainDeadline; !f.deadlinePassed && len(f.conns) > 0 {
-		f.loop.Set(f.drainTimer, f.drainDeadline)
-	}
-	for c := range f.conns {
+// continueDrain does the part of the shutdown that is due.
+func (s *Server) continueDrain() {
+	now := s.loop.Now()
+	if !s.listenerClosed && !s.closeListener(now) {
+		return
+	}
+	s.deadlinePassed = now >= s.drainDeadline
+	if !s.deadlinePassed && len(s.conns) > 0 {
+		s.loop.Set(s.drainTimer, s.drainDeadline)
+	}
+	for c := range s.conns {
 		c.process()
 	}
 }
+
+// closeListener accepts the waiting connections and closes the listener. It reports whether it is closed now: a listener
+// that is closed resets whom it has not accepted, so where descriptors are lacking it stays open until one is free, at
+// the latest until the drain deadline.
+func (s *Server) closeListener(now float64) bool {
+	s.accept(s.limits.Counts.ListenBacklog)
+	if s.loop.Waiting(s.listener) && now < s.drainDeadline {
+		s.loop.Set(s.drainTimer, math.Min(now+s.limits.Durations.ShedGrace, s.drainDeadline))
+		return false
+	}
+	s.listenerClosed = true
+	s.loop.Unset(s.resumeTimer)
+	s.loop.Close(s.listener)
+	s.listener = noDescriptor
+	return true
+}
+
+// closeIfDue ends the connection if a shutdown or an error asks for it and the client is owed nothing any more. A client
+// that the drain deadline finds about to send a query is told so first.
+func (c *conn) closeIfDue() {
+	if c.isCutOff() {
+		c.finalError(pg.CodeEnding, "the router is ending")
+	}
+	if c.state != stateClosed && c.mayClose() {
+		c.beginClosing()
+	}
+}
+
+// isCutOff reports whether the drain deadline finds the client about to send a query, which it may send elsewhere.
+func (c *conn) isCutOff() bool {
+	if !c.server.deadlinePassed || c.hasPending {
+		return false
+	}
+	if c.closeAfterReplies || c.owesReplies() {
+		return false
+	}
+	return !c.hasQueried || c.input.Len() > 0
+}
+
+// mayClose reports whether the connection has to end and the client is owed nothing any more.
+func (c *conn) mayClose() bool {
+	switch {
+	case c.owesReplies():
+		return false
+	case c.closeAfterReplies:
+		return true
+	case c.server.deadlinePassed && !c.hasPending:
+		return true
+	case c.server.listenerClosed:
+		// What waits in the socket was sent in time: it is read next.
+		return c.hasQueried && c.input.Len() == 0 && c.server.loop.Quiet(c.fd)
+	}
+	return false
+}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -81,7 +81,14 @@
 	d.buffers = buffer.NewPool(4096, s.Limits.Counts.BufferBlocks)
 	d.dispatcher = core.New(s, d.loop, d.buffers, &d.counters, zerolog.Nop())
 	d.dispatcher.Settle(0)
-	d.server, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), d.loop, &s.Limits, d.buffers, d.dispatcher, &s.Settings, &d.counters, zerolog.Nop())
+	d.server, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), d.loop, Options{
+		Limits:     &s.Limits,
+		Settings:   &s.Settings,
+		Buffers:    d.buffers,
+		Dispatcher: d.dispatcher,
+		Counters:   &d.counters,
+		Log:        zerolog.Nop(),
+	})
 	require.NoError(t, err)
 	return d
 }
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -1,82 +1,101 @@
 package front
 
-import (
-	"container/list"
+import "container/list"
 
-	"stoatdale.example/stoatdale/internal/loop"
-)
-
-func (f *Server) setAccepting(on bool) {
-	if f.listener >= 0 {
-		f.loop.Want(f.listener, on, false)
-	}
-}
+// noDescriptor stands for the descriptor of a closed listener.
+const noDescriptor = -1
 
 // Ready implements loop.Handler for the listener.
-func (f *Server) Ready(bool, bool) { f.accept(f.limits.Counts.AcceptsPerTurn) }
+func (s *Server) Ready(bool, bool) { s.accept(s.limits.Counts.AcceptsPerTurn) }
 
-// accept takes connections in. Where descriptors run out a client that has nothing in hand makes room; with
-// none the listener rests, since it would stay ready and spin the loop.
-func (f *Server) accept(most int) {
-	for range most {
-		many, all := len(f.conns) >= f.limits.Counts.ClientConnections, f.loop.Open() >= f.limits.Counts.SharedDescriptors
-		if (many || all) && !f.loop.Waiting(f.listener) {
-			return
-		}
-		if (many || all && !f.dispatcher.MakeRoom()) && !f.shedOne() {
-			f.pauseAccepting()
-			return
-		}
-		fd, ok, err := f.loop.Accept(f.listener)
-		if err != nil {
-			f.log.Warn().Err(err).Msg("a client could not be taken in")
-			f.shedOne()
-			f.pauseAccepting()
-			return
-		}
-		if !ok {
-			return
-		}
-		c := &conn{server: f, fd: fd, input: f.buffers.New(), output: f.buffers.New(), acceptedAt: f.loop.Now()}
-		c.timer = loop.NewTimer(c.timerExpired)
-		if err := f.loop.Add(fd, c, true, false); err != nil {
-			f.loop.Discard(fd)
+// accept accepts waiting connections, so many at the most.
+func (s *Server) accept(limit int) {
+	for range limit {
+		if !s.reserveDescriptor() || !s.acceptOne() {
 			return
 		}
-		f.counters.Accepted++
-		f.conns[c] = true
-		if f.loop.Left(fd) { // it waited to be accepted for longer than it waits for an answer: what it asked is not read
-			c.close()
-			continue
-		}
-		c.read()
 	}
 }
 
-func (f *Server) pauseAccepting() {
-	f.setAccepting(false)
-	f.loop.Set(f.resumeTimer, f.loop.Now()+f.limits.Durations.ShedGrace)
+// reserveDescriptor makes sure that one more connection may be accepted, and closes a spare connection for it if need
+// be. Where there is none to spare accepting pauses, since the listener would stay ready and spin the event loop.
+func (s *Server) reserveDescriptor() bool {
+	clientsFull := len(s.conns) >= s.limits.Counts.ClientConnections
+	descriptorsFull := s.loop.Open() >= s.limits.Counts.SharedDescriptors
+	if !clientsFull && !descriptorsFull {
+		return true
+	}
+	if !s.loop.Waiting(s.listener) {
+		return false
+	}
+	backendClosed := !clientsFull && s.dispatcher.MakeRoom()
+	if backendClosed || s.shedOne() {
+		return true
+	}
+	s.pauseAccepting()
+	return false
+}
+
+// acceptOne accepts and reads one connection. It reports whether another may follow.
+func (s *Server) acceptOne() bool {
+	fd, ok, err := s.loop.Accept(s.listener)
+	if err != nil {
+		s.log.Warn().Err(err).Msg("client not accepted")
+		s.shedOne()
+		s.pauseAccepting()
+		return false
+	}
+	if !ok {
+		return false
+	}
+	c := newConn(s, fd)
+	if err := s.loop.Add(fd, c, true, false); err != nil {
+		s.loop.Discard(fd)
+		return false
+	}
+	s.counters.Accepted++
+	s.conns[c] = true
+	if s.loop.Left(fd) { // it left while it waited to be accepted: what it sent is not read
+		c.close()
+		return true
+	}
+	c.read()
+	return true
+}
+
+// setAccepting watches the listener for new connections, or stops doing so.
+func (s *Server) setAccepting(on bool) {
+	if s.listener != noDescriptor {
+		s.loop.Want(s.listener, on, false)
+	}
+}
+
+// pauseAccepting leaves new connections in the backlog for a moment.
+func (s *Server) pauseAccepting() {
+	s.setAccepting(false)
+	s.loop.Set(s.resumeTimer, s.loop.Now()+s.limits.Durations.ShedGrace)
 }
 
-// shedOne makes room by one connection: one that was ended, or has not asked for anything since it came, before one
-// that has been between commands for the longest. Each is spared for a moment, and so is one that has sent
-// something that was not read yet.
-func (f *Server) shedOne() bool {
-	if e := f.closing.Front(); e != nil {
-		e.Value.(*conn).close()
+// shedOne closes one connection to free its descriptor, and reports whether there was one: one that is closing anyway,
+// else one that has not sent a query, else the one that has been idle for the longest.
+func (s *Server) shedOne() bool {
+	if oldest := s.closing.Front(); oldest != nil {
+		oldest.Value.(*conn).close()
 		return true
 	}
-	return f.shedFirstOf(&f.silent) || f.shedFirstOf(&f.idle)
+	return s.shedFirstOf(&s.silent) || s.shedFirstOf(&s.idle)
 }
 
-func (f *Server) shedFirstOf(l *list.List) bool {
-	for e := l.Front(); e != nil; e = e.Next() {
+// shedFirstOf closes the first connection of a queue that is past its grace period and has sent nothing that is not read
+// yet. It reports whether there was one.
+func (s *Server) shedFirstOf(queue *list.List) bool {
+	for e := queue.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*conn)
-		if f.loop.Now()-c.queuedAt < f.limits.Durations.ShedGrace {
+		if s.loop.Now()-c.queuedAt < s.limits.Durations.ShedGrace {
 			return false
 		}
-		if f.loop.Quiet(c.fd) {
-			f.counters.Shed++
+		if s.loop.Quiet(c.fd) {
+			s.counters.Shed++
 			c.close()
 			return true
 		}
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -1,24 +1,30 @@
 package front
 
 import (
-	"cmp"
 	"fmt"
-	"math"
 
-	"stoatdale.example/stoatdale/internal/core"
 	"stoatdale.example/stoatdale/internal/pg"
-	"stoatdale.example/stoatdale/internal/router"
 )
 
-// processMessage takes one processMessage off the input, and says whether there may be another.
-func (c *conn) processMessage() bool {
+// Types of the frontend messages that are told apart, by the protocol's first byte.
+const (
+	messageQuery     = 'Q'
+	messageTerminate = 'X'
+	messageSync      = 'S'
+)
+
+// messageHeader is the size of a message's type and length, in bytes.
+const messageHeader = 5
+
+// processMessage processes one message of the input, and reports whether there may be another.
+func (c *conn) processMessage() (more bool) {
 	if c.state == stateStartup {
 		return c.processStartup()
 	}
 	if c.input.Len() == 0 {
 		return false
 	}
-	if kind := c.input.First()[0]; kind != 'Q' && kind != 'X' && !isExtendedQuery(kind) {
+	if kind := c.input.First()[0]; !isKnownMessage(kind) {
 		c.protocolError(pg.CodeProtocol, fmt.Sprintf("unknown message type %q", kind))
 		return false
 	}
@@ -30,36 +36,49 @@
 	if !ok {
 		return false
 	}
-	switch {
-	case kind == 'X':
+	if kind == messageTerminate {
 		c.close()
 		return false
-	case c.state == stateSkippingToSync && kind != 'S' && kind != 'Q':
-	case kind == 'Q':
+	}
+	c.handleMessage(kind, size)
+	c.input.Skip(size)
+	return true
+}
+
+// handleMessage carries a complete message out. Only simple queries are served: an extended query gets one error, and
+// its other messages are ignored until Sync.
+func (c *conn) handleMessage(kind byte, size int) {
+	switch {
+	case kind == messageQuery:
 		c.state = stateOpen
 		c.processQuery(size)
-	case kind == 'S':
+	case kind == messageSync:
 		c.state = stateOpen
 		c.send(pg.Ready(nil))
+	case c.state == stateSkippingToSync:
 	default:
 		c.state = stateSkippingToSync
 		c.server.counters.BadInput++
 		c.send(pg.Error(nil, false, pg.CodeUnsupported, "only simple queries are served", ""))
 	}
-	c.input.Skip(size)
-	return true
 }
 
-// isExtendedQuery says whether a message belongs to the isExtendedQuery queries, which are not served.
+func isKnownMessage(kind byte) bool {
+	return kind == messageQuery || kind == messageTerminate || isExtendedQuery(kind)
+}
+
+// isExtendedQuery reports whether a message belongs to the extended query protocol.
 func isExtendedQuery(kind byte) bool {
 	switch kind {
-	case 'P', 'B', 'E', 'D', 'C', 'H', 'S':
+	case 'P', 'B', 'E', 'D', 'C', 'H', messageSync: // Parse, Bind, Execute, Describe, Close, Flush
 		return true
 	}
 	return false
 }
 
-func (c *conn) processStartup() bool {
+// processStartup processes what comes before the first message: the start-up packet, or a request for encryption or
+// cancellation.
+func (c *conn) processStartup() (more bool) {
 	kind, ok, err := pg.ReadStart(&c.input, c.server.limits.Sizes.StartupPacket)
 	switch {
 	case err != nil:
@@ -68,7 +87,7 @@
 	case !ok:
 		return false
 	case kind == pg.Encrypt:
-		c.send([]byte{'N'})
+		c.send([]byte{'N'}) // encryption is not supported
 		return true
 	case kind == pg.Cancel:
 		c.close()
@@ -79,67 +98,7 @@
 	return true
 }
 
-// processQuery takes a simple processQuery: a command for the core, or something that the front answers itself.
-func (c *conn) processQuery(size int) {
-	const head = 5
-	st, err := pg.Parse(&c.input, head, size-head, c.server.limits.Sizes.StatementComment)
-	if err != nil {
-		c.rejectQuery(pg.CodeSyntax, err.Error())
-		return
-	}
-	c.hasQueried = true
-	if st.Empty {
-		c.send(pg.Ready(pg.Empty(nil)))
-		return
-	}
-	group, ok := c.server.groups[st.Group]
-	if !ok {
-		c.rejectQuery(pg.CodeValue, fmt.Sprintf("c=%.40q: unknown command group", st.Group))
-		return
-	}
-	set, ok := c.server.dispatcher.Set(st.Cluster)
-	if !ok {
-		c.rejectQuery(pg.CodeValue, fmt.Sprintf("cluster=%d: unknown cluster", st.Cluster))
-		return
-	}
-	switch {
-	case st.Wait > c.server.limits.Durations.MaxClientTimeout:
-		c.rejectQuery(pg.CodeValue, fmt.Sprintf("d=%.0f: longer than any client waits", st.Wait*1000))
-		return
-	case c.server.settings.CommandGroups[group].Idempotency == router.IdempotentWithKey && !st.Keyed:
-		c.rejectQuery(pg.CodeValue, fmt.Sprintf("c=%.40q: commands of this group bear a key, k", st.Group))
-		return
-	case c.server.dispatcher.Open(st.ID):
-		c.rejectQuery(pg.CodeValue, fmt.Sprintf("id=%s: a command of this id is in hand", st.ID))
-		return
-	}
-	cmd := &core.Command{
-		Name: st.ID, Group: group, Set: set, Session: st.Session, Repeat: st.Repeat,
-		GiveUp: c.earliestArrival + st.Wait - c.server.limits.Durations.AnswerMargin, Text: c.server.buffers.New(), From: st.From, To: st.To, Front: c.server,
-	}
-	if st.WriteAt > 0 {
-		// A write of this very moment, or by a clock that is ahead, must not look like none.
-		cmd.WriteAge = cmp.Or(c.server.dispatcher.Age(st.WriteAt), -math.SmallestNonzeroFloat64)
-	}
-	c.input.CopyTo(&cmd.Text, head, size-head)
-	s := &reply{command: cmd, data: c.server.buffers.New()}
-	c.replies = append(c.replies, s)
-	cmd.Owner = owner{c, s}
-	c.server.dispatcher.Take(cmd)
-}
-
-// rejectQuery answers a query that is no command. After some the connection is ended: a client that repeats what was
-// turned away as soon as it hears so would keep the router busy.
-func (c *conn) rejectQuery(code, message string) {
-	if c.rejectedQueries++; c.rejectedQueries >= c.server.limits.Counts.InvalidQueries {
-		c.protocolError(code, message)
-		return
-	}
-	c.server.counters.BadInput++
-	c.send(pg.Ready(pg.Error(nil, false, code, message, "")))
-}
-
-// protocolError says what is wrong and ends the connection after the answers that are owed.
+// protocolError sends an error and ends the connection after the replies that are owed.
 func (c *conn) protocolError(code, message string) {
 	c.server.counters.BadInput++
 	c.finalError(code, message)
--- a/internal/front/phase.go
+++ b/internal/front/phase.go
@@ -7,20 +7,23 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// phase is what a connection's time is counted for.
+// phase is what a connection waits for. Each phase has a timeout of its own.
 type phase int
 
 const (
-	phaseUnset              phase = iota
-	phaseCommandsInFlight         // only the commands' own time counts
-	phaseAwaitingFirstQuery       // it has not asked for anything yet
-	phaseReadingMessage           // it is in the middle of a message
-	phaseWritingAnswer            // it has an answer to take
-	phaseIdle                     // it has nothing in hand
+	phaseUnset phase = iota // the next call of enterPhase begins a phase anew
+	phaseCommandsInFlight
+	phaseAwaitingFirstQuery
+	phaseReadingMessage // the first part of a message has come
+	phaseWritingAnswer  // the client has a reply to take
+	phaseIdle           // between commands
 	phaseClosing
 )
 
-// currentPhase is the phase that the connection is in.
+// noTimeout is the end of a phase without a timeout.
+var noTimeout = math.Inf(1)
+
+// currentPhase returns the phase that the state of the connection amounts to.
 func (c *conn) currentPhase() phase {
 	switch {
 	case c.state == stateClosing:
@@ -37,69 +40,111 @@
 	return phaseIdle
 }
 
-// enterPhase begins a phase: each has its time and its place among those that may make room. What comes meanwhile
-// renews no time, or a client that drips its bytes would stay for good; only answers may be taken slowly.
+// enterPhase begins a phase, unless the connection is in it already: input does not renew a timeout, or a client that
+// drips its bytes would stay for good.
 func (c *conn) enterPhase(p phase) {
 	if p == c.phase {
 		return
 	}
 	c.phase = p
-	l, now := c.server.limits, c.server.loop.Now()
-	var queue *list.List
-	until := math.Inf(1)
+	c.moveToShedQueue(c.shedQueueFor(p))
+	c.server.loop.Unset(c.timer)
+	if timeout := c.phaseEnd(p); timeout != noTimeout {
+		c.server.loop.Set(c.timer, timeout)
+	}
+	// Clients that send one query and stay exhaust the descriptors of their own side long before those of this one.
+	if p == phaseIdle && c.server.idle.Len() > c.server.limits.Counts.IdleClients {
+		c.server.shedFirstOf(&c.server.idle)
+	}
+}
+
+// phaseEnd returns when a phase that begins now times out.
+func (c *conn) phaseEnd(p phase) float64 {
+	durations := &c.server.limits.Durations
+	now := c.server.loop.Now()
 	switch p {
 	case phaseAwaitingFirstQuery:
-		queue, until = &c.server.silent, c.acceptedAt+l.Durations.FirstQueryTimeout
+		return c.acceptedAt + durations.FirstQueryTimeout
 	case phaseReadingMessage:
-		until = now + l.Durations.MessageTimeout
+		return now + durations.MessageTimeout
 	case phaseWritingAnswer:
-		until = now + l.Durations.WriteStallTimeout
+		return now + durations.WriteStallTimeout
 	case phaseIdle:
-		queue, until = &c.server.idle, now+l.Durations.IdleTimeout
+		return now + durations.IdleTimeout
 	case phaseClosing:
-		queue, until = &c.server.closing, now+l.Durations.CloseLinger
+		return now + durations.CloseLinger
+	case phaseCommandsInFlight, phaseUnset: // the commands have timeouts of their own
 	}
-	if queue != c.shedQueue || queue == &c.server.idle {
-		c.leaveShedQueue()
-		if queue != nil {
-			c.shedQueue, c.shedElement, c.queuedAt = queue, queue.PushBack(c), now
-		}
+	return noTimeout
+}
+
+// shedQueueFor returns the queue of connections that may be closed in a phase, or nil.
+func (c *conn) shedQueueFor(p phase) *list.List {
+	switch p {
+	case phaseAwaitingFirstQuery:
+		return &c.server.silent
+	case phaseIdle:
+		return &c.server.idle
+	case phaseClosing:
+		return &c.server.closing
+	case phaseUnset, phaseCommandsInFlight, phaseReadingMessage, phaseWritingAnswer:
 	}
-	c.server.loop.Unset(c.timer)
-	if !math.IsInf(until, 1) {
-		c.server.loop.Set(c.timer, until)
+	return nil
+}
+
+// moveToShedQueue puts the connection into a queue, or into none. It keeps its place if it is there already, except
+// among the idle ones, where it goes to the end.
+func (c *conn) moveToShedQueue(queue *list.List) {
+	if queue == c.shedQueue && queue != &c.server.idle {
+		return
 	}
-	// Clients that ask once and stay use up what their side may hold open long before descriptors run out here.
-	if p == phaseIdle && c.server.idle.Len() > l.Counts.IdleClients {
-		c.server.shedFirstOf(&c.server.idle)
+	c.leaveShedQueue()
+	if queue != nil {
+		c.shedQueue = queue
+		c.shedElement = queue.PushBack(c)
+		c.queuedAt = c.server.loop.Now()
 	}
 }
 
 func (c *conn) leaveShedQueue() {
 	if c.shedQueue != nil {
 		c.shedQueue.Remove(c.shedElement)
-		c.shedQueue, c.shedElement = nil, nil
+		c.shedQueue = nil
+		c.shedElement = nil
 	}
 }
 
-// timerExpired ends a client whose time is over: with an error if it began a message and has not finished it.
+// timerExpired ends the connection of a client that has exceeded the timeout of its phase, with an error if it has begun
+// a message and not completed it.
 func (c *conn) timerExpired() {
 	switch {
-	case (c.phase == phaseAwaitingFirstQuery || c.phase == phaseReadingMessage || c.phase == phaseIdle) && !c.awaitsBuffers && !c.server.loop.Quiet(c.fd):
-		c.server.loop.Set(c.timer, c.server.loop.Now()+c.server.limits.Durations.MinBackoff) // it is asking just now
-	case (c.phase == phaseAwaitingFirstQuery || c.phase == phaseReadingMessage) && c.input.Len() > 0:
+	case c.expectsInput() && !c.awaitsBuffers && !c.server.loop.Quiet(c.fd):
+		// Its input has come and is read next.
+		c.server.loop.Set(c.timer, c.server.loop.Now()+c.server.limits.Durations.MinBackoff)
+	case c.expectsInput() && c.phase != phaseIdle && c.input.Len() > 0:
 		c.server.counters.CutShort++
 		c.protocolError(pg.CodeProtocol, "a message was not whole in time")
 		c.process()
 	default:
-		switch c.phase {
-		case phaseAwaitingFirstQuery:
-			c.server.counters.NeverAsked++
-		case phaseIdle:
-			c.server.counters.LongIdle++
-		case phaseWritingAnswer:
-			c.server.counters.Stalled++
-		}
+		c.countTimeout()
 		c.close()
 	}
 }
+
+// expectsInput reports whether the connection is in a phase that input of the client ends.
+func (c *conn) expectsInput() bool {
+	return c.phase == phaseAwaitingFirstQuery || c.phase == phaseReadingMessage || c.phase == phaseIdle
+}
+
+// countTimeout counts a timeout by the phase that it ends.
+func (c *conn) countTimeout() {
+	switch c.phase {
+	case phaseAwaitingFirstQuery:
+		c.server.counters.NeverAsked++
+	case phaseIdle:
+		c.server.counters.LongIdle++
+	case phaseWritingAnswer:
+		c.server.counters.Stalled++
+	case phaseUnset, phaseCommandsInFlight, phaseReadingMessage, phaseClosing:
+	}
+}
--- /dev/null
+++ b/internal/front/query.go
@@ -0,0 +1,111 @@
+package front
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+
+	"stoatdale.example/stoatdale/internal/core"
+	"stoatdale.example/stoatdale/internal/pg"
+	"stoatdale.example/stoatdale/internal/router"
+)
+
+// rejection is why a query is not taken as a command, as the client gets it.
+type rejection struct {
+	code    string // SQLSTATE
+	message string
+}
+
+// invalidValue rejects a query for a value in its comment.
+func invalidValue(format string, arguments ...any) *rejection {
+	return &rejection{code: pg.CodeValue, message: fmt.Sprintf(format, arguments...)}
+}
+
+// processQuery processes a simple query: a command for the dispatcher, or something that gets its reply here.
+func (c *conn) processQuery(size int) {
+	body := size - messageHeader
+	statement, err := pg.Parse(&c.input, messageHeader, body, c.server.limits.Sizes.StatementComment)
+	if err != nil {
+		c.rejectQuery(&rejection{code: pg.CodeSyntax, message: err.Error()})
+		return
+	}
+	c.hasQueried = true
+	if statement.Empty {
+		c.send(pg.Ready(pg.Empty(nil)))
+		return
+	}
+	command, rejected := c.server.newCommand(&statement)
+	if rejected != nil {
+		c.rejectQuery(rejected)
+		return
+	}
+	command.GiveUp = c.earliestArrival + statement.Wait - c.server.limits.Durations.AnswerMargin
+	c.input.CopyTo(&command.Text, messageHeader, body)
+	c.forward(command)
+}
+
+// newCommand makes a command of a statement, all but its text and its deadline.
+func (s *Server) newCommand(statement *pg.Statement) (*core.Command, *rejection) {
+	group, ok := s.groups[statement.Group]
+	if !ok {
+		return nil, invalidValue("c=%.40q: unknown command group", statement.Group)
+	}
+	shard, ok := s.dispatcher.Set(statement.Cluster)
+	if !ok {
+		return nil, invalidValue("cluster=%d: unknown cluster", statement.Cluster)
+	}
+	if rejected := s.checkStatement(statement, group); rejected != nil {
+		return nil, rejected
+	}
+	command := &core.Command{
+		Name:    statement.ID,
+		Group:   group,
+		Set:     shard,
+		Session: statement.Session,
+		Repeat:  statement.Repeat,
+		Text:    s.buffers.New(),
+		From:    statement.From,
+		To:      statement.To,
+		Front:   s,
+	}
+	if statement.WriteAt > 0 {
+		// A write of this very moment must not look like none.
+		command.WriteAge = cmp.Or(s.dispatcher.Age(statement.WriteAt), -math.SmallestNonzeroFloat64)
+	}
+	return command, nil
+}
+
+// checkStatement returns why backends must not see a statement, or nil.
+func (s *Server) checkStatement(statement *pg.Statement, group int) *rejection {
+	needsKey := s.settings.CommandGroups[group].Idempotency == router.IdempotentWithKey
+	switch {
+	case statement.Wait > s.limits.Durations.MaxClientTimeout:
+		const millisecondsPerSecond = 1000
+		return invalidValue("d=%.0f: longer than any client waits", statement.Wait*millisecondsPerSecond)
+	case needsKey && !statement.Keyed:
+		return invalidValue("c=%.40q: commands of this group bear a key, k", statement.Group)
+	case s.dispatcher.Open(statement.ID):
+		return invalidValue("id=%s: a command of this id is in hand", statement.ID)
+	}
+	return nil
+}
+
+// forward hands a command to the dispatcher and keeps its place among the replies.
+func (c *conn) forward(command *core.Command) {
+	r := &reply{command: command, data: c.server.buffers.New()}
+	c.replies = append(c.replies, r)
+	command.Owner = owner{conn: c, reply: r}
+	c.server.dispatcher.Take(command)
+}
+
+// rejectQuery sends the client why its query is rejected. A client that goes on sending such queries is closed: one that
+// repeats a query as soon as it is rejected would keep the router busy.
+func (c *conn) rejectQuery(rejected *rejection) {
+	c.rejectedQueries++
+	if c.rejectedQueries >= c.server.limits.Counts.InvalidQueries {
+		c.protocolError(rejected.code, rejected.message)
+		return
+	}
+	c.server.counters.BadInput++
+	c.send(pg.Ready(pg.Error(nil, false, rejected.code, rejected.message, "")))
+}
--- a/internal/front/reply.go
+++ b/internal/front/reply.go
@@ -9,93 +9,99 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// reply is an answer that the connection owes.
+// reply is one that a connection owes to its client.
 type reply struct {
-	command  *core.Command // nil: answered by the front
+	command  *core.Command // nil: the reply to a message that is no command
 	data     buffer.Chain
-	complete bool // its answer is whole
+	complete bool
 }
 
-// owner is where a command's answer goes.
+// owner is a command's core.Command.Owner: where its result goes.
 type owner struct {
 	conn  *conn
 	reply *reply
 }
 
-// finalError is the last that is said, behind the answers that are owed.
+// finalError sends an error behind the replies that are owed; the connection ends after it.
 func (c *conn) finalError(code, message string) {
 	c.closeAfterReplies = true
 	c.input.Free()
 	c.send(pg.Error(nil, true, code, message, ""))
 }
 
-// send gives the front's own answer, behind those that are owed.
-func (c *conn) send(b []byte) {
+// send sends a complete reply behind those that are owed.
+func (c *conn) send(message []byte) {
 	if len(c.replies) == 0 {
-		c.output.Write(b)
+		c.output.Write(message)
 		c.flush()
 		return
 	}
-	s := &reply{data: c.server.buffers.New(), complete: true}
-	s.data.Write(b)
-	c.replies = append(c.replies, s)
+	r := &reply{data: c.server.buffers.New(), complete: true}
+	r.data.Write(message)
+	c.replies = append(c.replies, r)
 }
 
-// flush writes on.
+// flush writes as much of the output as the socket takes.
 func (c *conn) flush() {
-	owed := c.output.Len()
+	unsent := c.output.Len()
 	if err := c.server.loop.Write(c.fd, &c.output); err != nil {
 		c.close()
 		return
 	}
-	if c.phase == phaseWritingAnswer && c.output.Len() < owed { // an answer may be taken slowly, but it must be taken
+	progressed := c.output.Len() < unsent
+	if c.phase == phaseWritingAnswer && progressed { // a reply may be taken slowly: each part renews the timeout
 		c.phase = phaseUnset
 	}
 }
 
-// complete completes a command's slot and writes what is in order by now.
-func (f *Server) complete(cmd *core.Command, b []byte) {
-	o := cmd.Owner.(owner)
-	c, s := o.conn, o.reply
-	if c.state == stateClosed {
-		return
-	}
-	s.data.Write(b)
-	s.complete = true
-	if c.replies[0] != s {
-		return
-	}
-	for len(c.replies) > 0 && c.replies[0].complete {
-		s := c.replies[0]
-		c.replies[0] = nil
-		c.replies = c.replies[1:]
-		s.data.MoveTo(&c.output)
-	}
-	c.flush()
-	if c.state != stateClosed {
-		c.process()
+// Answered implements core.Front: it sends a row and frees it.
+func (s *Server) Answered(command *core.Command, row *buffer.Chain) {
+	if to := command.Owner.(owner); to.conn.state != stateClosed {
+		row.MoveTo(&to.reply.data)
 	}
+	row.Free()
+	s.complete(command, pg.Ready(nil))
 }
 
-// Answered implements core.Front.
-func (f *Server) Answered(cmd *core.Command, row *buffer.Chain) {
-	if o := cmd.Owner.(owner); o.conn.state != stateClosed {
-		row.MoveTo(&o.reply.data)
+// Throttled implements core.Front: it sends an error upon which the client may retry, after so many seconds if it is
+// above 0.
+func (s *Server) Throttled(command *core.Command, retryAfter float64) {
+	const millisecondsPerSecond = 1000
+	detail := ""
+	if retryAfter > 0 {
+		detail = strconv.Itoa(int(math.Ceil(retryAfter * millisecondsPerSecond)))
 	}
-	row.Free()
-	f.complete(cmd, pg.Ready(nil))
+	message := pg.Error(nil, false, pg.CodeFull, "throttled: trying again does no harm", detail)
+	s.complete(command, pg.Ready(message))
 }
 
-// Throttled implements core.Front.
-func (f *Server) Throttled(cmd *core.Command, comeBack float64) {
-	detail := ""
-	if comeBack > 0 {
-		detail = strconv.Itoa(int(math.Ceil(comeBack * 1000)))
+// Failed implements core.Front: it sends an error upon which the client cannot know whether the command ran.
+func (s *Server) Failed(command *core.Command) {
+	message := pg.Error(nil, false, pg.CodeFailed, "failed: it is not known whether the command ran", "")
+	s.complete(command, pg.Ready(message))
+}
+
+// complete appends the last part of a command's reply, and sends the replies that are due by now.
+func (s *Server) complete(command *core.Command, last []byte) {
+	to := command.Owner.(owner)
+	if to.conn.state == stateClosed {
+		return
+	}
+	to.reply.data.Write(last)
+	to.reply.complete = true
+	if to.conn.replies[0] == to.reply {
+		to.conn.sendCompleted()
 	}
-	f.complete(cmd, pg.Ready(pg.Error(nil, false, pg.CodeFull, "throttled: trying again does no harm", detail)))
 }
 
-// Failed implements core.Front.
-func (f *Server) Failed(cmd *core.Command) {
-	f.complete(cmd, pg.Ready(pg.Error(nil, false, pg.CodeFailed, "failed: it is not known whether the command ran", "")))
+// sendCompleted sends the complete replies up to the first that is not, and goes on with the input.
+func (c *conn) sendCompleted() {
+	for len(c.replies) > 0 && c.replies[0].complete {
+		first := c.replies[0]
+		c.replies[0] = nil
+		c.replies = c.replies[1:]
+		first.data.MoveTo(&c.output)
+	}
+	c.flush()
+	c.processUnlessClosed()
 }
--- /dev/null
+++ b/internal/front/server.go
@@ -0,0 +1,138 @@
+// Package front accepts clients over PostgreSQL's wire protocol. It hands their commands to a dispatcher and writes the
+// results back in the order of the commands; it decides nothing about routing.
+//
+// Everything in it belongs to the goroutine of the event loop. Times are seconds on the event loop's clock.
+package front
+
+import (
+	"container/list"
+	"net/netip"
+
+	"github.com/rs/zerolog"
+
+	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/core"
+	"stoatdale.example/stoatdale/internal/count"
+	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/site"
+)
+
+// Dispatcher carries out the commands that clients send.
+type Dispatcher interface {
+	// Set returns the index of the shard that a client's cluster number names, and false if there is none.
+	Set(cluster int) (shard int, ok bool)
+	// Open reports whether a command of this name is in flight.
+	Open(name string) bool
+	// Take takes a command over. It gives the command one result by way of the command's Front.
+	Take(command *core.Command)
+	// Left notifies the dispatcher that the client of these commands has gone: no result is expected any more.
+	Left(commands []*core.Command)
+	// MakeRoom closes an idle connection to a backend, and reports whether there was one to spare.
+	MakeRoom() bool
+	// Age returns how many seconds ago a Unix time in seconds was; negative if it lies in the future.
+	Age(unix float64) float64
+}
+
+// Options are what a server works with. All of it must outlive the server.
+type Options struct {
+	Limits     *site.Limits
+	Settings   *site.Settings // names and properties of the command groups; see Server.ReloadGroups
+	Buffers    *buffer.Pool
+	Dispatcher Dispatcher
+	Counters   *count.Counters
+	Log        zerolog.Logger
+}
+
+// Server is a client listener and its connections.
+type Server struct {
+	Address netip.AddrPort // where it listens, with the port that the kernel chose if none was given
+
+	loop       loop.ListenWire
+	limits     *site.Limits
+	settings   *site.Settings
+	buffers    *buffer.Pool
+	dispatcher Dispatcher
+	counters   *count.Counters
+	log        zerolog.Logger
+
+	groups      map[string]int // indices of the command groups by name
+	listener    int            // descriptor; noDescriptor once it is closed
+	resumeTimer *loop.Timer    // ends a pause in accepting
+	conns       map[*conn]bool
+
+	// Connections that may be closed to free a descriptor, in the order in which the queues are tried. Each holds
+	// the connection first that has been in it for the longest.
+	closing list.List // the server has ended them and waits for the client to close
+	silent  list.List // have not sent a query since they were accepted
+	idle    list.List // between commands
+
+	awaitingBuffers []*conn // not read because buffers are scarce
+	pending         []*conn // have messages left for the next turn
+
+	// The graceful shutdown: the listener is closed first, and after the deadline clients are no longer read.
+	listenerClosed bool
+	deadlinePassed bool
+	drainDeadline  float64     // 0: Shutdown has not been called
+	drainTimer     *loop.Timer // goes on with the shutdown
+}
+
+// Listen opens a server on one address and watches it by the event loop. It fails if the address cannot be listened on.
+func Listen(address netip.AddrPort, events loop.ListenWire, options Options) (*Server, error) {
+	s := &Server{
+		loop:       events,
+		limits:     options.Limits,
+		settings:   options.Settings,
+		buffers:    options.Buffers,
+		dispatcher: options.Dispatcher,
+		counters:   options.Counters,
+		log:        options.Log,
+		groups:     map[string]int{},
+		conns:      map[*conn]bool{},
+	}
+	s.ReloadGroups()
+	s.resumeTimer = loop.NewTimer(func() { s.setAccepting(true) })
+	s.drainTimer = loop.NewTimer(s.continueDrain)
+	var err error
+	if s.listener, err = events.Listen(address, s.limits.Counts.ListenBacklog); err != nil {
+		return nil, err
+	}
+	if s.Address, err = events.Bound(s.listener); err != nil {
+		return nil, err
+	}
+	return s, events.Add(s.listener, s, true, false)
+}
+
+// ReloadGroups takes the names of the command groups from the settings as they are now. It is called after the settings
+// have changed.
+func (s *Server) ReloadGroups() {
+	clear(s.groups)
+	for i, name := range s.settings.GroupNames {
+		s.groups[name] = i
+	}
+}
+
+// OpenConnections returns the number of client connections.
+func (s *Server) OpenConnections() int { return len(s.conns) }
+
+// ListenerClosed reports whether a shutdown has closed the listener: no new clients are accepted.
+func (s *Server) ListenerClosed() bool { return s.listenerClosed }
+
+// ProcessPending processes messages that were left over in the last turn, and resumes reading where buffers were scarce.
+// It is called once a turn, and reports whether messages are left again, so that the event loop should not wait.
+func (s *Server) ProcessPending() bool {
+	pending := s.pending
+	s.pending = nil
+	for _, c := range pending {
+		c.hasPending = false
+		c.processUnlessClosed()
+	}
+	if len(s.awaitingBuffers) > 0 && !s.buffers.Scarce() {
+		waiting := s.awaitingBuffers
+		s.awaitingBuffers = nil
+		for _, c := range waiting {
+			c.awaitsBuffers = false
+			c.processUnlessClosed()
+		}
+	}
+	return len(s.pending) > 0
+}
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -98,7 +98,14 @@
 	told := &site.Settings{GroupNames: []string{"look"}}
 	told.CommandGroups = []router.CommandGroup{{ClientTimeout: 1, LatencyObjective: 0.5}}
 	var err error
-	s.front, err = front.Listen(netip.MustParseAddrPort("127.0.0.1:5432"), s.wire, limits, s.blocks, clientCore{s}, told, &count.Counters{}, zerolog.New(io.Discard))
+	s.front, err = front.Listen(netip.MustParseAddrPort("127.0.0.1:5432"), s.wire, front.Options{
+		Limits:     limits,
+		Settings:   told,
+		Buffers:    s.blocks,
+		Dispatcher: clientCore{s},
+		Counters:   &count.Counters{},
+		Log:        zerolog.New(io.Discard),
+	})
 	if err != nil {
 		panic(err) // the wire refuses nothing
 	}
--- a/service/service.go
+++ b/service/service.go
@@ -56,8 +56,14 @@
 	r.counters.GroupNames = config.Settings.GroupNames
 	r.counters.TakenByGroup = make([]uint64, len(config.Settings.GroupNames))
 	r.core = core.New(&r.config, events, r.buffers, &r.counters, log)
-	r.front, err = front.Listen(config.Listen, events, &r.config.Limits, r.buffers, r.core, &r.config.Settings,
-		&r.counters, log)
+	r.front, err = front.Listen(config.Listen, events, front.Options{
+		Limits:     &r.config.Limits,
+		Settings:   &r.config.Settings,
+		Buffers:    r.buffers,
+		Dispatcher: r.core,
+		Counters:   &r.counters,
+		Log:        log,
+	})
 	if err != nil {
 		return nil, err
 	}
