--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -278,23 +278,23 @@
 	if !l.cached {
 		o.count.Lists++
 	}
-	facts := make([]router.EndpointInfo, 0, len(l.list.Members))
-	for _, m := range l.list.Members {
+	facts := make([]router.EndpointInfo, 0, len(l.list.Endpoints))
+	for _, m := range l.list.Endpoints {
 		node := o.nodes.At(m.ID)
-		o.members.Place(node, m.At, m.State == roster.Gone)
+		o.members.Place(node, m.Address, m.State == roster.StateGone)
 		started := math.Inf(-1)
-		if m.StartedMs > 0 {
-			started = o.clock(float64(m.StartedMs))
+		if m.StartedUnixMs > 0 {
+			started = o.clock(float64(m.StartedUnixMs))
 		}
-		facts = append(facts, router.EndpointInfo{Index: node, Shard: o.sets.At(m.Cell), Zone: o.zones.At(m.Zone),
+		facts = append(facts, router.EndpointInfo{Index: node, Shard: o.sets.At(m.Shard), Zone: o.zones.At(m.Zone),
 			State: router.EndpointState(m.State), StartedAt: started, Primary: m.Primary})
 	}
-	o.hand.UpdateEndpoints(now, facts, l.list.Whole || l.cached, l.cached)
+	o.hand.UpdateEndpoints(now, facts, l.list.Complete || l.cached, l.cached)
 	if len(facts) == 0 { // a watch that brought nothing
 		return
 	}
-	o.log.Info().Int64("generation", l.list.Generation).Bool("whole", l.list.Whole).Bool("known", l.cached).
-		Int("members", len(l.list.Members)).Msg("list")
+	o.log.Info().Int64("generation", l.list.Generation).Bool("whole", l.list.Complete).Bool("known", l.cached).
+		Int("members", len(l.list.Endpoints)).Msg("list")
 }
 
 // position turns a member's Unix time in seconds into the module's position, or -1 if it tells none: one that
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -30,7 +30,7 @@
 func newCore(t *testing.T) (*Core, *buffer.Pool) {
 	l, err := loop.New(16)
 	require.NoError(t, err)
-	s := &site.Config{KnownList: roster.List{Whole: true, Members: []roster.Member{{ID: "a", Cell: 7, State: roster.Ready}}}}
+	s := &site.Config{KnownList: roster.List{Complete: true, Endpoints: []roster.Endpoint{{ID: "a", Shard: 7, State: roster.StateReady}}}}
 	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 1, ClientTimeout: 2, PriorityWeight: 1}
 	s.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{group}, RouterCount: 1, MaxAttempts: 4, BatchInterval: 0.005, PollList: true, CanCancel: true}
 	s.Limits = site.Limits{
@@ -42,7 +42,7 @@
 			LongPollHold: 1,
 		},
 	}
-	s.Discovery = s.KnownList.Members[0].At
+	s.Discovery = s.KnownList.Endpoints[0].Address
 	blocks := buffer.NewPool(64, 1000)
 	o := New(s, l, blocks, &count.Counters{TakenByGroup: make([]uint64, 1)}, zerolog.Nop())
 	o.hear(0)
@@ -132,8 +132,8 @@
 	span := 0.0
 	for i := range 500 {
 		now := float64(i)
-		list := roster.List{Members: []roster.Member{{ID: fmt.Sprint("m", i), Cell: 7, State: roster.Ready},
-			{ID: fmt.Sprint("m", i-1), Cell: 7, State: roster.Gone}}}
+		list := roster.List{Endpoints: []roster.Endpoint{{ID: fmt.Sprint("m", i), Shard: 7, State: roster.StateReady},
+			{ID: fmt.Sprint("m", i-1), Shard: 7, State: roster.StateGone}}}
 		o.Listed(list)
 		o.Settle(now)
 		if known, _ := o.Known(); float64(known) > span {
@@ -165,7 +165,7 @@
 	o, blocks := newCore(t)
 	o.told.CommandGroups[0].Consistency, o.told.LoadReports, o.ahead = router.Linearizable, true, 1
 	o.Move()
-	o.list(0, listed{list: roster.List{Whole: true, Members: []roster.Member{{ID: "a", Cell: 7, State: roster.Ready}}}})
+	o.list(0, listed{list: roster.List{Complete: true, Endpoints: []roster.Endpoint{{ID: "a", Shard: 7, State: roster.StateReady}}}})
 	polled := o.loop.Now()
 	time.Sleep(20 * time.Millisecond)
 	at := float64(o.loop.StartedAt().UnixNano())/1e9 + polled + 0.005
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -192,7 +192,7 @@
 		return
 	}
 	whole := w.generation < 0
-	if !list.Whole && (whole || list.Generation < w.generation) {
+	if !list.Complete && (whole || list.Generation < w.generation) {
 		w.fail(fmt.Errorf("changes up to %d after %d", list.Generation, w.generation))
 		return
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func (w *watcher) Listed(l roster.List) { w.tell(fmt.Sprint(l.Generation, " ", l.Whole)) }
+func (w *watcher) Listed(l roster.List) { w.tell(fmt.Sprint(l.Generation, " ", l.Complete)) }
 func (w *watcher) ListFailed()          { w.tell("failed") }
 
 func newWatcher(t *testing.T, onAsk bool, says ...string) *watcher {
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -132,7 +132,7 @@
 // drains and readies say in a publishState that the member does.
 func (d *harness) publishState(state roster.State) {
 	d.endpoint.State = state
-	d.dispatcher.Listed(roster.List{Generation: 9, Members: []roster.Member{d.endpoint}})
+	d.dispatcher.Listed(roster.List{Generation: 9, Endpoints: []roster.Endpoint{d.endpoint}})
 	d.dispatcher.Settle(d.loop.Now())
 }
 
@@ -167,7 +167,7 @@
 		left   int                                       // commands that had been taken
 	}{
 		"held by the module": {none, func(*fakeBackend) {}, func(d *harness, _ *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			c, _ := d.client(startupThen(wait("a1")))
 			d.runUntil(d.acceptedCommands(1))
 			return c
@@ -175,7 +175,7 @@
 		"between tries": {none, func(s *fakeBackend) { s.answer = overloaded; s.accepting = make(chan struct{}) }, func(d *harness, s *fakeBackend) net.Conn {
 			c, _ := d.client(startupThen(wait("a1")))
 			d.runUntil(s.locked(func() bool { return s.started == 1 }))
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			close(s.accepting)
 			d.runUntil(func() bool { return d.counters.Outcomes[2] == 1 })
 			return c
@@ -195,13 +195,13 @@
 			}, nil, 1,
 		},
 		"behind a full pipeline": {func(l *site.Limits) { l.Counts.PipelinedCommands = 2 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			c, _ := d.client(startupThen(wait("a1"), wait("a2"), wait("a3"), wait("a4")))
 			d.runUntil(d.acceptedCommands(2))
 			return c
 		}, nil, 2},
 		"unread with bytes before its end": {func(l *site.Limits) { l.Counts.PipelinedCommands = 1; l.Sizes.ReadPerTurn = 4096 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			var all []byte
 			for i := range 40 {
 				all = append(all, longQuery(fmt.Sprintf("a%x", i))...)
@@ -211,13 +211,13 @@
 			return c
 		}, nil, 1},
 		"with its last answer owed": {none, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			c, _ := d.client(startupThen(wait("a1"), []byte("?\x00\x00\x00\x04")))
 			d.runUntil(func() bool { return d.counters.BadInput == 1 })
 			return c
 		}, nil, 1},
 		"with answers that it does not take": {func(l *site.Limits) { l.Sizes.UnsentAnswers = 4096; l.Counts.InvalidQueries = 1 << 30 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			c, err := net.Dial("tcp", d.server.Address.String()) // which reads nothing
 			require.NoError(d.t, err)
 			go func() {
@@ -232,7 +232,7 @@
 			return c
 		}, nil, 0},
 		"unread for want of buffers": {func(l *site.Limits) { l.Counts.BufferBlocks = 1 << 10 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			c, _ := d.client(startupThen(wait("a1")))
 			d.runUntil(d.acceptedCommands(1))
 			hoard := d.buffers.New()
@@ -244,7 +244,7 @@
 			return c
 		}, nil, 1},
 		"while the router drains": {func(l *site.Limits) { l.Durations.DrainDeadline = 0 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			c, _ := d.client(startupThen(wait("a1")))
 			other, err := net.Dial("tcp", d.server.Address.String()) // for the command that comes after, taken before the end
 			require.NoError(d.t, err)
@@ -275,7 +275,7 @@
 						close(held)
 					}
 				}
-				if d.publishState(roster.Ready); !d.server.ListenerClosed() {
+				if d.publishState(roster.StateReady); !d.server.ListenerClosed() {
 					d.client(startupThen(wait("b1")))
 				}
 				d.runUntil(s.hasReceived(len(w.sent) + 1))
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -33,7 +33,7 @@
 	counters   count.Counters
 
 	backendListener net.Listener // the member's
-	endpoint        roster.Member
+	endpoint        roster.Endpoint
 	buffers         *buffer.Pool
 }
 
@@ -53,8 +53,8 @@
 	require.NoError(t, err)
 	d.loop, err = loop.New(16)
 	require.NoError(t, err)
-	d.endpoint = roster.Member{ID: "a", At: netip.MustParseAddrPort(d.backendListener.Addr().String()), Cell: 2, State: roster.Ready, Primary: true}
-	s := &site.Config{KnownList: roster.List{Whole: true, Members: []roster.Member{d.endpoint}}}
+	d.endpoint = roster.Endpoint{ID: "a", Address: netip.MustParseAddrPort(d.backendListener.Addr().String()), Shard: 2, State: roster.StateReady, Primary: true}
+	s := &site.Config{KnownList: roster.List{Complete: true, Endpoints: []roster.Endpoint{d.endpoint}}}
 	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 500, ClientTimeout: 500, PriorityWeight: 1}
 	keyed := router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, LatencyObjective: 500, ClientTimeout: 500, PriorityWeight: 1}
 	s.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{group, keyed}, RouterCount: 1, MaxAttempts: 4, BatchInterval: 0.005, PollList: true, SlowStart: 1, OverloadWindow: 1}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,4 +1,4 @@
-// Package roster reads discovery's lists of members.
+// Package roster defines the endpoint list that discovery serves and reads it from JSON.
 package roster
 
 import (
@@ -8,74 +8,129 @@
 	"net/netip"
 )
 
-// State is a member's state in the list.
+// State is the lifecycle state that a list gives an endpoint.
 type State int
 
-// States of a member.
+// The lifecycle states. A list spells them "gone", "ready" and "draining".
 const (
-	Gone State = iota
-	Ready
-	Draining
+	StateGone     State = iota // no longer running; it may have no address
+	StateReady                 // takes requests
+	StateDraining              // shuts down gracefully: takes no new requests
 )
 
-// Member is one line of a list.
-type Member struct {
-	ID        string
-	At        netip.AddrPort // not valid where a gone member has none
-	Zone      string
-	Cell      int
-	State     State
-	StartedMs int64 // Unix; 0: long ago
-	Primary   bool
+// Endpoint is one database server as a list describes it.
+type Endpoint struct {
+	ID            string         // stable over the endpoint's life, and unique in the list
+	Address       netip.AddrPort // not valid if the endpoint is gone and was listed without an address
+	Zone          string
+	Shard         int
+	State         State
+	StartedUnixMs int64 // when it started, in Unix milliseconds; 0: long ago
+	Primary       bool  // the shard's primary at the time of the list
 }
 
-// List is a whole list or what has changed.
+// List is the whole endpoint list or the endpoints that have changed since an earlier generation.
 type List struct {
 	Generation int64
-	Whole      bool
-	Members    []Member
+	Complete   bool // Endpoints is the whole list, so that what is not in it is gone
+	Endpoints  []Endpoint
 }
 
-var states = map[string]State{"gone": Gone, "ready": Ready, "draining": Draining}
+// ParseError says which part of a list could not be read.
+type ParseError struct {
+	Entry int    // index of the entry at fault, or WholeDocument
+	Key   string // JSON key at fault; empty if the document is not JSON of the right types
+	Err   error
+}
 
-// Parse reads a list. Its errors name the entry and key at fault.
-func Parse(raw []byte) (List, error) {
-	var doc struct {
-		Generation *int64 `json:"generation"`
-		Reset      bool   `json:"reset"`
-		Instances  []struct {
-			ID       string `json:"instanceId"`
-			Addr     string `json:"hostPort"`
-			Zone     string `json:"zone"`
-			Cell     int    `json:"cell"`
-			State    string `json:"lifecycle"`
-			Started  int64  `json:"startedAtMs"`
-			Recovery string `json:"recovery"`
-		} `json:"instances"`
+// WholeDocument is the Entry of an error that belongs to no single entry of the list.
+const WholeDocument = -1
+
+// ErrMissing is the cause of a ParseError for a key that a list must have.
+var ErrMissing = errors.New("is missing")
+
+// Error implements error. It names the entry and the key.
+func (e *ParseError) Error() string {
+	place := e.Key
+	if e.Entry != WholeDocument {
+		place = fmt.Sprintf("instances[%d].%s", e.Entry, e.Key)
+	}
+	switch {
+	case errors.Is(e.Err, ErrMissing):
+		return fmt.Sprintf("list: %s %v", place, e.Err)
+	case place == "":
+		return fmt.Sprintf("list: %v", e.Err)
+	default:
+		return fmt.Sprintf("list: %s: %v", place, e.Err)
 	}
+}
+
+// Unwrap returns the cause.
+func (e *ParseError) Unwrap() error { return e.Err }
+
+// document is a list's JSON form.
+type document struct {
+	Generation *int64  `json:"generation"`
+	Reset      bool    `json:"reset"`
+	Instances  []entry `json:"instances"`
+}
+
+// entry is the JSON form of one endpoint.
+type entry struct {
+	ID          string `json:"instanceId"`
+	HostPort    string `json:"hostPort"`
+	Zone        string `json:"zone"`
+	Cell        int    `json:"cell"`
+	Lifecycle   string `json:"lifecycle"`
+	StartedAtMs int64  `json:"startedAtMs"`
+	Recovery    string `json:"recovery"`
+}
+
+// recoveryOff is the value of the key recovery for a primary: a server in recovery applies another server's log.
+const recoveryOff = "off"
+
+var statesByLifecycle = map[string]State{"gone": StateGone, "ready": StateReady, "draining": StateDraining}
+
+// Parse reads a list from JSON and ignores keys that it does not know. Its errors are of type *ParseError.
+func Parse(raw []byte) (List, error) {
+	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
-		return List{}, fmt.Errorf("list: %w", err)
+		return List{}, &ParseError{Entry: WholeDocument, Err: err}
 	}
 	if doc.Generation == nil {
-		return List{}, errors.New("list: generation is missing")
+		return List{}, &ParseError{Entry: WholeDocument, Key: "generation", Err: ErrMissing}
 	}
-	l := List{Generation: *doc.Generation, Whole: doc.Reset}
-	for i, e := range doc.Instances {
-		at := fmt.Sprintf("list: instances[%d].", i)
-		if e.ID == "" {
-			return List{}, errors.New(at + "instanceId is missing")
-		}
-		state, ok := states[e.State]
-		if !ok {
-			return List{}, fmt.Errorf("%slifecycle: unknown state %q", at, e.State)
-		}
-		m := Member{ID: e.ID, Zone: e.Zone, Cell: e.Cell, State: state, StartedMs: e.Started,
-			Primary: e.Recovery == "off"}
-		var err error
-		if m.At, err = netip.ParseAddrPort(e.Addr); err != nil && state != Gone {
-			return List{}, fmt.Errorf("%shostPort: %w", at, err)
+	list := List{Generation: *doc.Generation, Complete: doc.Reset}
+	for i := range doc.Instances {
+		endpoint, err := doc.Instances[i].endpoint(i)
+		if err != nil {
+			return List{}, err
 		}
-		l.Members = append(l.Members, m)
+		list.Endpoints = append(list.Endpoints, endpoint)
+	}
+	return list, nil
+}
+
+// endpoint checks the entry, which has the given index in the list, and converts it.
+func (e *entry) endpoint(index int) (Endpoint, error) {
+	if e.ID == "" {
+		return Endpoint{}, &ParseError{Entry: index, Key: "instanceId", Err: ErrMissing}
+	}
+	state, ok := statesByLifecycle[e.Lifecycle]
+	if !ok {
+		return Endpoint{}, &ParseError{Entry: index, Key: "lifecycle", Err: fmt.Errorf("unknown state %q", e.Lifecycle)}
+	}
+	address, err := netip.ParseAddrPort(e.HostPort)
+	if err != nil && state != StateGone {
+		return Endpoint{}, &ParseError{Entry: index, Key: "hostPort", Err: err}
 	}
-	return l, nil
+	return Endpoint{
+		ID:            e.ID,
+		Address:       address,
+		Zone:          e.Zone,
+		Shard:         e.Cell,
+		State:         state,
+		StartedUnixMs: e.StartedAtMs,
+		Primary:       e.Recovery == recoveryOff,
+	}, nil
 }
--- a/internal/systems/watch.go
+++ b/internal/systems/watch.go
@@ -81,14 +81,14 @@
 func (s *watching) Listed(l roster.List) {
 	s.lists++
 	from := ""
-	if len(l.Members) > 0 {
-		from = l.Members[0].Zone
+	if len(l.Endpoints) > 0 {
+		from = l.Endpoints[0].Zone
 	}
 	watched := strconv.Itoa(s.at)
 	if from == "" {
 		from = watched // changes of none
 	}
-	s.check.Handed(l.Whole, l.Generation, len(l.Members), from, watched)
+	s.check.Handed(l.Complete, l.Generation, len(l.Endpoints), from, watched)
 }
 
 // ListFailed implements discovery.Sink.
