--- a/internal/adapter/instance.go
+++ b/internal/adapter/instance.go
@@ -84,8 +84,8 @@
 	endpoints := make([]router.EndpointInfo, len(list))
 	for n, endpoint := range list {
 		endpoints[n] = router.EndpointInfo{
-			Index:     i.addresses.At(endpoint.Address),
-			Shard:     i.shards.At(endpoint.Shard),
+			Index:     i.addresses.Intern(endpoint.Address),
+			Shard:     i.shards.Intern(endpoint.Shard),
 			Zone:      endpoint.Zone,
 			State:     router.EndpointState(endpoint.State),
 			StartedAt: i.startedAt(endpoint),
@@ -106,7 +106,7 @@
 
 // addCommand hands a command to the router. A shard that no list has named is -1.
 func (i *instance) addCommand(command wire.Command) {
-	shard, known := i.shards.Find(command.Shard)
+	shard, known := i.shards.Lookup(command.Shard)
 	if !known {
 		shard = -1
 	}
@@ -139,7 +139,7 @@
 
 // healthChecked hands a health check's result to the router, unless the endpoint is no longer known.
 func (i *instance) healthChecked(address wire.Address, result router.Result, elapsed uint64, report []float32) {
-	endpoint, known := i.addresses.Find(address)
+	endpoint, known := i.addresses.Lookup(address)
 	if !known {
 		return
 	}
@@ -170,7 +170,7 @@
 
 // Forward implements hand.Executor.
 func (i *instance) Forward(command uint32, _, endpoint int, deadline float64) {
-	i.actions.Forward(command, i.addresses.Name(endpoint), i.clock(deadline))
+	i.actions.Forward(command, i.addresses.Key(endpoint), i.clock(deadline))
 }
 
 // Cancel implements hand.Executor.
@@ -207,10 +207,10 @@
 func (i *instance) reviewDue() {
 	next, maintenance := i.commands.ReviewDue(i.now)
 	for _, endpoint := range maintenance.HealthCheck {
-		i.actions.HealthCheck(i.addresses.Name(endpoint))
+		i.actions.HealthCheck(i.addresses.Key(endpoint))
 	}
 	for _, endpoint := range maintenance.Release {
-		i.addresses.Free(endpoint)
+		i.addresses.Release(endpoint)
 	}
 	if maintenance.Subscribe {
 		i.actions.Subscribe()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -107,7 +107,7 @@
 	o := &Core{loop: l, told: &s.Settings, count: c, log: log, ahead: s.Limits.Durations.MaxClockSkew, nodes: index.New[string](),
 		sets: index.New[int](), zones: index.New[string](), cmds: map[uint32]*Command{}, ids: map[string]bool{}}
 	for _, z := range s.Settings.Zones {
-		o.zones.At(z)
+		o.zones.Intern(z)
 	}
 	// Positions count from a while before the start. The module takes a negative one as not told, and rounds
 	// reports by a share of theirs: this is far enough back for any replica worth reading, and near enough that
@@ -130,7 +130,7 @@
 	told := o.told.Config
 	told.PositionEpoch = o.clock(o.zeroMs)
 	if told.Zone >= 0 && told.Zone < len(o.told.Zones) {
-		told.Zone = o.zones.At(o.told.Zones[told.Zone]) // zones keep their index when the settings' order changes
+		told.Zone = o.zones.Intern(o.told.Zones[told.Zone]) // zones keep their index when the settings' order changes
 	}
 	return router.New(told, o.seed)
 }
@@ -152,7 +152,7 @@
 
 // Set is the index of the set that a client's cluster names, and false if no list has named it.
 func (o *Core) Set(cluster int) (int, bool) {
-	return o.sets.Find(cluster)
+	return o.sets.Lookup(cluster)
 }
 
 // Open says whether a command of this name is in hand. Another must not be taken then: members would see a
@@ -225,7 +225,7 @@
 		}
 		for _, node := range keep.Release {
 			o.members.Forget(node)
-			o.nodes.Free(node)
+			o.nodes.Release(node)
 		}
 		if keep.Subscribe {
 			o.watch.Ask()
@@ -280,13 +280,13 @@
 	}
 	facts := make([]router.EndpointInfo, 0, len(l.list.Endpoints))
 	for _, m := range l.list.Endpoints {
-		node := o.nodes.At(m.ID)
+		node := o.nodes.Intern(m.ID)
 		o.members.Place(node, m.Address, m.State == roster.StateGone)
 		started := math.Inf(-1)
 		if m.StartedUnixMs > 0 {
 			started = o.clock(float64(m.StartedUnixMs))
 		}
-		facts = append(facts, router.EndpointInfo{Index: node, Shard: o.sets.At(m.Shard), Zone: o.zones.At(m.Zone),
+		facts = append(facts, router.EndpointInfo{Index: node, Shard: o.sets.Intern(m.Shard), Zone: o.zones.Intern(m.Zone),
 			State: router.EndpointState(m.State), StartedAt: started, Primary: m.Primary})
 	}
 	o.hand.UpdateEndpoints(now, facts, l.list.Complete || l.cached, l.cached)
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -1,48 +1,58 @@
-// Package index gives names small indices, as the module wants them, and uses those again that were let go.
+// Package index interns keys: it maps names and addresses to the small, dense ids by which package router knows
+// endpoints, shards and zones. Ids that were released are used again, so that tables indexed by them stay small.
 package index
 
-// Table is names and their indices. It holds as many rows as names were known at once.
+// Table maps keys to ids from 0 up. It has as many rows as keys were held at once. It is not safe for concurrent use.
 type Table[K comparable] struct {
-	known map[K]int
-	names []K
-	free  []int
+	ids      map[K]int
+	keys     []K // by id; the zero value where the id is released
+	released []int
 }
 
-// New returns a table without names.
-func New[K comparable]() *Table[K] { return &Table[K]{known: map[K]int{}} }
+// New returns an empty table.
+func New[K comparable]() *Table[K] { return &Table[K]{ids: map[K]int{}} }
 
-// Len is the number of names that are known.
-func (t *Table[K]) Len() int { return len(t.known) }
+// Len returns the number of keys that have an id.
+func (t *Table[K]) Len() int { return len(t.ids) }
 
-// Find is a name's index, and false if it is not known.
-func (t *Table[K]) Find(name K) (int, bool) {
-	i, ok := t.known[name]
-	return i, ok
+// Lookup returns the key's id, and false if it has none.
+func (t *Table[K]) Lookup(key K) (int, bool) {
+	id, ok := t.ids[key]
+	return id, ok
 }
 
-// At is a name's index, given to it when it is first met.
-func (t *Table[K]) At(name K) int {
-	if i, ok := t.known[name]; ok {
-		return i
+// Intern returns the key's id and gives it one if it has none: the id that was released last, or else the next new one.
+func (t *Table[K]) Intern(key K) int {
+	if id, ok := t.ids[key]; ok {
+		return id
 	}
-	i := len(t.names)
-	if last := len(t.free) - 1; last >= 0 {
-		i, t.free = t.free[last], t.free[:last]
-		t.names[i] = name
-	} else {
-		t.names = append(t.names, name)
+	id := t.unusedID()
+	t.keys[id] = key
+	t.ids[key] = id
+	return id
+}
+
+// unusedID returns a released id, or a new one with a row of its own.
+func (t *Table[K]) unusedID() int {
+	last := len(t.released) - 1
+	if last < 0 {
+		var none K
+		t.keys = append(t.keys, none)
+		return len(t.keys) - 1
 	}
-	t.known[name] = i
-	return i
+	id := t.released[last]
+	t.released = t.released[:last]
+	return id
 }
 
-// Name is the name that has an index.
-func (t *Table[K]) Name(i int) K { return t.names[i] }
+// Key returns the key that has the id.
+func (t *Table[K]) Key(id int) K { return t.keys[id] }
 
-// Free lets a name go: its index may be given to another. All that is kept under it must be emptied first.
-func (t *Table[K]) Free(i int) {
+// Release takes the id from its key, so that another key may get it. The id must be held, and whatever its users
+// keep under it must be cleared first.
+func (t *Table[K]) Release(id int) {
 	var none K
-	delete(t.known, t.names[i])
-	t.names[i] = none
-	t.free = append(t.free, i)
+	delete(t.ids, t.keys[id])
+	t.keys[id] = none
+	t.released = append(t.released, id)
 }
