--- a/cmd/stoatdale/clients_test.go
+++ b/cmd/stoatdale/clients_test.go
@@ -66,9 +66,9 @@
 		c := r.connect()
 		go func() { _, _ = c.Write(part[:len(part)-1]) }()
 	}
-	r.waitForCounter("blocks_in_use", 4096)
+	r.waitForCounter("buffer_blocks_in_use", 4096)
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
 	n := r.counters()
-	assert.Less(t, n["blocks_in_use"], 4096+100*16.0, "what is read of one connection in one turn is bounded")
-	assert.EqualValues(t, 1, n["taken"])
+	assert.Less(t, n["buffer_blocks_in_use"], 4096+100*16.0, "what is read of one connection in one turn is bounded")
+	assert.EqualValues(t, 1, n["received"])
 }
--- a/cmd/stoatdale/commands_test.go
+++ b/cmd/stoatdale/commands_test.go
@@ -25,12 +25,12 @@
 	big := strings.Repeat("z", 40000)
 	assert.Equal(t, "value of "+big, c.query(readStatement(big)), "what is longer than a buffer chains")
 	n := r.counters()
-	assert.EqualValues(t, 2, n["taken"])
+	assert.EqualValues(t, 2, n["received"])
 	assert.EqualValues(t, 2, n["answered"])
-	assert.EqualValues(t, 2, n["dispatches"])
-	assert.EqualValues(t, 2, n["taken_by_group"].(map[string]any)["look"])
+	assert.EqualValues(t, 2, n["attempts"])
+	assert.EqualValues(t, 2, n["received_by_group"].(map[string]any)["look"])
 	assert.EqualValues(t, 1, n["clients_open"])
-	assert.Zero(t, n["in_hand"])
+	assert.Zero(t, n["in_flight"])
 }
 
 func TestPipelinedAnswersKeepTheOrderOfTheirCommands(t *testing.T) {
@@ -47,7 +47,7 @@
 	for i := range all {
 		c.send(all[i : i+1])
 	}
-	r.waitForCounter("dispatches", 2) // both are in flight at once
+	r.waitForCounter("attempts", 2) // both are in flight at once
 	close(first)
 	assert.Equal(t, "value of slow", c.readReply())
 	assert.Equal(t, "EMPTY", c.readReply())
@@ -71,7 +71,7 @@
 	assert.Equal(t, pg.CodeFailed, r.connect().query(writeStatement("w", 6000)), "failed, and not rejected")
 	assert.Len(t, a.statements, 1)
 	assert.Empty(t, b.statements)
-	assert.EqualValues(t, 1, r.counters()["outcomes"].(map[string]any)["broken"])
+	assert.EqualValues(t, 1, r.counters()["attempt_results"].(map[string]any)["connection_lost"])
 }
 
 func TestWriteIsRetriedAfterAConnectFailure(t *testing.T) {
@@ -88,7 +88,7 @@
 	began := time.Now()
 	assert.Equal(t, pg.CodeFailed, r.connect().query(writeStatement("w", 300)))
 	assert.GreaterOrEqual(t, time.Since(began), 250*time.Millisecond)
-	assert.EqualValues(t, 1, r.counters()["outcomes"].(map[string]any)["timed_out"])
+	assert.EqualValues(t, 1, r.counters()["attempt_results"].(map[string]any)["timed_out"])
 }
 
 func TestClientDisconnectCancelsItsAttempt(t *testing.T) {
@@ -105,8 +105,8 @@
 	c.send(pg.Query(nil, readStatement("gone")))
 	receive(t, b.statements)
 	_ = c.Close()
-	r.waitForCounter("left", 1)
-	assert.EqualValues(t, 1, r.counters()["recalls"])
+	r.waitForCounter("abandoned", 1)
+	assert.EqualValues(t, 1, r.counters()["attempts_canceled"])
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
 }
 
@@ -118,7 +118,7 @@
 		assert.Equal(t, "value of k", c.query(readStatement("k")))
 		time.Sleep(20 * time.Millisecond) // longer than the reuse delay
 	}
-	assert.EqualValues(t, 1, r.counters()["dialled"])
+	assert.EqualValues(t, 1, r.counters()["backend_connects"])
 	assert.Empty(t, b.closed)
 }
 
@@ -129,9 +129,9 @@
 	for range asked {
 		assert.Equal(t, "value of k", c.query(readStatement("k")))
 	}
-	r.waitForCounter("probes", 1)
+	r.waitForCounter("health_checks", 1)
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
-	assert.Zero(t, r.counters()["probes_failed"])
+	assert.Zero(t, r.counters()["health_checks_failed"])
 	assert.Len(t, b.statements, asked+1, "no statement but the client's and SHOW health")
 }
 
--- a/cmd/stoatdale/main_test.go
+++ b/cmd/stoatdale/main_test.go
@@ -98,6 +98,6 @@
 		c := r.connect()
 		c.send(pg.Query(nil, ""))
 		assert.Equal(t, "EMPTY", c.readReply())
-		r.waitForCounter("members_known", float64(endpoints))
+		r.waitForCounter("endpoints_known", float64(endpoints))
 	}
 }
--- a/cmd/stoatdale/reload_test.go
+++ b/cmd/stoatdale/reload_test.go
@@ -25,14 +25,14 @@
 	assert.Contains(t, r.waitForLog("reloaded"), other.address, "the file wins over the variable")
 	r.signal(syscall.SIGHUP) // twice in a row
 	r.waitForCounter("reloads", 2)
-	r.waitForCounter("lists", 2)
+	r.waitForCounter("lists_received", 2)
 	for range 5 {
 		assert.Equal(t, "value of n", r.connect().query(readStatement("n")))
 	}
 	assert.Empty(t, a.statements, "which the new list does not name")
 	close(hold)
 	assert.Equal(t, "value of k", c.readReply())
-	assert.Zero(t, r.counters()["reloads_refused"])
+	assert.Zero(t, r.counters()["reloads_rejected"])
 }
 
 func TestReloadOfAnInvalidFileChangesNothing(t *testing.T) {
@@ -47,7 +47,7 @@
 	r.waitForLog("reload refused")
 	n := r.counters()
 	assert.EqualValues(t, 1, n["reloads"])
-	assert.EqualValues(t, 2, n["reloads_refused"])
+	assert.EqualValues(t, 2, n["reloads_rejected"])
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
 }
 
@@ -68,8 +68,8 @@
 	c, slow := r.connect(), r.connect()
 	assert.Equal(t, "value of w", c.query(writeStatement("w", 6000)))
 	slow.send(pg.Query(nil, strings.Replace(readStatement("slow"), "d=3000", "d=7000", 1)))
-	r.waitForCounter("dispatches", 3) // the rejected write, its retry and this
-	missed := r.counters()["outcomes"].(map[string]any)["missed"]
+	r.waitForCounter("attempts", 3) // the rejected write, its retry and this
+	missed := r.counters()["attempt_results"].(map[string]any)["not_served"]
 	r.reload(`"seed":"1f"`, `"seed":"1f","move":true`, `"name":"look"`, `"name":"view"`,
 		`"classes":[`, `"classes":[{"name":"report","effect":"pure","targetNs":8e9,"deadlineNs":16e9,"worth":1},`,
 		`"needsByClass":["eventual",`, `"needsByClass":["eventual","lag_bound",`, `"classBoundNs":[0,0]`, `"classBoundNs":[0,1e9,0]`,
@@ -85,9 +85,9 @@
 	close(hold)
 	assert.Equal(t, "value of slow", slow.readReply(), "what was in flight ends under the settings that it came by")
 	n := r.counters()
-	assert.EqualValues(t, 1, n["moves"])
-	assert.Equal(t, missed, n["outcomes"].(map[string]any)["missed"], "who is the primary was learnt and is not tested anew")
-	assert.Zero(t, n["throttled"].(float64)+n["failed"].(float64)+n["in_hand"].(float64))
+	assert.EqualValues(t, 1, n["settings_migrations"])
+	assert.Equal(t, missed, n["attempt_results"].(map[string]any)["not_served"], "who is the primary was learnt and is not tested anew")
+	assert.Zero(t, n["throttled"].(float64)+n["failed"].(float64)+n["in_flight"].(float64))
 }
 
 // Without the key move, settings wait for a restart; how the list comes always does.
@@ -100,5 +100,5 @@
 	assert.Contains(t, r.waitForLog("reload refused"), "settings: zone is out of range")
 	r.reload(`"zone":2`, `"zone":1`, `"discovery":"push"`, `"discovery":"ask"`)
 	assert.Contains(t, r.waitForLog("changed keys"), `["settings"]`)
-	assert.Zero(t, r.counters()["moves"])
+	assert.Zero(t, r.counters()["settings_migrations"])
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -166,8 +166,8 @@
 	o.cmds[c.id] = c
 	o.ids[c.Name] = true
 	o.taken = append(o.taken, c)
-	o.count.Taken++
-	o.count.TakenByGroup[c.Group]++
+	o.count.Received++
+	o.count.ReceivedByGroup[c.Group]++
 }
 
 // Left takes in that the client of these commands has gone.
@@ -257,7 +257,7 @@
 			unsent = o.leave(now, c) || unsent
 		}
 		if unsent {
-			o.count.LeftUnsent++
+			o.count.ClientsLeftUnsent++
 		}
 	}
 	arrived := o.loop.Clock() // a turn may be held up between its poll and its reading: never earlier than they came
@@ -271,12 +271,12 @@
 
 func (o *Core) list(now float64, l listed) {
 	if l.failed {
-		o.count.ListsFailed++
+		o.count.ListCallsFailed++
 		o.router.EndpointListFailed(now)
 		return
 	}
 	if !l.cached {
-		o.count.Lists++
+		o.count.ListsReceived++
 	}
 	facts := make([]router.EndpointInfo, 0, len(l.list.Endpoints))
 	for _, m := range l.list.Endpoints {
@@ -303,7 +303,7 @@
 	if at := unix - o.zeroMs/1000; at >= 0 && o.clock(unix*1000) <= o.loop.Now()+o.ahead {
 		return at
 	}
-	o.count.PositionsRefused++
+	o.count.PositionsRejected++
 	return -1
 }
 
@@ -318,7 +318,7 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || name == "x1" && v != 0 && v != 1 {
-			o.count.PositionsRefused++
+			o.count.PositionsRejected++
 			return -1, false
 		}
 		switch name {
@@ -335,7 +335,7 @@
 
 // end tells the module of an outcome, and the client if it is answered.
 func (o *Core) end(now float64, e *outcome) {
-	o.count.Outcomes[e.ending]++
+	o.count.AttemptResults[e.ending]++
 	c := o.cmds[e.d.ID]
 	if c != nil && c.dispatch == e.d {
 		c.dispatch = nil
@@ -363,7 +363,7 @@
 	if c.done {
 		return false
 	}
-	o.count.Left++
+	o.count.Abandoned++
 	o.hand.ClientGone(now, c.id)
 	if unsent = c.dispatch == nil || c.dispatch.Unsent(); unsent && c.dispatch != nil {
 		o.recalls = append(o.recalls, c.dispatch)
@@ -415,7 +415,7 @@
 // Reject implements hand.Executor.
 func (o *Core) Reject(id uint32, comeBack float64) {
 	c := o.cmds[id]
-	o.count.Throttled++
+	o.count.Rejected++
 	c.Front.Throttled(c, comeBack)
 	o.finish(c)
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -44,7 +44,7 @@
 	}
 	s.Discovery = s.KnownList.Endpoints[0].Address
 	blocks := buffer.NewPool(64, 1000)
-	o := New(s, l, blocks, &count.Counters{TakenByGroup: make([]uint64, 1)}, zerolog.Nop())
+	o := New(s, l, blocks, &count.Counters{ReceivedByGroup: make([]uint64, 1)}, zerolog.Nop())
 	o.hear(0)
 	return o, blocks
 }
@@ -86,7 +86,7 @@
 	o.Left([]*Command{c})
 	o.Settle(0.1)
 	assert.Empty(t, s)
-	assert.Zero(t, o.count.Dispatches)
+	assert.Zero(t, o.count.Attempts)
 	assert.Zero(t, o.InHand())
 	assert.Zero(t, blocks.Out())
 }
@@ -100,9 +100,9 @@
 	o.Left([]*Command{c}) // before the dispatch was carried out
 	o.hear(0.1)
 	o.carry()
-	assert.Zero(t, o.count.Dispatches)
+	assert.Zero(t, o.count.Attempts)
 	o.Settle(0.1)
-	assert.EqualValues(t, 1, o.count.Outcomes[router.NeverSent])
+	assert.EqualValues(t, 1, o.count.AttemptResults[router.NeverSent])
 	assert.Zero(t, o.hand.Len())
 }
 
--- a/internal/count/count.go
+++ b/internal/count/count.go
@@ -1,62 +1,60 @@
-// Package count holds the router's counters.
+// Package count holds the router's counters and writes them to its log.
 package count
 
-import "github.com/rs/zerolog"
-
-// Counters is what a router has taken in, sent and answered since its start.
+// Counters is what a router has received, sent and answered since its start. Values only grow, except for those marked
+// as gauges, which are filled in when a snapshot is taken. The event loop's goroutine owns them; others get copies.
 type Counters struct {
-	Accepted, ClientsOpen, Shed       uint64 // client connections; shed: ended for want of descriptors
-	BadInput                          uint64 // messages that were no command, and answered so
-	CutShort                          uint64 // clients that did not finish a message in time
-	NeverAsked, LongIdle, Stalled     uint64 // clients ended: silent since they came, silent for long, left an answer untaken
-	Taken                             uint64
-	TakenByGroup                      []uint64
-	GroupNames                        []string
-	Answered, Throttled, Failed, Left uint64
-	LeftUnsent                        uint64 // clients that were noticed gone with a command that was at no member
-	InHand                            uint64
-	Dispatches, Recalls               uint64
-	Outcomes                          [9]uint64 // by router.Ending
-	Dialled, DialsFailed, MembersOpen uint64
-	IdleClosed                        uint64
-	Unasked                           uint64 // idle connections that ended, or brought what belongs to no command
-	Spoilt                            uint64 // answers of members that could not be read
-	PositionsRefused                  uint64 // positions and reports that cannot be
-	MembersKnown, MemberRows          uint64 // now: members of the list, and rows for members
-	Probes, ProbesFailed              uint64
-	Lists, ListsFailed                uint64
-	Reloads, ReloadsRefused           uint64 // of the configuration
-	Moves                             uint64 // to other settings
-	BlocksInUse                       uint64
-	LongestTurn                       float64 // seconds
-}
+	// Client connections.
+	ClientsAccepted uint64
+	ClientsOpen     uint64 // gauge
+	ClientsShed     uint64 // closed to free file descriptors
+
+	// Client connections that were closed because a time limit ran out.
+	MessageTimeouts    uint64 // did not finish a message in time
+	FirstQueryTimeouts uint64 // sent nothing after they connected
+	IdleTimeouts       uint64 // sent nothing after an answer
+	WriteStallTimeouts uint64 // did not read their answers
+
+	// Commands. Received is the sum of Answered, Rejected, Failed, Abandoned and InFlight.
+	Received          uint64
+	ReceivedByGroup   []uint64 // by index into GroupNames
+	GroupNames        []string
+	Answered          uint64 // with a backend's answer
+	Rejected          uint64 // with Retry-After: not run, safe to repeat
+	Failed            uint64 // with an error: a command that is not idempotent may have run
+	Abandoned         uint64 // the client left before the answer
+	InFlight          uint64 // gauge: commands without a final answer
+	InvalidQueries    uint64 // messages that were not a command and were answered with an error
+	ClientsLeftUnsent uint64 // clients that left with a command that had not been sent to any backend
+
+	// Attempts: one command sent to one backend.
+	Attempts         uint64
+	AttemptsCanceled uint64
+	AttemptResults   [len(attemptResultKeys)]uint64 // by router.Ending
+
+	// Backend connections.
+	BackendConnects        uint64 // connections begun
+	BackendConnectFailures uint64
+	BackendConnectionsOpen uint64 // gauge
+	BackendIdleClosed      uint64 // closed by the router after their idle time
+	BackendUnsolicited     uint64 // idle connections that the backend closed, or on which it sent data that nobody asked for
+	BackendInvalidAnswers  uint64 // answers that could not be read
+	PositionsRejected      uint64 // positions and load reports that are malformed or lie in the future
+	HealthChecks           uint64
+	HealthChecksFailed     uint64
+
+	// The endpoint list.
+	EndpointsKnown  uint64 // gauge: endpoints that have a row
+	EndpointRows    uint64 // gauge: rows for endpoints, unused ones included
+	ListsReceived   uint64
+	ListCallsFailed uint64
+
+	// Configuration.
+	Reloads            uint64
+	ReloadsRejected    uint64
+	SettingsMigrations uint64 // reloads after which commands are routed by changed settings
 
-var outcomes = [...]string{"answered", "errored", "full", "timed_out", "unreached", "broken", "recalled",
-	"moot", "missed"}
-
-// MarshalZerologObject puts the counters on a log line.
-func (c *Counters) MarshalZerologObject(e *zerolog.Event) {
-	groups, ends := zerolog.Dict(), zerolog.Dict()
-	for i, n := range c.TakenByGroup {
-		groups.Uint64(c.GroupNames[i], n)
-	}
-	for i, n := range c.Outcomes {
-		ends.Uint64(outcomes[i], n)
-	}
-	e.Uint64("clients_accepted", c.Accepted).Uint64("clients_open", c.ClientsOpen).
-		Uint64("clients_shed", c.Shed).Uint64("bad_input", c.BadInput).
-		Uint64("cut_short", c.CutShort).Uint64("never_asked", c.NeverAsked).Uint64("long_idle", c.LongIdle).
-		Uint64("stalled", c.Stalled).
-		Uint64("taken", c.Taken).Dict("taken_by_group", groups).
-		Uint64("answered", c.Answered).Uint64("throttled", c.Throttled).Uint64("failed", c.Failed).
-		Uint64("left", c.Left).Uint64("left_unsent", c.LeftUnsent).Uint64("in_hand", c.InHand).
-		Uint64("dispatches", c.Dispatches).Uint64("recalls", c.Recalls).Dict("outcomes", ends).
-		Uint64("dialled", c.Dialled).Uint64("dials_failed", c.DialsFailed).
-		Uint64("members_open", c.MembersOpen).Uint64("idle_closed", c.IdleClosed).
-		Uint64("unasked", c.Unasked).Uint64("spoilt", c.Spoilt).Uint64("positions_refused", c.PositionsRefused).
-		Uint64("members_known", c.MembersKnown).Uint64("member_rows", c.MemberRows).
-		Uint64("probes", c.Probes).Uint64("probes_failed", c.ProbesFailed).
-		Uint64("reloads", c.Reloads).Uint64("reloads_refused", c.ReloadsRefused).Uint64("moves", c.Moves).
-		Uint64("lists", c.Lists).Uint64("lists_failed", c.ListsFailed).
-		Uint64("blocks_in_use", c.BlocksInUse).Float64("longest_turn_ms", c.LongestTurn*1000)
+	// The process.
+	BufferBlocksInUse  uint64  // gauge
+	LongestTurnSeconds float64 // the event loop's longest turn
 }
--- /dev/null
+++ b/internal/count/count_test.go
@@ -0,0 +1,75 @@
+package count
+
+import (
+	"bytes"
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// logged returns the numbers of a counters' log line, those of nested objects included, by key.
+func logged(t *testing.T, counters *Counters) map[string]float64 {
+	t.Helper()
+	var out bytes.Buffer
+	log := zerolog.New(&out)
+	log.Info().Object("counters", counters).Send()
+	var line struct{ Counters map[string]any }
+	require.NoError(t, json.Unmarshal(out.Bytes(), &line))
+	numbers := map[string]float64{}
+	for key, value := range line.Counters {
+		switch value := value.(type) {
+		case float64:
+			numbers[key] = value
+		case map[string]any:
+			for nested, number := range value {
+				numbers[key+"."+nested] = number.(float64)
+			}
+		}
+	}
+	return numbers
+}
+
+func TestEveryCounterIsLoggedOnce(t *testing.T) {
+	var counters Counters
+	fields := reflect.ValueOf(&counters).Elem()
+	want := map[float64]string{}
+	for i := range fields.NumField() {
+		if field := fields.Field(i); field.Kind() == reflect.Uint64 {
+			number := uint64(i + 1)
+			field.SetUint(number)
+			want[float64(number)] = fields.Type().Field(i).Name
+		}
+	}
+	for key, number := range logged(t, &counters) {
+		if number == 0 {
+			continue // of an attempt result, or the longest turn
+		}
+		assert.Contains(t, want, number, key)
+		delete(want, number)
+	}
+	assert.Empty(t, want, "fields that are not logged")
+}
+
+func TestAttemptResultsAndGroupsAreLoggedUnderTheirNames(t *testing.T) {
+	counters := Counters{ReceivedByGroup: []uint64{5, 6}, GroupNames: []string{"look", "book"}, LongestTurnSeconds: 0.25}
+	counters.AttemptResults[0] = 7
+	counters.AttemptResults[len(counters.AttemptResults)-1] = 8
+	numbers := logged(t, &counters)
+	assert.InDelta(t, 5, numbers["received_by_group.look"], 0)
+	assert.InDelta(t, 6, numbers["received_by_group.book"], 0)
+	assert.InDelta(t, 7, numbers["attempt_results.answered"], 0)
+	assert.InDelta(t, 8, numbers["attempt_results.not_served"], 0)
+	assert.InDelta(t, 250, numbers["longest_turn_ms"], 0)
+}
+
+// The agent of an earlier release counts a router's answers by these keys.
+func TestKeysThatAgentsReadStay(t *testing.T) {
+	numbers := logged(t, &Counters{Answered: 1, Rejected: 2, Failed: 3, InvalidQueries: 4})
+	for key, want := range map[string]float64{"answered": 1, "throttled": 2, "failed": 3, "bad_input": 4} {
+		assert.InDelta(t, want, numbers[key], 0, key)
+	}
+}
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -126,7 +126,7 @@
 func overloaded(string) []byte { return pg.Ready(pg.Error(nil, false, pg.CodeFull, "full", "")) }
 
 func (d *harness) acceptedCommands(n int) func() bool {
-	return func() bool { return d.counters.Taken == uint64(n) }
+	return func() bool { return d.counters.Received == uint64(n) }
 }
 
 // drains and readies say in a publishState that the member does.
@@ -177,12 +177,12 @@
 			d.runUntil(s.locked(func() bool { return s.started == 1 }))
 			d.publishState(roster.StateDraining)
 			close(s.accepting)
-			d.runUntil(func() bool { return d.counters.Outcomes[2] == 1 })
+			d.runUntil(func() bool { return d.counters.AttemptResults[2] == 1 })
 			return c
 		}, []string{"a1"}, 1},
 		"while its connection comes up": {none, func(s *fakeBackend) { s.greeting = make(chan struct{}) }, func(d *harness, _ *fakeBackend) net.Conn {
 			c, _ := d.client(startupThen(wait("a1")))
-			d.runUntil(func() bool { return d.counters.Dialled == 1 })
+			d.runUntil(func() bool { return d.counters.BackendConnects == 1 })
 			return c
 		}, nil, 1},
 		"with half of its statement written": {
@@ -213,7 +213,7 @@
 		"with its last answer owed": {none, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
 			d.publishState(roster.StateDraining)
 			c, _ := d.client(startupThen(wait("a1"), []byte("?\x00\x00\x00\x04")))
-			d.runUntil(func() bool { return d.counters.BadInput == 1 })
+			d.runUntil(func() bool { return d.counters.InvalidQueries == 1 })
 			return c
 		}, nil, 1},
 		"with answers that it does not take": {func(l *site.Limits) { l.Sizes.UnsentAnswers = 4096; l.Counts.InvalidQueries = 1 << 30 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
@@ -264,8 +264,8 @@
 				open := d.server.OpenConnections()
 				_ = c.Close()
 				d.runUntil(func() bool { return d.server.OpenConnections() == open-1 })
-				assert.EqualValues(t, w.left, d.counters.Left)
-				assert.EqualValues(t, min(w.left, 1), d.counters.LeftUnsent, "clients noticed gone with a command unsent")
+				assert.EqualValues(t, w.left, d.counters.Abandoned)
+				assert.EqualValues(t, min(w.left, 1), d.counters.ClientsLeftUnsent, "clients noticed gone with a command unsent")
 				close(s.clientLeft)
 				// What comes after it arrives, and nothing else.
 				for _, held := range []chan struct{}{s.greeting, s.accepting} {
@@ -294,10 +294,10 @@
 	c, _ := d.client(startupThen(query("a1", "c=look,d=300000")))
 	d.runUntil(s.hasReceived(1))
 	_ = c.Close()
-	d.runUntil(func() bool { return d.counters.Left == 1 })
-	assert.Zero(t, d.counters.LeftUnsent)
+	d.runUntil(func() bool { return d.counters.Abandoned == 1 })
+	assert.Zero(t, d.counters.ClientsLeftUnsent)
 	close(say)
-	d.runUntil(func() bool { return d.counters.Outcomes[2] == 1 })
+	d.runUntil(func() bool { return d.counters.AttemptResults[2] == 1 })
 	d.client(startupThen(query("b1", "c=look,d=300000")))
 	d.runUntil(s.locked(func() bool { return len(s.received) > 1 }))
 	assert.Equal(t, "b1", s.ids()[1])
@@ -308,12 +308,12 @@
 	d := newHarness(t, func(*site.Limits) {})
 	c, err := net.Dial("tcp", d.server.Address.String())
 	require.NoError(t, err)
-	d.runUntil(func() bool { return d.counters.Accepted == 1 })
+	d.runUntil(func() bool { return d.counters.ClientsAccepted == 1 })
 	_, err = c.Write(startupThen(query("a1", "c=look,d=300000")))
 	require.NoError(t, err)
 	require.NoError(t, c.Close())
 	d.runUntil(func() bool { return d.server.OpenConnections() == 0 })
-	assert.Zero(t, d.counters.Dispatches)
+	assert.Zero(t, d.counters.Attempts)
 }
 
 // A client that waits to be accepted asks and leaves meanwhile: what it asked is not sent on once there is room for it.
@@ -330,8 +330,8 @@
 		d.client(startupThen(query("b1", "c=look,d=300000")))
 		d.runUntil(s.hasReceived(1))
 		assert.Equal(t, []string{"b1"}, s.ids(), how)
-		assert.EqualValues(t, 1, d.counters.Taken, how)
-		assert.EqualValues(t, 2, d.counters.Accepted, how)
+		assert.EqualValues(t, 1, d.counters.Received, how)
+		assert.EqualValues(t, 2, d.counters.ClientsAccepted, how)
 	}
 }
 
@@ -354,7 +354,7 @@
 		k.timerExpired()
 	})
 	d.runUntil(d.acceptedCommands(1))
-	assert.Zero(t, d.counters.CutShort)
+	assert.Zero(t, d.counters.MessageTimeouts)
 	d.server.Shutdown()
 	assert.Contains(t, d.readAll(heard), "value of a1")
 }
@@ -401,10 +401,10 @@
 	} {
 		d := newHarness(t, func(l *site.Limits) { l.Durations.DrainDeadline = 0.05 })
 		_, heard := d.client(first)
-		d.runUntil(func() bool { return d.counters.Accepted == 1 })
+		d.runUntil(func() bool { return d.counters.ClientsAccepted == 1 })
 		d.server.Shutdown()
 		assert.Contains(t, d.readAll(heard), pg.CodeEnding, "%s", what)
-		assert.Zero(t, d.counters.Taken)
+		assert.Zero(t, d.counters.Received)
 	}
 }
 
@@ -419,7 +419,7 @@
 	d.server.Shutdown()
 	assert.False(t, d.server.ListenerClosed())
 	d.runUntil(d.server.ListenerClosed)
-	assert.EqualValues(t, 3, d.counters.Accepted)
+	assert.EqualValues(t, 3, d.counters.ClientsAccepted)
 	assert.Contains(t, d.readAll(heard), string(pg.Empty(nil)))
 }
 
@@ -437,7 +437,7 @@
 	d.runUntil(func() bool { return d.loop.Now() > 0.02 && d.server.resumeTimer.IsSet() })
 	d.server.Shutdown()
 	d.runUntil(d.server.ListenerClosed)
-	assert.EqualValues(t, 1, d.counters.Taken)
+	assert.EqualValues(t, 1, d.counters.Received)
 	require.NoError(t, c.Close())
 	d.runUntil(func() bool { return d.server.OpenConnections() == 0 })
 }
@@ -494,6 +494,6 @@
 	got := d.readAll(heard)
 	assert.Contains(t, got, "value of a1")
 	assert.NotContains(t, got, "value of a2")
-	assert.EqualValues(t, 1, d.counters.Taken)
+	assert.EqualValues(t, 1, d.counters.Received)
 	d.runUntil(func() bool { return d.server.OpenConnections() == 0 })
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -44,7 +44,7 @@
 		t.Cleanup(func() { _ = n.Close() })
 		return n
 	}
-	d := &harness{t: t, counters: count.Counters{TakenByGroup: make([]uint64, 2)}, backendListener: mute()}
+	d := &harness{t: t, counters: count.Counters{ReceivedByGroup: make([]uint64, 2)}, backendListener: mute()}
 	raw, err := d.backendListener.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
 	require.NoError(t, raw.Control(func(fd uintptr) { // connections that it accepts have it too
@@ -144,7 +144,7 @@
 		d := newHarness(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
 		_, heard := d.client(half)
 		assert.Contains(t, d.readAll(heard), pg.CodeProtocol, what)
-		assert.EqualValues(t, 1, d.counters.CutShort, what)
+		assert.EqualValues(t, 1, d.counters.MessageTimeouts, what)
 	}
 	d := newHarness(t, func(l *site.Limits) { l.Durations.MessageTimeout = 0.05 })
 	c, heard := d.client(pg.Hello(nil), pg.Query(nil, ""))
@@ -157,7 +157,7 @@
 		}
 	}()
 	assert.Contains(t, d.readAll(heard), pg.CodeProtocol)
-	assert.Zero(t, d.counters.Taken)
+	assert.Zero(t, d.counters.Received)
 }
 
 func TestClientThatNeverAsksIsClosed(t *testing.T) {
@@ -166,7 +166,7 @@
 	_, hello := d.client(pg.Hello(nil))
 	assert.Empty(t, d.readAll(nothing))
 	assert.NotEmpty(t, d.readAll(hello), "the welcome")
-	assert.EqualValues(t, 2, d.counters.NeverAsked)
+	assert.EqualValues(t, 2, d.counters.FirstQueryTimeouts)
 	assert.Zero(t, d.server.OpenConnections())
 	assert.Zero(t, d.server.silent.Len()+d.server.idle.Len()+d.server.closing.Len())
 }
@@ -179,7 +179,7 @@
 	d.runUntil(func() bool { return d.server.silent.Len() == 1 })
 	d.client()
 	d.readAll(silent)
-	assert.EqualValues(t, 1, d.counters.Shed)
+	assert.EqualValues(t, 1, d.counters.ClientsShed)
 	assert.Empty(t, asked, "it asked, and stays")
 }
 
@@ -192,13 +192,13 @@
 	}
 	d.readAll(first)
 	d.runUntil(func() bool { return d.server.idle.Len() == 2 })
-	assert.EqualValues(t, 1, d.counters.Shed)
+	assert.EqualValues(t, 1, d.counters.ClientsShed)
 }
 
 func TestWhatMembersMustNotSeeIsAnErrorOfTheFront(t *testing.T) {
 	d := newHarness(t, func(*site.Limits) {})
 	d.client(pg.Hello(nil), query("a1", "c=look,d=300000"))
-	d.runUntil(func() bool { return d.counters.Taken == 1 })
+	d.runUntil(func() bool { return d.counters.Received == 1 })
 	for what, b := range map[string][]byte{
 		"id in hand": query("a1", "c=look,d=300"), "no key": query("b", "c=order,d=300"), "absurd wait": query("b", "c=look,d=2000000"),
 		"no id": pg.Query(nil, "SELECT 1 /* c=look,d=300,cluster=2 */"), "group": query("b", "c=gaze,d=300"),
@@ -208,8 +208,8 @@
 		said := d.readAll(heard)
 		assert.True(t, strings.Contains(said, pg.CodeValue) || strings.Contains(said, pg.CodeSyntax), "%s: %q", what, said)
 	}
-	assert.EqualValues(t, 1, d.counters.Taken)
-	assert.EqualValues(t, 6, d.counters.BadInput)
+	assert.EqualValues(t, 1, d.counters.Received)
+	assert.EqualValues(t, 6, d.counters.InvalidQueries)
 }
 
 func TestClientThatRepeatsWhatIsNoCommandIsEnded(t *testing.T) {
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -43,7 +43,7 @@
 			f.loop.Discard(fd)
 			return
 		}
-		f.counters.Accepted++
+		f.counters.ClientsAccepted++
 		f.conns[c] = true
 		if f.loop.Left(fd) { // it waited to be accepted for longer than it waits for an answer: what it asked is not read
 			c.close()
@@ -76,7 +76,7 @@
 			return false
 		}
 		if f.loop.Quiet(c.fd) {
-			f.counters.Shed++
+			f.counters.ClientsShed++
 			c.close()
 			return true
 		}
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -43,7 +43,7 @@
 		c.send(pg.Ready(nil))
 	default:
 		c.state = stateSkippingToSync
-		c.server.counters.BadInput++
+		c.server.counters.InvalidQueries++
 		c.send(pg.Error(nil, false, pg.CodeUnsupported, "only simple queries are served", ""))
 	}
 	c.input.Skip(size)
@@ -135,12 +135,12 @@
 		c.protocolError(code, message)
 		return
 	}
-	c.server.counters.BadInput++
+	c.server.counters.InvalidQueries++
 	c.send(pg.Ready(pg.Error(nil, false, code, message, "")))
 }
 
 // protocolError says what is wrong and ends the connection after the answers that are owed.
 func (c *conn) protocolError(code, message string) {
-	c.server.counters.BadInput++
+	c.server.counters.InvalidQueries++
 	c.finalError(code, message)
 }
--- a/internal/front/phase.go
+++ b/internal/front/phase.go
@@ -88,17 +88,17 @@
 	case (c.phase == phaseAwaitingFirstQuery || c.phase == phaseReadingMessage || c.phase == phaseIdle) && !c.awaitsBuffers && !c.server.loop.Quiet(c.fd):
 		c.server.loop.Set(c.timer, c.server.loop.Now()+c.server.limits.Durations.MinBackoff) // it is asking just now
 	case (c.phase == phaseAwaitingFirstQuery || c.phase == phaseReadingMessage) && c.input.Len() > 0:
-		c.server.counters.CutShort++
+		c.server.counters.MessageTimeouts++
 		c.protocolError(pg.CodeProtocol, "a message was not whole in time")
 		c.process()
 	default:
 		switch c.phase {
 		case phaseAwaitingFirstQuery:
-			c.server.counters.NeverAsked++
+			c.server.counters.FirstQueryTimeouts++
 		case phaseIdle:
-			c.server.counters.LongIdle++
+			c.server.counters.IdleTimeouts++
 		case phaseWritingAnswer:
-			c.server.counters.Stalled++
+			c.server.counters.WriteStallTimeouts++
 		}
 		c.close()
 	}
--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -23,7 +23,7 @@
 
 // Send carries a dispatch out: over a standing connection, or a new one.
 func (m *Members) Send(d *Dispatch) {
-	m.count.Dispatches++
+	m.count.Attempts++
 	d.sent = m.loop.Now()
 	c := m.take(d.Node)
 	if c == nil {
@@ -37,7 +37,7 @@
 // Recall gives a dispatch up: its connection is closed at once.
 func (m *Members) Recall(d *Dispatch) {
 	if d.conn != nil {
-		m.count.Recalls++
+		m.count.AttemptsCanceled++
 		d.conn.end(router.Canceled)
 	}
 }
--- a/internal/member/connection.go
+++ b/internal/member/connection.go
@@ -97,7 +97,7 @@
 	done, bad := c.answer.Take(&c.in, c.m.limits.Sizes.BackendMessage, c.m.limits.Sizes.InspectedMessage)
 	switch {
 	case bad != nil:
-		c.m.count.Spoilt++
+		c.m.count.BackendInvalidAnswers++
 		c.end(router.Errored)
 	case done:
 		c.answered(err != nil)
@@ -108,7 +108,7 @@
 
 // unasked closes an idle connection that has ended or brings what belongs to no command.
 func (c *conn) unasked() {
-	c.m.count.Unasked++
+	c.m.count.BackendUnsolicited++
 	c.close()
 }
 
@@ -171,7 +171,7 @@
 // due is called when the time of what the connection does has run out.
 func (c *conn) due() {
 	if c.state == idle {
-		c.m.count.IdleClosed++
+		c.m.count.BackendIdleClosed++
 		c.close()
 		return
 	}
@@ -185,7 +185,7 @@
 		e = router.ConnectFailed
 	}
 	if c.state == dialling || c.state == greeting {
-		c.m.count.DialsFailed++
+		c.m.count.BackendConnectFailures++
 	}
 	d, probe, now := c.dispatch, c.probe, c.m.loop.Now()
 	c.dispatch, c.probe = nil, false
--- a/internal/member/connection_test.go
+++ b/internal/member/connection_test.go
@@ -45,10 +45,10 @@
 	_, _ = c.Write(answer("one")) // a second copy, while the next command is out
 	other := b.accept()
 	b.reply(other, "two")
-	b.run(func() bool { return b.count.Unasked == 1 })
+	b.run(func() bool { return b.count.BackendUnsolicited == 1 })
 	assert.Equal(t, []string{"one", "two"}, b.values)
 	b.m.limits.Durations.ReuseDelay = 0
 	_, _ = other.Write([]byte("noise"))
-	b.run(func() bool { return b.count.Unasked == 2 })
+	b.run(func() bool { return b.count.BackendUnsolicited == 2 })
 	assert.Zero(t, b.m.Open(), "neither connection is used again")
 }
--- a/internal/member/health_check.go
+++ b/internal/member/health_check.go
@@ -4,10 +4,10 @@
 
 // Probe asks a member for its report.
 func (m *Members) Probe(node int) {
-	m.count.Probes++
+	m.count.HealthChecks++
 	c := m.take(node)
 	if c == nil {
-		m.count.ProbesFailed++
+		m.count.HealthChecksFailed++
 		m.sink.Probed(node, router.ConnectFailed, 0, "")
 		return
 	}
@@ -17,7 +17,7 @@
 
 func (c *conn) probed(e router.Result, took float64, report string) {
 	if e != router.Answered {
-		c.m.count.ProbesFailed++
+		c.m.count.HealthChecksFailed++
 	}
 	if c.life != c.m.hosts[c.node].life { // it speaks for nobody who is known
 		return
--- a/internal/member/health_check_test.go
+++ b/internal/member/health_check_test.go
@@ -66,7 +66,7 @@
 	b.run(func() bool { return len(b.probes) == 1 })
 	assert.Equal(t, []router.Result{router.Errored}, b.probes)
 	assert.Equal(t, []string{""}, b.reports)
-	assert.EqualValues(t, 1, b.count.Spoilt)
+	assert.EqualValues(t, 1, b.count.BackendInvalidAnswers)
 	assert.Zero(t, b.m.Open())
 }
 
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -101,10 +101,10 @@
 	if !at.IsValid() || m.open >= m.limits.Counts.BackendConnections && m.loop.Open() >= m.limits.Counts.SharedDescriptors && !m.shed() {
 		return nil
 	}
-	m.count.Dialled++
+	m.count.BackendConnects++
 	fd, err := m.loop.Dial(at)
 	if err != nil {
-		m.count.DialsFailed++
+		m.count.BackendConnectFailures++
 		return nil
 	}
 	c := &conn{
--- a/internal/member/pool_test.go
+++ b/internal/member/pool_test.go
@@ -17,7 +17,7 @@
 	b.send("d=99", far) // before the loop has seen the end
 	b.reply(b.accept(), "two")
 	assert.Equal(t, []router.Result{router.Answered, router.Answered}, b.endings)
-	assert.EqualValues(t, 2, b.count.Dialled)
+	assert.EqualValues(t, 2, b.count.BackendConnects)
 }
 
 func TestChangedAddressTakesNothingNewOnOldConnections(t *testing.T) {
--- a/service/counters.go
+++ b/service/counters.go
@@ -31,14 +31,14 @@
 // ended.
 func (r *Router) snapshot() Counters {
 	counters := r.counters
-	counters.TakenByGroup = append([]uint64(nil), counters.TakenByGroup...)
+	counters.ReceivedByGroup = append([]uint64(nil), counters.ReceivedByGroup...)
 	counters.ClientsOpen = uint64(r.front.OpenConnections())
-	counters.InHand = uint64(r.core.InHand())
-	counters.MembersOpen = uint64(r.core.Members())
-	counters.BlocksInUse = uint64(r.buffers.Out())
+	counters.InFlight = uint64(r.core.InHand())
+	counters.BackendConnectionsOpen = uint64(r.core.Members())
+	counters.BufferBlocksInUse = uint64(r.buffers.Out())
 	known, rows := r.core.Known()
-	counters.MembersKnown = uint64(known)
-	counters.MemberRows = uint64(rows)
-	counters.LongestTurn = r.loop.Longest()
+	counters.EndpointsKnown = uint64(known)
+	counters.EndpointRows = uint64(rows)
+	counters.LongestTurnSeconds = r.loop.Longest()
 	return counters
 }
--- a/service/reload.go
+++ b/service/reload.go
@@ -11,7 +11,7 @@
 	config, err := site.Reload(env)
 	r.loop.Post(func() {
 		if err != nil {
-			r.counters.ReloadsRefused++
+			r.counters.ReloadsRejected++
 			r.log.Error().Err(err).Msg("reload refused")
 			return
 		}
@@ -40,7 +40,7 @@
 	r.renameGroups(next.Settings.GroupNames)
 	r.front.ReloadGroups()
 	r.core.Move()
-	r.counters.Moves++
+	r.counters.SettingsMigrations++
 	r.log.Info().Int("in_flight", r.core.InHand()).Strs("groups", next.Settings.GroupNames).
 		Msg("migrated to changed settings")
 }
@@ -50,11 +50,11 @@
 func (r *Router) renameGroups(names []string) {
 	byName := map[string]uint64{}
 	for i, name := range r.counters.GroupNames {
-		byName[name] = r.counters.TakenByGroup[i]
+		byName[name] = r.counters.ReceivedByGroup[i]
 	}
 	r.counters.GroupNames = names
-	r.counters.TakenByGroup = make([]uint64, len(names))
+	r.counters.ReceivedByGroup = make([]uint64, len(names))
 	for i, name := range names {
-		r.counters.TakenByGroup[i] = byName[name]
+		r.counters.ReceivedByGroup[i] = byName[name]
 	}
 }
--- a/service/service.go
+++ b/service/service.go
@@ -54,7 +54,7 @@
 		stopped: make(chan struct{}),
 	}
 	r.counters.GroupNames = config.Settings.GroupNames
-	r.counters.TakenByGroup = make([]uint64, len(config.Settings.GroupNames))
+	r.counters.ReceivedByGroup = make([]uint64, len(config.Settings.GroupNames))
 	r.core = core.New(&r.config, events, r.buffers, &r.counters, log)
 	r.front, err = front.Listen(config.Listen, events, &r.config.Limits, r.buffers, r.core, &r.config.Settings,
 		&r.counters, log)
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -37,13 +37,13 @@
 	require.NoError(t, err)
 	stopped := make(chan error)
 	go func() { stopped <- r.Run() }()
-	pollFailed := func() bool { return r.Counters().ListsFailed > 0 }
+	pollFailed := func() bool { return r.Counters().ListCallsFailed > 0 }
 	require.Eventually(t, pollFailed, patience, time.Millisecond)
 	assert.Equal(t, []string{"look"}, r.Counters().GroupNames)
 	r.Drain()
 	r.Drain()
 	require.NoError(t, <-stopped)
-	assert.NotZero(t, r.Counters().ListsFailed, "also after its end")
+	assert.NotZero(t, r.Counters().ListCallsFailed, "also after its end")
 }
 
 func TestNewFailsOnAnAddressInUse(t *testing.T) {
