--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -120,7 +120,7 @@
 	o.watch = discovery.New(l, &s.Limits, s.Discovery, s.Settings.PollList, blocks, o, log)
 	o.lists = append(o.lists, listed{list: s.KnownList, cached: true})
 	if !s.Settings.PollList {
-		o.watch.Ask()
+		o.watch.Poll()
 	}
 	return o
 }
@@ -186,7 +186,7 @@
 func (o *Core) MakeRoom() bool { return o.members.MakeRoom() }
 
 // Follow has the list watched at another address.
-func (o *Core) Follow(at netip.AddrPort) { o.watch.Move(at) }
+func (o *Core) Follow(at netip.AddrPort) { o.watch.SetAddress(at) }
 
 // Close ends the watch and all idle connections to members.
 func (o *Core) Close() {
@@ -194,11 +194,11 @@
 	o.members.Close()
 }
 
-// Listed implements discovery.Sink.
-func (o *Core) Listed(list roster.List) { o.lists = append(o.lists, listed{list: list}) }
+// Listed implements discovery.ListHandler.
+func (o *Core) HandleList(list roster.List) { o.lists = append(o.lists, listed{list: list}) }
 
-// ListFailed implements discovery.Sink.
-func (o *Core) ListFailed() { o.lists = append(o.lists, listed{failed: true}) }
+// ListFailed implements discovery.ListHandler.
+func (o *Core) HandleCallFailure() { o.lists = append(o.lists, listed{failed: true}) }
 
 // Ended implements member.Sink.
 func (o *Core) Ended(d *member.Dispatch, e router.Result, took float64, a *pg.Answer) {
@@ -228,7 +228,7 @@
 			o.nodes.Release(node)
 		}
 		if keep.Subscribe {
-			o.watch.Ask()
+			o.watch.Poll()
 		}
 		if len(o.lists)+len(o.probes)+len(o.ends)+len(o.left)+len(o.taken) == 0 {
 			return next
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -134,7 +134,7 @@
 		now := float64(i)
 		list := roster.List{Endpoints: []roster.Endpoint{{ID: fmt.Sprint("m", i), Shard: 7, State: roster.StateReady},
 			{ID: fmt.Sprint("m", i-1), Shard: 7, State: roster.StateGone}}}
-		o.Listed(list)
+		o.HandleList(list)
 		o.Settle(now)
 		if known, _ := o.Known(); float64(known) > span {
 			span = float64(known)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-func (w *watcher) Listed(l roster.List) { w.tell(fmt.Sprint(l.Generation, " ", l.Complete)) }
-func (w *watcher) ListFailed()          { w.tell("failed") }
+func (w *watcher) HandleList(l roster.List) { w.tell(fmt.Sprint(l.Generation, " ", l.Complete)) }
+func (w *watcher) HandleCallFailure()       { w.tell("failed") }
 
 func newWatcher(t *testing.T, onAsk bool, says ...string) *watcher {
 	n, err := net.Listen("tcp", "127.0.0.1:0")
@@ -113,7 +113,7 @@
 
 func TestWatchGoesOnFromTheLastGeneration(t *testing.T) {
 	w := newWatcher(t, false, list(4, true), list(6, false), list(2, true))
-	w.w.Ask()
+	w.w.Poll()
 	assert.Equal(t, []string{"4 true", "6 false", "2 true"}, w.run(t, 3), "a whole list may go back")
 	assert.Equal(t, "/registry/instances", <-w.asked)
 	assert.Equal(t, "/registry/instances?from=4&hold_ms=60000", <-w.asked)
@@ -128,8 +128,8 @@
 		"changes of nothing": list(3, false),
 	} {
 		w := newWatcher(t, false, bad, list(5, true), list(4, false), list(7, true))
-		w.w.Ask()
-		w.w.Ask() // it is on already
+		w.w.Poll()
+		w.w.Poll() // it is on already
 		assert.Equal(t, []string{"failed", "5 true", "failed", "7 true"}, w.run(t, 4), what)
 		for range 2 {
 			assert.Equal(t, "/registry/instances", <-w.asked, what)
@@ -143,7 +143,7 @@
 	for what, limits := range map[string]struct{ late, reply float64 }{"stops": {0.05, 60}, "goes on": {60, 0.05}} {
 		w := newWatcher(t, false, list(5, true), begun, list(7, true))
 		w.w.limits.Durations.SilenceTimeout, w.w.limits.Durations.ReplyTimeout = limits.late, limits.reply
-		w.w.Ask()
+		w.w.Poll()
 		assert.Equal(t, []string{"5 true", "failed", "7 true"}, w.run(t, 3), what)
 	}
 }
@@ -152,7 +152,7 @@
 func TestResetEndsNoReply(t *testing.T) {
 	bare := "HTTP/1.1 200 OK\r\n\r\n" + `{"generation":6,"reset":true,"instances":[]}`
 	w := newWatcher(t, false, bare+"reset", list(7, true))
-	w.w.Ask()
+	w.w.Poll()
 	w.want = 2
 	late := time.Now().Add(20 * time.Second)
 	require.NoError(t, w.l.Run(func(now float64) float64 {
@@ -169,37 +169,37 @@
 
 func TestWatchThatMustBeAskedForEndsWithAFailure(t *testing.T) {
 	w := newWatcher(t, true, list(4, true), "", list(5, true))
-	w.w.Ask()
+	w.w.Poll()
 	assert.Equal(t, []string{"4 true", "failed"}, w.run(t, 2))
 	assert.Equal(t, -1, w.w.fd)
 	assert.False(t, w.w.timer.IsSet(), "the next call waits to be asked for")
-	w.w.Ask()
+	w.w.Poll()
 	assert.Equal(t, "5 true", w.run(t, 3)[2])
 }
 
 func TestNobodyListening(t *testing.T) {
 	w := newWatcher(t, false)
-	w.w.at = netip.MustParseAddrPort("127.0.0.1:1")
-	w.w.Ask()
+	w.w.address = netip.MustParseAddrPort("127.0.0.1:1")
+	w.w.Poll()
 	assert.Equal(t, []string{"failed", "failed", "failed"}, w.run(t, 3), "it is dialled again and again")
 	w.w.Close()
-	w.w.Ask()
+	w.w.Poll()
 	assert.Equal(t, -1, w.w.fd)
 }
 
 func TestMoveCallsTheNewAddressAtOnce(t *testing.T) {
 	w := newWatcher(t, false, list(5, true), list(4, true), list(4, true))
-	there := w.w.at
+	there := w.w.address
 	w.w.limits.Durations.MinBackoff, w.w.limits.Durations.MaxBackoff, w.w.limits.Durations.SilenceTimeout = 60, 60, 60
-	w.w.at = netip.MustParseAddrPort("127.0.0.1:1")
-	w.w.Ask()
+	w.w.address = netip.MustParseAddrPort("127.0.0.1:1")
+	w.w.Poll()
 	assert.Equal(t, []string{"failed"}, w.run(t, 1))
-	w.w.Move(there) // a pause of a minute is left
+	w.w.SetAddress(there) // a pause of a minute is left
 	assert.Equal(t, "5 true", w.run(t, 2)[1])
-	w.w.Move(there) // a call is out
+	w.w.SetAddress(there) // a call is out
 	assert.Equal(t, "4 true", w.run(t, 3)[2], "the whole list is asked for again, and may go back")
 	w.w.Close()
-	w.w.Move(there)
+	w.w.SetAddress(there)
 	assert.Equal(t, -1, w.w.fd)
 	assert.Equal(t, 1, w.l.Open(), "no descriptor is left but the loop's own")
 }
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -132,7 +132,7 @@
 // drains and readies say in a publishState that the member does.
 func (d *harness) publishState(state roster.State) {
 	d.endpoint.State = state
-	d.dispatcher.Listed(roster.List{Generation: 9, Endpoints: []roster.Endpoint{d.endpoint}})
+	d.dispatcher.HandleList(roster.List{Generation: 9, Endpoints: []roster.Endpoint{d.endpoint}})
 	d.dispatcher.Settle(d.loop.Now())
 }
 
--- a/internal/systems/watch.go
+++ b/internal/systems/watch.go
@@ -72,13 +72,13 @@
 	}
 	s.w = discovery.New(s.wire, limits, address(0), false, buffer.NewPool(512, 1<<16), s, zerolog.New(io.Discard))
 	s.wire.keepOpen, s.wire.timeless = fault == "unclosed", fault == "timeless"
-	s.w.Ask()
+	s.w.Poll()
 	s.look()
 	return s
 }
 
-// Listed implements discovery.Sink.
-func (s *watching) Listed(l roster.List) {
+// Listed implements discovery.ListHandler.
+func (s *watching) HandleList(l roster.List) {
 	s.lists++
 	from := ""
 	if len(l.Endpoints) > 0 {
@@ -91,8 +91,8 @@
 	s.check.Handed(l.Complete, l.Generation, len(l.Endpoints), from, watched)
 }
 
-// ListFailed implements discovery.Sink.
-func (s *watching) ListFailed() { s.check.Lost() }
+// ListFailed implements discovery.ListHandler.
+func (s *watching) HandleCallFailure() { s.check.Lost() }
 
 var fromParameter = regexp.MustCompile(`from=(\d+)`)
 
@@ -231,7 +231,7 @@
 	}
 	s.at = 1 - s.at
 	s.check.Lost()
-	s.w.Move(address(s.at))
+	s.w.SetAddress(address(s.at))
 	s.look()
 	if s.fault == "old-bytes" {
 		for _, fd := range s.wire.fds() {
@@ -269,7 +269,7 @@
 // watchRules leave out what is the same in all states or stands for the same thing elsewhere.
 var watchRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
 	"buffer.Chain":     {"pool"},
-	"discovery.Watch":  {"limits", "log", "loop", "sink", "timer"},
+	"discovery.Watch":  {"handler", "limits", "log", "loop", "timer"},
 	"systems.sock":     {"handler"},
 	"systems.watching": {"bounds", "fault"},
 	"systems.wire":     {"timers"},
