--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"bufio"
+	"bytes"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"net/netip"
@@ -15,191 +17,242 @@
 	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/http1"
 	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/roster"
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-// watcher is a watch of an agent that says one reply after the other; "" closes the connection instead,
-// "silence" says nothing, and what ends in "reset" is said without it, and once it was read the connection is reset.
-type watcher struct {
-	asked chan string
-	heard chan struct{} // gets one once the reply that is to be reset was read
-	w     *Watch
-	l     *loop.Loop
-	told  []string
-	want  int
+const (
+	closeConnection = ""        // a scripted reply: the connection is closed in its place
+	silence         = "silence" // a scripted reply: nothing is sent
+	resetSuffix     = "reset"   // ends a scripted reply after which the connection is reset, once it was read
+)
+
+const (
+	completePath  = "/registry/instances"
+	callFailed    = "failed" // an event of harness
+	testTimeout   = 20 * time.Second
+	unusedAddress = "127.0.0.1:1"
+)
+
+// harness runs one watch against a stand-in of discovery, and notes what the watch hands on.
+type harness struct {
+	watch     *Watch
+	loop      *loop.Loop
+	requests  chan string   // paths that discovery was asked for
+	replyRead chan struct{} // gets one when the reply before a reset was read
+	log       bytes.Buffer
+	events    []string
+	stopAfter int // events
 }
 
-func (w *watcher) tell(what string) {
-	if w.told = append(w.told, what); len(w.told) == w.want {
-		w.l.Stop()
+func (h *harness) note(event string) {
+	h.events = append(h.events, event)
+	if len(h.events) == h.stopAfter {
+		h.loop.Stop()
 	}
 }
 
-func (w *watcher) HandleList(l roster.List) { w.tell(fmt.Sprint(l.Generation, " ", l.Complete)) }
-func (w *watcher) HandleCallFailure()       { w.tell("failed") }
+func (h *harness) HandleList(l roster.List) { h.note(fmt.Sprint(l.Generation, " ", l.Complete)) }
+func (h *harness) HandleCallFailure()       { h.note(callFailed) }
 
-func newWatcher(t *testing.T, onAsk bool, says ...string) *watcher {
-	n, err := net.Listen("tcp", "127.0.0.1:0")
+// newHarness starts a stand-in that gives the scripted replies one after the other, and then holds all calls.
+func newHarness(t *testing.T, onDemand bool, replies ...string) *harness {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = n.Close() })
-	w := &watcher{asked: make(chan string, 100), heard: make(chan struct{}, 1)}
-	go func() {
-		for {
-			c, err := n.Accept()
-			if err != nil {
-				return
-			}
-			for r := bufio.NewReader(c); ; {
-				q, err := http.ReadRequest(r)
-				if err != nil {
-					break
-				}
-				w.asked <- q.URL.RequestURI()
-				if len(says) == 0 {
-					continue // hold the call
-				}
-				say := says[0]
-				says = says[1:]
-				if say == "" {
-					break
-				}
-				if begun, reset := strings.CutSuffix(say, "reset"); reset {
-					_, _ = fmt.Fprint(c, begun)
-					<-w.heard
-					_ = c.(*net.TCPConn).SetLinger(0)
-					break
-				}
-				if say != "silence" {
-					_, _ = fmt.Fprint(c, say)
-				}
-			}
-			_ = c.Close()
-		}
-	}()
-	w.l, err = loop.New(16)
+	t.Cleanup(func() { _ = listener.Close() })
+	h := &harness{requests: make(chan string, 100), replyRead: make(chan struct{}, 1)}
+	go h.serve(listener, replies)
+	h.loop, err = loop.New(16)
 	require.NoError(t, err)
 	limits := &site.Limits{
-		Sizes: site.Sizes{
-			ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10,
-		},
+		Sizes: site.Sizes{ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10},
 		Durations: site.Durations{
 			LongPollHold: 60, SilenceTimeout: 0.2, ReplyTimeout: 60, MinBackoff: 0.01, MaxBackoff: 0.02,
 		},
 	}
-	w.w = New(w.l, limits, netip.MustParseAddrPort(n.Addr().String()), onAsk, buffer.NewPool(16, 1000), w, zerolog.Nop())
-	return w
+	address := netip.MustParseAddrPort(listener.Addr().String())
+	h.watch = New(h.loop, limits, address, onDemand, buffer.NewPool(16, 1000), h, zerolog.New(&h.log))
+	return h
+}
+
+func (h *harness) serve(listener net.Listener, replies []string) {
+	for {
+		connection, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		replies = h.serveConnection(connection, replies)
+		_ = connection.Close()
+	}
+}
+
+// serveConnection answers calls until the script or the client ends the connection. It returns the replies that are left.
+func (h *harness) serveConnection(connection net.Conn, replies []string) []string {
+	reader := bufio.NewReader(connection)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return replies
+		}
+		h.requests <- request.URL.RequestURI()
+		if len(replies) == 0 {
+			continue // hold the call
+		}
+		reply := replies[0]
+		replies = replies[1:]
+		begun, reset := strings.CutSuffix(reply, resetSuffix)
+		switch {
+		case reply == closeConnection:
+			return replies
+		case reply == silence:
+		case reset:
+			_, _ = io.WriteString(connection, begun)
+			<-h.replyRead
+			_ = connection.(*net.TCPConn).SetLinger(0)
+			return replies
+		default:
+			_, _ = io.WriteString(connection, reply)
+		}
+	}
+}
+
+// run turns the loop until the watch has handed on so many events in all, and returns these.
+func (h *harness) run(t *testing.T, events int) []string {
+	t.Helper()
+	return h.runWith(t, events, func() {})
 }
 
-// run turns the loop until so much was told.
-func (w *watcher) run(t *testing.T, want int) []string {
+// runWith is run with a function that is called in each turn.
+func (h *harness) runWith(t *testing.T, events int, eachTurn func()) []string {
 	t.Helper()
-	w.want = want
-	late := time.Now().Add(20 * time.Second)
-	require.NoError(t, w.l.Run(func(now float64) float64 {
-		if time.Now().After(late) {
-			w.l.Stop()
+	h.stopAfter = events
+	deadline := time.Now().Add(testTimeout)
+	require.NoError(t, h.loop.Run(func(now float64) float64 {
+		eachTurn()
+		if time.Now().After(deadline) {
+			h.loop.Stop()
 		}
 		return now + 1
 	}))
-	return w.told
+	return h.events
 }
 
-func list(generation int, whole bool) string {
-	body := fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[]}`, generation, whole)
+func listReply(generation int, complete bool) string {
+	body := fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[]}`, generation, complete)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func TestWatchGoesOnFromTheLastGeneration(t *testing.T) {
-	w := newWatcher(t, false, list(4, true), list(6, false), list(2, true))
-	w.w.Poll()
-	assert.Equal(t, []string{"4 true", "6 false", "2 true"}, w.run(t, 3), "a whole list may go back")
-	assert.Equal(t, "/registry/instances", <-w.asked)
-	assert.Equal(t, "/registry/instances?from=4&hold_ms=60000", <-w.asked)
-	assert.Equal(t, "/registry/instances?from=6&hold_ms=60000", <-w.asked)
-	assert.Equal(t, "/registry/instances?from=2&hold_ms=60000", <-w.asked)
+func TestWatchPollsFromTheLastGeneration(t *testing.T) {
+	h := newHarness(t, false, listReply(4, true), listReply(6, false), listReply(2, true))
+	h.watch.Poll()
+	assert.Equal(t, []string{"4 true", "6 false", "2 true"}, h.run(t, 3), "a complete list may go back")
+	assert.Equal(t, completePath, <-h.requests)
+	assert.Equal(t, "/registry/instances?from=4&hold_ms=60000", <-h.requests)
+	assert.Equal(t, "/registry/instances?from=6&hold_ms=60000", <-h.requests)
+	assert.Equal(t, "/registry/instances?from=2&hold_ms=60000", <-h.requests)
 }
 
-func TestFailedCallIsToldAndBegunAnewWithTheWholeList(t *testing.T) {
-	for what, bad := range map[string]string{
-		"closed": "", "silent": "silence", "nonsense": "SSH-2.0-x\r\n",
+func TestFailedCallIsReportedAndRetriedForTheCompleteList(t *testing.T) {
+	for what, failing := range map[string]string{
+		"closed": closeConnection, "silent": silence, "nonsense": "SSH-2.0-x\r\n",
 		"status": "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "no list": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
-		"changes of nothing": list(3, false),
+		"changes of nothing": listReply(3, false),
 	} {
-		w := newWatcher(t, false, bad, list(5, true), list(4, false), list(7, true))
-		w.w.Poll()
-		w.w.Poll() // it is on already
-		assert.Equal(t, []string{"failed", "5 true", "failed", "7 true"}, w.run(t, 4), what)
+		h := newHarness(t, false, failing, listReply(5, true), listReply(4, false), listReply(7, true))
+		h.watch.Poll()
+		h.watch.Poll() // a call is out already
+		assert.Equal(t, []string{callFailed, "5 true", callFailed, "7 true"}, h.run(t, 4), what)
 		for range 2 {
-			assert.Equal(t, "/registry/instances", <-w.asked, what)
+			assert.Equal(t, completePath, <-h.requests, what)
 		}
 	}
 }
 
+func TestFailedCallIsLoggedWithAddressAndCause(t *testing.T) {
+	h := newHarness(t, false, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+	h.watch.Poll()
+	assert.Equal(t, []string{callFailed}, h.run(t, 1))
+	assert.Contains(t, h.log.String(), h.watch.address.String()+": status 503")
+}
+
 // A reply that has begun and goes on for good, or stops, is given up long before the call's own time.
 func TestReplyThatNeverEndsCostsItsConnection(t *testing.T) {
-	begun := strings.SplitAfter(list(6, false), "{")[0]
-	for what, limits := range map[string]struct{ late, reply float64 }{"stops": {0.05, 60}, "goes on": {60, 0.05}} {
-		w := newWatcher(t, false, list(5, true), begun, list(7, true))
-		w.w.limits.Durations.SilenceTimeout, w.w.limits.Durations.ReplyTimeout = limits.late, limits.reply
-		w.w.Poll()
-		assert.Equal(t, []string{"5 true", "failed", "7 true"}, w.run(t, 3), what)
+	begun := strings.SplitAfter(listReply(6, false), "{")[0]
+	for what, timeouts := range map[string]struct{ silence, reply float64 }{"stops": {0.05, 60}, "goes on": {60, 0.05}} {
+		h := newHarness(t, false, listReply(5, true), begun, listReply(7, true))
+		h.watch.limits.Durations.SilenceTimeout = timeouts.silence
+		h.watch.limits.Durations.ReplyTimeout = timeouts.reply
+		h.watch.Poll()
+		assert.Equal(t, []string{"5 true", callFailed, "7 true"}, h.run(t, 3), what)
 	}
 }
 
 // A reply that tells no length ends with its connection, but for a reset, before which anything may be missing.
 func TestResetEndsNoReply(t *testing.T) {
-	bare := "HTTP/1.1 200 OK\r\n\r\n" + `{"generation":6,"reset":true,"instances":[]}`
-	w := newWatcher(t, false, bare+"reset", list(7, true))
-	w.w.Poll()
-	w.want = 2
-	late := time.Now().Add(20 * time.Second)
-	require.NoError(t, w.l.Run(func(now float64) float64 {
-		if len(w.w.reply.Body) > 0 && len(w.heard) == 0 && len(w.told) == 0 {
-			w.heard <- struct{}{}
-		}
-		if time.Now().After(late) {
-			w.l.Stop()
+	noLength := "HTTP/1.1 200 OK\r\n\r\n" + `{"generation":6,"reset":true,"instances":[]}`
+	h := newHarness(t, false, noLength+resetSuffix, listReply(7, true))
+	h.watch.Poll()
+	events := h.runWith(t, 2, func() {
+		if len(h.watch.reply.Body) > 0 && len(h.replyRead) == 0 && len(h.events) == 0 {
+			h.replyRead <- struct{}{}
 		}
-		return now + 1
-	}))
-	assert.Equal(t, []string{"failed", "7 true"}, w.told)
-}
-
-func TestWatchThatMustBeAskedForEndsWithAFailure(t *testing.T) {
-	w := newWatcher(t, true, list(4, true), "", list(5, true))
-	w.w.Poll()
-	assert.Equal(t, []string{"4 true", "failed"}, w.run(t, 2))
-	assert.Equal(t, -1, w.w.fd)
-	assert.False(t, w.w.timer.IsSet(), "the next call waits to be asked for")
-	w.w.Poll()
-	assert.Equal(t, "5 true", w.run(t, 3)[2])
-}
-
-func TestNobodyListening(t *testing.T) {
-	w := newWatcher(t, false)
-	w.w.address = netip.MustParseAddrPort("127.0.0.1:1")
-	w.w.Poll()
-	assert.Equal(t, []string{"failed", "failed", "failed"}, w.run(t, 3), "it is dialled again and again")
-	w.w.Close()
-	w.w.Poll()
-	assert.Equal(t, -1, w.w.fd)
-}
-
-func TestMoveCallsTheNewAddressAtOnce(t *testing.T) {
-	w := newWatcher(t, false, list(5, true), list(4, true), list(4, true))
-	there := w.w.address
-	w.w.limits.Durations.MinBackoff, w.w.limits.Durations.MaxBackoff, w.w.limits.Durations.SilenceTimeout = 60, 60, 60
-	w.w.address = netip.MustParseAddrPort("127.0.0.1:1")
-	w.w.Poll()
-	assert.Equal(t, []string{"failed"}, w.run(t, 1))
-	w.w.SetAddress(there) // a pause of a minute is left
-	assert.Equal(t, "5 true", w.run(t, 2)[1])
-	w.w.SetAddress(there) // a call is out
-	assert.Equal(t, "4 true", w.run(t, 3)[2], "the whole list is asked for again, and may go back")
-	w.w.Close()
-	w.w.SetAddress(there)
-	assert.Equal(t, -1, w.w.fd)
-	assert.Equal(t, 1, w.l.Open(), "no descriptor is left but the loop's own")
+	})
+	assert.Equal(t, []string{callFailed, "7 true"}, events)
+}
+
+func TestWatchOnDemandStopsAtAFailedCall(t *testing.T) {
+	h := newHarness(t, true, listReply(4, true), closeConnection, listReply(5, true))
+	h.watch.Poll()
+	assert.Equal(t, []string{"4 true", callFailed}, h.run(t, 2))
+	assert.Equal(t, noSocket, h.watch.fd)
+	assert.False(t, h.watch.timer.IsSet(), "the next call waits for Poll")
+	h.watch.Poll()
+	assert.Equal(t, "5 true", h.run(t, 3)[2])
+}
+
+func TestRefusedConnectionIsRetriedUntilTheWatchIsClosed(t *testing.T) {
+	h := newHarness(t, false)
+	h.watch.address = netip.MustParseAddrPort(unusedAddress)
+	h.watch.Poll()
+	assert.Equal(t, []string{callFailed, callFailed, callFailed}, h.run(t, 3), "it connects again and again")
+	h.watch.Close()
+	h.watch.Poll()
+	assert.Equal(t, noSocket, h.watch.fd)
+}
+
+func TestSetAddressCallsTheNewAddressAtOnce(t *testing.T) {
+	h := newHarness(t, false, listReply(5, true), listReply(4, true), listReply(4, true))
+	standIn := h.watch.address
+	durations := &h.watch.limits.Durations
+	durations.MinBackoff, durations.MaxBackoff, durations.SilenceTimeout = 60, 60, 60
+	h.watch.address = netip.MustParseAddrPort(unusedAddress)
+	h.watch.Poll()
+	assert.Equal(t, []string{callFailed}, h.run(t, 1))
+	h.watch.SetAddress(standIn) // a backoff of a minute is left
+	assert.Equal(t, "5 true", h.run(t, 2)[1])
+	h.watch.SetAddress(standIn) // a call is out
+	assert.Equal(t, "4 true", h.run(t, 3)[2], "the complete list is asked for again, and may go back")
+	h.watch.Close()
+	h.watch.SetAddress(standIn)
+	assert.Equal(t, noSocket, h.watch.fd)
+	assert.Equal(t, 1, h.loop.Open(), "no descriptor is left but the loop's own")
+}
+
+func TestRepliesWithoutAUsableListAreTypedErrors(t *testing.T) {
+	watch := &Watch{generation: 4}
+	_, err := watch.parseReply(&http1.Reply{Status: 503})
+	var statusError *StatusError
+	require.ErrorAs(t, err, &statusError)
+	assert.Equal(t, 503, statusError.Status)
+
+	_, err = watch.parseReply(&http1.Reply{Status: 200, Body: []byte(`{}`)})
+	var parseError *roster.ParseError
+	require.ErrorAs(t, err, &parseError)
+
+	_, err = watch.parseReply(&http1.Reply{Status: 200, Body: []byte(`{"generation":3}`)})
+	var generationError *GenerationError
+	require.ErrorAs(t, err, &generationError)
+	assert.Equal(t, &GenerationError{Got: 3, Have: 4}, generationError)
 }
