--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -107,7 +107,7 @@
 	o := &Core{loop: l, told: &s.Settings, count: c, log: log, ahead: s.Limits.Durations.MaxClockSkew, nodes: index.New[string](),
 		sets: index.New[int](), zones: index.New[string](), cmds: map[uint32]*Command{}, ids: map[string]bool{}}
 	for _, z := range s.Settings.Zones {
-		o.zones.At(z)
+		o.zones.Intern(z)
 	}
 	// Positions count from a while before the start. The module takes a negative one as not told, and rounds
 	// reports by a share of theirs: this is far enough back for any replica worth reading, and near enough that
@@ -120,7 +120,7 @@
 	o.watch = discovery.New(l, &s.Limits, s.Discovery, s.Settings.PollList, blocks, o, log)
 	o.lists = append(o.lists, listed{list: s.KnownList, cached: true})
 	if !s.Settings.PollList {
-		o.watch.Ask()
+		o.watch.Poll()
 	}
 	return o
 }
@@ -130,7 +130,7 @@
 	told := o.told.Config
 	told.PositionEpoch = o.clock(o.zeroMs)
 	if told.Zone >= 0 && told.Zone < len(o.told.Zones) {
-		told.Zone = o.zones.At(o.told.Zones[told.Zone]) // zones keep their index when the settings' order changes
+		told.Zone = o.zones.Intern(o.told.Zones[told.Zone]) // zones keep their index when the settings' order changes
 	}
 	return router.New(told, o.seed)
 }
@@ -152,7 +152,7 @@
 
 // Set is the index of the set that a client's cluster names, and false if no list has named it.
 func (o *Core) Set(cluster int) (int, bool) {
-	return o.sets.Find(cluster)
+	return o.sets.Lookup(cluster)
 }
 
 // Open says whether a command of this name is in hand. Another must not be taken then: members would see a
@@ -166,8 +166,8 @@
 	o.cmds[c.id] = c
 	o.ids[c.Name] = true
 	o.taken = append(o.taken, c)
-	o.count.Taken++
-	o.count.TakenByGroup[c.Group]++
+	o.count.Received++
+	o.count.ReceivedByGroup[c.Group]++
 }
 
 // Left takes in that the client of these commands has gone.
@@ -186,7 +186,7 @@
 func (o *Core) MakeRoom() bool { return o.members.MakeRoom() }
 
 // Follow has the list watched at another address.
-func (o *Core) Follow(at netip.AddrPort) { o.watch.Move(at) }
+func (o *Core) Follow(at netip.AddrPort) { o.watch.SetAddress(at) }
 
 // Close ends the watch and all idle connections to members.
 func (o *Core) Close() {
@@ -194,11 +194,11 @@
 	o.members.Close()
 }
 
-// Listed implements discovery.Sink.
-func (o *Core) Listed(list roster.List) { o.lists = append(o.lists, listed{list: list}) }
+// Listed implements discovery.ListHandler.
+func (o *Core) HandleList(list roster.List) { o.lists = append(o.lists, listed{list: list}) }
 
-// ListFailed implements discovery.Sink.
-func (o *Core) ListFailed() { o.lists = append(o.lists, listed{failed: true}) }
+// ListFailed implements discovery.ListHandler.
+func (o *Core) HandleCallFailure() { o.lists = append(o.lists, listed{failed: true}) }
 
 // Ended implements member.Sink.
 func (o *Core) Ended(d *member.Dispatch, e router.Result, took float64, a *pg.Answer) {
@@ -225,10 +225,10 @@
 		}
 		for _, node := range keep.Release {
 			o.members.Forget(node)
-			o.nodes.Free(node)
+			o.nodes.Release(node)
 		}
 		if keep.Subscribe {
-			o.watch.Ask()
+			o.watch.Poll()
 		}
 		if len(o.lists)+len(o.probes)+len(o.ends)+len(o.left)+len(o.taken) == 0 {
 			return next
@@ -257,7 +257,7 @@
 			unsent = o.leave(now, c) || unsent
 		}
 		if unsent {
-			o.count.LeftUnsent++
+			o.count.ClientsLeftUnsent++
 		}
 	}
 	arrived := o.loop.Clock() // a turn may be held up between its poll and its reading: never earlier than they came
@@ -271,30 +271,30 @@
 
 func (o *Core) list(now float64, l listed) {
 	if l.failed {
-		o.count.ListsFailed++
+		o.count.ListCallsFailed++
 		o.router.EndpointListFailed(now)
 		return
 	}
 	if !l.cached {
-		o.count.Lists++
+		o.count.ListsReceived++
 	}
-	facts := make([]router.EndpointInfo, 0, len(l.list.Members))
-	for _, m := range l.list.Members {
-		node := o.nodes.At(m.ID)
-		o.members.Place(node, m.At, m.State == roster.Gone)
+	facts := make([]router.EndpointInfo, 0, len(l.list.Endpoints))
+	for _, m := range l.list.Endpoints {
+		node := o.nodes.Intern(m.ID)
+		o.members.Place(node, m.Address, m.State == roster.StateGone)
 		started := math.Inf(-1)
-		if m.StartedMs > 0 {
-			started = o.clock(float64(m.StartedMs))
+		if m.StartedUnixMs > 0 {
+			started = o.clock(float64(m.StartedUnixMs))
 		}
-		facts = append(facts, router.EndpointInfo{Index: node, Shard: o.sets.At(m.Cell), Zone: o.zones.At(m.Zone),
+		facts = append(facts, router.EndpointInfo{Index: node, Shard: o.sets.Intern(m.Shard), Zone: o.zones.Intern(m.Zone),
 			State: router.EndpointState(m.State), StartedAt: started, Primary: m.Primary})
 	}
-	o.hand.UpdateEndpoints(now, facts, l.list.Whole || l.cached, l.cached)
+	o.hand.UpdateEndpoints(now, facts, l.list.Complete || l.cached, l.cached)
 	if len(facts) == 0 { // a watch that brought nothing
 		return
 	}
-	o.log.Info().Int64("generation", l.list.Generation).Bool("whole", l.list.Whole).Bool("known", l.cached).
-		Int("members", len(l.list.Members)).Msg("list")
+	o.log.Info().Int64("generation", l.list.Generation).Bool("whole", l.list.Complete).Bool("known", l.cached).
+		Int("members", len(l.list.Endpoints)).Msg("list")
 }
 
 // position turns a member's Unix time in seconds into the module's position, or -1 if it tells none: one that
@@ -303,7 +303,7 @@
 	if at := unix - o.zeroMs/1000; at >= 0 && o.clock(unix*1000) <= o.loop.Now()+o.ahead {
 		return at
 	}
-	o.count.PositionsRefused++
+	o.count.PositionsRejected++
 	return -1
 }
 
@@ -318,7 +318,7 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || name == "x1" && v != 0 && v != 1 {
-			o.count.PositionsRefused++
+			o.count.PositionsRejected++
 			return -1, false
 		}
 		switch name {
@@ -335,7 +335,7 @@
 
 // end tells the module of an outcome, and the client if it is answered.
 func (o *Core) end(now float64, e *outcome) {
-	o.count.Outcomes[e.ending]++
+	o.count.AttemptResults[e.ending]++
 	c := o.cmds[e.d.ID]
 	if c != nil && c.dispatch == e.d {
 		c.dispatch = nil
@@ -363,7 +363,7 @@
 	if c.done {
 		return false
 	}
-	o.count.Left++
+	o.count.Abandoned++
 	o.hand.ClientGone(now, c.id)
 	if unsent = c.dispatch == nil || c.dispatch.Unsent(); unsent && c.dispatch != nil {
 		o.recalls = append(o.recalls, c.dispatch)
@@ -415,7 +415,7 @@
 // Reject implements hand.Executor.
 func (o *Core) Reject(id uint32, comeBack float64) {
 	c := o.cmds[id]
-	o.count.Throttled++
+	o.count.Rejected++
 	c.Front.Throttled(c, comeBack)
 	o.finish(c)
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -30,7 +30,7 @@
 func newCore(t *testing.T) (*Core, *buffer.Pool) {
 	l, err := loop.New(16)
 	require.NoError(t, err)
-	s := &site.Config{KnownList: roster.List{Whole: true, Members: []roster.Member{{ID: "a", Cell: 7, State: roster.Ready}}}}
+	s := &site.Config{KnownList: roster.List{Complete: true, Endpoints: []roster.Endpoint{{ID: "a", Shard: 7, State: roster.StateReady}}}}
 	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 1, ClientTimeout: 2, PriorityWeight: 1}
 	s.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{group}, RouterCount: 1, MaxAttempts: 4, BatchInterval: 0.005, PollList: true, CanCancel: true}
 	s.Limits = site.Limits{
@@ -42,9 +42,9 @@
 			LongPollHold: 1,
 		},
 	}
-	s.Discovery = s.KnownList.Members[0].At
+	s.Discovery = s.KnownList.Endpoints[0].Address
 	blocks := buffer.NewPool(64, 1000)
-	o := New(s, l, blocks, &count.Counters{TakenByGroup: make([]uint64, 1)}, zerolog.Nop())
+	o := New(s, l, blocks, &count.Counters{ReceivedByGroup: make([]uint64, 1)}, zerolog.Nop())
 	o.hear(0)
 	return o, blocks
 }
@@ -86,7 +86,7 @@
 	o.Left([]*Command{c})
 	o.Settle(0.1)
 	assert.Empty(t, s)
-	assert.Zero(t, o.count.Dispatches)
+	assert.Zero(t, o.count.Attempts)
 	assert.Zero(t, o.InHand())
 	assert.Zero(t, blocks.Out())
 }
@@ -100,9 +100,9 @@
 	o.Left([]*Command{c}) // before the dispatch was carried out
 	o.hear(0.1)
 	o.carry()
-	assert.Zero(t, o.count.Dispatches)
+	assert.Zero(t, o.count.Attempts)
 	o.Settle(0.1)
-	assert.EqualValues(t, 1, o.count.Outcomes[router.NeverSent])
+	assert.EqualValues(t, 1, o.count.AttemptResults[router.NeverSent])
 	assert.Zero(t, o.hand.Len())
 }
 
@@ -132,9 +132,9 @@
 	span := 0.0
 	for i := range 500 {
 		now := float64(i)
-		list := roster.List{Members: []roster.Member{{ID: fmt.Sprint("m", i), Cell: 7, State: roster.Ready},
-			{ID: fmt.Sprint("m", i-1), Cell: 7, State: roster.Gone}}}
-		o.Listed(list)
+		list := roster.List{Endpoints: []roster.Endpoint{{ID: fmt.Sprint("m", i), Shard: 7, State: roster.StateReady},
+			{ID: fmt.Sprint("m", i-1), Shard: 7, State: roster.StateGone}}}
+		o.HandleList(list)
 		o.Settle(now)
 		if known, _ := o.Known(); float64(known) > span {
 			span = float64(known)
@@ -165,7 +165,7 @@
 	o, blocks := newCore(t)
 	o.told.CommandGroups[0].Consistency, o.told.LoadReports, o.ahead = router.Linearizable, true, 1
 	o.Move()
-	o.list(0, listed{list: roster.List{Whole: true, Members: []roster.Member{{ID: "a", Cell: 7, State: roster.Ready}}}})
+	o.list(0, listed{list: roster.List{Complete: true, Endpoints: []roster.Endpoint{{ID: "a", Shard: 7, State: roster.StateReady}}}})
 	polled := o.loop.Now()
 	time.Sleep(20 * time.Millisecond)
 	at := float64(o.loop.StartedAt().UnixNano())/1e9 + polled + 0.005
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,9 +1,8 @@
-// Package discovery watches the list of members over HTTP.
+// Package discovery watches the endpoint list that a discovery agent serves over HTTP: it fetches the complete list and
+// then long-polls for changes. It runs on the event loop's goroutine and holds one connection at most.
 package discovery
 
 import (
-	"errors"
-	"fmt"
 	"net/netip"
 
 	"github.com/rs/zerolog"
@@ -15,193 +14,110 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-const path = "/registry/instances"
-
-// Sink is told of each list and of each failed call.
-type Sink interface {
-	Listed(list roster.List)
-	ListFailed()
+// ListHandler takes what a watch brings. Its methods are called on the event loop's goroutine.
+type ListHandler interface {
+	// HandleList takes a complete list, or the changes since the list before.
+	HandleList(list roster.List)
+	// HandleCallFailure is called once for each call that failed, which the watch has logged.
+	HandleCallFailure()
 }
 
-// Watch is one watch of the list. Where the list comes by itself it goes on for good; where it must be
-// asked for, Ask begins it and a failure ends it.
-type Watch struct {
-	loop   loop.Wire
-	limits *site.Limits
-	at     netip.AddrPort
-	sink   Sink
-	log    zerolog.Logger
-	onAsk  bool
+// NoGeneration stands for the generation of a watch that has no list, and asks for the complete one.
+const NoGeneration = -1
+
+// noSocket is the descriptor of a watch without a connection.
+const noSocket = -1
 
-	fd         int // -1: no connection
-	up         bool
-	in, out    buffer.Chain
-	reply      http1.Reply
-	until      float64 // when the reply has to be whole; 0: none has begun
-	generation int64   // -1: the whole list is wanted
-	pause      float64
-	timer      *loop.Timer
-	ended      bool
+// Watch is a watch of the endpoint list. By default it polls for good and repeats failed calls with backoff. A watch on
+// demand stops at a failed call until Poll is called again.
+type Watch struct {
+	loop     loop.Wire
+	limits   *site.Limits
+	address  netip.AddrPort
+	handler  ListHandler
+	log      zerolog.Logger
+	onDemand bool
+
+	fd            int // noSocket: no connection
+	connected     bool
+	in, out       buffer.Chain
+	reply         http1.Reply
+	replyDeadline float64     // loop time at which the reply must be complete; 0: none has begun
+	generation    int64       // of the last list, or NoGeneration
+	backoff       float64     // seconds before the next call if the present one fails
+	timer         *loop.Timer // ends the call that is out, or the backoff
+	closed        bool
 }
 
-// New returns a watch that has not begun. With onAsk each call must be asked for.
-func New(l loop.Wire, limits *site.Limits, at netip.AddrPort, onAsk bool, blocks *buffer.Pool, sink Sink,
-	log zerolog.Logger) *Watch {
-	w := &Watch{loop: l, limits: limits, at: at, sink: sink, log: log, onAsk: onAsk, fd: -1,
-		in: blocks.New(), out: blocks.New(), generation: -1, pause: limits.Durations.MinBackoff}
-	w.timer = loop.NewTimer(w.due)
+// New returns a watch of the list at an address, which does nothing until Poll is called.
+func New(
+	l loop.Wire, limits *site.Limits, address netip.AddrPort, onDemand bool, blocks *buffer.Pool, handler ListHandler, log zerolog.Logger,
+) *Watch {
+	w := &Watch{
+		loop:       l,
+		limits:     limits,
+		address:    address,
+		handler:    handler,
+		log:        log,
+		onDemand:   onDemand,
+		fd:         noSocket,
+		in:         blocks.New(),
+		out:        blocks.New(),
+		generation: NoGeneration,
+		backoff:    limits.Durations.MinBackoff,
+	}
+	w.timer = loop.NewTimer(w.timerFired)
 	return w
 }
 
-// Ask begins the watch unless it is on.
-func (w *Watch) Ask() {
-	if w.fd >= 0 || w.ended {
+// Poll begins a call unless one is out or the watch is closed. It cuts a backoff short.
+func (w *Watch) Poll() {
+	if w.fd != noSocket || w.closed {
 		return
 	}
-	fd, err := w.loop.Dial(w.at)
-	if err == nil {
-		if err = w.loop.Add(fd, w, true, true); err != nil {
-			w.loop.Discard(fd)
-		}
-	}
-	if err != nil {
+	if err := w.connect(); err != nil {
 		w.fail(err)
 		return
 	}
-	w.fd, w.up = fd, false
 	w.loop.Set(w.timer, w.loop.Now()+w.limits.Durations.SilenceTimeout)
 }
 
-// Move turns to another address: it is called at once for the whole list, whatever pause failures of the old
-// one had left. Until it answers the last list stands.
-func (w *Watch) Move(at netip.AddrPort) {
-	w.at = at
-	w.hangUp()
-	w.generation, w.pause = -1, w.limits.Durations.MinBackoff
-	w.Ask()
+// SetAddress gives up the call that is out and asks another address for the complete list at once. The list that was
+// handed on last stays in force until the new address answers.
+func (w *Watch) SetAddress(address netip.AddrPort) {
+	w.address = address
+	w.disconnect()
+	w.generation = NoGeneration
+	w.backoff = w.limits.Durations.MinBackoff
+	w.Poll()
 }
 
-// Close ends the watch.
+// Close ends the watch. It calls its handler no more.
 func (w *Watch) Close() {
-	w.ended = true
-	w.hangUp()
+	w.closed = true
+	w.disconnect()
 }
 
-func (w *Watch) hangUp() {
-	w.loop.Unset(w.timer)
-	if w.fd >= 0 {
-		w.loop.Close(w.fd)
-		w.fd = -1
-	}
-	w.in.Free()
-	w.out.Free()
-	w.reply, w.until = http1.Reply{}, 0
-}
+// hasList reports whether the watch knows a list that changes can follow.
+func (w *Watch) hasList() bool { return w.generation >= 0 }
 
-// due is called when a call took too long or the pause before the next is over.
-func (w *Watch) due() {
-	if w.fd >= 0 {
-		w.fail(errors.New("no reply"))
+// timerFired is called when the call that is out takes too long, or when the backoff is over.
+func (w *Watch) timerFired() {
+	if w.fd != noSocket {
+		w.fail(ErrNoReply)
 		return
 	}
-	w.Ask()
-}
-
-// fail gives a call up. The next starts anew with the whole list, since changes may have been missed.
-func (w *Watch) fail(err error) {
-	w.log.Warn().Err(err).Msg("call to discovery failed")
-	w.hangUp()
-	w.generation = -1
-	if !w.onAsk {
-		w.loop.Set(w.timer, w.loop.Now()+w.pause)
-		w.pause = min(2*w.pause, w.limits.Durations.MaxBackoff)
-	}
-	w.sink.ListFailed()
-}
-
-// Ready implements loop.Handler.
-func (w *Watch) Ready(readable, writable bool) {
-	if !w.up {
-		if err := w.loop.Dialled(w.fd); err != nil {
-			w.fail(err)
-			return
-		}
-		w.up = true
-		w.call()
-		return
-	}
-	if writable && w.out.Len() > 0 {
-		w.flush()
-	}
-	if readable && w.fd >= 0 {
-		w.read()
-	}
-}
-
-// call asks for the whole list, or waits for what comes after the last.
-func (w *Watch) call() {
-	p, wait := path, w.limits.Durations.SilenceTimeout
-	if w.generation >= 0 {
-		p += fmt.Sprintf("?from=%d&hold_ms=%d", w.generation, int(w.limits.Durations.LongPollHold*1000))
-		wait += w.limits.Durations.LongPollHold
-	}
-	w.out.Write([]byte(http1.Get(w.at.String(), p)))
-	w.loop.Set(w.timer, w.loop.Now()+wait)
-	w.flush()
+	w.Poll()
 }
 
-func (w *Watch) flush() {
-	if err := w.loop.Write(w.fd, &w.out); err != nil {
-		w.fail(err)
-		return
-	}
-	w.loop.Want(w.fd, true, w.out.Len() > 0)
-}
-
-func (w *Watch) read() {
-	got, err := w.loop.Read(w.fd, &w.in, w.limits.Sizes.ReadPerTurn)
-	if now := w.loop.Now(); got > 0 { // a reply has begun: it must go on, and not for good
-		if w.until == 0 {
-			w.until = now + w.limits.Durations.ReplyTimeout
-		}
-		w.loop.Set(w.timer, min(w.until, now+w.limits.Durations.SilenceTimeout))
-	}
-	whole, bad := w.reply.Take(&w.in, w.limits.Sizes.DiscoveryReply, w.limits.Sizes.DiscoveryLine)
-	whole = whole || bad == nil && errors.Is(err, loop.ErrEnded) && w.reply.End() // a reset ends no reply
-	switch {
-	case bad != nil:
-		w.fail(bad)
-	case whole:
-		w.take(err != nil)
-	case err != nil:
-		w.fail(err)
-	}
-}
-
-// take hands a whole reply on and calls again at once.
-func (w *Watch) take(ended bool) {
-	reply := w.reply
-	w.reply, w.until = http1.Reply{}, 0
-	if reply.Status != 200 {
-		w.fail(fmt.Errorf("status %d", reply.Status))
-		return
-	}
-	list, err := roster.Parse(reply.Body)
-	if err != nil {
-		w.fail(err)
-		return
-	}
-	whole := w.generation < 0
-	if !list.Whole && (whole || list.Generation < w.generation) {
-		w.fail(fmt.Errorf("changes up to %d after %d", list.Generation, w.generation))
-		return
-	}
-	w.generation, w.pause = list.Generation, w.limits.Durations.MinBackoff
-	w.sink.Listed(list)
-	if ended || reply.Close || w.in.Len() > 0 {
-		w.hangUp()
-		w.Ask()
-		return
+// fail gives the call up. The next one asks for the complete list, since changes may have been missed.
+func (w *Watch) fail(cause error) {
+	w.log.Warn().Err(&CallError{Address: w.address, Err: cause}).Msg("call to discovery failed")
+	w.disconnect()
+	w.generation = NoGeneration
+	if !w.onDemand {
+		w.loop.Set(w.timer, w.loop.Now()+w.backoff)
+		w.backoff = min(2*w.backoff, w.limits.Durations.MaxBackoff)
 	}
-	w.call()
+	w.handler.HandleCallFailure()
 }
--- a/internal/front/client_gone_test.go
+++ b/internal/front/client_gone_test.go
@@ -30,7 +30,7 @@
 		left   int                                       // commands that had been taken
 	}{
 		"held by the module": {none, func(*fakeBackend) {}, func(d *harness, _ *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			c, _ := d.client(startupThen(wait("a1")))
 			d.runUntil(d.acceptedCommands(1))
 			return c
@@ -38,14 +38,14 @@
 		"between tries": {none, func(s *fakeBackend) { s.answer = overloaded; s.accepting = make(chan struct{}) }, func(d *harness, s *fakeBackend) net.Conn {
 			c, _ := d.client(startupThen(wait("a1")))
 			d.runUntil(s.locked(func() bool { return s.started == 1 }))
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			close(s.accepting)
-			d.runUntil(func() bool { return d.counters.Outcomes[2] == 1 })
+			d.runUntil(func() bool { return d.counters.AttemptResults[2] == 1 })
 			return c
 		}, []string{"a1"}, 1},
 		"while its connection comes up": {none, func(s *fakeBackend) { s.greeting = make(chan struct{}) }, func(d *harness, _ *fakeBackend) net.Conn {
 			c, _ := d.client(startupThen(wait("a1")))
-			d.runUntil(func() bool { return d.counters.Dialled == 1 })
+			d.runUntil(func() bool { return d.counters.BackendConnects == 1 })
 			return c
 		}, nil, 1},
 		"with half of its statement written": {
@@ -58,13 +58,13 @@
 			}, nil, 1,
 		},
 		"behind a full pipeline": {func(l *site.Limits) { l.Counts.PipelinedCommands = 2 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			c, _ := d.client(startupThen(wait("a1"), wait("a2"), wait("a3"), wait("a4")))
 			d.runUntil(d.acceptedCommands(2))
 			return c
 		}, nil, 2},
 		"unread with bytes before its end": {func(l *site.Limits) { l.Counts.PipelinedCommands = 1; l.Sizes.ReadPerTurn = 4096 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			var all []byte
 			for i := range 40 {
 				all = append(all, longQuery(fmt.Sprintf("a%x", i))...)
@@ -74,13 +74,13 @@
 			return c
 		}, nil, 1},
 		"with its last answer owed": {none, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			c, _ := d.client(startupThen(wait("a1"), []byte("?\x00\x00\x00\x04")))
-			d.runUntil(func() bool { return d.counters.BadInput == 1 })
+			d.runUntil(func() bool { return d.counters.InvalidQueries == 1 })
 			return c
 		}, nil, 1},
 		"with answers that it does not take": {func(l *site.Limits) { l.Sizes.UnsentAnswers = 4096; l.Counts.InvalidQueries = 1 << 30 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			c, err := net.Dial("tcp", d.server.Address.String()) // which reads nothing
 			require.NoError(d.t, err)
 			go func() {
@@ -95,7 +95,7 @@
 			return c
 		}, nil, 0},
 		"unread for want of buffers": {func(l *site.Limits) { l.Counts.BufferBlocks = 1 << 10 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			c, _ := d.client(startupThen(wait("a1")))
 			d.runUntil(d.acceptedCommands(1))
 			hoard := d.buffers.New()
@@ -107,7 +107,7 @@
 			return c
 		}, nil, 1},
 		"while the router drains": {func(l *site.Limits) { l.Durations.DrainDeadline = 0 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.Draining)
+			d.publishState(roster.StateDraining)
 			c, _ := d.client(startupThen(wait("a1")))
 			other, err := net.Dial("tcp", d.server.Address.String()) // for the command that comes after, taken before the end
 			require.NoError(d.t, err)
@@ -127,8 +127,8 @@
 				open := d.server.OpenConnections()
 				_ = c.Close()
 				d.runUntil(func() bool { return d.server.OpenConnections() == open-1 })
-				assert.EqualValues(t, w.left, d.counters.Left)
-				assert.EqualValues(t, min(w.left, 1), d.counters.LeftUnsent, "clients noticed gone with a command unsent")
+				assert.EqualValues(t, w.left, d.counters.Abandoned)
+				assert.EqualValues(t, min(w.left, 1), d.counters.ClientsLeftUnsent, "clients noticed gone with a command unsent")
 				close(s.clientLeft)
 				// What comes after it arrives, and nothing else.
 				for _, held := range []chan struct{}{s.greeting, s.accepting} {
@@ -138,7 +138,7 @@
 						close(held)
 					}
 				}
-				if d.publishState(roster.Ready); !d.server.ListenerClosed() {
+				if d.publishState(roster.StateReady); !d.server.ListenerClosed() {
 					d.client(startupThen(wait("b1")))
 				}
 				d.runUntil(s.hasReceived(len(w.sent) + 1))
@@ -157,10 +157,10 @@
 	c, _ := d.client(startupThen(query("a1", "c=look,d=300000")))
 	d.runUntil(s.hasReceived(1))
 	_ = c.Close()
-	d.runUntil(func() bool { return d.counters.Left == 1 })
-	assert.Zero(t, d.counters.LeftUnsent)
+	d.runUntil(func() bool { return d.counters.Abandoned == 1 })
+	assert.Zero(t, d.counters.ClientsLeftUnsent)
 	close(say)
-	d.runUntil(func() bool { return d.counters.Outcomes[2] == 1 })
+	d.runUntil(func() bool { return d.counters.AttemptResults[2] == 1 })
 	d.client(startupThen(query("b1", "c=look,d=300000")))
 	d.runUntil(s.locked(func() bool { return len(s.received) > 1 }))
 	assert.Equal(t, "b1", s.ids()[1])
@@ -171,12 +171,12 @@
 	d := newHarness(t, func(*site.Limits) {})
 	c, err := net.Dial("tcp", d.server.Address.String())
 	require.NoError(t, err)
-	d.runUntil(func() bool { return d.counters.Accepted == 1 })
+	d.runUntil(func() bool { return d.counters.ClientsAccepted == 1 })
 	_, err = c.Write(startupThen(query("a1", "c=look,d=300000")))
 	require.NoError(t, err)
 	require.NoError(t, c.Close())
 	d.runUntil(func() bool { return d.server.OpenConnections() == 0 })
-	assert.Zero(t, d.counters.Dispatches)
+	assert.Zero(t, d.counters.Attempts)
 }
 
 // A client that waits to be accepted asks and leaves meanwhile: what it asked is not sent on once there is room for it.
@@ -193,7 +193,7 @@
 		d.client(startupThen(query("b1", "c=look,d=300000")))
 		d.runUntil(s.hasReceived(1))
 		assert.Equal(t, []string{"b1"}, s.ids(), how)
-		assert.EqualValues(t, 1, d.counters.Taken, how)
-		assert.EqualValues(t, 2, d.counters.Accepted, how)
+		assert.EqualValues(t, 1, d.counters.Received, how)
+		assert.EqualValues(t, 2, d.counters.ClientsAccepted, how)
 	}
 }
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -47,10 +47,10 @@
 	} {
 		d := newHarness(t, func(l *site.Limits) { l.Durations.DrainDeadline = 0.05 })
 		_, heard := d.client(first)
-		d.runUntil(func() bool { return d.counters.Accepted == 1 })
+		d.runUntil(func() bool { return d.counters.ClientsAccepted == 1 })
 		d.server.Shutdown()
 		assert.Contains(t, d.readAll(heard), pg.CodeEnding, "%s", what)
-		assert.Zero(t, d.counters.Taken)
+		assert.Zero(t, d.counters.Received)
 	}
 }
 
@@ -65,7 +65,7 @@
 	d.server.Shutdown()
 	assert.False(t, d.server.ListenerClosed())
 	d.runUntil(d.server.ListenerClosed)
-	assert.EqualValues(t, 3, d.counters.Accepted)
+	assert.EqualValues(t, 3, d.counters.ClientsAccepted)
 	assert.Contains(t, d.readAll(heard), string(pg.Empty(nil)))
 }
 
@@ -83,7 +83,7 @@
 	d.runUntil(func() bool { return d.loop.Now() > 0.02 && d.server.resumeTimer.IsSet() })
 	d.server.Shutdown()
 	d.runUntil(d.server.ListenerClosed)
-	assert.EqualValues(t, 1, d.counters.Taken)
+	assert.EqualValues(t, 1, d.counters.Received)
 	require.NoError(t, c.Close())
 	d.runUntil(func() bool { return d.server.OpenConnections() == 0 })
 }
@@ -140,6 +140,6 @@
 	got := d.readAll(heard)
 	assert.Contains(t, got, "value of a1")
 	assert.NotContains(t, got, "value of a2")
-	assert.EqualValues(t, 1, d.counters.Taken)
+	assert.EqualValues(t, 1, d.counters.Received)
 	d.runUntil(func() bool { return d.server.OpenConnections() == 0 })
 }
--- a/internal/front/harness_test.go
+++ b/internal/front/harness_test.go
@@ -32,7 +32,7 @@
 	counters   count.Counters
 
 	backendListener net.Listener // the member's
-	endpoint        roster.Member
+	endpoint        roster.Endpoint
 	buffers         *buffer.Pool
 }
 
@@ -43,7 +43,7 @@
 		t.Cleanup(func() { _ = n.Close() })
 		return n
 	}
-	d := &harness{t: t, counters: count.Counters{TakenByGroup: make([]uint64, 2)}, backendListener: mute()}
+	d := &harness{t: t, counters: count.Counters{ReceivedByGroup: make([]uint64, 2)}, backendListener: mute()}
 	raw, err := d.backendListener.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
 	require.NoError(t, raw.Control(func(fd uintptr) { // connections that it accepts have it too
@@ -52,8 +52,8 @@
 	require.NoError(t, err)
 	d.loop, err = loop.New(16)
 	require.NoError(t, err)
-	d.endpoint = roster.Member{ID: "a", At: netip.MustParseAddrPort(d.backendListener.Addr().String()), Cell: 2, State: roster.Ready, Primary: true}
-	s := &site.Config{KnownList: roster.List{Whole: true, Members: []roster.Member{d.endpoint}}}
+	d.endpoint = roster.Endpoint{ID: "a", Address: netip.MustParseAddrPort(d.backendListener.Addr().String()), Shard: 2, State: roster.StateReady, Primary: true}
+	s := &site.Config{KnownList: roster.List{Complete: true, Endpoints: []roster.Endpoint{d.endpoint}}}
 	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 500, ClientTimeout: 500, PriorityWeight: 1}
 	keyed := router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, LatencyObjective: 500, ClientTimeout: 500, PriorityWeight: 1}
 	s.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{group, keyed}, RouterCount: 1, MaxAttempts: 4, BatchInterval: 0.005, PollList: true, SlowStart: 1, OverloadWindow: 1}
@@ -145,13 +145,13 @@
 }
 
 func (d *harness) acceptedCommands(n int) func() bool {
-	return func() bool { return d.counters.Taken == uint64(n) }
+	return func() bool { return d.counters.Received == uint64(n) }
 }
 
 // drains and readies say in a publishState that the member does.
 func (d *harness) publishState(state roster.State) {
 	d.endpoint.State = state
-	d.dispatcher.Listed(roster.List{Generation: 9, Members: []roster.Member{d.endpoint}})
+	d.dispatcher.HandleList(roster.List{Generation: 9, Endpoints: []roster.Endpoint{d.endpoint}})
 	d.dispatcher.Settle(d.loop.Now())
 }
 
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -53,7 +53,7 @@
 		s.loop.Discard(fd)
 		return false
 	}
-	s.counters.Accepted++
+	s.counters.ClientsAccepted++
 	s.conns[c] = true
 	if s.loop.Left(fd) { // it left while it waited to be accepted: what it sent is not read
 		c.close()
@@ -95,7 +95,7 @@
 			return false
 		}
 		if s.loop.Quiet(c.fd) {
-			s.counters.Shed++
+			s.counters.ClientsShed++
 			c.close()
 			return true
 		}
--- a/internal/front/listener_test.go
+++ b/internal/front/listener_test.go
@@ -17,7 +17,7 @@
 	d.runUntil(func() bool { return d.server.silent.Len() == 1 })
 	d.client()
 	d.readAll(silent)
-	assert.EqualValues(t, 1, d.counters.Shed)
+	assert.EqualValues(t, 1, d.counters.ClientsShed)
 	assert.Empty(t, asked, "it asked, and stays")
 }
 
@@ -30,5 +30,5 @@
 	}
 	d.readAll(first)
 	d.runUntil(func() bool { return d.server.idle.Len() == 2 })
-	assert.EqualValues(t, 1, d.counters.Shed)
+	assert.EqualValues(t, 1, d.counters.ClientsShed)
 }
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -58,7 +58,7 @@
 	case c.state == stateSkippingToSync:
 	default:
 		c.state = stateSkippingToSync
-		c.server.counters.BadInput++
+		c.server.counters.InvalidQueries++
 		c.send(pg.Error(nil, false, pg.CodeUnsupported, "only simple queries are served", ""))
 	}
 }
@@ -100,6 +100,6 @@
 
 // protocolError sends an error and ends the connection after the replies that are owed.
 func (c *conn) protocolError(code, message string) {
-	c.server.counters.BadInput++
+	c.server.counters.InvalidQueries++
 	c.finalError(code, message)
 }
--- a/internal/front/message_test.go
+++ b/internal/front/message_test.go
@@ -13,7 +13,7 @@
 func TestWhatMembersMustNotSeeIsAnErrorOfTheFront(t *testing.T) {
 	d := newHarness(t, func(*site.Limits) {})
 	d.client(pg.Hello(nil), query("a1", "c=look,d=300000"))
-	d.runUntil(func() bool { return d.counters.Taken == 1 })
+	d.runUntil(func() bool { return d.counters.Received == 1 })
 	for what, b := range map[string][]byte{
 		"id in hand": query("a1", "c=look,d=300"), "no key": query("b", "c=order,d=300"), "absurd wait": query("b", "c=look,d=2000000"),
 		"no id": pg.Query(nil, "SELECT 1 /* c=look,d=300,cluster=2 */"), "group": query("b", "c=gaze,d=300"),
@@ -23,8 +23,8 @@
 		said := d.readAll(heard)
 		assert.True(t, strings.Contains(said, pg.CodeValue) || strings.Contains(said, pg.CodeSyntax), "%s: %q", what, said)
 	}
-	assert.EqualValues(t, 1, d.counters.Taken)
-	assert.EqualValues(t, 6, d.counters.BadInput)
+	assert.EqualValues(t, 1, d.counters.Received)
+	assert.EqualValues(t, 6, d.counters.InvalidQueries)
 }
 
 func TestClientThatRepeatsWhatIsNoCommandIsEnded(t *testing.T) {
--- a/internal/front/phase.go
+++ b/internal/front/phase.go
@@ -122,7 +122,7 @@
 		// Its input has come and is read next.
 		c.server.loop.Set(c.timer, c.server.loop.Now()+c.server.limits.Durations.MinBackoff)
 	case c.expectsInput() && c.phase != phaseIdle && c.input.Len() > 0:
-		c.server.counters.CutShort++
+		c.server.counters.MessageTimeouts++
 		c.protocolError(pg.CodeProtocol, "a message was not whole in time")
 		c.process()
 	default:
@@ -140,11 +140,11 @@
 func (c *conn) countTimeout() {
 	switch c.phase {
 	case phaseAwaitingFirstQuery:
-		c.server.counters.NeverAsked++
+		c.server.counters.FirstQueryTimeouts++
 	case phaseIdle:
-		c.server.counters.LongIdle++
+		c.server.counters.IdleTimeouts++
 	case phaseWritingAnswer:
-		c.server.counters.Stalled++
+		c.server.counters.WriteStallTimeouts++
 	case phaseUnset, phaseCommandsInFlight, phaseReadingMessage, phaseClosing:
 	}
 }
--- a/internal/front/phase_test.go
+++ b/internal/front/phase_test.go
@@ -17,7 +17,7 @@
 		d := newHarness(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
 		_, heard := d.client(half)
 		assert.Contains(t, d.readAll(heard), pg.CodeProtocol, what)
-		assert.EqualValues(t, 1, d.counters.CutShort, what)
+		assert.EqualValues(t, 1, d.counters.MessageTimeouts, what)
 	}
 	d := newHarness(t, func(l *site.Limits) { l.Durations.MessageTimeout = 0.05 })
 	c, heard := d.client(pg.Hello(nil), pg.Query(nil, ""))
@@ -30,7 +30,7 @@
 		}
 	}()
 	assert.Contains(t, d.readAll(heard), pg.CodeProtocol)
-	assert.Zero(t, d.counters.Taken)
+	assert.Zero(t, d.counters.Received)
 }
 
 func TestClientThatNeverAsksIsClosed(t *testing.T) {
@@ -39,7 +39,7 @@
 	_, hello := d.client(pg.Hello(nil))
 	assert.Empty(t, d.readAll(nothing))
 	assert.NotEmpty(t, d.readAll(hello), "the welcome")
-	assert.EqualValues(t, 2, d.counters.NeverAsked)
+	assert.EqualValues(t, 2, d.counters.FirstQueryTimeouts)
 	assert.Zero(t, d.server.OpenConnections())
 	assert.Zero(t, d.server.silent.Len()+d.server.idle.Len()+d.server.closing.Len())
 }
@@ -63,7 +63,7 @@
 		k.timerExpired()
 	})
 	d.runUntil(d.acceptedCommands(1))
-	assert.Zero(t, d.counters.CutShort)
+	assert.Zero(t, d.counters.MessageTimeouts)
 	d.server.Shutdown()
 	assert.Contains(t, d.readAll(heard), "value of a1")
 }
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -106,6 +106,6 @@
 		c.protocolError(rejected.code, rejected.message)
 		return
 	}
-	c.server.counters.BadInput++
+	c.server.counters.InvalidQueries++
 	c.send(pg.Ready(pg.Error(nil, false, rejected.code, rejected.message, "")))
 }
