--- a/internal/fleet/store/recorded_test.go
+++ b/internal/fleet/store/recorded_test.go
@@ -130,9 +130,9 @@
 
 func TestRecordedStoreIsRead(t *testing.T) {
 	s := openRecorded(t)
-	st, err := s.Load()
+	state, err := s.Load()
 	require.NoError(t, err)
-	assert.Equal(t, recordedState(), st)
+	assert.Equal(t, recordedState(), state)
 	listed, err := s.Revisions()
 	require.NoError(t, err)
 	require.Len(t, listed, len(recordedRevisions()))
@@ -148,7 +148,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, recordedRollouts(), rollouts)
 	var body form.Rollout
-	require.NoError(t, form.Decode("record", st.Lease.Record.Body, &body))
+	require.NoError(t, form.Decode("record", state.Lease.Record.Body, &body))
 	assert.Equal(t, recordedRollouts()[0], body)
 }
 
@@ -158,8 +158,8 @@
 	written, err := Open(filepath.Join(t.TempDir(), "agent.db"))
 	require.NoError(t, err)
 	defer func() { assert.NoError(t, written.Close()) }()
-	st := recordedState()
-	require.NoError(t, written.Save(Change{Lease: &st.Lease, OperatorRequest: &st.OperatorRequest, Instances: st.Instances}))
+	state := recordedState()
+	require.NoError(t, written.Save(Change{Lease: &state.Lease, OperatorRequest: &state.OperatorRequest, Instances: state.Instances}))
 	for _, r := range recordedRevisions() {
 		require.NoError(t, written.Save(Change{Revision: &r}))
 	}
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,17 +1,17 @@
-// Package store keeps an agent's state on disk: what it promised, what its routers run, the steps it began,
-// revisions and rollouts. A change is on disk whole before Save returns, or not at all.
+// Package store keeps an agent's state on disk: the lease that it granted, the state of its routers, revisions and
+// rollouts. It is a bbolt database with one CBOR record a key, each preceded by a checksum.
+//
+// A change is durable and complete when Save returns without an error, and has not happened otherwise. An agent saves
+// before it acknowledges or acts, so that it can continue after a crash at any point.
 package store
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
-	"sort"
 	"time"
 
-	"github.com/zeebo/xxh3"
 	"go.etcd.io/bbolt"
 	bbolterrors "go.etcd.io/bbolt/errors"
 
@@ -20,12 +20,13 @@
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
 
-// Format of the records. A store of another one is refused.
+// FormatVersion is the version of the records that this program reads and writes. Open refuses a store of another one.
 const FormatVersion = 1
 
-// Kept are the most revisions and rollouts that a store keeps; the oldest go, but for what is in use.
-const MaxHistory = 100
+// openTimeout is how long Open waits for another process to close the store.
+const openTimeout = time.Second
 
+// Buckets of the database.
 var (
 	metaBucket      = []byte("meta")
 	instancesBucket = []byte("instances")
@@ -33,159 +34,108 @@
 	rolloutsBucket  = []byte("rollouts")
 )
 
+// Keys in the meta bucket. They are stored, so their values never change.
 const (
 	formatKey          = "format"
 	leaseKey           = "claims"
 	operatorRequestKey = "wish"
-	openTimeout        = time.Second // that an open store is waited for
 )
 
-// Store is an open store.
+// Store is an open store. Its methods may be called from several goroutines.
 type Store struct{ db *bbolt.DB }
 
-// State is what a store holds for the decisions.
+// State is what an agent needs to start: its lease, the pending request of an operator and its instances by name.
 type State struct {
 	Lease           claim.PersistentState
 	OperatorRequest form.OperatorRequest
 	Instances       map[string]tend.Record
 }
 
-// Change is what Save writes; nil parts stay.
+// Change is what one call of Save writes. What is nil, and instances that are not named, stay as they are.
 type Change struct {
 	Lease           *claim.PersistentState
 	OperatorRequest *form.OperatorRequest
-	Instances       map[string]tend.Record
-	Revision        *form.Revision
-	Rollout         *form.Rollout
+	Instances       map[string]tend.Record // by name
+	Revision        *form.Revision         // added, or replaced if its digest is known
+	Rollout         *form.Rollout          // added, or replaced if its ID is known
 }
 
-// Open opens or makes a store. One that another process has open is told as such.
+// Open opens the store at path and creates it if there is none, with its folder. Its errors name the path; they match
+// ErrInUse if another process has the store open, and *FormatError if it has another format.
 func Open(path string) (*Store, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout})
 	if errors.Is(err, bbolterrors.ErrTimeout) {
-		return nil, fmt.Errorf("store: %s is open in another agent", path)
+		return nil, fmt.Errorf("store: %s %w", path, ErrInUse)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("store: %s: %w", path, err)
 	}
-	s := &Store{db: db}
-	if err := s.prepare(); err != nil {
+	if err := db.Update(prepare); err != nil {
 		_ = db.Close()
 		return nil, fmt.Errorf("store: %s: %w", path, err)
 	}
-	return s, nil
+	return &Store{db: db}, nil
 }
 
-func (s *Store) prepare() error {
-	return s.db.Update(func(tx *bbolt.Tx) error {
-		for _, b := range [][]byte{metaBucket, instancesBucket, revisionsBucket, rolloutsBucket} {
-			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
-				return err
-			}
-		}
-		format := 0
-		found, err := get(tx, metaBucket, formatKey, &format)
-		switch {
-		case err != nil:
+// prepare creates the buckets that are missing and checks the format's version, or writes it to a new store.
+func prepare(tx *bbolt.Tx) error {
+	for _, bucket := range [][]byte{metaBucket, instancesBucket, revisionsBucket, rolloutsBucket} {
+		if _, err := tx.CreateBucketIfNotExists(bucket); err != nil {
 			return err
-		case !found:
-			return put(tx, metaBucket, formatKey, FormatVersion)
-		case format != FormatVersion:
-			return fmt.Errorf("its records are of format %d, and this program knows format %d", format, FormatVersion)
 		}
-		return nil
-	})
-}
-
-// Close closes the store.
-func (s *Store) Close() error { return s.db.Close() }
-
-// put writes a record with a checksum before it.
-func put(tx *bbolt.Tx, bucket []byte, key string, v any) error {
-	raw := form.Encode(v)
-	out := binary.BigEndian.AppendUint64(make([]byte, 0, len(raw)+8), xxh3.Hash(raw))
-	return tx.Bucket(bucket).Put([]byte(key), append(out, raw...))
-}
-
-func get(tx *bbolt.Tx, bucket []byte, key string, v any) (bool, error) {
-	raw := tx.Bucket(bucket).Get([]byte(key))
-	if raw == nil {
-		return false, nil
 	}
-	return true, decode(bucket, key, raw, v)
-}
-
-func decode(bucket []byte, key string, raw []byte, v any) error {
-	if len(raw) < 8 || binary.BigEndian.Uint64(raw) != xxh3.Hash(raw[8:]) {
-		return fmt.Errorf("record %s/%s is spoilt: its checksum is not that of its content", bucket, key)
+	version := 0
+	found, err := getRecord(tx, metaBucket, formatKey, &version)
+	switch {
+	case err != nil:
+		return err
+	case !found:
+		return putRecord(tx, metaBucket, formatKey, FormatVersion)
+	case version != FormatVersion:
+		return &FormatError{Found: version}
 	}
-	return form.Decode(fmt.Sprintf("record %s/%s", bucket, key), raw[8:], v)
+	return nil
 }
 
-// Load reads the state.
+// Close closes the store. No other method may be called after it.
+func (s *Store) Close() error { return s.db.Close() }
+
+// Load reads the state. Its errors match *CorruptRecordError if a record is damaged.
 func (s *Store) Load() (State, error) {
-	st := State{Instances: map[string]tend.Record{}}
+	state := State{Instances: map[string]tend.Record{}}
 	err := s.db.View(func(tx *bbolt.Tx) error {
-		if _, err := get(tx, metaBucket, leaseKey, &st.Lease); err != nil {
+		if _, err := getRecord(tx, metaBucket, leaseKey, &state.Lease); err != nil {
 			return err
 		}
-		if _, err := get(tx, metaBucket, operatorRequestKey, &st.OperatorRequest); err != nil {
+		if _, err := getRecord(tx, metaBucket, operatorRequestKey, &state.OperatorRequest); err != nil {
 			return err
 		}
-		return tx.Bucket(instancesBucket).ForEach(func(k, raw []byte) error {
-			var r tend.Record
-			if err := decode(instancesBucket, string(k), raw, &r); err != nil {
-				return err
-			}
-			st.Instances[string(k)] = r
-			return nil
+		return forEachRecord(tx, instancesBucket, func(name string, r tend.Record) {
+			state.Instances[name] = r
 		})
 	})
 	if err != nil {
-		return st, fmt.Errorf("store: %w", err)
+		return state, fmt.Errorf("store: %w", err)
 	}
-	return st, nil
+	return state, nil
 }
 
-// Save writes a change.
+// Save writes a change in one transaction, and drops the oldest revisions and rollouts beyond MaxHistory.
 func (s *Store) Save(c Change) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
-		if c.Lease != nil {
-			if err := put(tx, metaBucket, leaseKey, *c.Lease); err != nil {
-				return err
-			}
-		}
-		if c.OperatorRequest != nil {
-			if err := put(tx, metaBucket, operatorRequestKey, *c.OperatorRequest); err != nil {
-				return err
-			}
-		}
-		for name, r := range c.Instances {
-			if err := put(tx, instancesBucket, name, r); err != nil {
-				return err
-			}
+		if err := saveState(tx, c); err != nil {
+			return err
 		}
 		if c.Rollout != nil {
-			if err := put(tx, rolloutsBucket, c.Rollout.ID, *c.Rollout); err != nil {
-				return err
-			}
-			if err := prune[form.Rollout](tx, rolloutsBucket, func(r form.Rollout) int64 { return r.StartedAt }, nil); err != nil {
+			if err := saveRollout(tx, *c.Rollout); err != nil {
 				return err
 			}
 		}
 		if c.Revision != nil {
-			if err := put(tx, revisionsBucket, c.Revision.Digest, *c.Revision); err != nil {
-				return err
-			}
-			used, err := revisionsInUse(tx)
-			if err != nil {
-				return err
-			}
-			used[c.Revision.Digest] = true
-			return prune[form.Revision](tx, revisionsBucket, func(r form.Revision) int64 { return r.PushedAt }, used)
+			return saveRevision(tx, *c.Revision)
 		}
 		return nil
 	})
@@ -195,98 +145,22 @@
 	return nil
 }
 
-func revisionsInUse(tx *bbolt.Tx) (map[string]bool, error) {
-	used := map[string]bool{}
-	err := tx.Bucket(instancesBucket).ForEach(func(k, raw []byte) error {
-		var r tend.Record
-		if err := decode(instancesBucket, string(k), raw, &r); err != nil {
+// saveState writes the parts of a change that Load returns.
+func saveState(tx *bbolt.Tx, c Change) error {
+	if c.Lease != nil {
+		if err := putRecord(tx, metaBucket, leaseKey, *c.Lease); err != nil {
 			return err
 		}
-		used[r.Revision], used[r.PreviousRevision], used[r.Step.Revision] = true, true, true
-		return nil
-	})
-	return used, err
-}
-
-// prune drops the oldest records beyond Kept.
-func prune[T any](tx *bbolt.Tx, bucket []byte, at func(T) int64, used map[string]bool) error {
-	b := tx.Bucket(bucket)
-	if b.Inspect().KeyN <= MaxHistory {
-		return nil
-	}
-	type entry struct {
-		key string
-		at  int64
 	}
-	var all []entry
-	err := b.ForEach(func(k, raw []byte) error {
-		var v T
-		if err := decode(bucket, string(k), raw, &v); err != nil {
+	if c.OperatorRequest != nil {
+		if err := putRecord(tx, metaBucket, operatorRequestKey, *c.OperatorRequest); err != nil {
 			return err
 		}
-		all = append(all, entry{string(k), at(v)})
-		return nil
-	})
-	if err != nil {
-		return err
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].at < all[j].at })
-	for _, e := range all[:max(0, len(all)-MaxHistory)] {
-		if used[e.key] {
-			continue
-		}
-		if err := b.Delete([]byte(e.key)); err != nil {
+	for name, r := range c.Instances {
+		if err := putRecord(tx, instancesBucket, name, r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
-
-// Revision returns one with its content.
-func (s *Store) Revision(digest string) (form.Revision, bool, error) {
-	var r form.Revision
-	var found bool
-	err := s.db.View(func(tx *bbolt.Tx) (err error) {
-		found, err = get(tx, revisionsBucket, digest, &r)
-		return err
-	})
-	if err != nil {
-		err = fmt.Errorf("store: %w", err)
-	}
-	return r, found, err
-}
-
-// Revisions lists what is kept, without the contents, newest first.
-func (s *Store) Revisions() ([]form.Revision, error) {
-	out, err := all[form.Revision](s, revisionsBucket)
-	for i := range out {
-		out[i].Content = nil
-	}
-	sort.SliceStable(out, func(i, j int) bool { return out[i].PushedAt > out[j].PushedAt })
-	return out, err
-}
-
-// Rollouts lists what is kept, newest first.
-func (s *Store) Rollouts() ([]form.Rollout, error) {
-	out, err := all[form.Rollout](s, rolloutsBucket)
-	sort.SliceStable(out, func(i, j int) bool { return out[i].StartedAt > out[j].StartedAt })
-	return out, err
-}
-
-func all[T any](s *Store, bucket []byte) ([]T, error) {
-	var out []T
-	err := s.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(bucket).ForEach(func(k, raw []byte) error {
-			var v T
-			if err := decode(bucket, string(k), raw, &v); err != nil {
-				return err
-			}
-			out = append(out, v)
-			return nil
-		})
-	})
-	if err != nil {
-		return nil, fmt.Errorf("store: %w", err)
-	}
-	return out, nil
-}
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -20,25 +20,27 @@
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
 
-// TestMain is also the program that is killed while it writes.
+// writerVariable makes the test binary a program that writes to the store at its value until it is killed.
+const writerVariable = "STORE_WRITER"
+
 func TestMain(m *testing.M) {
-	if path := os.Getenv("STORE_WRITER"); path != "" {
-		writer(path)
+	if path := os.Getenv(writerVariable); path != "" {
+		writeForever(path)
 	}
 	os.Exit(m.Run())
 }
 
-// writer saves numbers that must be found together, and says each one once it is saved.
-func writer(path string) {
+// writeForever saves changes that must be found complete, and prints the number of each once it is saved.
+func writeForever(path string) {
 	s, err := Open(path)
 	if err != nil {
 		panic(err)
 	}
-	st, err := s.Load()
+	state, err := s.Load()
 	if err != nil {
 		panic(err)
 	}
-	for n := st.Lease.Epoch + 1; ; n++ {
+	for n := state.Lease.Epoch + 1; ; n++ {
 		if err := s.Save(change(n)); err != nil {
 			panic(err)
 		}
@@ -46,6 +48,7 @@
 	}
 }
 
+// change is one whose lease and instance bear the same number.
 func change(n uint64) Change {
 	return Change{
 		Lease:     &claim.PersistentState{Epoch: n, Holder: strings.Repeat("h", int(n%50)*100)},
@@ -53,26 +56,27 @@
 	}
 }
 
-func TestWhatIsSavedIsFound(t *testing.T) {
+func TestSavedStateIsLoaded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "sub", "store.db")
 	s, err := Open(path)
 	require.NoError(t, err)
 	require.NoError(t, s.Save(change(7)))
 	require.NoError(t, s.Save(Change{OperatorRequest: &form.OperatorRequest{RolloutID: "r", Action: plan.RequestPause}}))
 	_, err = Open(path)
-	assert.ErrorContains(t, err, "open in another agent")
+	require.ErrorIs(t, err, ErrInUse)
+	require.ErrorContains(t, err, path+" is open in another agent")
 	require.NoError(t, s.Close())
 	s, err = Open(path)
 	require.NoError(t, err)
-	st, err := s.Load()
+	state, err := s.Load()
 	require.NoError(t, err)
-	assert.Equal(t, *change(7).Lease, st.Lease)
-	assert.Equal(t, change(7).Instances, st.Instances)
-	assert.Equal(t, plan.RequestPause, st.OperatorRequest.Action)
+	assert.Equal(t, *change(7).Lease, state.Lease)
+	assert.Equal(t, change(7).Instances, state.Instances)
+	assert.Equal(t, plan.RequestPause, state.OperatorRequest.Action)
 	require.NoError(t, s.Close())
 }
 
-func TestOldRevisionsGoButForThoseInUse(t *testing.T) {
+func TestHistoryIsBoundedAndKeepsRevisionsInUse(t *testing.T) {
 	s, err := Open(filepath.Join(t.TempDir(), "store.db"))
 	require.NoError(t, err)
 	defer func() { _ = s.Close() }()
@@ -98,7 +102,7 @@
 	assert.Equal(t, "r119", rollouts[0].ID)
 }
 
-func TestSpoiltAndForeignStoresAreRefused(t *testing.T) {
+func TestCorruptAndForeignStoresAreRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	s, err := Open(path)
 	require.NoError(t, err)
@@ -109,43 +113,49 @@
 		return tx.Bucket(instancesBucket).Put([]byte("n1"), raw)
 	}))
 	_, err = s.Load()
-	assert.ErrorContains(t, err, "record instances/n1 is spoilt")
-	require.NoError(t, s.db.Update(func(tx *bbolt.Tx) error { return put(tx, metaBucket, formatKey, 99) }))
+	var corrupt *CorruptRecordError
+	require.ErrorAs(t, err, &corrupt)
+	assert.Equal(t, CorruptRecordError{Bucket: "instances", Key: "n1"}, *corrupt)
+	require.ErrorContains(t, err, "record instances/n1 is corrupt")
+	require.NoError(t, s.db.Update(func(tx *bbolt.Tx) error { return putRecord(tx, metaBucket, formatKey, 99) }))
 	require.NoError(t, s.Close())
 	_, err = Open(path)
-	assert.ErrorContains(t, err, "format 99, and this program knows format 1")
+	var foreign *FormatError
+	require.ErrorAs(t, err, &foreign)
+	assert.Equal(t, 99, foreign.Found)
+	require.ErrorContains(t, err, "format 99, and this program knows format 1")
 	require.NoError(t, os.WriteFile(path, []byte(strings.Repeat("no store ", 2000)), 0o600))
 	_, err = Open(path)
 	assert.ErrorContains(t, err, path)
 }
 
-// TestWriterThatIsKilledLosesNothingItSaid kills a process at arbitrary points of its writing.
-func TestWriterThatIsKilledLosesNothingItSaid(t *testing.T) {
+// TestKilledWriterLosesNoAcknowledgedChange kills a process at arbitrary points of its writing.
+func TestKilledWriterLosesNoAcknowledgedChange(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	for round := range 40 {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), "STORE_WRITER="+path)
+		cmd.Env = append(os.Environ(), writerVariable+"="+path)
 		out, err := cmd.StdoutPipe()
 		require.NoError(t, err)
 		require.NoError(t, cmd.Start())
-		said := uint64(0)
+		acknowledged := uint64(0)
 		lines := bufio.NewScanner(out)
 		for n := 0; n <= round%7 && lines.Scan(); n++ {
-			said, err = strconv.ParseUint(lines.Text(), 10, 64)
+			acknowledged, err = strconv.ParseUint(lines.Text(), 10, 64)
 			require.NoError(t, err, lines.Text())
 		}
 		require.NoError(t, cmd.Process.Kill())
 		for lines.Scan() {
-			said, _ = strconv.ParseUint(lines.Text(), 10, 64)
+			acknowledged, _ = strconv.ParseUint(lines.Text(), 10, 64)
 		}
 		_ = cmd.Wait()
 		s, err := Open(path)
 		require.NoError(t, err)
-		st, err := s.Load()
+		state, err := s.Load()
 		require.NoError(t, err)
-		assert.GreaterOrEqual(t, st.Lease.Epoch, said)
-		assert.Equal(t, *change(st.Lease.Epoch).Lease, st.Lease)
-		assert.Equal(t, change(st.Lease.Epoch).Instances, st.Instances, "all of a change or none")
+		assert.GreaterOrEqual(t, state.Lease.Epoch, acknowledged)
+		assert.Equal(t, *change(state.Lease.Epoch).Lease, state.Lease)
+		assert.Equal(t, change(state.Lease.Epoch).Instances, state.Instances, "all of a change or none")
 		require.NoError(t, s.Close())
 	}
 }
