--- a/internal/fleet/form/form_test.go
+++ b/internal/fleet/form/messages_test.go
@@ -11,7 +11,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
-func TestMessagesReadBackTheSame(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	c := Request{Verb: BeginStepVerb, Epoch: 3, Holder: "h", InstanceName: "n1", Step: plan.Step{RolloutID: "r", Number: 2, Instance: 4}}
 	got, err := DecodeRequest(Encode(c))
 	require.NoError(t, err)
@@ -25,13 +25,13 @@
 	assert.Equal(t, r, back)
 }
 
-func TestFieldsOfALaterVersionArePassedOver(t *testing.T) {
+func TestFieldsOfLaterVersionsAreIgnored(t *testing.T) {
 	got, err := DecodeRequest(Encode(map[string]any{"verb": "look", "epoch": 4, "colour": "green"}))
 	require.NoError(t, err)
 	assert.EqualValues(t, 4, got.Epoch)
 }
 
-func TestBadMessagesAreRefused(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	for says, raw := range map[string][]byte{
 		`unknown verb "dance"`:    Encode(map[string]any{"verb": "dance"}),
 		"unknown verb":            Encode(map[string]any{}),
@@ -45,7 +45,14 @@
 	}
 }
 
-func FuzzDecodeCall(f *testing.F) {
+func TestUnknownVerbIsATypedError(t *testing.T) {
+	_, err := DecodeRequest(Encode(map[string]any{"verb": "dance"}))
+	var unknown *UnknownVerbError
+	require.ErrorAs(t, err, &unknown)
+	assert.Equal(t, Verb("dance"), unknown.Verb)
+}
+
+func FuzzDecodeRequest(f *testing.F) {
 	f.Add(Encode(Request{Verb: RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 1, Holder: "x"}}))
 	f.Add(Encode(Request{Verb: PutRevisionVerb, Revision: Revision{Digest: "d", Content: []byte("{}")}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
