--- a/internal/fleet/api/api_test.go
+++ b/internal/fleet/api/api_test.go
@@ -29,11 +29,12 @@
 	return form.Reply{Agent: operator, Failure: string(c.Verb), Revisions: []form.Revision{c.Revision}}, e.fail
 }
 
+// rig is an agent's server on loopback, with the keys of an agent and an operator. It takes the server's log.
 type rig struct {
 	t    *testing.T
 	keys keys.Folder
 	at   string
-	mu   sync.Mutex
+	mu   sync.Mutex // guards log
 	log  bytes.Buffer
 }
 
@@ -43,12 +44,14 @@
 	return r.log.Write(p)
 }
 
+// logged is the log so far.
 func (r *rig) logged() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.log.String()
 }
 
+// newRig serves until the test ends.
 func newRig(t *testing.T, v Versions, h Handler) *rig {
 	r := &rig{t: t, keys: keys.Folder(t.TempDir())}
 	require.NoError(t, r.keys.MakeAuthority("f", time.Hour, time.Now()))
@@ -70,7 +73,7 @@
 	return c
 }
 
-func TestCallsAreAnswered(t *testing.T) {
+func TestRequestsAreAnswered(t *testing.T) {
 	r := newRig(t, SupportedVersions, echo{})
 	c := r.client(SupportedVersions)
 	for range 3 {
@@ -80,17 +83,17 @@
 		assert.Equal(t, "look", got.Failure)
 	}
 	_, err := c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Holder: "ayla/1"}})
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	_, err = c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Holder: "mehmet/1"}})
-	assert.ErrorContains(t, err, "agent a1: 400 Bad Request: call: operator ayla cannot speak as mehmet/1")
+	require.ErrorContains(t, err, "agent a1: 400 Bad Request: call: operator ayla cannot speak as mehmet/1")
 	big := make([]byte, 4<<20)
 	_, err = c.Call(context.Background(), form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Content: big}})
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	_, err = c.Call(context.Background(), form.Request{Verb: form.StatusVerb, Revision: form.Revision{Content: big}})
 	assert.ErrorContains(t, err, "at most for look")
 }
 
-func TestVersionsAreAgreedOnOrTold(t *testing.T) {
+func TestVersionsAreNegotiatedOrReported(t *testing.T) {
 	for _, x := range []struct {
 		agent, tool Versions
 		says        string
@@ -106,7 +109,10 @@
 		if x.says == "" {
 			assert.NoError(t, err, "%v", x)
 		} else {
-			assert.ErrorContains(t, err, x.says)
+			require.ErrorContains(t, err, x.says)
+			var versions *VersionsError
+			require.ErrorAs(t, err, &versions)
+			assert.Equal(t, VersionsError{Agent: x.agent, Client: x.tool}, *versions)
 		}
 	}
 }
@@ -122,7 +128,7 @@
 	return c
 }
 
-func TestWhatIsNoCallIsRefused(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	r := newRig(t, SupportedVersions, echo{})
 	conf, err := r.keys.Source(keys.Operator, "ayla").Client("a1")
 	require.NoError(t, err)
@@ -169,7 +175,7 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-func TestHalfRequestsAreEnded(t *testing.T) {
+func TestIncompleteRequestsAreClosed(t *testing.T) {
 	r := newRig(t, SupportedVersions, echo{})
 	for _, half := range []string{"POST /fl", "POST /fleet HTTP/1.1\r\nHost: x\r\nFleet-Version: 1\r\nContent-Length: 99\r\n\r\nabc"} {
 		c := r.raw()
@@ -199,10 +205,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	_, err := r.client(SupportedVersions).Call(ctx, form.Request{Verb: form.StatusVerb})
+	require.ErrorIs(t, err, ErrNoAnswer)
 	assert.ErrorContains(t, err, "no answer in time")
 }
 
-func TestWrongCertificatesAreRefusedAndTold(t *testing.T) {
+func TestWrongCertificatesAreRefusedAndLogged(t *testing.T) {
 	r := newRig(t, SupportedVersions, echo{})
 	other := keys.Folder(t.TempDir())
 	require.NoError(t, other.MakeAuthority("g", time.Hour, time.Now()))
@@ -210,12 +217,13 @@
 	stranger := NewClient("a1", r.at, keys.Source{Own: other.File(keys.Operator, "ayla"), Trusted: r.keys.Trusted(), Now: time.Now}, SupportedVersions)
 	defer stranger.Close()
 	_, err := stranger.Call(context.Background(), form.Request{Verb: form.StatusVerb})
-	assert.ErrorContains(t, err, "it refuses this operator's certificate")
+	require.ErrorIs(t, err, ErrCertificateRefused)
+	require.ErrorContains(t, err, "it refuses this operator's certificate")
 	assert.Contains(t, r.logged(), "operator ayla is from an authority that is not trusted here")
 	misled := NewClient("a2", r.at, r.keys.Source(keys.Operator, "ayla"), SupportedVersions)
 	defer misled.Close()
 	_, err = misled.Call(context.Background(), form.Request{Verb: form.StatusVerb})
-	assert.ErrorContains(t, err, "agent a1's, and should be agent a2's")
+	require.ErrorContains(t, err, "agent a1's, and should be agent a2's")
 	// Renewed in place: the next connection uses it.
 	c := r.client(SupportedVersions)
 	_, err = c.Call(context.Background(), form.Request{Verb: form.StatusVerb})
@@ -226,11 +234,16 @@
 	assert.NoError(t, err)
 }
 
-func TestFaultsOfTheWay(t *testing.T) {
+func TestTransportErrorsAreExplained(t *testing.T) {
 	r := newRig(t, SupportedVersions, echo{fail: errors.New("busy")})
 	_, err := r.client(SupportedVersions).Call(context.Background(), form.Request{Verb: form.StatusVerb})
-	assert.ErrorContains(t, err, "agent a1: 503 Service Unavailable: busy")
+	require.ErrorContains(t, err, "agent a1: 503 Service Unavailable: busy")
+	var status *StatusError
+	require.ErrorAs(t, err, &status)
+	assert.Equal(t, StatusError{Status: "503 Service Unavailable", Text: "busy"}, *status)
 	c := NewClient("a1", "127.0.0.1:1", r.keys.Source(keys.Operator, "ayla"), SupportedVersions)
 	_, err = c.Call(context.Background(), form.Request{Verb: form.StatusVerb})
+	var unreachable *UnreachableError
+	require.ErrorAs(t, err, &unreachable)
 	assert.ErrorContains(t, err, "it cannot be reached")
 }
--- /dev/null
+++ b/internal/fleet/api/server.go
@@ -0,0 +1,158 @@
+package api
+
+import (
+	"context"
+	"crypto/tls"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"github.com/rs/zerolog"
+	"golang.org/x/net/netutil"
+
+	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/keys"
+)
+
+// Handler handles the requests to an agent. It is called from several goroutines. The operator is the name in the
+// caller's certificate. An error is reported to the caller as status 503.
+type Handler interface {
+	Handle(ctx context.Context, operator string, request form.Request) (form.Reply, error)
+}
+
+// Server serves an agent's requests on a listener.
+type Server struct {
+	http     *http.Server
+	listener net.Listener
+}
+
+// NewServer returns a server for a listener, which it takes over. The certificate and the trusted authorities are read
+// from source anew for each connection. Refused connections and requests are logged.
+func NewServer(l net.Listener, h Handler, source keys.Source, v Versions, log zerolog.Logger) *Server {
+	tlsConfig := source.Server(func(err error) { log.Warn().Err(err).Msg("connection refused") })
+	return &Server{
+		http: &http.Server{
+			Handler:           &requestHandler{handler: h, versions: v, log: log},
+			ReadHeaderTimeout: headerTimeout,
+			ReadTimeout:       requestTimeout,
+			WriteTimeout:      requestTimeout,
+			IdleTimeout:       idleTimeout,
+			MaxHeaderBytes:    maxHeaderBytes,
+			ErrorLog:          debugLogger(log),
+		},
+		listener: tls.NewListener(netutil.LimitListener(l, maxConnections), tlsConfig),
+	}
+}
+
+// Serve serves until Close, after which it returns nil, or until the listener fails.
+func (s *Server) Serve() error {
+	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("api: %w", err)
+	}
+	return nil
+}
+
+// Close closes the listener and all connections, also those with a request under way.
+func (s *Server) Close() { _ = s.http.Close() }
+
+// requestHandler is the HTTP side of a Handler.
+type requestHandler struct {
+	handler  Handler
+	versions Versions
+	log      zerolog.Logger
+}
+
+// httpError is an error that is answered with a status of HTTP.
+type httpError struct {
+	status int
+	err    error
+}
+
+func (e *httpError) Error() string { return e.err.Error() }
+
+func (e *httpError) Unwrap() error { return e.err }
+
+// ServeHTTP implements http.Handler.
+func (h *requestHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	w.Header().Set(minVersionHeader, strconv.Itoa(h.versions.Min))
+	w.Header().Set(maxVersionHeader, strconv.Itoa(h.versions.Max))
+	reply, err := h.serve(w, r)
+	if err != nil {
+		http.Error(w, err.Error(), err.status)
+		return
+	}
+	w.Header().Set("Content-Type", contentType)
+	_, _ = w.Write(form.Encode(reply))
+}
+
+func (h *requestHandler) serve(w http.ResponseWriter, r *http.Request) (form.Reply, *httpError) {
+	if err := h.checkHeader(r); err != nil {
+		return form.Reply{}, err
+	}
+	_, operator := keys.Who(r.TLS.PeerCertificates[0])
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, form.MaxContentBytes))
+	if err != nil {
+		h.log.Warn().Err(err).Str("operator", operator).Msg("request not read")
+		return form.Reply{}, &httpError{status: readErrorStatus(err), err: err}
+	}
+	request, err := decodeRequest(operator, raw)
+	if err != nil {
+		h.log.Warn().Err(err).Str("operator", operator).Msg("request rejected")
+		return form.Reply{}, &httpError{status: http.StatusBadRequest, err: err}
+	}
+	reply, err := h.handler.Handle(r.Context(), operator, request)
+	if err != nil {
+		return form.Reply{}, &httpError{status: http.StatusServiceUnavailable, err: err}
+	}
+	return reply, nil
+}
+
+// checkHeader checks the parts of a request before its body.
+func (h *requestHandler) checkHeader(r *http.Request) *httpError {
+	version, err := strconv.Atoi(r.Header.Get(versionHeader))
+	switch {
+	case r.URL.Path != requestPath:
+		return &httpError{status: http.StatusNotFound, err: errors.New("calls go to " + requestPath)}
+	case r.Method != http.MethodPost:
+		return &httpError{status: http.StatusMethodNotAllowed, err: errors.New("calls are posted")}
+	case err != nil || !h.versions.contains(version):
+		err = fmt.Errorf("versions %d to %d are spoken here", h.versions.Min, h.versions.Max)
+		return &httpError{status: http.StatusHTTPVersionNotSupported, err: err}
+	}
+	return nil
+}
+
+// readErrorStatus is the status for a body that could not be read.
+func readErrorStatus(err error) int {
+	var tooLong *http.MaxBytesError
+	if errors.As(err, &tooLong) {
+		return http.StatusRequestEntityTooLarge
+	}
+	return http.StatusBadRequest
+}
+
+// decodeRequest reads a request and checks its size and its holder.
+func decodeRequest(operator string, raw []byte) (form.Request, error) {
+	request, err := form.DecodeRequest(raw)
+	if err != nil {
+		return request, err
+	}
+	if request.Verb != form.PutRevisionVerb && len(raw) > form.MaxRequestBytes {
+		return request, fmt.Errorf("call: %d bytes, %d at most for %s", len(raw), form.MaxRequestBytes, request.Verb)
+	}
+	return request, checkHolder(operator, request)
+}
+
+// checkHolder rejects a request under the holder's name of another operator.
+func checkHolder(operator string, request form.Request) error {
+	for _, holder := range []string{request.Holder, request.LeaseRequest.Holder} {
+		if holder != "" && !strings.HasPrefix(holder, operator+holderSeparator) {
+			return fmt.Errorf("call: operator %s cannot speak as %s", operator, holder)
+		}
+	}
+	return nil
+}
