--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -27,10 +27,9 @@
 	n.slowStartBudget = math.Max(0, n.slowStartBudget-1)
 	r.recordSession(c, g, 1, math.Inf(-1))
 	if g.Consistency != PrimaryOnly && len(c.Attempts) == 1 {
-		r.turnSlots(now)
-		r.reads[r.slotAt%fallbackSlots]++
+		r.reads.Add(now)
 		if spilled {
-			r.fallbacks[r.slotAt%fallbackSlots]++
+			r.fallbacks.Add(now)
 		}
 	}
 	until := c.ClientDeadline
--- a/internal/router/carry.go
+++ b/internal/router/carry.go
@@ -1,7 +1,6 @@
 package router
 
 import (
-	"maps"
 	"math"
 	"slices"
 )
@@ -23,15 +22,13 @@
 		s.endpoints, s.latencySum, s.answerSum = slices.Clone(s.endpoints), 0, 0
 		r.shards[i] = s
 	}
-	r.youngSessions, r.oldSessions, r.sessionsTurnedAt = maps.Clone(from.youngSessions), maps.Clone(from.oldSessions), now
-	for _, sessions := range []map[uint64]session{r.youngSessions, r.oldSessions} {
-		for id, s := range sessions {
-			if s.writesInFlight > 0 { // those writes end there: a half stands for them until LearnFrom finds none out
-				s.writesInFlight = 0.5
-				sessions[id] = s
-			}
+	r.sessionsTurnedAt = now
+	r.sessions = from.sessions.CloneFunc(func(s session) session {
+		if s.writesInFlight > 0 { // those writes end there: a half stands for them until LearnFrom finds none out
+			s.writesInFlight = 0.5
 		}
-	}
+		return s
+	})
 	r.subscribed, r.pollAt, r.pollFailures = from.subscribed, from.pollAt, from.pollFailures
 }
 
@@ -46,6 +43,6 @@
 		return
 	}
 	s.lastWrite, s.highestRead = max(s.lastWrite, told.lastWrite), max(s.highestRead, told.highestRead)
-	r.youngSessions[c.Session] = s
+	r.sessions.Put(c.Session, s)
 	r.shards[c.Shard].newestPosition = max(r.shards[c.Shard].newestPosition, s.lastWrite, s.highestRead)
 }
--- a/internal/router/carry_test.go
+++ b/internal/router/carry_test.go
@@ -12,7 +12,9 @@
 	old.endpoints[1].position, old.endpoints[1].latencySum, old.endpoints[1].answerSum, old.endpoints[1].inFlight, old.endpoints[1].unanswered = 11, 40, 100, 3, 2
 	old.endpoints[2].ejected, old.endpoints[2].startedAt, old.endpoints[2].slowStartBudget = true, 9, 5
 	old.UpdateEndpoints(10, []EndpointInfo{{Index: 0, State: Draining, StartedAt: math.Inf(-1)}}, false, false)
-	old.youngSessions[9], old.oldSessions[7] = session{lastWrite: 10.5, highestRead: 10.7}, session{lastWrite: 10.5, highestRead: 10.7, writesInFlight: 2}
+	old.sessions.Put(7, session{lastWrite: 10.5, highestRead: 10.7, writesInFlight: 2})
+	old.sessions.Turn()
+	old.sessions.Put(9, session{lastWrite: 10.5, highestRead: 10.7})
 	old.shards[0].latencySum, old.shards[0].answerSum = 40, 100
 	old.shards[0].positionFloor, old.latency, old.warmRate = 9.5, 0.4, 50
 	s := testSite()
@@ -36,7 +38,7 @@
 	assert.Equal(t, 12.5, r.sessionPosition(12.5, writes), "its writes are out at the old one")
 	r.recordSession(writes, &groupState{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, 1, math.Inf(-1)) // and one here
 	for out := 1.0; out >= 0; out-- {
-		old.oldSessions[7] = session{lastWrite: math.Inf(-1), highestRead: math.Inf(-1), writesInFlight: out}
+		old.sessions.Put(7, session{lastWrite: math.Inf(-1), highestRead: math.Inf(-1), writesInFlight: out})
 		r.LearnFrom(writes, old)
 		assert.Equal(t, 12.5, r.sessionPosition(12.5, writes))
 	}
--- a/internal/router/consistency.go
+++ b/internal/router/consistency.go
@@ -32,22 +32,21 @@
 	default:
 		return
 	}
-	r.youngSessions[c.Session], r.shards[c.Shard].newestPosition = s, math.Max(r.shards[c.Shard].newestPosition, at)
+	r.sessions.Put(c.Session, s)
+	r.shards[c.Shard].newestPosition = math.Max(r.shards[c.Shard].newestPosition, at)
 }
 
 // session is what is remembered of a session, if anything.
 func (r *Router) session(id uint64) session {
-	for _, generation := range []map[uint64]session{r.youngSessions, r.oldSessions} {
-		if s, ok := generation[id]; ok {
-			return s
-		}
+	if s, ok := r.sessions.Get(id); ok {
+		return s
 	}
 	return session{lastWrite: math.Inf(-1), highestRead: math.Inf(-1)}
 }
 
 // forget lets the older generation of sessions go; their positions become their sets' floors.
 func (r *Router) expireSessions(now float64) {
-	if now-r.sessionsTurnedAt < retentionTimeouts*r.longestTimeout && len(r.youngSessions) < maxSessions/2 {
+	if now-r.sessionsTurnedAt < retentionTimeouts*r.longestTimeout && r.sessions.Younger() < maxSessions/2 {
 		return
 	}
 	r.sessionsTurnedAt = now
@@ -58,7 +57,7 @@
 	for i := range r.groups { // how groups are served is remembered about as long
 		r.groups[i].arrivals, r.groups[i].answeredInTime = r.groups[i].arrivals/2, r.groups[i].answeredInTime/2
 	}
-	r.oldSessions, r.youngSessions = r.youngSessions, map[uint64]session{}
+	r.sessions.Turn()
 }
 
 // tell notes a position and a role that held at a time.
--- /dev/null
+++ b/internal/router/generational/generational_test.go
@@ -0,0 +1,43 @@
+package generational
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestEntryIsForgottenAfterTwoTurnsUnlessPutAgain(t *testing.T) {
+	m := New[string, int]()
+	m.Put("kept", 1)
+	m.Put("dropped", 2)
+	m.Turn()
+	value, ok := m.Get("kept")
+	assert.True(t, ok)
+	m.Put("kept", value+2)
+	assert.Equal(t, 1, m.Younger())
+	value, _ = m.Get("kept")
+	assert.Equal(t, 3, value, "the newer entry counts")
+	m.Turn()
+	value, ok = m.Get("kept")
+	assert.True(t, ok)
+	assert.Equal(t, 3, value)
+	_, ok = m.Get("dropped")
+	assert.False(t, ok)
+	assert.Zero(t, m.Younger())
+}
+
+func TestCloneIsConvertedAndSharesNothing(t *testing.T) {
+	m := New[string, int]()
+	m.Put("older", 1)
+	m.Turn()
+	m.Put("younger", 2)
+	clone := m.CloneFunc(func(v int) int { return 10 * v })
+	m.Put("younger", 3)
+	for key, want := range map[string]int{"older": 10, "younger": 20} {
+		value, ok := clone.Get(key)
+		assert.True(t, ok)
+		assert.Equal(t, want, value)
+	}
+	value, _ := m.Get("older")
+	assert.Equal(t, 1, value)
+}
--- a/internal/router/helper_test.go
+++ b/internal/router/helper_test.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"testing"
+
+	"stoatdale.example/stoatdale/internal/router/rolling"
 )
 
 // Command groups of the test site, one a need.
@@ -61,3 +63,10 @@
 
 // chances is the seed of one of many routers. Small seeds leave the generator's half that draw reads the same.
 func chances(i int) uint64 { return uint64(i+1) * 0x9e3779b97f4a7c15 }
+
+// count adds so many events at a time.
+func count(c *rolling.Counter, now float64, events int) {
+	for range events {
+		c.Add(now)
+	}
+}
--- a/internal/router/maintenance.go
+++ b/internal/router/maintenance.go
@@ -11,7 +11,7 @@
 	r.subscribed = false
 	gap := math.Min(pollRetryShare*r.config.PollWindow*math.Exp2(r.pollFailures), r.config.PollWindow/2)
 	r.pollFailures++
-	r.pollAt = now + gap*(1+r.random())/2
+	r.pollAt = now + gap*(1+r.random.Float64())/2
 }
 
 // Maintain says how long until the next look, and what upkeep is due now.
--- a/internal/router/primary.go
+++ b/internal/router/primary.go
@@ -42,7 +42,7 @@
 		}
 		return -1
 	}
-	at := r.candidates[r.randomInt(len(r.candidates))]
+	at := r.candidates[r.random.IntN(len(r.candidates))]
 	// A hundred routers' tests push members that come back cold over.
 	r.endpoints[at].roleTestAt = now + roleTestShare*r.longestObjective*math.Max(1, math.Sqrt(float64(r.config.RouterCount))/2)
 	return at
@@ -61,21 +61,7 @@
 
 // maySpill keeps reads on the primary to one in five of the last second's.
 func (r *Router) mayFallBack(now float64) bool {
-	r.turnSlots(now)
-	var reads, spills float64
-	for i := range r.reads {
-		reads += r.reads[i]
-		spills += r.fallbacks[i]
-	}
-	return spills+1 <= fallbackShare*(reads+1)
-}
-
-func (r *Router) turnSlots(now float64) {
-	at := int64(math.Floor(now * fallbackSlots))
-	for k := max(r.slotAt+1, at-fallbackSlots+1); k <= at; k++ {
-		r.reads[k%fallbackSlots], r.fallbacks[k%fallbackSlots] = 0, 0
-	}
-	r.slotAt = max(r.slotAt, at)
+	return r.fallbacks.Sum(now)+1 <= fallbackShare*(r.reads.Sum(now)+1)
 }
 
 // fit returns a primary if it has room for the command in time, else -1.
--- /dev/null
+++ b/internal/router/rolling/rolling_test.go
@@ -0,0 +1,20 @@
+package rolling
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestCounterForgetsAfterASecond(t *testing.T) {
+	c := New(10)
+	c.Add(5.01)
+	c.Add(5.45)
+	c.Add(5.45)
+	assert.Equal(t, 3.0, c.Sum(5.99))
+	assert.Equal(t, 2.0, c.Sum(6.05), "the slot of 5.01 is over")
+	c.Add(6.05)
+	assert.Equal(t, 3.0, c.Sum(5.5), "a clock that goes back counts nothing twice")
+	assert.Equal(t, 1.0, c.Sum(6.55))
+	assert.Zero(t, c.Sum(100))
+}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -8,6 +8,10 @@
 import (
 	"math"
 	"slices"
+
+	"stoatdale.example/stoatdale/internal/router/generational"
+	"stoatdale.example/stoatdale/internal/router/mwc"
+	"stoatdale.example/stoatdale/internal/router/rolling"
 )
 
 // Tuned values: shares and multiples of what the site states or the router sees.
@@ -108,7 +112,7 @@
 	groups                                     []groupState
 	endpoints                                  []endpoint
 	shards                                     []shard
-	z, w                                       uint32
+	random                                     mwc.Source
 	longestObjective, longestTimeout           float64 // the longest target of what needs fresh data, and client timeout of all
 	decayTime                                  float64 // over which records fade
 	reviewInterval                             float64 // between two looks at a node: the tightest bound or session target
@@ -126,19 +130,18 @@
 	pendingChecks                              []int   // nodes whose position a read in hand asks for
 	maintainedAt, recoveryAt, sessionsTurnedAt float64
 	// Sessions in two generations: the older is dropped whole, and raises its sets' floors.
-	youngSessions, oldSessions map[uint64]session
-	reads, fallbacks           [fallbackSlots]float64
-	slotAt                     int64
-	subscribed                 bool
-	pollAt, pollFailures       float64 // when the list may be asked for again; failures in a row
-	candidates                 []int
-	healthyReplicas            int // replicas that are not doubted and may cover the read that was looked at last
+	sessions             generational.Map[uint64, session]
+	reads, fallbacks     rolling.Counter
+	subscribed           bool
+	pollAt, pollFailures float64 // when the list may be asked for again; failures in a row
+	candidates           []int
+	healthyReplicas      int // replicas that are not doubted and may cover the read that was looked at last
 }
 
 // New returns a router that knows nothing but its site.
 func New(s Config, seed uint64) *Router {
-	r := &Router{config: s, z: uint32(seed) | 1, w: uint32(seed>>32) | 1, youngSessions: map[uint64]session{},
-		oldSessions: map[uint64]session{}, maintainedAt: math.Inf(-1), reviewInterval: math.Inf(1)}
+	r := &Router{config: s, random: mwc.New(seed), sessions: generational.New[uint64, session](),
+		reads: rolling.New(fallbackSlots), fallbacks: rolling.New(fallbackSlots), maintainedAt: math.Inf(-1), reviewInterval: math.Inf(1)}
 	for _, g := range s.CommandGroups {
 		r.groups = append(r.groups, groupState{CommandGroup: g, tailFactor: 1, fairnessWeight: 1, queueLimit: g.LatencyObjective,
 			primaryQueueLimit: g.LatencyObjective})
@@ -163,16 +166,6 @@
 	return r
 }
 
-// chance draws from [0, n) with a multiply-with-carry generator.
-func (r *Router) randomInt(n int) int {
-	r.z = 36969*(r.z&0xffff) + r.z>>16
-	r.w = 18000*(r.w&0xffff) + r.w>>16
-	return int((r.z<<16 + r.w) % uint32(n))
-}
-
-// draw draws from [0, 1).
-func (r *Router) random() float64 { return float64(r.randomInt(1<<16)) / (1 << 16) }
-
 // UpdateEndpoints takes in the list: the whole of it or only what changed.
 func (r *Router) UpdateEndpoints(now float64, list []EndpointInfo, whole, cached bool) {
 	if !cached {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -13,8 +13,8 @@
 	a, b := testRouter(t, testSite()), testRouter(t, testSite())
 	seen := map[int]bool{}
 	for range 100 {
-		x := a.randomInt(5)
-		require.Equal(t, x, b.randomInt(5))
+		x := a.random.IntN(5)
+		require.Equal(t, x, b.random.IntN(5))
 		seen[x] = true
 	}
 	assert.Len(t, seen, 5)
@@ -22,7 +22,7 @@
 
 func TestSessionReadNeedsTokenAndSeenMark(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.youngSessions[9] = session{lastWrite: 9, highestRead: 10.2}
+	r.sessions.Put(9, session{lastWrite: 9, highestRead: 10.2})
 	r.endpoints[2].position = 10.3
 	for range 20 {
 		a := r.Route(10.3, command(gSession))
@@ -75,10 +75,9 @@
 
 func TestSpillIsOneInFive(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.turnSlots(10)
-	r.reads[r.slotAt%fallbackSlots] = 9
+	count(&r.reads, 10, 9)
 	assert.True(t, r.mayFallBack(10))
-	r.fallbacks[r.slotAt%fallbackSlots] = 2
+	count(&r.fallbacks, 10, 2)
 	assert.False(t, r.mayFallBack(10))
 	assert.False(t, r.mayFallBack(11.5), "the last second only")
 }
@@ -87,7 +86,7 @@
 	s := testSite()
 	s.ReplicasCheckReads = true
 	r := testRouter(t, s)
-	r.youngSessions[9] = session{lastWrite: 10.1, highestRead: math.Inf(-1)}
+	r.sessions.Put(9, session{lastWrite: 10.1, highestRead: math.Inf(-1)})
 	r.endpoints[1].lag, r.endpoints[2].lag = 3, 0.01
 	c := command(gSession)
 	assert.Equal(t, 2, r.Route(10, c).Endpoint)
@@ -439,7 +438,8 @@
 	for i := range r.endpoints {
 		r.endpoints[i].latencySum, r.endpoints[i].answerSum, r.endpoints[i].decayedAt = 0.2, 10, 10.2
 	}
-	r.latency, r.reads[2], r.slotAt = 0.02, 10, 102
+	r.latency = 0.02
+	count(&r.reads, 10.2, 10)
 	r.endpoints[0].latencySum = 2
 	c := uncovered(r)
 	assert.Equal(t, Wait, r.Route(10.2, c).Action)
@@ -545,7 +545,7 @@
 		r.UpdateEndpoints(0, list, true, true)
 		for now := 0.0; now < 4; now += 0.2 {
 			c := command(gAny)
-			c.Shard, c.ArrivedAt, c.ClientDeadline = r.randomInt(hosts/6), now, now+2
+			c.Shard, c.ArrivedAt, c.ClientDeadline = r.random.IntN(hosts/6), now, now+2
 			if a := r.Route(now, c); a.Action == Forward {
 				r.AttemptEnded(now+0.05, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
 			}
@@ -618,8 +618,7 @@
 func TestReadThatSpillsAsksNobody(t *testing.T) {
 	r := testRouter(t, testSite())
 	c := uncovered(r)
-	r.reads[0] = 10
-	r.slotAt = 102
+	count(&r.reads, 10, 10)
 	a := r.Route(10.2, c)
 	require.Equal(t, Forward, a.Action)
 	assert.Equal(t, 0, a.Endpoint)
@@ -955,12 +954,16 @@
 
 func TestEvictedTokensRaiseTheFloor(t *testing.T) {
 	r := testRouter(t, testSite())
-	r.youngSessions[1], r.shards[0].newestPosition = session{lastWrite: 9}, 9
+	r.sessions.Put(1, session{lastWrite: 9})
+	r.shards[0].newestPosition = 9
 	span := retentionTimeouts * 2.0
 	r.expireSessions(10 + span)
-	assert.Contains(t, r.oldSessions, uint64(1))
+	_, known := r.sessions.Get(1)
+	assert.True(t, known)
+	assert.Zero(t, r.sessions.Younger())
 	r.expireSessions(10 + 2*span)
-	assert.NotContains(t, r.oldSessions, uint64(1))
+	_, known = r.sessions.Get(1)
+	assert.False(t, known)
 	assert.Equal(t, 9.0, r.shards[0].positionFloor)
 }
 
@@ -1132,8 +1135,8 @@
 		s := testSite()
 		s.ReplicasCheckReads = guarded
 		r := testRouter(t, s)
-		r.mayFallBack(10.2)
-		r.reads[r.slotAt%fallbackSlots], r.fallbacks[r.slotAt%fallbackSlots] = 1, 1
+		count(&r.reads, 10.2, 1)
+		count(&r.fallbacks, 10.2, 1)
 		r.Route(10.2, uncovered(r))
 		assert.Equal(t, guarded, len(r.pendingChecks) == 0)
 	}
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -62,7 +62,7 @@
 	if r.preferOwnZone(); r.lowTraffic() {
 		r.prefer(func(i int) bool { return r.endpoints[i].idleConnections > 0 })
 	}
-	return r.candidates[r.randomInt(len(r.candidates))]
+	return r.candidates[r.random.IntN(len(r.candidates))]
 }
 
 // blind says that a target brings so few dispatches to a member that nothing is seen of it in time.
--- a/internal/router/slowstart.go
+++ b/internal/router/slowstart.go
@@ -22,7 +22,7 @@
 	// Rounded at random and never saved up: the parts of a dispatch that many routers have add up
 	// to the whole. One apiece at once, from a hundred routers, pushed a cold node over.
 	if span := slowStartBurst * r.config.OverloadWindow; now-n.slowStartBudgetAt >= span {
-		n.slowStartBudget, n.slowStartBudgetAt = math.Floor(rate*span+r.random()), now
+		n.slowStartBudget, n.slowStartBudgetAt = math.Floor(rate*span+r.random.Float64()), now
 	}
 	return n.slowStartBudget >= 1
 }
