--- a/cmd/stoatdale/clients_test.go
+++ b/cmd/stoatdale/clients_test.go
@@ -50,7 +50,7 @@
 func TestSilentClientsAreShedNearTheDescriptorLimit(t *testing.T) {
 	r := startRouterWith(t, routerOptions{sockets: 64})
 	for range 100 {
-		r.connect() // which says nothing more
+		r.connect() // and sends nothing
 	}
 	assert.Equal(t, "EMPTY", r.connect().query(""))
 	n := r.counters()
--- a/cmd/stoatdale/commands_test.go
+++ b/cmd/stoatdale/commands_test.go
@@ -125,14 +125,15 @@
 func TestHealthChecksReadLoadReports(t *testing.T) {
 	b := newTestBackend(t, answerAs("on"))
 	r := startRouterWith(t, routerOptions{settings: testSettings(true)}, listEntry(b, "b", "ready", "on"))
-	c, asked := r.connect(), 40 // as many as make the backend one that is used while a position is good
-	for range asked {
+	const queries = 40 // as many as it takes for the backend to be checked while its position is needed
+	c := r.connect()
+	for range queries {
 		assert.Equal(t, "value of k", c.query(readStatement("k")))
 	}
 	r.waitForCounter("probes", 1)
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
 	assert.Zero(t, r.counters()["probes_failed"])
-	assert.Len(t, b.statements, asked+1, "no statement but the client's and SHOW health")
+	assert.Len(t, b.statements, queries+1, "no statement but the client's and SHOW health")
 }
 
 // A session reads while its write is at the primary, which holds its answer back, and another when the
@@ -190,7 +191,7 @@
 
 	applied.Store(time.Now().UnixMilli() + 1)
 	assert.Equal(t, "value of other", reads.query(readStatement("other")))
-	servedBy(b, "SELECT") // which tells what it holds now
+	servedBy(b, "SELECT") // whose answer carries its position
 	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
 	servedBy(b, "SELECT")
 }
--- a/cmd/stoatdale/discovery_test.go
+++ b/cmd/stoatdale/discovery_test.go
@@ -1,17 +1,15 @@
 package main
 
 import (
-	"bufio"
 	"fmt"
+	"io"
 	"math"
-	"net"
 	"net/http"
 	"strconv"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
 )
 
 func TestDrainingBackendReceivesNoNewCommands(t *testing.T) {
@@ -39,39 +37,20 @@
 // binds within the drain grace, 1 s here, so the call that it will never answer, and the backoff after that, have to be
 // over by then.
 func TestDiscoveryReturnIsNoticedWithinTheDrainGrace(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
+	const silentCalls = 3
 	a, b := newTestBackend(t, answerAs("on")), newTestBackend(t, answerAs("on"))
-	list := fmt.Sprintf(`{"generation":7,"reset":true,"instances":[%s,%s]}`, listEntry(a, "a", "draining", "on"), listEntry(b, "b", "ready", "on"))
-	silent, calls := make(chan time.Time, 10), 0
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			calls++
-			go func(n int) {
-				if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
-					return
-				}
-				if n <= 3 { // the fourth is the first after the return
-					silent <- time.Now()
-					return
-				}
-				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
-			}(calls)
-		}
-	}()
-	r := startRouterWith(t, routerOptions{discovery: l.Addr().String(), drainGrace: time.Second},
+	calls := make(chan time.Time, silentCalls)
+	silent := func(io.Writer, *http.Request) { calls <- time.Now() }
+	returned := answerList(7, listEntry(a, "a", "draining", "on"), listEntry(b, "b", "ready", "on"))
+	address := newScriptedDiscovery(t, silent, silent, silent, returned)
+	r := startRouterWith(t, routerOptions{discovery: address, drainGrace: time.Second},
 		listEntry(a, "a", "ready", "on"))
-	for range 3 {
-		receive(t, silent)
+	for range silentCalls {
+		receive(t, calls)
 	}
-	returned := time.Now()
+	returnedAt := time.Now()
 	r.waitForLog(`"generation":7`)
-	assert.Less(t, time.Since(returned), time.Second, "the grace")
+	assert.Less(t, time.Since(returnedAt), time.Second, "the grace")
 	c := r.connect()
 	for i := range 5 {
 		key := fmt.Sprint("k", i)
@@ -84,45 +63,27 @@
 // noticed by the time at which it counts as notified, and the grace. With a hold of 5 s it came too late.
 func TestPolledListIsNoticedInTimeThoughTheNextPollIsRefused(t *testing.T) {
 	t.Parallel()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
+	const grace = 250 * time.Millisecond
 	a, b := newTestBackend(t, answerAs("on")), newTestBackend(t, answerAs("on"))
-	lists := []string{
-		fmt.Sprintf(`{"generation":6,"reset":true,"instances":[%s,%s]}`, listEntry(a, "a", "ready", "on"), listEntry(b, "b", "ready", "on")),
-		fmt.Sprintf(`{"generation":7,"reset":true,"instances":[%s,%s]}`, listEntry(a, "a", "draining", "on"), listEntry(b, "b", "ready", "on")),
+	holds := make(chan float64, 1) // seconds
+	silent := func(_ io.Writer, request *http.Request) {
+		milliseconds, _ := strconv.ParseFloat(request.URL.Query().Get("hold_ms"), 64)
+		holds <- milliseconds / 1000
+	}
+	refuse := func(w io.Writer, _ *http.Request) {
+		_, _ = fmt.Fprint(w, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 	}
-	silent := make(chan float64, 1)
-	go func() {
-		for step := 0; ; {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			for r := bufio.NewReader(c); ; step++ {
-				q, err := http.ReadRequest(r)
-				if err != nil {
-					break
-				}
-				switch step {
-				case 1: // the watch, which says nothing any more
-					ms, _ := strconv.ParseFloat(q.URL.Query().Get("hold_ms"), 64)
-					silent <- ms / 1000
-				case 2:
-					_, _ = fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-				case 0, 3:
-					_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(lists[step/3]), lists[step/3])
-				}
-			}
-		}
-	}()
+	address := newScriptedDiscovery(t,
+		answerList(6, listEntry(a, "a", "ready", "on"), listEntry(b, "b", "ready", "on")),
+		silent,
+		refuse,
+		answerList(7, listEntry(a, "a", "draining", "on"), listEntry(b, "b", "ready", "on")))
 	settings := testSettings(false)
 	settings["discovery"] = "ask"
 	settings["invariants"].(map[string]any)["askWithinNs"] = 10e9
-	const grace = 250 * time.Millisecond
-	r := startRouterWith(t, routerOptions{discovery: l.Addr().String(), settings: settings, drainGrace: grace},
+	r := startRouterWith(t, routerOptions{discovery: address, settings: settings, drainGrace: grace},
 		listEntry(a, "a", "ready", "on"))
-	hold := receive(t, silent)
+	hold := receive(t, holds)
 	began := time.Now()
 	r.waitForLog(`"generation":7`)
 	assert.Less(t, time.Since(began).Seconds(), math.Max(6, hold+2)+grace.Seconds())
--- a/cmd/stoatdale/shutdown_test.go
+++ b/cmd/stoatdale/shutdown_test.go
@@ -22,7 +22,7 @@
 	late := r.connect() // it goes on accepting for a while
 	assert.Equal(t, "EMPTY", late.query(""))
 	assert.Equal(t, " END", idle.readReply(), "connections between commands are ended")
-	assert.Equal(t, pg.CodeEnding+" END", silent.readReply(), "one that never asked hears that it may ask elsewhere")
+	assert.Equal(t, pg.CodeEnding+" END", silent.readReply(), "one that never sent a query is told to try elsewhere")
 	close(hold)
 	assert.Equal(t, "value of k", c.readReply())
 	assert.Equal(t, " END", c.readReply())
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -71,7 +71,7 @@
 }
 
 func TestInvalidRecordsAreErrors(t *testing.T) {
-	for says, frame := range map[string][]byte{
+	for text, frame := range map[string][]byte{
 		"event for unknown instance 4": frame(1, 2, []byte{5, 4, 0, 0, 0}, commandRecord(1, 1)),
 		"before any instance":          frame(1, 1, commandRecord(1, 1)),
 		"names command group 3 of 1":   frame(1, 3, startRecord(settings), append(append([]byte{9, 1, 0, 0, 0, 3}, make([]byte, 37)...), 0)),
@@ -80,7 +80,7 @@
 		"truncated frame":              frame(1, 1, commandRecord(1, 1))[:20],
 	} {
 		_, err := serve(t, frame)
-		assert.ErrorContains(t, err, says)
+		assert.ErrorContains(t, err, text)
 	}
 }
 
@@ -88,7 +88,7 @@
 func changedSettings(old, odd string) string { return strings.Replace(settings, old, odd, 1) }
 
 func TestInvalidSettingsAreReportedAsFaults(t *testing.T) {
-	for params, says := range map[string]string{
+	for settings, text := range map[string]string{
 		"nonsense":                             "settings:",
 		"{}":                                   "classes is missing",
 		`{"classes":[{"effect":"pure"}]}`:      "needsByClass holds 0 of 1",
@@ -99,9 +99,9 @@
 		changedSettings("none", "odd"):       "guards",
 		changedSettings("targetNs", "notIt"): "targetNs",
 	} {
-		out, err := serve(t, frame(1, 2, startRecord(params)))
+		out, err := serve(t, frame(1, 2, startRecord(settings)))
 		require.NoError(t, err)
-		assert.Contains(t, string(out), says)
+		assert.Contains(t, string(out), text)
 	}
 }
 
--- a/internal/site/config_test.go
+++ b/internal/site/config_test.go
@@ -46,14 +46,14 @@
 	assert.True(t, s.Settings.LoadReports)
 	assert.Equal(t, router.PrimaryOnly, s.Settings.CommandGroups[1].Consistency)
 	assert.InDelta(t, 0.25, s.Limits.Durations.ConnectTimeout, 1e-9)
-	assert.Less(t, s.Limits.Durations.BackendIdleTimeout, 0.8*15, "closed well before the member does")
+	assert.Less(t, s.Limits.Durations.BackendIdleTimeout, 0.8*15, "closed well before the backend does")
 	assert.Greater(t, s.Limits.Sizes.BackendMessage, 2*(64<<10)+100, "the largest value, written in hexadecimal")
 	assert.Less(t, s.Limits.Counts.ClientConnections+s.Limits.Counts.BackendConnections, 600, "some descriptors are kept back")
 	assert.Less(t, int64(s.Limits.Counts.BufferBlocks*s.Limits.Sizes.BufferBlock), s.Limits.Sizes.Memory)
 }
 
 func TestFaultsNameTheKey(t *testing.T) {
-	for says, change := range map[string][2]string{
+	for text, change := range map[string][2]string{
 		"name is missing":               {`"name":"n3"`, `"nam":"n3"`},
 		"listen:":                       {"127.0.0.4:5432", "127.0.0.4"},
 		"discovery:":                    {"127.2.0.1:8500", "somewhere"},
@@ -82,7 +82,7 @@
 	} {
 		require.Contains(t, configText, change[0])
 		_, err := load(t, strings.Replace(configText, change[0], change[1], 1), nil)
-		assert.ErrorContains(t, err, says)
+		assert.ErrorContains(t, err, text)
 	}
 }
 
--- a/internal/site/errors_test.go
+++ b/internal/site/errors_test.go
@@ -41,5 +41,5 @@
 	_, err = ParseSettings([]byte("nonsense"))
 	require.ErrorAs(t, err, &fault)
 	assert.Equal(t, "settings", fault.Section)
-	assert.Empty(t, fault.Key, "none can be told")
+	assert.Empty(t, fault.Key, "none is known")
 }
--- a/internal/site/limits.go
+++ b/internal/site/limits.go
@@ -189,7 +189,7 @@
 // discoveryTimes returns the longest silence of a discovery call and the longest backoff after it, in seconds. Where
 // the endpoint list is pushed, what the discovery service has when it returns from a silence binds within the grace,
 // whatever call or backoff it meets: both have to be over well before. Where the list is polled, a crowded service
-// answers late, and giving its calls up early crowded it more.
+// answers late, and giving its calls up early would add to its load.
 func discoveryTimes(settings *Settings) (silence, backoff float64) {
 	if settings.PollList || settings.DrainGrace <= 0 {
 		return maxSilence, maxBackoff
--- a/internal/site/settings.go
+++ b/internal/site/settings.go
@@ -21,7 +21,7 @@
 	ReportsOnAnswers bool     // backends put load reports on their answers, not only on health checks
 	PositionZeroNs   float64  // the moment from which log positions count, nanoseconds on the settings' clock
 	BackendIdle      float64  // seconds after which a backend closes an idle connection
-	DrainGrace       float64  // seconds in which a router must stop sending to a draining backend; 0: not told
+	DrainGrace       float64  // seconds in which a router must stop sending to a draining backend; 0: unknown
 }
 
 // settingsDocument is the part of the settings that is read; times are in nanoseconds.
@@ -272,7 +272,7 @@
 		{"limits.connIdleNs", s.BackendIdle, true, unbounded},
 		{"limits.mostTries", float64(s.MaxAttempts), true, unbounded},
 		{"me", float64(s.Instance), false, unbounded},
-		{"zone", float64(s.Zone + 1), false, float64(len(s.Zones))}, // -1: not told
+		{"zone", float64(s.Zone + 1), false, float64(len(s.Zones))}, // -1: unknown
 		{"tickNs", s.BatchInterval, false, 1},
 		{"limits.maxRetryAfterNs", s.MaxRetryAfter, false, unbounded},
 		{"invariants.stopSendingWithinNs", s.DrainGrace, false, unbounded},
--- a/internal/site/settings_test.go
+++ b/internal/site/settings_test.go
@@ -11,7 +11,7 @@
 func TestZoneIsOptionalAndChecked(t *testing.T) {
 	s, err := load(t, configText, nil)
 	require.NoError(t, err)
-	assert.Equal(t, -1, s.Settings.Zone, "not told: zones count for nothing, as ever")
+	assert.Equal(t, -1, s.Settings.Zone, "unknown: zones are not regarded")
 	s, err = load(t, strings.Replace(configText, `"me":2`, `"me":2,"zone":1`, 1), nil)
 	require.NoError(t, err)
 	assert.Equal(t, 1, s.Settings.Zone)
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -22,7 +22,7 @@
 	Result     int    // the simulator's result code
 	Elapsed    uint64 // nanoseconds
 	Final      bool   // the command is over
-	PositionMs uint32 // the endpoint's log position in milliseconds after the settings' zero; 0: not told
+	PositionMs uint32 // the endpoint's log position in milliseconds after the settings' zero; 0: unknown
 	Role       int    // as router.Role
 }
 
@@ -58,7 +58,7 @@
 	SelectInstance(instance uint32) error
 	// StartInstance starts the selected instance. The settings belong to the batch's buffer.
 	StartInstance(seed uint64, settings []byte) error
-	// CrashInstance ends the selected instance without a word.
+	// CrashInstance ends the selected instance at once.
 	CrashInstance() error
 	// DefineList defines an endpoint list for every instance.
 	DefineList(id int, endpoints []Endpoint) error
