--- a/cmd/stoatdale/discovery_test.go
+++ b/cmd/stoatdale/discovery_test.go
@@ -6,6 +6,7 @@
 	"math"
 	"net/http"
 	"strconv"
+	"sync"
 	"testing"
 	"time"
 
@@ -88,3 +89,64 @@
 	r.waitForLog(`"generation":7`)
 	assert.Less(t, time.Since(began).Seconds(), math.Max(6, hold+2)+grace.Seconds())
 }
+
+// A discovery service that many routers poll is crowded: the poll after a complete list is refused, since that list has
+// filled the service's queue, and so are the calls that follow. A router that answers a refusal with another complete list
+// never gets a poll through, and hears of a change too late; one that polls for what follows hears of it at once.
+func TestChangeIsNoticedInTimeThoughCompleteListsCrowdDiscovery(t *testing.T) {
+	t.Parallel()
+	const grace = 250 * time.Millisecond
+	a, b := newTestBackend(t, answerAs("on")), newTestBackend(t, answerAs("on"))
+	crowded := &crowdedDiscovery{
+		refusedAfterList: []int{2, 5},
+		listed:           answerList(6, listEntry(a, "a", "ready", "on"), listEntry(b, "b", "ready", "on")),
+		changed:          answerList(7, listEntry(a, "a", "draining", "on"), listEntry(b, "b", "ready", "on")),
+		admitted:         make(chan time.Time, 1),
+	}
+	steps := make([]discoveryStep, 100)
+	for i := range steps {
+		steps[i] = crowded.serve
+	}
+	settings := testSettings(false)
+	settings["discovery"] = "ask"
+	settings["invariants"].(map[string]any)["askWithinNs"] = 10e9
+	options := routerOptions{discovery: newScriptedDiscovery(t, steps...), settings: settings, drainGrace: grace}
+	r := startRouterWith(t, options, listEntry(a, "a", "ready", "on"))
+	changedAt := receive(t, crowded.admitted)
+	r.waitForLog(`"generation":7`)
+	assert.Less(t, time.Since(changedAt).Seconds(), 6+grace.Seconds())
+}
+
+// crowdedDiscovery is a discovery service whose queue each complete list fills for some calls. Its list changes when a
+// router has got its second call through.
+type crowdedDiscovery struct {
+	mu               sync.Mutex
+	refusedAfterList []int // calls that are refused after each complete list; after the last ones, as many as before
+	refusing         int
+	calls            int // that were not refused
+	listed, changed  discoveryStep
+	admitted         chan time.Time // gets the time of the second call that was not refused
+}
+
+func (d *crowdedDiscovery) serve(w io.Writer, request *http.Request) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.refusing > 0 {
+		d.refusing--
+		_, _ = fmt.Fprint(w, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+		return
+	}
+	d.calls++
+	if d.calls == 2 {
+		d.admitted <- time.Now()
+	}
+	poll := request.URL.Query().Has("from")
+	if !poll {
+		d.refusing = d.refusedAfterList[min(d.calls, len(d.refusedAfterList))-1]
+	}
+	if poll || d.calls > 2 {
+		d.changed(w, request)
+		return
+	}
+	d.listed(w, request)
+}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -12,11 +12,14 @@
 // listPath is the path at which discovery serves the list.
 const listPath = "/registry/instances"
 
+// HTTP statuses; net/http would be linked into the router for these constants alone.
 const (
-	statusOK              = 200 // net/http would be linked into the router for this constant alone
-	millisecondsPerSecond = 1000
+	statusOK                 = 200
+	statusServiceUnavailable = 503
 )
 
+const millisecondsPerSecond = 1000
+
 // connect begins to open a connection. Ready is called when it is open or has failed.
 func (w *Watch) connect() error {
 	fd, err := w.loop.Dial(w.address)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -3,6 +3,7 @@
 package discovery
 
 import (
+	"errors"
 	"net/netip"
 
 	"github.com/rs/zerolog"
@@ -110,14 +111,25 @@
 	w.Poll()
 }
 
-// fail gives the call up. The next one asks for the complete list, since changes may have been missed.
+// fail gives the call up. The next one asks for the complete list, since changes may have been missed, unless the call
+// was refused.
 func (w *Watch) fail(cause error) {
 	w.log.Warn().Err(&CallError{Address: w.address, Err: cause}).Msg("call to discovery failed")
 	w.disconnect()
-	w.generation = NoGeneration
+	if !w.wasRefused(cause) {
+		w.generation = NoGeneration
+	}
 	if !w.onDemand {
 		w.loop.Set(w.timer, w.loop.Now()+w.backoff)
 		w.backoff = min(2*w.backoff, w.limits.Durations.MaxBackoff)
 	}
 	w.handler.HandleCallFailure()
 }
+
+// wasRefused reports whether a call on demand was refused by a crowded discovery service. That loses nothing: a poll for
+// what follows the last list brings all that was missed, and goes on as the watch. A complete list and a poll after it
+// would cost a service that all routers share two calls, and the second is refused where the first has filled its queue.
+func (w *Watch) wasRefused(cause error) bool {
+	var status *StatusError
+	return w.onDemand && errors.As(cause, &status) && status.Status == statusServiceUnavailable
+}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -144,6 +144,10 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
+func statusReply(status int) string {
+	return fmt.Sprintf("HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n", status)
+}
+
 func TestWatchPollsFromTheLastGeneration(t *testing.T) {
 	h := newHarness(t, false, listReply(4, true), listReply(6, false), listReply(2, true))
 	h.watch.Poll()
@@ -157,7 +161,7 @@
 func TestFailedCallIsReportedAndRetriedForTheCompleteList(t *testing.T) {
 	for what, failing := range map[string]string{
 		"closed": closeConnection, "silent": silence, "nonsense": "SSH-2.0-x\r\n",
-		"status": "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "no list": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
+		"status": statusReply(503), "no list": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
 		"changes of nothing": listReply(3, false),
 	} {
 		h := newHarness(t, false, failing, listReply(5, true), listReply(4, false), listReply(7, true))
@@ -171,7 +175,7 @@
 }
 
 func TestFailedCallIsLoggedWithAddressAndCause(t *testing.T) {
-	h := newHarness(t, false, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+	h := newHarness(t, false, statusReply(503))
 	h.watch.Poll()
 	assert.Equal(t, []string{callFailed}, h.run(t, 1))
 	assert.Contains(t, h.log.String(), h.watch.address.String()+": status 503")
@@ -212,6 +216,33 @@
 	assert.Equal(t, "5 true", h.run(t, 3)[2])
 }
 
+// A refused call is a cost to the discovery service, which all routers share: the next one asks only for what follows.
+func TestRefusedCallOnDemandIsFollowedByAPollForWhatFollows(t *testing.T) {
+	for _, refused := range []struct {
+		name     string
+		onDemand bool
+		reply    string
+		next     string
+	}{
+		{"crowded, on demand", true, statusReply(503), completePath + "?from=4&hold_ms=60000"},
+		{"crowded, watched for good", false, statusReply(503), completePath},
+		{"another status", true, statusReply(500), completePath},
+		{"a spoilt reply", true, "no HTTP\r\n\r\n", completePath},
+		{"a broken connection", true, closeConnection, completePath},
+	} {
+		t.Run(refused.name, func(t *testing.T) {
+			h := newHarness(t, refused.onDemand, listReply(4, true), refused.reply, listReply(5, true))
+			h.watch.Poll()
+			assert.Equal(t, []string{"4 true", callFailed}, h.run(t, 2))
+			h.watch.Poll()
+			assert.Equal(t, "5 true", h.run(t, 3)[2])
+			assert.Equal(t, completePath, <-h.requests)
+			assert.Equal(t, completePath+"?from=4&hold_ms=60000", <-h.requests)
+			assert.Equal(t, refused.next, <-h.requests)
+		})
+	}
+}
+
 func TestRefusedConnectionIsRetriedUntilTheWatchIsClosed(t *testing.T) {
 	h := newHarness(t, false)
 	h.watch.address = netip.MustParseAddrPort(unusedAddress)
