--- a/internal/drill/claims.go
+++ b/internal/drill/claims.go
@@ -269,15 +269,15 @@
 			a.later(0.01, func(x *tend.Supervisor) tend.Transition { return x.ProcessFound(a.now(), running) })
 		case tend.ActionPrepareRevision:
 			reload := w.rng.IntN(3) == 0
-			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.RevisionPrepared(a.now(), reload, 3, "") })
+			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.RevisionPrepared(a.now(), tend.Preparation{ReloadSuffices: reload, DrainSeconds: 3}, nil) })
 		case tend.ActionInstallRevision:
-			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.RevisionInstalled(a.now(), "") })
+			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.RevisionInstalled(a.now(), nil) })
 		case tend.ActionStart:
 			if a.router.runs {
 				w.report.Break("round %d, seed %d: a second router was started by agent %d at %.3f", w.n, w.Seed, a.i, w.now)
 			}
 			a.router.runs, a.router.mark = true, e.Incarnation
-			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.ProcessStarted(a.now(), e.Incarnation, "") })
+			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.ProcessStarted(a.now(), e.Incarnation, nil) })
 		case tend.ActionHealthCheck:
 			ok := a.router.runs
 			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.HealthChecked(a.now(), ok) })
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -231,13 +231,13 @@
 		a.runAsync(i, func() func(x *tend.Supervisor) tend.Transition {
 			reload, drain, err := a.prepare(i, from, to)
 			return func(x *tend.Supervisor) tend.Transition {
-				return x.RevisionPrepared(a.now(), reload, drain, errorText(err))
+				return x.RevisionPrepared(a.now(), tend.Preparation{ReloadSuffices: reload, DrainSeconds: drain}, err)
 			}
 		})
 	case tend.ActionInstallRevision:
 		a.runAsync(i, func() func(x *tend.Supervisor) tend.Transition {
 			err := a.placeConfig(i, e.Revision, configName)
-			return func(x *tend.Supervisor) tend.Transition { return x.RevisionInstalled(a.now(), errorText(err)) }
+			return func(x *tend.Supervisor) tend.Transition { return x.RevisionInstalled(a.now(), err) }
 		})
 	case tend.ActionStart:
 		go func() {
@@ -245,7 +245,7 @@
 			a.post(func() {
 				a.adoptProcess(i, p)
 				a.handleEvent(i, func(x *tend.Supervisor) tend.Transition {
-					return x.ProcessStarted(a.now(), e.Incarnation, errorText(err))
+					return x.ProcessStarted(a.now(), e.Incarnation, err)
 				}, true)
 			})
 		}()
--- a/internal/fleet/roll/coordinator_test.go
+++ b/internal/fleet/roll/coordinator_test.go
@@ -50,11 +50,11 @@
 		case tend.ActionFindProcess:
 			out = x.ProcessFound(f.now, true)
 		case tend.ActionPrepareRevision:
-			out = x.RevisionPrepared(f.now, false, 1, "")
+			out = x.RevisionPrepared(f.now, tend.Preparation{DrainSeconds: 1}, nil)
 		case tend.ActionInstallRevision:
-			out = x.RevisionInstalled(f.now, "")
+			out = x.RevisionInstalled(f.now, nil)
 		case tend.ActionStart:
-			if out = x.ProcessStarted(f.now, e.Incarnation, ""); f.bad[x.Revision] == "exits" {
+			if out = x.ProcessStarted(f.now, e.Incarnation, nil); f.bad[x.Revision] == "exits" {
 				out = x.ProcessExited(f.now, "status 1")
 			}
 		case tend.ActionHealthCheck:
--- a/internal/fleet/tend/action.go
+++ b/internal/fleet/tend/action.go
@@ -1,35 +1,38 @@
 package tend
 
-// ActionKind is something to carry out.
+// ActionKind is what an agent is to do with a router.
 type ActionKind int
 
-// Acts, and the call that brings their outcome.
+// Kinds of actions, each with the method that takes in its outcome.
 const (
-	ActionFindProcess     ActionKind = iota // whether the process of Mark runs: Found
-	ActionPrepareRevision                   // that a revision's file can be written and is right: Prepared
-	ActionInstallRevision                   // put that file in place: Placed
-	ActionStart                             // a process with Mark: Started; its end: Exited
-	ActionHealthCheck                       // ask it an empty query: Probed
-	ActionReadCounters                      // read its counters: Counted
-	ActionTerminate                         // tell it to end: Exited
-	ActionKill                              // end it: Exited
-	ActionReload                            // have it read its file: Reloaded
+	ActionFindProcess     ActionKind = iota // look whether the process of Incarnation runs: ProcessFound
+	ActionPrepareRevision                   // check that Revision's file can be written and is valid: RevisionPrepared
+	ActionInstallRevision                   // put Revision's file in place: RevisionInstalled
+	ActionStart                             // start a process as Incarnation: ProcessStarted, and ProcessExited once it ends
+	ActionHealthCheck                       // send an empty query: HealthChecked
+	ActionReadCounters                      // read the router's counters: CountersRead
+	ActionTerminate                         // tell the process to end: ProcessExited
+	ActionKill                              // kill the process: ProcessExited
+	ActionReload                            // have the process read its file again: ReloadReported
 )
 
 var actionKinds = [...]string{"find", "prepare", "place", "start", "probe", "count", "term", "kill", "hup"}
 
-func (a ActionKind) String() string { return actionKinds[a] }
+func (k ActionKind) String() string { return actionKinds[k] }
 
-// Action is one act.
+// Action is one thing to do.
 type Action struct {
 	Kind        ActionKind
-	Revision    string // for Prepare and Place
-	Incarnation uint64 // for Find and Start
+	Revision    string // for ActionPrepareRevision and ActionInstallRevision
+	Incarnation uint64 // for ActionFindProcess and ActionStart
 }
 
-// Transition is what an event leads to. If Store is set the record must be stored first; if that fails the event has
-// not happened, and is handed in again later.
+// Transition is what an event leads to. If Store is set, the supervisor's Record must be stored before the actions
+// are carried out. If that fails, the event has not happened: the caller goes back to a copy of the supervisor and
+// hands the event in again later.
 type Transition struct {
 	Store   bool
 	Actions []Action
 }
+
+func (t *Transition) add(kind ActionKind) { t.Actions = append(t.Actions, Action{Kind: kind}) }
--- a/internal/fleet/tend/counters.go
+++ b/internal/fleet/tend/counters.go
@@ -2,37 +2,43 @@
 
 import "stoatdale.example/stoatdale/internal/fleet/plan"
 
-// window holds readings of the counters. It has as many as fit Limits.Window, and no more than its length.
-type window struct {
-	at    [16]float64
-	total [16]plan.CommandCounts
-	n     int // taken so far
+const keptReadings = 16
+
+// readings are the newest readings of a process's counters.
+type readings struct {
+	at     [keptReadings]float64 // when each was taken
+	counts [keptReadings]plan.CommandCounts
+	taken  int // so far; the reading with number n stands at n modulo keptReadings
 }
 
-// CountersRead takes in the counters of the process.
-func (x *Supervisor) CountersRead(now float64, total plan.CommandCounts) {
-	x.total = total
-	i := x.past.n % len(x.past.at)
-	x.past.at[i], x.past.total[i] = now, total
-	x.past.n++
+// CountersRead takes in the counters of the process, counted since its start.
+func (s *Supervisor) CountersRead(now float64, counts plan.CommandCounts) {
+	s.commands = counts
+	slot := s.readings.taken % keptReadings
+	s.readings.at[slot] = now
+	s.readings.counts[slot] = counts
+	s.readings.taken++
 }
 
-// recent is what ended within the window.
-func (x *Supervisor) recent(now float64) plan.CommandCounts {
-	oldest := x.total
-	for i := max(0, x.past.n-len(x.past.at)); i < x.past.n; i++ {
-		if j := i % len(x.past.at); now-x.past.at[j] <= x.limits.RecentSeconds {
-			oldest = x.past.total[j]
-			break
+// recentCommands counts the commands completed within Limits.RecentSeconds, as far back as readings are kept.
+func (s *Supervisor) recentCommands(now float64) plan.CommandCounts {
+	r := &s.readings
+	for n := max(0, r.taken-keptReadings); n < r.taken; n++ {
+		slot := n % keptReadings
+		if now-r.at[slot] <= s.limits.RecentSeconds {
+			return countsSince(s.commands, r.counts[slot])
 		}
 	}
-	return minus(x.total, oldest)
+	return plan.CommandCounts{}
 }
 
-// minus tolerates counters that began anew.
-func minus(a, b plan.CommandCounts) plan.CommandCounts {
-	if a.Completed < b.Completed || a.Unanswered < b.Unanswered {
-		return a
+// countsSince returns how much the counters have grown. Counters below the earlier ones began anew.
+func countsSince(counts, earlier plan.CommandCounts) plan.CommandCounts {
+	if counts.Completed < earlier.Completed || counts.Unanswered < earlier.Unanswered {
+		return counts
+	}
+	return plan.CommandCounts{
+		Completed:  counts.Completed - earlier.Completed,
+		Unanswered: counts.Unanswered - earlier.Unanswered,
 	}
-	return plan.CommandCounts{Completed: a.Completed - b.Completed, Unanswered: a.Unanswered - b.Unanswered}
 }
--- /dev/null
+++ b/internal/fleet/tend/environment_test.go
@@ -0,0 +1,195 @@
+package tend
+
+import (
+	"errors"
+
+	"github.com/stretchr/testify/require"
+
+	"stoatdale.example/stoatdale/internal/fleet/plan"
+)
+
+// How a revision that is not right behaves.
+const (
+	refused = "refused" // it cannot be prepared
+	exits   = "exits"   // its process exits at once
+	silent  = "silent"  // its process does not answer
+)
+
+const tickSeconds = 0.05
+
+// process is the one process that an environment has, if any.
+type process struct {
+	running       bool
+	incarnation   uint64
+	file          string
+	terminating   bool
+	ignoresSignal bool // it must be killed
+}
+
+// environment is what lies outside a supervisor: one file, at most one process and a store, in virtual time. Actions
+// take effect at once and their outcomes are queued, so that an agent may end between the two.
+type environment struct {
+	t          require.TestingT
+	limits     Limits
+	supervisor Supervisor
+	stored     Record
+	now        float64
+	file       string
+	bad        map[string]string // revisions that are not right, and how they behave
+	process    process
+	queue      []func() Transition
+	storeFails bool
+	actions    []ActionKind // all that were carried out
+}
+
+func newEnvironment(t require.TestingT) *environment {
+	e := &environment{t: t, limits: DefaultLimits(), bad: map[string]string{}}
+	e.restartAgent()
+	return e
+}
+
+// newServing returns an environment whose router serves revision a.
+func newServing(t require.TestingT) *environment {
+	e := newEnvironment(t)
+	e.run(1)
+	e.beginStep(1, "a")
+	e.run(3)
+	require.Equal(t, plan.StepSucceeded, e.supervisor.Result, e.supervisor.Failure)
+	require.Equal(t, plan.ProcessReady, e.supervisor.state)
+	e.actions = nil
+	return e
+}
+
+// restartAgent starts the agent anew: what was not stored is lost, and outcomes that are queued are not heard of.
+func (e *environment) restartAgent() {
+	e.queue = nil
+	var t Transition
+	e.supervisor, t = NewSupervisor(e.stored, &e.limits)
+	e.carryOut(t, nil)
+}
+
+// handle hands an event in. If its transition cannot be stored it has not happened and comes again.
+func (e *environment) handle(event func() Transition) {
+	before := e.supervisor
+	t := event()
+	if t.Store && e.storeFails {
+		e.supervisor = before
+		e.queue = append(e.queue, event)
+		return
+	}
+	e.carryOut(t, nil)
+}
+
+// handleNext hands in the next outcome.
+func (e *environment) handleNext() {
+	event := e.queue[0]
+	e.queue = e.queue[1:]
+	e.handle(event)
+}
+
+// carryOut stores and carries out a transition, up to the first action for which stop, if there is one, is true.
+func (e *environment) carryOut(t Transition, stop func(ActionKind) bool) {
+	if t.Store {
+		e.stored = e.supervisor.Record
+	}
+	for _, a := range t.Actions {
+		e.actions = append(e.actions, a.Kind)
+		e.do(a)
+		if stop != nil && stop(a.Kind) {
+			return
+		}
+	}
+}
+
+func (e *environment) later(event func() Transition) { e.queue = append(e.queue, event) }
+
+func (e *environment) do(a Action) {
+	p := &e.process
+	switch a.Kind {
+	case ActionFindProcess:
+		running := p.running && p.incarnation == a.Incarnation
+		e.later(func() Transition { return e.supervisor.ProcessFound(e.now, running) })
+	case ActionPrepareRevision:
+		e.prepare(a.Revision)
+	case ActionInstallRevision:
+		e.file = a.Revision
+		e.later(func() Transition { return e.supervisor.RevisionInstalled(e.now, nil) })
+	case ActionStart:
+		e.start(a.Incarnation)
+	case ActionHealthCheck:
+		answers := p.running && !p.terminating && e.bad[p.file] != silent
+		e.later(func() Transition { return e.supervisor.HealthChecked(e.now, answers) })
+	case ActionReadCounters:
+	case ActionTerminate:
+		if !p.ignoresSignal {
+			p.terminating = true
+		}
+	case ActionKill:
+		e.exit()
+	case ActionReload:
+		p.file = e.file
+		e.later(func() Transition { return e.supervisor.ReloadReported(e.now, "") })
+	}
+}
+
+// prepare finds that a revision whose name begins with r needs only a reload.
+func (e *environment) prepare(revision string) {
+	var err error
+	if e.bad[revision] == refused {
+		err = errors.New("refused by the reader")
+	}
+	p := Preparation{ReloadSuffices: revision[0] == 'r', DrainSeconds: 5}
+	e.later(func() Transition { return e.supervisor.RevisionPrepared(e.now, p, err) })
+}
+
+func (e *environment) start(incarnation uint64) {
+	p := &e.process
+	require.False(e.t, p.running, "a second process is started")
+	p.running, p.incarnation, p.file, p.terminating = true, incarnation, e.file, false
+	e.later(func() Transition { return e.supervisor.ProcessStarted(e.now, incarnation, nil) })
+	if e.bad[e.file] == exits {
+		e.exit()
+	}
+}
+
+func (e *environment) exit() {
+	if e.process.running {
+		e.process.running, e.process.terminating = false, false
+		e.later(func() Transition { return e.supervisor.ProcessExited(e.now, "status 1") })
+	}
+}
+
+// run lets time pass and hands in outcomes as they come.
+func (e *environment) run(seconds float64) {
+	for end := e.now + seconds; e.now < end; {
+		for len(e.queue) > 0 {
+			e.handleNext()
+			if e.storeFails {
+				break
+			}
+		}
+		if e.process.running && e.process.terminating {
+			e.exit()
+			continue
+		}
+		e.now += tickSeconds
+		if e.now >= e.supervisor.NextTick() {
+			e.handle(func() Transition { return e.supervisor.Tick(e.now) })
+		}
+	}
+}
+
+// beginStep begins a step and returns why it was not begun.
+func (e *environment) beginStep(number uint64, revision string) string {
+	before := e.supervisor
+	t, err := e.supervisor.BeginStep(plan.Step{RolloutID: "roll", Number: number, Revision: revision})
+	if t.Store && e.storeFails {
+		e.supervisor = before
+		return "not stored"
+	}
+	e.carryOut(t, nil)
+	if err != nil {
+		return err.Error()
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/fleet/tend/model_test.go
@@ -0,0 +1,50 @@
+package tend
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"pgregory.net/rapid"
+
+	"stoatdale.example/stoatdale/internal/fleet/plan"
+	_ "stoatdale.example/stoatdale/internal/lab/fixed"
+)
+
+// TestNoOrderOfEventsStartsTwoProcessesOrLeavesAStepPending mixes steps, crashes, agents that end and stores that fail.
+func TestNoOrderOfEventsStartsTwoProcessesOrLeavesAStepPending(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		e := newEnvironment(t)
+		e.bad["x"], e.bad["y"], e.bad["z"] = refused, exits, silent
+		number := uint64(0)
+		for range rapid.IntRange(1, 40).Draw(t, "events") {
+			switch rapid.IntRange(0, 6).Draw(t, "event") {
+			case 0, 1:
+				number++
+				revision := rapid.SampledFrom([]string{"a", "b", "r", "x", "y", "z"}).Draw(t, "revision")
+				e.beginStep(number, revision)
+			case 2:
+				e.exit()
+			case 3:
+				e.restartAgent()
+			case 4:
+				e.storeFails = !e.storeFails
+			case 5:
+				e.process.ignoresSignal = !e.process.ignoresSignal
+			}
+			e.run(rapid.Float64Range(0, 3).Draw(t, "passes"))
+		}
+		e.storeFails = false
+		e.run(60)
+		if e.supervisor.Step.Number == 0 {
+			return
+		}
+		assert.NotEqual(t, plan.StepPending, e.supervisor.Result)
+		if e.supervisor.Result == plan.StepSucceeded && e.supervisor.state == plan.ProcessReady {
+			assert.Equal(t, e.supervisor.Revision, e.process.file)
+		}
+		if e.supervisor.state == plan.ProcessReady {
+			assert.True(t, e.process.running)
+			assert.Equal(t, e.supervisor.Incarnation, e.process.incarnation)
+		}
+	})
+}
--- a/internal/fleet/tend/process.go
+++ b/internal/fleet/tend/process.go
@@ -6,152 +6,217 @@
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
-// ProcessFound tells whether the process of the record's mark runs.
-func (x *Supervisor) ProcessFound(now float64, running bool) Transition {
-	if x.phase != finding {
+// ProcessFound takes in the outcome of ActionFindProcess: whether the process of the record's incarnation runs. It
+// resolves a step that an earlier run of the agent left pending.
+func (s *Supervisor) ProcessFound(now float64, running bool) Transition {
+	if s.phase != phaseFinding {
 		return Transition{}
 	}
-	var out Transition
-	if x.open() && !x.MayHaveChanged {
-		x.end(plan.StepNotApplied, "the agent ended before it had done anything")
-		out.Store = true
+	var t Transition
+	if s.stepPending() && !s.MayHaveChanged {
+		s.endStep(plan.StepNotApplied, "the agent ended before it had done anything")
+		t.Store = true
 	}
 	switch {
-	case x.open() && x.Reload && running:
-		x.life = plan.ProcessStarting
-		return x.place(now, out)
-	case x.open() && !x.Replaced && running:
-		x.life = plan.ProcessStarting
-		x.to(doubting, now+x.limits.TerminationGraceSeconds)
-		return out
-	case x.open() && !x.Replaced:
-		x.life = plan.ProcessDown
-		x.Reload = false
-		return x.place(now, out)
+	case s.stepPending():
+		s.resumeStep(now, running, &t)
 	case running:
-		// It may serve, for all that is known before it is asked. Starting would say that it does not, and a
-		// rollout would take it whatever the floors: a router in service, perhaps the last.
-		x.life = plan.ProcessUnknown
-		if x.open() {
-			x.life = plan.ProcessStarting
-		}
-		return x.come(now, out)
-	case x.ShouldRun:
-		return x.start(now)
+		// The process may serve. ProcessStarting would say that it does not, and a rollout would change the router
+		// without a check of the minimums, although it may be the last that serves.
+		s.state = plan.ProcessUnknown
+		s.awaitReady(now, &t)
+	default:
+		s.startIfWanted(&t)
+	}
+	return t
+}
+
+// resumeStep continues a step that an earlier run of the agent left pending, from where it may have come to.
+func (s *Supervisor) resumeStep(now float64, running bool, t *Transition) {
+	switch {
+	case s.Reload && running:
+		s.state = plan.ProcessStarting
+		s.install(t)
+	case !s.Replaced && running:
+		s.state = plan.ProcessStarting
+		s.enter(phaseConfirming, now+s.limits.TerminationGraceSeconds)
+	case !s.Replaced:
+		s.state = plan.ProcessDown
+		s.Reload = false
+		s.install(t)
+	case running:
+		s.state = plan.ProcessStarting
+		s.awaitReady(now, t)
+	default:
+		s.startIfWanted(t)
 	}
-	x.life = plan.ProcessDown
-	x.to(idle, math.Inf(1))
-	return out
 }
 
-func (x *Supervisor) terminate(now float64, out Transition) Transition {
-	x.life = plan.ProcessDraining
-	x.to(ending, now+x.DrainSeconds)
-	out.Actions = append(out.Actions, Action{Kind: ActionTerminate})
-	return out
+func (s *Supervisor) startIfWanted(t *Transition) {
+	if s.ShouldRun {
+		s.start(t)
+		return
+	}
+	s.state = plan.ProcessDown
+	s.enter(phaseIdle, never)
 }
 
-func (x *Supervisor) start(now float64) Transition {
-	x.Incarnation++
-	x.life = plan.ProcessStarting
-	x.total, x.base, x.past = plan.CommandCounts{}, plan.CommandCounts{}, window{}
-	x.to(starting, math.Inf(1))
-	return Transition{Store: true, Actions: []Action{{Kind: ActionStart, Incarnation: x.Incarnation}}}
+// terminate has the process told to end, and killed once its drain is over.
+func (s *Supervisor) terminate(now float64, t *Transition) {
+	s.state = plan.ProcessDraining
+	s.enter(phaseTerminating, now+s.DrainSeconds)
+	t.add(ActionTerminate)
 }
 
-// ProcessStarted tells whether a process could be started.
-func (x *Supervisor) ProcessStarted(now float64, mark uint64, fault string) Transition {
-	switch {
-	case x.phase != starting || mark != x.Incarnation:
+// start has a process started under a new incarnation.
+func (s *Supervisor) start(t *Transition) {
+	s.Incarnation++
+	s.state = plan.ProcessStarting
+	s.commands = plan.CommandCounts{}
+	s.commandsAtStepEnd = plan.CommandCounts{}
+	s.readings = readings{}
+	s.enter(phaseStarting, never)
+	t.Store = true
+	t.Actions = append(t.Actions, Action{Kind: ActionStart, Incarnation: s.Incarnation})
+}
+
+// ProcessStarted takes in the outcome of ActionStart.
+func (s *Supervisor) ProcessStarted(now float64, incarnation uint64, err error) Transition {
+	if s.phase != phaseStarting || incarnation != s.Incarnation {
 		return Transition{}
-	case fault != "":
-		return x.ProcessExited(now, fault)
 	}
-	return x.come(now, Transition{})
+	if err != nil {
+		return s.ProcessExited(now, err.Error())
+	}
+	var t Transition
+	s.awaitReady(now, &t)
+	return t
 }
 
-func (x *Supervisor) come(now float64, out Transition) Transition {
-	x.to(coming, math.Inf(1))
-	if x.open() {
-		x.at = now + x.limits.ReadyTimeoutSeconds
+// awaitReady waits for the process to answer: during a step not longer than Limits.ReadyTimeoutSeconds.
+func (s *Supervisor) awaitReady(now float64, t *Transition) {
+	deadline := never
+	if s.stepPending() {
+		deadline = now + s.limits.ReadyTimeoutSeconds
 	}
-	x.misses, x.probeAt = 0, now+x.limits.HealthCheckSeconds
-	out.Actions = append(out.Actions, Action{Kind: ActionHealthCheck})
-	return out
+	s.enter(phaseAwaitingReady, deadline)
+	s.missedHealthChecks = 0
+	s.nextHealthCheck = now + s.limits.HealthCheckSeconds
+	t.add(ActionHealthCheck)
 }
 
-// HealthChecked tells whether the router answered an empty query.
-func (x *Supervisor) HealthChecked(now float64, ok bool) Transition {
-	x.probeAt = now + x.limits.HealthCheckSeconds
-	switch x.phase {
-	case coming:
-		if ok {
-			x.ready(now)
-			if x.open() {
-				x.end(plan.StepSucceeded, "")
-				return Transition{Store: true}
-			}
-		} else if x.misses++; x.life == plan.ProcessUnknown && x.misses >= x.limits.MaxMissedHealthChecks {
-			x.life = plan.ProcessStarting // found running, but it does not answer
-		}
-	case preparing:
-		if ok && x.Step.OnlyIfNotServing && x.life == plan.ProcessStarting { // the probe was out when the step came
-			x.ready(now)
-			x.end(plan.StepNotApplied, cameUp)
-			return Transition{Store: true}
-		}
-	case doubting:
-		if !ok {
-			x.life = plan.ProcessDraining
-			x.to(ending, now+x.DrainSeconds)
-			return Transition{}
-		}
-		x.ready(now)
-		x.end(plan.StepNotApplied, "the agent ended before the router was told to end")
-		return Transition{Store: true}
-	case idle:
-		if x.misses++; ok {
-			x.misses = 0
-			if x.life == plan.ProcessStarting {
-				x.ready(now)
-			}
-		} else if x.life == plan.ProcessReady && x.misses >= x.limits.MaxMissedHealthChecks {
-			x.life = plan.ProcessStarting // it runs, but does not answer
-		}
+// HealthChecked takes in the outcome of ActionHealthCheck: whether the router answered.
+func (s *Supervisor) HealthChecked(now float64, answered bool) Transition {
+	s.nextHealthCheck = now + s.limits.HealthCheckSeconds
+	switch s.phase {
+	case phaseAwaitingReady:
+		return s.checkedAwaitingReady(now, answered)
+	case phasePreparing:
+		return s.checkedPreparing(now, answered)
+	case phaseConfirming:
+		return s.checkedConfirming(now, answered)
+	case phaseIdle:
+		s.checkedIdle(now, answered)
+	default: // the check was under way when the phase began
 	}
 	return Transition{}
 }
 
-func (x *Supervisor) ready(now float64) {
-	x.life, x.readyAt, x.countAt, x.misses = plan.ProcessReady, now, now, 0
-	x.to(idle, math.Inf(1))
+func (s *Supervisor) checkedAwaitingReady(now float64, answered bool) Transition {
+	if !answered {
+		s.missedHealthChecks++
+		if s.state == plan.ProcessUnknown && s.missedHealthChecks >= s.limits.MaxMissedHealthChecks {
+			s.state = plan.ProcessStarting // it was found running, but does not answer
+		}
+		return Transition{}
+	}
+	s.becomeReady(now)
+	if !s.stepPending() {
+		return Transition{}
+	}
+	s.endStep(plan.StepSucceeded, "")
+	return Transition{Store: true}
+}
+
+// checkedPreparing takes in a check that was under way when a step was begun.
+func (s *Supervisor) checkedPreparing(now float64, answered bool) Transition {
+	cameUp := answered && s.state == plan.ProcessStarting
+	if !cameUp || !s.Step.OnlyIfNotServing {
+		return Transition{}
+	}
+	s.becomeReady(now)
+	s.endStep(plan.StepNotApplied, failureServes)
+	return Transition{Store: true}
 }
 
-// ProcessExited tells that the process has gone, and how.
-func (x *Supervisor) ProcessExited(now float64, how string) Transition {
-	calm := x.life == plan.ProcessReady && now-x.readyAt >= x.limits.StableSeconds
-	x.life = plan.ProcessDown
-	switch x.phase {
-	case finding, resting, placing:
+// checkedConfirming tells a process that was told to end, which no longer accepts connections, from one that was not.
+func (s *Supervisor) checkedConfirming(now float64, answered bool) Transition {
+	if !answered {
+		s.state = plan.ProcessDraining
+		s.enter(phaseTerminating, now+s.DrainSeconds)
 		return Transition{}
-	case preparing:
-		return Transition{} // the step goes on without a process to end
-	case ending, doubting:
-		return x.place(now, Transition{})
-	}
-	var out Transition
-	if x.open() {
-		x.end(plan.StepFailed, "it ended before it was ready: "+how)
-		out.Store = true
-	}
-	if calm {
-		x.crashes = 0
-	}
-	if x.crashes++; x.crashes > x.limits.MaxCrashes {
-		x.life = plan.ProcessCrashLooping
-		x.to(idle, math.Inf(1))
-		return out
-	}
-	x.to(resting, now+min(x.limits.MinBackoffSeconds*math.Pow(2, float64(x.crashes-1)), x.limits.MaxBackoffSeconds))
-	return out
+	}
+	s.becomeReady(now)
+	s.endStep(plan.StepNotApplied, "the agent ended before the router was told to end")
+	return Transition{Store: true}
+}
+
+func (s *Supervisor) checkedIdle(now float64, answered bool) {
+	if answered {
+		s.missedHealthChecks = 0
+		if s.state == plan.ProcessStarting {
+			s.becomeReady(now)
+		}
+		return
+	}
+	s.missedHealthChecks++
+	if s.state == plan.ProcessReady && s.missedHealthChecks >= s.limits.MaxMissedHealthChecks {
+		s.state = plan.ProcessStarting // it runs, but does not answer
+	}
+}
+
+func (s *Supervisor) becomeReady(now float64) {
+	s.state = plan.ProcessReady
+	s.readySince = now
+	s.nextCounterRead = now
+	s.missedHealthChecks = 0
+	s.enter(phaseIdle, never)
+}
+
+// ProcessExited tells that the process has ended, and how, for people.
+func (s *Supervisor) ProcessExited(now float64, how string) Transition {
+	wasStable := s.state == plan.ProcessReady && now-s.readySince >= s.limits.StableSeconds
+	s.state = plan.ProcessDown
+	var t Transition
+	switch s.phase {
+	case phaseFinding, phaseBackoff, phaseInstalling:
+		return t
+	case phasePreparing:
+		return t // the step goes on without a process to end
+	case phaseTerminating, phaseConfirming:
+		s.install(&t)
+		return t
+	default: // it exited by itself
+	}
+	if s.stepPending() {
+		s.endStep(plan.StepFailed, "it ended before it was ready: "+how)
+		t.Store = true
+	}
+	if wasStable {
+		s.crashes = 0
+	}
+	s.crashes++
+	if s.crashes > s.limits.MaxCrashes {
+		s.state = plan.ProcessCrashLooping
+		s.enter(phaseIdle, never)
+		return t
+	}
+	s.enter(phaseBackoff, now+s.backoffSeconds())
+	return t
+}
+
+// backoffSeconds doubles with each exit in a row.
+func (s *Supervisor) backoffSeconds() float64 {
+	backoff := s.limits.MinBackoffSeconds * math.Pow(2, float64(s.crashes-1))
+	return min(backoff, s.limits.MaxBackoffSeconds)
 }
--- a/internal/fleet/tend/request_handler.go
+++ b/internal/fleet/tend/request_handler.go
@@ -8,96 +8,118 @@
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
-// RequestHandler answers the fleet tool for one agent: its claim, its record, the wish that was left, its instances.
+// RequestHandler answers the operators' tools for one agent: about its lease and its record, the operator's request
+// that was left with it, and its instances. Instances are referred to by their index.
 type RequestHandler struct {
-	Agent           string
-	Program         string // that answers, and its version
-	AgentsDigest    string // digest of the list of agents that this one goes by
+	Agent           string // name
+	Program         string // that answers, with its version
+	AgentsDigest    string // of the list of agents that this one goes by
 	Lease           claim.Lease
-	OperatorRequest form.OperatorRequest
+	OperatorRequest form.OperatorRequest // the newest that was left
 	InstanceNames   []string
 	Supervisors     []Supervisor
-	ListenAddresses []string
+	ListenAddresses []string // of the instances, for people; may be shorter
 }
 
-// Changes tells what a call has changed that must be stored before it is answered, and what is then done.
+// noInstance is Changes.ChangedInstance if no instance has changed.
+const noInstance = -1
+
+// Changes tells what a request has changed, which must be stored before its reply is sent, and what to do then. If it
+// cannot be stored, the request has not happened: the caller goes back to a copy of the handler.
 type Changes struct {
-	Lease           bool // Desk.Claims
-	OperatorRequest bool
-	ChangedInstance int // its record, or -1
-	Actions         []Action
+	Lease           bool     // RequestHandler.Lease has changed
+	OperatorRequest bool     // RequestHandler.OperatorRequest has changed
+	ChangedInstance int      // the instance whose record has changed, or -1
+	Actions         []Action // of ChangedInstance's supervisor
 }
 
-// Handle answers a call. The calls for revisions and history are not the desk's.
-func (d *RequestHandler) Handle(now float64, c form.Request) (form.Reply, Changes) {
-	r := form.Reply{Agent: d.Agent, Program: d.Program}
-	s := Changes{ChangedInstance: -1}
-	if c.AgentsDigest != "" && c.AgentsDigest != d.AgentsDigest && c.Verb != form.StatusVerb {
-		r.Denial = claim.NotHolder
-		r.Failure = "it goes by another list of agents: bring the fleet file of the agent and the tool together"
-		r.LeaseState = d.Lease.State(now)
-		return r, s
+// Handle answers a request. Requests about revisions and the history are answered by the agent itself.
+func (h *RequestHandler) Handle(now float64, r form.Request) (form.Reply, Changes) {
+	reply := form.Reply{Agent: h.Agent, Program: h.Program}
+	changes := Changes{ChangedInstance: noInstance}
+	otherList := r.AgentsDigest != "" && r.AgentsDigest != h.AgentsDigest
+	if otherList && r.Verb != form.StatusVerb {
+		reply.Denial = claim.NotHolder
+		reply.Failure = "it goes by another list of agents: bring the fleet file of the agent and the tool together"
+		reply.LeaseState = h.Lease.State(now)
+		return reply, changes
 	}
-	switch c.Verb {
+	switch r.Verb {
 	case form.StatusVerb:
-		if c.Epoch != 0 {
-			r.Denial = d.Lease.Renew(now, c.Epoch, c.Holder)
-		}
-		for i := range d.Supervisors {
-			r.Instances = append(r.Instances, d.told(now, i))
-		}
-		r.Record = d.Lease.Record
-		if c.Epoch != 0 {
-			r.Record.Body = nil // its holder has it
-		}
-		r.OperatorRequest = d.OperatorRequest
+		h.reportStatus(now, r, &reply)
 	case form.RequestLeaseVerb:
-		r.Denial = d.Lease.Acquire(now, c.LeaseRequest)
-		r.Record = d.Lease.Record
-		s.Lease = r.Denial == claim.Granted
+		reply.Denial = h.Lease.Acquire(now, r.LeaseRequest)
+		reply.Record = h.Lease.Record
+		changes.Lease = reply.Denial == claim.Granted
 	case form.StoreRecordVerb:
-		r.Denial = d.Lease.StoreRecord(now, c.Epoch, c.Holder, c.Record)
-		s.Lease = r.Denial == claim.Granted
+		reply.Denial = h.Lease.StoreRecord(now, r.Epoch, r.Holder, r.Record)
+		changes.Lease = reply.Denial == claim.Granted
 	case form.ReleaseLeaseVerb:
-		r.Denial = d.Lease.Release(now, c.Epoch, c.Holder)
-		s.Lease = r.Denial == claim.Granted
+		reply.Denial = h.Lease.Release(now, r.Epoch, r.Holder)
+		changes.Lease = reply.Denial == claim.Granted
 	case form.RequestActionVerb:
-		d.OperatorRequest, s.OperatorRequest = c.OperatorRequest, true
+		h.OperatorRequest = r.OperatorRequest
+		changes.OperatorRequest = true
 	case form.BeginStepVerb:
-		r.Denial = d.Lease.Renew(now, c.Epoch, c.Holder)
-		if r.Denial == claim.Granted {
-			s, r.Failure = d.begin(now, c.InstanceName, c.Step)
+		reply.Denial = h.Lease.Renew(now, r.Epoch, r.Holder)
+		if reply.Denial == claim.Granted {
+			reply.Failure = h.beginStep(r.InstanceName, r.Step, &changes)
 		}
 	default:
-		r.Failure = fmt.Sprintf("%s is not answered here", c.Verb)
+		reply.Failure = fmt.Sprintf("%s is not answered here", r.Verb)
+	}
+	reply.LeaseState = h.Lease.State(now)
+	return reply, changes
+}
+
+// reportStatus fills in the reply to a status request. One with an epoch also renews the caller's lease.
+func (h *RequestHandler) reportStatus(now float64, r form.Request, reply *form.Reply) {
+	byHolder := r.Epoch != 0
+	if byHolder {
+		reply.Denial = h.Lease.Renew(now, r.Epoch, r.Holder)
+	}
+	for i := range h.Supervisors {
+		reply.Instances = append(reply.Instances, h.instanceStatus(now, i))
+	}
+	reply.Record = h.Lease.Record
+	if byHolder {
+		reply.Record.Body = nil // the holder wrote it
 	}
-	r.LeaseState = d.Lease.State(now)
-	return r, s
+	reply.OperatorRequest = h.OperatorRequest
 }
 
-func (d *RequestHandler) begin(now float64, name string, step plan.Step) (Changes, string) {
-	s := Changes{ChangedInstance: -1}
-	for i, n := range d.InstanceNames {
-		if n == name {
-			out, fault := d.Supervisors[i].BeginStep(now, step)
-			if out.Store {
-				s.ChangedInstance = i
-			}
-			s.Actions = out.Actions
-			return s, fault
+// beginStep begins a step and returns why it was not begun, if so.
+func (h *RequestHandler) beginStep(name string, step plan.Step, changes *Changes) (failure string) {
+	for i, instance := range h.InstanceNames {
+		if instance != name {
+			continue
 		}
+		t, err := h.Supervisors[i].BeginStep(step)
+		if t.Store {
+			changes.ChangedInstance = i
+		}
+		changes.Actions = t.Actions
+		if err != nil {
+			return err.Error()
+		}
+		return ""
 	}
-	return s, fmt.Sprintf("there is no instance %s here", name)
+	return fmt.Sprintf("there is no instance %s here", name)
 }
 
-func (d *RequestHandler) told(now float64, i int) form.InstanceStatus {
-	x := &d.Supervisors[i]
-	t := form.InstanceStatus{Name: d.InstanceNames[i], Crashes: x.Crashes(), Observation: x.Observe(now), TargetRevision: x.Revision}
-	if i < len(d.ListenAddresses) {
-		t.Listen = d.ListenAddresses[i]
+func (h *RequestHandler) instanceStatus(now float64, instance int) form.InstanceStatus {
+	s := &h.Supervisors[instance]
+	status := form.InstanceStatus{
+		Name:           h.InstanceNames[instance],
+		Crashes:        s.Crashes(),
+		Observation:    s.Observe(now),
+		TargetRevision: s.Revision,
+	}
+	if instance < len(h.ListenAddresses) {
+		status.Listen = h.ListenAddresses[instance]
 	}
-	if x.open() {
-		t.TargetRevision = x.Step.Revision
+	if s.stepPending() {
+		status.TargetRevision = s.Step.Revision
 	}
-	return t
+	return status
 }
--- a/internal/fleet/tend/step.go
+++ b/internal/fleet/tend/step.go
@@ -1,127 +1,161 @@
 package tend
 
 import (
+	"errors"
 	"fmt"
-	"math"
 
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
-// cameUp guards against a router that is started again between the tool's look and its step: the tool counted it
-// as not serving and asked no floor, and it may be the last that serves by now.
-const cameUp = "the router came up by itself; the step was meant for one that does not serve"
+// failureServes is the failure of a step that is not applied because its router serves. The router came up by itself
+// between the tool's observation and the step; the tool did not check the minimums, as it counted the router as not
+// serving, and it may be the last one that serves by now.
+const failureServes = "the router came up by itself; the step was meant for one that does not serve"
 
-func (x *Supervisor) open() bool { return x.Step.Number != 0 && x.Result == plan.StepPending }
+// Errors of BeginStep that need no detail.
+var (
+	errProcessUnknown = errors.New("the agent has just started and does not know its routers yet")
+	errIncompleteStep = errors.New("the step has no number or no revision")
+)
 
-// BeginStep begins a step, or says why not. A repeat of the step that was begun last changes nothing.
-func (x *Supervisor) BeginStep(now float64, s plan.Step) (Transition, string) {
-	same := x.Step.RolloutID == s.RolloutID
+// BeginStep begins a step, or returns why it does not. A repeat of the step that was begun last changes nothing.
+func (s *Supervisor) BeginStep(step plan.Step) (Transition, error) {
+	sameRollout := s.Step.RolloutID == step.RolloutID
 	switch {
-	case same && x.Step.Number == s.Number:
-		return Transition{}, ""
-	case same && s.Number < x.Step.Number:
-		return Transition{}, fmt.Sprintf("step %d comes after step %d", s.Number, x.Step.Number)
-	case x.life == plan.ProcessUnknown:
-		return Transition{}, "the agent has just started and does not know its routers yet"
-	case x.open():
-		return Transition{}, fmt.Sprintf("step %d of rollout %s is under way", x.Step.Number, x.Step.RolloutID)
-	case s.Number == 0 || s.Revision == "":
-		return Transition{}, "the step has no number or no revision"
-	}
-	if !same {
-		x.PreviousRevision = x.Revision
+	case sameRollout && s.Step.Number == step.Number:
+		return Transition{}, nil
+	case sameRollout && step.Number < s.Step.Number:
+		return Transition{}, fmt.Errorf("step %d comes after step %d", step.Number, s.Step.Number)
+	case s.state == plan.ProcessUnknown:
+		return Transition{}, errProcessUnknown
+	case s.stepPending():
+		return Transition{}, fmt.Errorf("step %d of rollout %s is under way", s.Step.Number, s.Step.RolloutID)
+	case step.Number == 0 || step.Revision == "":
+		return Transition{}, errIncompleteStep
 	}
-	x.Step, x.Result, x.Failure, x.MayHaveChanged, x.Reload, x.Replaced = s, plan.StepPending, "", false, false, false
-	if x.life == plan.ProcessReady && x.Revision == s.Revision && !s.Restart {
-		x.end(plan.StepSucceeded, "")
-		return Transition{Store: true}, ""
+	if !sameRollout {
+		s.PreviousRevision = s.Revision
 	}
-	if s.OnlyIfNotServing && x.life == plan.ProcessReady {
-		x.end(plan.StepNotApplied, cameUp)
-		return Transition{Store: true}, ""
+	s.setStep(step)
+	if s.state == plan.ProcessReady {
+		if s.Revision == step.Revision && !step.Restart {
+			s.endStep(plan.StepSucceeded, "")
+			return Transition{Store: true}, nil
+		}
+		if step.OnlyIfNotServing {
+			s.endStep(plan.StepNotApplied, failureServes)
+			return Transition{Store: true}, nil
+		}
 	}
-	x.crashes = 0
-	x.to(preparing, math.Inf(1))
-	return Transition{Store: true, Actions: []Action{{Kind: ActionPrepareRevision, Revision: s.Revision}}}, ""
+	s.crashes = 0
+	s.enter(phasePreparing, never)
+	prepare := Action{Kind: ActionPrepareRevision, Revision: step.Revision}
+	return Transition{Store: true, Actions: []Action{prepare}}, nil
+}
+
+// setStep records a step that has changed nothing yet.
+func (s *Supervisor) setStep(step plan.Step) {
+	s.Step = step
+	s.Result = plan.StepPending
+	s.Failure = ""
+	s.MayHaveChanged = false
+	s.Reload = false
+	s.Replaced = false
+}
+
+// endStep ends the pending step.
+func (s *Supervisor) endStep(result plan.StepResult, failure string) {
+	s.Result = result
+	s.Failure = failure
+	s.commandsAtStepEnd = s.commands
+}
+
+// Preparation is how a revision can be put in place.
+type Preparation struct {
+	ReloadSuffices bool    // the running process need not be restarted
+	DrainSeconds   float64 // that the running process may take to end
 }
 
-// RevisionPrepared tells whether a revision can be put in place, whether a reload is enough for it, and how long the
-// process that runs may take to end.
-func (x *Supervisor) RevisionPrepared(now float64, reload bool, drain float64, fault string) Transition {
-	if x.phase != preparing {
+// RevisionPrepared takes in the outcome of ActionPrepareRevision: how the revision can be put in place, or the error
+// for which it cannot.
+func (s *Supervisor) RevisionPrepared(now float64, p Preparation, err error) Transition {
+	if s.phase != phasePreparing {
 		return Transition{}
 	}
-	if fault != "" {
-		x.end(plan.StepFailed, fault)
-		x.settle(now)
+	if err != nil {
+		s.endStep(plan.StepFailed, err.Error())
+		s.leaveUnchanged(now)
 		return Transition{Store: true}
 	}
-	x.MayHaveChanged, x.ShouldRun = true, true
-	x.Reload = reload && x.life == plan.ProcessReady && !x.Step.Restart
-	x.DrainSeconds = drain
-	if x.Reload || x.life == plan.ProcessDown || x.life == plan.ProcessCrashLooping {
-		return x.place(now, Transition{Store: true})
+	s.MayHaveChanged = true
+	s.ShouldRun = true
+	s.Reload = p.ReloadSuffices && s.state == plan.ProcessReady && !s.Step.Restart
+	s.DrainSeconds = p.DrainSeconds
+	t := Transition{Store: true}
+	if s.Reload || s.state == plan.ProcessDown || s.state == plan.ProcessCrashLooping {
+		s.install(&t)
+	} else {
+		s.terminate(now, &t)
 	}
-	return x.terminate(now, Transition{Store: true})
+	return t
 }
 
-// settle goes back from a step that touched nothing.
-func (x *Supervisor) settle(now float64) {
+// leaveUnchanged returns to the phase before a step that has changed nothing.
+func (s *Supervisor) leaveUnchanged(now float64) {
 	switch {
-	case x.life == plan.ProcessDown && x.ShouldRun:
-		x.to(resting, now+x.limits.MinBackoffSeconds)
-	case x.life == plan.ProcessStarting:
-		x.to(coming, math.Inf(1))
+	case s.state == plan.ProcessDown && s.ShouldRun:
+		s.enter(phaseBackoff, now+s.limits.MinBackoffSeconds)
+	case s.state == plan.ProcessStarting:
+		s.enter(phaseAwaitingReady, never)
 	default:
-		x.to(idle, math.Inf(1))
+		s.enter(phaseIdle, never)
 	}
 }
 
-func (x *Supervisor) place(now float64, out Transition) Transition {
-	x.to(placing, math.Inf(1))
-	out.Actions = append(out.Actions, Action{Kind: ActionInstallRevision, Revision: x.Step.Revision})
-	return out
+// install has the step's file put in place.
+func (s *Supervisor) install(t *Transition) {
+	s.enter(phaseInstalling, never)
+	t.Actions = append(t.Actions, Action{Kind: ActionInstallRevision, Revision: s.Step.Revision})
 }
 
-// RevisionInstalled tells whether a step's file is in place.
-func (x *Supervisor) RevisionInstalled(now float64, fault string) Transition {
-	switch {
-	case x.phase != placing:
+// RevisionInstalled takes in the outcome of ActionInstallRevision.
+func (s *Supervisor) RevisionInstalled(now float64, err error) Transition {
+	if s.phase != phaseInstalling {
 		return Transition{}
-	case fault != "" && x.Reload:
-		x.end(plan.StepFailed, fault)
-		x.to(idle, math.Inf(1))
-		return Transition{Store: true}
-	case fault != "":
-		x.end(plan.StepFailed, fault)
-		x.settle(now)
+	}
+	if err != nil {
+		s.endStep(plan.StepFailed, err.Error())
+		if s.Reload {
+			s.enter(phaseIdle, never)
+		} else {
+			s.leaveUnchanged(now)
+		}
 		return Transition{Store: true}
 	}
-	x.Revision = x.Step.Revision
-	if !x.Reload || x.life == plan.ProcessDown { // it may have ended meanwhile
-		x.Reload = false
-		x.Replaced = true
-		return x.start(now)
+	s.Revision = s.Step.Revision
+	t := Transition{Store: true}
+	if s.Reload && s.state != plan.ProcessDown {
+		s.enter(phaseReloading, now+s.limits.ReadyTimeoutSeconds)
+		t.add(ActionReload)
+		return t
 	}
-	x.to(hupping, now+x.limits.ReadyTimeoutSeconds)
-	return Transition{Store: true, Actions: []Action{{Kind: ActionReload}}}
+	s.Reload = false // the process may have exited meanwhile
+	s.Replaced = true
+	s.start(&t)
+	return t
 }
 
-// ReloadReported tells what the router said of its file after Hup.
-func (x *Supervisor) ReloadReported(now float64, fault string) Transition {
-	if x.phase != hupping {
+// ReloadReported takes in what the router reported of its file after ActionReload: why it could not use it, or
+// nothing if it does.
+func (s *Supervisor) ReloadReported(now float64, failure string) Transition {
+	if s.phase != phaseReloading {
 		return Transition{}
 	}
-	x.ready(now)
-	if fault != "" {
-		x.end(plan.StepFailed, fault)
+	s.becomeReady(now)
+	if failure == "" {
+		s.endStep(plan.StepSucceeded, "")
 	} else {
-		x.end(plan.StepSucceeded, "")
+		s.endStep(plan.StepFailed, failure)
 	}
 	return Transition{Store: true}
 }
-
-// end ends the step under way.
-func (x *Supervisor) end(e plan.StepResult, why string) {
-	x.Result, x.Failure, x.base = e, why, x.total
-}
--- a/internal/fleet/tend/supervisor.go
+++ b/internal/fleet/tend/supervisor.go
@@ -1,10 +1,3 @@
-// Package tend decides for an agent: what it does with each of its routers' processes, and how it answers the
-// fleet tool. It does no input or output and has no clock; times are seconds. What is to be done comes back as
-// values: what must be stored first, then what to carry out, whose outcome is handed in again.
-//
-// A router is never taken out of service but by a step that was stored before. An agent that starts again
-// resolves the step it had begun: one that touched nothing is undone, one that did is carried on, and a
-// router that serves after all is left alone.
 package tend
 
 import (
@@ -14,112 +7,146 @@
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
+// phase is what a supervisor waits for.
 type phase int
 
 const (
-	finding   phase = iota
-	idle            // nothing under way: the process runs, or rests for good
-	resting         // ended by itself, to be started at the deadline
-	preparing       // a step's file
-	doubting        // after the agent's start: was it told to end?
-	ending          // told to
-	placing         // the file
-	starting        // the process
-	coming          // until it answers
-	hupping         // until it says that it has reloaded
+	phaseFinding       phase = iota // whether a process runs
+	phaseIdle                       // nothing: the process runs, or is not to be started
+	phaseBackoff                    // the process exited by itself and is started at the deadline
+	phasePreparing                  // the step's revision
+	phaseConfirming                 // after the agent's start: has the process been told to end?
+	phaseTerminating                // the process's exit
+	phaseInstalling                 // the step's file
+	phaseStarting                   // the process's start
+	phaseAwaitingReady              // the process's first answer
+	phaseReloading                  // the process's report on its reload
 )
 
-// Supervisor is one router as its agent sees it. It is a plain value: a copy is a state to go back to.
+// readyHealthCheckFactor is how much longer the interval between health checks of a ready router is.
+const readyHealthCheckFactor = 10
+
+// never is a deadline that does not come.
+var never = math.Inf(1)
+
+// Supervisor is the state machine of one router as its agent runs it. It is a plain value: a copy is a state to go
+// back to. All times are handed in and must be of one clock.
 type Supervisor struct {
 	Record
-	limits  *Limits
-	phase   phase
-	life    plan.ProcessState
-	at      float64 // deadline of the phase
-	probeAt float64
-	countAt float64
-	readyAt float64
-	crashes int
-	misses  int
-	total   plan.CommandCounts // of the process
-	base    plan.CommandCounts // as the last step ended
-	past    window
+	limits *Limits
+
+	phase    phase
+	deadline float64 // of the phase
+	state    plan.ProcessState
+
+	nextHealthCheck    float64
+	missedHealthChecks int     // in a row
+	readySince         float64 // counts while state is ProcessReady
+	crashes            int     // exits by itself since it last ran for Limits.StableSeconds
+
+	nextCounterRead   float64
+	commands          plan.CommandCounts // of the process
+	commandsAtStepEnd plan.CommandCounts // commands as the last step ended
+	readings          readings
 }
 
-// NewSupervisor is an instance of an agent that starts: Find comes first.
+// NewSupervisor returns the supervisor of an agent that starts, given the instance's stored record. The transition
+// looks for a process that already runs.
 func NewSupervisor(r Record, l *Limits) (Supervisor, Transition) {
-	x := Supervisor{Record: r, limits: l, life: plan.ProcessUnknown, at: math.Inf(1)}
-	return x, Transition{Actions: []Action{{Kind: ActionFindProcess, Incarnation: r.Incarnation}}}
+	s := Supervisor{Record: r, limits: l, state: plan.ProcessUnknown, deadline: never}
+	return s, Transition{Actions: []Action{{Kind: ActionFindProcess, Incarnation: r.Incarnation}}}
+}
+
+func (s *Supervisor) enter(p phase, deadline float64) {
+	s.phase = p
+	s.deadline = deadline
 }
 
-func (x *Supervisor) to(p phase, at float64) { x.phase, x.at = p, at }
+// Crashes returns how often the router exited by itself since it last ran stably.
+func (s *Supervisor) Crashes() int { return s.crashes }
+
+// Observe returns what the agent reports of the instance. SeenAt is left to the observer.
+func (s *Supervisor) Observe(now float64) plan.Observation {
+	o := plan.Observation{
+		State:             s.state,
+		Revision:          s.Revision,
+		LastStep:          s.Step,
+		LastResult:        s.Result,
+		LastFailure:       s.Failure,
+		PreviousRevision:  s.PreviousRevision,
+		RecentCommands:    s.recentCommands(now),
+		CommandsSinceStep: countsSince(s.commands, s.commandsAtStepEnd),
+	}
+	if s.state == plan.ProcessReady {
+		o.ReadySeconds = now - s.readySince
+	}
+	return o
+}
 
-// NextTick is the time of the next Tick.
-func (x *Supervisor) NextTick() float64 {
-	wake := x.at
-	if x.running() {
-		wake = min(wake, x.probeAt)
+// NextTick returns the time at which Tick is to be called next.
+func (s *Supervisor) NextTick() float64 {
+	next := s.deadline
+	if s.checksHealth() {
+		next = min(next, s.nextHealthCheck)
 	}
-	if x.phase == idle && x.life == plan.ProcessReady {
-		wake = min(wake, x.countAt)
+	if s.idleAndReady() {
+		next = min(next, s.nextCounterRead)
 	}
-	return wake
+	return next
 }
 
-// running tells whether a process is there that may be asked.
-func (x *Supervisor) running() bool {
-	return x.phase == coming || x.phase == idle && (x.life == plan.ProcessReady || x.life == plan.ProcessStarting)
+// checksHealth tells whether a process runs that is to be checked regularly.
+func (s *Supervisor) checksHealth() bool {
+	if s.phase == phaseAwaitingReady {
+		return true
+	}
+	running := s.state == plan.ProcessReady || s.state == plan.ProcessStarting
+	return s.phase == phaseIdle && running
 }
 
-// Tick does what is due.
-func (x *Supervisor) Tick(now float64) Transition {
-	var out Transition
-	if now >= x.at {
-		x.at = math.Inf(1)
-		switch x.phase {
-		case resting:
-			return x.start(now)
-		case doubting:
-			out.Actions = append(out.Actions, Action{Kind: ActionHealthCheck})
-			return out
-		case ending:
-			x.at = now + x.limits.KillRetrySeconds
-			out.Actions = append(out.Actions, Action{Kind: ActionKill})
-			return out
-		case coming:
-			x.end(plan.StepFailed, fmt.Sprintf("it was not ready within %g s", x.limits.ReadyTimeoutSeconds))
-			out.Store = true
-		case hupping:
-			x.end(plan.StepFailed, fmt.Sprintf("it did not say within %g s that it had read its file", x.limits.ReadyTimeoutSeconds))
-			x.ready(now)
-			out.Store = true
-		}
+func (s *Supervisor) idleAndReady() bool { return s.phase == phaseIdle && s.state == plan.ProcessReady }
+
+// Tick does what is due: the end of the phase, a health check, a reading of the counters.
+func (s *Supervisor) Tick(now float64) Transition {
+	var t Transition
+	if now >= s.deadline {
+		s.deadline = never
+		t = s.deadlineReached(now)
 	}
-	if x.running() && now >= x.probeAt {
-		x.probeAt = now + x.limits.HealthCheckSeconds
-		if x.phase == idle && x.life == plan.ProcessReady {
-			x.probeAt = now + 10*x.limits.HealthCheckSeconds // calm routers are looked at less often
+	if s.checksHealth() && now >= s.nextHealthCheck {
+		interval := s.limits.HealthCheckSeconds
+		if s.idleAndReady() {
+			interval *= readyHealthCheckFactor
 		}
-		out.Actions = append(out.Actions, Action{Kind: ActionHealthCheck})
+		s.nextHealthCheck = now + interval
+		t.add(ActionHealthCheck)
 	}
-	if x.phase == idle && x.life == plan.ProcessReady && now >= x.countAt {
-		x.countAt = now + x.limits.CounterReadSeconds
-		out.Actions = append(out.Actions, Action{Kind: ActionReadCounters})
+	if s.idleAndReady() && now >= s.nextCounterRead {
+		s.nextCounterRead = now + s.limits.CounterReadSeconds
+		t.add(ActionReadCounters)
 	}
-	return out
+	return t
 }
 
-// Crashes is how often the router ended by itself since it last ran calmly.
-func (x *Supervisor) Crashes() int { return x.crashes }
-
-// Observe is what an agent tells of the instance; Seen is the age of it, 0.
-func (x *Supervisor) Observe(now float64) plan.Observation {
-	s := plan.Observation{
-		State: x.life, Revision: x.Revision, LastStep: x.Step, LastResult: x.Result, LastFailure: x.Failure, PreviousRevision: x.PreviousRevision,
-		RecentCommands: x.recent(now), CommandsSinceStep: minus(x.total, x.base),
-	}
-	if x.life == plan.ProcessReady {
-		s.ReadySeconds = now - x.readyAt
+func (s *Supervisor) deadlineReached(now float64) Transition {
+	var t Transition
+	switch s.phase {
+	case phaseBackoff:
+		s.start(&t)
+	case phaseConfirming:
+		t.add(ActionHealthCheck)
+	case phaseTerminating:
+		s.deadline = now + s.limits.KillRetrySeconds
+		t.add(ActionKill)
+	case phaseAwaitingReady:
+		s.endStep(plan.StepFailed, fmt.Sprintf("it was not ready within %g s", s.limits.ReadyTimeoutSeconds))
+		t.Store = true
+	case phaseReloading:
+		failure := fmt.Sprintf("it did not say within %g s that it had read its file", s.limits.ReadyTimeoutSeconds)
+		s.endStep(plan.StepFailed, failure)
+		s.becomeReady(now)
+		t.Store = true
+	default: // the other phases have no deadline
 	}
-	return s
+	return t
 }
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -245,9 +245,9 @@
 	case tend.ActionFindProcess:
 		out = x.ProcessFound(r.now, a.runs && a.mark == e.Incarnation && (r.fault != "twin" || a.lives == 1))
 	case tend.ActionPrepareRevision:
-		out = x.RevisionPrepared(r.now, false, 100, "")
+		out = x.RevisionPrepared(r.now, tend.Preparation{DrainSeconds: 100}, nil)
 	case tend.ActionInstallRevision:
-		out = x.RevisionInstalled(r.now, "")
+		out = x.RevisionInstalled(r.now, nil)
 	case tend.ActionStart:
 		running := 0
 		if a.runs {
@@ -256,7 +256,7 @@
 		r.check.Started(i, running)
 		a.runs, a.serves, a.mark = true, false, e.Incarnation
 		if r.fault != "untold-start" {
-			out = x.ProcessStarted(r.now, e.Incarnation, "")
+			out = x.ProcessStarted(r.now, e.Incarnation, nil)
 		}
 	case tend.ActionHealthCheck:
 		a.serves = a.runs
@@ -437,7 +437,7 @@
 		"roll.Coordinator": {"calls", "chance", "events", "fleet", "last", "times", "told"},
 		"roll.agent":       {"looking", "saying", "standing"},
 		"systems.rollCall": {"ID"},
-		"tend.Supervisor":  {"countAt", "limits", "past", "probeAt", "readyAt"},
+		"tend.Supervisor":  {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
 	},
 	Times: explore.Fields{
 		"claim.Lease":      {"expiresAt", "heldSince", "now"},
@@ -445,7 +445,7 @@
 		"plan.Observation": {"SeenAt"},
 		"roll.Coordinator": {"actAt", "majorAt", "since"},
 		"roll.agent":       {"again", "next"},
-		"tend.Supervisor":  {"at"},
+		"tend.Supervisor":  {"deadline"},
 	},
 }
 
