--- a/internal/drill/claims.go
+++ b/internal/drill/claims.go
@@ -269,7 +269,9 @@
 			a.later(0.01, func(x *tend.Supervisor) tend.Transition { return x.ProcessFound(a.now(), running) })
 		case tend.ActionPrepareRevision:
 			reload := w.rng.IntN(3) == 0
-			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.RevisionPrepared(a.now(), tend.Preparation{ReloadSuffices: reload, DrainSeconds: 3}, nil) })
+			a.later(0.02, func(x *tend.Supervisor) tend.Transition {
+				return x.RevisionPrepared(a.now(), tend.Preparation{ReloadSuffices: reload, DrainSeconds: 3}, nil)
+			})
 		case tend.ActionInstallRevision:
 			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.RevisionInstalled(a.now(), nil) })
 		case tend.ActionStart:
@@ -411,8 +413,8 @@
 		}
 	}
 	for _, s := range sends {
-		if s.Call.Verb == form.StoreRecordVerb {
-			t.noted(s.Call)
+		if s.Request.Verb == form.StoreRecordVerb {
+			t.noted(s.Request)
 		}
 		t.post(s)
 	}
@@ -476,7 +478,7 @@
 			continue
 		}
 		w.at(d, func() {
-			r, ok := w.agents[s.Agent].answer(s.Call)
+			r, ok := w.agents[s.Agent].answer(s.Request)
 			back, came := w.way()
 			if !ok || !came {
 				return
--- a/internal/fleet/roll/coordinator.go
+++ b/internal/fleet/roll/coordinator.go
@@ -19,91 +19,91 @@
 type phase int
 
 const (
-	asking phase = iota
-	bidding
-	resting // after a bid that was lost to nobody
-	running
-	releasing
-	over
+	phasePolling phase = iota
+	phaseRequestingLease
+	phaseBackoff // after a bid that was lost to nobody
+	phaseRunning
+	phaseReleasing
+	phaseOver
 )
 
 const (
-	bids     = 6 // in a row that may be lost to nobody
-	refusals = 3 // of a step by its agent, in a row, before the rollout pauses
+	maxLostCampaigns = 6 // in a row that may be lost to nobody
+	maxRefusals      = 3 // of a step by its agent, in a row, before the rollout pauses
 )
 
 // agent is what is known of one.
 type agent struct {
-	heard    bool // in this phase
-	granted  bool // the epoch
-	standing claim.State
-	record   claim.Record
-	wish     form.OperatorRequest
-	fault    string
-	looking  uint64 // call that is out, or 0
-	saying   uint64
-	next     float64 // look
-	again    float64 // say
-	kept     bool    // the record that is being kept
-	released bool
+	replied         bool // in this phase
+	granted         bool // the epoch
+	leaseState      claim.State
+	record          claim.Record
+	operatorRequest form.OperatorRequest
+	failure         string
+	pendingQuery    uint64 // call that is out, or 0
+	pendingCommand  uint64
+	nextQuery       float64 // look
+	nextCommand     float64 // say
+	stored          bool    // the record that is being kept
+	released        bool
 }
 
 // Coordinator drives one rollout.
 type Coordinator struct {
-	fleet  *plan.Fleet
-	names  []string
-	list   string // digest of the list of agents
-	holder string
-	times  Timing
-	task   Task
-	chance func() float64
-
-	phase    phase
-	since    float64 // the phase
-	tries    int
-	campaign *claim.Campaign
-	agents   []agent
-	byAgent  [][]int // instances
-	calls    map[uint64]out
-	last     uint64 // ID
-	outcome  Outcome
-
-	planner *plan.Planner
-	rollout form.Rollout
-	sights  []plan.Observation
-	told    []form.InstanceStatus
-	number  uint64 // of the record kept last, in this epoch
-	keeping *keeping
-	acting  plan.Step // to be sent
-	actAt   float64
-	refused int
-	majorAt float64 // a majority was last heard of in this epoch
-	events  []Event
+	fleet         *plan.Fleet
+	instanceNames []string
+	agentsDigest  string // digest of the list of agents
+	holder        string
+	timing        Timing
+	task          Task
+	random        func() float64
+
+	phase            phase
+	phaseTime        float64 // the phase
+	lostCampaigns    int
+	campaign         *claim.Campaign
+	agents           []agent
+	instancesByAgent [][]int // instances
+	pendingCalls     map[uint64]pendingCall
+	lastCallID       uint64 // ID
+	outcome          Outcome
+
+	planner      *plan.Planner
+	rollout      form.Rollout
+	observations []plan.Observation
+	statuses     []form.InstanceStatus
+	recordNumber uint64 // of the record kept last, in this epoch
+	storing      *pendingRecord
+	stepToSend   plan.Step // to be sent
+	nextStepSend float64
+	refusals     int
+	lastMajority float64 // a majority was last heard of in this epoch
+	events       []Event
 }
 
 // New is a driver that has sent nothing. names are the instances', agents how many there are, list the digest
 // of the list of them; holder must be this driver's alone. chance draws from 0 to 1.
 func New(f *plan.Fleet, names []string, agents int, list, holder string, t Timing, task Task, chance func() float64) *Coordinator {
 	d := &Coordinator{
-		fleet: f, names: names, list: list, holder: holder, times: t, task: task, chance: chance,
-		agents: make([]agent, agents), byAgent: make([][]int, agents), calls: map[uint64]out{},
-		sights: make([]plan.Observation, len(names)), told: make([]form.InstanceStatus, len(names)),
+		fleet: f, instanceNames: names, agentsDigest: list, holder: holder, timing: t, task: task, random: chance,
+		agents: make([]agent, agents), instancesByAgent: make([][]int, agents), pendingCalls: map[uint64]pendingCall{},
+		observations: make([]plan.Observation, len(names)), statuses: make([]form.InstanceStatus, len(names)),
 	}
 	slices.Sort(d.task.ExcludedInstances)
 	for i, x := range f.Instances {
-		d.byAgent[x.Agent] = append(d.byAgent[x.Agent], i)
-		d.sights[i].SeenAt = math.Inf(-1)
+		d.instancesByAgent[x.Agent] = append(d.instancesByAgent[x.Agent], i)
+		d.observations[i].SeenAt = math.Inf(-1)
 	}
 	return d
 }
 
 // Outcome tells whether the driver has ended, and how.
-func (d *Coordinator) Outcome() (Outcome, bool) { return d.outcome, d.phase == over }
+func (d *Coordinator) Outcome() (Outcome, bool) { return d.outcome, d.phase == phaseOver }
 
 // Quit has the driver give its claim back and end. A step under way goes on by itself.
 func (d *Coordinator) Quit(now float64) {
-	if d.phase != over && !(d.phase == releasing && d.outcome.Kind != OutcomeNoMajority) {
-		d.tries = bids
+	if d.phase != phaseOver && !(d.phase == phaseReleasing && d.outcome.Kind != OutcomeNoMajority) {
+		d.lostCampaigns = maxLostCampaigns
 		d.release(now, Outcome{Kind: OutcomeInterrupted, Rollout: d.rollout})
 	}
 }
@@ -126,77 +126,77 @@
 
 // View tells how things stand now.
 func (d *Coordinator) View(now float64) View {
-	v := View{Rollout: d.rollout, Instances: d.told}
+	v := View{Rollout: d.rollout, Instances: d.statuses}
 	if d.planner != nil {
-		v.Finished, v.Serving = d.planner.FinishedCount(d.sights), d.planner.ServingCount(now, d.sights)
+		v.Finished, v.Serving = d.planner.FinishedCount(d.observations), d.planner.ServingCount(now, d.observations)
 		v.Epoch = d.campaign.Request.Epoch
 	}
 	return v
 }
 
 func (d *Coordinator) enter(now float64, p phase) {
-	d.phase, d.since = p, now
+	d.phase, d.phaseTime = p, now
 	for i := range d.agents {
 		a := &d.agents[i]
 		// What is still out belongs to the phase before, and is not waited for.
-		a.heard, a.looking, a.saying, a.next, a.again, a.fault = false, 0, 0, now, now, ""
-		if p == bidding {
-			a.granted, a.kept = false, false
+		a.replied, a.pendingQuery, a.pendingCommand, a.nextQuery, a.nextCommand, a.failure = false, 0, 0, now, now, ""
+		if p == phaseRequestingLease {
+			a.granted, a.stored = false, false
 		}
 	}
-	clear(d.calls)
+	clear(d.pendingCalls)
 }
 
 // Tick returns the calls that are due, and when to ask again at the latest.
 func (d *Coordinator) Tick(now float64) ([]OutgoingCall, float64) {
 	var sends []OutgoingCall
-	wake := now + d.times.PollSeconds
+	wake := now + d.timing.PollSeconds
 	switch d.phase {
-	case asking, bidding:
-		d.count(now)
-	case resting:
-		if now >= d.since {
-			d.enter(now, asking)
+	case phasePolling, phaseRequestingLease:
+		d.checkReplies(now)
+	case phaseBackoff:
+		if now >= d.phaseTime {
+			d.enter(now, phasePolling)
 		}
-	case running:
+	case phaseRunning:
 		d.decide(now)
-	case releasing:
-		d.released(now)
+	case phaseReleasing:
+		d.checkReleased(now)
 	}
-	if d.phase == over || d.phase == resting {
+	if d.phase == phaseOver || d.phase == phaseBackoff {
 		return nil, wake
 	}
 	for i := range d.agents {
-		if c, due := d.look(now, i); due {
+		if c, due := d.dueQuery(now, i); due {
 			sends = append(sends, d.send(now, i, c))
 		}
-		if c, due := d.say(now, i); due {
+		if c, due := d.dueCommand(now, i); due {
 			sends = append(sends, d.send(now, i, c))
 		}
-		wake = min(wake, max(d.agents[i].next, now+d.times.PollSeconds/4))
+		wake = min(wake, max(d.agents[i].nextQuery, now+d.timing.PollSeconds/4))
 	}
 	return sends, wake
 }
 
 // decide asks the planner once nothing is being kept.
 func (d *Coordinator) decide(now float64) {
-	if d.keeping != nil {
-		if now-d.majorAt >= d.times.MajorityTimeoutSeconds {
+	if d.storing != nil {
+		if now-d.lastMajority >= d.timing.MajorityTimeoutSeconds {
 			d.release(now, Outcome{Kind: OutcomeNoMajority, Rollout: d.rollout})
 		}
 		return
 	}
-	d.majorAt = now
-	switch dec := d.planner.Next(now, d.sights, d.wish().Action); dec.Action {
+	d.lastMajority = now
+	switch dec := d.planner.Next(now, d.observations, d.operatorRequest().Action); dec.Action {
 	case plan.ActionWait:
 	case plan.ActionResendStep:
-		if now >= d.actAt {
-			d.acting = dec.Step
+		if now >= d.nextStepSend {
+			d.stepToSend = dec.Step
 		}
 	default:
-		d.follow(now, dec)
+		d.storeDecision(now, dec)
 	}
 }
 
 // PendingCalls is the number of calls that are out.
-func (d *Coordinator) PendingCalls() int { return len(d.calls) }
+func (d *Coordinator) PendingCalls() int { return len(d.pendingCalls) }
--- a/internal/fleet/roll/coordinator_test.go
+++ b/internal/fleet/roll/coordinator_test.go
@@ -82,13 +82,13 @@
 			d.HandleFailure(f.now, s.ID, "cut")
 			continue
 		}
-		if s.Call.Verb == form.BeginStepVerb && f.full[s.Agent] {
+		if s.Request.Verb == form.BeginStepVerb && f.full[s.Agent] {
 			d.HandleReply(f.now, s.ID, form.Reply{Failure: "disk full", LeaseState: f.desks[s.Agent].Lease.State(f.now)})
 			continue
 		}
-		r, saves := f.desks[s.Agent].Handle(f.now, s.Call)
+		r, saves := f.desks[s.Agent].Handle(f.now, s.Request)
 		if saves.ChangedInstance >= 0 {
-			f.steps = append(f.steps, fmt.Sprint(s.Call.InstanceName, " ", s.Call.Step.Revision))
+			f.steps = append(f.steps, fmt.Sprint(s.Request.InstanceName, " ", s.Request.Step.Revision))
 		}
 		f.carry(s.Agent, saves.Actions)
 		d.HandleReply(f.now, s.ID, r)
@@ -267,9 +267,9 @@
 	x := &f.desks[2].Supervisors[0]
 	x.ProcessExited(f.now, "by itself")
 	f.limits.MinBackoffSeconds = 1e9 // it does not come back
-	a.sights[2] = x.Observe(f.now)
-	a.sights[2].SeenAt = f.now
-	a.agents[2].next = f.now + 1e9
+	a.observations[2] = x.Observe(f.now)
+	a.observations[2].SeenAt = f.now
+	a.agents[2].nextQuery = f.now + 1e9
 	o := f.finish(a)
 	assert.Equal(t, plan.Paused, o.Rollout.State)
 	assert.Empty(t, f.steps)
@@ -332,13 +332,13 @@
 	f := newField(t, 3)
 	a := f.driver("a", begin("r1", "new"))
 	f.pass(0.3, a)
-	require.Equal(t, running, a.phase)
-	a.agents[0].next = 0
+	require.Equal(t, phaseRunning, a.phase)
+	a.agents[0].nextQuery = 0
 	sends, _ := a.Tick(f.now)
 	for _, s := range sends {
-		if s.Agent == 0 && s.Call.Verb == form.StatusVerb {
+		if s.Agent == 0 && s.Request.Verb == form.StatusVerb {
 			a.HandleReply(f.now, s.ID, form.Reply{Denial: claim.NotHolder, Instances: []form.InstanceStatus{{Name: "n0", Observation: plan.Observation{State: plan.ProcessCrashLooping}}}})
-			assert.NotEqual(t, plan.ProcessCrashLooping, a.sights[0].State)
+			assert.NotEqual(t, plan.ProcessCrashLooping, a.observations[0].State)
 			assert.False(t, a.agents[0].granted, "and is asked for its grant anew")
 			return
 		}
--- a/internal/fleet/roll/election.go
+++ b/internal/fleet/roll/election.go
@@ -9,28 +9,28 @@
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
-func (d *Coordinator) bid(now float64, epoch uint64, takeover bool) {
+func (d *Coordinator) requestLease(now float64, epoch uint64, takeover bool) {
 	d.campaign = claim.NewCampaign(claim.Request{Epoch: epoch, Holder: d.holder, Takeover: takeover}, len(d.agents))
-	d.keeping, d.acting = nil, plan.Step{}
-	for i := range d.sights {
-		d.sights[i].SeenAt = math.Inf(-1) // what was seen under another epoch says nothing of this one
+	d.storing, d.stepToSend = nil, plan.Step{}
+	for i := range d.observations {
+		d.observations[i].SeenAt = math.Inf(-1) // what was seen under another epoch says nothing of this one
 	}
-	d.enter(now, bidding)
+	d.enter(now, phaseRequestingLease)
 }
 
-// count looks whether enough was heard in the phases that gather answers. An agent that says nothing is given
+// checkReplies looks whether enough was heard in the phases that gather answers. An agent that says nothing is given
 // up when its call fails.
-func (d *Coordinator) count(now float64) {
+func (d *Coordinator) checkReplies(now float64) {
 	heard, reached := 0, 0
 	for i := range d.agents {
-		if d.agents[i].heard {
+		if d.agents[i].replied {
 			heard++
-			if d.agents[i].fault == "" {
+			if d.agents[i].failure == "" {
 				reached++
 			}
 		}
 	}
-	if d.phase == asking {
+	if d.phase == phasePolling {
 		if heard < len(d.agents) {
 			return
 		}
@@ -38,36 +38,36 @@
 			d.finish(Outcome{Kind: OutcomeNoMajority})
 			return
 		}
-		top, holder, blocked := d.standings()
+		top, holder, blocked := d.otherHolder()
 		first := d.planner == nil
 		if blocked && !(first && d.task.Takeover) {
 			kind := OutcomeLeaseHeld
 			if !first {
 				kind = OutcomeFenced
 			}
-			d.finish(Outcome{Kind: kind, Holder: holder, Rollout: d.newest()})
+			d.finish(Outcome{Kind: kind, Holder: holder, Rollout: d.newestKnownRollout()})
 			return
 		}
-		d.bid(now, top+1, first && d.task.Takeover)
+		d.requestLease(now, top+1, first && d.task.Takeover)
 		return
 	}
 	switch d.campaign.Result() {
 	case claim.Won:
 		if heard == len(d.agents) {
-			d.won(now)
+			d.campaignWon(now)
 		}
 	case claim.Lost:
 		if heard == len(d.agents) {
-			d.lost(now)
+			d.campaignLost(now)
 		}
 	}
 }
 
-// standings tells the highest epoch, and who else holds a claim: of a majority, which makes it whole.
-func (d *Coordinator) standings() (top uint64, holder claim.State, blocked bool) {
+// otherHolder tells the highest epoch, and who else holds a claim: of a majority, which makes it whole.
+func (d *Coordinator) otherHolder() (top uint64, holder claim.State, blocked bool) {
 	held := map[string]int{}
 	for i := range d.agents {
-		s := d.agents[i].standing
+		s := d.agents[i].leaseState
 		top = max(top, s.Epoch)
 		if s.Held && s.Holder != d.holder {
 			if held[s.Holder]++; s.RemainingSeconds > holder.RemainingSeconds || holder.Holder == "" {
@@ -79,8 +79,8 @@
 	return top, holder, blocked
 }
 
-// newest is the newest record that any agent told of, for people: no majority stands behind it.
-func (d *Coordinator) newest() form.Rollout {
+// newestKnownRollout is the newest record that any agent told of, for people: no majority stands behind it.
+func (d *Coordinator) newestKnownRollout() form.Rollout {
 	var best claim.Record
 	for i := range d.agents {
 		if best.Version.Before(d.agents[i].record.Version) {
@@ -94,17 +94,17 @@
 	return r
 }
 
-func (d *Coordinator) lost(now float64) {
-	_, holder, blocked := d.standings()
+func (d *Coordinator) campaignLost(now float64) {
+	_, holder, blocked := d.otherHolder()
 	switch {
 	case blocked && d.planner != nil:
 		d.release(now, Outcome{Kind: OutcomeFenced, Holder: holder, Rollout: d.rollout})
 	case blocked:
-		d.release(now, Outcome{Kind: OutcomeLeaseHeld, Holder: holder, Rollout: d.newest()})
-	case d.tries >= bids:
+		d.release(now, Outcome{Kind: OutcomeLeaseHeld, Holder: holder, Rollout: d.newestKnownRollout()})
+	case d.lostCampaigns >= maxLostCampaigns:
 		d.release(now, Outcome{Kind: OutcomeNoMajority, Holder: holder, Rollout: d.rollout})
 	default: // lost to nobody: two bid at once, or too few can be heard
-		d.tries++
+		d.lostCampaigns++
 		d.release(now, Outcome{Kind: OutcomeNoMajority})
 	}
 }
@@ -112,25 +112,25 @@
 // release gives back what was granted, and then the driver ends, or bids again after a while.
 func (d *Coordinator) release(now float64, o Outcome) {
 	d.outcome = o
-	d.enter(now, releasing)
+	d.enter(now, phaseReleasing)
 	for i := range d.agents {
 		d.agents[i].released = !d.agents[i].granted
 	}
-	d.released(now)
+	d.checkReleased(now)
 }
 
-func (d *Coordinator) released(now float64) {
+func (d *Coordinator) checkReleased(now float64) {
 	for i := range d.agents {
 		if !d.agents[i].released {
 			return
 		}
 	}
-	if d.outcome.Kind == OutcomeNoMajority && d.tries > 0 && d.tries < bids && d.planner == nil {
-		d.phase, d.since = resting, now+d.times.PollSeconds*(0.2+d.chance()*float64(int(1)<<d.tries))
+	if d.outcome.Kind == OutcomeNoMajority && d.lostCampaigns > 0 && d.lostCampaigns < maxLostCampaigns && d.planner == nil {
+		d.phase, d.phaseTime = phaseBackoff, now+d.timing.PollSeconds*(0.2+d.random()*float64(int(1)<<d.lostCampaigns))
 		return
 	}
-	if d.outcome.Kind == OutcomeNoMajority && d.planner != nil && now-d.majorAt < d.times.MajorityTimeoutSeconds {
-		d.phase, d.since = resting, now+d.times.PollSeconds*(0.2+d.chance())
+	if d.outcome.Kind == OutcomeNoMajority && d.planner != nil && now-d.lastMajority < d.timing.MajorityTimeoutSeconds {
+		d.phase, d.phaseTime = phaseBackoff, now+d.timing.PollSeconds*(0.2+d.random())
 		return
 	}
 	d.finish(d.outcome)
@@ -138,18 +138,18 @@
 
 func (d *Coordinator) finish(o Outcome) {
 	for i := range d.agents {
-		if d.agents[i].fault != "" {
-			o.Faults = append(o.Faults, d.agents[i].fault)
+		if d.agents[i].failure != "" {
+			o.Faults = append(o.Faults, d.agents[i].failure)
 		}
 	}
 	slices.Sort(o.Faults)
 	o.Faults = slices.Compact(o.Faults)
-	d.outcome, d.phase = o, over
+	d.outcome, d.phase = o, phaseOver
 }
 
-// won starts a run under an epoch: with what the newest record says, changed as the task wants it.
-func (d *Coordinator) won(now float64) {
-	d.tries, d.majorAt = 0, now
+// campaignWon starts a run under an epoch: with what the newest record says, changed as the task wants it.
+func (d *Coordinator) campaignWon(now float64) {
+	d.lostCampaigns, d.lastMajority = 0, now
 	d.events = append(d.events, Event{At: now, AcquiredEpoch: d.campaign.Request.Epoch, RecordVersion: d.campaign.NewestRecord().Version})
 	var r form.Rollout
 	if rec := d.campaign.NewestRecord(); rec.Body != nil {
@@ -165,20 +165,20 @@
 	}
 	if !again {
 		var stop *Outcome
-		if r, stop = d.begun(r); stop != nil {
+		if r, stop = d.startRun(r); stop != nil {
 			d.release(now, *stop)
 			return
 		}
 	}
 	d.planner = plan.NewPlanner(d.fleet, r.Rollout)
 	d.rollout = r
-	d.number = 0
-	d.enter(now, running)
-	d.keep(now, r, plan.ActionWait, plan.Reason{})
+	d.recordNumber = 0
+	d.enter(now, phaseRunning)
+	d.storeRollout(now, r, plan.ActionWait, plan.Reason{})
 }
 
-// begun is the rollout as the task wants it, or why there is none.
-func (d *Coordinator) begun(r form.Rollout) (form.Rollout, *Outcome) {
+// startRun is the rollout as the task wants it, or why there is none.
+func (d *Coordinator) startRun(r form.Rollout) (form.Rollout, *Outcome) {
 	existed := r.ID != ""
 	if d.task.Operation == OperationBegin {
 		if existed && !r.State.Terminal() {
--- a/internal/fleet/roll/task.go
+++ b/internal/fleet/roll/task.go
@@ -36,9 +36,9 @@
 
 // OutgoingCall is a call to be made. ID names it in Heard and Failed.
 type OutgoingCall struct {
-	ID    uint64
-	Agent int
-	Call  form.Request
+	ID      uint64
+	Agent   int
+	Request form.Request
 }
 
 // OutcomeKind of an outcome.
--- a/internal/fleet/tool/tool.go
+++ b/internal/fleet/tool/tool.go
@@ -565,7 +565,7 @@
 			go func() {
 				defer out.Done()
 				slots <- struct{}{}
-				r, err := t.call(calls, s.Agent, s.Call)
+				r, err := t.call(calls, s.Agent, s.Request)
 				<-slots
 				answers <- heard{s.ID, r, err}
 			}()
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -132,8 +132,8 @@
 			sends, _ := x.driver.Tick(r.now)
 			x.driver.TakeEvents()
 			for _, s := range sends {
-				c := rollCall{Tool: t, ID: s.ID, At: s.Agent, Call: s.Call}
-				if s.Call.Verb != form.StatusVerb {
+				c := rollCall{Tool: t, ID: s.ID, At: s.Agent, Call: s.Request}
+				if s.Request.Verb != form.StatusVerb {
 					x.out = append(x.out, c)
 					continue
 				}
@@ -434,8 +434,8 @@
 		"claim.State":      {"HeldSeconds", "RemainingSeconds"},
 		"plan.Planner":     {"Fleet"},
 		"plan.Observation": {"ReadySeconds"},
-		"roll.Coordinator": {"calls", "chance", "events", "fleet", "last", "times", "told"},
-		"roll.agent":       {"looking", "saying", "standing"},
+		"roll.Coordinator": {"events", "fleet", "lastCallID", "pendingCalls", "random", "statuses", "timing"},
+		"roll.agent":       {"leaseState", "pendingCommand", "pendingQuery"},
 		"systems.rollCall": {"ID"},
 		"tend.Supervisor":  {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
 	},
@@ -443,8 +443,8 @@
 		"claim.Lease":      {"expiresAt", "heldSince", "now"},
 		"plan.Planner":     {"waitingSince"},
 		"plan.Observation": {"SeenAt"},
-		"roll.Coordinator": {"actAt", "majorAt", "since"},
-		"roll.agent":       {"again", "next"},
+		"roll.Coordinator": {"lastMajority", "nextStepSend", "phaseTime"},
+		"roll.agent":       {"nextCommand", "nextQuery"},
 		"tend.Supervisor":  {"deadline"},
 	},
 }
