--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -132,8 +132,8 @@
 			sends, _ := x.driver.Tick(r.now)
 			x.driver.TakeEvents()
 			for _, s := range sends {
-				c := rollCall{Tool: t, ID: s.ID, At: s.Agent, Call: s.Call}
-				if s.Call.Verb != form.StatusVerb {
+				c := rollCall{Tool: t, ID: s.ID, At: s.Agent, Call: s.Request}
+				if s.Request.Verb != form.StatusVerb {
 					x.out = append(x.out, c)
 					continue
 				}
@@ -245,9 +245,9 @@
 	case tend.ActionFindProcess:
 		out = x.ProcessFound(r.now, a.runs && a.mark == e.Incarnation && (r.fault != "twin" || a.lives == 1))
 	case tend.ActionPrepareRevision:
-		out = x.RevisionPrepared(r.now, false, 100, "")
+		out = x.RevisionPrepared(r.now, tend.Preparation{DrainSeconds: 100}, nil)
 	case tend.ActionInstallRevision:
-		out = x.RevisionInstalled(r.now, "")
+		out = x.RevisionInstalled(r.now, nil)
 	case tend.ActionStart:
 		running := 0
 		if a.runs {
@@ -256,7 +256,7 @@
 		r.check.Started(i, running)
 		a.runs, a.serves, a.mark = true, false, e.Incarnation
 		if r.fault != "untold-start" {
-			out = x.ProcessStarted(r.now, e.Incarnation, "")
+			out = x.ProcessStarted(r.now, e.Incarnation, nil)
 		}
 	case tend.ActionHealthCheck:
 		a.serves = a.runs
@@ -434,18 +434,18 @@
 		"claim.State":      {"HeldSeconds", "RemainingSeconds"},
 		"plan.Planner":     {"Fleet"},
 		"plan.Observation": {"ReadySeconds"},
-		"roll.Coordinator": {"calls", "chance", "events", "fleet", "last", "times", "told"},
-		"roll.agent":       {"looking", "saying", "standing"},
+		"roll.Coordinator": {"events", "fleet", "lastCallID", "pendingCalls", "random", "statuses", "timing"},
+		"roll.agent":       {"leaseState", "pendingCommand", "pendingQuery"},
 		"systems.rollCall": {"ID"},
-		"tend.Supervisor":  {"countAt", "limits", "past", "probeAt", "readyAt"},
+		"tend.Supervisor":  {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
 	},
 	Times: explore.Fields{
 		"claim.Lease":      {"expiresAt", "heldSince", "now"},
 		"plan.Planner":     {"waitingSince"},
 		"plan.Observation": {"SeenAt"},
-		"roll.Coordinator": {"actAt", "majorAt", "since"},
-		"roll.agent":       {"again", "next"},
-		"tend.Supervisor":  {"at"},
+		"roll.Coordinator": {"lastMajority", "nextStepSend", "phaseTime"},
+		"roll.agent":       {"nextCommand", "nextQuery"},
+		"tend.Supervisor":  {"deadline"},
 	},
 }
 
