--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,270 +26,280 @@
 
 // Command is a command as a front took it. The front fills the first part.
 type Command struct {
-	Name     string // the client's, unlike that of any other command in hand
-	Group    int
-	Set      int // by Core.Set
-	Session  uint64
-	Repeat   bool
-	WriteAge float64 // seconds since the session's last write, below 0 if ahead of this clock; 0: not told
-	GiveUp   float64 // the client stops waiting
-	Text     buffer.Chain
-	From, To int // where the digits of the time to wait stand in the text
-	Front    Front
-	Owner    any // the front's own
-
-	id       uint32
-	dispatch *member.Dispatch // the one that is out
-	done     bool
+	ID                       string // the client's, unlike that of any other command in hand
+	Group                    int
+	Shard                    int // by Core.Set
+	Session                  uint64
+	ClientRetry              bool
+	LastWriteAge             float64 // seconds since the session's last write, below 0 if ahead of this clock; 0: not told
+	ClientDeadline           float64 // the client stops waiting
+	Statement                buffer.Chain
+	TimeoutStart, TimeoutEnd int // where the digits of the time to wait stand in the text
+	Responder                Responder
+	Owner                    any // the front's own
+
+	trackingID uint32
+	attempt    *member.Dispatch // the one that is out
+	done       bool
 }
 
-// Front gives a command its one final answer. It may call Take and Left meanwhile.
-type Front interface {
-	Answered(c *Command, row *buffer.Chain) // the row is the front's to free
-	Throttled(c *Command, comeBack float64) // seconds; 0: no advice
-	Failed(c *Command)
+// Responder gives a command its one final answer. It may call Take and Left meanwhile.
+type Responder interface {
+	Answer(c *Command, row *buffer.Chain) // the row is the front's to free
+	Reject(c *Command, comeBack float64)  // seconds; 0: no advice
+	Fail(c *Command)
 }
 
-// outcome is the end of a dispatch.
-type outcome struct {
-	d      *member.Dispatch
-	ending router.Result
-	took   float64
-	answer pg.Answer
+// endedAttempt is the end of a dispatch.
+type endedAttempt struct {
+	attempt *member.Dispatch
+	result  router.Result
+	elapsed float64
+	answer  pg.Answer
 }
 
-type probed struct {
-	node   int
-	ending router.Result
-	took   float64
-	report string
+type healthCheckResult struct {
+	endpoint int
+	result   router.Result
+	elapsed  float64
+	report   string
 }
 
-type listed struct {
+type listUpdate struct {
 	list           roster.List
 	cached, failed bool
 }
 
-// Core is one router.
-type Core struct {
-	loop    *loop.Loop
-	told    *site.Settings
-	router  *router.Router
-	hand    *hand.Tracker
-	seed    uint64
-	members *member.Members
-	watch   *discovery.Watch
-	count   *count.Counters
-	log     zerolog.Logger
-
-	zeroMs float64 // Unix milliseconds from which positions count
-	ahead  float64
-	nodes  *index.Table[string] // emptied when the module lets a member go
-	sets   *index.Table[int]    // as many as the deployment has
-	zones  *index.Table[string] // and these
-
-	cmds map[uint32]*Command // emptied, as ids is, by final answers
-	ids  map[string]bool     // the clients' names of the commands in hand
-	last uint32
+// Dispatcher is one router.
+type Dispatcher struct {
+	loop     *loop.Loop
+	settings *site.Settings
+	router   *router.Router
+	tracker  *hand.Tracker
+	seed     uint64
+	backends *member.Members
+	watch    *discovery.Watch
+	counters *count.Counters
+	log      zerolog.Logger
+
+	positionEpochUnixMs float64 // Unix milliseconds from which positions count
+	maxClockSkewSeconds float64
+	endpoints           *index.Table[string] // emptied when the module lets a member go
+	shards              *index.Table[int]    // as many as the deployment has
+	zones               *index.Table[string] // and these
+
+	commands       map[uint32]*Command // emptied, as ids is, by final answers
+	clientIDs      map[string]bool     // the clients' names of the commands in hand
+	lastTrackingID uint32
 
 	// What was gathered in this turn, and what came back.
-	lists   []listed
-	probes  []probed
-	ends    []outcome
-	left    [][]*Command // by client
-	taken   []*Command
-	recalls []*member.Dispatch
-	sends   []*member.Dispatch
+	listUpdates   []listUpdate
+	healthChecks  []healthCheckResult
+	endedAttempts []endedAttempt
+	goneClients   [][]*Command // by client
+	received      []*Command
+	cancels       []*member.Dispatch
+	sends         []*member.Dispatch
 }
 
 // New returns a router that knows the list it had last.
-func New(s *site.Config, l *loop.Loop, blocks *buffer.Pool, c *count.Counters, log zerolog.Logger) *Core {
-	o := &Core{loop: l, told: &s.Settings, count: c, log: log, ahead: s.Limits.Durations.MaxClockSkew, nodes: index.New[string](),
-		sets: index.New[int](), zones: index.New[string](), cmds: map[uint32]*Command{}, ids: map[string]bool{}}
+func New(s *site.Config, l *loop.Loop, blocks *buffer.Pool, c *count.Counters, log zerolog.Logger) *Dispatcher {
+	o := &Dispatcher{
+		loop: l, settings: &s.Settings, counters: c, log: log, maxClockSkewSeconds: s.Limits.Durations.MaxClockSkew, endpoints: index.New[string](),
+		shards: index.New[int](), zones: index.New[string](), commands: map[uint32]*Command{}, clientIDs: map[string]bool{},
+	}
 	for _, z := range s.Settings.Zones {
 		o.zones.Intern(z)
 	}
 	// Positions count from a while before the start. The module takes a negative one as not told, and rounds
 	// reports by a share of theirs: this is far enough back for any replica worth reading, and near enough that
 	// the rounding stays under a millisecond.
-	o.zeroMs = float64(l.StartedAt().UnixMilli()) - s.Limits.Durations.PositionEpoch*1000
+	o.positionEpochUnixMs = float64(l.StartedAt().UnixMilli()) - s.Limits.Durations.PositionEpoch*1000
 	o.seed = s.Seed
-	o.router = o.fresh()
-	o.hand = hand.New(o.router, o)
-	o.members = member.New(l, &s.Limits, blocks, o, c)
+	o.router = o.newRouter()
+	o.tracker = hand.New(o.router, o)
+	o.backends = member.New(l, &s.Limits, blocks, o, c)
 	o.watch = discovery.New(l, &s.Limits, s.Discovery, s.Settings.PollList, blocks, o, log)
-	o.lists = append(o.lists, listed{list: s.KnownList, cached: true})
+	o.listUpdates = append(o.listUpdates, listUpdate{list: s.KnownList, cached: true})
 	if !s.Settings.PollList {
 		o.watch.Poll()
 	}
 	return o
 }
 
-// fresh is a router under the settings, which knows nothing yet.
-func (o *Core) fresh() *router.Router {
-	told := o.told.Config
-	told.PositionEpoch = o.clock(o.zeroMs)
-	if told.Zone >= 0 && told.Zone < len(o.told.Zones) {
-		told.Zone = o.zones.Intern(o.told.Zones[told.Zone]) // zones keep their index when the settings' order changes
+// newRouter is a router under the settings, which knows nothing yet.
+func (o *Dispatcher) newRouter() *router.Router {
+	told := o.settings.Config
+	told.PositionEpoch = o.loopTime(o.positionEpochUnixMs)
+	if told.Zone >= 0 && told.Zone < len(o.settings.Zones) {
+		told.Zone = o.zones.Intern(o.settings.Zones[told.Zone]) // zones keep their index when the settings' order changes
 	}
 	return router.New(told, o.seed)
 }
 
-// Move has the settings as they are now decide about every command from here on. What has been taken must have
+// ApplySettings has the settings as they are now decide about every command from here on. What has been taken must have
 // been settled under the earlier ones; it ends under them.
-func (o *Core) Move() {
-	o.router = o.fresh()
-	o.hand.SwitchRouter(o.loop.Now(), o.router)
+func (o *Dispatcher) ApplySettings() {
+	o.router = o.newRouter()
+	o.tracker.SwitchRouter(o.loop.Now(), o.router)
 }
 
-// clock turns a Unix time in milliseconds into the module's.
-func (o *Core) clock(unixMs float64) float64 {
+// loopTime turns a Unix time in milliseconds into the module's.
+func (o *Dispatcher) loopTime(unixMs float64) float64 {
 	return (unixMs*1e6 - float64(o.loop.StartedAt().UnixNano())) / 1e9
 }
 
-// Age is how long ago a Unix time in seconds was.
-func (o *Core) Age(unix float64) float64 { return o.loop.Now() - o.clock(unix*1000) }
+// SecondsSince is how long ago a Unix time in seconds was.
+func (o *Dispatcher) SecondsSince(unix float64) float64 { return o.loop.Now() - o.loopTime(unix*1000) }
 
-// Set is the index of the set that a client's cluster names, and false if no list has named it.
-func (o *Core) Set(cluster int) (int, bool) {
-	return o.sets.Lookup(cluster)
+// LookupShard is the index of the set that a client's cluster names, and false if no list has named it.
+func (o *Dispatcher) LookupShard(cluster int) (int, bool) {
+	return o.shards.Lookup(cluster)
 }
 
-// Open says whether a command of this name is in hand. Another must not be taken then: members would see a
+// IsInFlight says whether a command of this name is in hand. Another must not be taken then: members would see a
 // second copy of the first.
-func (o *Core) Open(name string) bool { return o.ids[name] }
-
-// Take takes a command; it gets one final answer.
-func (o *Core) Take(c *Command) {
-	o.last++
-	c.id = o.last
-	o.cmds[c.id] = c
-	o.ids[c.Name] = true
-	o.taken = append(o.taken, c)
-	o.count.Received++
-	o.count.ReceivedByGroup[c.Group]++
+func (o *Dispatcher) IsInFlight(name string) bool { return o.clientIDs[name] }
+
+// Submit takes a command; it gets one final answer.
+func (o *Dispatcher) Submit(c *Command) {
+	o.lastTrackingID++
+	c.trackingID = o.lastTrackingID
+	o.commands[c.trackingID] = c
+	o.clientIDs[c.ID] = true
+	o.received = append(o.received, c)
+	o.counters.Received++
+	o.counters.ReceivedByGroup[c.Group]++
 }
 
-// Left takes in that the client of these commands has gone.
-func (o *Core) Left(cs []*Command) { o.left = append(o.left, cs) }
+// ClientGone takes in that the client of these commands has gone.
+func (o *Dispatcher) ClientGone(cs []*Command) { o.goneClients = append(o.goneClients, cs) }
 
-// InHand is the number of commands without a final answer.
-func (o *Core) InHand() int { return len(o.cmds) }
+// InFlight is the number of commands without a final answer.
+func (o *Dispatcher) InFlight() int { return len(o.commands) }
 
-// Members is the number of connections to members.
-func (o *Core) Members() int { return o.members.Open() }
+// BackendConnections is the number of connections to members.
+func (o *Dispatcher) BackendConnections() int { return o.backends.Open() }
 
-// Known is the number of members that have a row, and of rows.
-func (o *Core) Known() (members, rows int) { return o.nodes.Len(), o.members.Hosts() }
+// EndpointRows is the number of members that have a row, and of rows.
+func (o *Dispatcher) EndpointRows() (members, rows int) { return o.endpoints.Len(), o.backends.Hosts() }
 
-// MakeRoom closes an idle connection to a member, if members hold more than their own descriptors.
-func (o *Core) MakeRoom() bool { return o.members.MakeRoom() }
+// CloseIdleBackend closes an idle connection to a member, if members hold more than their own descriptors.
+func (o *Dispatcher) CloseIdleBackend() bool { return o.backends.MakeRoom() }
 
-// Follow has the list watched at another address.
-func (o *Core) Follow(at netip.AddrPort) { o.watch.SetAddress(at) }
+// SetDiscoveryAddress has the list watched at another address.
+func (o *Dispatcher) SetDiscoveryAddress(at netip.AddrPort) { o.watch.SetAddress(at) }
 
 // Close ends the watch and all idle connections to members.
-func (o *Core) Close() {
+func (o *Dispatcher) Close() {
 	o.watch.Close()
-	o.members.Close()
+	o.backends.Close()
 }
 
-// Listed implements discovery.ListHandler.
-func (o *Core) HandleList(list roster.List) { o.lists = append(o.lists, listed{list: list}) }
+// HandleList implements discovery.ListHandler.
+func (o *Dispatcher) HandleList(list roster.List) {
+	o.listUpdates = append(o.listUpdates, listUpdate{list: list})
+}
 
-// ListFailed implements discovery.ListHandler.
-func (o *Core) HandleCallFailure() { o.lists = append(o.lists, listed{failed: true}) }
+// HandleCallFailure implements discovery.ListHandler.
+func (o *Dispatcher) HandleCallFailure() {
+	o.listUpdates = append(o.listUpdates, listUpdate{failed: true})
+}
 
 // Ended implements member.Sink.
-func (o *Core) Ended(d *member.Dispatch, e router.Result, took float64, a *pg.Answer) {
-	out := outcome{d: d, ending: e, took: took}
+func (o *Dispatcher) Ended(d *member.Dispatch, e router.Result, took float64, a *pg.Answer) {
+	out := endedAttempt{attempt: d, result: e, elapsed: took}
 	if a != nil {
 		out.answer = *a
 	}
-	o.ends = append(o.ends, out)
+	o.endedAttempts = append(o.endedAttempts, out)
 }
 
 // Probed implements member.Sink.
-func (o *Core) Probed(node int, ending router.Result, took float64, report string) {
-	o.probes = append(o.probes, probed{node: node, ending: ending, took: took, report: report})
+func (o *Dispatcher) Probed(node int, ending router.Result, took float64, report string) {
+	o.healthChecks = append(o.healthChecks, healthCheckResult{endpoint: node, result: ending, elapsed: took, report: report})
 }
 
-// Settle hands over what was gathered until nothing more comes of it, and returns when to settle next.
-func (o *Core) Settle(now float64) float64 {
+// RunTurn hands over what was gathered until nothing more comes of it, and returns when to settle next.
+func (o *Dispatcher) RunTurn(now float64) float64 {
 	for {
-		o.hear(now)
-		next, keep := o.hand.ReviewDue(now)
-		o.carry()
+		o.deliver(now)
+		next, keep := o.tracker.ReviewDue(now)
+		o.carryOut()
 		for _, node := range keep.HealthCheck {
-			o.members.Probe(node)
+			o.backends.Probe(node)
 		}
 		for _, node := range keep.Release {
-			o.members.Forget(node)
-			o.nodes.Release(node)
+			o.backends.Forget(node)
+			o.endpoints.Release(node)
 		}
 		if keep.Subscribe {
 			o.watch.Poll()
 		}
-		if len(o.lists)+len(o.probes)+len(o.ends)+len(o.left)+len(o.taken) == 0 {
+		if len(o.listUpdates)+len(o.healthChecks)+len(o.endedAttempts)+len(o.goneClients)+len(o.received) == 0 {
 			return next
 		}
 	}
 }
 
-// hear tells the module what was gathered: what it should know first comes first. Giving answers lets
+// deliver tells the module what was gathered: what it should know first comes first. Giving answers lets
 // fronts take more in, which is heard next.
-func (o *Core) hear(now float64) {
-	lists, probes, ends, left, taken := o.lists, o.probes, o.ends, o.left, o.taken
-	o.lists, o.probes, o.ends, o.left, o.taken = nil, nil, nil, nil, nil
+func (o *Dispatcher) deliver(now float64) {
+	lists, probes, ends, left, taken := o.listUpdates, o.healthChecks, o.endedAttempts, o.goneClients, o.received
+	o.listUpdates, o.healthChecks, o.endedAttempts, o.goneClients, o.received = nil, nil, nil, nil, nil
 	for _, l := range lists {
-		o.list(now, l)
+		o.deliverList(now, l)
 	}
 	for _, p := range probes {
 		position, primary := o.report(p.report)
-		o.router.HealthChecked(now, p.node, p.ending, p.took, position, primary)
+		o.router.HealthChecked(now, p.endpoint, p.result, p.elapsed, position, primary)
 	}
 	for i := range ends {
-		o.end(now, &ends[i])
+		o.deliverAttempt(now, &ends[i])
 	}
 	for _, cs := range left {
 		unsent := false
 		for _, c := range cs {
-			unsent = o.leave(now, c) || unsent
+			unsent = o.abandon(now, c) || unsent
 		}
 		if unsent {
-			o.count.ClientsLeftUnsent++
+			o.counters.ClientsLeftUnsent++
 		}
 	}
 	arrived := o.loop.Clock() // a turn may be held up between its poll and its reading: never earlier than they came
 	for _, c := range taken {
 		if !c.done {
-			o.hand.Add(now, c.id, router.Command{Group: c.Group, Shard: c.Set, Session: c.Session,
-				ArrivedAt: arrived, ClientDeadline: c.GiveUp, LastWriteAge: c.WriteAge, ClientRetry: c.Repeat})
+			o.tracker.Add(now, c.trackingID, router.Command{
+				Group: c.Group, Shard: c.Shard, Session: c.Session,
+				ArrivedAt: arrived, ClientDeadline: c.ClientDeadline, LastWriteAge: c.LastWriteAge, ClientRetry: c.ClientRetry,
+			})
 		}
 	}
 }
 
-func (o *Core) list(now float64, l listed) {
+func (o *Dispatcher) deliverList(now float64, l listUpdate) {
 	if l.failed {
-		o.count.ListCallsFailed++
+		o.counters.ListCallsFailed++
 		o.router.EndpointListFailed(now)
 		return
 	}
 	if !l.cached {
-		o.count.ListsReceived++
+		o.counters.ListsReceived++
 	}
 	facts := make([]router.EndpointInfo, 0, len(l.list.Endpoints))
 	for _, m := range l.list.Endpoints {
-		node := o.nodes.Intern(m.ID)
-		o.members.Place(node, m.Address, m.State == roster.StateGone)
+		node := o.endpoints.Intern(m.ID)
+		o.backends.Place(node, m.Address, m.State == roster.StateGone)
 		started := math.Inf(-1)
 		if m.StartedUnixMs > 0 {
-			started = o.clock(float64(m.StartedUnixMs))
+			started = o.loopTime(float64(m.StartedUnixMs))
 		}
-		facts = append(facts, router.EndpointInfo{Index: node, Shard: o.sets.Intern(m.Shard), Zone: o.zones.Intern(m.Zone),
-			State: router.EndpointState(m.State), StartedAt: started, Primary: m.Primary})
+		facts = append(facts, router.EndpointInfo{
+			Index: node, Shard: o.shards.Intern(m.Shard), Zone: o.zones.Intern(m.Zone),
+			State: router.EndpointState(m.State), StartedAt: started, Primary: m.Primary,
+		})
 	}
-	o.hand.UpdateEndpoints(now, facts, l.list.Complete || l.cached, l.cached)
+	o.tracker.UpdateEndpoints(now, facts, l.list.Complete || l.cached, l.cached)
 	if len(facts) == 0 { // a watch that brought nothing
 		return
 	}
@@ -299,17 +309,17 @@
 
 // position turns a member's Unix time in seconds into the module's position, or -1 if it tells none: one that
 // is no number, or lies in the future, would have a member cover reads that it does not.
-func (o *Core) position(unix float64) float64 {
-	if at := unix - o.zeroMs/1000; at >= 0 && o.clock(unix*1000) <= o.loop.Now()+o.ahead {
+func (o *Dispatcher) position(unix float64) float64 {
+	if at := unix - o.positionEpochUnixMs/1000; at >= 0 && o.loopTime(unix*1000) <= o.loop.Now()+o.maxClockSkewSeconds {
 		return at
 	}
-	o.count.PositionsRejected++
+	o.counters.PositionsRejected++
 	return -1
 }
 
 // report reads a report's position, in seconds from the epoch, and role. Negative: not told. One that cannot
 // be read in every part is no report.
-func (o *Core) report(text string) (position float64, primary bool) {
+func (o *Dispatcher) report(text string) (position float64, primary bool) {
 	position = -1
 	if text == "" {
 		return position, false
@@ -318,7 +328,7 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || name == "x1" && v != 0 && v != 1 {
-			o.count.PositionsRejected++
+			o.counters.PositionsRejected++
 			return -1, false
 		}
 		switch name {
@@ -331,99 +341,101 @@
 	return position, primary
 }
 
-var roles = map[string]router.Role{"off": router.RolePrimary, "on": router.RoleReplica}
+var rolesByRecovery = map[string]router.Role{"off": router.RolePrimary, "on": router.RoleReplica}
 
-// end tells the module of an outcome, and the client if it is answered.
-func (o *Core) end(now float64, e *outcome) {
-	o.count.AttemptResults[e.ending]++
-	c := o.cmds[e.d.ID]
-	if c != nil && c.dispatch == e.d {
-		c.dispatch = nil
+// deliverAttempt tells the module of an outcome, and the client if it is answered.
+func (o *Dispatcher) deliverAttempt(now float64, e *endedAttempt) {
+	o.counters.AttemptResults[e.result]++
+	c := o.commands[e.attempt.ID]
+	if c != nil && c.attempt == e.attempt {
+		c.attempt = nil
+	}
+	said := router.AttemptResult{
+		Attempt: e.attempt.Leg, Result: e.result, Elapsed: e.elapsed, Final: e.result == router.Answered,
+		Position: -1, Role: rolesByRecovery[e.answer.Role],
 	}
-	said := router.AttemptResult{Attempt: e.d.Leg, Result: e.ending, Elapsed: e.took, Final: e.ending == router.Answered,
-		Position: -1, Role: roles[e.answer.Role]}
 	if e.answer.Position > 0 {
 		said.Position = o.position(float64(e.answer.Position) / 1000)
 	}
-	o.hand.AttemptEnded(now, e.d.ID, said)
-	if position, primary := o.report(e.answer.Health); position >= 0 && o.told.ReportsOnAnswers {
-		o.router.HealthChecked(now, e.d.Node, e.ending, e.took, position, primary)
+	o.tracker.AttemptEnded(now, e.attempt.ID, said)
+	if position, primary := o.report(e.answer.Health); position >= 0 && o.settings.ReportsOnAnswers {
+		o.router.HealthChecked(now, e.attempt.Node, e.result, e.elapsed, position, primary)
 	}
-	if e.ending == router.Answered && c != nil && !c.done {
-		o.count.Answered++
-		c.Front.Answered(c, &e.answer.Row)
+	if e.result == router.Answered && c != nil && !c.done {
+		o.counters.Answered++
+		c.Responder.Answer(c, &e.answer.Row)
 		o.finish(c)
 		return
 	}
 	e.answer.Row.Free()
 }
 
-// leave takes in that a client has gone. What was not yet sent for it never is; it says whether there was such.
-func (o *Core) leave(now float64, c *Command) (unsent bool) {
+// abandon takes in that a client has gone. What was not yet sent for it never is; it says whether there was such.
+func (o *Dispatcher) abandon(now float64, c *Command) (unsent bool) {
 	if c.done {
 		return false
 	}
-	o.count.Abandoned++
-	o.hand.ClientGone(now, c.id)
-	if unsent = c.dispatch == nil || c.dispatch.Unsent(); unsent && c.dispatch != nil {
-		o.recalls = append(o.recalls, c.dispatch)
+	o.counters.Abandoned++
+	o.tracker.ClientGone(now, c.trackingID)
+	if unsent = c.attempt == nil || c.attempt.Unsent(); unsent && c.attempt != nil {
+		o.cancels = append(o.cancels, c.attempt)
 	}
 	o.finish(c)
 	return unsent
 }
 
 // finish forgets a command that has had its final answer.
-func (o *Core) finish(c *Command) {
+func (o *Dispatcher) finish(c *Command) {
 	c.done = true
-	c.Text.Free()
-	delete(o.cmds, c.id)
-	delete(o.ids, c.Name)
+	c.Statement.Free()
+	delete(o.commands, c.trackingID)
+	delete(o.clientIDs, c.ID)
 }
 
-// carry carries out what came back. What is given up is closed before anything new goes out.
-func (o *Core) carry() {
-	for _, d := range o.recalls {
-		o.members.Recall(d)
+// carryOut carries out what came back. What is given up is closed before anything new goes out.
+func (o *Dispatcher) carryOut() {
+	for _, d := range o.cancels {
+		o.backends.Recall(d)
 	}
 	for _, d := range o.sends {
-		if o.cmds[d.ID] == nil { // its client left in this same turn
+		if o.commands[d.ID] == nil { // its client left in this same turn
 			o.Ended(d, router.NeverSent, 0, nil)
 			continue
 		}
-		o.members.Send(d)
+		o.backends.Send(d)
 	}
-	clear(o.recalls)
+	clear(o.cancels)
 	clear(o.sends)
-	o.recalls, o.sends = o.recalls[:0], o.sends[:0]
+	o.cancels, o.sends = o.cancels[:0], o.sends[:0]
 }
 
 // Forward implements hand.Executor.
-func (o *Core) Forward(id uint32, leg, node int, until float64) {
-	c := o.cmds[id]
-	d := &member.Dispatch{ID: id, Leg: leg, Node: node, Text: &c.Text, From: c.From, To: c.To, Until: until}
-	c.dispatch = d
+func (o *Dispatcher) Forward(id uint32, leg, node int, until float64) {
+	c := o.commands[id]
+	d := &member.Dispatch{ID: id, Leg: leg, Node: node, Text: &c.Statement, From: c.TimeoutStart, To: c.TimeoutEnd, Until: until}
+	c.attempt = d
 	o.sends = append(o.sends, d)
 }
 
 // Cancel implements hand.Executor.
-func (o *Core) Cancel(id uint32, leg int) {
-	if c := o.cmds[id]; c != nil && c.dispatch != nil && c.dispatch.Leg == leg {
-		o.recalls = append(o.recalls, c.dispatch)
+func (o *Dispatcher) Cancel(id uint32, leg int) {
+	if c := o.commands[id]; c != nil && c.attempt != nil && c.attempt.Leg == leg {
+		o.cancels = append(o.cancels, c.attempt)
 	}
 }
 
 // Reject implements hand.Executor.
-func (o *Core) Reject(id uint32, comeBack float64) {
-	c := o.cmds[id]
-	o.count.Rejected++
-	c.Front.Throttled(c, comeBack)
+func (o *Dispatcher) Reject(id uint32, comeBack float64) {
+	c := o.commands[id]
+	o.counters.Rejected++
+	c.Responder.Reject(c, comeBack)
 	o.finish(c)
 }
 
 // Fail implements hand.Executor.
-func (o *Core) Fail(id uint32) {
-	c := o.cmds[id]
-	o.count.Failed++
-	c.Front.Failed(c)
+func (o *Dispatcher) Fail(id uint32) {
+	c := o.commands[id]
+	o.counters.Failed++
+	c.Responder.Fail(c)
 	o.finish(c)
 }
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -232,7 +232,7 @@
 		r.data.Free()
 	}
 	if len(abandoned) > 0 {
-		c.server.dispatcher.Left(abandoned)
+		c.server.dispatcher.ClientGone(abandoned)
 	}
 	c.replies = nil
 }
--- a/internal/front/harness_test.go
+++ b/internal/front/harness_test.go
@@ -28,7 +28,7 @@
 	t          *testing.T
 	server     *Server
 	loop       *loop.Loop
-	dispatcher *core.Core
+	dispatcher *core.Dispatcher
 	counters   count.Counters
 
 	backendListener net.Listener // the member's
@@ -79,7 +79,7 @@
 	change(&s.Limits)
 	d.buffers = buffer.NewPool(4096, s.Limits.Counts.BufferBlocks)
 	d.dispatcher = core.New(s, d.loop, d.buffers, &d.counters, zerolog.Nop())
-	d.dispatcher.Settle(0)
+	d.dispatcher.RunTurn(0)
 	d.server, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), d.loop, Options{
 		Limits:     &s.Limits,
 		Settings:   &s.Settings,
@@ -103,7 +103,7 @@
 	late := time.Now().Add(20 * time.Second)
 	require.NoError(d.t, d.loop.Run(func(now float64) float64 {
 		d.server.ProcessPending()
-		d.dispatcher.Settle(now)
+		d.dispatcher.RunTurn(now)
 		if until() || time.Now().After(late) {
 			d.loop.Stop()
 		}
@@ -152,7 +152,7 @@
 func (d *harness) publishState(state roster.State) {
 	d.endpoint.State = state
 	d.dispatcher.HandleList(roster.List{Generation: 9, Endpoints: []roster.Endpoint{d.endpoint}})
-	d.dispatcher.Settle(d.loop.Now())
+	d.dispatcher.RunTurn(d.loop.Now())
 }
 
 func query(id string, rest string) []byte {
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -28,7 +28,7 @@
 	if !s.loop.Waiting(s.listener) {
 		return false
 	}
-	backendClosed := !clientsFull && s.dispatcher.MakeRoom()
+	backendClosed := !clientsFull && s.dispatcher.CloseIdleBackend()
 	if backendClosed || s.shedOne() {
 		return true
 	}
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -39,8 +39,8 @@
 		c.rejectQuery(rejected)
 		return
 	}
-	command.GiveUp = c.earliestArrival + statement.Wait - c.server.limits.Durations.AnswerMargin
-	c.input.CopyTo(&command.Text, messageHeader, body)
+	command.ClientDeadline = c.earliestArrival + statement.Wait - c.server.limits.Durations.AnswerMargin
+	c.input.CopyTo(&command.Statement, messageHeader, body)
 	c.forward(command)
 }
 
@@ -50,7 +50,7 @@
 	if !ok {
 		return nil, invalidValue("c=%.40q: unknown command group", statement.Group)
 	}
-	shard, ok := s.dispatcher.Set(statement.Cluster)
+	shard, ok := s.dispatcher.LookupShard(statement.Cluster)
 	if !ok {
 		return nil, invalidValue("cluster=%d: unknown cluster", statement.Cluster)
 	}
@@ -58,19 +58,19 @@
 		return nil, rejected
 	}
 	command := &core.Command{
-		Name:    statement.ID,
-		Group:   group,
-		Set:     shard,
-		Session: statement.Session,
-		Repeat:  statement.Repeat,
-		Text:    s.buffers.New(),
-		From:    statement.From,
-		To:      statement.To,
-		Front:   s,
+		ID:           statement.ID,
+		Group:        group,
+		Shard:        shard,
+		Session:      statement.Session,
+		ClientRetry:  statement.Repeat,
+		Statement:    s.buffers.New(),
+		TimeoutStart: statement.From,
+		TimeoutEnd:   statement.To,
+		Responder:    s,
 	}
 	if statement.WriteAt > 0 {
 		// A write of this very moment must not look like none.
-		command.WriteAge = cmp.Or(s.dispatcher.Age(statement.WriteAt), -math.SmallestNonzeroFloat64)
+		command.LastWriteAge = cmp.Or(s.dispatcher.SecondsSince(statement.WriteAt), -math.SmallestNonzeroFloat64)
 	}
 	return command, nil
 }
@@ -84,7 +84,7 @@
 		return invalidValue("d=%.0f: longer than any client waits", statement.Wait*millisecondsPerSecond)
 	case needsKey && !statement.Keyed:
 		return invalidValue("c=%.40q: commands of this group bear a key, k", statement.Group)
-	case s.dispatcher.Open(statement.ID):
+	case s.dispatcher.IsInFlight(statement.ID):
 		return invalidValue("id=%s: a command of this id is in hand", statement.ID)
 	}
 	return nil
@@ -95,7 +95,7 @@
 	r := &reply{command: command, data: c.server.buffers.New()}
 	c.replies = append(c.replies, r)
 	command.Owner = owner{conn: c, reply: r}
-	c.server.dispatcher.Take(command)
+	c.server.dispatcher.Submit(command)
 }
 
 // rejectQuery sends the client why its query is rejected. A client that goes on sending such queries is closed: one that
--- a/internal/front/reply.go
+++ b/internal/front/reply.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Answered implements core.Front: it sends a row and frees it.
-func (s *Server) Answered(command *core.Command, row *buffer.Chain) {
+// Answer implements core.Responder: it sends a row and frees it.
+func (s *Server) Answer(command *core.Command, row *buffer.Chain) {
 	if to := command.Owner.(owner); to.conn.state != stateClosed {
 		row.MoveTo(&to.reply.data)
 	}
@@ -63,9 +63,9 @@
 	s.complete(command, pg.Ready(nil))
 }
 
-// Throttled implements core.Front: it sends an error upon which the client may retry, after so many seconds if it is
+// Reject implements core.Responder: it sends an error upon which the client may retry, after so many seconds if it is
 // above 0.
-func (s *Server) Throttled(command *core.Command, retryAfter float64) {
+func (s *Server) Reject(command *core.Command, retryAfter float64) {
 	const millisecondsPerSecond = 1000
 	detail := ""
 	if retryAfter > 0 {
@@ -75,8 +75,8 @@
 	s.complete(command, pg.Ready(message))
 }
 
-// Failed implements core.Front: it sends an error upon which the client cannot know whether the command ran.
-func (s *Server) Failed(command *core.Command) {
+// Fail implements core.Responder: it sends an error upon which the client cannot know whether the command ran.
+func (s *Server) Fail(command *core.Command) {
 	message := pg.Error(nil, false, pg.CodeFailed, "failed: it is not known whether the command ran", "")
 	s.complete(command, pg.Ready(message))
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -19,18 +19,18 @@
 
 // Dispatcher carries out the commands that clients send.
 type Dispatcher interface {
-	// Set returns the index of the shard that a client's cluster number names, and false if there is none.
-	Set(cluster int) (shard int, ok bool)
-	// Open reports whether a command of this name is in flight.
-	Open(name string) bool
-	// Take takes a command over. It gives the command one result by way of the command's Front.
-	Take(command *core.Command)
-	// Left notifies the dispatcher that the client of these commands has gone: no result is expected any more.
-	Left(commands []*core.Command)
-	// MakeRoom closes an idle connection to a backend, and reports whether there was one to spare.
-	MakeRoom() bool
-	// Age returns how many seconds ago a Unix time in seconds was; negative if it lies in the future.
-	Age(unix float64) float64
+	// LookupShard returns the index of the shard that a client's cluster number names, and false if there is none.
+	LookupShard(cluster int) (shard int, ok bool)
+	// IsInFlight reports whether a command of this name is in flight.
+	IsInFlight(name string) bool
+	// Submit takes a command over. It gives the command one result by way of the command's Responder.
+	Submit(command *core.Command)
+	// ClientGone notifies the dispatcher that the client of these commands has gone: no result is expected any more.
+	ClientGone(commands []*core.Command)
+	// CloseIdleBackend closes an idle connection to a backend, and reports whether there was one to spare.
+	CloseIdleBackend() bool
+	// SecondsSince returns how many seconds ago a Unix time in seconds was; negative if it lies in the future.
+	SecondsSince(unix float64) float64
 }
 
 // Options are what a server works with. All of it must outlive the server.
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -140,33 +140,33 @@
 // clientCore is the core that the front speaks to: the adversary.
 type clientCore struct{ *clients }
 
-// Set implements front.Core, as the others do.
-func (clientCore) Set(int) (int, bool) { return 0, true }
+// LookupShard implements front.Dispatcher, as the others do.
+func (clientCore) LookupShard(int) (int, bool) { return 0, true }
 
-func (s clientCore) Open(name string) bool {
+func (s clientCore) IsInFlight(name string) bool {
 	for _, t := range s.taken {
-		if t.open && t.c.Name == name {
+		if t.open && t.c.ID == name {
 			return true
 		}
 	}
 	return false
 }
 
-func (s clientCore) Take(c *core.Command) {
-	s.taken = append(s.taken, &taken{c: c, name: c.Name, open: true})
+func (s clientCore) Submit(c *core.Command) {
+	s.taken = append(s.taken, &taken{c: c, name: c.ID, open: true})
 }
 
-func (s clientCore) Left(cs []*core.Command) {
+func (s clientCore) ClientGone(cs []*core.Command) {
 	for _, t := range s.taken {
 		if slices.Contains(cs, t.c) && s.fault != "unheard" {
 			s.check.Ended(t.name)
 			t.open = s.fault == "left-twice"
-			t.c.Text.Free()
+			t.c.Statement.Free()
 		}
 	}
 }
-func (clientCore) MakeRoom() bool      { return false }
-func (clientCore) Age(float64) float64 { return 1 }
+func (clientCore) CloseIdleBackend() bool       { return false }
+func (clientCore) SecondsSince(float64) float64 { return 1 }
 
 // clientSays are the messages of clients in bounds, beside commands.
 var clientSays = []string{"empty", "bad", "extended", "quit", "garbage"}
@@ -394,17 +394,17 @@
 	t.open = false
 	switch what {
 	case "throttle":
-		s.front.Throttled(t.c, 0)
+		s.front.Reject(t.c, 0)
 	case "fail":
-		s.front.Failed(t.c)
+		s.front.Fail(t.c)
 	default:
 		row := s.blocks.New()
 		b := pg.Message(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
 		b = pg.Message(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(to.name))), []byte(to.name))
 		row.Write(pg.Message(b, 'C', []byte("SELECT 1\x00")))
-		s.front.Answered(t.c, &row)
+		s.front.Answer(t.c, &row)
 	}
-	t.c.Text.Free()
+	t.c.Statement.Free()
 }
 
 // judge reads what clients were sent, and looks at what is left once all have gone.
@@ -452,7 +452,7 @@
 // states or stands for the same thing elsewhere.
 var clientRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
 	"buffer.Chain":    {"pool"},
-	"core.Command":    {"Front", "Owner"},
+	"core.Command":    {"Owner", "Responder"},
 	"front.conn":      {"fd", "server", "shedElement", "shedQueue", "timer"},
 	"systems.clients": {"blocks", "bounds", "fault", "front", "wire"},
 	"systems.sock":    {"handler"},
--- a/service/counters.go
+++ b/service/counters.go
@@ -33,10 +33,10 @@
 	counters := r.counters
 	counters.ReceivedByGroup = append([]uint64(nil), counters.ReceivedByGroup...)
 	counters.ClientsOpen = uint64(r.front.OpenConnections())
-	counters.InFlight = uint64(r.core.InHand())
-	counters.BackendConnectionsOpen = uint64(r.core.Members())
+	counters.InFlight = uint64(r.core.InFlight())
+	counters.BackendConnectionsOpen = uint64(r.core.BackendConnections())
 	counters.BufferBlocksInUse = uint64(r.buffers.Out())
-	known, rows := r.core.Known()
+	known, rows := r.core.EndpointRows()
 	counters.EndpointsKnown = uint64(known)
 	counters.EndpointRows = uint64(rows)
 	counters.LongestTurnSeconds = r.loop.Longest()
--- a/service/reload.go
+++ b/service/reload.go
@@ -30,18 +30,18 @@
 	}
 	r.log.Info().Stringer("discovery", next.Discovery).Stringer("before", r.config.Discovery).Msg("reloaded")
 	r.config.Discovery = next.Discovery
-	r.core.Follow(next.Discovery)
+	r.core.SetDiscoveryAddress(next.Discovery)
 }
 
 // migrate has another configuration's settings hold from here on.
 func (r *Router) migrate(next *Config) {
-	r.core.Settle(r.loop.Now()) // commands already received name their group by the earlier settings
+	r.core.RunTurn(r.loop.Now()) // commands already received name their group by the earlier settings
 	r.config.AdoptSettings(next)
 	r.renameGroups(next.Settings.GroupNames)
 	r.front.ReloadGroups()
-	r.core.Move()
+	r.core.ApplySettings()
 	r.counters.SettingsMigrations++
-	r.log.Info().Int("in_flight", r.core.InHand()).Strs("groups", next.Settings.GroupNames).
+	r.log.Info().Int("in_flight", r.core.InFlight()).Strs("groups", next.Settings.GroupNames).
 		Msg("migrated to changed settings")
 }
 
--- a/service/service.go
+++ b/service/service.go
@@ -32,7 +32,7 @@
 	config   Config
 	loop     *loop.Loop
 	buffers  *buffer.Pool
-	core     *core.Core
+	core     *core.Dispatcher
 	front    *front.Server
 	counters Counters
 	log      zerolog.Logger
@@ -84,7 +84,7 @@
 // latest.
 func (r *Router) afterEvents(now float64) float64 {
 	unfinished := r.front.ProcessPending()
-	next := r.core.Settle(now)
+	next := r.core.RunTurn(now)
 	if unfinished {
 		next = now
 	}
@@ -96,7 +96,7 @@
 
 // idle reports whether nothing is left to wait for: no listener, no client and no command in flight.
 func (r *Router) idle() bool {
-	return r.front.ListenerClosed() && r.front.OpenConnections() == 0 && r.core.InHand() == 0
+	return r.front.ListenerClosed() && r.front.OpenConnections() == 0 && r.core.InFlight() == 0
 }
 
 // Drain begins a graceful shutdown: the router goes on accepting clients for a while, answers the commands in flight,
@@ -107,7 +107,7 @@
 			return
 		}
 		r.draining = true
-		r.log.Info().Int("in_flight", r.core.InHand()).Msg("draining")
+		r.log.Info().Int("in_flight", r.core.InFlight()).Msg("draining")
 		stopAccepting := r.loop.Now() + r.config.Limits.Durations.AcceptLinger
 		r.loop.Set(loop.NewTimer(r.front.Shutdown), stopAccepting)
 	})
