--- /dev/null
+++ b/internal/core/attempt.go
@@ -0,0 +1,153 @@
+package core
+
+import (
+	"stoatdale.example/stoatdale/internal/member"
+	"stoatdale.example/stoatdale/internal/pg"
+	"stoatdale.example/stoatdale/internal/router"
+)
+
+// decisions is what the router has decided and is not yet carried out.
+type decisions struct {
+	cancels []*member.Dispatch
+	sends   []*member.Dispatch
+}
+
+// rolesByRecovery gives the role of a backend by what its answer says of its recovery.
+var rolesByRecovery = map[string]router.Role{"off": router.RolePrimary, "on": router.RoleReplica}
+
+// Ended implements member.Sink.
+func (d *Dispatcher) Ended(attempt *member.Dispatch, result router.Result, elapsed float64, answer *pg.Answer) {
+	ended := endedAttempt{attempt: attempt, result: result, elapsed: elapsed}
+	if answer != nil {
+		ended.answer = *answer
+	}
+	d.gathered.endedAttempts = append(d.gathered.endedAttempts, ended)
+}
+
+// Probed implements member.Sink.
+func (d *Dispatcher) Probed(endpoint int, result router.Result, elapsed float64, report string) {
+	check := healthCheckResult{endpoint: endpoint, result: result, elapsed: elapsed, report: report}
+	d.gathered.healthChecks = append(d.gathered.healthChecks, check)
+}
+
+// deliverAttempt tells the router how an attempt ended, and the client if it was answered.
+func (d *Dispatcher) deliverAttempt(now float64, ended *endedAttempt) {
+	d.counters.AttemptResults[ended.result]++
+	command := d.commands.get(ended.attempt.ID)
+	if command != nil && command.attempt == ended.attempt {
+		command.attempt = nil
+	}
+	d.tracker.AttemptEnded(now, ended.attempt.ID, d.attemptResult(ended))
+	d.deliverAnswersReport(now, ended)
+	if ended.result == router.Answered && command != nil && !command.done {
+		d.counters.Answered++
+		command.Responder.Answer(command, &ended.answer.Row)
+		d.finish(command)
+		return
+	}
+	ended.answer.Row.Free()
+}
+
+// attemptResult converts an attempt's end to the router's terms.
+func (d *Dispatcher) attemptResult(ended *endedAttempt) router.AttemptResult {
+	result := router.AttemptResult{
+		Attempt:  ended.attempt.Leg,
+		Result:   ended.result,
+		Elapsed:  ended.elapsed,
+		Final:    ended.result == router.Answered,
+		Position: noPosition,
+		Role:     rolesByRecovery[ended.answer.Role],
+	}
+	if ended.answer.Position > 0 {
+		result.Position = d.readPosition(float64(ended.answer.Position) / millisecondsPerSecond)
+	}
+	return result
+}
+
+// deliverAnswersReport tells the router of the load report beside an answer, as if a health check had brought it.
+func (d *Dispatcher) deliverAnswersReport(now float64, ended *endedAttempt) {
+	report := d.readReport(ended.answer.Health)
+	if report.position >= 0 && d.settings.ReportsOnAnswers {
+		d.router.HealthChecked(now, ended.attempt.Node, ended.result, ended.elapsed, report.position, report.primary)
+	}
+}
+
+// abandon gives up a command whose client has gone, unless it is over. What was not yet sent for it never is. It reports
+// whether nothing was sent for it.
+func (d *Dispatcher) abandon(now float64, command *Command) (unsent bool) {
+	if command.done {
+		return false
+	}
+	d.counters.Abandoned++
+	d.tracker.ClientGone(now, command.trackingID)
+	unsent = command.attempt == nil || command.attempt.Unsent()
+	if unsent && command.attempt != nil {
+		d.decided.cancels = append(d.decided.cancels, command.attempt)
+	}
+	d.finish(command)
+	return unsent
+}
+
+// finish forgets a command that has had its final answer or needs none.
+func (d *Dispatcher) finish(command *Command) {
+	command.done = true
+	command.Statement.Free()
+	d.commands.remove(command)
+}
+
+// carryOut carries out the router's decisions. Canceled attempts are closed before anything new is sent.
+func (d *Dispatcher) carryOut() {
+	for _, attempt := range d.decided.cancels {
+		d.backends.Recall(attempt)
+	}
+	for _, attempt := range d.decided.sends {
+		if d.commands.get(attempt.ID) == nil { // its client left in this same turn
+			d.Ended(attempt, router.NeverSent, 0, nil)
+			continue
+		}
+		d.backends.Send(attempt)
+	}
+	clear(d.decided.cancels)
+	clear(d.decided.sends)
+	d.decided.cancels = d.decided.cancels[:0]
+	d.decided.sends = d.decided.sends[:0]
+}
+
+// Forward implements hand.Executor.
+func (d *Dispatcher) Forward(trackingID uint32, attemptIndex, endpoint int, deadline float64) {
+	command := d.commands.get(trackingID)
+	command.attempt = &member.Dispatch{
+		ID:    trackingID,
+		Leg:   attemptIndex,
+		Node:  endpoint,
+		Text:  &command.Statement,
+		From:  command.TimeoutStart,
+		To:    command.TimeoutEnd,
+		Until: deadline,
+	}
+	d.decided.sends = append(d.decided.sends, command.attempt)
+}
+
+// Cancel implements hand.Executor.
+func (d *Dispatcher) Cancel(trackingID uint32, attemptIndex int) {
+	command := d.commands.get(trackingID)
+	if command != nil && command.attempt != nil && command.attempt.Leg == attemptIndex {
+		d.decided.cancels = append(d.decided.cancels, command.attempt)
+	}
+}
+
+// Reject implements hand.Executor.
+func (d *Dispatcher) Reject(trackingID uint32, retryAfter float64) {
+	command := d.commands.get(trackingID)
+	d.counters.Rejected++
+	command.Responder.Reject(command, retryAfter)
+	d.finish(command)
+}
+
+// Fail implements hand.Executor.
+func (d *Dispatcher) Fail(trackingID uint32) {
+	command := d.commands.get(trackingID)
+	d.counters.Failed++
+	command.Responder.Fail(command)
+	d.finish(command)
+}
--- /dev/null
+++ b/internal/core/command.go
@@ -0,0 +1,68 @@
+package core
+
+import (
+	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/member"
+)
+
+// Command is a command that a client sent. The frontend fills the exported fields, and leaves the value to the
+// dispatcher when it submits it.
+type Command struct {
+	ID             string // the client's name of the command, unlike that of any other command in flight
+	Group          int    // index of the command group in the settings
+	Shard          int    // by Dispatcher.LookupShard
+	Session        uint64
+	ClientRetry    bool    // the client says that it has sent this command before
+	LastWriteAge   float64 // seconds since the session's last write, negative if ahead of this clock; 0: not known
+	ClientDeadline float64 // loop time at which the client stops waiting
+	Statement      buffer.Chain
+	TimeoutStart   int // offset in Statement of the digits of the client's timeout
+	TimeoutEnd     int // offset after them
+	Responder      Responder
+	Owner          any // for the frontend; the dispatcher does not look at it
+
+	trackingID uint32
+	attempt    *member.Dispatch // the last one that was begun and has not ended
+	done       bool             // has had its final answer, or needs none
+}
+
+// Responder gives a command its final answer: one call a command, and none once its client has gone. It may call
+// Submit and ClientGone meanwhile.
+type Responder interface {
+	// Answer gives a backend's row, which the responder must free.
+	Answer(c *Command, row *buffer.Chain)
+	// Reject says that the command was not run and may be sent again, after so many seconds if it is not 0.
+	Reject(c *Command, retryAfter float64)
+	// Fail says that the command may have run.
+	Fail(c *Command)
+}
+
+// commandTable holds the commands in flight.
+type commandTable struct {
+	byTrackingID   map[uint32]*Command
+	clientIDs      map[string]bool
+	lastTrackingID uint32
+}
+
+func newCommandTable() commandTable {
+	return commandTable{byTrackingID: map[uint32]*Command{}, clientIDs: map[string]bool{}}
+}
+
+// add gives the command a tracking id that no other command in flight has.
+func (t *commandTable) add(c *Command) {
+	t.lastTrackingID++
+	c.trackingID = t.lastTrackingID
+	t.byTrackingID[c.trackingID] = c
+	t.clientIDs[c.ID] = true
+}
+
+// remove forgets a command.
+func (t *commandTable) remove(c *Command) {
+	delete(t.byTrackingID, c.trackingID)
+	delete(t.clientIDs, c.ID)
+}
+
+// get returns the command in flight that has a tracking id, or nil.
+func (t *commandTable) get(trackingID uint32) *Command { return t.byTrackingID[trackingID] }
+
+func (t *commandTable) size() int { return len(t.byTrackingID) }
--- /dev/null
+++ b/internal/core/dispatcher_test.go
@@ -0,0 +1,183 @@
+package core
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/count"
+	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/member"
+	"stoatdale.example/stoatdale/internal/pg"
+	"stoatdale.example/stoatdale/internal/roster"
+	"stoatdale.example/stoatdale/internal/router"
+	"stoatdale.example/stoatdale/internal/site"
+)
+
+const testCluster = 7
+
+// recorder is a Responder that notes the final answers that commands get.
+type recorder []string
+
+func (r *recorder) Answer(_ *Command, row *buffer.Chain) {
+	*r = append(*r, "answered")
+	row.Free()
+}
+func (r *recorder) Reject(*Command, float64) { *r = append(*r, "rejected") }
+func (r *recorder) Fail(*Command)            { *r = append(*r, "failed") }
+
+func testList() roster.List {
+	return roster.List{Complete: true, Endpoints: []roster.Endpoint{{ID: "a", Shard: testCluster, State: roster.StateReady}}}
+}
+
+// newTestDispatcher returns a dispatcher that knows one endpoint, which has no address, and its buffers.
+func newTestDispatcher(t *testing.T) (*Dispatcher, *buffer.Pool) {
+	t.Helper()
+	events, err := loop.New(16)
+	require.NoError(t, err)
+	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 1, ClientTimeout: 2, PriorityWeight: 1}
+	config := &site.Config{KnownList: testList()}
+	config.Settings.Config = router.Config{
+		CommandGroups: []router.CommandGroup{group},
+		RouterCount:   1,
+		MaxAttempts:   4,
+		BatchInterval: 0.005,
+		PollList:      true,
+		CanCancel:     true,
+	}
+	config.Limits = site.Limits{
+		Counts: site.Counts{
+			BackendConnections: 8,
+		},
+		Durations: site.Durations{
+			PositionEpoch: 3600, ConnectTimeout: 1, HealthCheckTimeout: 1, SilenceTimeout: 1, MinBackoff: 1, MaxBackoff: 1,
+			LongPollHold: 1,
+		},
+	}
+	config.Discovery = config.KnownList.Endpoints[0].Address
+	buffers := buffer.NewPool(64, 1000)
+	d := New(config, events, buffers, &count.Counters{ReceivedByGroup: make([]uint64, 1)}, zerolog.Nop())
+	d.deliver(0)
+	return d, buffers
+}
+
+// submit submits a command of the cluster that newTestDispatcher knows.
+func submit(d *Dispatcher, buffers *buffer.Pool, responder Responder) *Command {
+	shard, _ := d.LookupShard(testCluster)
+	command := &Command{ID: "9b1f", Shard: shard, ClientDeadline: 1, Statement: buffers.New(), Responder: responder}
+	command.Statement.Write([]byte("d=99\x00"))
+	d.Submit(command)
+	return command
+}
+
+func TestShardsAreKnownByTheList(t *testing.T) {
+	d, _ := newTestDispatcher(t)
+	_, ok := d.LookupShard(testCluster)
+	assert.True(t, ok)
+	_, ok = d.LookupShard(testCluster + 1)
+	assert.False(t, ok)
+}
+
+func TestClientGoneInTheSameTurnHasNothingSent(t *testing.T) {
+	d, buffers := newTestDispatcher(t)
+	var answers recorder
+	command := submit(d, buffers, &answers)
+	d.ClientGone([]*Command{command})
+	d.RunTurn(0.1)
+	assert.Empty(t, answers)
+	assert.Zero(t, d.counters.Attempts)
+	assert.Zero(t, d.InFlight())
+	assert.Zero(t, buffers.Out())
+}
+
+func TestNothingIsSentForACommandThatIsOver(t *testing.T) {
+	d, buffers := newTestDispatcher(t)
+	var answers recorder
+	command := submit(d, buffers, &answers)
+	d.deliver(0.1)
+	require.Len(t, d.decided.sends, 1)
+	d.ClientGone([]*Command{command}) // before the attempt was sent
+	d.deliver(0.1)
+	d.carryOut()
+	assert.Zero(t, d.counters.Attempts)
+	d.RunTurn(0.1)
+	assert.EqualValues(t, 1, d.counters.AttemptResults[router.NeverSent])
+	assert.Zero(t, d.tracker.Len())
+}
+
+func TestAnswerReachesItsClientOnce(t *testing.T) {
+	d, buffers := newTestDispatcher(t)
+	var answers recorder
+	submit(d, buffers, &answers)
+	d.deliver(0.1)
+	attempt := d.decided.sends[0]
+	d.decided.sends = nil
+	newAnswer := func() *pg.Answer {
+		answer := &pg.Answer{Row: buffers.New()}
+		answer.Row.Write([]byte("row"))
+		return answer
+	}
+	d.Ended(attempt, router.Answered, 0.1, newAnswer())
+	d.Ended(attempt, router.Answered, 0.1, newAnswer())
+	d.RunTurn(0.2)
+	assert.Equal(t, recorder{"answered"}, answers)
+	assert.Zero(t, buffers.Out(), "every block is given back")
+	d.Ended(&member.Dispatch{ID: 99}, router.ConnectionLost, 0, nil)
+	d.RunTurn(0.3)
+}
+
+func TestEndpointsThatComeAndGoLeaveNoRows(t *testing.T) {
+	d, _ := newTestDispatcher(t)
+	mostKnown := 0
+	for i := range 500 {
+		d.HandleList(roster.List{Endpoints: []roster.Endpoint{
+			{ID: fmt.Sprint("m", i), Shard: testCluster, State: roster.StateReady},
+			{ID: fmt.Sprint("m", i-1), Shard: testCluster, State: roster.StateGone},
+		}})
+		d.RunTurn(float64(i))
+		known, _ := d.EndpointRows()
+		mostKnown = max(mostKnown, known)
+	}
+	_, rows := d.EndpointRows()
+	assert.Less(t, mostKnown, 30, "rows level off")
+	assert.Less(t, rows, 30)
+	d.RunTurn(2000)
+	known, _ := d.EndpointRows()
+	assert.Equal(t, 2, known, "those that are listed")
+}
+
+func TestClientIDsAreInFlightUntilTheFinalAnswer(t *testing.T) {
+	d, buffers := newTestDispatcher(t)
+	var answers recorder
+	command := submit(d, buffers, &answers)
+	assert.True(t, d.IsInFlight(command.ID))
+	d.ClientGone([]*Command{command})
+	d.RunTurn(0.1)
+	assert.False(t, d.IsInFlight(command.ID))
+	assert.Empty(t, d.commands.clientIDs)
+}
+
+// A router that was held up for 8 ms between its poll and its reading took a linearizable read for one of the poll's
+// time, and a position reported for that time covered it.
+func TestLinearizableReadCountsFromItsReadingNotFromThePoll(t *testing.T) {
+	d, buffers := newTestDispatcher(t)
+	d.settings.CommandGroups[0].Consistency, d.settings.LoadReports, d.clock.maxSkewSeconds = router.Linearizable, true, 1
+	d.ApplySettings()
+	d.deliverList(0, listUpdate{source: listFromDiscovery, list: testList()})
+	polled := d.loop.Now()
+	time.Sleep(20 * time.Millisecond)
+	reported := float64(d.loop.StartedAt().UnixNano())/1e9 + polled + 0.005
+	d.Probed(0, router.Answered, 0, fmt.Sprintf("x0=%.6f,x1=0", reported))
+	submit(d, buffers, &recorder{})
+	d.deliver(polled)
+	assert.Empty(t, d.decided.sends, "a position of 5 ms after the poll does not cover what came 20 ms after it")
+	d.Probed(0, router.Answered, 0, fmt.Sprintf("x0=%.6f,x1=0", reported+0.5))
+	d.deliver(polled)
+	d.tracker.ReviewDue(polled + 0.05)
+	assert.Len(t, d.decided.sends, 1, "one of later does")
+}
--- /dev/null
+++ b/internal/core/list.go
@@ -0,0 +1,97 @@
+package core
+
+import (
+	"math"
+
+	"stoatdale.example/stoatdale/internal/roster"
+	"stoatdale.example/stoatdale/internal/router"
+)
+
+// listSource is where a list update came from.
+type listSource int
+
+const (
+	listFromConfig    listSource = iota // the list of the configuration, which the router knew before its start
+	listFromDiscovery                   // a complete list, or changes
+	listCallFailed                      // none came
+)
+
+// listUpdate is what happened to the endpoint list.
+type listUpdate struct {
+	source listSource
+	list   roster.List
+}
+
+// HandleList implements discovery.ListHandler.
+func (d *Dispatcher) HandleList(list roster.List) {
+	d.gathered.listUpdates = append(d.gathered.listUpdates, listUpdate{source: listFromDiscovery, list: list})
+}
+
+// HandleCallFailure implements discovery.ListHandler.
+func (d *Dispatcher) HandleCallFailure() {
+	d.gathered.listUpdates = append(d.gathered.listUpdates, listUpdate{source: listCallFailed})
+}
+
+// deliverList tells the router and the backends' connections of an update.
+func (d *Dispatcher) deliverList(now float64, update listUpdate) {
+	switch update.source {
+	case listCallFailed:
+		d.counters.ListCallsFailed++
+		d.router.EndpointListFailed(now)
+	case listFromDiscovery:
+		d.counters.ListsReceived++
+		d.updateEndpoints(now, update.list, false)
+	case listFromConfig:
+		d.updateEndpoints(now, update.list, true)
+	}
+}
+
+// updateEndpoints takes a list over. One that is cached counts as complete, whatever it says.
+func (d *Dispatcher) updateEndpoints(now float64, list roster.List, cached bool) {
+	infos := make([]router.EndpointInfo, 0, len(list.Endpoints))
+	for i := range list.Endpoints {
+		endpoint := &list.Endpoints[i]
+		info := d.endpointInfo(endpoint)
+		d.backends.Place(info.Index, endpoint.Address, endpoint.State == roster.StateGone)
+		infos = append(infos, info)
+	}
+	d.tracker.UpdateEndpoints(now, infos, list.Complete || cached, cached)
+	if len(infos) == 0 { // a long poll that ended without changes
+		return
+	}
+	d.log.Info().
+		Int64("generation", list.Generation).
+		Bool("complete", list.Complete).
+		Bool("cached", cached).
+		Int("endpoints", len(list.Endpoints)).
+		Msg("list")
+}
+
+// endpointInfo converts a row of the list to the router's terms. It gives ids to an endpoint, shard and zone that have
+// none.
+func (d *Dispatcher) endpointInfo(endpoint *roster.Endpoint) router.EndpointInfo {
+	startedAt := math.Inf(-1)
+	if endpoint.StartedUnixMs > 0 {
+		startedAt = d.clock.loopTime(float64(endpoint.StartedUnixMs))
+	}
+	return router.EndpointInfo{
+		Index:     d.endpoints.Intern(endpoint.ID),
+		Shard:     d.shards.Intern(endpoint.Shard),
+		Zone:      d.zones.Intern(endpoint.Zone),
+		State:     endpointState(endpoint.State),
+		StartedAt: startedAt,
+		Primary:   endpoint.Primary,
+	}
+}
+
+// endpointState converts a list's state to the router's.
+func endpointState(state roster.State) router.EndpointState {
+	switch state {
+	case roster.StateReady:
+		return router.Ready
+	case roster.StateDraining:
+		return router.Draining
+	case roster.StateGone:
+	}
+	return router.Removed
+}
