--- a/internal/count/count.go
+++ b/internal/count/count.go
@@ -30,7 +30,7 @@
 	// Attempts: one command sent to one backend.
 	Attempts         uint64
 	AttemptsCanceled uint64
-	AttemptResults   [len(attemptResultKeys)]uint64 // by router.Ending
+	AttemptResults   [len(attemptResultKeys)]uint64 // by router.Result
 
 	// Backend connections.
 	BackendConnects        uint64 // connections begun
--- a/internal/count/count_test.go
+++ b/internal/count/count_test.go
@@ -9,6 +9,8 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"stoatdale.example/stoatdale/internal/router"
 )
 
 // logged returns the numbers of a counters' log line, those of nested objects included, by key.
@@ -56,8 +58,8 @@
 
 func TestAttemptResultsAndGroupsAreLoggedUnderTheirNames(t *testing.T) {
 	counters := Counters{ReceivedByGroup: []uint64{5, 6}, GroupNames: []string{"look", "book"}, LongestTurnSeconds: 0.25}
-	counters.AttemptResults[0] = 7
-	counters.AttemptResults[len(counters.AttemptResults)-1] = 8
+	counters.AttemptResults[router.Answered] = 7
+	counters.AttemptResults[router.NotServed] = 8
 	numbers := logged(t, &counters)
 	assert.InDelta(t, 5, numbers["received_by_group.look"], 0)
 	assert.InDelta(t, 6, numbers["received_by_group.book"], 0)
--- a/internal/count/log.go
+++ b/internal/count/log.go
@@ -1,18 +1,22 @@
 package count
 
-import "github.com/rs/zerolog"
+import (
+	"github.com/rs/zerolog"
 
-// attemptResultKeys are the log's keys of AttemptResults, by router.Ending.
+	"stoatdale.example/stoatdale/internal/router"
+)
+
+// attemptResultKeys are the log's keys of AttemptResults.
 var attemptResultKeys = [...]string{
-	"answered",
-	"errored",
-	"overloaded",
-	"timed_out",
-	"connect_failed",
-	"connection_lost",
-	"canceled",
-	"never_sent",
-	"not_served",
+	router.Answered:       "answered",
+	router.Errored:        "errored",
+	router.Overloaded:     "overloaded",
+	router.TimedOut:       "timed_out",
+	router.ConnectFailed:  "connect_failed",
+	router.ConnectionLost: "connection_lost",
+	router.Canceled:       "canceled",
+	router.NeverSent:      "never_sent",
+	router.NotServed:      "not_served",
 }
 
 const millisecondsPerSecond = 1000
