--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -285,11 +285,11 @@
 
 func TestNameThatDoesNotExistIsAnError(t *testing.T) {
 	s := readSource(t)
-	page := "A `core.Core.Settle` in `internal/core`.\n\n```\n programs     stoatdale\n```\n"
+	page := "A `core.Dispatcher.RunTurn` in `internal/core`.\n\n```\n programs     stoatdale\n```\n"
 	_, errs := s.checkPage(page)
 	assert.Empty(t, errs)
 	for planted, says := range map[string]string{
-		"`core.Core.Planted`":               "declares no Core.Planted",
+		"`core.Dispatcher.Planted`":               "declares no Dispatcher.Planted",
 		"`core.Planted`":                    "declares no Planted",
 		"`planted.Core`":                    "there is no package planted",
 		"`internal/planted`":                "there is no such file or folder",
