--- a/internal/fleet/layout/layout.go
+++ b/internal/fleet/layout/layout.go
@@ -40,9 +40,9 @@
 
 // Hall is where instances serve.
 type Zone struct {
-	Name         string     `sexp:",name"`
-	MinAvailable int        `sexp:"floor,must"`
-	Place        sexp.Place `sexp:",place"`
+	Name         string        `sexp:",name"`
+	MinAvailable int           `sexp:"floor,must"`
+	Place        sexp.Position `sexp:",place"`
 }
 
 // Agent is one machine's.
@@ -52,7 +52,7 @@
 	Zone    string         `sexp:"hall,must"`
 	Folder  string         `sexp:"folder,must"`  // for its store and its routers' files
 	Program string         `sexp:"program,must"` // the router
-	Place   sexp.Place     `sexp:",place"`
+	Place   sexp.Position  `sexp:",place"`
 }
 
 // Instance is one router.
@@ -62,7 +62,7 @@
 	Listen      netip.AddrPort `sexp:"listen,must"`
 	Discovery   string         `sexp:"discovery"` // in place of the revision's
 	RouterIndex *int           `sexp:"me"`        // in place of the revision's settings.me
-	Place       sexp.Place     `sexp:",place"`
+	Place       sexp.Position  `sexp:",place"`
 }
 
 func defaults() Fleet {
@@ -98,9 +98,9 @@
 func (f *Fleet) Text() []byte { return sexp.Print(sexp.Encode(f)) }
 
 func (f *Fleet) check(file string) error {
-	whole := sexp.Place{File: file, Line: 1, Column: 1}
-	fault := func(at sexp.Place, format string, args ...any) error {
-		return &sexp.Fault{Place: at, Says: fmt.Sprintf(format, args...)}
+	whole := sexp.Position{File: file, Line: 1, Column: 1}
+	fault := func(at sexp.Position, format string, args ...any) error {
+		return &sexp.Error{Position: at, Reason: fmt.Sprintf(format, args...)}
 	}
 	for _, t := range []struct {
 		key   string
@@ -135,7 +135,7 @@
 		f.zoneIndex[h.Name] = i
 	}
 	taken := map[netip.AddrPort]string{}
-	listen := func(at sexp.Place, a netip.AddrPort, who string) error {
+	listen := func(at sexp.Position, a netip.AddrPort, who string) error {
 		if a.Port() == 0 {
 			return fault(at, "%s: listen wants a port", who)
 		}
@@ -160,8 +160,8 @@
 	return f.checkInstances(fault, listen, whole)
 }
 
-func (f *Fleet) checkInstances(fault func(sexp.Place, string, ...any) error,
-	listen func(sexp.Place, netip.AddrPort, string) error, whole sexp.Place,
+func (f *Fleet) checkInstances(fault func(sexp.Position, string, ...any) error,
+	listen func(sexp.Position, netip.AddrPort, string) error, whole sexp.Position,
 ) error {
 	names := map[string]bool{}
 	perHall := make([]int, len(f.Zones))
--- a/internal/lab/world/spec.go
+++ b/internal/lab/world/spec.go
@@ -29,53 +29,53 @@
 
 // Fleet is what commands meet.
 type Fleet struct {
-	Routers    int          `sexp:"routers,must"`
-	Sets       int          `sexp:"sets,must"`
-	Replicas   int          `sexp:"replicas,must"`
-	Slots      int          `sexp:"slots,must"` // commands that a member works on at once
-	Queue      int          `sexp:"queue,must"` // that may wait there; the next is turned away
-	Sessions   int          `sexp:"sessions,must"`
-	Way        sexp.Seconds `sexp:"way,must"`  // from a router to a member
-	Dial       sexp.Seconds `sexp:"dial,must"` // after which a connection that is not made has failed
-	Ship       sexp.Seconds `sexp:"ship,must"` // of a log record to a replica
-	Apply      sexp.Seconds `sexp:"apply,must"`
-	Heavy      float64      `sexp:"heavy"` // share of writes whose record takes HeavyApply
-	HeavyApply sexp.Seconds `sexp:"heavy-apply"`
-	List       sexp.Seconds `sexp:"list"` // until a router hears of a change
-	ColdShare  float64      `sexp:"cold-share,must"`
-	WarmIn     sexp.Seconds `sexp:"warm-in,must"`
-	Overload   float64      `sexp:"overload,must"` // multiple of what a cold member bears that topples it,
-	FallSpan   sexp.Seconds `sexp:"fall-span,must"`
-	Place      sexp.Place   `sexp:",place"`
+	Routers    int           `sexp:"routers,must"`
+	Sets       int           `sexp:"sets,must"`
+	Replicas   int           `sexp:"replicas,must"`
+	Slots      int           `sexp:"slots,must"` // commands that a member works on at once
+	Queue      int           `sexp:"queue,must"` // that may wait there; the next is turned away
+	Sessions   int           `sexp:"sessions,must"`
+	Way        sexp.Seconds  `sexp:"way,must"`  // from a router to a member
+	Dial       sexp.Seconds  `sexp:"dial,must"` // after which a connection that is not made has failed
+	Ship       sexp.Seconds  `sexp:"ship,must"` // of a log record to a replica
+	Apply      sexp.Seconds  `sexp:"apply,must"`
+	Heavy      float64       `sexp:"heavy"` // share of writes whose record takes HeavyApply
+	HeavyApply sexp.Seconds  `sexp:"heavy-apply"`
+	List       sexp.Seconds  `sexp:"list"` // until a router hears of a change
+	ColdShare  float64       `sexp:"cold-share,must"`
+	WarmIn     sexp.Seconds  `sexp:"warm-in,must"`
+	Overload   float64       `sexp:"overload,must"` // multiple of what a cold member bears that topples it,
+	FallSpan   sexp.Seconds  `sexp:"fall-span,must"`
+	Place      sexp.Position `sexp:",place"`
 }
 
 // Group is a command group and its load.
 type Group struct {
-	Name    string       `sexp:",name"`
-	Need    string       `sexp:"need,must"`   // write, current, session, bound or any
-	Effect  string       `sexp:"effect,must"` // replayable, keyed or mutating
-	Rate    float64      `sexp:"rate,must"`   // commands a second over all routers
-	Work    sexp.Seconds `sexp:"work,must"`   // mean
-	Spread  float64      `sexp:"spread"`      // of the work's logarithm
-	Target  sexp.Seconds `sexp:"target,must"`
-	Timeout sexp.Seconds `sexp:"timeout,must"`
-	Benefit float64      `sexp:"benefit,must"`
-	Late    float64      `sexp:"late"`  // share of the benefit after the target
-	Bound   sexp.Seconds `sexp:"bound"` // most age, for need bound
-	Memory  sexp.Seconds `sexp:"memory"`
-	Place   sexp.Place   `sexp:",place"`
+	Name    string        `sexp:",name"`
+	Need    string        `sexp:"need,must"`   // write, current, session, bound or any
+	Effect  string        `sexp:"effect,must"` // replayable, keyed or mutating
+	Rate    float64       `sexp:"rate,must"`   // commands a second over all routers
+	Work    sexp.Seconds  `sexp:"work,must"`   // mean
+	Spread  float64       `sexp:"spread"`      // of the work's logarithm
+	Target  sexp.Seconds  `sexp:"target,must"`
+	Timeout sexp.Seconds  `sexp:"timeout,must"`
+	Benefit float64       `sexp:"benefit,must"`
+	Late    float64       `sexp:"late"`  // share of the benefit after the target
+	Bound   sexp.Seconds  `sexp:"bound"` // most age, for need bound
+	Memory  sexp.Seconds  `sexp:"memory"`
+	Place   sexp.Position `sexp:",place"`
 }
 
 // Fault is something that goes wrong for a while.
 type Fault struct {
-	Kind   string       `sexp:",name"` // crash, hang, cut, slow, drain, elect or restart
-	Set    int          `sexp:"set"`
-	Member int          `sexp:"member"` // 0 is the first primary
-	Router int          `sexp:"router"` // for restart
-	At     sexp.Seconds `sexp:"at,must"`
-	For    sexp.Seconds `sexp:"for"`
-	Times  float64      `sexp:"times"` // slower, for slow
-	Place  sexp.Place   `sexp:",place"`
+	Kind   string        `sexp:",name"` // crash, hang, cut, slow, drain, elect or restart
+	Set    int           `sexp:"set"`
+	Member int           `sexp:"member"` // 0 is the first primary
+	Router int           `sexp:"router"` // for restart
+	At     sexp.Seconds  `sexp:"at,must"`
+	For    sexp.Seconds  `sexp:"for"`
+	Times  float64       `sexp:"times"` // slower, for slow
+	Place  sexp.Position `sexp:",place"`
 }
 
 var (
@@ -112,10 +112,10 @@
 
 func (s *Spec) check(file string) error {
 	f := &s.Fleet
-	fault := func(at sexp.Place, format string, args ...any) error {
-		return &sexp.Fault{Place: at, Says: fmt.Sprintf(format, args...)}
+	fault := func(at sexp.Position, format string, args ...any) error {
+		return &sexp.Error{Position: at, Reason: fmt.Sprintf(format, args...)}
 	}
-	top := sexp.Place{File: file, Line: 1, Column: 1}
+	top := sexp.Position{File: file, Line: 1, Column: 1}
 	for _, x := range []struct {
 		key         string
 		value       int
--- a/internal/sexp/decode.go
+++ b/internal/sexp/decode.go
@@ -14,7 +14,7 @@
 // Seconds is a span of time, written with its unit: 250ms, 5s, 2m, 1h.
 type Seconds float64
 
-var units = []struct {
+var timeUnits = []struct {
 	suffix string
 	worth  float64
 }{{"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}}
@@ -31,17 +31,17 @@
 // Keys that are unknown or given twice, missing ones with the option must, and values of another form are
 // errors of type *Fault.
 func Decode(file string, nodes []Node, v any) error {
-	return decode(Place{file, 1, 1}, "the file", nodes, reflect.ValueOf(v).Elem())
+	return decodeStruct(Position{file, 1, 1}, "the file", nodes, reflect.ValueOf(v).Elem())
 }
 
 type field struct {
-	key        string
-	must, name bool
-	place      bool
-	value      reflect.Value
+	key              string
+	required, isName bool
+	isPosition       bool
+	value            reflect.Value
 }
 
-func fields(v reflect.Value) []field {
+func taggedFields(v reflect.Value) []field {
 	var out []field
 	for i := range v.NumField() {
 		tag, ok := v.Type().Field(i).Tag.Lookup("sexp")
@@ -51,60 +51,60 @@
 		parts := strings.Split(tag, ",")
 		f := field{key: parts[0], value: v.Field(i)}
 		for _, o := range parts[1:] {
-			f.must, f.name, f.place = f.must || o == "must", f.name || o == "name", f.place || o == "place"
+			f.required, f.isName, f.isPosition = f.required || o == "must", f.isName || o == "name", f.isPosition || o == "place"
 		}
 		out = append(out, f)
 	}
 	return out
 }
 
-func decode(at Place, what string, nodes []Node, v reflect.Value) error {
+func decodeStruct(at Position, what string, nodes []Node, v reflect.Value) error {
 	known := map[string]field{}
 	var keys []string
-	for _, f := range fields(v) {
-		if f.place {
+	for _, f := range taggedFields(v) {
+		if f.isPosition {
 			f.value.Set(reflect.ValueOf(at))
 			continue
 		}
-		if !f.name {
+		if !f.isName {
 			known[f.key] = f
 			keys = append(keys, f.key)
 			continue
 		}
 		if len(nodes) == 0 || nodes[0].IsList {
-			return &Fault{at, fmt.Sprintf("%s wants a name after its key", what)}
+			return &Error{at, fmt.Sprintf("%s wants a name after its key", what)}
 		}
 		f.value.SetString(nodes[0].Text)
 		nodes = nodes[1:]
 	}
-	given := map[string]Place{}
+	given := map[string]Position{}
 	for _, n := range nodes {
 		if !n.IsList || len(n.List) == 0 || n.List[0].IsList {
-			return &Fault{n.Place, fmt.Sprintf("%s holds entries of the form (key value ...)", what)}
+			return &Error{n.Position, fmt.Sprintf("%s holds entries of the form (key value ...)", what)}
 		}
 		key := n.List[0].Text
 		f, ok := known[key]
 		if !ok {
-			return &Fault{n.List[0].Place, fmt.Sprintf("%s has no key %q%s", what, key, nearest(key, keys))}
+			return &Error{n.List[0].Position, fmt.Sprintf("%s has no key %q%s", what, key, suggestKey(key, keys))}
 		}
-		many := f.value.Kind() == reflect.Slice && f.value.Type().Elem().Kind() == reflect.Struct && !isText(f.value.Type().Elem())
+		many := f.value.Kind() == reflect.Slice && f.value.Type().Elem().Kind() == reflect.Struct && !isTextType(f.value.Type().Elem())
 		if before, twice := given[key]; twice && !many {
-			return &Fault{n.Place, fmt.Sprintf("%s is given twice, first on line %d", key, before.Line)}
+			return &Error{n.Position, fmt.Sprintf("%s is given twice, first on line %d", key, before.Line)}
 		}
-		given[key] = n.Place
-		if err := assign(n, key, f.value, many); err != nil {
+		given[key] = n.Position
+		if err := decodeEntry(n, key, f.value, many); err != nil {
 			return err
 		}
 	}
 	for _, k := range keys {
-		if _, ok := given[k]; !ok && known[k].must {
-			return &Fault{at, fmt.Sprintf("%s lacks the key %s", what, k)}
+		if _, ok := given[k]; !ok && known[k].required {
+			return &Error{at, fmt.Sprintf("%s lacks the key %s", what, k)}
 		}
 	}
 	return nil
 }
 
-func assign(n Node, key string, v reflect.Value, many bool) error {
+func decodeEntry(n Node, key string, v reflect.Value, many bool) error {
 	values := n.List[1:]
 	if v.Kind() == reflect.Pointer {
 		v.Set(reflect.New(v.Type().Elem()))
@@ -113,53 +113,53 @@
 	switch {
 	case many:
 		e := reflect.New(v.Type().Elem()).Elem()
-		if err := decode(n.Place, key, values, e); err != nil {
+		if err := decodeStruct(n.Position, key, values, e); err != nil {
 			return err
 		}
 		v.Set(reflect.Append(v, e))
 		return nil
-	case v.Kind() == reflect.Struct && !isText(v.Type()):
-		return decode(n.Place, key, values, v)
+	case v.Kind() == reflect.Struct && !isTextType(v.Type()):
+		return decodeStruct(n.Position, key, values, v)
 	case v.Kind() == reflect.Slice:
 		if len(values) == 0 {
-			return &Fault{n.Place, key + " wants one value or more"}
+			return &Error{n.Position, key + " wants one value or more"}
 		}
 		for _, x := range values {
 			e := reflect.New(v.Type().Elem()).Elem()
-			if err := scalar(x, key, e); err != nil {
+			if err := decodeValue(x, key, e); err != nil {
 				return err
 			}
 			v.Set(reflect.Append(v, e))
 		}
 		return nil
 	case len(values) != 1:
-		return &Fault{n.Place, fmt.Sprintf("%s wants one value, and has %d", key, len(values))}
+		return &Error{n.Position, fmt.Sprintf("%s wants one value, and has %d", key, len(values))}
 	}
-	return scalar(values[0], key, v)
+	return decodeValue(values[0], key, v)
 }
 
-func isText(t reflect.Type) bool {
+func isTextType(t reflect.Type) bool {
 	return reflect.PointerTo(t).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
 }
 
-func scalar(n Node, key string, v reflect.Value) error {
+func decodeValue(n Node, key string, v reflect.Value) error {
 	wrong := func(wanted string) error {
 		if n.IsList {
-			return &Fault{n.Place, fmt.Sprintf("%s wants %s, not a list", key, wanted)}
+			return &Error{n.Position, fmt.Sprintf("%s wants %s, not a list", key, wanted)}
 		}
-		return &Fault{n.Place, fmt.Sprintf("%s wants %s, not %q", key, wanted, n.Text)}
+		return &Error{n.Position, fmt.Sprintf("%s wants %s, not %q", key, wanted, n.Text)}
 	}
-	if isText(v.Type()) {
+	if isTextType(v.Type()) {
 		if n.IsList {
 			return wrong("one value")
 		}
 		if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(n.Text)); err != nil {
-			return &Fault{n.Place, fmt.Sprintf("%s: %v", key, err)}
+			return &Error{n.Position, fmt.Sprintf("%s: %v", key, err)}
 		}
 		return nil
 	}
 	if _, ok := v.Interface().(Seconds); ok {
-		s, ok := seconds(n)
+		s, ok := parseSeconds(n)
 		if !ok {
 			return wrong("a time such as 250ms, 5s or 2m")
 		}
@@ -195,11 +195,11 @@
 	return nil
 }
 
-func seconds(n Node) (float64, bool) {
+func parseSeconds(n Node) (float64, bool) {
 	if n.IsList || n.Quoted {
 		return 0, false
 	}
-	for _, u := range units {
+	for _, u := range timeUnits {
 		digits, ok := strings.CutSuffix(n.Text, u.suffix)
 		if !ok {
 			continue
@@ -212,8 +212,8 @@
 	return 0, false
 }
 
-// nearest hints at the key that was probably meant: one that differs in half of its letters at most.
-func nearest(key string, keys []string) string {
+// suggestKey hints at the key that was probably meant: one that differs in half of its letters at most.
+func suggestKey(key string, keys []string) string {
 	sort.Strings(keys)
 	best, least := "", len(key)/2+2
 	for _, k := range keys {
@@ -229,41 +229,41 @@
 
 // Encode is the reverse of Decode: what it returns decodes into an equal value. v points to a struct.
 // Empty values are left out.
-func Encode(v any) []Node { return encode(reflect.ValueOf(v).Elem()) }
+func Encode(v any) []Node { return encodeStruct(reflect.ValueOf(v).Elem()) }
 
-func encode(v reflect.Value) []Node {
+func encodeStruct(v reflect.Value) []Node {
 	var out []Node
-	for _, f := range fields(v) {
+	for _, f := range taggedFields(v) {
 		x := f.value
 		if x.Kind() == reflect.Pointer && !x.IsNil() {
-			out = append(out, List(Atom(f.key), text(x.Elem())))
+			out = append(out, List(Atom(f.key), encodeValue(x.Elem())))
 			continue
 		}
 		switch {
-		case f.place:
-		case f.name:
+		case f.isPosition:
+		case f.isName:
 			out = append(out, Atom(x.String()))
-		case x.IsZero() && !f.must:
-		case x.Kind() == reflect.Slice && x.Type().Elem().Kind() == reflect.Struct && !isText(x.Type().Elem()):
+		case x.IsZero() && !f.required:
+		case x.Kind() == reflect.Slice && x.Type().Elem().Kind() == reflect.Struct && !isTextType(x.Type().Elem()):
 			for i := range x.Len() {
-				out = append(out, List(append([]Node{Atom(f.key)}, encode(x.Index(i))...)...))
+				out = append(out, List(append([]Node{Atom(f.key)}, encodeStruct(x.Index(i))...)...))
 			}
-		case x.Kind() == reflect.Struct && !isText(x.Type()):
-			out = append(out, List(append([]Node{Atom(f.key)}, encode(x)...)...))
+		case x.Kind() == reflect.Struct && !isTextType(x.Type()):
+			out = append(out, List(append([]Node{Atom(f.key)}, encodeStruct(x)...)...))
 		case x.Kind() == reflect.Slice:
 			entry := []Node{Atom(f.key)}
 			for i := range x.Len() {
-				entry = append(entry, text(x.Index(i)))
+				entry = append(entry, encodeValue(x.Index(i)))
 			}
 			out = append(out, List(entry...))
 		default:
-			out = append(out, List(Atom(f.key), text(x)))
+			out = append(out, List(Atom(f.key), encodeValue(x)))
 		}
 	}
 	return out
 }
 
-func text(v reflect.Value) Node {
+func encodeValue(v reflect.Value) Node {
 	switch x := v.Interface().(type) {
 	case encoding.TextMarshaler:
 		b, err := x.MarshalText()
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -15,37 +15,37 @@
 
 // Bounds of a file: an operator's file is short, and what is longer or deeper is a mistake. Bytes, levels.
 const (
-	Longest = 4 << 20
-	Deepest = 64
+	MaxFileBytes = 4 << 20
+	MaxDepth     = 64
 )
 
-// Place is where something stands in a file; lines and columns count from 1.
-type Place struct {
+// Position is where something stands in a file; lines and columns count from 1.
+type Position struct {
 	File         string
 	Line, Column int
 }
 
-func (p Place) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
+func (p Position) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
 
-// Fault is an error at a place.
-type Fault struct {
-	Place Place
-	Says  string
+// Error is an error at a place.
+type Error struct {
+	Position Position
+	Reason   string
 }
 
-func (f *Fault) Error() string { return f.Place.String() + ": " + f.Says }
+func (f *Error) Error() string { return f.Position.String() + ": " + f.Reason }
 
 // Node is an atom, a string or a list.
 type Node struct {
-	Place  Place
-	Text   string // of an atom or a string
-	Quoted bool   // a string
-	List   []Node // if IsList
-	IsList bool
+	Position Position
+	Text     string // of an atom or a string
+	Quoted   bool   // a string
+	List     []Node // if IsList
+	IsList   bool
 }
 
 // Atom returns a node of bare text, or a string where the text cannot stand bare.
-func Atom(text string) Node { return Node{Text: text, Quoted: !bare(text)} }
+func Atom(text string) Node { return Node{Text: text, Quoted: !isBareAtom(text)} }
 
 // List returns a node that holds others.
 func List(nodes ...Node) Node { return Node{List: nodes, IsList: true} }
@@ -80,13 +80,13 @@
 
 // Read parses a file's text. file is its name in errors, which are of type *Fault.
 func Read(file string, text []byte) ([]Node, error) {
-	if len(text) > Longest {
-		return nil, &Fault{Place{file, 1, 1}, fmt.Sprintf("the file has %d bytes, %d at most", len(text), Longest)}
+	if len(text) > MaxFileBytes {
+		return nil, &Error{Position{file, 1, 1}, fmt.Sprintf("the file has %d bytes, %d at most", len(text), MaxFileBytes)}
 	}
 	if !utf8.Valid(text) {
-		return nil, &Fault{Place{file, 1, 1}, "the file is not UTF-8"}
+		return nil, &Error{Position{file, 1, 1}, "the file is not UTF-8"}
 	}
-	if err := depth(file, text); err != nil {
+	if err := checkNesting(file, text); err != nil {
 		return nil, err
 	}
 	doc, err := grammar.ParseBytes(file, text)
@@ -94,20 +94,20 @@
 		var at participle.Error
 		if errors.As(err, &at) {
 			p := at.Position()
-			return nil, &Fault{Place{file, p.Line, p.Column}, at.Message()}
+			return nil, &Error{Position{file, p.Line, p.Column}, at.Message()}
 		}
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return convert(file, doc.Nodes)
+	return toNodes(file, doc.Nodes)
 }
 
-// depth bounds the nesting before the parser, which recurses, sees the text; it also tells the place of a
+// checkNesting bounds the nesting before the parser, which recurses, sees the text; it also tells the place of a
 // bracket that is never closed, which the parser would put at the end of the file.
-func depth(file string, text []byte) error {
+func checkNesting(file string, text []byte) error {
 	line, start := 1, 0
-	var open []Place
+	var open []Position
 	for i := 0; i < len(text); i++ {
-		at := Place{file, line, i - start + 1}
+		at := Position{file, line, i - start + 1}
 		switch text[i] {
 		case '\n':
 			line, start = line+1, i+1
@@ -125,42 +125,42 @@
 				}
 			}
 			if i >= len(text) {
-				return &Fault{at, "this string is never closed"}
+				return &Error{at, "this string is never closed"}
 			}
 		case '(':
-			if open = append(open, at); len(open) > Deepest {
-				return &Fault{at, fmt.Sprintf("lists nest more than %d deep", Deepest)}
+			if open = append(open, at); len(open) > MaxDepth {
+				return &Error{at, fmt.Sprintf("lists nest more than %d deep", MaxDepth)}
 			}
 		case ')':
 			if len(open) == 0 {
-				return &Fault{at, "this bracket closes nothing"}
+				return &Error{at, "this bracket closes nothing"}
 			}
 			open = open[:len(open)-1]
 		}
 	}
 	if len(open) > 0 {
-		return &Fault{open[len(open)-1], "this bracket is never closed"}
+		return &Error{open[len(open)-1], "this bracket is never closed"}
 	}
 	return nil
 }
 
-func convert(file string, nodes []*node) ([]Node, error) {
+func toNodes(file string, nodes []*node) ([]Node, error) {
 	var out []Node
 	for _, n := range nodes {
-		c := Node{Place: Place{file, n.Pos.Line, n.Pos.Column}}
+		c := Node{Position: Position{file, n.Pos.Line, n.Pos.Column}}
 		switch {
 		case n.Atom != nil:
 			c.Text = *n.Atom
 		case n.Str != nil:
 			text, err := unquote(*n.Str)
 			if err != nil {
-				return nil, &Fault{c.Place, err.Error()}
+				return nil, &Error{c.Position, err.Error()}
 			}
 			c.Text, c.Quoted = text, true
 		default:
 			c.IsList = true
 			var err error
-			if c.List, err = convert(file, n.List.Nodes); err != nil {
+			if c.List, err = toNodes(file, n.List.Nodes); err != nil {
 				return nil, err
 			}
 		}
@@ -204,7 +204,7 @@
 	return b.String(), nil
 }
 
-func bare(text string) bool {
+func isBareAtom(text string) bool {
 	for i := range len(text) {
 		if c := text[i]; c <= ' ' || c == 0x7f || strings.IndexByte(`()";`, c) >= 0 {
 			return false
@@ -237,8 +237,8 @@
 	return b.String()
 }
 
-// width is how long a list may be before its parts get lines of their own, in characters.
-const width = 100
+// maxLineWidth is how long a list may be before its parts get lines of their own, in characters.
+const maxLineWidth = 100
 
 // Print returns text that Read gives back as the same nodes, but for their places.
 func Print(nodes []Node) []byte {
@@ -252,7 +252,7 @@
 
 func (n Node) print(b *strings.Builder, indent int) {
 	flat := n.flat()
-	if !n.IsList || indent+len(flat) <= width {
+	if !n.IsList || indent+len(flat) <= maxLineWidth {
 		b.WriteString(flat)
 		return
 	}
@@ -271,7 +271,7 @@
 
 func (n Node) flat() string {
 	switch {
-	case n.Quoted || !n.IsList && !bare(n.Text):
+	case n.Quoted || !n.IsList && !isBareAtom(n.Text):
 		return quote(n.Text)
 	case !n.IsList:
 		return n.Text
--- a/internal/systems/recorded_test.go
+++ b/internal/systems/recorded_test.go
@@ -22,7 +22,7 @@
 		System: "watch",
 		Bounds: Bounds{
 			System: "watch", Depth: 30, States: 24, Ticks: 1, Faults: 1,
-			Place: sexp.Place{File: "small2.sexp", Line: 1, Column: 1},
+			Place: sexp.Position{File: "small2.sexp", Line: 1, Column: 1},
 		},
 		Saved: explore.Saved{
 			Parents: []int32{-1, 0, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 2, 3, 3, 4, 5, 5, 5, 5, 6, 6, 6},
@@ -80,7 +80,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, Trace{
 		System: "watch", Fault: "old-bytes",
-		Bounds: Bounds{System: "watch", Depth: 30, Ticks: 2, Faults: 1, Place: sexp.Place{File: "trace.sexp", Line: 1, Column: 1}},
+		Bounds: Bounds{System: "watch", Depth: 30, Ticks: 2, Faults: 1, Place: sexp.Position{File: "trace.sexp", Line: 1, Column: 1}},
 		Trace: explore.Trace{
 			Steps:    []string{"up 0", "answer 0", "move"},
 			Property: "after a move no list of the address before is taken",
--- a/internal/systems/systems.go
+++ b/internal/systems/systems.go
@@ -48,22 +48,22 @@
 
 // Bounds of one system's exploration. What a system does not have it passes over.
 type Bounds struct {
-	System   string       `sexp:",name"`
-	Depth    int          `sexp:"depth"`
-	States   int          `sexp:"states"`
-	Memory   int          `sexp:"memory-mb"`
-	For      sexp.Seconds `sexp:"for"`
-	Agents   int          `sexp:"agents"`
-	Tools    int          `sexp:"tools"`
-	Members  int          `sexp:"members"`
-	Routers  int          `sexp:"routers"`
-	Clients  int          `sexp:"clients"`
-	Commands []string     `sexp:"commands"` // their groups, or what each client says
-	Ticks    int          `sexp:"ticks"`    // steps of time
-	Faults   int          `sexp:"faults"`   // of the adversary's, in all
-	Only     []string     `sexp:"only"`     // kinds of faults; none: all
-	Live     bool         `sexp:"live"`
-	Place    sexp.Place   `sexp:",place"`
+	System   string        `sexp:",name"`
+	Depth    int           `sexp:"depth"`
+	States   int           `sexp:"states"`
+	Memory   int           `sexp:"memory-mb"`
+	For      sexp.Seconds  `sexp:"for"`
+	Agents   int           `sexp:"agents"`
+	Tools    int           `sexp:"tools"`
+	Members  int           `sexp:"members"`
+	Routers  int           `sexp:"routers"`
+	Clients  int           `sexp:"clients"`
+	Commands []string      `sexp:"commands"` // their groups, or what each client says
+	Ticks    int           `sexp:"ticks"`    // steps of time
+	Faults   int           `sexp:"faults"`   // of the adversary's, in all
+	Only     []string      `sexp:"only"`     // kinds of faults; none: all
+	Live     bool          `sexp:"live"`
+	Place    sexp.Position `sexp:",place"`
 }
 
 // File is a file of bounds, one entry a system.
@@ -102,11 +102,11 @@
 
 func (b *Bounds) check() error {
 	if _, err := Find(b.System); err != nil {
-		return &sexp.Fault{Place: b.Place, Says: err.Error()}
+		return &sexp.Error{Position: b.Place, Reason: err.Error()}
 	}
 	for _, c := range b.Commands {
 		if groupOf(c) < 0 && !(b.System == "client" && slices.Contains(clientSays, c)) {
-			return &sexp.Fault{Place: b.Place, Says: fmt.Sprintf("commands: there is no command group %s", c)}
+			return &sexp.Error{Position: b.Place, Reason: fmt.Sprintf("commands: there is no command group %s", c)}
 		}
 	}
 	for _, x := range []struct {
@@ -114,7 +114,7 @@
 		value, most int
 	}{{"agents", b.Agents, 9}, {"tools", b.Tools, 4}, {"members", b.Members, 6}, {"routers", b.Routers, 4}, {"clients", b.Clients, 4}, {"ticks", b.Ticks, 1000}, {"faults", b.Faults, 100}} {
 		if x.value < 0 || x.value > x.most {
-			return &sexp.Fault{Place: b.Place, Says: fmt.Sprintf("%s is %d, and must be within 0 and %d", x.key, x.value, x.most)}
+			return &sexp.Error{Position: b.Place, Reason: fmt.Sprintf("%s is %d, and must be within 0 and %d", x.key, x.value, x.most)}
 		}
 	}
 	return nil
