--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -1,87 +1,104 @@
 package router
 
-import (
-	"math"
+import "math"
+
+const (
+	lowestQueueShare     = 0.4 // of the queue limit that the least valuable group has
+	queueShare           = 0.4 // of the tightest bearable queueing time; the rest waits at the router
+	lowTrafficQueueShare = 0.3 // more of it for a router with low traffic
+	leaverThreshold      = 0.5 // if more of a group's clients leave early, only their stay counts
+	retryQueueShare      = 0.2 // of its queue limit that a client's retry has
+	freeAttempts         = 2   // attempts at an endpoint beside its queue limit: it must show at some load,
+	freeAttemptsTotal    = 3   // as long as all routers' attempts do not add up to more than this
 )
 
-// fits sheds by benefit: a group joins only queues that leave room for what carries more benefit for its
-// work, and nothing is sent too late. A client's repeat has spent its target on the first try.
-func (r *Router) admits(now float64, c *Command, g *groupState, at int, room float64) bool {
+// admits sheds load by value: a group joins only queues that leave capacity to what is worth more for its
+// service time, and nothing is sent too late. A client's retry has spent its objective already.
+func (r *Router) admits(now float64, c *Command, g *group, i int, queueLimit float64) bool {
 	if c.ClientRetry && g.leaverShare <= leaverThreshold {
-		room *= retryQueueShare
+		queueLimit *= retryQueueShare
 	}
-	n := &r.endpoints[at]
-	pace := r.expectedLatency(n, n.queued)
-	// Many routers' free places are taken in turn: each rests for as long as the others need.
-	rest := pace * (float64(r.config.RouterCount)/freeAttemptsTotal - 1)
-	free := n.queued < freeAttempts && n.queued*r.config.RouterCount < freeAttemptsTotal && now-n.answeredAt >= rest
-	// A queue that was full has a place again when some of it is done.
-	return (pace-r.serviceTime <= room || free) && now-n.overloadedAt >= r.serviceTime && now+r.predictedResponse(at, g) <= r.usefulUntil(c, g)
+	e := &r.endpoints[i]
+	latency := r.expectedLatency(e, e.queued)
+	// A queue that was full has a free place when one command of it is done.
+	hasCapacity := latency-r.serviceTime <= queueLimit || r.hasFreeAttempt(now, e, latency)
+	rested := now-e.overloadedAt >= r.serviceTime
+	return hasCapacity && rested && now+r.predictedResponse(i, g) <= r.usefulUntil(c, g)
+}
+
+// hasFreeAttempt says whether an endpoint may get one of the few attempts that are sent whatever its queue.
+// Many routers take turns at these: each rests for as long as the others need.
+func (r *Router) hasFreeAttempt(now float64, e *endpoint, latency float64) bool {
+	rest := latency * (float64(r.config.RouterCount)/freeAttemptsTotal - 1)
+	few := e.queued < freeAttempts && e.queued*r.config.RouterCount < freeAttemptsTotal
+	return few && now-e.answeredAt >= rest
 }
 
-// horizon is how long a command is worth having: its target, and with late benefit a part of
-// the time after it.
-func (r *Router) usefulUntil(c *Command, g *groupState) float64 {
+// usefulUntil is how long an answer has a value; the value of a late one counts as a share of that time.
+func (r *Router) usefulUntil(c *Command, g *group) float64 {
 	if g.leaverShare > leaverThreshold {
-		return math.Min(c.ArrivedAt+math.Min(g.LatencyObjective, g.leaverStay), c.ClientDeadline)
+		return min(c.ArrivedAt+min(g.LatencyObjective, g.leaverStay), c.ClientDeadline)
 	}
 	end := c.ArrivedAt + g.LatencyObjective
-	return math.Min(end+g.LateValue*math.Max(0, c.ClientDeadline-end), c.ClientDeadline)
+	return min(end+g.LateValue*max(0, c.ClientDeadline-end), c.ClientDeadline)
 }
 
-// never is the final answer of a command given up: throttled where a retry does no harm.
-func (r *Router) giveUp(now float64, c *Command, g *groupState) Decision {
-	if c.uncertainRuns > 0 && (g.Idempotency == NonIdempotent || g.Idempotency == IdempotentWithKey && g.KeyScope != GlobalScope) {
-		return Decision{Action: Fail, CancelAttempt: -1}
+// giveUp is the final decision on a command without an answer: Reject where a client's retry does no harm.
+func (r *Router) giveUp(now float64, c *Command, g *group) Decision {
+	recognized := g.Idempotency == Idempotent || g.Idempotency == IdempotentWithKey && g.KeyScope == GlobalScope
+	if c.uncertainRuns > 0 && !recognized {
+		return Decision{Action: Fail, CancelAttempt: none}
 	}
-	a := Decision{Action: Reject, CancelAttempt: -1}
-	// A try that comes too late for the target should come late; one in time may come at once.
+	d := Decision{Action: Reject, CancelAttempt: none}
+	// A retry that comes too late for the objective should come late; one in time may come at once.
 	if r.config.RetryAfterAllowed && now+2*g.serviceTime*(1-latencySlack) > c.ArrivedAt+g.LatencyObjective {
-		a.RetryAfter = r.config.MaxRetryAfter
+		d.RetryAfter = r.config.MaxRetryAfter
 	}
-	return a
+	return d
 }
 
-// favour gives the worst-served group the weight that the site's goal gives it beside the whole.
+// favourWorstGroup gives the worst-served group the weight that the configured objective gives it.
 func (r *Router) favourWorstGroup() {
-	worst, least, sum, benefit := -1, math.Inf(1), 0.0, 0.0
+	worst, worstServed := none, math.Inf(1)
+	var earned, possible float64
 	for i := range r.groups {
 		g := &r.groups[i]
 		g.fairnessWeight = 1
+		earned += g.answeredInTime * g.PriorityWeight
+		possible += g.arrivals * g.PriorityWeight
 		served := (g.answeredInTime + priorWeight) / (g.arrivals + priorWeight)
-		sum += g.answeredInTime * g.PriorityWeight
-		benefit += g.arrivals * g.PriorityWeight
-		if served < least {
-			worst, least = i, served
+		if served < worstServed {
+			worst, worstServed = i, served
 		}
 	}
-	if worst >= 0 && least < sum/math.Max(benefit, 1) && r.config.TotalWeight > 0 {
+	if worst >= 0 && worstServed < earned/math.Max(possible, 1) && r.config.TotalWeight > 0 {
 		g := &r.groups[worst]
-		g.fairnessWeight += r.config.WorstGroupWeight * benefit / (r.config.TotalWeight * g.arrivals * g.PriorityWeight)
+		total := r.config.TotalWeight * g.arrivals * g.PriorityWeight
+		g.fairnessWeight += r.config.WorstGroupWeight * possible / total
 	}
 }
 
-// density is a command group's benefit for its work.
-func (r *Router) valueDensity(g *groupState) float64 {
+// valueDensity is a group's value for its service time.
+func (r *Router) valueDensity(g *group) float64 {
 	return g.fairnessWeight * g.PriorityWeight / math.Max(g.serviceTime, r.config.BatchInterval+roundOff)
 }
 
-// roomOf is the queueing time that a group may meet: what the groups of at least its density
-// can bear, and less the less its own is. Writes count where the queue is a primary's.
-func (r *Router) queueLimitOf(i int, primary bool) float64 {
-	g := &r.groups[i]
-	room, top, own := math.Inf(1), roundOff, r.valueDensity(g)
+// queueLimitOf is the queueing time that a group may join: what the groups of at least its density can bear,
+// and less the lower its own density is. Groups that run on the primary only count at a primary.
+func (r *Router) queueLimitOf(g *group, atPrimary bool) float64 {
+	own := r.valueDensity(g)
+	bearable, highest := math.Inf(1), roundOff
 	for k := range r.groups {
-		h := &r.groups[k]
-		if h.Consistency == PrimaryOnly && !primary {
+		other := &r.groups[k]
+		if other.Consistency == PrimaryOnly && !atPrimary {
 			continue
 		}
-		d := r.valueDensity(h)
-		top = math.Max(top, d)
-		if d >= own {
-			room = math.Min(room, math.Max(0, h.LatencyObjective-h.serviceTime))
+		density := r.valueDensity(other)
+		highest = math.Max(highest, density)
+		if density >= own {
+			bearable = math.Min(bearable, math.Max(0, other.LatencyObjective-other.serviceTime))
 		}
 	}
 	share := queueShare + lowTrafficQueueShare*math.Max(0, 1-r.warmRate*r.longestObjective/lowTrafficAttempts)
-	return share * room * (lowestQueueShare + (1-lowestQueueShare)*math.Min(1, own/top))
+	return share * bearable * (lowestQueueShare + (1-lowestQueueShare)*math.Min(1, own/highest))
 }
--- a/internal/router/carry_test.go
+++ b/internal/router/carry_test.go
@@ -36,13 +36,13 @@
 	assert.Equal(t, 10.7, r.sessionPosition(12, c))
 	writes := &Command{Group: 1, Session: 7, ArrivedAt: 12, ClientDeadline: 14}
 	assert.Equal(t, 12.5, r.sessionPosition(12.5, writes), "its writes are out at the old one")
-	r.recordSession(writes, &groupState{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, 1, math.Inf(-1)) // and one here
+	r.recordSession(writes, &group{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, 1, math.Inf(-1)) // and one here
 	for out := 1.0; out >= 0; out-- {
 		old.sessions.Put(7, session{lastWrite: math.Inf(-1), highestRead: math.Inf(-1), writesInFlight: out})
 		r.LearnFrom(writes, old)
 		assert.Equal(t, 12.5, r.sessionPosition(12.5, writes))
 	}
-	r.recordSession(writes, &groupState{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, -1, math.Inf(-1))
+	r.recordSession(writes, &group{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, -1, math.Inf(-1))
 	assert.Equal(t, 10.7, r.sessionPosition(12.5, writes), "none is out any more")
 	other := &Command{Group: 1, Session: 4, ArrivedAt: 12, ClientDeadline: 14}
 	assert.Equal(t, 9.5, r.sessionPosition(12, other), "nor is the floor lost")
--- a/internal/router/consistency.go
+++ b/internal/router/consistency.go
@@ -5,148 +5,152 @@
 	"slices"
 )
 
-// session is a session's two positions, and how many of its writes are out.
-type session struct{ lastWrite, highestRead, writesInFlight float64 }
+const (
+	catchUpWait       = 0.1     // seconds that a read waits for a replica to catch up
+	maxSessions       = 1 << 16 // sessions remembered before the older half is forgotten
+	retentionTimeouts = 8       // longest client timeouts until sessions and removed endpoints are forgotten
+)
+
+// requiredPosition is the log position that a read's data must cover if it is sent now.
+func (r *Router) requiredPosition(now float64, c *Command, g *group) float64 {
+	switch g.Consistency {
+	case Linearizable:
+		return c.ArrivedAt
+	case BoundedStaleness:
+		return now - g.MaxStaleness
+	case SessionConsistent:
+		return r.sessionPosition(now, c)
+	default:
+		return math.Inf(-1)
+	}
+}
 
-// owed is the position that a session's read must cover if it is sent now: also what the session was told
-// while it waited. A write that is out may stand in the log already, with its answer on its way.
+// sessionPosition is the position that a session's read must cover, with what its session was told while the
+// read waited. A write in flight may be in the log already, with its answer on the way.
 func (r *Router) sessionPosition(now float64, c *Command) float64 {
 	s := r.session(c.Session)
-	need := math.Max(math.Max(s.lastWrite, s.highestRead), r.shards[c.Shard].positionFloor)
-	if r.config.ClientTokens && c.LastWriteAge != 0 {
-		need = math.Max(need, c.ArrivedAt-c.LastWriteAge)
-	} else if s.writesInFlight > 0 && !r.config.ClientTokens {
-		need = now
+	position := max(s.lastWrite, s.highestRead, r.shards[c.Shard].positionFloor)
+	switch {
+	case r.config.ClientTokens && c.LastWriteAge != 0:
+		return max(position, c.ArrivedAt-c.LastWriteAge)
+	case s.writesInFlight > 0 && !r.config.ClientTokens:
+		return now
 	}
-	return need
+	return position
 }
 
-// note keeps what a session has written or seen, and that one more of its writes is out, or one less.
-func (r *Router) recordSession(c *Command, g *groupState, out, at float64) {
+// recordSession notes a position that a session wrote or read, and a change of its writes in flight.
+func (r *Router) recordSession(c *Command, g *group, writes, position float64) {
 	s := r.session(c.Session)
 	switch {
 	case c.Session != 0 && g.Consistency == PrimaryOnly:
-		s.writesInFlight, s.lastWrite = math.Max(0, s.writesInFlight+out), math.Max(s.lastWrite, at)
-	case c.Session != 0 && g.Consistency == SessionConsistent && !math.IsInf(at, -1):
-		s.highestRead = math.Max(s.highestRead, at)
+		s.writesInFlight = max(0, s.writesInFlight+writes)
+		s.lastWrite = max(s.lastWrite, position)
+	case c.Session != 0 && g.Consistency == SessionConsistent && !math.IsInf(position, -1):
+		s.highestRead = max(s.highestRead, position)
 	default:
 		return
 	}
 	r.sessions.Put(c.Session, s)
-	r.shards[c.Shard].newestPosition = math.Max(r.shards[c.Shard].newestPosition, at)
-}
-
-// session is what is remembered of a session, if anything.
-func (r *Router) session(id uint64) session {
-	if s, ok := r.sessions.Get(id); ok {
-		return s
-	}
-	return session{lastWrite: math.Inf(-1), highestRead: math.Inf(-1)}
+	r.shards[c.Shard].newestPosition = max(r.shards[c.Shard].newestPosition, position)
 }
 
-// forget lets the older generation of sessions go; their positions become their sets' floors.
+// expireSessions forgets the older generation of sessions when it is due; its highest positions become its
+// shards' floors. How groups were served is forgotten by half at the same time.
 func (r *Router) expireSessions(now float64) {
 	if now-r.sessionsTurnedAt < retentionTimeouts*r.longestTimeout && r.sessions.Younger() < maxSessions/2 {
 		return
 	}
-	r.sessionsTurnedAt = now
-	for i := range r.shards {
-		s := &r.shards[i]
-		s.positionFloor, s.olderPosition, s.newestPosition = math.Max(s.positionFloor, s.olderPosition), s.newestPosition, math.Inf(-1)
-	}
-	for i := range r.groups { // how groups are served is remembered about as long
-		r.groups[i].arrivals, r.groups[i].answeredInTime = r.groups[i].arrivals/2, r.groups[i].answeredInTime/2
+	for i := range r.groups {
+		r.groups[i].arrivals /= 2
+		r.groups[i].answeredInTime /= 2
 	}
-	r.sessions.Turn()
+	r.turnSessions(now)
 }
 
-// tell notes a position and a role that held at a time.
-func (r *Router) recordReport(n *endpoint, at, position float64, role Role) {
-	if position >= 0 {
-		p := r.config.PositionEpoch + position
-		n.position = math.Max(n.position, p)
-		if at > n.reportedAt {
-			n.reportedAt, n.lag = at, math.Max(0, at-p)
-		}
-	}
-	if role != RoleUnknown && at >= n.roleAt {
-		n.role, n.roleAt = role, at
-	}
+// mayCatchUp says whether it can have applied up to a position within the wait, at twice the log's pace.
+func (e *endpoint) mayCatchUp(now, position float64) bool {
+	return math.IsInf(e.reportedAt, -1) || position <= e.position+2*(now+catchUpWait-e.reportedAt)
 }
 
-// mayCover says whether a member can have applied up to a position within the wait, at twice the log's pace.
-func (n *endpoint) mayCatchUp(now, need float64) bool {
-	return math.IsInf(n.reportedAt, -1) || need <= n.position+2*(now+catchUpWait-n.reportedAt)
+// mayCover says whether a replica that is not ejected may cover a read's position within the wait.
+func (r *Router) mayCover(now, position float64, i, primary int) bool {
+	e := &r.endpoints[i]
+	return i != primary && r.eligible(e) && !e.ejected && e.mayCatchUp(now, position)
 }
 
-// qualify makes the spare nodes those that may take a read of the position needed. It returns the
-// doubted node that is due for a trial first, or -1: a doubted primary too, whose data is excused.
-func (r *Router) collectCandidates(now float64, c *Command, g *groupState, need float64) int {
-	p, trial := r.primary(c.Shard), -1
+// collectCandidates gathers the endpoints that may take a read of a position. It returns the ejected endpoint
+// that is due for a recovery attempt first, or none; that may be the primary, whose data are always fresh.
+func (r *Router) collectCandidates(now float64, c *Command, g *group, position float64) int {
+	primary, recovering := r.primary(c.Shard), none
 	r.candidates, r.healthyReplicas = r.candidates[:0], 0
 	for _, i := range r.shards[c.Shard].endpoints {
-		n := &r.endpoints[i]
-		doubted := r.suspected(now, i)
-		if i != p && !doubted && r.eligible(n) && n.mayCatchUp(now, need) {
+		e := &r.endpoints[i]
+		suspected := r.suspected(now, i)
+		if r.mayCover(now, position, i, primary) {
 			r.healthyReplicas++
 		}
-		if i == p && !doubted || !r.eligible(n) || n.position < need && i != p || !r.slowStartAdmits(now, i) {
+		covers := i == primary || e.position >= position
+		if i == primary && !suspected || !r.eligible(e) || !covers || !r.slowStartAdmits(now, i) {
 			continue
 		}
-		if !doubted {
+		if !suspected {
 			r.candidates = append(r.candidates, i)
-		} else if n.queued == 0 && g.Idempotency == Idempotent && (trial < 0 || n.recoveryAt < r.endpoints[trial].recoveryAt) {
-			trial = i
+		} else if e.queued == 0 && g.Idempotency == Idempotent &&
+			(recovering < 0 || e.recoveryAt < r.endpoints[recovering].recoveryAt) {
+			recovering = i
 		}
 	}
-	return trial
+	return recovering
 }
 
-// ask has one replica, this router's own, probed for a read that none is known to cover: all routers spread
-// evenly, and keeping all fresh cost more probes than commands. It tells whether any may cover in time. One
-// that is cold and has its share already is not asked: reads found that it covers, and waited for it in vain.
-func (r *Router) checkPosition(now float64, c *Command, primary int) (may bool) {
+// checkPosition says whether a replica may cover a read in time, and has one checked, this router's own:
+// keeping the positions of all of them fresh costs more checks than there are commands.
+func (r *Router) checkPosition(now float64, c *Command, primary int) (mayCover bool) {
 	r.candidates = r.candidates[:0]
 	for _, i := range r.shards[c.Shard].endpoints {
-		if n := &r.endpoints[i]; i != primary && r.eligible(n) && !n.ejected && n.mayCatchUp(now, c.requiredPosition) {
-			may = true
+		if r.mayCover(now, c.requiredPosition, i, primary) {
+			mayCover = true
 			if r.slowStartAdmits(now, i) {
 				r.candidates = append(r.candidates, i)
 			}
 		}
 	}
-	at := r.heavyReadReplica(c.Shard)
-	r.prefer(func(i int) bool { return i != at })
+	heavy := r.heavyReadReplica(c.Shard)
+	r.prefer(func(i int) bool { return i != heavy })
 	r.preferOwnZone()
-	if len(r.candidates) > 0 {
-		i := r.candidates[r.config.Instance%len(r.candidates)]
-		n := &r.endpoints[i]
-		known := n.position >= c.requiredPosition || now-math.Max(n.reportedAt, n.checkedAt) < catchUpWait
-		if r.config.LoadReports && !r.config.ReplicasCheckReads && !known { // a guarded one tells by turning the read away
-			r.requestCheck(now, i)
-		}
+	// A replica that checks reads itself tells its position by turning the read away.
+	if len(r.candidates) == 0 || !r.config.LoadReports || r.config.ReplicasCheckReads {
+		return mayCover
 	}
-	return may
+	i := r.candidates[r.config.Instance%len(r.candidates)]
+	e := &r.endpoints[i]
+	if e.position < c.requiredPosition && now-max(e.reportedAt, e.checkedAt) >= catchUpWait {
+		r.requestCheck(now, i)
+	}
+	return mayCover
 }
 
-// leastBehind serves sites whose replicas check reads themselves.
-func (r *Router) freshestReplica(now float64, c *Command, g *groupState) int {
+// freshestReplica serves deployments whose replicas check reads themselves. Each is tried once for a command.
+func (r *Router) freshestReplica(now float64, c *Command, g *group) int {
 	r.collectCandidates(now, c, g, math.Inf(-1))
-	r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool { // each is tried once
-		return slices.ContainsFunc(c.Attempts, func(l Attempt) bool { return l.Endpoint == i })
+	r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool {
+		return slices.ContainsFunc(c.Attempts, func(a Attempt) bool { return a.Endpoint == i })
 	})
 	least := math.Inf(1)
 	for _, i := range r.candidates {
-		least = math.Min(least, r.recentLag(now, i))
+		least = min(least, r.recentLag(now, i))
 	}
-	r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool { return r.recentLag(now, i) > least+catchUpWait/2 })
+	r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool {
+		return r.recentLag(now, i) > least+catchUpWait/2
+	})
 	return r.drawCandidate(now, c, g)
 }
 
-// behind is how far a replica lagged lately; one not heard of late may have caught up since.
-func (r *Router) recentLag(now float64, at int) float64 {
-	if n := &r.endpoints[at]; now-n.reportedAt <= r.longestObjective {
-		return n.lag
+// recentLag is how far a replica lagged lately; one that was not heard of lately may have caught up since.
+func (r *Router) recentLag(now float64, i int) float64 {
+	if e := &r.endpoints[i]; now-e.reportedAt <= r.longestObjective {
+		return e.lag
 	}
 	return 0
 }
--- a/internal/router/health.go
+++ b/internal/router/health.go
@@ -5,91 +5,103 @@
 	"math"
 )
 
-// HealthChecked takes in a probe's result. Only its report speaks for the node's data. An error tells nothing, and
-// silence less than an answer meanwhile: hosts that served while probes failed counted as started anew.
-func (r *Router) HealthChecked(now float64, at int, ending Result, took, position float64, primary bool) {
-	n := &r.endpoints[at]
-	switch ending {
-	case Answered:
-	case Errored, Overloaded, NotServed:
-		return
-	default:
-		if n.answeredAt < now-took {
-			n.recordUnreachable(now)
-		}
+const (
+	silenceFactor = 8.0  // mean answer times, shared by the unanswered attempts, of silence beyond one
+	failureMargin = 0.35 // beyond the fleet's median of failures, an endpoint is ejected: not for one
+	failOpenShare = 0.25 // share of the longest objective after a failure until an ejected endpoint may be used
+)
+
+// HealthChecked takes in the result of a health check. Only its report speaks for the endpoint's data. An
+// error says nothing, and silence says less than an answer to a command meanwhile.
+func (r *Router) HealthChecked(now float64, i int, result Result, elapsed, position float64, primary bool) {
+	e := &r.endpoints[i]
+	if !result.fromEndpoint() && e.answeredAt < now-elapsed {
+		e.recordUnreachable(now)
+	}
+	if result != Answered {
 		return
 	}
-	r.recordReachable(now, n)
-	n.idleConnections = max(1, n.idleConnections) // the probe's connection stands
+	r.recordReachable(now, e)
+	e.idleConnections = max(1, e.idleConnections) // the health check's connection stands
 	if position < 0 || !r.config.LoadReports {
 		return
 	}
 	position *= 1 - roundOff
-	role, seenAt := RoleReplica, now-took
+	role, reportedAt := RoleReplica, now-elapsed
 	if primary {
-		role, seenAt = RolePrimary, r.config.PositionEpoch+position
+		role, reportedAt = RolePrimary, r.config.PositionEpoch+position
 	}
-	r.recordReport(n, seenAt, position, role)
+	e.recordReport(reportedAt, r.config.PositionEpoch, position, role)
 }
 
-func (n *endpoint) recordUnreachable(now float64) {
-	n.unreachableSince, n.unreachableAt = math.Min(n.unreachableSince, now), now
+// requestCheck asks for a health check with the next maintenance.
+func (r *Router) requestCheck(now float64, i int) {
+	if r.config.HealthChecks {
+		r.endpoints[i].checkedAt = now
+		r.pendingChecks = append(r.pendingChecks, i)
+	}
 }
 
-// revive sees a node answer that was out of reach for longer than chance, by two failed contacts: it may have
-// started anew before any list says so, and counts as cold. Harm: one behind a broken link does too.
-func (r *Router) recordReachable(now float64, n *endpoint) {
-	if n.unreachableAt-n.unreachableSince > r.longestObjective {
-		n.startedAt = math.Max(n.startedAt, now)
+// recordReachable notes that an endpoint has answered. One that was unreachable for longer than by chance, by
+// two failed contacts, may have started anew before any list says so, and is taken to be in slow start.
+func (r *Router) recordReachable(now float64, e *endpoint) {
+	if e.unreachableAt-e.unreachableSince > r.longestObjective {
+		e.startedAt = max(e.startedAt, now)
 	}
-	if !math.IsInf(n.unreachableSince, 1) {
-		// What was sent to it meanwhile never reached it, and its silence would shun it again at once.
-		n.ejected, n.failureSum, n.unanswered, n.unreachableSince = false, 0, 0, math.Inf(1)
+	if !math.IsInf(e.unreachableSince, 1) {
+		// What was sent meanwhile never reached it, and its silence would eject it again at once.
+		e.ejected, e.failureSum = false, 0
+		e.unanswered, e.unreachableSince = 0, math.Inf(1)
 	}
 }
 
-// failing is a node's share of failures.
-func (n *endpoint) failureShare() float64 { return n.failureSum / (n.resultSum + priorWeight) }
-
-// doubted says that a node takes work and answers none, or fails more than the fleet does; if hung it keeps
-// its position. It stays so until it answers: a trial at a time, or a probe where it could not be reached.
-func (r *Router) suspected(now float64, at int) bool {
-	n := &r.endpoints[at]
-	r.decay(now, n)
-	// One that is not out any more tells little: hundreds of routers that each hear a node every few seconds
-	// shut out a seventh of a healthy fleet on it.
-	silent := n.unanswered > 1 || n.inFlight > 0 && n.unanswered > 0
-	if silent && now-n.unansweredSince > r.silenceTimeout(n) || n.failureShare() > r.medianFailureShare+failureMargin {
-		n.ejected = true
-	}
-	return n.ejected
+func (r *Router) recordFailure(now float64, e *endpoint) {
+	r.decay(now, e)
+	e.failureSum++
+	e.resultSum++
+	e.recoveryAt = now + r.longestObjective
 }
 
-// patience is how long a node may stay silent after a dispatch; lone lost answers do not count, nor silence
-// that costs little of the target: where answers are quick a long one among them doubted healthy nodes.
-func (r *Router) silenceTimeout(n *endpoint) float64 {
-	mean, unheard := cmp.Or(r.meanLatency(n), assumedServiceShare*r.longestObjective), float64(max(1, n.unanswered))
-	// A record of a second is no silence among answers of a tenth.
-	mean += math.Max(0, n.unansweredWork/unheard-cmp.Or(r.serviceTime, mean))
-	return math.Max(latencySlack*r.longestObjective, mean*(1+silenceFactor/unheard))
-}
+func (e *endpoint) failureShare() float64 { return e.failureSum / (e.resultSum + priorWeight) }
 
-func (r *Router) recordFailure(now float64, n *endpoint) {
-	r.decay(now, n)
-	n.failureSum++
-	n.resultSum++
-	n.recoveryAt = now + r.longestObjective
+// suspected says that an endpoint takes commands and answers none, or fails more than the fleet does, and
+// ejects it: until it answers it gets one recovery attempt at a time, or health checks if it was unreachable.
+func (r *Router) suspected(now float64, i int) bool {
+	e := &r.endpoints[i]
+	r.decay(now, e)
+	// One attempt that is over says little: on it hundreds of routers ejected a seventh of a healthy fleet.
+	silent := e.unanswered > 1 || e.inFlight > 0 && e.unanswered > 0
+	overdue := silent && now-e.unansweredSince > r.silenceTimeout(e)
+	if overdue || e.failureShare() > r.medianFailureShare+failureMargin {
+		e.ejected = true
+	}
+	return e.ejected
 }
 
-// lastHope says that a doubted node may be asked for want of a better one.
-func (r *Router) mayFailOpen(now float64, n *endpoint) bool {
-	return n.queued == 0 && math.IsInf(n.unreachableSince, 1) && now >= n.recoveryAt-(1-failOpenShare)*r.longestObjective
+// silenceTimeout is how long an endpoint may be silent after an attempt. Lone lost answers do not count, nor
+// does silence that costs little of the objective: where answers are quick, one long one says nothing.
+func (r *Router) silenceTimeout(e *endpoint) float64 {
+	unanswered := float64(max(1, e.unanswered))
+	mean := cmp.Or(r.meanLatency(e), assumedServiceShare*r.longestObjective)
+	// A command of a second is no silence among answers of a tenth.
+	mean += max(0, e.unansweredWork/unanswered-cmp.Or(r.serviceTime, mean))
+	return max(latencySlack*r.longestObjective, mean*(1+silenceFactor/unanswered))
 }
 
-// probe notes a probe for the upkeep that is due next.
-func (r *Router) requestCheck(now float64, at int) {
-	if r.config.HealthChecks {
-		r.endpoints[at].checkedAt = now
-		r.pendingChecks = append(r.pendingChecks, at)
+// recoveryDue says whether an ejected endpoint gets a recovery attempt. Where all are ejected one fails open,
+// or there would be nobody to learn from; an unreachable one is left to health checks.
+func (r *Router) recoveryDue(now float64, c *Command, g *group, i int) bool {
+	e := &r.endpoints[i]
+	reachable := math.IsInf(e.unreachableSince, 1) || !r.config.HealthChecks
+	timely := now-c.ArrivedAt < latencySlack*g.LatencyObjective
+	if reachable && timely && now >= e.recoveryAt && now-r.recoveryAt >= r.recoveryInterval {
+		return true
 	}
+	return r.healthyReplicas == 0 && r.mayFailOpen(now, e)
+}
+
+// mayFailOpen says that an ejected endpoint may be used for want of a better one.
+func (r *Router) mayFailOpen(now float64, e *endpoint) bool {
+	settled := now >= e.recoveryAt-(1-failOpenShare)*r.longestObjective
+	return e.queued == 0 && math.IsInf(e.unreachableSince, 1) && settled
 }
--- a/internal/router/helper_test.go
+++ b/internal/router/helper_test.go
@@ -21,9 +21,11 @@
 	row := func(need Consistency) CommandGroup {
 		return CommandGroup{Consistency: need, LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1, IdempotencyWindow: 2}
 	}
-	s := Config{RouterCount: 1, BatchInterval: 0.005, LoadReports: true, CanCancel: true,
+	s := Config{
+		RouterCount: 1, BatchInterval: 0.005, LoadReports: true, CanCancel: true,
 		HealthChecks: true, MaxAttempts: 6, ConnectTimeout: 0.25, SlowStartFloor: 0.2, SlowStart: 10, OverloadFactor: 2, OverloadWindow: 2,
-		PollWindow: 8, CommandGroups: []CommandGroup{row(PrimaryOnly), row(Linearizable), row(SessionConsistent), row(BoundedStaleness), row(Eventual)}}
+		PollWindow: 8, CommandGroups: []CommandGroup{row(PrimaryOnly), row(Linearizable), row(SessionConsistent), row(BoundedStaleness), row(Eventual)},
+	}
 	s.CommandGroups[gWrite].Idempotency = NonIdempotent
 	s.CommandGroups[gWrite].PriorityWeight = 3
 	s.CommandGroups[gBound].MaxStaleness = 0.4
@@ -41,7 +43,7 @@
 	r := New(s, 7)
 	r.UpdateEndpoints(10, []EndpointInfo{listed(0), listed(1), listed(2)}, true, true)
 	for i := range r.endpoints {
-		r.recordReport(&r.endpoints[i], 10, 10, RoleReplica)
+		r.endpoints[i].recordReport(10, r.config.PositionEpoch, 10, RoleReplica)
 	}
 	r.endpoints[0].role = RolePrimary
 	return r
--- a/internal/router/latency.go
+++ b/internal/router/latency.go
@@ -5,68 +5,100 @@
 	"math"
 )
 
-// pace foretells a node's answer time over all command groups. The other routers' part of the
-// queue shows only in its answer times; this router's own, one in so many, goes with what is out.
-func (r *Router) expectedLatency(n *endpoint, ahead int) float64 {
-	places := (n.queueSum + priorWeight*r.queueLength) / (n.answerSum + priorWeight)
+const (
+	decayObjectives      = 4    // longest objectives over which an endpoint's latency decays; its health in one,
+	decayAttempts        = 2    // or in the time of so many attempts to it, where these are rare
+	maxTailFactor        = 3.0  // times the expected latency that one answer counts for at most
+	averageWeight        = 0.05 // of one answer in the fleet's and the groups' means
+	connectFailureWeight = 0.2  // of one failed connection in the cost of a new one
+	serviceBatch         = 8.0  // answers whose mean stands for a group's service time if it is the least yet
+	serviceObjectives    = 25   // longest objectives in which the service time follows batches that are above it
+	assumedServiceShare  = 0.25 // of its objective that a group's service time is taken for until answers tell
+)
+
+// expectedLatency is the answer time over all groups to expect at a queue position. Other routers' part of
+// the queue shows only in answer times; this router's goes with what it has in flight.
+func (r *Router) expectedLatency(e *endpoint, position int) float64 {
+	meanPosition := (e.queueSum + priorWeight*r.queueLength) / (e.answerSum + priorWeight)
 	others := math.Sqrt(float64(r.config.RouterCount)) - 1
-	return r.meanLatency(n) * (others + float64(ahead+1)/(places+1)) / (others + 1)
+	return r.meanLatency(e) * (others + float64(position+1)/(meanPosition+1)) / (others + 1)
 }
 
-// mean is a node's mean answer time, leaning on its set's while there are few, and that on the fleet's. Thin
-// routers hear a node every ten seconds, its set every second: leaning on the fleet alone, hundreds went on
-// sending to sets that answered nothing in time. Harm: one slow node slows its set's others a little.
-func (r *Router) meanLatency(n *endpoint) float64 {
-	s := &r.shards[n.shard]
-	return (n.latencySum + priorWeight*(s.latencySum+priorWeight*r.latency)/(s.answerSum+priorWeight)) / (n.answerSum + priorWeight)
+// meanLatency is an endpoint's mean answer time, leaning on its shard's while answers are few, and that on
+// the fleet's: with low traffic an endpoint is heard every ten seconds, its shard every second.
+func (r *Router) meanLatency(e *endpoint) float64 {
+	s := &r.shards[e.shard]
+	prior := priorWeight * (s.latencySum + priorWeight*r.latency) / (s.answerSum + priorWeight)
+	return (e.latencySum + prior) / (e.answerSum + priorWeight)
 }
 
-// sojourn foretells a node's answer time for a command group.
-func (r *Router) predictedResponse(at int, g *groupState) float64 {
-	n := &r.endpoints[at]
-	t := math.Max(g.serviceTime, r.expectedLatency(n, n.queued)*g.tailFactor)
-	if n.idleConnections == 0 && r.connectionsCostly() {
-		t += r.connectCost
+// predictedResponse is the answer time to expect of an endpoint for a group's next command.
+func (r *Router) predictedResponse(i int, g *group) float64 {
+	e := &r.endpoints[i]
+	response := max(g.serviceTime, r.expectedLatency(e, e.queued)*g.tailFactor)
+	if e.idleConnections == 0 && r.connectionsCostly() {
+		response += r.connectCost
 	}
-	return t
+	return response
 }
 
-// dear says that new connections cost much, so that those that stand are worth keeping.
+// connectionsCostly says that new connections cost so much that open ones are worth keeping.
 func (r *Router) connectionsCostly() bool { return r.connectCost >= latencySlack*r.longestObjective }
 
-// workOf is a command group's work, or before its first answer what its target makes likely.
-func (r *Router) expectedWork(g *groupState) float64 {
+// expectedWork is a group's service time, or what its objective makes likely before the first answer.
+func (r *Router) expectedWork(g *group) float64 {
 	return cmp.Or(g.serviceTime, assumedServiceShare*g.LatencyObjective)
 }
 
-// fadeNode lets the records of a node and of its set fade.
-func (r *Router) decay(now float64, n *endpoint) {
-	if now > n.decayedAt {
-		f, quick := math.Exp((n.decayedAt-now)/r.decayTime), math.Exp(decayObjectives*(n.decayedAt-now)/r.decayTime)
-		n.latencySum, n.queueSum, n.answerSum, n.attemptSum = n.latencySum*f, n.queueSum*f, n.answerSum*f, n.attemptSum*f
-		n.failureSum, n.resultSum = n.failureSum*quick, n.resultSum*quick
-		n.decayedAt = now
-	}
-	if s := &r.shards[n.shard]; now > s.decayedAt {
-		f := math.Exp((s.decayedAt - now) / (decayObjectives * r.longestObjective))
-		s.latencySum, s.answerSum, s.decayedAt = s.latencySum*f, s.answerSum*f, now
+// decay lets the sums of an endpoint and of its shard decay, and those of its health quicker.
+func (r *Router) decay(now float64, e *endpoint) {
+	e.decay(now, r.decayTime, r.decayTime/decayObjectives)
+	r.shards[e.shard].decay(now, decayObjectives*r.longestObjective)
+}
+
+// recordLatency adds an attempt's answer time, or the least that it would have been.
+func (r *Router) recordLatency(g *group, e *endpoint, a *Attempt, elapsed float64) {
+	if expected := r.expectedLatency(e, a.queuePosition); expected > 0 {
+		g.tailFactor += averageWeight * (min(elapsed/expected, maxTailFactor) - g.tailFactor)
 	}
+	normalized := r.normalizedLatency(g, elapsed)
+	e.latencySum += normalized
+	e.queueSum += float64(a.queuePosition + 1)
+	e.answerSum++
+	s := &r.shards[e.shard]
+	s.latencySum += normalized
+	s.answerSum++
+}
+
+// normalizedLatency is an answer time as if the command had the fleet's mean service time. What a longer one
+// takes beyond its service time is chance of that rather than queueing, so it counts in proportion.
+func (r *Router) normalizedLatency(g *group, elapsed float64) float64 {
+	proportion := min(1, r.serviceTime/max(g.serviceTime, roundOff))
+	return max(0, r.serviceTime+(elapsed-g.serviceTime)*proportion)
 }
 
-// measure adds an answer time, or the least that it would have been.
-func (r *Router) recordLatency(g *groupState, n *endpoint, l *Attempt, took float64) {
-	if seen := r.expectedLatency(n, l.queuePosition); seen > 0 {
-		g.tailFactor += averageWeight * (math.Min(took/seen, maxTailFactor) - g.tailFactor)
+// recordServiceTime takes the least mean of late: under load every answer holds a queue too.
+func (r *Router) recordServiceTime(now float64, g *group, elapsed float64) {
+	g.batchTime += elapsed
+	g.batchCount++
+	mean := g.batchTime / g.batchCount
+	switch {
+	case g.batchCount >= serviceBatch:
+		drift := 1 - math.Exp((g.batchedAt-now)/(serviceObjectives*r.longestObjective))
+		g.serviceTime = min(mean, g.serviceTime+drift*(mean-g.serviceTime))
+		g.batchTime, g.batchCount, g.batchedAt = 0, 0, now
+	case g.batchedAt == 0:
+		prior := priorWeight * assumedServiceShare * g.LatencyObjective
+		g.serviceTime = (g.batchTime + prior) / (g.batchCount + priorWeight)
 	}
-	n.latencySum += r.normalizedLatency(g, took)
-	n.queueSum += float64(l.queuePosition + 1)
-	n.answerSum++
-	s := &r.shards[n.shard]
-	s.latencySum, s.answerSum = s.latencySum+r.normalizedLatency(g, took), s.answerSum+1
 }
 
-// asMean is an answer time as of a command of mean work. What a heavier one takes beyond its own work is
-// chance of that work more than queue, so it counts in proportion.
-func (r *Router) normalizedLatency(g *groupState, took float64) float64 {
-	return math.Max(0, r.serviceTime+(took-g.serviceTime)*math.Min(1, r.serviceTime/math.Max(g.serviceTime, roundOff)))
+// recordFleetLatency takes an answer into the fleet's means; the first ones count alike.
+func (r *Router) recordFleetLatency(g *group, a *Attempt, elapsed float64) {
+	r.answers++
+	weight := max(averageWeight, 1/r.answers)
+	r.serviceTime += weight * (g.serviceTime - r.serviceTime)
+	normalized := min(r.normalizedLatency(g, elapsed), maxTailFactor*r.serviceTime)
+	r.latency += weight * (normalized - r.latency)
+	r.queueLength += weight * (float64(a.queuePosition+1) - r.queueLength)
 }
--- a/internal/router/maintenance.go
+++ b/internal/router/maintenance.go
@@ -1,104 +1,132 @@
 package router
 
-import (
-	"math"
-	"slices"
+import "math"
+
+const (
+	checkShare     = 0.25   // health checks per command for positions, and as many for signs of life, unasked
+	pollRetryShare = 0.0625 // share of the poll window before a failed poll of the list is repeated
 )
 
-// EndpointListFailed says that a list call failed. The next waits, twice as long each time, so that the
-// list service is not flooded when it can least bear it.
+// EndpointListFailed takes in that a poll of the endpoint list failed, and backs off exponentially.
 func (r *Router) EndpointListFailed(now float64) {
 	r.subscribed = false
-	gap := math.Min(pollRetryShare*r.config.PollWindow*math.Exp2(r.pollFailures), r.config.PollWindow/2)
+	backoff := min(pollRetryShare*r.config.PollWindow*math.Exp2(r.pollFailures), r.config.PollWindow/2)
 	r.pollFailures++
-	r.pollAt = now + gap*(1+r.random.Float64())/2
+	r.pollAt = now + backoff*(1+r.random.Float64())/2
 }
 
-// Maintain says how long until the next look, and what upkeep is due now.
+// Maintain returns the seconds until it is to be called again at the latest, and what is due now.
 func (r *Router) Maintain(now float64) (float64, Maintenance) {
-	var up Maintenance
+	var due Maintenance
 	if r.config.PollList && !r.subscribed && now >= r.pollAt {
-		up.Subscribe = true
+		due.Subscribe = true
 		r.pollAt = now + r.config.PollWindow/2
 	}
 	if now-r.maintainedAt >= r.reviewInterval/2 {
-		// What clients left must be seen again and again: commands throttled before then tell nothing.
-		f := math.Exp((r.maintainedAt - now) / r.decayTime)
-		for i := range r.groups {
-			r.groups[i].leaverShare *= f
-		}
-		r.connectCost, r.commands, r.maintainedAt = r.connectCost*f, r.commands*f, now
+		r.decayCounts(now)
 		r.updateFleet(now)
 		r.expireSessions(now)
-		for i := range r.endpoints {
-			n := &r.endpoints[i]
-			if n.shard < 0 {
-				continue
-			}
-			doubted := r.suspected(now, i)
-			// A flapping list, a cold start and what is still out are over by then; the row may be another's.
-			if n.inFlight == 0 && now-math.Max(n.removedAt, n.answeredAt) > r.config.SlowStart+retentionTimeouts*r.longestTimeout {
-				r.removeFromShard(i)
-				*n = unknownEndpoint
-				up.Release = append(up.Release, i)
-			}
-			// A position that was not told lately, or a sign of life from a doubted node. It tells nothing of one that
-			// was reached and is silent or failing: a trial does.
-			away, due := !math.IsInf(n.unreachableSince, 1), r.checkInterval
-			if doubted {
-				due = math.Max(r.checkInterval, r.recheckInterval)
-			}
-			if r.eligible(n) && (doubted && away && now-n.checkedAt >= r.recheckInterval || r.config.LoadReports &&
-				!math.IsInf(r.checkInterval, 1) && now-math.Max(n.reportedAt, n.checkedAt) >= due) {
-				r.requestCheck(now, i)
-			}
+		due.Release = r.reviewEndpoints(now)
+	}
+	due.HealthCheck, r.pendingChecks = append(due.HealthCheck, r.pendingChecks...), r.pendingChecks[:0]
+	next := r.maintainedAt + r.reviewInterval/2
+	if r.config.PollList && !r.subscribed { // a list that was missed binds however rarely the fleet is reviewed
+		return max(0, min(next, r.pollAt)-now), due
+	}
+	return next - now, due
+}
+
+// decayCounts lets counts decay. Leaving clients must be seen anew: rejected commands say nothing of them.
+func (r *Router) decayCounts(now float64) {
+	factor := math.Exp((r.maintainedAt - now) / r.decayTime)
+	for i := range r.groups {
+		r.groups[i].leaverShare *= factor
+	}
+	r.connectCost *= factor
+	r.commands *= factor
+	r.maintainedAt = now
+}
+
+// reviewEndpoints asks for the health checks that are due, and returns the endpoints that it has forgotten.
+func (r *Router) reviewEndpoints(now float64) (released []int) {
+	for i := range r.endpoints {
+		e := &r.endpoints[i]
+		if e.shard < 0 {
+			continue
 		}
+		suspected := r.suspected(now, i)
+		// By then a flapping list, a slow start and what is in flight are over; the index may become another's.
+		unused := now - max(e.removedAt, e.answeredAt)
+		if e.inFlight == 0 && unused > r.config.SlowStart+retentionTimeouts*r.longestTimeout {
+			r.removeFromShard(i)
+			*e = unknownEndpoint
+			released = append(released, i)
+		}
+		if r.eligible(e) && r.checkDue(now, e, suspected) {
+			r.requestCheck(now, i)
+		}
+	}
+	return released
+}
+
+// checkDue says that an endpoint's position was not reported lately, or that a sign of life is due from a
+// suspected one that is unreachable. Of a suspected one that is reached, only a recovery attempt says more.
+func (r *Router) checkDue(now float64, e *endpoint, suspected bool) bool {
+	unreachable := !math.IsInf(e.unreachableSince, 1)
+	if suspected && unreachable && now-e.checkedAt >= r.recheckInterval {
+		return true
 	}
-	up.HealthCheck, r.pendingChecks = append(up.HealthCheck, r.pendingChecks...), r.pendingChecks[:0]
-	if r.config.PollList && !r.subscribed { // a list that was missed binds, however rarely members are looked at
-		return math.Max(0, math.Min(r.maintainedAt+r.reviewInterval/2, r.pollAt)-now), up
+	interval := r.checkInterval
+	if suspected {
+		interval = max(interval, r.recheckInterval)
 	}
-	return r.maintainedAt + r.reviewInterval/2 - now, up
+	unheard := now - max(e.reportedAt, e.checkedAt)
+	return r.config.LoadReports && !math.IsInf(r.checkInterval, 1) && unheard >= interval
 }
 
-// weigh brings the fleet's figures up to date: the median share of failures, a warm node's
-// rate, and each command group's share of its target by benefit for work.
+// updateFleet brings up to date what is known of the fleet as a whole, and the queue limits.
 func (r *Router) updateFleet(now float64) {
-	var shares []float64
-	var rate, warm, shunned float64
+	var failureShares []float64
+	var rate, warm, ejected float64
 	for i := range r.endpoints {
-		n := &r.endpoints[i]
-		if !r.eligible(n) {
+		e := &r.endpoints[i]
+		if !r.eligible(e) {
 			continue
 		}
-		r.decay(now, n)
-		shares = append(shares, n.failureShare())
-		if n.ejected {
-			shunned++
-		} else if now-n.startedAt >= r.config.SlowStart {
-			rate += n.attemptSum / r.decayTime
+		r.decay(now, e)
+		failureShares = append(failureShares, e.failureShare())
+		if e.ejected {
+			ejected++
+		} else if now-e.startedAt >= r.config.SlowStart {
+			rate += e.attemptSum / r.decayTime
 			warm++
 		}
 	}
-	if len(shares) > 0 {
-		slices.Sort(shares)
-		r.medianFailureShare = shares[(len(shares)-1)/2]
+	if len(failureShares) > 0 {
+		r.medianFailureShare = median(failureShares)
 	}
-	if warm > 0 { // it falls no faster than a node warms: where most is doubted little is sent
-		r.warmRate = math.Max(rate/warm, r.warmRate*(1-r.reviewInterval/r.config.SlowStart))
+	if warm > 0 { // it falls no faster than an endpoint warms up: where most are ejected little is sent
+		r.warmRate = max(rate/warm, r.warmRate*(1-r.reviewInterval/r.config.SlowStart))
 	}
-	every := 1 / math.Max(r.commands/r.decayTime, 1/r.longestTimeout)
-	// A position is looked up unasked only where each member gets a command while it is good. Hundreds of
-	// routers with little traffic each asked every host in the first second, and few of the answers were used.
-	if r.checkInterval = math.Max(r.reviewInterval, float64(len(shares))*every/checkShare); float64(len(shares))*every > r.reviewInterval {
-		r.checkInterval = math.Inf(1)
-	}
-	r.recheckInterval = math.Max(r.longestObjective/2, shunned*every/checkShare)
-	r.recoveryInterval = every / recoveryShare
-	r.decayTime = decayObjectives * math.Max(r.longestObjective, math.Min(decayAttempts/r.warmRate, r.longestTimeout))
+	r.updateIntervals(float64(len(failureShares)), ejected)
 	r.favourWorstGroup()
 	for i := range r.groups {
-		r.groups[i].queueLimit = r.queueLimitOf(i, false)
-		r.groups[i].primaryQueueLimit = r.queueLimitOf(i, true)
+		g := &r.groups[i]
+		g.queueLimit = r.queueLimitOf(g, false)
+		g.primaryQueueLimit = r.queueLimitOf(g, true)
+	}
+}
+
+// updateIntervals fits the intervals of checks and recovery attempts to this router's traffic.
+func (r *Router) updateIntervals(eligible, ejected float64) {
+	commandInterval := 1 / max(r.commands/r.decayTime, 1/r.longestTimeout)
+	r.checkInterval = max(r.reviewInterval, eligible*commandInterval/checkShare)
+	// A position is checked unasked only where each endpoint gets a command while the position is good. Hundreds
+	// of routers with low traffic each checked every endpoint in the first second, and used few of the answers.
+	if eligible*commandInterval > r.reviewInterval {
+		r.checkInterval = math.Inf(1)
 	}
+	r.recheckInterval = max(r.longestObjective/2, ejected*commandInterval/checkShare)
+	r.recoveryInterval = commandInterval / recoveryShare
+	r.decayTime = decayObjectives * max(r.longestObjective, min(decayAttempts/r.warmRate, r.longestTimeout))
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -166,8 +166,10 @@
 }
 
 func TestMutatingRunsOnce(t *testing.T) {
-	for ending, want := range map[Result]Action{Errored: Fail, TimedOut: Fail, ConnectionLost: Fail, Canceled: Fail,
-		Overloaded: Forward, ConnectFailed: Forward, NeverSent: Forward} {
+	for ending, want := range map[Result]Action{
+		Errored: Fail, TimedOut: Fail, ConnectionLost: Fail, Canceled: Fail,
+		Overloaded: Forward, ConnectFailed: Forward, NeverSent: Forward,
+	} {
 		r := testRouter(t, testSite())
 		r.endpoints[0].resultSum, r.endpoints[0].decayedAt = 9, 10
 		c := command(gWrite)
@@ -666,13 +668,13 @@
 		r.groups[i].serviceTime = 0.05
 	}
 	r.groups[gAny].serviceTime, r.groups[gAny].LatencyObjective = 0.1, 2
-	assert.Less(t, r.queueLimitOf(gAny, false), r.queueLimitOf(gBound, false))
-	assert.Less(t, r.queueLimitOf(gBound, true), r.queueLimitOf(gWrite, true), "the write has the most benefit")
+	assert.Less(t, r.queueLimitOf(&r.groups[gAny], false), r.queueLimitOf(&r.groups[gBound], false))
+	assert.Less(t, r.queueLimitOf(&r.groups[gBound], true), r.queueLimitOf(&r.groups[gWrite], true), "the write has the most benefit")
 	// A hundred routers that see nothing of a queue once held back by a few stray answers.
 	r.warmRate = 4
-	assert.InDelta(t, queueShare*0.45, r.queueLimitOf(gBound, false), 1e-9)
+	assert.InDelta(t, queueShare*0.45, r.queueLimitOf(&r.groups[gBound], false), 1e-9)
 	r.warmRate = 0
-	assert.InDelta(t, (queueShare+lowTrafficQueueShare)*0.45, r.queueLimitOf(gBound, false), 1e-9)
+	assert.InDelta(t, (queueShare+lowTrafficQueueShare)*0.45, r.queueLimitOf(&r.groups[gBound], false), 1e-9)
 	r.serviceTime = 0.05
 	n := &r.endpoints[1]
 	n.latencySum, n.queueSum, n.answerSum, n.queued = 2, 50, 10, 5
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -6,77 +6,118 @@
 	"slices"
 )
 
-// pick spreads reads uniformly over the replicas that cover a position, answer, and are not crowded.
-func (r *Router) pickReplica(now float64, c *Command, g *groupState, need float64) int {
-	if trial := r.collectCandidates(now, c, g, need); trial >= 0 {
-		n := &r.endpoints[trial]
-		// What was out of reach is left to probes. Where all are doubted the one that failed longest ago is
-		// taken, or many bad members at once would leave nobody to send to, and nobody to learn from.
-		due := now >= n.recoveryAt && now-c.ArrivedAt < latencySlack*g.LatencyObjective && now-r.recoveryAt >= r.recoveryInterval &&
-			(math.IsInf(n.unreachableSince, 1) || !r.config.HealthChecks)
-		if due || r.healthyReplicas == 0 && r.mayFailOpen(now, n) {
-			n.recoveryAt, r.recoveryAt = now+r.longestObjective, now
-			return trial
+const (
+	latencySlack       = 0.1  // share of the latency objective by which an endpoint may be slower than the best
+	lowTrafficAttempts = 0.5  // attempts to an endpoint within an objective: with fewer its queue cannot be seen
+	recoveryShare      = 0.05 // of this router's commands may be recovery attempts
+)
+
+// chooseEndpoint picks an endpoint, or none for now. A fallback is a read at the primary for want of a
+// replica.
+func (r *Router) chooseEndpoint(now float64, c *Command, g *group) (i int, fallback bool) {
+	primary := r.primary(c.Shard)
+	sound := primary >= 0 && !r.suspected(now, primary)
+	switch {
+	case sound && (g.Consistency == PrimaryOnly || g.Consistency == Linearizable):
+		return r.admitPrimary(now, c, g, primary), false
+	case g.Consistency == PrimaryOnly:
+		return r.testForPrimary(now, c, primary), false
+	}
+	c.requiredPosition = r.requiredPosition(now, c, g)
+	if i = r.pickReplica(now, c, g, c.requiredPosition); i >= 0 {
+		return i, false
+	}
+	if sound && r.mayFallBack(now) && !r.primaryCrowded(now, c, g, primary) {
+		if i = r.admitPrimary(now, c, g, primary); i >= 0 {
+			return i, true
+		}
+	}
+	return r.chooseUncovered(now, c, g, primary, sound)
+}
+
+// chooseUncovered serves a read that no replica is known to cover and that did not fall back at once.
+func (r *Router) chooseUncovered(now float64, c *Command, g *group, primary int, sound bool) (int, bool) {
+	futile := !r.checkPosition(now, c, primary) || c.tooStale
+	if r.config.ReplicasCheckReads && (!futile || !sound) {
+		if i := r.freshestReplica(now, c, g); i >= 0 {
+			return i, false
 		}
 	}
-	if at := r.heavyReadReplica(c.Shard); r.heavy(g) {
-		r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool { return i != at })
+	// The answer must fit in after the wait.
+	wait := min(catchUpWait, holdShare*(r.usefulUntil(c, g)-c.ArrivedAt))
+	if sound && (futile || now-c.ArrivedAt >= wait) {
+		return r.admitPrimary(now, c, g, primary), true
+	}
+	return none, false
+}
+
+// pickReplica spreads reads evenly over the replicas that cover them, answer, and are not crowded.
+func (r *Router) pickReplica(now float64, c *Command, g *group, position float64) int {
+	if i := r.collectCandidates(now, c, g, position); i >= 0 && r.recoveryDue(now, c, g, i) {
+		r.endpoints[i].recoveryAt, r.recoveryAt = now+r.longestObjective, now
+		return i
+	}
+	heavy := r.heavyReadReplica(c.Shard)
+	if r.isHeavy(g) {
+		r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool { return i != heavy })
 	} else {
-		r.prefer(func(i int) bool { return i != at })
+		r.prefer(func(i int) bool { return i != heavy })
 	}
 	return r.drawCandidate(now, c, g)
 }
 
-// gather is the first listed replica within reach, or -1. A heavy read can stop a replica's log while it
-// runs: spread evenly such reads kept all replicas behind. All routers know one order, so heavy reads meet
-// there and others, as long as another will do, do not. Harm: one is crowded, and of no use to fresh reads.
-func (r *Router) heavyReadReplica(s int) int {
-	if !slices.ContainsFunc(r.groups, func(g groupState) bool { return r.heavy(&g) }) {
-		return -1
+// heavyReadReplica is the first listed replica that is reachable, or none. Heavy reads can stop a replica's
+// log: spread evenly they kept all replicas behind. So they meet there, and other reads avoid it.
+func (r *Router) heavyReadReplica(shard int) int {
+	if !slices.ContainsFunc(r.groups, func(g group) bool { return r.isHeavy(&g) }) {
+		return none
 	}
-	p := r.primary(s)
-	for _, i := range r.shards[s].endpoints {
-		if n := &r.endpoints[i]; i != p && r.eligible(n) && math.IsInf(n.unreachableSince, 1) {
+	primary := r.primary(shard)
+	for _, i := range r.shards[shard].endpoints {
+		if e := &r.endpoints[i]; i != primary && r.eligible(e) && math.IsInf(e.unreachableSince, 1) {
 			return i
 		}
 	}
-	return -1
+	return none
 }
 
-// heavy says that any age will do for a group and that its target is beyond that of all that need fresh data.
-func (r *Router) heavy(g *groupState) bool { return g.LatencyObjective > r.longestObjective }
+// isHeavy says that a group reads data of any age, with an objective beyond that of all fresher groups.
+func (r *Router) isHeavy(g *group) bool { return g.LatencyObjective > r.longestObjective }
 
-// spread draws from the spare nodes that are not crowded, or gives -1 if the best has no room.
-func (r *Router) drawCandidate(now float64, c *Command, g *groupState) int {
+// drawCandidate draws from the candidates about as quick as the quickest, or none if that one is too busy.
+func (r *Router) drawCandidate(now float64, c *Command, g *group) int {
 	if len(r.candidates) == 0 {
-		return -1
+		return none
 	}
-	best := slices.MinFunc(r.candidates, func(a, b int) int { return cmp.Compare(r.predictedResponse(a, g), r.predictedResponse(b, g)) })
+	best := slices.MinFunc(r.candidates, func(a, b int) int {
+		return cmp.Compare(r.predictedResponse(a, g), r.predictedResponse(b, g))
+	})
 	if !r.admits(now, c, g, best, g.queueLimit) {
-		return -1
+		return none
 	}
-	most := r.predictedResponse(best, g) + latencySlack*g.LatencyObjective
-	r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool { return r.predictedResponse(i, g) > most })
-	// Hundreds of routers that each spread a few reads over all hosts open a connection for most of them, and
-	// hear of a position twice nowhere. Harm: a router with several times the mean traffic leans on few.
-	if r.preferOwnZone(); r.lowTraffic() {
+	longest := r.predictedResponse(best, g) + latencySlack*g.LatencyObjective
+	r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool {
+		return r.predictedResponse(i, g) > longest
+	})
+	r.preferOwnZone()
+	// Hundreds of routers that each spread a few reads over all endpoints open a connection for most of them.
+	if r.hasLowTraffic() {
 		r.prefer(func(i int) bool { return r.endpoints[i].idleConnections > 0 })
 	}
 	return r.candidates[r.random.IntN(len(r.candidates))]
 }
 
-// blind says that a target brings so few dispatches to a member that nothing is seen of it in time.
-func (r *Router) lowTraffic() bool { return r.warmRate*r.longestObjective < lowTrafficAttempts }
+// hasLowTraffic says that this router sends too little to an endpoint to see its state in time.
+func (r *Router) hasLowTraffic() bool { return r.warmRate*r.longestObjective < lowTrafficAttempts }
 
-// near keeps a blind router to its own zone: a slow way to another is over before it has seen it. Harm: load
-// follows clients' zones until members there are foretold as crowded.
+// preferOwnZone suits low traffic: a slow network to another zone is over before this router has seen it.
 func (r *Router) preferOwnZone() {
-	if r.lowTraffic() {
+	if r.hasLowTraffic() {
 		r.prefer(func(i int) bool { return r.endpoints[i].zone == r.config.Zone })
 	}
 }
 
-// narrow keeps the spare nodes that are better, if any are.
+// prefer keeps the candidates that are better, if any are.
 func (r *Router) prefer(better func(int) bool) {
 	if slices.ContainsFunc(r.candidates, better) {
 		r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool { return !better(i) })
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -146,6 +146,16 @@
 	NotServed             // the endpoint turned it away: it is not the primary, or too stale
 )
 
+// mayHaveRun says that a command may have run though no answer to it came.
+func (result Result) mayHaveRun() bool {
+	return result == Errored || result == TimedOut || result == ConnectionLost || result == Canceled
+}
+
+// fromEndpoint says that the endpoint itself answered in some way.
+func (result Result) fromEndpoint() bool {
+	return result == Answered || result == Errored || result == Overloaded || result == NotServed
+}
+
 // Role is what an answer says that its sender is.
 type Role int
 
