--- a/internal/router/migration.go
+++ b/internal/router/migration.go
@@ -5,44 +5,57 @@
 	"slices"
 )
 
-// MigrateFrom takes over from a router of the same process what still means the same under other settings, before
-// the first command: where members are, their states, roles and positions, when they started, what is doubted
-// or out of reach, what was spent on cold ones, and the sessions. What was learnt in terms of the old command
-// groups, traffic or routers (paces, work, shares, rates, how groups were served) starts afresh, and so does
-// what is out: the old router's dispatches end there.
+// endedWrites stands for the writes in flight at an earlier router until LearnFrom finds that none is.
+const endedWrites = 0.5
+
+// MigrateFrom takes over, before the first command, what an earlier router of the same process has learned and what
+// still means the same under other settings: where endpoints are, their states, roles and positions, when they
+// started, which are ejected or unreachable, slow-start budgets, and the sessions. What was learned of the earlier
+// command groups, traffic or number of routers (latencies, service times, shares, rates) starts afresh, and so does
+// what is in flight: the earlier router's attempts end there.
 func (r *Router) MigrateFrom(now float64, from *Router) {
-	r.endpoints = make([]endpoint, len(from.endpoints))
-	for i, n := range from.endpoints {
-		n.queued, n.inFlight, n.unanswered, n.attemptSum = 0, 0, 0, 0
-		n.latencySum, n.queueSum, n.answerSum = 0, 0, 0
-		r.endpoints[i] = n
+	r.endpoints = slices.Clone(from.endpoints)
+	for i := range r.endpoints {
+		r.endpoints[i].resetTraffic()
 	}
-	r.shards = make([]shard, len(from.shards))
-	for i, s := range from.shards {
-		s.endpoints, s.latencySum, s.answerSum = slices.Clone(s.endpoints), 0, 0
-		r.shards[i] = s
+	r.shards = slices.Clone(from.shards)
+	for i := range r.shards {
+		s := &r.shards[i]
+		s.endpoints = slices.Clone(s.endpoints)
+		s.latencySum, s.answerSum = 0, 0
 	}
 	r.sessionsTurnedAt = now
 	r.sessions = from.sessions.CloneFunc(func(s session) session {
-		if s.writesInFlight > 0 { // those writes end there: a half stands for them until LearnFrom finds none out
-			s.writesInFlight = 0.5
+		if s.writesInFlight > 0 {
+			s.writesInFlight = endedWrites
 		}
 		return s
 	})
 	r.subscribed, r.pollAt, r.pollFailures = from.subscribed, from.pollAt, from.pollFailures
 }
 
-// LearnFrom takes over what another router of the process has just learnt of a command's session: its last
-// commands end there after the switch, and a read that is taken here must see what they wrote.
+// resetTraffic forgets what is in flight and what was learned of latencies.
+func (e *endpoint) resetTraffic() {
+	e.queued, e.inFlight, e.unanswered = 0, 0, 0
+	e.attemptSum = 0
+	e.latencySum, e.queueSum, e.answerSum = 0, 0, 0
+}
+
+// LearnFrom takes over what an earlier router of the process has just learned of a command's session. The session's
+// last commands end there after the switch, and a read that is routed here must see what they wrote.
 func (r *Router) LearnFrom(c *Command, from *Router) {
-	told, s := from.session(c.Session), r.session(c.Session)
-	if told.writesInFlight == 0 {
+	learned, known := from.session(c.Session), r.session(c.Session)
+	s := known
+	if learned.writesInFlight == 0 {
 		s.writesInFlight = math.Floor(s.writesInFlight)
 	}
-	if s.writesInFlight == r.session(c.Session).writesInFlight && math.IsInf(max(told.lastWrite, told.highestRead), -1) {
+	noPosition := math.IsInf(max(learned.lastWrite, learned.highestRead), -1)
+	if s.writesInFlight == known.writesInFlight && noPosition {
 		return
 	}
-	s.lastWrite, s.highestRead = max(s.lastWrite, told.lastWrite), max(s.highestRead, told.highestRead)
+	s.lastWrite = max(s.lastWrite, learned.lastWrite)
+	s.highestRead = max(s.highestRead, learned.highestRead)
 	r.sessions.Put(c.Session, s)
-	r.shards[c.Shard].newestPosition = max(r.shards[c.Shard].newestPosition, s.lastWrite, s.highestRead)
+	newest := &r.shards[c.Shard].newestPosition
+	*newest = max(*newest, s.lastWrite, s.highestRead)
 }
--- a/internal/router/migration_test.go
+++ b/internal/router/migration_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestCarryKeepsWhatStillMeansTheSame(t *testing.T) {
+func TestMigrationKeepsWhatStillMeansTheSame(t *testing.T) {
 	old := testRouter(t, testSite())
 	old.endpoints[1].position, old.endpoints[1].latencySum, old.endpoints[1].answerSum, old.endpoints[1].inFlight, old.endpoints[1].unanswered = 11, 40, 100, 3, 2
 	old.endpoints[2].ejected, old.endpoints[2].startedAt, old.endpoints[2].slowStartBudget = true, 9, 5
