--- /dev/null
+++ b/internal/router/health_test.go
@@ -0,0 +1,189 @@
+package router
+
+import (
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// Chance connect failures once made warm hosts count as cold and throttled quiet days.
+func TestOneFailedConnectionIsNoRestart(t *testing.T) {
+	r := testRouter(t, testSite())
+	r.endpoints[1].recordUnreachable(10)
+	r.recordReachable(10.3, &r.endpoints[1])
+	assert.True(t, math.IsInf(r.endpoints[1].startedAt, -1))
+	r.endpoints[1].recordUnreachable(10)
+	r.recordReachable(12, &r.endpoints[1])
+	assert.True(t, math.IsInf(r.endpoints[1].startedAt, -1), "heard rarely, still one failure")
+	r.endpoints[1].recordUnreachable(10)
+	r.endpoints[1].recordUnreachable(11)
+	r.recordReachable(12, &r.endpoints[1])
+	assert.Equal(t, 12.0, r.endpoints[1].startedAt)
+}
+
+// A hung host keeps its last position and would go on qualifying.
+func TestSilentEndpointIsEjectedUntilItAnswers(t *testing.T) {
+	r := testRouter(t, testSite())
+	r.latency = 0.05
+	n := &r.endpoints[1]
+	n.queued, n.unanswered, n.unansweredSince = 4, 4, 10
+	assert.False(t, r.suspected(10.05, 1))
+	assert.True(t, r.suspected(10.2, 1))
+	n.queued = 0
+	assert.True(t, r.suspected(13, 1), "no answer since")
+	n.queued = 1
+	c := &Command{Group: gAny, Attempts: []Attempt{{Endpoint: 1, InFlight: true}}, ArrivedAt: 10, ClientDeadline: 14, routed: true}
+	r.AttemptEnded(13, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
+	assert.False(t, r.suspected(13, 1))
+}
+
+// A host that turned all commands away at once looked idle and drew a third of them.
+func TestOverloadedResultIsAFailure(t *testing.T) {
+	r := testRouter(t, testSite())
+	for range 4 {
+		c := command(gAny)
+		c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}, true
+		r.AttemptEnded(10, c, AttemptResult{Result: Overloaded, Position: -1})
+	}
+	assert.True(t, r.suspected(10, 1))
+}
+
+// Forty routers once doubted all members of all sets, and with nothing sent nothing was learnt.
+func TestWhereAllAreEjectedOneFailsOpen(t *testing.T) {
+	r := testRouter(t, testSite())
+	for i := range r.endpoints {
+		r.endpoints[i].ejected, r.endpoints[i].recoveryAt = true, 10.6-float64(i)/10
+	}
+	r.recoveryAt, r.recoveryInterval = 10, 100
+	assert.Equal(t, 2, r.Route(10.1, command(gAny)).Endpoint, "the one that failed longest ago")
+	assert.Equal(t, Wait, r.Route(10.1, command(gAny)).Action, "one dispatch at a time, not too soon")
+}
+
+// A host that was reached and is silent answers probes all the same: hundreds of routers each kept probing those
+// that they doubted, and only a command's answer ends the doubt. One out of reach is probed.
+func TestEjectedEndpointIsCheckedOnlyIfUnreachable(t *testing.T) {
+	s := testSite()
+	s.RouterCount = 300
+	r := testRouter(t, s)
+	r.endpoints[1].ejected, r.endpoints[2].ejected = true, true
+	r.endpoints[2].recordUnreachable(10)
+	r.commands, r.maintainedAt = 3, 20
+	_, up := r.Maintain(25)
+	assert.Equal(t, []int{2}, up.HealthCheck)
+}
+
+// What was sent to a member that could not be reached counted as its silence, which shunned it again as soon as a
+// probe had been answered; and then it was probed no more.
+func TestEndpointThatIsBackIsNotEjectedForWhatNeverReachedIt(t *testing.T) {
+	r := testRouter(t, testSite())
+	for at := 10.0; at < 10.4; at += 0.1 {
+		c := command(gAny)
+		c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: at, InFlight: true}}, true
+		r.endpoints[1].unanswered++
+		r.endpoints[1].unansweredSince = 10
+		r.endpoints[1].inFlight++
+		r.AttemptEnded(at+0.05, c, AttemptResult{Result: ConnectFailed, Position: -1})
+	}
+	require.True(t, r.suspected(11, 1))
+	r.HealthChecked(11, 1, Answered, 0, 11, false)
+	assert.False(t, r.suspected(12, 1))
+	r.endpoints[1].unanswered, r.endpoints[1].unansweredSince = 3, 12
+	r.HealthChecked(13, 1, Answered, 0, 13, false)
+	assert.True(t, r.suspected(14, 1), "one that was reached and is silent goes on being doubted")
+}
+
+// A router that hears each host every few seconds doubted it after one answer that was lost or late.
+func TestOneLostAnswerEjectsNobody(t *testing.T) {
+	r := testRouter(t, testSite())
+	r.latency = 0.05
+	for lost, doubted := range []bool{false, true} {
+		c := command(gAny)
+		c.ArrivedAt = 10 + float64(lost)
+		require.Equal(t, Forward, r.Route(c.ArrivedAt, c).Action)
+		at := c.Attempts[0].Endpoint
+		for i := range r.endpoints { // the same node again
+			r.endpoints[i].draining = i != at
+		}
+		c.Attempts[0].overdue = true
+		r.AttemptEnded(c.ArrivedAt+0.1, c, AttemptResult{Result: TimedOut, Elapsed: 0.1, Position: -1, Final: true})
+		assert.Equal(t, doubted, r.suspected(c.ArrivedAt+0.9, at))
+	}
+}
+
+// Among many routers no replica is known to cover most reads: that once sent them all to a doubted primary.
+func TestNoFailOpenWhereAHealthyReplicaMayCover(t *testing.T) {
+	r := testRouter(t, testSite())
+	r.endpoints[0].ejected, r.endpoints[0].recoveryAt, r.recoveryAt, r.recoveryInterval = true, 9, 10, 100
+	c := uncovered(r)
+	assert.Equal(t, Wait, r.Route(10.2, c).Action)
+	assert.Len(t, r.pendingChecks, 1, "a replica is asked")
+	r.endpoints[1].ejected, r.endpoints[2].ejected = true, true
+	r.endpoints[1].recoveryAt, r.endpoints[2].recoveryAt = 12, 12
+	a := r.Route(10.2, c)
+	require.Equal(t, Forward, a.Action, "nobody else is left")
+	assert.Equal(t, 0, a.Endpoint)
+}
+
+// A router that hears a member every few seconds doubted it after a single failure.
+func TestOneFailureAloneEjectsNobody(t *testing.T) {
+	r := testRouter(t, testSite())
+	r.decayTime = 5 * decayObjectives
+	r.recordFailure(10, &r.endpoints[1])
+	assert.False(t, r.suspected(10, 1))
+	r.recordFailure(12, &r.endpoints[1])
+	assert.True(t, r.suspected(12, 1), "two are remembered where dispatches are rare")
+}
+
+func TestHealthIsAgainstTheFleetsMedian(t *testing.T) {
+	r := testRouter(t, testSite())
+	for i := range r.endpoints {
+		r.endpoints[i].failureSum, r.endpoints[i].resultSum, r.endpoints[i].decayedAt = 4, 8, 10
+	}
+	r.updateFleet(10)
+	assert.False(t, r.suspected(10, 1), "all fail alike: no node stands out")
+	r.endpoints[1].failureSum, r.endpoints[1].resultSum = 8, 8
+	assert.True(t, r.suspected(10, 1))
+}
+
+func TestShortSilenceEjectsNobodyHoweverQuickAnswersAre(t *testing.T) {
+	r := testRouter(t, testSite())
+	n := &r.endpoints[1]
+	n.latencySum, n.answerSum, n.decayedAt = 0.02, 10, 10 // 2 ms each
+	n.unanswered, n.unansweredSince = 3, 10
+	assert.False(t, r.suspected(10.04, 1), "twenty answer times, but little of a target")
+	assert.True(t, r.suspected(10.06, 1))
+}
+
+// Where probes failed for half a minute at hosts that served as usual these counted as out of reach and, once a
+// probe went through, as started anew.
+func TestFailedHealthChecksOfServingEndpointsSayNothing(t *testing.T) {
+	r := testRouter(t, testSite())
+	for now := 10.1; now < 20; now += 0.5 {
+		r.endpoints[1].answeredAt = now - 0.05
+		r.HealthChecked(now, 1, Errored, 0.01, -1, false)
+		r.HealthChecked(now+0.01, 1, TimedOut, 0.25, -1, false)
+	}
+	n := &r.endpoints[1]
+	assert.True(t, math.IsInf(n.unreachableSince, 1), "commands were answered meanwhile")
+	r.HealthChecked(20.5, 1, TimedOut, 0.25, -1, false)
+	assert.Equal(t, 20.5, n.unreachableSince, "nothing answered since")
+	r.HealthChecked(21.5, 1, TimedOut, 0.25, -1, false)
+	r.HealthChecked(21.6, 1, Errored, 0.01, -1, false)
+	assert.Equal(t, 20.5, n.unreachableSince, "an error is no sign of health either")
+	r.HealthChecked(21.7, 1, Answered, 0.01, -1, false)
+	assert.Equal(t, 21.7, n.startedAt, "away for longer than chance, it may have started anew")
+}
+
+// The whole fleet's join day broke rule 5 once: a probe's report was taken though the probe had erred.
+func TestReportOfAFailedHealthCheckSaysNothingOfData(t *testing.T) {
+	r := testRouter(t, testSite())
+	for _, ending := range []Result{Errored, Overloaded, NotServed, TimedOut, ConnectionLost} {
+		r.HealthChecked(20, 1, ending, 0.01, 19, true)
+		assert.Equal(t, 10.0, r.endpoints[1].position)
+		assert.Equal(t, RoleReplica, r.endpoints[1].role)
+	}
+	r.HealthChecked(20, 1, Answered, 0.01, 19, false)
+	assert.InDelta(t, 19, r.endpoints[1].position, 1e-3)
+}
--- /dev/null
+++ b/internal/router/maintenance_test.go
@@ -0,0 +1,135 @@
+package router
+
+import (
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// A hundred routers once probed every member at the tightest bound.
+func TestHealthChecksFollowTheRoutersOwnTraffic(t *testing.T) {
+	s := testSite()
+	s.RouterCount, s.Instance = 100, 3
+	r := testRouter(t, s)
+	_, up := r.Maintain(11)
+	assert.Empty(t, up.HealthCheck, "no commands, no upkeep probes")
+	c := command(gBound)
+	c.ArrivedAt, c.ClientDeadline = 11, 13
+	r.Route(11, c)
+	_, up = r.Maintain(11)
+	assert.Equal(t, []int{2}, up.HealthCheck, "a read asks for one, of the router's own")
+	r.Route(11.05, c)
+	_, up = r.Maintain(11.05)
+	assert.Empty(t, up.HealthCheck)
+}
+
+// Three hundred routers by a hundred and twenty hosts: at their start each once asked every host for its
+// position, over a new connection, and few commands came while the answers were good.
+func TestLowTrafficChecksNoPositionUnasked(t *testing.T) {
+	const routers, hosts = 300, 120
+	s := testSite()
+	s.RouterCount = routers
+	var list []EndpointInfo
+	for i := range hosts {
+		l := listed(i)
+		l.Shard = i / 6
+		list = append(list, l)
+	}
+	probes := 0
+	for me := range routers {
+		s.Instance = me
+		r := New(s, chances(me))
+		r.UpdateEndpoints(0, list, true, true)
+		for now := 0.0; now < 4; now += 0.2 {
+			c := command(gAny)
+			c.Shard, c.ArrivedAt, c.ClientDeadline = r.random.IntN(hosts/6), now, now+2
+			if a := r.Route(now, c); a.Action == Forward {
+				r.AttemptEnded(now+0.05, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
+			}
+			_, up := r.Maintain(now + 0.05)
+			probes += len(up.HealthCheck)
+		}
+	}
+	assert.Zero(t, probes, "nothing was read that needs a position")
+}
+
+// Where every member gets commands while a position is good, it is looked up before it is asked for.
+func TestBusyRouterChecksPositionsUnasked(t *testing.T) {
+	r := testRouter(t, testSite())
+	r.commands, r.maintainedAt = 200, 10
+	_, up := r.Maintain(10.5)
+	assert.ElementsMatch(t, []int{0, 1, 2}, up.HealthCheck)
+}
+
+// Where members are looked at rarely a list that failed was asked for again up to half a span late.
+func TestFailedListIsPolledWhenItIsDue(t *testing.T) {
+	s := testSite()
+	s.PollList = true
+	for i := range s.CommandGroups {
+		s.CommandGroups[i].Consistency, s.CommandGroups[i].LatencyObjective, s.CommandGroups[i].ClientTimeout = Eventual, 8, 20
+	}
+	r := testRouter(t, s)
+	_, up := r.Maintain(10)
+	require.True(t, up.Subscribe)
+	r.EndpointListFailed(10.1)
+	next, up := r.Maintain(10.2)
+	assert.False(t, up.Subscribe)
+	assert.InDelta(t, r.pollAt, 10.2+next, 1e-9)
+	assert.Less(t, r.pollAt, 10.1+pollRetryShare*r.config.PollWindow+1e-9)
+	_, up = r.Maintain(r.pollAt)
+	assert.True(t, up.Subscribe)
+	next, _ = r.Maintain(r.pollAt)
+	assert.Positive(t, next)
+	r.UpdateEndpoints(12, nil, false, false)
+	next, up = r.Maintain(12)
+	assert.False(t, up.Subscribe)
+	assert.Greater(t, next, 1.0, "it comes")
+}
+
+func TestListPollsBackOff(t *testing.T) {
+	s := testSite()
+	s.PollList = true
+	r := testRouter(t, s)
+	_, up := r.Maintain(10)
+	require.True(t, up.Subscribe)
+	last := 0.0
+	for range 4 {
+		r.EndpointListFailed(10)
+		gap := r.pollAt - 10
+		assert.Greater(t, gap, last/2)
+		last = gap
+	}
+	assert.LessOrEqual(t, last, s.PollWindow/2)
+	_, up = r.Maintain(10.01)
+	assert.False(t, up.Subscribe)
+	r.UpdateEndpoints(11, nil, false, false)
+	_, up = r.Maintain(30)
+	assert.False(t, up.Subscribe, "subscribed")
+}
+
+func TestRemovedEndpointIsReleasedAndStartsClean(t *testing.T) {
+	r := testRouter(t, testSite())
+	r.endpoints[2].shard, r.endpoints[2].startedAt = 0, 9
+	gone := listed(2)
+	gone.State = Removed
+	r.UpdateEndpoints(10, []EndpointInfo{gone}, false, false)
+	span := r.config.SlowStart + retentionTimeouts*r.longestTimeout
+	r.endpoints[2].inFlight = 1
+	_, up := r.Maintain(11 + span)
+	assert.Empty(t, up.Release, "a dispatch is out there")
+	r.endpoints[2].inFlight = 0
+	_, up = r.Maintain(9 + span)
+	assert.Empty(t, up.Release, "a list may flap")
+	_, up = r.Maintain(12 + span)
+	assert.Equal(t, []int{2}, up.Release)
+	assert.Equal(t, []int{0, 1}, r.shards[0].endpoints)
+	_, up = r.Maintain(13 + span)
+	assert.Empty(t, up.Release, "once")
+	r.UpdateEndpoints(14+span, []EndpointInfo{{Index: 2, Shard: 1, State: Ready, StartedAt: math.Inf(-1)}}, false, false)
+	assert.True(t, r.eligible(&r.endpoints[2]))
+	assert.True(t, math.IsInf(r.endpoints[2].position, -1), "nothing of the one before counts")
+	_, up = r.Maintain(99 + span)
+	assert.Empty(t, up.Release, "what is listed stays")
+}
--- /dev/null
+++ b/internal/router/selection_test.go
@@ -0,0 +1,104 @@
+package router
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestReadsSpreadEvenlyOverReplicas(t *testing.T) {
+	r := testRouter(t, testSite())
+	count := map[int]int{}
+	for range 400 {
+		count[r.Route(10, command(gAny)).Endpoint]++
+		r.endpoints[1].queued, r.endpoints[2].queued = 0, 0
+	}
+	assert.Zero(t, count[0], "the primary is spared")
+	assert.InDelta(t, 200, count[1], 50)
+}
+
+// Few reads a router over all replicas opened a connection for most of them. Over all routers they stay even.
+func TestLowTrafficReadsWhereAConnectionIsOpen(t *testing.T) {
+	const routers, hosts, reads = 300, 6, 8
+	fresh, taken := 0, make([]int, hosts)
+	for me := range routers {
+		s := testSite()
+		s.RouterCount = routers
+		r := New(s, chances(me))
+		var list []EndpointInfo
+		for i := range hosts {
+			list = append(list, listed(i))
+		}
+		r.UpdateEndpoints(0, list, true, true)
+		for k := range reads {
+			now := 10 + 2*float64(k)
+			r.Maintain(now)
+			c := command(gAny)
+			c.ArrivedAt, c.ClientDeadline = now, now+2
+			require.Equal(t, Forward, r.Route(now, c).Action)
+			taken[c.Attempts[0].Endpoint]++
+			if c.Attempts[0].newConnection {
+				fresh++
+			}
+			r.AttemptEnded(now+0.02, c, AttemptResult{Result: Answered, Elapsed: 0.02, Position: -1, Final: true})
+		}
+	}
+	assert.Less(t, fresh, 2*routers, "spread over all it is five of eight")
+	for i := range taken {
+		assert.InDelta(t, routers*reads/hosts, taken[i], routers*reads/hosts/3, "host %d", i)
+	}
+}
+
+// Spread evenly, reads of any age that run for seconds stopped the log of every replica of their set, and other
+// reads met theirs.
+func TestHeavyReadsMeetAtOneReplica(t *testing.T) {
+	s := testSite()
+	s.CommandGroups[gAny].LatencyObjective, s.CommandGroups[gAny].ClientTimeout = 6, 12
+	r := testRouter(t, s)
+	heavy := func() int {
+		c := command(gAny)
+		c.ClientDeadline = 22
+		return r.Route(10, c).Endpoint
+	}
+	for range 3 {
+		assert.Equal(t, 1, heavy(), "the first listed replica")
+	}
+	for range 20 {
+		assert.Equal(t, 2, r.pickReplica(10, command(gBound), &r.groups[gBound], 10), "others leave it alone")
+	}
+	r.endpoints[2].position = 9.5
+	c := command(gBound)
+	c.requiredPosition = 9.9
+	r.checkPosition(10.2, c, 0)
+	assert.Equal(t, []int{2}, r.pendingChecks, "nor is it asked for its position")
+	assert.Equal(t, 1, r.pickReplica(10, command(gBound), &r.groups[gBound], 10), "where another will do")
+	r.endpoints[1].latencySum, r.endpoints[1].answerSum, r.endpoints[1].answeredAt, r.latency = 400, 100, 10, 0.1
+	assert.Equal(t, 0, heavy(), "the primary, whose log nothing stops, where it has no room")
+	r.endpoints[1].recordUnreachable(10)
+	assert.Equal(t, 2, heavy(), "the next once it is out of reach")
+}
+
+// A way between two halls was slow for half a minute and no thin router saw enough to tell.
+func TestLowTrafficKeepsToItsOwnZone(t *testing.T) {
+	for _, thin := range []bool{true, false} {
+		s := testSite()
+		s.Zone = 1
+		r := testRouter(t, s)
+		r.endpoints[2].zone = 1
+		if r.warmRate = 0.1; !thin {
+			r.warmRate = 10
+		}
+		var met [3]int
+		for range 40 {
+			met[r.pickReplica(10, command(gAny), &r.groups[gAny], 0)]++
+		}
+		assert.Equal(t, thin, met[1] == 0)
+		r.endpoints[2].latencySum, r.endpoints[2].answerSum, r.latency = 100, 100, 0.01
+		assert.Equal(t, 1, r.pickReplica(10, command(gAny), &r.groups[gAny], 0), "a crowded one is left")
+		c := uncovered(r)
+		c.requiredPosition = 9.9
+		r.checkPosition(10.2, c, 0)
+		assert.Equal(t, thin, r.pendingChecks[0] == 2, "positions are asked for there too")
+	}
+}
--- /dev/null
+++ b/internal/router/slowstart_test.go
@@ -0,0 +1,65 @@
+package router
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestEndpointInSlowStartHasABudget(t *testing.T) {
+	r := testRouter(t, testSite())
+	r.endpoints[1].startedAt, r.endpoints[1].slowStartBudgetAt = 10, 10
+	r.warmRate = 10
+	sent := 0
+	for at := 10.0; at < 12; at += 0.01 {
+		if r.slowStartAdmits(at, 1) {
+			r.endpoints[1].slowStartBudget--
+			sent++
+		}
+	}
+	most := r.config.OverloadFactor * r.config.SlowStartFloor * r.warmRate * r.config.OverloadWindow
+	assert.Positive(t, sent)
+	assert.LessOrEqual(t, float64(sent), most, "over one fall span")
+}
+
+// A hundred routers with one dispatch each once pushed a cold host over in its first second.
+func TestSlowStartBudgetsOfAllRoutersAddUp(t *testing.T) {
+	sent, many := 0, 100
+	for seed := range many {
+		s := testSite()
+		s.RouterCount = many
+		r := New(s, chances(seed))
+		r.UpdateEndpoints(10, []EndpointInfo{{State: Ready, StartedAt: 9}}, true, false)
+		r.warmRate = 0.1
+		for at := 10.0; at < 12; at += 0.1 {
+			if r.slowStartAdmits(at, 0) {
+				r.endpoints[0].slowStartBudget--
+				sent++
+			}
+		}
+	}
+	assert.Less(t, sent, 12, "ten a second at a warm host allow four a second at a third of its capacity")
+}
+
+// Routers that have just started meet a fleet of which half is new, and have no warm member's rate to go by: they
+// sent next to nothing to hosts that stood idle. Together they send less than one slot bears at that capacity.
+func TestFreshRoutersUseColdEndpointsWithinTheirCapacity(t *testing.T) {
+	const many, work = 300, 0.05
+	sent := 0
+	for seed := range many {
+		s := testSite()
+		s.RouterCount = many
+		r := New(s, chances(seed))
+		r.UpdateEndpoints(10, []EndpointInfo{{State: Ready, StartedAt: 10}}, true, false)
+		r.serviceTime = work
+		for at := 10.0; at < 20; at += 0.1 {
+			if r.slowStartAdmits(at, 0) {
+				r.endpoints[0].slowStartBudget--
+				sent++
+			}
+		}
+	}
+	capacity := (0.2 + 1) / 2 * 10 / work // of one slot over the warming
+	assert.Greater(t, float64(sent), 0.7*capacity)
+	assert.Less(t, float64(sent), 1.3*capacity, "half of the overload factor, which is 2")
+}
