--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -16,7 +16,7 @@
 	}
 	r.groups[gAny].answeredInTime = 20
 	r.favourWorstGroup()
-	assert.Equal(t, 1.0, r.groups[gBound].fairnessWeight)
+	assert.InDelta(t, 1.0, r.groups[gBound].fairnessWeight, 0)
 	assert.InDelta(t, 1+0.5*7, r.groups[gAny].fairnessWeight, 1e-9, "one seventh of the benefit asked for")
 }
 
@@ -89,18 +89,18 @@
 		assert.Equal(t, 0, r.ClientGone(10.1, c), "its dispatch is called off")
 	}
 	assert.InDelta(t, 10.1, r.usefulUntil(command(gAny), &r.groups[gAny]), 0.001)
-	assert.Equal(t, 10.5, r.usefulUntil(command(gBound), &r.groups[gBound]))
+	assert.InDelta(t, 10.5, r.usefulUntil(command(gBound), &r.groups[gBound]), 0)
 	// A router that stalled once took its own lateness for leaving clients and never sent again.
 	r.Maintain(11)
 	r.Maintain(20)
-	assert.Equal(t, 10.5, r.usefulUntil(command(gAny), &r.groups[gAny]), "not seen again, it is forgotten")
+	assert.InDelta(t, 10.5, r.usefulUntil(command(gAny), &r.groups[gAny]), 0, "not seen again, it is forgotten")
 }
 
 func TestFewEarlyLeaversDoNotShortenOthersTime(t *testing.T) {
 	r := testRouter(t, testSite())
 	g := &r.groups[gAny]
 	g.leaverShare, g.leaverStay = 0.2, 0.01
-	assert.Equal(t, 10.5, r.usefulUntil(command(gAny), g))
+	assert.InDelta(t, 10.5, r.usefulUntil(command(gAny), g), 0)
 	g.leaverShare = 0.6
-	assert.Equal(t, 10.01, r.usefulUntil(command(gAny), g))
+	assert.InDelta(t, 10.01, r.usefulUntil(command(gAny), g), 0)
 }
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -93,13 +93,13 @@
 	c := command(gWrite)
 	a := r.Route(10, c)
 	assert.Equal(t, Forward, a.Action)
-	assert.Equal(t, c.ClientDeadline, a.AttemptDeadline, "a first dispatch has all of its client's time")
+	assert.InDelta(t, c.ClientDeadline, a.AttemptDeadline, 0, "a first dispatch has all of its client's time")
 	a = r.AttemptEnded(10.01, c, AttemptResult{Result: ConnectionLost, Elapsed: 0.01, Position: -1})
 	for k := 0; a.Action == Wait && k < 100; k++ {
 		a = r.Route(a.ReviewAt, c)
 	}
 	assert.Equal(t, Forward, a.Action)
-	assert.Equal(t, 11.5, a.AttemptDeadline)
+	assert.InDelta(t, 11.5, a.AttemptDeadline, 0)
 }
 
 func TestLostAnswerIsRetriedInTime(t *testing.T) {
--- a/internal/router/consistency_test.go
+++ b/internal/router/consistency_test.go
@@ -77,7 +77,7 @@
 	c.Attempts, c.ArrivedAt, c.routed = []Attempt{{Endpoint: 0, SentAt: 10.1, InFlight: true}}, 10.1, true
 	a := r.AttemptEnded(10.2, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
 	assert.Equal(t, 1, a.Endpoint, "turned away, it meets the next: one of them may be the primary")
-	assert.Equal(t, 1.0, r.recentLag(10.2, 1))
+	assert.InDelta(t, 1.0, r.recentLag(10.2, 1), 0)
 	assert.Zero(t, r.recentLag(11, 1), "it may have caught up since")
 }
 
@@ -102,7 +102,7 @@
 	r.expireSessions(10 + 2*span)
 	_, known = r.sessions.Get(1)
 	assert.False(t, known)
-	assert.Equal(t, 9.0, r.shards[0].positionFloor)
+	assert.InDelta(t, 9.0, r.shards[0].positionFloor, 0)
 }
 
 func TestLastWriteAheadOfTheClockCounts(t *testing.T) {
--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -20,7 +20,7 @@
 	r.endpoints[1].recordUnreachable(10)
 	r.endpoints[1].recordUnreachable(11)
 	r.recordReachable(12, &r.endpoints[1])
-	assert.Equal(t, 12.0, r.endpoints[1].startedAt)
+	assert.InDelta(t, 12.0, r.endpoints[1].startedAt, 0)
 }
 
 // A hung host keeps its last position and would go on qualifying.
@@ -168,12 +168,12 @@
 	n := &r.endpoints[1]
 	assert.True(t, math.IsInf(n.unreachableSince, 1), "commands were answered meanwhile")
 	r.HealthChecked(20.5, 1, TimedOut, 0.25, -1, false)
-	assert.Equal(t, 20.5, n.unreachableSince, "nothing answered since")
+	assert.InDelta(t, 20.5, n.unreachableSince, 0, "nothing answered since")
 	r.HealthChecked(21.5, 1, TimedOut, 0.25, -1, false)
 	r.HealthChecked(21.6, 1, Errored, 0.01, -1, false)
-	assert.Equal(t, 20.5, n.unreachableSince, "an error is no sign of health either")
+	assert.InDelta(t, 20.5, n.unreachableSince, 0, "an error is no sign of health either")
 	r.HealthChecked(21.7, 1, Answered, 0.01, -1, false)
-	assert.Equal(t, 21.7, n.startedAt, "away for longer than chance, it may have started anew")
+	assert.InDelta(t, 21.7, n.startedAt, 0, "away for longer than chance, it may have started anew")
 }
 
 // The whole fleet's join day broke rule 5 once: a probe's report was taken though the probe had erred.
@@ -181,7 +181,7 @@
 	r := testRouter(t, testSite())
 	for _, ending := range []Result{Errored, Overloaded, NotServed, TimedOut, ConnectionLost} {
 		r.HealthChecked(20, 1, ending, 0.01, 19, true)
-		assert.Equal(t, 10.0, r.endpoints[1].position)
+		assert.InDelta(t, 10.0, r.endpoints[1].position, 0)
 		assert.Equal(t, RoleReplica, r.endpoints[1].role)
 	}
 	r.HealthChecked(20, 1, Answered, 0.01, 19, false)
--- a/internal/router/latency_test.go
+++ b/internal/router/latency_test.go
@@ -101,7 +101,7 @@
 	for range 5 {
 		assert.Equal(t, 1, r.pickReplica(10.1, command(gAny), &r.groups[gAny], 0), "node 2 has none")
 	}
-	assert.Equal(t, 12.0, r.Route(10.1, command(gAny)).AttemptDeadline, "nor is it lost at the target")
+	assert.InDelta(t, 12.0, r.Route(10.1, command(gAny)).AttemptDeadline, 0, "nor is it lost at the target")
 	assert.Zero(t, r.endpoints[1].idleConnections)
 }
 
@@ -122,7 +122,7 @@
 	s := testSite()
 	s.CommandGroups[gAny].LatencyObjective, s.CommandGroups[gAny].ClientTimeout = 6, 12
 	r := testRouter(t, s)
-	assert.Equal(t, 0.5, r.longestObjective, "how soon one must know goes by what needs fresh data")
+	assert.InDelta(t, 0.5, r.longestObjective, 0, "how soon one must know goes by what needs fresh data")
 	r.latency, r.serviceTime, r.queueLength = 0.1, 0.1, 1
 	c := command(gAny)
 	c.ClientDeadline = 22
@@ -134,5 +134,5 @@
 	}
 	r.AttemptEnded(13, c, AttemptResult{Result: Answered, Elapsed: 3, Final: true, Position: -1})
 	assert.InDelta(t, 0.1, r.meanLatency(&r.endpoints[a.Endpoint]), 0.05)
-	assert.Equal(t, 0.1, r.serviceTime)
+	assert.InDelta(t, 0.1, r.serviceTime, 0)
 }
--- a/internal/router/migration_test.go
+++ b/internal/router/migration_test.go
@@ -21,32 +21,32 @@
 	s.CommandGroups = append(s.CommandGroups[:1:1], s.CommandGroups[gSession]) // other groups, in another order
 	r := New(s, 8)
 	r.MigrateFrom(12, old)
-	assert.Equal(t, 11.0, r.endpoints[1].position, "a position holds for good")
+	assert.InDelta(t, 11.0, r.endpoints[1].position, 0, "a position holds for good")
 	assert.Equal(t, RolePrimary, r.endpoints[0].role)
 	assert.False(t, r.eligible(&r.endpoints[0]), "what was told of drains binds on")
 	assert.True(t, r.endpoints[2].ejected, "a doubt stands until it answers")
-	assert.Equal(t, 9.0, r.endpoints[2].startedAt, "and a cold one is cold")
-	assert.Equal(t, 5.0, r.endpoints[2].slowStartBudget)
+	assert.InDelta(t, 9.0, r.endpoints[2].startedAt, 0, "and a cold one is cold")
+	assert.InDelta(t, 5.0, r.endpoints[2].slowStartBudget, 0)
 	assert.True(t, r.subscribed)
 	assert.Zero(t, r.endpoints[1].latencySum+r.endpoints[1].answerSum, "paces were of other commands")
 	assert.Zero(t, r.endpoints[1].inFlight+r.endpoints[1].unanswered, "what is out ends at the old one")
 	assert.Zero(t, r.latency+r.warmRate+r.shards[0].latencySum+r.shards[0].answerSum)
 	c := &Command{Group: 1, Session: 9, ArrivedAt: 12, ClientDeadline: 14}
 	assert.Equal(t, 1, r.pickReplica(12, c, &r.groups[1], r.session(9).highestRead), "it covers what the session has seen")
-	assert.Equal(t, 10.7, r.sessionPosition(12, c))
+	assert.InDelta(t, 10.7, r.sessionPosition(12, c), 0)
 	writes := &Command{Group: 1, Session: 7, ArrivedAt: 12, ClientDeadline: 14}
-	assert.Equal(t, 12.5, r.sessionPosition(12.5, writes), "its writes are out at the old one")
+	assert.InDelta(t, 12.5, r.sessionPosition(12.5, writes), 0, "its writes are out at the old one")
 	r.recordSession(writes, &group{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, 1, math.Inf(-1)) // and one here
 	for out := 1.0; out >= 0; out-- {
 		old.sessions.Put(7, session{lastWrite: math.Inf(-1), highestRead: math.Inf(-1), writesInFlight: out})
 		r.LearnFrom(writes, old)
-		assert.Equal(t, 12.5, r.sessionPosition(12.5, writes))
+		assert.InDelta(t, 12.5, r.sessionPosition(12.5, writes), 0)
 	}
 	r.recordSession(writes, &group{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, -1, math.Inf(-1))
-	assert.Equal(t, 10.7, r.sessionPosition(12.5, writes), "none is out any more")
+	assert.InDelta(t, 10.7, r.sessionPosition(12.5, writes), 0, "none is out any more")
 	other := &Command{Group: 1, Session: 4, ArrivedAt: 12, ClientDeadline: 14}
-	assert.Equal(t, 9.5, r.sessionPosition(12, other), "nor is the floor lost")
+	assert.InDelta(t, 9.5, r.sessionPosition(12, other), 0, "nor is the floor lost")
 	old.endpoints[1].position, old.shards[0].endpoints[0] = 0, 7
-	assert.Equal(t, 11.0, r.endpoints[1].position, "nothing is shared")
+	assert.InDelta(t, 11.0, r.endpoints[1].position, 0, "nothing is shared")
 	assert.Equal(t, []int{0, 1, 2}, r.shards[0].endpoints)
 }
