--- a/internal/drill/claims.go
+++ b/internal/drill/claims.go
@@ -372,7 +372,10 @@
 	if t.last.ID != "" && !t.last.State.Terminal() {
 		task.Operation = []roll.Operation{roll.OperationResume, roll.OperationResume, roll.OperationRollback, roll.OperationAbort}[w.rng.IntN(4)]
 	}
-	t.driver = roll.New(w.fleet, w.names, len(w.agents), "", t.holder, roll.Timing{PollSeconds: 0.3, MajorityTimeoutSeconds: 4}, task, w.rng.Float64)
+	t.driver = roll.New(roll.Config{
+		Fleet: w.fleet, InstanceNames: w.names, Agents: len(w.agents), Holder: t.holder,
+		Timing: roll.Timing{PollSeconds: 0.3, MajorityTimeoutSeconds: 4}, Task: task, Random: w.rng.Float64,
+	})
 	t.bidding, t.found = w.stamp(), w.kept
 	t.turn()
 	if w.rng.IntN(2) == 0 {
--- a/internal/fleet/roll/calls.go
+++ b/internal/fleet/roll/calls.go
@@ -6,191 +6,236 @@
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
+// maxRefusals is how often in a row an agent may refuse a step before the rollout pauses.
+const maxRefusals = 3
+
+// pendingCall is a call whose outcome is awaited.
 type pendingCall struct {
 	agent         int
 	verb          form.Verb
 	sentAt        float64
 	epoch         uint64
-	recordVersion claim.Version
-	stepNumber    uint64
+	recordVersion claim.Version // for StoreRecordVerb
+	stepNumber    uint64        // for BeginStepVerb
 }
 
-func (d *Coordinator) send(now float64, a int, c form.Request) OutgoingCall {
-	d.lastCallID++
-	o := pendingCall{agent: a, verb: c.Verb, sentAt: now, recordVersion: c.Record.Version, stepNumber: c.Step.Number, epoch: c.Epoch}
-	if c.Verb == form.RequestLeaseVerb {
-		o.epoch = c.LeaseRequest.Epoch
-	}
-	d.pendingCalls[d.lastCallID] = o
-	if c.Verb == form.StatusVerb || c.Verb == form.RequestLeaseVerb {
-		d.agents[a].pendingQuery = d.lastCallID
-	} else {
-		d.agents[a].pendingCommand = d.lastCallID
-	}
-	c.AgentsDigest = d.agentsDigest
-	return OutgoingCall{d.lastCallID, a, c}
+// send makes a call out of a request and notes it as pending.
+func (c *Coordinator) send(now float64, agent int, r form.Request) OutgoingCall {
+	c.lastCallID++
+	call := pendingCall{
+		agent: agent, verb: r.Verb, sentAt: now, epoch: r.Epoch,
+		recordVersion: r.Record.Version, stepNumber: r.Step.Number,
+	}
+	switch r.Verb {
+	case form.RequestLeaseVerb:
+		call.epoch = r.LeaseRequest.Epoch
+		c.agents[agent].pendingQuery = c.lastCallID
+	case form.StatusVerb:
+		c.agents[agent].pendingQuery = c.lastCallID
+	default:
+		c.agents[agent].pendingCommand = c.lastCallID
+	}
+	c.pendingCalls[c.lastCallID] = call
+	r.AgentsDigest = c.config.AgentsDigest
+	return OutgoingCall{ID: c.lastCallID, Agent: agent, Request: r}
 }
 
-// dueQuery is the call that learns how an agent stands.
-func (d *Coordinator) dueQuery(now float64, i int) (form.Request, bool) {
-	a := &d.agents[i]
+// dueQuery returns the request that asks an agent for its status or its grant, if one is due.
+func (c *Coordinator) dueQuery(now float64, agent int) (form.Request, bool) {
+	a := &c.agents[agent]
 	if a.pendingQuery != 0 || now < a.nextQuery {
 		return form.Request{}, false
 	}
-	switch d.phase {
+	switch c.phase {
 	case phasePolling:
-		if !a.replied {
-			return form.Request{Verb: form.StatusVerb}, true
-		}
+		return form.Request{Verb: form.StatusVerb}, !a.replied
 	case phaseRequestingLease:
-		if !a.replied {
-			return form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: d.campaign.Request}, true
-		}
+		return c.leaseRequest(), !a.replied
 	case phaseRunning:
 		if !a.granted {
-			return form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: d.campaign.Request}, true
+			return c.leaseRequest(), true
 		}
-		return form.Request{Verb: form.StatusVerb, Epoch: d.campaign.Request.Epoch, Holder: d.holder}, true
+		return c.holderRequest(form.StatusVerb), true
+	default:
+		return form.Request{}, false
 	}
-	return form.Request{}, false
 }
 
-// dueCommand is the call that changes something.
-func (d *Coordinator) dueCommand(now float64, i int) (form.Request, bool) {
-	a := &d.agents[i]
+// dueCommand returns the request that changes something at an agent, if one is due.
+func (c *Coordinator) dueCommand(now float64, agent int) (form.Request, bool) {
+	a := &c.agents[agent]
 	if a.pendingCommand != 0 || now < a.nextCommand {
 		return form.Request{}, false
 	}
-	epoch := uint64(0)
-	if d.campaign != nil {
-		epoch = d.campaign.Request.Epoch
-	}
-	switch {
-	case d.phase == phaseReleasing && !a.released:
-		return form.Request{Verb: form.ReleaseLeaseVerb, Epoch: epoch, Holder: d.holder}, true
-	case d.phase != phaseRunning || !a.granted:
-	case d.storing != nil && !a.stored:
-		return form.Request{Verb: form.StoreRecordVerb, Epoch: epoch, Holder: d.holder, Record: d.storing.record}, true
-	case d.stepToSend.Number != 0 && d.fleet.Instances[d.stepToSend.Instance].Agent == i && now >= d.nextStepSend:
-		step := d.stepToSend
-		d.stepToSend, d.nextStepSend = plan.Step{}, now+d.timing.PollSeconds
-		return form.Request{Verb: form.BeginStepVerb, Epoch: epoch, Holder: d.holder, InstanceName: d.instanceNames[step.Instance], Step: step}, true
-	}
-	return form.Request{}, false
+	if c.phase == phaseReleasing && !a.released {
+		return c.holderRequest(form.ReleaseLeaseVerb), true
+	}
+	if c.phase != phaseRunning || !a.granted {
+		return form.Request{}, false
+	}
+	if c.storing != nil && !a.stored {
+		r := c.holderRequest(form.StoreRecordVerb)
+		r.Record = c.storing.record
+		return r, true
+	}
+	step := c.stepToSend
+	if step.Number == 0 || c.config.Fleet.Instances[step.Instance].Agent != agent || now < c.nextStepSend {
+		return form.Request{}, false
+	}
+	c.stepToSend = plan.Step{}
+	c.nextStepSend = now + c.config.Timing.PollSeconds
+	r := c.holderRequest(form.BeginStepVerb)
+	r.InstanceName = c.config.InstanceNames[step.Instance]
+	r.Step = step
+	return r, true
+}
+
+func (c *Coordinator) leaseRequest() form.Request {
+	return form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: c.campaign.Request}
 }
 
-// takePending gives a call's agent free again. A call that is no longer waited for is not known.
-func (d *Coordinator) takePending(now float64, id uint64) (pendingCall, *agent, bool) {
-	o, ok := d.pendingCalls[id]
-	if !ok {
-		return o, nil, false
-	}
-	delete(d.pendingCalls, id)
-	a := &d.agents[o.agent]
+// holderRequest returns a request under the coordinator's lease.
+func (c *Coordinator) holderRequest(verb form.Verb) form.Request {
+	r := form.Request{Verb: verb, Holder: c.config.Holder}
+	if c.campaign != nil {
+		r.Epoch = c.campaign.Request.Epoch
+	}
+	return r
+}
+
+// takePending ends the wait for a call's outcome. It is false for a call whose outcome is no longer awaited.
+func (c *Coordinator) takePending(now float64, id uint64) (pendingCall, *agent, bool) {
+	call, awaited := c.pendingCalls[id]
+	if !awaited {
+		return call, nil, false
+	}
+	delete(c.pendingCalls, id)
+	a := &c.agents[call.agent]
 	if a.pendingQuery == id {
-		a.pendingQuery, a.nextQuery = 0, now+d.timing.PollSeconds
+		a.pendingQuery = 0
+		a.nextQuery = now + c.config.Timing.PollSeconds
 	}
 	if a.pendingCommand == id {
 		a.pendingCommand = 0
 	}
-	return o, a, true
+	return call, a, true
 }
 
-// HandleFailure tells that a call had no answer. What it asked for may have been done.
-func (d *Coordinator) HandleFailure(now float64, id uint64, why string) {
-	o, a, ok := d.takePending(now, id)
-	if !ok {
+// HandleFailure tells that a call has no reply, and why, for people. What it asked for may have been done.
+func (c *Coordinator) HandleFailure(now float64, id uint64, failure string) {
+	call, a, awaited := c.takePending(now, id)
+	if !awaited {
 		return
 	}
-	a.failure = why
-	a.nextCommand = now + d.timing.PollSeconds
-	switch {
-	case d.phase == phasePolling:
+	a.failure = failure
+	a.nextCommand = now + c.config.Timing.PollSeconds
+	switch c.phase {
+	case phasePolling:
 		a.replied = true
-	case d.phase == phaseRequestingLease:
+	case phaseRequestingLease:
 		a.replied = true
-		d.campaign.AddUnreachable(o.agent)
-	case d.phase == phaseReleasing:
+		c.campaign.AddUnreachable(call.agent)
+	case phaseReleasing:
 		a.released = true
+	default: // the call is repeated
 	}
 }
 
-// HandleReply takes an answer in.
-func (d *Coordinator) HandleReply(now float64, id uint64, r form.Reply) {
-	o, a, ok := d.takePending(now, id)
-	if !ok {
+// HandleReply takes in the reply to a call.
+func (c *Coordinator) HandleReply(now float64, id uint64, r form.Reply) {
+	call, a, awaited := c.takePending(now, id)
+	if !awaited {
 		return
 	}
-	a.leaseState, a.failure = r.LeaseState, r.Failure
-	if o.verb == form.StatusVerb {
+	a.leaseState = r.LeaseState
+	a.failure = r.Failure
+	if call.verb == form.StatusVerb {
 		a.operatorRequest = r.OperatorRequest
-		d.takeObservations(o, r)
+		c.takeObservations(call, r)
 	}
-	switch d.phase {
+	switch c.phase {
 	case phasePolling:
-		a.replied, a.record = true, r.Record
+		a.replied = true
+		a.record = r.Record
 	case phaseRequestingLease:
 		a.replied = true
 		a.granted = r.Denial == claim.Granted
-		d.campaign.AddReply(o.agent, r.Denial, r.LeaseState, r.Record)
+		c.campaign.AddReply(call.agent, r.Denial, r.LeaseState, r.Record)
 	case phaseReleasing:
 		a.released = true
 	case phaseRunning:
-		d.handleRunningReply(now, o, a, r)
+		if call.epoch == c.campaign.Request.Epoch {
+			c.handleRunningReply(now, call, a, r)
+		}
+	default: // no calls are made
 	}
 }
 
-func (d *Coordinator) handleRunningReply(now float64, o pendingCall, a *agent, r form.Reply) {
-	epoch := d.campaign.Request.Epoch
-	switch {
-	case o.epoch != epoch:
-		return
-	case r.LeaseState.Epoch > epoch || r.Denial == claim.StaleEpoch:
-		// Somebody bid higher: either the claim is theirs, or they failed and this driver must bid again.
-		a.granted = false
-		d.requestLease(now, max(r.LeaseState.Epoch, epoch)+1, false)
-		return
-	case r.Denial != claim.Granted:
-		a.granted = false // its claim ran out there, or it was never granted: bid there anew
-		a.nextCommand = now + d.timing.PollSeconds
-		if r.Denial == claim.Expired {
-			d.requestLease(now, epoch+1, false)
-		}
+// handleRunningReply takes in the reply to a call under the current epoch.
+func (c *Coordinator) handleRunningReply(now float64, call pendingCall, a *agent, r form.Reply) {
+	if r.Denial != claim.Granted || r.LeaseState.Epoch > call.epoch {
+		c.handleDenial(now, call.epoch, a, r)
 		return
 	}
-	switch o.verb {
+	switch call.verb {
 	case form.RequestLeaseVerb:
-		a.granted, a.nextQuery = true, now
+		a.granted = true
+		a.nextQuery = now
 	case form.StoreRecordVerb:
-		if d.storing != nil && o.recordVersion == d.storing.record.Version {
+		if c.storing != nil && call.recordVersion == c.storing.record.Version {
 			a.stored = true
-			d.commitIfStored(now)
+			c.commitIfStored(now)
 		}
 	case form.BeginStepVerb:
 		if r.Failure == "" {
-			d.refusals = 0
+			c.refusals = 0
 			a.nextQuery = now
 			return
 		}
-		d.events = append(d.events, Event{At: now, StepRefusal: r.Failure, Step: d.rollout.CurrentStep, Rollout: d.rollout})
-		if d.refusals++; d.refusals >= maxRefusals && d.storing == nil && o.stepNumber == d.rollout.CurrentStep.Number {
-			d.storeDecision(now, d.planner.StepRefused(r.Failure))
-		}
+		c.stepRefused(now, call.stepNumber, r.Failure)
+	default: // observations have been taken in
 	}
 }
 
-// takeObservations takes in what an agent tells of its instances. In a run it counts only from an agent that has granted
-// the epoch, and it is as old as the call at least.
-func (d *Coordinator) takeObservations(o pendingCall, r form.Reply) {
-	if d.phase == phaseRunning && (r.Denial != claim.Granted || o.epoch != d.campaign.Request.Epoch) {
+// handleDenial reacts to a reply that denies the epoch or tells of a higher one.
+func (c *Coordinator) handleDenial(now float64, epoch uint64, a *agent, r form.Reply) {
+	a.granted = false
+	if r.LeaseState.Epoch > epoch || r.Denial == claim.StaleEpoch {
+		// Either another holder has the lease, or its campaign failed and this coordinator must request a higher epoch.
+		c.requestLease(now, max(r.LeaseState.Epoch, epoch)+1, false)
 		return
 	}
-	for _, i := range d.instancesByAgent[o.agent] {
-		for _, t := range r.Instances {
-			if t.Name == d.instanceNames[i] {
-				d.statuses[i] = t
-				d.observations[i] = t.Observation
-				d.observations[i].SeenAt = o.sentAt - t.AgeSeconds
+	// The lease has expired there or was never granted: it is requested there again.
+	a.nextCommand = now + c.config.Timing.PollSeconds
+	if r.Denial == claim.Expired {
+		c.requestLease(now, epoch+1, false)
+	}
+}
+
+func (c *Coordinator) stepRefused(now float64, stepNumber uint64, failure string) {
+	current := c.rollout.CurrentStep
+	c.events = append(c.events, Event{At: now, StepRefusal: failure, Step: current, Rollout: c.rollout})
+	c.refusals++
+	if c.refusals >= maxRefusals && c.storing == nil && stepNumber == current.Number {
+		c.storeDecision(now, c.planner.StepRefused(failure))
+	}
+}
+
+// takeObservations takes in what an agent reports of its instances. In phaseRunning it counts only from an agent that
+// has granted the epoch. It is taken to be as old as the call.
+func (c *Coordinator) takeObservations(call pendingCall, r form.Reply) {
+	if c.phase == phaseRunning {
+		underEpoch := r.Denial == claim.Granted && call.epoch == c.campaign.Request.Epoch
+		if !underEpoch {
+			return
+		}
+	}
+	for _, i := range c.instancesByAgent[call.agent] {
+		for _, status := range r.Instances {
+			if status.Name == c.config.InstanceNames[i] {
+				c.statuses[i] = status
+				c.observations[i] = status.Observation
+				c.observations[i].SeenAt = call.sentAt - status.AgeSeconds
 			}
 		}
 	}
--- a/internal/fleet/roll/coordinator.go
+++ b/internal/fleet/roll/coordinator.go
@@ -1,10 +1,3 @@
-// Package roll drives a rollout from an operator's side: it joins the claim (package claim) and the decisions
-// (package plan) to the messages of package form, without a socket or a clock. What is to be sent comes back
-// as values; answers and failures are handed in. It can die at any point: what it was doing is in the record
-// that a majority of agents keeps, and another driver goes on from there.
-//
-// An agent's word counts only once it has granted this driver's epoch, for only then is it sure that no
-// earlier holder can still begin anything there.
 package roll
 
 import (
@@ -16,187 +9,199 @@
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
+// phase is what a coordinator is doing.
 type phase int
 
 const (
-	phasePolling phase = iota
-	phaseRequestingLease
-	phaseBackoff // after a bid that was lost to nobody
-	phaseRunning
-	phaseReleasing
+	phasePolling         phase = iota // asks every agent for its status
+	phaseRequestingLease              // asks every agent for the lease
+	phaseBackoff                      // waits after a campaign that nobody won
+	phaseRunning                      // drives the rollout under the lease
+	phaseReleasing                    // gives the lease back
 	phaseOver
 )
 
-const (
-	maxLostCampaigns = 6 // in a row that may be lost to nobody
-	maxRefusals      = 3 // of a step by its agent, in a row, before the rollout pauses
-)
-
-// agent is what is known of one.
+// agent is what is known of one agent. Of its calls, at most one query (status, lease) and one command (all others)
+// are pending.
 type agent struct {
-	replied         bool // in this phase
-	granted         bool // the epoch
+	replied         bool // in this phase, or its call has failed
+	granted         bool // it has granted the campaign's epoch
 	leaseState      claim.State
 	record          claim.Record
 	operatorRequest form.OperatorRequest
-	failure         string
-	pendingQuery    uint64 // call that is out, or 0
-	pendingCommand  uint64
-	nextQuery       float64 // look
-	nextCommand     float64 // say
-	stored          bool    // the record that is being kept
-	released        bool
+	failure         string // of its last call
+	pendingQuery    uint64 // id, or 0
+	pendingCommand  uint64 // id, or 0
+	nextQuery       float64
+	nextCommand     float64
+	stored          bool // it has stored Coordinator.storing
+	released        bool // it has released the lease, or cannot be reached, or had not granted it
 }
 
-// Coordinator drives one rollout.
+// Coordinator drives one rollout. It is used from one goroutine.
 type Coordinator struct {
-	fleet         *plan.Fleet
-	instanceNames []string
-	agentsDigest  string // digest of the list of agents
-	holder        string
-	timing        Timing
-	task          Task
-	random        func() float64
-
-	phase            phase
-	phaseTime        float64 // the phase
-	lostCampaigns    int
-	campaign         *claim.Campaign
-	agents           []agent
-	instancesByAgent [][]int // instances
-	pendingCalls     map[uint64]pendingCall
-	lastCallID       uint64 // ID
-	outcome          Outcome
-
-	planner      *plan.Planner
-	rollout      form.Rollout
+	config           Config
+	instancesByAgent [][]int
+
+	phase     phase
+	phaseTime float64 // when the phase began; in phaseBackoff, when it ends
+	outcome   Outcome
+	events    []Event
+
+	agents       []agent
+	pendingCalls map[uint64]pendingCall
+	lastCallID   uint64
+
+	campaign      *claim.Campaign
+	lostCampaigns int     // in a row, lost to nobody
+	lastMajority  float64 // when a majority was last known to follow
+
+	planner      *plan.Planner // set with the first lease
+	rollout      form.Rollout  // as a majority stores it
 	observations []plan.Observation
 	statuses     []form.InstanceStatus
-	recordNumber uint64 // of the record kept last, in this epoch
-	storing      *pendingRecord
-	stepToSend   plan.Step // to be sent
+	storing      *pendingRecord // nil: none
+	recordNumber uint64         // of the newest record under this epoch
+	stepToSend   plan.Step      // Number 0: none
 	nextStepSend float64
-	refusals     int
-	lastMajority float64 // a majority was last heard of in this epoch
-	events       []Event
+	refusals     int // of the current step by its agent, in a row
 }
 
-// New is a driver that has sent nothing. names are the instances', agents how many there are, list the digest
-// of the list of them; holder must be this driver's alone. chance draws from 0 to 1.
-func New(f *plan.Fleet, names []string, agents int, list, holder string, t Timing, task Task, chance func() float64) *Coordinator {
-	d := &Coordinator{
-		fleet: f, instanceNames: names, agentsDigest: list, holder: holder, timing: t, task: task, random: chance,
-		agents: make([]agent, agents), instancesByAgent: make([][]int, agents), pendingCalls: map[uint64]pendingCall{},
-		observations: make([]plan.Observation, len(names)), statuses: make([]form.InstanceStatus, len(names)),
+// New returns a coordinator that has made no call.
+func New(config Config) *Coordinator {
+	c := &Coordinator{
+		config:           config,
+		instancesByAgent: make([][]int, config.Agents),
+		agents:           make([]agent, config.Agents),
+		pendingCalls:     map[uint64]pendingCall{},
+		observations:     make([]plan.Observation, len(config.InstanceNames)),
+		statuses:         make([]form.InstanceStatus, len(config.InstanceNames)),
 	}
-	slices.Sort(d.task.ExcludedInstances)
-	for i, x := range f.Instances {
-		d.instancesByAgent[x.Agent] = append(d.instancesByAgent[x.Agent], i)
-		d.observations[i].SeenAt = math.Inf(-1)
+	slices.Sort(c.config.Task.ExcludedInstances)
+	for i, instance := range config.Fleet.Instances {
+		c.instancesByAgent[instance.Agent] = append(c.instancesByAgent[instance.Agent], i)
+		c.observations[i].SeenAt = math.Inf(-1)
 	}
-	return d
+	return c
 }
 
-// Outcome tells whether the driver has ended, and how.
-func (d *Coordinator) Outcome() (Outcome, bool) { return d.outcome, d.phase == phaseOver }
+// Outcome tells how the coordinator ended, and whether it has.
+func (c *Coordinator) Outcome() (Outcome, bool) { return c.outcome, c.phase == phaseOver }
 
-// Quit has the driver give its claim back and end. A step under way goes on by itself.
-func (d *Coordinator) Quit(now float64) {
-	if d.phase != phaseOver && !(d.phase == phaseReleasing && d.outcome.Kind != OutcomeNoMajority) {
-		d.lostCampaigns = maxLostCampaigns
-		d.release(now, Outcome{Kind: OutcomeInterrupted, Rollout: d.rollout})
+// Quit has the coordinator release its lease and end. A step under way continues by itself.
+func (c *Coordinator) Quit(now float64) {
+	ending := c.phase == phaseReleasing && c.outcome.Kind != OutcomeNoMajority
+	if ending || c.phase == phaseOver {
+		return
 	}
+	c.lostCampaigns = maxLostCampaigns
+	c.release(now, Outcome{Kind: OutcomeInterrupted, Rollout: c.rollout})
 }
 
-// TakeEvents returns what has come about since the last call.
-func (d *Coordinator) TakeEvents() []Event {
-	e := d.events
-	d.events = nil
-	return e
-}
-
-// View is how the rollout stands, for people.
-type View struct {
-	Rollout   form.Rollout
-	Finished  int
-	Serving   int
-	Instances []form.InstanceStatus
-	Epoch     uint64
+// TakeEvents returns what has happened since the last call.
+func (c *Coordinator) TakeEvents() []Event {
+	events := c.events
+	c.events = nil
+	return events
 }
 
-// View tells how things stand now.
-func (d *Coordinator) View(now float64) View {
-	v := View{Rollout: d.rollout, Instances: d.statuses}
-	if d.planner != nil {
-		v.Finished, v.Serving = d.planner.FinishedCount(d.observations), d.planner.ServingCount(now, d.observations)
-		v.Epoch = d.campaign.Request.Epoch
+// View returns how the rollout stands at a time.
+func (c *Coordinator) View(now float64) View {
+	v := View{Rollout: c.rollout, Instances: c.statuses}
+	if c.planner != nil {
+		v.Finished = c.planner.FinishedCount(c.observations)
+		v.Serving = c.planner.ServingCount(now, c.observations)
+		v.Epoch = c.campaign.Request.Epoch
 	}
 	return v
 }
 
-func (d *Coordinator) enter(now float64, p phase) {
-	d.phase, d.phaseTime = p, now
-	for i := range d.agents {
-		a := &d.agents[i]
-		// What is still out belongs to the phase before, and is not waited for.
-		a.replied, a.pendingQuery, a.pendingCommand, a.nextQuery, a.nextCommand, a.failure = false, 0, 0, now, now, ""
-		if p == phaseRequestingLease {
-			a.granted, a.stored = false, false
-		}
-	}
-	clear(d.pendingCalls)
-}
-
-// Tick returns the calls that are due, and when to ask again at the latest.
-func (d *Coordinator) Tick(now float64) ([]OutgoingCall, float64) {
-	var sends []OutgoingCall
-	wake := now + d.timing.PollSeconds
-	switch d.phase {
-	case phasePolling, phaseRequestingLease:
-		d.checkReplies(now)
+// PendingCalls returns the number of calls whose outcome is awaited.
+func (c *Coordinator) PendingCalls() int { return len(c.pendingCalls) }
+
+// Tick returns the calls that are due, and the time of the next Tick at the latest. It may be called at any time
+// before, such as after a reply.
+func (c *Coordinator) Tick(now float64) (calls []OutgoingCall, next float64) {
+	next = now + c.config.Timing.PollSeconds
+	switch c.phase {
+	case phasePolling:
+		c.checkStatuses(now)
+	case phaseRequestingLease:
+		c.checkCampaign(now)
 	case phaseBackoff:
-		if now >= d.phaseTime {
-			d.enter(now, phasePolling)
+		if now >= c.phaseTime {
+			c.enter(now, phasePolling)
 		}
 	case phaseRunning:
-		d.decide(now)
+		c.decide(now)
 	case phaseReleasing:
-		d.checkReleased(now)
+		c.checkReleased(now)
+	case phaseOver:
 	}
-	if d.phase == phaseOver || d.phase == phaseBackoff {
-		return nil, wake
+	if c.phase == phaseOver || c.phase == phaseBackoff {
+		return nil, next
 	}
-	for i := range d.agents {
-		if c, due := d.dueQuery(now, i); due {
-			sends = append(sends, d.send(now, i, c))
+	soonest := now + c.config.Timing.PollSeconds/4
+	for i := range c.agents {
+		if r, due := c.dueQuery(now, i); due {
+			calls = append(calls, c.send(now, i, r))
 		}
-		if c, due := d.dueCommand(now, i); due {
-			sends = append(sends, d.send(now, i, c))
+		if r, due := c.dueCommand(now, i); due {
+			calls = append(calls, c.send(now, i, r))
 		}
-		wake = min(wake, max(d.agents[i].nextQuery, now+d.timing.PollSeconds/4))
+		next = min(next, max(c.agents[i].nextQuery, soonest))
 	}
-	return sends, wake
+	return calls, next
 }
 
-// decide asks the planner once nothing is being kept.
-func (d *Coordinator) decide(now float64) {
-	if d.storing != nil {
-		if now-d.lastMajority >= d.timing.MajorityTimeoutSeconds {
-			d.release(now, Outcome{Kind: OutcomeNoMajority, Rollout: d.rollout})
+// enter begins a phase. Calls that are pending belong to the phase before; their outcomes are not awaited.
+func (c *Coordinator) enter(now float64, p phase) {
+	c.phase = p
+	c.phaseTime = now
+	for i := range c.agents {
+		a := &c.agents[i]
+		a.replied = false
+		a.pendingQuery, a.pendingCommand = 0, 0
+		a.nextQuery, a.nextCommand = now, now
+		a.failure = ""
+		if p == phaseRequestingLease {
+			a.granted = false
+			a.stored = false
+		}
+	}
+	clear(c.pendingCalls)
+}
+
+// decide asks the planner, unless a decision is being stored.
+func (c *Coordinator) decide(now float64) {
+	if c.storing != nil {
+		if now-c.lastMajority >= c.config.Timing.MajorityTimeoutSeconds {
+			c.release(now, Outcome{Kind: OutcomeNoMajority, Rollout: c.rollout})
 		}
 		return
 	}
-	d.lastMajority = now
-	switch dec := d.planner.Next(now, d.observations, d.operatorRequest().Action); dec.Action {
+	c.lastMajority = now
+	decision := c.planner.Next(now, c.observations, c.operatorRequest().Action)
+	switch decision.Action {
 	case plan.ActionWait:
 	case plan.ActionResendStep:
-		if now >= d.nextStepSend {
-			d.stepToSend = dec.Step
+		if now >= c.nextStepSend {
+			c.stepToSend = decision.Step
 		}
 	default:
-		d.storeDecision(now, dec)
+		c.storeDecision(now, decision)
 	}
 }
 
-// PendingCalls is the number of calls that are out.
-func (d *Coordinator) PendingCalls() int { return len(d.pendingCalls) }
+// operatorRequest returns what an operator has requested of this run of the rollout with one of the agents.
+func (c *Coordinator) operatorRequest() form.OperatorRequest {
+	var strongest form.OperatorRequest
+	for i := range c.agents {
+		r := c.agents[i].operatorRequest
+		ofThisRun := r.RolloutID == c.rollout.ID && r.Run == c.rollout.Run
+		if ofThisRun && r.Action > strongest.Action {
+			strongest = r
+		}
+	}
+	return strongest
+}
--- /dev/null
+++ b/internal/fleet/roll/environment_test.go
@@ -0,0 +1,162 @@
+package roll
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"stoatdale.example/stoatdale/internal/fleet/claim"
+	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/tend"
+)
+
+const (
+	pollSeconds = 0.1
+	turnSeconds = 0.05
+)
+
+// environment is agents of one instance each, whose actions take effect at once, and a network without delay.
+type environment struct {
+	t           *testing.T
+	now         float64
+	fleet       *plan.Fleet
+	names       []string // of the instances
+	limits      tend.Limits
+	handlers    []*tend.RequestHandler // of the agents
+	unreachable map[int]bool           // agents
+	refusing    map[int]bool           // agents that refuse steps
+	exiting     map[string]bool        // revisions whose process exits at once
+	steps       []string               // that were begun, in order
+}
+
+func newEnvironment(t *testing.T, agents int) *environment {
+	t.Helper()
+	e := &environment{
+		t: t, limits: tend.DefaultLimits(),
+		unreachable: map[int]bool{}, refusing: map[int]bool{}, exiting: map[string]bool{},
+		fleet: &plan.Fleet{ZoneMinAvailable: []int{0}, MinAvailable: agents - 1, Timing: plan.Timing{
+			SoakSeconds: 0.3, StaleAfterSeconds: 1, ContactTimeoutSeconds: 3, StepTimeoutSeconds: 20,
+		}},
+	}
+	for i := range agents {
+		name := fmt.Sprint("n", i)
+		e.fleet.Instances = append(e.fleet.Instances, plan.Instance{Agent: i})
+		e.names = append(e.names, name)
+		record := tend.Record{ShouldRun: true, Revision: "old", Incarnation: 1}
+		supervisor, transition := tend.NewSupervisor(record, &e.limits)
+		e.handlers = append(e.handlers, &tend.RequestHandler{
+			InstanceNames: []string{name}, Lease: claim.Lease{TermSeconds: 3}, Supervisors: []tend.Supervisor{supervisor},
+		})
+		e.carryOut(i, transition.Actions)
+	}
+	return e
+}
+
+func (e *environment) supervisor(agent int) *tend.Supervisor {
+	return &e.handlers[agent].Supervisors[0]
+}
+
+func (e *environment) carryOut(agent int, actions []tend.Action) {
+	for _, a := range actions {
+		e.carryOut(agent, e.do(e.supervisor(agent), a).Actions)
+	}
+}
+
+func (e *environment) do(s *tend.Supervisor, a tend.Action) tend.Transition {
+	switch a.Kind {
+	case tend.ActionFindProcess:
+		return s.ProcessFound(e.now, true)
+	case tend.ActionPrepareRevision:
+		return s.RevisionPrepared(e.now, tend.Preparation{DrainSeconds: 1}, nil)
+	case tend.ActionInstallRevision:
+		return s.RevisionInstalled(e.now, nil)
+	case tend.ActionStart:
+		started := s.ProcessStarted(e.now, a.Incarnation, nil)
+		if e.exiting[s.Revision] {
+			return s.ProcessExited(e.now, "status 1")
+		}
+		return started
+	case tend.ActionHealthCheck:
+		return s.HealthChecked(e.now, true)
+	case tend.ActionTerminate:
+		return s.ProcessExited(e.now, "ended")
+	case tend.ActionReadCounters, tend.ActionKill, tend.ActionReload:
+	}
+	return tend.Transition{}
+}
+
+func (e *environment) newCoordinator(holder string, task Task) *Coordinator {
+	return New(Config{
+		Fleet: e.fleet, InstanceNames: e.names, Agents: len(e.handlers), Holder: holder, Task: task,
+		Timing: Timing{PollSeconds: pollSeconds, MajorityTimeoutSeconds: 2},
+		Random: func() float64 { return 0.5 },
+	})
+}
+
+func beginTask(id, revision string) Task {
+	return Task{Operation: OperationBegin, Rollout: form.Rollout{Rollout: plan.Rollout{ID: id, Revision: revision}}}
+}
+
+// turn lets a coordinator make its calls, and hands it what comes of them.
+func (e *environment) turn(d *Coordinator) {
+	calls, _ := d.Tick(e.now)
+	for _, c := range calls {
+		e.deliver(d, c)
+	}
+}
+
+func (e *environment) deliver(d *Coordinator, c OutgoingCall) {
+	handler := e.handlers[c.Agent]
+	switch {
+	case e.unreachable[c.Agent]:
+		d.HandleFailure(e.now, c.ID, "unreachable")
+		return
+	case c.Request.Verb == form.BeginStepVerb && e.refusing[c.Agent]:
+		d.HandleReply(e.now, c.ID, form.Reply{Failure: "disk full", LeaseState: handler.Lease.State(e.now)})
+		return
+	}
+	reply, changes := handler.Handle(e.now, c.Request)
+	if changes.ChangedInstance >= 0 {
+		e.steps = append(e.steps, fmt.Sprint(c.Request.InstanceName, " ", c.Request.Step.Revision))
+	}
+	e.carryOut(c.Agent, changes.Actions)
+	d.HandleReply(e.now, c.ID, reply)
+}
+
+// pass lets time pass for the agents and some coordinators.
+func (e *environment) pass(seconds float64, coordinators ...*Coordinator) {
+	for end := e.now + seconds; e.now < end; e.now += turnSeconds {
+		for i := range e.handlers {
+			if s := e.supervisor(i); e.now >= s.NextTick() {
+				e.carryOut(i, s.Tick(e.now).Actions)
+			}
+		}
+		for _, d := range coordinators {
+			e.turn(d)
+		}
+	}
+}
+
+// finish lets time pass until a coordinator has ended.
+func (e *environment) finish(d *Coordinator) Outcome {
+	e.t.Helper()
+	for range 200 {
+		if o, ended := d.Outcome(); ended {
+			return o
+		}
+		e.pass(1, d)
+	}
+	require.Fail(e.t, "the coordinator does not end")
+	panic("unreachable")
+}
+
+// revisions returns the revision that each instance runs.
+func (e *environment) revisions() []string {
+	var revisions []string
+	for i := range e.handlers {
+		revisions = append(revisions, e.supervisor(i).Revision)
+	}
+	return revisions
+}
--- /dev/null
+++ b/internal/fleet/roll/lease.go
@@ -0,0 +1,214 @@
+package roll
+
+import (
+	"math"
+	"slices"
+
+	"stoatdale.example/stoatdale/internal/fleet/claim"
+	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/plan"
+)
+
+// maxLostCampaigns is how many campaigns in a row a coordinator may lose to nobody before it gives up.
+const maxLostCampaigns = 6
+
+// minBackoffPolls is the shortest backoff after a lost campaign, in poll intervals.
+const minBackoffPolls = 0.2
+
+// replies counts the agents that have replied in this phase or whose call has failed, and those that have replied.
+func (c *Coordinator) replies() (settled, replied int) {
+	for i := range c.agents {
+		if !c.agents[i].replied {
+			continue
+		}
+		settled++
+		if c.agents[i].failure == "" {
+			replied++
+		}
+	}
+	return settled, replied
+}
+
+// checkStatuses requests the lease once every agent has reported its status or cannot be reached, unless another
+// holder has it.
+func (c *Coordinator) checkStatuses(now float64) {
+	settled, replied := c.replies()
+	if settled < len(c.agents) {
+		return
+	}
+	if replied < claim.Majority(len(c.agents)) {
+		c.finish(Outcome{Kind: OutcomeNoMajority})
+		return
+	}
+	highestEpoch, holder, held := c.otherHolder()
+	hadLease := c.planner != nil
+	takeover := c.config.Task.Takeover && !hadLease
+	if !held || takeover {
+		c.requestLease(now, highestEpoch+1, takeover)
+		return
+	}
+	kind := OutcomeLeaseHeld
+	if hadLease {
+		kind = OutcomeFenced
+	}
+	c.finish(Outcome{Kind: kind, Holder: holder, Rollout: c.newestKnownRollout()})
+}
+
+// requestLease starts a campaign.
+func (c *Coordinator) requestLease(now float64, epoch uint64, takeover bool) {
+	r := claim.Request{Epoch: epoch, Holder: c.config.Holder, Takeover: takeover}
+	c.campaign = claim.NewCampaign(r, len(c.agents))
+	c.storing = nil
+	c.stepToSend = plan.Step{}
+	for i := range c.observations {
+		c.observations[i].SeenAt = math.Inf(-1) // an observation under another epoch says nothing of this one
+	}
+	c.enter(now, phaseRequestingLease)
+}
+
+// checkCampaign goes on once every agent has replied to the request or cannot be reached.
+func (c *Coordinator) checkCampaign(now float64) {
+	if settled, _ := c.replies(); settled < len(c.agents) {
+		return
+	}
+	switch c.campaign.Result() {
+	case claim.Pending:
+	case claim.Won:
+		c.campaignWon(now)
+	case claim.Lost:
+		c.campaignLost(now)
+	}
+}
+
+// otherHolder returns the highest epoch that agents report, and another holder's lease; held is set if a majority
+// reports it.
+func (c *Coordinator) otherHolder() (highestEpoch uint64, holder claim.State, held bool) {
+	reports := map[string]int{}
+	for i := range c.agents {
+		s := c.agents[i].leaseState
+		highestEpoch = max(highestEpoch, s.Epoch)
+		if !s.Held || s.Holder == c.config.Holder {
+			continue
+		}
+		reports[s.Holder]++
+		if s.RemainingSeconds > holder.RemainingSeconds || holder.Holder == "" {
+			holder = s
+		}
+		if reports[s.Holder] >= claim.Majority(len(c.agents)) {
+			held = true
+		}
+	}
+	return highestEpoch, holder, held
+}
+
+// newestKnownRollout returns the rollout of the newest record that any agent reports, for people: a majority need not
+// have stored it. A record that cannot be read is shown as none.
+func (c *Coordinator) newestKnownRollout() form.Rollout {
+	var newest claim.Record
+	for i := range c.agents {
+		if newest.Version.Before(c.agents[i].record.Version) {
+			newest = c.agents[i].record
+		}
+	}
+	r, _ := decodeRollout(newest)
+	return r
+}
+
+func (c *Coordinator) campaignLost(now float64) {
+	_, holder, held := c.otherHolder()
+	switch {
+	case held && c.planner != nil:
+		c.release(now, Outcome{Kind: OutcomeFenced, Holder: holder, Rollout: c.rollout})
+	case held:
+		c.release(now, Outcome{Kind: OutcomeLeaseHeld, Holder: holder, Rollout: c.newestKnownRollout()})
+	case c.lostCampaigns >= maxLostCampaigns:
+		c.release(now, Outcome{Kind: OutcomeNoMajority, Holder: holder, Rollout: c.rollout})
+	default: // two requested it at once, or too few agents can be reached
+		c.lostCampaigns++
+		c.release(now, Outcome{Kind: OutcomeNoMajority})
+	}
+}
+
+// campaignWon starts to drive the rollout of the newest record, changed as the task wants it.
+func (c *Coordinator) campaignWon(now float64) {
+	c.lostCampaigns = 0
+	c.lastMajority = now
+	newest := c.campaign.NewestRecord()
+	c.events = append(c.events, Event{At: now, AcquiredEpoch: c.campaign.Request.Epoch, RecordVersion: newest.Version})
+	r, err := decodeRollout(newest)
+	if err != nil {
+		c.release(now, Outcome{Kind: OutcomeNoRollout, Reason: plan.Reason{Detail: err.Error()}})
+		return
+	}
+	if c.planner == nil {
+		var impossible *Outcome
+		if r, impossible = c.config.startRun(r); impossible != nil {
+			c.release(now, *impossible)
+			return
+		}
+	} else if r.ID != c.rollout.ID || r.Run != c.rollout.Run {
+		c.release(now, Outcome{Kind: OutcomeFenced, Rollout: r})
+		return
+	}
+	c.planner = plan.NewPlanner(c.config.Fleet, r.Rollout)
+	c.rollout = r
+	c.recordNumber = 0
+	c.enter(now, phaseRunning)
+	c.storeRollout(now, r, plan.ActionWait, plan.Reason{})
+}
+
+// release gives the lease back where it was granted. Then the coordinator ends, or begins anew after a backoff.
+func (c *Coordinator) release(now float64, o Outcome) {
+	c.outcome = o
+	c.enter(now, phaseReleasing)
+	for i := range c.agents {
+		c.agents[i].released = !c.agents[i].granted
+	}
+	c.checkReleased(now)
+}
+
+func (c *Coordinator) checkReleased(now float64) {
+	for i := range c.agents {
+		if !c.agents[i].released {
+			return
+		}
+	}
+	backoffPolls, retry := c.retryAfterRelease(now)
+	if !retry {
+		c.finish(c.outcome)
+		return
+	}
+	c.phase = phaseBackoff
+	c.phaseTime = now + c.config.Timing.PollSeconds*backoffPolls
+}
+
+// retryAfterRelease tells whether the coordinator tries again to find a majority, and after how many poll intervals.
+// Random backoffs, which grow before the first lease, keep competing coordinators from blocking one another for ever.
+func (c *Coordinator) retryAfterRelease(now float64) (backoffPolls float64, retry bool) {
+	if c.outcome.Kind != OutcomeNoMajority {
+		return 0, false
+	}
+	if c.planner == nil {
+		if c.lostCampaigns == 0 || c.lostCampaigns >= maxLostCampaigns {
+			return 0, false
+		}
+		return minBackoffPolls + c.config.Random()*float64(int(1)<<c.lostCampaigns), true
+	}
+	if now-c.lastMajority >= c.config.Timing.MajorityTimeoutSeconds {
+		return 0, false
+	}
+	return minBackoffPolls + c.config.Random(), true
+}
+
+// finish ends the coordinator.
+func (c *Coordinator) finish(o Outcome) {
+	for i := range c.agents {
+		if failure := c.agents[i].failure; failure != "" {
+			o.Faults = append(o.Faults, failure)
+		}
+	}
+	slices.Sort(o.Faults)
+	o.Faults = slices.Compact(o.Faults)
+	c.outcome = o
+	c.phase = phaseOver
+}
--- a/internal/fleet/roll/record.go
+++ b/internal/fleet/roll/record.go
@@ -6,69 +6,79 @@
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
-// pendingRecord is a record on its way to a majority.
+// pendingRecord is a record that a majority has yet to store, and what led to it.
 type pendingRecord struct {
 	record  claim.Record
-	rollout form.Rollout
+	rollout form.Rollout // the record's body
 	action  plan.Action
 	reason  plan.Reason
-	step    plan.Step
+	step    plan.Step // the current step before
 }
 
-// storeRollout has a rollout kept by a majority; commit goes on from there.
-func (d *Coordinator) storeRollout(now float64, r form.Rollout, what plan.Action, why plan.Reason) {
-	d.recordNumber++
-	d.storing = &pendingRecord{action: what, reason: why, step: d.planner.Rollout.CurrentStep, rollout: r, record: claim.Record{
-		Version: claim.Version{Epoch: d.campaign.Request.Epoch, Number: d.recordNumber}, Body: form.Encode(r),
-	}}
-	for i := range d.agents {
-		d.agents[i].stored, d.agents[i].nextCommand = false, now
+// decodeRollout reads a record's body. A record without one holds no rollout.
+func decodeRollout(record claim.Record) (form.Rollout, error) {
+	var r form.Rollout
+	if record.Body == nil {
+		return r, nil
 	}
+	err := form.Decode("record", record.Body, &r)
+	return r, err
 }
 
-// storeDecision has a decision kept.
-func (d *Coordinator) storeDecision(now float64, dec plan.Decision) {
-	r := d.rollout
-	r.Rollout = dec.Rollout
-	if by := d.operatorRequest().Operator; by != "" && dec.Reason.Kind == plan.ReasonOperator {
-		r.RequestedBy = by
+// storeDecision has a decision stored by a majority.
+func (c *Coordinator) storeDecision(now float64, decision plan.Decision) {
+	r := c.rollout
+	r.Rollout = decision.Rollout
+	if operator := c.operatorRequest().Operator; operator != "" && decision.Reason.Kind == plan.ReasonOperator {
+		r.RequestedBy = operator
 	}
-	d.storeRollout(now, r, dec.Action, dec.Reason)
+	c.storeRollout(now, r, decision.Action, decision.Reason)
 }
 
-func (d *Coordinator) commitIfStored(now float64) {
-	kept := 0
-	for i := range d.agents {
-		if d.agents[i].stored {
-			kept++
+// storeRollout has the agents store a rollout. commitIfStored continues once a majority has.
+func (c *Coordinator) storeRollout(now float64, r form.Rollout, action plan.Action, reason plan.Reason) {
+	c.recordNumber++
+	version := claim.Version{Epoch: c.campaign.Request.Epoch, Number: c.recordNumber}
+	c.storing = &pendingRecord{
+		record:  claim.Record{Version: version, Body: form.Encode(r)},
+		rollout: r,
+		action:  action,
+		reason:  reason,
+		step:    c.planner.Rollout.CurrentStep,
+	}
+	for i := range c.agents {
+		c.agents[i].stored = false
+		c.agents[i].nextCommand = now
+	}
+}
+
+// commitIfStored takes a decision as made once a majority of agents has stored it.
+func (c *Coordinator) commitIfStored(now float64) {
+	stored := 0
+	for i := range c.agents {
+		if c.agents[i].stored {
+			stored++
 		}
 	}
-	if kept < claim.Majority(len(d.agents)) {
+	if stored < claim.Majority(len(c.agents)) {
 		return
 	}
-	k := d.storing
-	d.storing = nil
-	d.rollout, d.planner.Rollout, d.lastMajority = k.rollout, k.rollout.Rollout, now
-	step := k.step
-	if k.action == plan.ActionBeginStep {
-		step = k.rollout.CurrentStep
-		d.nextStepSend, d.refusals = now, 0 // the planner has it sent, if it may still be
+	committed := c.storing
+	c.storing = nil
+	c.rollout = committed.rollout
+	c.planner.Rollout = committed.rollout.Rollout
+	c.lastMajority = now
+	step := committed.step
+	if committed.action == plan.ActionBeginStep {
+		step = committed.rollout.CurrentStep
+		c.nextStepSend = now // the planner has it sent if it is still allowed
+		c.refusals = 0
 	}
-	d.events = append(d.events, Event{
-		At: now, Action: k.action, Rollout: d.rollout, Reason: k.reason, Step: step,
-		RecordVersion: k.record.Version,
+	c.events = append(c.events, Event{
+		At: now, Action: committed.action, Rollout: c.rollout, Reason: committed.reason, Step: step,
+		RecordVersion: committed.record.Version,
 	})
-	if d.rollout.State != plan.Running {
-		d.release(now, Outcome{Kind: OutcomeEnded, Rollout: d.rollout, Reason: d.rollout.Reason})
-	}
-}
-
-func (d *Coordinator) operatorRequest() form.OperatorRequest {
-	var best form.OperatorRequest
-	for i := range d.agents {
-		if w := d.agents[i].operatorRequest; w.RolloutID == d.rollout.ID && w.Run == d.rollout.Run && w.Action > best.Action {
-			best = w
-		}
+	if c.rollout.State != plan.Running {
+		c.release(now, Outcome{Kind: OutcomeEnded, Rollout: c.rollout, Reason: c.rollout.Reason})
 	}
-	return best
 }
--- /dev/null
+++ b/internal/fleet/roll/run.go
@@ -0,0 +1,62 @@
+package roll
+
+import (
+	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/plan"
+)
+
+// startRun returns the rollout that a run of the task begins with, given the stored one, or the outcome for which
+// there is none.
+func (c *Config) startRun(r form.Rollout) (form.Rollout, *Outcome) {
+	if c.Task.Operation == OperationBegin {
+		return c.beginRollout(r)
+	}
+	return c.continueRollout(r)
+}
+
+func (c *Config) beginRollout(stored form.Rollout) (form.Rollout, *Outcome) {
+	if stored.ID != "" && !stored.State.Terminal() {
+		return stored, &Outcome{Kind: OutcomeUnfinishedRollout, Rollout: stored}
+	}
+	if reason := plan.CheckFeasible(c.Fleet, c.Task.ExcludedInstances); reason.Kind != plan.ReasonNone {
+		return stored, &Outcome{Kind: OutcomeInfeasible, Reason: reason}
+	}
+	r := c.Task.Rollout
+	r.State = plan.Running
+	r.Run = 1
+	r.ExcludedInstances = c.Task.ExcludedInstances
+	return r, nil
+}
+
+func (c *Config) continueRollout(r form.Rollout) (form.Rollout, *Outcome) {
+	over := r.State.Terminal() && c.Task.Operation != OperationRollback
+	if r.ID == "" || over {
+		return r, &Outcome{Kind: OutcomeNoRollout, Rollout: r}
+	}
+	if r.InstancesDigest != c.Task.FleetDigest {
+		return r, &Outcome{Kind: OutcomeOtherFleet, Rollout: r}
+	}
+	r.Run++
+	r.StepsNotApplied = 0
+	byOperator := plan.Reason{Kind: plan.ReasonOperator}
+	switch c.Task.Operation {
+	case OperationPause:
+		r.State, r.Reason, r.RequestedBy = plan.Paused, byOperator, c.Task.Operator
+		return r, nil
+	case OperationAbort:
+		r.State, r.Reason, r.RequestedBy = plan.Aborted, byOperator, c.Task.Operator
+		return r, nil
+	case OperationRollback:
+		if !r.RollingBack {
+			r.RollingBack, r.RollbackCause = true, byOperator
+		}
+		r.RequestedBy = c.Task.Operator
+	case OperationBegin, OperationResume:
+	}
+	if reason := plan.CheckFeasible(c.Fleet, c.Task.ExcludedInstances); reason.Kind != plan.ReasonNone {
+		return r, &Outcome{Kind: OutcomeInfeasible, Reason: reason, Rollout: r}
+	}
+	r.State = plan.Running
+	r.ExcludedInstances = c.Task.ExcludedInstances
+	return r, nil
+}
--- a/internal/fleet/tool/tool.go
+++ b/internal/fleet/tool/tool.go
@@ -541,9 +541,16 @@
 	task.FleetDigest = t.Fleet.InstancesDigest()
 	host, _ := os.Hostname() // for people only
 	look := float64(t.Fleet.Times.PollInterval)
-	d := roll.New(t.Fleet.PlannerFleet(), t.Fleet.InstanceNames(), len(t.clients), t.Fleet.AgentsDigest(),
-		api.HolderName(t.Operator, host+"/"+NewID()), roll.Timing{PollSeconds: look, MajorityTimeoutSeconds: float64(t.Fleet.Times.ContactTimeout)}, task,
-		mathrand.Float64)
+	d := roll.New(roll.Config{
+		Fleet:         t.Fleet.PlannerFleet(),
+		InstanceNames: t.Fleet.InstanceNames(),
+		Agents:        len(t.clients),
+		AgentsDigest:  t.Fleet.AgentsDigest(),
+		Holder:        api.HolderName(t.Operator, host+"/"+NewID()),
+		Timing:        roll.Timing{PollSeconds: look, MajorityTimeoutSeconds: float64(t.Fleet.Times.ContactTimeout)},
+		Task:          task,
+		Random:        mathrand.Float64,
+	})
 	began := time.Now()
 	now := func() float64 { return time.Since(began).Seconds() }
 	type heard struct {
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -119,8 +119,11 @@
 	if t > 0 {
 		task.Operation = roll.OperationResume
 	}
-	x.driver = roll.New(r.fleet, r.names, len(r.agents), "", x.holder, roll.Timing{PollSeconds: rollTick, MajorityTimeoutSeconds: 50}, task,
-		func() float64 { return 0.5 })
+	x.driver = roll.New(roll.Config{
+		Fleet: r.fleet, InstanceNames: r.names, Agents: len(r.agents), Holder: x.holder,
+		Timing: roll.Timing{PollSeconds: rollTick, MajorityTimeoutSeconds: 50}, Task: task,
+		Random: func() float64 { return 0.5 },
+	})
 	x.out, x.ended = nil, false
 }
 
@@ -434,7 +437,8 @@
 		"claim.State":      {"HeldSeconds", "RemainingSeconds"},
 		"plan.Planner":     {"Fleet"},
 		"plan.Observation": {"ReadySeconds"},
-		"roll.Coordinator": {"events", "fleet", "lastCallID", "pendingCalls", "random", "statuses", "timing"},
+		"roll.Config":      {"Fleet", "Random", "Timing"},
+		"roll.Coordinator": {"events", "lastCallID", "pendingCalls", "statuses"},
 		"roll.agent":       {"leaseState", "pendingCommand", "pendingQuery"},
 		"systems.rollCall": {"ID"},
 		"tend.Supervisor":  {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
