--- a/cmd/stoatctl/main_test.go
+++ b/cmd/stoatctl/main_test.go
@@ -121,7 +121,7 @@
 			_ = cmd.Wait()
 		}
 		for n := 1; n > 0; time.Sleep(5 * time.Millisecond) {
-			n, _ = agent.EndRouters(r.dir)
+			n, _ = agent.KillRouters(r.dir)
 		}
 	})
 	for late := time.Now().Add(patience); r.fleet("ayla", "status").status != 0; time.Sleep(20 * time.Millisecond) {
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -455,7 +455,7 @@
 
 // killRouter ends one router outright.
 func (s *stage) killRouter(i int) {
-	if _, err := agent.EndRouters(s.fleet.Agents[i].Folder); err != nil {
+	if _, err := agent.KillRouters(s.fleet.Agents[i].Folder); err != nil {
 		s.say("%v", err)
 	}
 }
@@ -649,7 +649,7 @@
 	}
 	s.mu.Unlock()
 	for range 100 { // until none is left
-		if n, err := agent.EndRouters(s.dir); err != nil || n == 0 {
+		if n, err := agent.KillRouters(s.dir); err != nil || n == 0 {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -62,6 +62,7 @@
 	number uint64
 }
 
+// newRig starts an agent that holds no revision yet, and takes its lease under epoch 1.
 func newRig(t *testing.T) *rig {
 	dir := t.TempDir()
 	text := fmt.Sprintf(`(name t) (floor 0) (times (ready 2s) (grace 200ms)) (hall h (floor 0))
@@ -71,20 +72,15 @@
 	r := &rig{t: t, fleet: f, folder: dir}
 	r.start()
 	t.Cleanup(func() {
-		p := r.process()
 		r.stop()
-		if p != nil {
-			_ = p.signal(unix.SIGKILL)
-			for gone := false; !gone; gone, _ = p.exited() {
-				time.Sleep(time.Millisecond)
-			}
-		}
+		killRouters(t, dir)
 	})
 	r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 1, Holder: "h", Takeover: true}})
 	r.until("it knows its router", func(t form.InstanceStatus) bool { return t.State != plan.ProcessUnknown })
 	return r
 }
 
+// start starts the agent on the rig's store.
 func (r *rig) start() {
 	s, err := OpenStore(r.fleet.Agent("a"))
 	require.NoError(r.t, err)
@@ -120,10 +116,11 @@
 // inLoop runs something in the agent's turn.
 func (r *rig) inLoop(f func()) {
 	done := make(chan struct{})
-	r.agent.post(func() { f(); close(done) })
+	r.agent.post(context.Background(), func(context.Context) { f(); close(done) })
 	<-done
 }
 
+// process is the router's process as the agent has it, or nil.
 func (r *rig) process() *processHandle {
 	var p *processHandle
 	r.inLoop(func() { p = r.agent.routers[0].process })
@@ -169,6 +166,7 @@
 	})
 }
 
+// begin begins the next step and returns why it was not begun.
 func (r *rig) begin(digest string) string {
 	r.number++
 	reply := r.call(form.Request{
@@ -183,7 +181,7 @@
 
 func ready(t form.InstanceStatus) bool { return t.State == plan.ProcessReady }
 
-func TestStepsStartRestartAndReload(t *testing.T) {
+func TestStepsStartRestartAndReloadRouters(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	a := r.push(stand.Conduct{}, nil)
@@ -205,7 +203,7 @@
 	assert.Contains(t, string(raw), `"sockets":300`)
 }
 
-func TestBadRevisionsFailTheirStepAndTheOldOneComesBack(t *testing.T) {
+func TestInvalidRevisionFailsItsStepAndThePreviousOneRunsAgain(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	good := r.push(stand.Conduct{}, nil)
@@ -229,7 +227,7 @@
 	assert.Contains(t, reply.Failure, "instance n: discovery:", "the router's own reader refuses it")
 }
 
-func TestRouterThatDoesNotEndIsKilledAfterItsTime(t *testing.T) {
+func TestRouterIsKilledAfterItsDrainTimeout(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.step(r.push(stand.Conduct{Deaf: true}, nil))
@@ -244,7 +242,7 @@
 	assert.NotEqual(t, p.pid, told.ProcessID)
 }
 
-func TestNewAgentAdoptsTheRouterThatRuns(t *testing.T) {
+func TestRestartedAgentAdoptsRunningRouter(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	told := r.step(r.push(stand.Conduct{}, nil))
@@ -259,26 +257,26 @@
 		"promises outlive the agent")
 }
 
-func TestAnotherProcessWithTheNumberIsNotTaken(t *testing.T) {
+func TestProcessWithoutIncarnationIsNotAdopted(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	told := r.step(r.push(stand.Conduct{}, nil))
 	r.stop()
-	p, err := findRunning(r.agent.incarnation(0, 1))
+	p, err := findRunning(r.agent.routers[0].incarnation(1))
 	require.NoError(t, err)
 	require.Equal(t, told.ProcessID, p.pid)
 	require.NoError(t, p.signal(unix.SIGKILL))
 	for gone := false; !gone; gone, _ = p.exited() {
 		time.Sleep(time.Millisecond)
 	}
-	p, err = findRunning(r.agent.incarnation(0, 1))
+	p, err = findRunning(r.agent.routers[0].incarnation(1))
 	require.NoError(t, err)
-	assert.Nil(t, p, "only the mark tells a router, and this test's own process bears none")
+	assert.Nil(t, p, "a router is known by its incarnation alone, and this process has none")
 	r.start()
 	assert.NotEqual(t, told.ProcessID, r.until("ready", ready).ProcessID)
 }
 
-func TestAgentThatEndsInAStepResolvesIt(t *testing.T) {
+func TestRestartedAgentResolvesItsOpenStep(t *testing.T) {
 	t.Parallel()
 	for name, after := range map[string]time.Duration{
 		"at once": 0, "in the drain": 200 * time.Millisecond,
@@ -298,7 +296,7 @@
 	}
 }
 
-func TestFullDiskRefusesTheStepAndTouchesNothing(t *testing.T) {
+func TestFullDiskRejectsTheStepAndChangesNothing(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	told := r.step(r.push(stand.Conduct{}, nil))
@@ -312,7 +310,7 @@
 	assert.Equal(t, plan.StepSucceeded, r.step(b).LastResult)
 }
 
-func TestCrashLoopIsTold(t *testing.T) {
+func TestCrashLoopIsReported(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.inLoop(func() { r.agent.limits.MinBackoffSeconds, r.agent.limits.MaxCrashes = 0.01, 3 })
@@ -322,7 +320,7 @@
 	assert.Equal(t, 4, told.Crashes)
 }
 
-func TestLogIsReadByLinesAndBegunAnew(t *testing.T) {
+func TestLogIsReadByLinesAndRotated(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	require.NoError(t, os.WriteFile(path, []byte("old\n"), 0o600))
 	tl := newLogTail(path)
@@ -340,8 +338,8 @@
 	read(`ottled":2,"bad_input":1}}` + "\n" + `{"message":"reloaded"}` + "\n" + `{"message":"reload refused","error":"no"}` + "\n")
 	require.Len(t, got, 3)
 	assert.Equal(t, plan.CommandCounts{Completed: 9, Unanswered: 4}, *got[0].counts)
-	assert.Equal(t, "", *got[1].reloadResult)
-	assert.Equal(t, "no", *got[2].reloadResult)
+	assert.Empty(t, *got[1].reloadFailure)
+	assert.Equal(t, "no", *got[2].reloadFailure)
 	read("panic: something\n")
 	assert.Equal(t, "panic: something", tl.lastError)
 	for range 9 {
--- /dev/null
+++ b/internal/fleet/agent/healthcheck.go
@@ -0,0 +1,58 @@
+package agent
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"net"
+	"time"
+
+	"stoatdale.example/stoatdale/internal/pg"
+)
+
+const (
+	healthCheckTimeout = time.Second
+	maxAnswerBytes     = 64 << 10 // of one message of the router's
+)
+
+// Types of messages in the router's answer to an empty query.
+const (
+	errorMessage      = 'E'
+	emptyQueryMessage = 'I'
+	readyMessage      = 'Z'
+)
+
+// healthCheck sends an empty query to the router that listens on an address; it answers that by itself, without a
+// backend. The error says why there was no answer: healthCheckTimeout bounds the connecting and the answer each.
+func healthCheck(ctx context.Context, address string) error {
+	dialer := net.Dialer{Timeout: healthCheckTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(healthCheckTimeout))
+	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Now()) })
+	defer stop()
+	if _, err := conn.Write(pg.Query(pg.Hello(nil), "")); err != nil {
+		return err
+	}
+	return awaitEmptyAnswer(bufio.NewReader(conn))
+}
+
+// awaitEmptyAnswer reads up to the end of the answer to an empty query.
+func awaitEmptyAnswer(r *bufio.Reader) error {
+	for empty := false; ; {
+		kind, _, err := pg.Receive(r, maxAnswerBytes)
+		switch {
+		case err != nil:
+			return err
+		case kind == errorMessage:
+			return errors.New("it answered with an error")
+		case kind == emptyQueryMessage:
+			empty = true
+		case kind == readyMessage && empty:
+			return nil
+		}
+	}
+}
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -29,24 +29,7 @@
 // promise stands, and the next step is taken.
 func TestAgentContinuesFromRecordedStore(t *testing.T) {
 	t.Parallel()
-	dir := t.TempDir()
-	text := fmt.Sprintf(`(name t) (floor 0) (times (ready 5s) (grace 200ms)) (hall h (floor 0))
-		(agent a (listen 127.0.0.1:1) (hall h) (folder %q) (program %q))`, dir, os.Args[0])
-	names := []string{"open", "failed", "reloaded", "rolled-back"}
-	for _, name := range names {
-		text += fmt.Sprintf("(instance %s (agent a) (listen %s))", name, stand.Host()+":5432")
-	}
-	f, err := layout.Parse("f", []byte(text))
-	require.NoError(t, err)
-	raw, err := os.ReadFile(filepath.Join("..", "store", "testdata", "agent.db"))
-	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(filepath.Join(dir, storeName), raw, 0o600))
-	placeRecordedFiles(t, f)
-	r := &rig{t: t, fleet: f, folder: dir, number: 11}
-	t.Cleanup(func() { endAll(t, dir) })
-	r.start()
-	t.Cleanup(func() { r.stop() })
-
+	r, names := startOnRecordedStore(t)
 	told := r.until("the open step is done", func(x form.InstanceStatus) bool { return x.LastResult != plan.StepPending })
 	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
 	assert.Equal(t, recordedSecond, told.Revision)
@@ -82,6 +65,29 @@
 	assert.Equal(t, recordedFirst, told.Revision)
 }
 
+// startOnRecordedStore starts an agent on a copy of the recorded store. The instances are named as they are there.
+func startOnRecordedStore(t *testing.T) (r *rig, names []string) {
+	t.Helper()
+	dir := t.TempDir()
+	text := fmt.Sprintf(`(name t) (floor 0) (times (ready 5s) (grace 200ms)) (hall h (floor 0))
+		(agent a (listen 127.0.0.1:1) (hall h) (folder %q) (program %q))`, dir, os.Args[0])
+	names = []string{"open", "failed", "reloaded", "rolled-back"}
+	for _, name := range names {
+		text += fmt.Sprintf("(instance %s (agent a) (listen %s))", name, stand.Host()+":5432")
+	}
+	f, err := layout.Parse("f", []byte(text))
+	require.NoError(t, err)
+	raw, err := os.ReadFile(filepath.Join("..", "store", "testdata", "agent.db"))
+	require.NoError(t, err)
+	require.NoError(t, os.WriteFile(filepath.Join(dir, storeName), raw, 0o600))
+	placeRecordedFiles(t, f)
+	r = &rig{t: t, fleet: f, folder: dir, number: 11}
+	t.Cleanup(func() { killRouters(t, dir) })
+	r.start()
+	t.Cleanup(func() { r.stop() })
+	return r, names
+}
+
 // placeRecordedFiles puts in place the files of the routers as the store says: they lie beside it.
 func placeRecordedFiles(t *testing.T, f *layout.Fleet) {
 	t.Helper()
@@ -103,12 +109,12 @@
 	}
 }
 
-// endAll ends the routers under a folder, also one that is just being started.
-func endAll(t *testing.T, dir string) {
+// killRouters kills the routers under a folder until none is left.
+func killRouters(t *testing.T, dir string) {
 	t.Helper()
 	for running := 1; running > 0; {
 		var err error
-		running, err = EndRouters(dir)
+		running, err = KillRouters(dir)
 		require.NoError(t, err)
 	}
 }
--- a/internal/fleet/tool/tool_test.go
+++ b/internal/fleet/tool/tool_test.go
@@ -75,7 +75,7 @@
 		}
 		for n := 1; n > 0; time.Sleep(5 * time.Millisecond) {
 			var err error
-			n, err = agent.EndRouters(dir)
+			n, err = agent.KillRouters(dir)
 			require.NoError(t, err)
 		}
 	})
