--- a/internal/fleet/revision/revision_test.go
+++ b/internal/fleet/revision/revision_test.go
@@ -7,8 +7,11 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"stoatdale.example/stoatdale/internal/site"
 )
 
+// sample is a revision that the router's reader takes.
 const sample = `{
  "limits": {"sockets": 600, "memory_mb": 100},
  "discovery": "127.2.0.1:8500",
@@ -20,8 +23,10 @@
   "limits":{"mostTries":4,"dialTimeoutNs":250000000,"connIdleNs":15000000000,"probes":true},
   "invariants":{"startCapacity":0.2,"rampTimeNs":9000000000,"overloadFactor":2,"fallNs":2000000000}}}`
 
+// here is the instance of most tests.
 var here = Instance{Name: "n1", Listen: "127.0.0.1:5432", RouterIndex: 1}
 
+// canonical is a text in its canonical form.
 func canonical(t *testing.T, text string) []byte {
 	t.Helper()
 	c, err := Canonical("f", []byte(text))
@@ -29,7 +34,7 @@
 	return c
 }
 
-func TestContentNamesItself(t *testing.T) {
+func TestDigestIsOfCanonicalContent(t *testing.T) {
 	c := canonical(t, sample)
 	again := canonical(t, string(c))
 	assert.Equal(t, c, again)
@@ -39,7 +44,7 @@
 	assert.Contains(t, string(canonical(t, strings.Replace(sample, "500000000", "500000000.0000001", 1))), "500000000.0000001", "numbers stay as written")
 }
 
-func TestInstanceGetsItsOwn(t *testing.T) {
+func TestRenderSetsTheKeysOfAnInstance(t *testing.T) {
 	s, err := Check(canonical(t, sample), here)
 	require.NoError(t, err)
 	assert.Equal(t, "n1", s.Name)
@@ -53,7 +58,7 @@
 	assert.InDelta(t, 20+0.5+1, DrainSeconds(&s, 1), 1e-9)
 }
 
-func TestBadRevisionsAreToldByPlaceAndKey(t *testing.T) {
+func TestInvalidRevisionsAreRejectedWithPlaceAndKey(t *testing.T) {
 	for text, says := range map[string]string{
 		`{"name":"x"}`:                "f: the key name belongs to an instance",
 		`{"Seed":"1"}`:                "the key Seed belongs to an instance",
@@ -66,10 +71,10 @@
 		strings.Repeat(`{"a":`, 70) + "1" + strings.Repeat("}", 70): "nests more than",
 	} {
 		_, err := Canonical("f", []byte(text))
-		assert.ErrorContains(t, err, says, text)
+		require.ErrorContains(t, err, says, text)
 	}
 	_, err := Canonical("f", make([]byte, MaxBytes+1))
-	assert.ErrorContains(t, err, "at most")
+	require.ErrorContains(t, err, "at most")
 	for change, says := range map[string]string{
 		`"targetNs"`: "instance n1: settings: classes[0]", `"known"`: "instance n1: known is missing",
 		`"settings":`: "settings is missing",
@@ -79,7 +84,25 @@
 	}
 }
 
-func TestWhatNeedsARestartIsTold(t *testing.T) {
+func TestErrorsAreTyped(t *testing.T) {
+	_, err := Canonical("f", []byte("{\n \"a\":1,\n \"a\":2}"))
+	var syntax *SyntaxError
+	require.ErrorAs(t, err, &syntax)
+	assert.Equal(t, SyntaxError{File: "f", Line: 3, Column: 5, Err: &DuplicateKeyError{Key: "a"}}, *syntax)
+	_, err = Canonical("f", []byte(`{"Seed":"1"}`))
+	var instanceKey *InstanceKeyError
+	require.ErrorAs(t, err, &instanceKey)
+	assert.Equal(t, InstanceKeyError{File: "f", Key: "Seed"}, *instanceKey)
+	_, err = Canonical("f", make([]byte, MaxBytes+1))
+	var tooLong *TooLongError
+	require.ErrorAs(t, err, &tooLong)
+	assert.Equal(t, TooLongError{File: "f", Bytes: MaxBytes + 1}, *tooLong)
+	_, err = Check(canonical(t, strings.Replace(sample, `"targetNs"`, `"xtargetNs"`, 1)), here)
+	var config *site.Error
+	require.ErrorAs(t, err, &config)
+}
+
+func TestRestartKeysAreNamed(t *testing.T) {
 	a, err := Check(canonical(t, sample), here)
 	require.NoError(t, err)
 	b, err := Check(canonical(t, strings.Replace(sample, "127.2.0.1:8500", "127.2.0.2:8500", 1)), here)
@@ -90,7 +113,7 @@
 	assert.Equal(t, []string{"limits", "settings"}, RestartKeys(&a, &b))
 }
 
-func TestDiff(t *testing.T) {
+func TestDiffListsChangesByKey(t *testing.T) {
 	d, err := Diff([]byte(`{"a":{"b":[1,2],"c":1},"d":"x"}`), []byte(`{"a":{"b":[1,3],"e":[]},"d":"x"}`))
 	require.NoError(t, err)
 	assert.Equal(t, []Change{{"a.b[1]", "2", "3"}, {"a.c", "1", ""}, {"a.e", "", "[]"}}, d)
