--- a/internal/fleet/layout/layout_test.go
+++ b/internal/fleet/layout/inventory_test.go
@@ -19,14 +19,14 @@
 (instance n1 (agent a1) (listen 127.0.0.1:5001) (me 0))
 (instance n2 (agent a2) (listen 127.0.0.1:5002) (discovery 127.0.0.1:8500))`
 
-func TestFileIsRead(t *testing.T) {
+func TestFleetFileIsRead(t *testing.T) {
 	f, err := Parse("f", []byte(sample))
 	require.NoError(t, err)
 	p := f.PlannerFleet()
 	assert.Equal(t, []plan.Instance{{Zone: 0, Agent: 0}, {Zone: 1, Agent: 1}}, p.Instances)
 	assert.Equal(t, []int{1, 0}, p.ZoneMinAvailable)
-	assert.Equal(t, 2.0, p.Timing.SoakSeconds)
-	assert.Equal(t, 30.0, p.Timing.ContactTimeoutSeconds, "what is not given has a default")
+	assert.InDelta(t, 2, p.Timing.SoakSeconds, 0)
+	assert.InDelta(t, 30, p.Timing.ContactTimeoutSeconds, 0, "what is not given has a default")
 	assert.Equal(t, revision.Instance{Name: "n1", Listen: "127.0.0.1:5001", RouterIndex: 0}, f.Instances[0].RevisionInstance())
 	assert.Equal(t, revision.Instance{Name: "n2", Listen: "127.0.0.1:5002", Discovery: "127.0.0.1:8500", RouterIndex: -1}, f.Instances[1].RevisionInstance())
 	again, err := Parse("f", f.Text())
@@ -38,7 +38,7 @@
 	assert.Nil(t, f.Agent("a3"))
 }
 
-func TestFaultsNamePlaceAndKey(t *testing.T) {
+func TestErrorsNamePlaceAndKey(t *testing.T) {
 	for change, says := range map[[2]string]string{
 		{"(name haulage)", ""}:                               "f:1:1: the file lacks the key name",
 		{"(floor 1)\n(times", "(floor 9)\n(times"}:           "the floor is 9, and there are 2 instances",
@@ -60,15 +60,15 @@
 	} {
 		require.Contains(t, sample, change[0])
 		_, err := Parse("f", []byte(strings.Replace(sample, change[0], change[1], 1)))
-		assert.ErrorContains(t, err, says)
+		require.ErrorContains(t, err, says)
 	}
 	_, err := Parse("f", []byte("(name x) (floor 0)"))
-	assert.ErrorContains(t, err, "no agent")
+	require.ErrorContains(t, err, "no agent")
 	_, err = Load("/nowhere/fleet.sexp")
 	assert.ErrorContains(t, err, "fleet file")
 }
 
-func TestExampleIsRight(t *testing.T) {
+func TestExampleFileIsValid(t *testing.T) {
 	f, err := Load("../../../deploy/fleet.sexp")
 	require.NoError(t, err)
 	assert.Equal(t, plan.ReasonNone, plan.CheckFeasible(f.PlannerFleet(), nil).Kind)
