--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -40,11 +40,12 @@
 	packages map[string]string          // name of a package, or of a program's folder, to its folder
 	symbols  map[string]map[string]bool // folder to "New", "Core" and "Core.Settle"
 	imports  map[string]map[string]bool // folder to folders of this module
+	messages map[string]bool            // of log lines, where the source has them as a literal
 }
 
 func readSource(t *testing.T) source {
 	t.Helper()
-	s := source{packages: map[string]string{}, symbols: map[string]map[string]bool{}, imports: map[string]map[string]bool{}}
+	s := source{packages: map[string]string{}, symbols: map[string]map[string]bool{}, imports: map[string]map[string]bool{}, messages: map[string]bool{}}
 	for _, top := range []string{"cmd", "internal", "service"} {
 		err := filepath.WalkDir(filepath.Join(root, top), func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
@@ -75,6 +76,7 @@
 			s.imports[folder][path] = true
 		}
 	}
+	s.addMessages(file)
 	for _, declaration := range file.Decls {
 		addDeclaration(s.symbols[folder], declaration)
 	}
@@ -101,6 +103,22 @@
 	return nil
 }
 
+// addMessages notes the messages that a file logs: the literals that zerolog's Msg is called with.
+func (s *source) addMessages(file *ast.File) {
+	ast.Inspect(file, func(n ast.Node) bool {
+		call, isCall := n.(*ast.CallExpr)
+		if !isCall || len(call.Args) != 1 {
+			return true
+		}
+		method, isMethod := call.Fun.(*ast.SelectorExpr)
+		text, isLiteral := call.Args[0].(*ast.BasicLit)
+		if isMethod && isLiteral && method.Sel.Name == "Msg" {
+			s.messages[strings.Trim(text.Value, `"`)] = true
+		}
+		return true
+	})
+}
+
 func addDeclaration(symbols map[string]bool, declaration ast.Decl) {
 	switch d := declaration.(type) {
 	case *ast.FuncDecl:
