--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -307,7 +307,7 @@
 	_, errs := s.checkPage(page)
 	assert.Empty(t, errs)
 	for planted, says := range map[string]string{
-		"`core.Dispatcher.Planted`":               "declares no Dispatcher.Planted",
+		"`core.Dispatcher.Planted`":         "declares no Dispatcher.Planted",
 		"`core.Planted`":                    "declares no Planted",
 		"`planted.Core`":                    "there is no package planted",
 		"`internal/planted`":                "there is no such file or folder",
