--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,15 +8,15 @@
 
 // decisions is what the router has decided and is not yet carried out.
 type decisions struct {
-	cancels []*member.Dispatch
-	sends   []*member.Dispatch
+	cancels []*member.Attempt
+	sends   []*member.Attempt
 }
 
 // rolesByRecovery gives the role of a backend by what its answer says of its recovery.
 var rolesByRecovery = map[string]router.Role{"off": router.RolePrimary, "on": router.RoleReplica}
 
-// Ended implements member.Sink.
-func (d *Dispatcher) Ended(attempt *member.Dispatch, result router.Result, elapsed float64, answer *pg.Answer) {
+// AttemptEnded implements member.ResultHandler.
+func (d *Dispatcher) AttemptEnded(attempt *member.Attempt, result router.Result, elapsed float64, answer *pg.Answer) {
 	ended := endedAttempt{attempt: attempt, result: result, elapsed: elapsed}
 	if answer != nil {
 		ended.answer = *answer
@@ -24,8 +24,8 @@
 	d.gathered.endedAttempts = append(d.gathered.endedAttempts, ended)
 }
 
-// Probed implements member.Sink.
-func (d *Dispatcher) Probed(endpoint int, result router.Result, elapsed float64, report string) {
+// HealthChecked implements member.ResultHandler.
+func (d *Dispatcher) HealthChecked(endpoint int, result router.Result, elapsed float64, report string) {
 	check := healthCheckResult{endpoint: endpoint, result: result, elapsed: elapsed, report: report}
 	d.gathered.healthChecks = append(d.gathered.healthChecks, check)
 }
@@ -33,11 +33,11 @@
 // deliverAttempt tells the router how an attempt ended, and the client if it was answered.
 func (d *Dispatcher) deliverAttempt(now float64, ended *endedAttempt) {
 	d.counters.AttemptResults[ended.result]++
-	command := d.commands.get(ended.attempt.ID)
+	command := d.commands.get(ended.attempt.CommandID)
 	if command != nil && command.attempt == ended.attempt {
 		command.attempt = nil
 	}
-	d.tracker.AttemptEnded(now, ended.attempt.ID, d.attemptResult(ended))
+	d.tracker.AttemptEnded(now, ended.attempt.CommandID, d.attemptResult(ended))
 	d.deliverAnswersReport(now, ended)
 	if ended.result == router.Answered && command != nil && !command.done {
 		d.counters.Answered++
@@ -51,7 +51,7 @@
 // attemptResult converts an attempt's end to the router's terms.
 func (d *Dispatcher) attemptResult(ended *endedAttempt) router.AttemptResult {
 	result := router.AttemptResult{
-		Attempt:  ended.attempt.Leg,
+		Attempt:  ended.attempt.Index,
 		Result:   ended.result,
 		Elapsed:  ended.elapsed,
 		Final:    ended.result == router.Answered,
@@ -68,7 +68,7 @@
 func (d *Dispatcher) deliverAnswersReport(now float64, ended *endedAttempt) {
 	report := d.readReport(ended.answer.Health)
 	if report.position >= 0 && d.settings.ReportsOnAnswers {
-		d.router.HealthChecked(now, ended.attempt.Node, ended.result, ended.elapsed, report.position, report.primary)
+		d.router.HealthChecked(now, ended.attempt.Endpoint, ended.result, ended.elapsed, report.position, report.primary)
 	}
 }
 
@@ -98,11 +98,11 @@
 // carryOut carries out the router's decisions. Canceled attempts are closed before anything new is sent.
 func (d *Dispatcher) carryOut() {
 	for _, attempt := range d.decided.cancels {
-		d.backends.Recall(attempt)
+		d.backends.Cancel(attempt)
 	}
 	for _, attempt := range d.decided.sends {
-		if d.commands.get(attempt.ID) == nil { // its client left in this same turn
-			d.Ended(attempt, router.NeverSent, 0, nil)
+		if d.commands.get(attempt.CommandID) == nil { // its client left in this same turn
+			d.AttemptEnded(attempt, router.NeverSent, 0, nil)
 			continue
 		}
 		d.backends.Send(attempt)
@@ -116,14 +116,14 @@
 // Forward implements hand.Executor.
 func (d *Dispatcher) Forward(trackingID uint32, attemptIndex, endpoint int, deadline float64) {
 	command := d.commands.get(trackingID)
-	command.attempt = &member.Dispatch{
-		ID:    trackingID,
-		Leg:   attemptIndex,
-		Node:  endpoint,
-		Text:  &command.Statement,
-		From:  command.TimeoutStart,
-		To:    command.TimeoutEnd,
-		Until: deadline,
+	command.attempt = &member.Attempt{
+		CommandID: trackingID,
+		Index:     attemptIndex,
+		Endpoint:  endpoint,
+		Statement: &command.Statement,
+		WaitStart: command.TimeoutStart,
+		WaitEnd:   command.TimeoutEnd,
+		Deadline:  deadline,
 	}
 	d.decided.sends = append(d.decided.sends, command.attempt)
 }
@@ -131,7 +131,7 @@
 // Cancel implements hand.Executor.
 func (d *Dispatcher) Cancel(trackingID uint32, attemptIndex int) {
 	command := d.commands.get(trackingID)
-	if command != nil && command.attempt != nil && command.attempt.Leg == attemptIndex {
+	if command != nil && command.attempt != nil && command.attempt.Index == attemptIndex {
 		d.decided.cancels = append(d.decided.cancels, command.attempt)
 	}
 }
--- a/internal/core/command.go
+++ b/internal/core/command.go
@@ -22,8 +22,8 @@
 	Owner          any // for the frontend; the dispatcher does not look at it
 
 	trackingID uint32
-	attempt    *member.Dispatch // the last one that was begun and has not ended
-	done       bool             // has had its final answer, or needs none
+	attempt    *member.Attempt // the last one that was begun and has not ended
+	done       bool            // has had its final answer, or needs none
 }
 
 // Responder gives a command its final answer: one call a command, and none once its client has gone. It may call
--- a/internal/core/dispatcher.go
+++ b/internal/core/dispatcher.go
@@ -28,7 +28,7 @@
 	seed     uint64
 	router   *router.Router // decides about new commands
 	tracker  *hand.Tracker
-	backends *member.Members
+	backends *member.Pool
 	watch    *discovery.Watch
 	counters *count.Counters
 	log      zerolog.Logger
@@ -94,7 +94,7 @@
 // Close ends the watch of the endpoint list and closes all idle connections to backends.
 func (d *Dispatcher) Close() {
 	d.watch.Close()
-	d.backends.Close()
+	d.backends.CloseIdle()
 }
 
 // LookupShard returns the id of the shard that a client's cluster number names, and false if no list has named it.
@@ -126,11 +126,13 @@
 func (d *Dispatcher) InFlight() int { return d.commands.size() }
 
 // BackendConnections returns the number of connections to backends.
-func (d *Dispatcher) BackendConnections() int { return d.backends.Open() }
+func (d *Dispatcher) BackendConnections() int { return d.backends.ConnectionCount() }
 
 // EndpointRows returns the number of endpoints that have a row, and of rows, unused ones included.
-func (d *Dispatcher) EndpointRows() (known, rows int) { return d.endpoints.Len(), d.backends.Hosts() }
+func (d *Dispatcher) EndpointRows() (known, rows int) {
+	return d.endpoints.Len(), d.backends.EndpointRows()
+}
 
 // CloseIdleBackend closes an idle connection to a backend if backends have more than the descriptors that are set aside
 // for them, and reports whether it closed one.
-func (d *Dispatcher) CloseIdleBackend() bool { return d.backends.MakeRoom() }
+func (d *Dispatcher) CloseIdleBackend() bool { return d.backends.CloseSurplus() }
--- a/internal/core/dispatcher_test.go
+++ b/internal/core/dispatcher_test.go
@@ -122,12 +122,12 @@
 		answer.Row.Write([]byte("row"))
 		return answer
 	}
-	d.Ended(attempt, router.Answered, 0.1, newAnswer())
-	d.Ended(attempt, router.Answered, 0.1, newAnswer())
+	d.AttemptEnded(attempt, router.Answered, 0.1, newAnswer())
+	d.AttemptEnded(attempt, router.Answered, 0.1, newAnswer())
 	d.RunTurn(0.2)
 	assert.Equal(t, recorder{"answered"}, answers)
 	assert.Zero(t, buffers.Out(), "every block is given back")
-	d.Ended(&member.Dispatch{ID: 99}, router.ConnectionLost, 0, nil)
+	d.AttemptEnded(&member.Attempt{CommandID: 99}, router.ConnectionLost, 0, nil)
 	d.RunTurn(0.3)
 }
 
@@ -172,11 +172,11 @@
 	polled := d.loop.Now()
 	time.Sleep(20 * time.Millisecond)
 	reported := float64(d.loop.StartedAt().UnixNano())/1e9 + polled + 0.005
-	d.Probed(0, router.Answered, 0, fmt.Sprintf("x0=%.6f,x1=0", reported))
+	d.HealthChecked(0, router.Answered, 0, fmt.Sprintf("x0=%.6f,x1=0", reported))
 	submit(d, buffers, &recorder{})
 	d.deliver(polled)
 	assert.Empty(t, d.decided.sends, "a position of 5 ms after the poll does not cover what came 20 ms after it")
-	d.Probed(0, router.Answered, 0, fmt.Sprintf("x0=%.6f,x1=0", reported+0.5))
+	d.HealthChecked(0, router.Answered, 0, fmt.Sprintf("x0=%.6f,x1=0", reported+0.5))
 	d.deliver(polled)
 	d.tracker.ReviewDue(polled + 0.05)
 	assert.Len(t, d.decided.sends, 1, "one of later does")
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -52,7 +52,7 @@
 	for i := range list.Endpoints {
 		endpoint := &list.Endpoints[i]
 		info := d.endpointInfo(endpoint)
-		d.backends.Place(info.Index, endpoint.Address, endpoint.State == roster.StateGone)
+		d.backends.SetAddress(info.Index, endpoint.Address, endpoint.State == roster.StateGone)
 		infos = append(infos, info)
 	}
 	d.tracker.UpdateEndpoints(now, infos, list.Complete || cached, cached)
--- a/internal/core/turn.go
+++ b/internal/core/turn.go
@@ -30,7 +30,7 @@
 
 // endedAttempt is the end of an attempt.
 type endedAttempt struct {
-	attempt *member.Dispatch
+	attempt *member.Attempt
 	result  router.Result
 	elapsed float64 // seconds
 	answer  pg.Answer
@@ -53,10 +53,10 @@
 // maintain carries out the work that is due besides commands.
 func (d *Dispatcher) maintain(work router.Maintenance) {
 	for _, endpoint := range work.HealthCheck {
-		d.backends.Probe(endpoint)
+		d.backends.CheckHealth(endpoint)
 	}
 	for _, endpoint := range work.Release {
-		d.backends.Forget(endpoint)
+		d.backends.Release(endpoint)
 		d.endpoints.Release(endpoint)
 	}
 	if work.Subscribe {
--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -8,34 +8,34 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// Dispatch is one sending of a command to a member.
-type Dispatch struct {
-	ID       uint32
-	Leg      int
-	Node     int
-	Text     *buffer.Chain // the statement, final zero included
-	From, To int           // where the digits of the time to wait stand in it
-	Until    float64       // when the router stops waiting
+// Attempt is one sending of a command to a member.
+type Attempt struct {
+	CommandID          uint32
+	Index              int
+	Endpoint           int
+	Statement          *buffer.Chain // the statement, final zero included
+	WaitStart, WaitEnd int           // where the digits of the time to wait stand in it
+	Deadline           float64       // when the router stops waiting
 
 	conn *conn
 	sent float64
 }
 
 // Send carries a dispatch out: over a standing connection, or a new one.
-func (m *Members) Send(d *Dispatch) {
+func (m *Pool) Send(d *Attempt) {
 	m.count.Attempts++
 	d.sent = m.loop.Now()
-	c := m.take(d.Node)
+	c := m.take(d.Endpoint)
 	if c == nil {
-		m.sink.Ended(d, router.ConnectFailed, 0, nil)
+		m.sink.AttemptEnded(d, router.ConnectFailed, 0, nil)
 		return
 	}
 	d.conn, c.dispatch = c, d
 	c.begin()
 }
 
-// Recall gives a dispatch up: its connection is closed at once.
-func (m *Members) Recall(d *Dispatch) {
+// Cancel gives a dispatch up: its connection is closed at once.
+func (m *Pool) Cancel(d *Attempt) {
 	if d.conn != nil {
 		m.count.AttemptsCanceled++
 		d.conn.end(router.Canceled)
@@ -43,17 +43,17 @@
 }
 
 // Unsent says that a dispatch's last byte has not been written.
-func (d *Dispatch) Unsent() bool { return d.conn == nil || d.conn.state != waiting }
+func (d *Attempt) Unsent() bool { return d.conn == nil || d.conn.state != waiting }
 
 // write puts the statement out as it came but for the time to wait, which is what is left of it.
 func (c *conn) write(now float64) {
 	d := c.dispatch
-	left := strconv.Itoa(max(1, int((d.Until-now)*1000)))
-	n := d.Text.Len()
-	c.out.Write(pg.QueryHead(nil, n-(d.To-d.From)+len(left)))
-	d.Text.CopyTo(&c.out, 0, d.From)
+	left := strconv.Itoa(max(1, int((d.Deadline-now)*1000)))
+	n := d.Statement.Len()
+	c.out.Write(pg.QueryHead(nil, n-(d.WaitEnd-d.WaitStart)+len(left)))
+	d.Statement.CopyTo(&c.out, 0, d.WaitStart)
 	c.out.Write([]byte(left))
-	d.Text.CopyTo(&c.out, d.To, n-d.To)
+	d.Statement.CopyTo(&c.out, d.WaitEnd, n-d.WaitEnd)
 }
 
 // ending reads the outcome off a whole answer.
--- a/internal/member/attempt_test.go
+++ b/internal/member/attempt_test.go
@@ -24,7 +24,7 @@
 
 	b.send("d=99 again", far)
 	b.hear(c, 5)
-	assert.Equal(t, 1, b.m.Open(), "the connection is used again")
+	assert.Equal(t, 1, b.m.ConnectionCount(), "the connection is used again")
 }
 
 func TestTimeOutBeforeTheLastByteHasNeverRun(t *testing.T) {
@@ -39,7 +39,7 @@
 	b.hear(c, 5)
 	d.conn.due() // its time has run out while the member reads no more
 	assert.Equal(t, []router.Result{router.ConnectFailed, router.ConnectFailed}, b.endings)
-	assert.Zero(t, b.m.Open())
+	assert.Zero(t, b.m.ConnectionCount())
 }
 
 func TestRecallGoesByTheLastByte(t *testing.T) {
@@ -48,17 +48,17 @@
 	c := b.accept()
 	b.hear(c, 5)
 	require.True(t, long.Unsent())
-	b.m.Recall(long)
-	b.m.Recall(long)
+	b.m.Cancel(long)
+	b.m.Cancel(long)
 	short := b.send("d=99", far)
 	c = b.accept()
 	b.hear(c, 5)
 	require.False(t, short.Unsent())
-	b.m.Recall(short)
+	b.m.Cancel(short)
 	assert.Equal(t, []router.Result{router.ConnectFailed, router.Canceled}, b.endings)
 	_, err := io.Copy(io.Discard, c)
 	assert.NoError(t, err, "the connection was closed at once")
-	assert.Zero(t, b.m.Open())
+	assert.Zero(t, b.m.ConnectionCount())
 }
 
 func TestSilenceAfterTheLastByteIsATimeOut(t *testing.T) {
@@ -67,7 +67,7 @@
 	b.accept()
 	b.run(b.ended(1))
 	assert.Equal(t, []router.Result{router.TimedOut}, b.endings)
-	assert.Zero(t, b.m.Open())
+	assert.Zero(t, b.m.ConnectionCount())
 }
 
 func TestOutcomesByWhatComesBack(t *testing.T) {
@@ -95,7 +95,7 @@
 		_, _ = c.Write(k.said)
 		b.run(b.ended(1))
 		assert.Equal(t, k.ending, b.endings[0], what)
-		assert.Equal(t, k.open, b.m.Open(), what)
+		assert.Equal(t, k.open, b.m.ConnectionCount(), what)
 	}
 	b := newBench(t)
 	b.send("d=99", far)
--- a/internal/member/connection.go
+++ b/internal/member/connection.go
@@ -23,7 +23,7 @@
 
 // conn is one connection: it carries one dispatch or probe at a time.
 type conn struct {
-	m        *Members
+	m        *Pool
 	node     int
 	life     int // the row's when it was dialled
 	at       netip.AddrPort
@@ -31,7 +31,7 @@
 	state    state
 	in, out  buffer.Chain
 	answer   pg.Answer
-	dispatch *Dispatch
+	dispatch *Attempt
 	probe    bool
 	since    float64 // when the probe was asked for
 	timer    *loop.Timer
@@ -42,7 +42,7 @@
 	now, l := c.m.loop.Now(), c.m.limits
 	until := c.since + l.Durations.HealthCheckTimeout
 	if c.dispatch != nil {
-		until = c.dispatch.Until
+		until = c.dispatch.Deadline
 	}
 	if c.state != idle {
 		c.m.loop.Set(c.timer, min(until, now+l.Durations.ConnectTimeout))
@@ -153,7 +153,7 @@
 		return
 	}
 	d.conn = nil
-	c.m.sink.Ended(d, ending(&a), now-d.sent, &a)
+	c.m.sink.AttemptEnded(d, ending(&a), now-d.sent, &a)
 }
 
 // rest keeps a connection for the next dispatch.
@@ -195,7 +195,7 @@
 	}
 	if d != nil {
 		d.conn = nil
-		c.m.sink.Ended(d, e, now-d.sent, nil)
+		c.m.sink.AttemptEnded(d, e, now-d.sent, nil)
 	}
 }
 
--- a/internal/member/connection_test.go
+++ b/internal/member/connection_test.go
@@ -29,7 +29,7 @@
 		b.run(b.ended(1))
 		_ = c.Close()
 		assert.Equal(t, k.ending, b.endings[0], what)
-		d.Text.Free()
+		d.Statement.Free()
 		assert.Zero(t, b.blocks.Out(), what)
 	}
 }
@@ -50,5 +50,5 @@
 	b.m.limits.Durations.ReuseDelay = 0
 	_, _ = other.Write([]byte("noise"))
 	b.run(func() bool { return b.count.BackendUnsolicited == 2 })
-	assert.Zero(t, b.m.Open(), "neither connection is used again")
+	assert.Zero(t, b.m.ConnectionCount(), "neither connection is used again")
 }
--- a/internal/member/health_check.go
+++ b/internal/member/health_check.go
@@ -2,13 +2,13 @@
 
 import "stoatdale.example/stoatdale/internal/router"
 
-// Probe asks a member for its report.
-func (m *Members) Probe(node int) {
+// CheckHealth asks a member for its report.
+func (m *Pool) CheckHealth(node int) {
 	m.count.HealthChecks++
 	c := m.take(node)
 	if c == nil {
 		m.count.HealthChecksFailed++
-		m.sink.Probed(node, router.ConnectFailed, 0, "")
+		m.sink.HealthChecked(node, router.ConnectFailed, 0, "")
 		return
 	}
 	c.probe, c.since = true, m.loop.Now()
@@ -22,5 +22,5 @@
 	if c.life != c.m.hosts[c.node].life { // it speaks for nobody who is known
 		return
 	}
-	c.m.sink.Probed(c.node, e, took, report)
+	c.m.sink.HealthChecked(c.node, e, took, report)
 }
--- a/internal/member/helper_test.go
+++ b/internal/member/helper_test.go
@@ -20,7 +20,7 @@
 // bench is Members with one node, whose listener the test works itself.
 type bench struct {
 	t       *testing.T
-	m       *Members
+	m       *Pool
 	l       *loop.Loop
 	blocks  *buffer.Pool
 	count   count.Counters
@@ -31,7 +31,7 @@
 	reports []string
 }
 
-func (b *bench) Ended(_ *Dispatch, e router.Result, _ float64, a *pg.Answer) {
+func (b *bench) AttemptEnded(_ *Attempt, e router.Result, _ float64, a *pg.Answer) {
 	b.endings = append(b.endings, e)
 	if a != nil {
 		b.values = append(b.values, a.Report())
@@ -39,7 +39,7 @@
 	}
 }
 
-func (b *bench) Probed(_ int, ending router.Result, _ float64, report string) {
+func (b *bench) HealthChecked(_ int, ending router.Result, _ float64, report string) {
 	b.probes, b.reports = append(b.probes, ending), append(b.reports, report)
 }
 
@@ -78,13 +78,13 @@
 }
 
 func (b *bench) place(n net.Listener) {
-	b.m.Place(0, netip.MustParseAddrPort(n.Addr().String()), false)
+	b.m.SetAddress(0, netip.MustParseAddrPort(n.Addr().String()), false)
 }
 
-func (b *bench) send(text string, until float64) *Dispatch {
+func (b *bench) send(text string, until float64) *Attempt {
 	c := b.blocks.New()
 	c.Write([]byte(text + "\x00"))
-	d := &Dispatch{Text: &c, From: 2, To: 4, Until: until}
+	d := &Attempt{Statement: &c, WaitStart: 2, WaitEnd: 4, Deadline: until}
 	b.m.Send(d)
 	return d
 }
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -13,19 +13,19 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-// Sink is told how dispatches and probes ended, each once. Its calls must not call back.
-type Sink interface {
-	// Ended gives a dispatch's outcome; the answer's row, if it was served, is the receiver's to free.
-	Ended(d *Dispatch, ending router.Result, took float64, answer *pg.Answer)
-	Probed(node int, ending router.Result, took float64, report string)
+// ResultHandler is told how dispatches and probes ended, each once. Its calls must not call back.
+type ResultHandler interface {
+	// AttemptAttemptEnded gives an attempt's outcome; the answer's row, if it was served, is the receiver's to free.
+	AttemptEnded(d *Attempt, ending router.Result, took float64, answer *pg.Answer)
+	HealthChecked(node int, ending router.Result, took float64, report string)
 }
 
-// Members is all connections to members. Nodes are the module's small indices.
-type Members struct {
+// Pool is all connections to members. Nodes are the module's small indices.
+type Pool struct {
 	loop   loop.Wire
 	limits *site.Limits
 	blocks *buffer.Pool
-	sink   Sink
+	sink   ResultHandler
 	count  *count.Counters
 	hosts  []host
 	open   int
@@ -37,20 +37,20 @@
 	life int     // how many members the row had before
 }
 
-// New returns Members without any.
-func New(l loop.Wire, limits *site.Limits, blocks *buffer.Pool, sink Sink, c *count.Counters) *Members {
-	return &Members{loop: l, limits: limits, blocks: blocks, sink: sink, count: c}
+// New returns a Pool without any.
+func New(l loop.Wire, limits *site.Limits, blocks *buffer.Pool, sink ResultHandler, c *count.Counters) *Pool {
+	return &Pool{loop: l, limits: limits, blocks: blocks, sink: sink, count: c}
 }
 
-// Open is the number of connections.
-func (m *Members) Open() int { return m.open }
+// ConnectionCount is the number of connections.
+func (m *Pool) ConnectionCount() int { return m.open }
 
-// Hosts is the number of rows, those that were forgotten included.
-func (m *Members) Hosts() int { return len(m.hosts) }
+// EndpointRows is the number of rows, those that were forgotten included.
+func (m *Pool) EndpointRows() int { return len(m.hosts) }
 
-// Place sets a member's address. Connections to an earlier one take nothing new; none are kept to a
+// SetAddress sets a member's address. Connections to an earlier one take nothing new; none are kept to a
 // member that is gone.
-func (m *Members) Place(node int, at netip.AddrPort, gone bool) {
+func (m *Pool) SetAddress(node int, at netip.AddrPort, gone bool) {
 	for len(m.hosts) <= node {
 		m.hosts = append(m.hosts, host{})
 	}
@@ -63,9 +63,9 @@
 	}
 }
 
-// Forget empties a member's row, which another member may get: connections that are still busy end with what
+// Release empties a member's row, which another member may get: connections that are still busy end with what
 // they carry.
-func (m *Members) Forget(node int) {
+func (m *Pool) Release(node int) {
 	m.hosts[node].hangUp()
 	m.hosts[node] = host{life: m.hosts[node].life + 1}
 }
@@ -80,7 +80,7 @@
 // take finds the standing connection that was used last and has rested, or dials. Those that have ended or hold
 // bytes that nobody asked for are dropped, since what is written to them may count as run, or be answered with
 // what belongs to the command before. Either may be on its way when an answer has just come: hence the rest.
-func (m *Members) take(node int) *conn {
+func (m *Pool) take(node int) *conn {
 	h, now := &m.hosts[node], m.loop.Now()
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		c := h.idle[i]
@@ -96,7 +96,7 @@
 	return m.dial(node)
 }
 
-func (m *Members) dial(node int) *conn {
+func (m *Pool) dial(node int) *conn {
 	at := m.hosts[node].at
 	if !at.IsValid() || m.open >= m.limits.Counts.BackendConnections && m.loop.Open() >= m.limits.Counts.SharedDescriptors && !m.shed() {
 		return nil
@@ -120,11 +120,11 @@
 	return c
 }
 
-// MakeRoom closes an idle connection if members hold more than their own descriptors.
-func (m *Members) MakeRoom() bool { return m.open > m.limits.Counts.BackendConnections && m.shed() }
+// CloseSurplus closes an idle connection if members hold more than their own descriptors.
+func (m *Pool) CloseSurplus() bool { return m.open > m.limits.Counts.BackendConnections && m.shed() }
 
 // shed closes the longest idle connection to make room for a new one, and says whether there was one.
-func (m *Members) shed() bool {
+func (m *Pool) shed() bool {
 	var oldest *conn
 	for i := range m.hosts {
 		if s := m.hosts[i].idle; len(s) > 0 && (oldest == nil || s[0].since < oldest.since) {
@@ -138,8 +138,8 @@
 	return true
 }
 
-// Close ends all idle connections.
-func (m *Members) Close() {
+// CloseIdle ends all idle connections.
+func (m *Pool) CloseIdle() {
 	for i := range m.hosts {
 		m.hosts[i].hangUp()
 	}
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -51,7 +51,7 @@
 	bounds Bounds
 	fault  string
 	wire   *wire
-	m      *member.Members
+	m      *member.Pool
 	blocks *buffer.Pool
 	sends  []*sending
 	faults int
@@ -64,7 +64,7 @@
 
 // sending is one command's dispatch.
 type sending struct {
-	d     *member.Dispatch
+	d     *member.Attempt
 	text  buffer.Chain
 	state int // 0: not yet sent, 1: out, 2: ended
 }
@@ -96,13 +96,13 @@
 	s.wire.deafQuiet, s.wire.earlyByte = fault == "previous-reply", fault == "early-write"
 	s.wire.lateByte, s.wire.keepOpen = fault == "late-write", fault == "kept"
 	s.m = member.New(s.wire, limits, s.blocks, memberSink{s}, &count.Counters{})
-	s.m.Place(0, netip.MustParseAddrPort("127.0.0.1:5432"), false)
+	s.m.SetAddress(0, netip.MustParseAddrPort("127.0.0.1:5432"), false)
 	for i := range b.Commands {
 		x := &sending{text: s.blocks.New()}
 		text := fmt.Sprintf(memberStatement, 'a'+i, i+1)
 		x.text.Write([]byte(text))
 		from := strings.Index(text, "d=900") + 2
-		x.d = &member.Dispatch{ID: uint32(i), Text: &x.text, From: from, To: from + 3}
+		x.d = &member.Attempt{CommandID: uint32(i), Statement: &x.text, WaitStart: from, WaitEnd: from + 3}
 		s.sends = append(s.sends, x)
 	}
 	return s
@@ -111,17 +111,17 @@
 // memberSink is told how dispatches end.
 type memberSink struct{ *members }
 
-// Ended implements member.Sink.
-func (s memberSink) Ended(d *member.Dispatch, e router.Result, _ float64, a *pg.Answer) {
-	x := s.sends[d.ID]
+// AttemptEnded implements member.ResultHandler.
+func (s memberSink) AttemptEnded(d *member.Attempt, e router.Result, _ float64, a *pg.Answer) {
+	x := s.sends[d.CommandID]
 	x.state = 2
 	never := e == router.ConnectFailed || e == router.NeverSent
 	if e != router.Overloaded { // which says itself that it never ran
-		s.check.Ended(int(d.ID), never, s.written(int(d.ID)))
+		s.check.Ended(int(d.CommandID), never, s.written(int(d.CommandID)))
 	}
 	if s.fault == "twice" && e == router.Canceled {
-		s.check.Ended(int(d.ID), false, s.written(int(d.ID)))
-		s.check.Ended(int(d.ID), false, s.written(int(d.ID)))
+		s.check.Ended(int(d.CommandID), false, s.written(int(d.CommandID)))
+		s.check.Ended(int(d.CommandID), false, s.written(int(d.CommandID)))
 	}
 	if a == nil {
 		return
@@ -137,13 +137,13 @@
 		if i := bytes.Index(row, []byte("value ")); i >= 0 && i+7 <= len(row) {
 			value = string(row[i+6 : i+7])
 		}
-		s.check.Answered(int(d.ID), value, string(rune('a'+int(d.ID))))
+		s.check.Answered(int(d.CommandID), value, string(rune('a'+int(d.CommandID))))
 	}
 	a.Row.Free()
 }
 
-// Probed implements member.Sink.
-func (memberSink) Probed(int, router.Result, float64, string) {}
+// HealthChecked implements member.ResultHandler.
+func (memberSink) HealthChecked(int, router.Result, float64, string) {}
 
 // written tells whether a command's statement was written whole on any connection, ever.
 func (s *members) written(id int) bool {
@@ -313,11 +313,11 @@
 	switch what {
 	case "send":
 		x := s.sends[n]
-		x.state, x.d.Until = 1, s.wire.now+0.9
+		x.state, x.d.Deadline = 1, s.wire.now+0.9
 		s.m.Send(x.d)
 	case "recall":
 		s.faults++
-		s.m.Recall(s.sends[n].d)
+		s.m.Cancel(s.sends[n].d)
 	case "up":
 		k.up, k.room = true, 60 // more than a start-up packet, less than a statement
 		k.handler.Ready(false, true)
@@ -344,7 +344,7 @@
 		s.wire.fire(s.order)
 	case "close":
 		s.closed = true
-		s.m.Close()
+		s.m.CloseIdle()
 		for _, x := range s.sends {
 			x.text.Free()
 		}
@@ -403,8 +403,8 @@
 // memberRules leave out what is the same in all states or stands for the same thing elsewhere.
 var memberRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
 	"buffer.Chain":    {"pool"},
-	"member.Dispatch": {"conn"},
-	"member.Members":  {"blocks", "count", "limits", "loop", "sink"},
+	"member.Attempt":  {"conn"},
+	"member.Pool":     {"blocks", "count", "limits", "loop", "sink"},
 	"member.conn":     {"m", "timer"},
 	"systems.members": {"blocks", "bounds", "fault"},
 	"systems.sock":    {"handler"},
--- a/internal/systems/settle.go
+++ b/internal/systems/settle.go
@@ -42,7 +42,7 @@
 		var open []int
 		for _, x := range s.sends {
 			if x.state != 2 {
-				open = append(open, int(x.d.ID))
+				open = append(open, int(x.d.CommandID))
 			}
 		}
 		return verdict.ComesToEnd, fmt.Sprintf("dispatches %v do not end", open)
