--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -17,47 +17,47 @@
 	WaitStart, WaitEnd int           // where the digits of the time to wait stand in it
 	Deadline           float64       // when the router stops waiting
 
-	conn *conn
-	sent float64
+	conn   *conn
+	sentAt float64
 }
 
 // Send carries a dispatch out: over a standing connection, or a new one.
 func (m *Pool) Send(d *Attempt) {
-	m.count.Attempts++
-	d.sent = m.loop.Now()
-	c := m.take(d.Endpoint)
+	m.counters.Attempts++
+	d.sentAt = m.loop.Now()
+	c := m.acquire(d.Endpoint)
 	if c == nil {
-		m.sink.AttemptEnded(d, router.ConnectFailed, 0, nil)
+		m.results.AttemptEnded(d, router.ConnectFailed, 0, nil)
 		return
 	}
-	d.conn, c.dispatch = c, d
-	c.begin()
+	d.conn, c.attempt = c, d
+	c.start()
 }
 
 // Cancel gives a dispatch up: its connection is closed at once.
 func (m *Pool) Cancel(d *Attempt) {
 	if d.conn != nil {
-		m.count.AttemptsCanceled++
-		d.conn.end(router.Canceled)
+		m.counters.AttemptsCanceled++
+		d.conn.fail(router.Canceled)
 	}
 }
 
 // Unsent says that a dispatch's last byte has not been written.
-func (d *Attempt) Unsent() bool { return d.conn == nil || d.conn.state != waiting }
+func (d *Attempt) Unsent() bool { return d.conn == nil || d.conn.state != stateAwaitingAnswer }
 
-// write puts the statement out as it came but for the time to wait, which is what is left of it.
-func (c *conn) write(now float64) {
-	d := c.dispatch
+// writeStatement puts the statement out as it came but for the time to wait, which is what is left of it.
+func (c *conn) writeStatement(now float64) {
+	d := c.attempt
 	left := strconv.Itoa(max(1, int((d.Deadline-now)*1000)))
 	n := d.Statement.Len()
-	c.out.Write(pg.QueryHead(nil, n-(d.WaitEnd-d.WaitStart)+len(left)))
-	d.Statement.CopyTo(&c.out, 0, d.WaitStart)
-	c.out.Write([]byte(left))
-	d.Statement.CopyTo(&c.out, d.WaitEnd, n-d.WaitEnd)
+	c.output.Write(pg.QueryHead(nil, n-(d.WaitEnd-d.WaitStart)+len(left)))
+	d.Statement.CopyTo(&c.output, 0, d.WaitStart)
+	c.output.Write([]byte(left))
+	d.Statement.CopyTo(&c.output, d.WaitEnd, n-d.WaitEnd)
 }
 
-// ending reads the outcome off a whole answer.
-func ending(a *pg.Answer) router.Result {
+// resultOf reads the outcome off a whole answer.
+func resultOf(a *pg.Answer) router.Result {
 	switch {
 	case a.Served():
 		return router.Answered
--- a/internal/member/attempt_test.go
+++ b/internal/member/attempt_test.go
@@ -37,7 +37,7 @@
 	d := b.send("d=99"+string(make([]byte, 32<<20)), far)
 	c = b.accept()
 	b.hear(c, 5)
-	d.conn.due() // its time has run out while the member reads no more
+	d.conn.timerExpired() // its time has run out while the member reads no more
 	assert.Equal(t, []router.Result{router.ConnectFailed, router.ConnectFailed}, b.endings)
 	assert.Zero(t, b.m.ConnectionCount())
 }
--- a/internal/member/health_check.go
+++ b/internal/member/health_check.go
@@ -4,23 +4,23 @@
 
 // CheckHealth asks a member for its report.
 func (m *Pool) CheckHealth(node int) {
-	m.count.HealthChecks++
-	c := m.take(node)
+	m.counters.HealthChecks++
+	c := m.acquire(node)
 	if c == nil {
-		m.count.HealthChecksFailed++
-		m.sink.HealthChecked(node, router.ConnectFailed, 0, "")
+		m.counters.HealthChecksFailed++
+		m.results.HealthChecked(node, router.ConnectFailed, 0, "")
 		return
 	}
-	c.probe, c.since = true, m.loop.Now()
-	c.begin()
+	c.checking, c.since = true, m.loop.Now()
+	c.start()
 }
 
-func (c *conn) probed(e router.Result, took float64, report string) {
+func (c *conn) reportHealthCheck(e router.Result, took float64, report string) {
 	if e != router.Answered {
-		c.m.count.HealthChecksFailed++
+		c.pool.counters.HealthChecksFailed++
 	}
-	if c.life != c.m.hosts[c.node].life { // it speaks for nobody who is known
+	if c.generation != c.pool.endpoints[c.endpoint].generation { // it speaks for nobody who is known
 		return
 	}
-	c.m.sink.HealthChecked(c.node, e, took, report)
+	c.pool.results.HealthChecked(c.endpoint, e, took, report)
 }
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -22,112 +22,114 @@
 
 // Pool is all connections to members. Nodes are the module's small indices.
 type Pool struct {
-	loop   loop.Wire
-	limits *site.Limits
-	blocks *buffer.Pool
-	sink   ResultHandler
-	count  *count.Counters
-	hosts  []host
-	open   int
+	loop        loop.Wire
+	limits      *site.Limits
+	blocks      *buffer.Pool
+	results     ResultHandler
+	counters    *count.Counters
+	endpoints   []endpoint
+	connections int
 }
 
-type host struct {
-	at   netip.AddrPort
-	idle []*conn // the one used last comes last
-	life int     // how many members the row had before
+type endpoint struct {
+	address    netip.AddrPort
+	idle       []*conn // the one used last comes last
+	generation int     // how many members the row had before
 }
 
 // New returns a Pool without any.
 func New(l loop.Wire, limits *site.Limits, blocks *buffer.Pool, sink ResultHandler, c *count.Counters) *Pool {
-	return &Pool{loop: l, limits: limits, blocks: blocks, sink: sink, count: c}
+	return &Pool{loop: l, limits: limits, blocks: blocks, results: sink, counters: c}
 }
 
 // ConnectionCount is the number of connections.
-func (m *Pool) ConnectionCount() int { return m.open }
+func (m *Pool) ConnectionCount() int { return m.connections }
 
 // EndpointRows is the number of rows, those that were forgotten included.
-func (m *Pool) EndpointRows() int { return len(m.hosts) }
+func (m *Pool) EndpointRows() int { return len(m.endpoints) }
 
 // SetAddress sets a member's address. Connections to an earlier one take nothing new; none are kept to a
 // member that is gone.
 func (m *Pool) SetAddress(node int, at netip.AddrPort, gone bool) {
-	for len(m.hosts) <= node {
-		m.hosts = append(m.hosts, host{})
+	for len(m.endpoints) <= node {
+		m.endpoints = append(m.endpoints, endpoint{})
 	}
-	h := &m.hosts[node]
-	if gone || h.at != at {
-		h.hangUp()
+	h := &m.endpoints[node]
+	if gone || h.address != at {
+		h.closeIdle()
 	}
 	if at.IsValid() {
-		h.at = at
+		h.address = at
 	}
 }
 
 // Release empties a member's row, which another member may get: connections that are still busy end with what
 // they carry.
 func (m *Pool) Release(node int) {
-	m.hosts[node].hangUp()
-	m.hosts[node] = host{life: m.hosts[node].life + 1}
+	m.endpoints[node].closeIdle()
+	m.endpoints[node] = endpoint{generation: m.endpoints[node].generation + 1}
 }
 
-// hangUp closes the idle connections.
-func (h *host) hangUp() {
+// closeIdle closes the idle connections.
+func (h *endpoint) closeIdle() {
 	for len(h.idle) > 0 {
 		h.idle[len(h.idle)-1].close()
 	}
 }
 
-// take finds the standing connection that was used last and has rested, or dials. Those that have ended or hold
+// acquire finds the standing connection that was used last and has rested, or dials. Those that have ended or hold
 // bytes that nobody asked for are dropped, since what is written to them may count as run, or be answered with
 // what belongs to the command before. Either may be on its way when an answer has just come: hence the rest.
-func (m *Pool) take(node int) *conn {
-	h, now := &m.hosts[node], m.loop.Now()
+func (m *Pool) acquire(node int) *conn {
+	h, now := &m.endpoints[node], m.loop.Now()
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		c := h.idle[i]
 		if now-c.since < m.limits.Durations.ReuseDelay {
 			continue
 		}
-		if c.m.loop.Quiet(c.fd) {
+		if c.pool.loop.Quiet(c.fd) {
 			h.idle = append(h.idle[:i], h.idle[i+1:]...)
 			return c
 		}
-		c.unasked()
+		c.closeUnsolicited()
 	}
 	return m.dial(node)
 }
 
 func (m *Pool) dial(node int) *conn {
-	at := m.hosts[node].at
-	if !at.IsValid() || m.open >= m.limits.Counts.BackendConnections && m.loop.Open() >= m.limits.Counts.SharedDescriptors && !m.shed() {
+	at := m.endpoints[node].address
+	if !at.IsValid() || m.connections >= m.limits.Counts.BackendConnections && m.loop.Open() >= m.limits.Counts.SharedDescriptors && !m.closeLongestIdle() {
 		return nil
 	}
-	m.count.BackendConnects++
+	m.counters.BackendConnects++
 	fd, err := m.loop.Dial(at)
 	if err != nil {
-		m.count.BackendConnectFailures++
+		m.counters.BackendConnectFailures++
 		return nil
 	}
 	c := &conn{
-		m: m, node: node, life: m.hosts[node].life, at: at, fd: fd, in: m.blocks.New(), out: m.blocks.New(),
+		pool: m, endpoint: node, generation: m.endpoints[node].generation, address: at, fd: fd, input: m.blocks.New(), output: m.blocks.New(),
 		answer: pg.Answer{Row: m.blocks.New()},
 	}
-	c.timer = loop.NewTimer(c.due)
+	c.timer = loop.NewTimer(c.timerExpired)
 	if err := m.loop.Add(fd, c, true, true); err != nil {
 		m.loop.Discard(fd)
 		return nil
 	}
-	m.open++
+	m.connections++
 	return c
 }
 
 // CloseSurplus closes an idle connection if members hold more than their own descriptors.
-func (m *Pool) CloseSurplus() bool { return m.open > m.limits.Counts.BackendConnections && m.shed() }
+func (m *Pool) CloseSurplus() bool {
+	return m.connections > m.limits.Counts.BackendConnections && m.closeLongestIdle()
+}
 
-// shed closes the longest idle connection to make room for a new one, and says whether there was one.
-func (m *Pool) shed() bool {
+// closeLongestIdle closes the longest idle connection to make room for a new one, and says whether there was one.
+func (m *Pool) closeLongestIdle() bool {
 	var oldest *conn
-	for i := range m.hosts {
-		if s := m.hosts[i].idle; len(s) > 0 && (oldest == nil || s[0].since < oldest.since) {
+	for i := range m.endpoints {
+		if s := m.endpoints[i].idle; len(s) > 0 && (oldest == nil || s[0].since < oldest.since) {
 			oldest = s[0]
 		}
 	}
@@ -140,7 +142,7 @@
 
 // CloseIdle ends all idle connections.
 func (m *Pool) CloseIdle() {
-	for i := range m.hosts {
-		m.hosts[i].hangUp()
+	for i := range m.endpoints {
+		m.endpoints[i].closeIdle()
 	}
 }
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -404,8 +404,8 @@
 var memberRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
 	"buffer.Chain":    {"pool"},
 	"member.Attempt":  {"conn"},
-	"member.Pool":     {"blocks", "count", "limits", "loop", "sink"},
-	"member.conn":     {"m", "timer"},
+	"member.Pool":     {"blocks", "counters", "limits", "loop", "results"},
+	"member.conn":     {"pool", "timer"},
 	"systems.members": {"blocks", "bounds", "fault"},
 	"systems.sock":    {"handler"},
 	"systems.wire":    {"timers"},
