--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -8,62 +8,68 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// Attempt is one sending of a command to a member.
+// Attempt is one sending of a command to one backend. The caller fills the exported fields and must not change them
+// until the attempt has ended. Times are in seconds on the event loop's clock.
 type Attempt struct {
-	CommandID          uint32
-	Index              int
-	Endpoint           int
-	Statement          *buffer.Chain // the statement, final zero included
-	WaitStart, WaitEnd int           // where the digits of the time to wait stand in it
-	Deadline           float64       // when the router stops waiting
+	CommandID uint32
+	Index     int           // index of the attempt among those of its command
+	Endpoint  int           // index of the endpoint that it is sent to
+	Statement *buffer.Chain // the statement's text, final zero included; it stays the caller's
+	WaitStart int           // where the digits of the client's waiting time begin in Statement
+	WaitEnd   int           // where they end
+	Deadline  float64       // when the attempt ends as timed out
 
-	conn   *conn
+	conn   *conn // nil before it is sent and after it has ended
 	sentAt float64
 }
 
-// Send carries a dispatch out: over a standing connection, or a new one.
-func (m *Pool) Send(d *Attempt) {
-	m.counters.Attempts++
-	d.sentAt = m.loop.Now()
-	c := m.acquire(d.Endpoint)
+// Send sends an attempt over an idle connection or a new one. Its result is reported to the ResultHandler, perhaps
+// before Send returns.
+func (p *Pool) Send(attempt *Attempt) {
+	p.counters.Attempts++
+	attempt.sentAt = p.loop.Now()
+	c := p.acquire(attempt.Endpoint)
 	if c == nil {
-		m.results.AttemptEnded(d, router.ConnectFailed, 0, nil)
+		p.results.AttemptEnded(attempt, router.ConnectFailed, 0, nil)
 		return
 	}
-	d.conn, c.attempt = c, d
+	attempt.conn = c
+	c.attempt = attempt
 	c.start()
 }
 
-// Cancel gives a dispatch up: its connection is closed at once.
-func (m *Pool) Cancel(d *Attempt) {
-	if d.conn != nil {
-		m.counters.AttemptsCanceled++
-		d.conn.fail(router.Canceled)
+// Cancel ends an attempt by closing its connection. Its result is reported before Cancel returns. An attempt that has
+// ended is left alone.
+func (p *Pool) Cancel(attempt *Attempt) {
+	if attempt.conn != nil {
+		p.counters.AttemptsCanceled++
+		attempt.conn.fail(router.Canceled)
 	}
 }
 
-// Unsent says that a dispatch's last byte has not been written.
-func (d *Attempt) Unsent() bool { return d.conn == nil || d.conn.state != stateAwaitingAnswer }
+// Unsent reports whether the attempt's last byte has not been written, so that the backend cannot have run it.
+func (a *Attempt) Unsent() bool { return a.conn == nil || a.conn.state != stateAwaitingAnswer }
 
-// writeStatement puts the statement out as it came but for the time to wait, which is what is left of it.
+// writeStatement queues the attempt's statement as it came, but for the waiting time, which is replaced by what is left
+// of it: in milliseconds, 1 at the least.
 func (c *conn) writeStatement(now float64) {
-	d := c.attempt
-	left := strconv.Itoa(max(1, int((d.Deadline-now)*1000)))
-	n := d.Statement.Len()
-	c.output.Write(pg.QueryHead(nil, n-(d.WaitEnd-d.WaitStart)+len(left)))
-	d.Statement.CopyTo(&c.output, 0, d.WaitStart)
-	c.output.Write([]byte(left))
-	d.Statement.CopyTo(&c.output, d.WaitEnd, n-d.WaitEnd)
+	a := c.attempt
+	waitMs := strconv.Itoa(max(1, int((a.Deadline-now)*1000)))
+	length := a.Statement.Len()
+	c.output.Write(pg.QueryHead(nil, length-(a.WaitEnd-a.WaitStart)+len(waitMs)))
+	a.Statement.CopyTo(&c.output, 0, a.WaitStart)
+	c.output.Write([]byte(waitMs))
+	a.Statement.CopyTo(&c.output, a.WaitEnd, length-a.WaitEnd)
 }
 
-// resultOf reads the outcome off a whole answer.
-func resultOf(a *pg.Answer) router.Result {
+// resultOf returns the result that a complete answer stands for.
+func resultOf(answer *pg.Answer) router.Result {
 	switch {
-	case a.Served():
+	case answer.Served():
 		return router.Answered
-	case a.Refused(pg.CodeFull):
+	case answer.Refused(pg.CodeFull):
 		return router.Overloaded
-	case a.Refused(pg.CodeNotPrimary), a.Refused(pg.CodeBehind):
+	case answer.Refused(pg.CodeNotPrimary), answer.Refused(pg.CodeBehind):
 		return router.NotServed
 	}
 	return router.Errored
--- a/internal/member/connection.go
+++ b/internal/member/connection.go
@@ -9,56 +9,80 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// states of a connection.
+// state is what a connection is doing.
 type state int
 
 const (
-	stateConnecting state = iota
-	stateStartup          // the start-up packet is sent
-	stateIdle
-	stateSending
-	stateAwaitingAnswer // the last byte is written
+	stateConnecting     state = iota // the TCP connection is being made
+	stateStartup                     // the start-up packet is queued or sent; its answer is awaited
+	stateIdle                        // ready for an attempt or a health check
+	stateSending                     // a query is being written
+	stateAwaitingAnswer              // the query's last byte is written
 	stateClosed
 )
 
-// conn is one connection: it carries one dispatch or probe at a time.
+// conn is one connection. It carries one attempt or health check at a time, from the moment it is dialed for it.
 type conn struct {
-	pool          *Pool
-	endpoint      int
-	generation    int // the row's when it was dialled
-	address       netip.AddrPort
-	fd            int
-	state         state
-	input, output buffer.Chain
-	answer        pg.Answer
-	attempt       *Attempt
-	checking      bool
-	since         float64 // when the probe was asked for
-	timer         *loop.Timer
+	pool           *Pool
+	endpoint       int
+	generation     int            // the endpoint row's when the connection was dialed
+	address        netip.AddrPort // the endpoint's when the connection was dialed
+	fd             int
+	state          state
+	input, output  buffer.Chain
+	answer         pg.Answer // the answer as far as it has come
+	attempt        *Attempt  // nil: it carries none
+	checking       bool      // it carries a health check
+	checkStartedAt float64
+	idleSince      float64
+	timer          *loop.Timer
 }
 
-// start sends what a connection was taken for, or sees that it comes up first.
+// newConn returns a connection to an endpoint over a descriptor that is being connected.
+func newConn(p *Pool, index, fd int) *conn {
+	e := &p.endpoints[index]
+	c := &conn{
+		pool:       p,
+		endpoint:   index,
+		generation: e.generation,
+		address:    e.address,
+		fd:         fd,
+		input:      p.blocks.New(),
+		output:     p.blocks.New(),
+		answer:     pg.Answer{Row: p.blocks.New()},
+	}
+	c.timer = loop.NewTimer(c.timerExpired)
+	return c
+}
+
+// start sends what the connection carries if it is ready. Otherwise it limits the time for becoming ready, after which
+// start is called again.
 func (c *conn) start() {
-	now, l := c.pool.loop.Now(), c.pool.limits
-	until := c.since + l.Durations.HealthCheckTimeout
-	if c.attempt != nil {
-		until = c.attempt.Deadline
-	}
+	now := c.pool.loop.Now()
+	deadline := c.deadline()
 	if c.state != stateIdle {
-		c.pool.loop.Set(c.timer, min(until, now+l.Durations.ConnectTimeout))
+		c.pool.loop.Set(c.timer, min(deadline, now+c.pool.limits.Durations.ConnectTimeout))
 		return
 	}
-	c.pool.loop.Set(c.timer, until)
+	c.pool.loop.Set(c.timer, deadline)
 	c.state = stateSending
 	if c.checking {
-		c.output.Write(pg.Query(nil, "SHOW health"))
+		c.output.Write(pg.Query(nil, healthQuery))
 	} else {
 		c.writeStatement(now)
 	}
 	c.flush()
 }
 
-// flush writes on. Whether a dispatch may have run goes by its last byte.
+// deadline is when what the connection carries times out.
+func (c *conn) deadline() float64 {
+	if c.attempt != nil {
+		return c.attempt.Deadline
+	}
+	return c.checkStartedAt + c.pool.limits.Durations.HealthCheckTimeout
+}
+
+// flush writes what the socket takes. A query counts as sent, and perhaps run, once its last byte is written.
 func (c *conn) flush() {
 	if err := c.pool.loop.Write(c.fd, &c.output); err != nil {
 		c.fail(router.ConnectionLost)
@@ -80,7 +104,7 @@
 		c.state = stateStartup
 		c.output.Write(pg.Hello(nil))
 	}
-	if c.state == stateIdle { // an idle member says nothing but that it ends the connection
+	if c.state == stateIdle { // the backend has nothing to say now but that it closes the connection
 		c.closeUnsolicited()
 		return
 	}
@@ -92,83 +116,91 @@
 	}
 }
 
+// read takes in what has come of an answer.
 func (c *conn) read() {
-	_, err := c.pool.loop.Read(c.fd, &c.input, c.pool.limits.Sizes.ReadPerTurn)
-	done, bad := c.answer.Take(&c.input, c.pool.limits.Sizes.BackendMessage, c.pool.limits.Sizes.InspectedMessage)
+	sizes := &c.pool.limits.Sizes
+	_, readErr := c.pool.loop.Read(c.fd, &c.input, sizes.ReadPerTurn)
+	complete, err := c.answer.Take(&c.input, sizes.BackendMessage, sizes.InspectedMessage)
 	switch {
-	case bad != nil:
+	case err != nil:
 		c.pool.counters.BackendInvalidAnswers++
 		c.fail(router.Errored)
-	case done:
-		c.answerComplete(err != nil)
-	case err != nil:
+	case complete:
+		c.answerComplete(readErr != nil)
+	case readErr != nil:
 		c.fail(router.ConnectionLost)
 	}
 }
 
-// closeUnsolicited closes an idle connection that has ended or brings what belongs to no command.
+// closeUnsolicited closes an idle connection that the backend has closed, or on which it sent data unasked.
 func (c *conn) closeUnsolicited() {
 	c.pool.counters.BackendUnsolicited++
 	c.close()
 }
 
-// answerComplete takes a whole answer in.
+// answerComplete takes in a complete answer. ended says that the backend has closed the connection behind it.
 func (c *conn) answerComplete(ended bool) {
-	now, a := c.pool.loop.Now(), c.answer
+	answer := c.answer
 	c.answer = pg.Answer{Row: c.pool.blocks.New()}
-	again := !ended && !a.Fatal && c.input.Len() == 0 && c.output.Len() == 0
-	if c.state == stateStartup {
-		rows := a.Row.Len() > 0
-		a.Row.Free()
-		switch {
-		case a.Code == pg.CodeFull:
-			c.fail(router.Overloaded)
-		case a.Code != "" || rows || !again:
-			c.fail(router.ConnectFailed)
-		default:
-			c.state = stateIdle
-			c.start()
-		}
-		return
-	}
-	if c.state != stateAwaitingAnswer { // an answer to a question that was not yet put
-		a.Row.Free()
+	reusable := !ended && !answer.Fatal && c.input.Len() == 0 && c.output.Len() == 0
+	switch c.state {
+	case stateStartup:
+		c.startupAnswered(&answer, reusable)
+	case stateAwaitingAnswer:
+		c.queryAnswered(&answer, reusable)
+	default: // an answer to a query that was not yet sent
+		answer.Row.Free()
 		c.fail(router.ConnectionLost)
-		return
 	}
-	d, probe, since := c.attempt, c.checking, c.since
+}
+
+// startupAnswered sends what the connection was dialed for, if the backend accepted the start-up packet.
+func (c *conn) startupAnswered(answer *pg.Answer, reusable bool) {
+	hasRow := answer.Row.Len() > 0
+	answer.Row.Free()
+	switch {
+	case answer.Code == pg.CodeFull:
+		c.fail(router.Overloaded)
+	case answer.Code != "" || hasRow || !reusable:
+		c.fail(router.ConnectFailed)
+	default:
+		c.state = stateIdle
+		c.start()
+	}
+}
+
+// queryAnswered frees the connection for the next query and reports the answer to the one before.
+func (c *conn) queryAnswered(answer *pg.Answer, reusable bool) {
+	now := c.pool.loop.Now()
+	attempt, checking := c.attempt, c.checking
 	c.attempt, c.checking = nil, false
-	if again {
+	if reusable {
 		c.returnToPool(now)
 	} else {
 		c.close()
 	}
-	if probe {
-		e, report := resultOf(&a), ""
-		if e == router.Answered { // a row that an error followed is none
-			report = a.Report()
-		}
-		a.Row.Free()
-		c.reportHealthCheck(e, now-since, report)
+	if checking {
+		c.healthCheckAnswered(answer, now-c.checkStartedAt)
 		return
 	}
-	d.conn = nil
-	c.pool.results.AttemptEnded(d, resultOf(&a), now-d.sentAt, &a)
+	attempt.conn = nil
+	c.pool.results.AttemptEnded(attempt, resultOf(answer), now-attempt.sentAt, answer)
 }
 
-// returnToPool keeps a connection for the next dispatch.
+// returnToPool keeps the connection for the next query, unless its endpoint has another address by now or left its row.
 func (c *conn) returnToPool(now float64) {
-	h := &c.pool.endpoints[c.endpoint]
-	if c.address != h.address || c.generation != h.generation {
+	e := &c.pool.endpoints[c.endpoint]
+	if c.address != e.address || c.generation != e.generation {
 		c.close()
 		return
 	}
-	c.state, c.since = stateIdle, now
-	h.idle = append(h.idle, c)
+	c.state = stateIdle
+	c.idleSince = now
+	e.idle = append(e.idle, c)
 	c.pool.loop.Set(c.timer, now+c.pool.limits.Durations.BackendIdleTimeout)
 }
 
-// timerExpired is called when the time of what the connection does has run out.
+// timerExpired is called when the time for what the connection does has run out.
 func (c *conn) timerExpired() {
 	if c.state == stateIdle {
 		c.pool.counters.BackendIdleClosed++
@@ -178,40 +210,35 @@
 	c.fail(router.TimedOut)
 }
 
-// fail closes the connection with an outcome for what it carried. Whatever ended it, nothing has run whose
-// last byte was not written: only here is one told from the other.
-func (c *conn) fail(e router.Result) {
-	if c.state != stateAwaitingAnswer && e != router.Overloaded {
-		e = router.ConnectFailed
+// fail closes the connection and reports a result for what it carried. Whatever the reason, a query whose last byte was
+// not written has not run: it is reported as ConnectFailed here, and nowhere else.
+func (c *conn) fail(result router.Result) {
+	if c.state != stateAwaitingAnswer && result != router.Overloaded {
+		result = router.ConnectFailed
 	}
 	if c.state == stateConnecting || c.state == stateStartup {
 		c.pool.counters.BackendConnectFailures++
 	}
-	d, probe, now := c.attempt, c.checking, c.pool.loop.Now()
+	now := c.pool.loop.Now()
+	attempt, checking := c.attempt, c.checking
 	c.attempt, c.checking = nil, false
 	c.close()
-	if probe {
-		c.reportHealthCheck(e, now-c.since, "")
+	if checking {
+		c.reportHealthCheck(result, now-c.checkStartedAt, "")
 	}
-	if d != nil {
-		d.conn = nil
-		c.pool.results.AttemptEnded(d, e, now-d.sentAt, nil)
+	if attempt != nil {
+		attempt.conn = nil
+		c.pool.results.AttemptEnded(attempt, result, now-attempt.sentAt, nil)
 	}
 }
 
-// close ends a connection that carries nothing.
+// close closes the connection without reporting anything.
 func (c *conn) close() {
 	if c.state == stateClosed {
 		return
 	}
 	if c.state == stateIdle {
-		h := &c.pool.endpoints[c.endpoint]
-		for i, other := range h.idle {
-			if other == c {
-				h.idle = append(h.idle[:i], h.idle[i+1:]...)
-				break
-			}
-		}
+		c.pool.endpoints[c.endpoint].remove(c)
 	}
 	c.state = stateClosed
 	c.pool.connections--
--- a/internal/member/health_check.go
+++ b/internal/member/health_check.go
@@ -1,26 +1,45 @@
 package member
 
-import "stoatdale.example/stoatdale/internal/router"
+import (
+	"stoatdale.example/stoatdale/internal/pg"
+	"stoatdale.example/stoatdale/internal/router"
+)
 
-// CheckHealth asks a member for its report.
-func (m *Pool) CheckHealth(node int) {
-	m.counters.HealthChecks++
-	c := m.acquire(node)
+// healthQuery is the statement that a backend answers with its load report.
+const healthQuery = "SHOW health"
+
+// CheckHealth asks a backend for its load report. The result is reported to the ResultHandler, perhaps before
+// CheckHealth returns, unless the endpoint's row is released first.
+func (p *Pool) CheckHealth(index int) {
+	p.counters.HealthChecks++
+	c := p.acquire(index)
 	if c == nil {
-		m.counters.HealthChecksFailed++
-		m.results.HealthChecked(node, router.ConnectFailed, 0, "")
+		p.counters.HealthChecksFailed++
+		p.results.HealthChecked(index, router.ConnectFailed, 0, "")
 		return
 	}
-	c.checking, c.since = true, m.loop.Now()
+	c.checking = true
+	c.checkStartedAt = p.loop.Now()
 	c.start()
 }
 
-func (c *conn) reportHealthCheck(e router.Result, took float64, report string) {
-	if e != router.Answered {
+// healthCheckAnswered takes in the complete answer to a health check.
+func (c *conn) healthCheckAnswered(answer *pg.Answer, elapsed float64) {
+	result := resultOf(answer)
+	report := ""
+	if result == router.Answered { // the row before an error is no report
+		report = answer.Report()
+	}
+	answer.Row.Free()
+	c.reportHealthCheck(result, elapsed, report)
+}
+
+// reportHealthCheck reports a health check's result, unless the endpoint that it was for has left its row.
+func (c *conn) reportHealthCheck(result router.Result, elapsed float64, report string) {
+	if result != router.Answered {
 		c.pool.counters.HealthChecksFailed++
 	}
-	if c.generation != c.pool.endpoints[c.endpoint].generation { // it speaks for nobody who is known
-		return
+	if c.generation == c.pool.endpoints[c.endpoint].generation {
+		c.pool.results.HealthChecked(c.endpoint, result, elapsed, report)
 	}
-	c.pool.results.HealthChecked(c.endpoint, e, took, report)
 }
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -1,9 +1,12 @@
-// Package member keeps the connections to the members: it sends dispatches and probes over them and tells
-// how each ended. It sends nothing twice and decides nothing.
+// Package member keeps the connections to the database servers (backends). It sends attempts and health checks over
+// them and reports how each ended. It never sends anything twice and takes no routing decision.
+//
+// A Pool belongs to one event loop; none of its methods may be called from another goroutine.
 package member
 
 import (
 	"net/netip"
+	"slices"
 
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/count"
@@ -13,124 +16,152 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-// ResultHandler is told how dispatches and probes ended, each once. Its calls must not call back.
+// ResultHandler receives the results of attempts and health checks, each exactly once. Its methods must not call the
+// Pool. Elapsed times are in seconds.
 type ResultHandler interface {
-	// AttemptAttemptEnded gives an attempt's outcome; the answer's row, if it was served, is the receiver's to free.
-	AttemptEnded(d *Attempt, ending router.Result, took float64, answer *pg.Answer)
-	HealthChecked(node int, ending router.Result, took float64, report string)
+	// AttemptEnded reports the result of an attempt. The answer is nil unless the backend sent a complete one; its Row
+	// is the receiver's to free.
+	AttemptEnded(attempt *Attempt, result router.Result, elapsed float64, answer *pg.Answer)
+	// HealthChecked reports the result of a health check; report is empty unless the result is router.Answered.
+	HealthChecked(endpoint int, result router.Result, elapsed float64, report string)
 }
 
-// Pool is all connections to members. Nodes are the module's small indices.
+// Pool holds all connections to backends. Endpoints are named by the router's small indices.
 type Pool struct {
 	loop        loop.Wire
 	limits      *site.Limits
 	blocks      *buffer.Pool
 	results     ResultHandler
 	counters    *count.Counters
-	endpoints   []endpoint
+	endpoints   []endpoint // by index
 	connections int
 }
 
+// endpoint is one row of the endpoint list.
 type endpoint struct {
-	address    netip.AddrPort
-	idle       []*conn // the one used last comes last
-	generation int     // how many members the row had before
+	address    netip.AddrPort // invalid: not known
+	idle       []*conn        // the one used last comes last
+	generation int            // how often the row was released to be used for another endpoint
 }
 
-// New returns a Pool without any.
-func New(l loop.Wire, limits *site.Limits, blocks *buffer.Pool, sink ResultHandler, c *count.Counters) *Pool {
-	return &Pool{loop: l, limits: limits, blocks: blocks, results: sink, counters: c}
+// New returns an empty Pool that reports to results.
+func New(l loop.Wire, limits *site.Limits, blocks *buffer.Pool, results ResultHandler, counters *count.Counters) *Pool {
+	return &Pool{loop: l, limits: limits, blocks: blocks, results: results, counters: counters}
 }
 
-// ConnectionCount is the number of connections.
-func (m *Pool) ConnectionCount() int { return m.connections }
+// ConnectionCount returns the number of connections, those that are still being made included.
+func (p *Pool) ConnectionCount() int { return p.connections }
 
-// EndpointRows is the number of rows, those that were forgotten included.
-func (m *Pool) EndpointRows() int { return len(m.endpoints) }
+// EndpointRows returns the number of endpoint rows, released ones included.
+func (p *Pool) EndpointRows() int { return len(p.endpoints) }
 
-// SetAddress sets a member's address. Connections to an earlier one take nothing new; none are kept to a
-// member that is gone.
-func (m *Pool) SetAddress(node int, at netip.AddrPort, gone bool) {
-	for len(m.endpoints) <= node {
-		m.endpoints = append(m.endpoints, endpoint{})
+// SetAddress sets an endpoint's address. Connections to its earlier address take nothing new, and no idle connection is
+// kept to an endpoint that is gone.
+func (p *Pool) SetAddress(index int, address netip.AddrPort, gone bool) {
+	for len(p.endpoints) <= index {
+		p.endpoints = append(p.endpoints, endpoint{})
 	}
-	h := &m.endpoints[node]
-	if gone || h.address != at {
-		h.closeIdle()
+	e := &p.endpoints[index]
+	if gone || e.address != address {
+		e.closeIdle()
 	}
-	if at.IsValid() {
-		h.address = at
+	if address.IsValid() {
+		e.address = address
 	}
 }
 
-// Release empties a member's row, which another member may get: connections that are still busy end with what
-// they carry.
-func (m *Pool) Release(node int) {
-	m.endpoints[node].closeIdle()
-	m.endpoints[node] = endpoint{generation: m.endpoints[node].generation + 1}
+// Release empties an endpoint's row, which another endpoint may get. Connections that are busy finish what they carry
+// and are closed then.
+func (p *Pool) Release(index int) {
+	e := &p.endpoints[index]
+	e.closeIdle()
+	*e = endpoint{generation: e.generation + 1}
 }
 
-// closeIdle closes the idle connections.
-func (h *endpoint) closeIdle() {
-	for len(h.idle) > 0 {
-		h.idle[len(h.idle)-1].close()
+// CloseSurplus closes the connection that has been idle longest if backends hold more descriptors than are reserved for
+// them, and reports whether it closed one.
+func (p *Pool) CloseSurplus() bool {
+	return p.connections > p.limits.Counts.BackendConnections && p.closeLongestIdle()
+}
+
+// CloseIdle closes all idle connections.
+func (p *Pool) CloseIdle() {
+	for i := range p.endpoints {
+		p.endpoints[i].closeIdle()
+	}
+}
+
+// closeIdle closes the endpoint's idle connections. Each removes itself from the list.
+func (e *endpoint) closeIdle() {
+	for len(e.idle) > 0 {
+		e.idle[len(e.idle)-1].close()
+	}
+}
+
+// remove takes a connection off the idle list.
+func (e *endpoint) remove(c *conn) {
+	if i := slices.Index(e.idle, c); i >= 0 {
+		e.idle = append(e.idle[:i], e.idle[i+1:]...)
 	}
 }
 
-// acquire finds the standing connection that was used last and has rested, or dials. Those that have ended or hold
-// bytes that nobody asked for are dropped, since what is written to them may count as run, or be answered with
-// what belongs to the command before. Either may be on its way when an answer has just come: hence the rest.
-func (m *Pool) acquire(node int) *conn {
-	h, now := &m.endpoints[node], m.loop.Now()
-	for i := len(h.idle) - 1; i >= 0; i-- {
-		c := h.idle[i]
-		if now-c.since < m.limits.Durations.ReuseDelay {
+// acquire returns the idle connection that was used last and has been idle for the reuse delay, or a new one; nil if
+// none can be made. Idle connections that the backend has closed or sent data on are dropped: what is written to such a
+// connection may count as run, or be answered with what belongs to the command before. Either may be under way just
+// after an answer, which is why there is a reuse delay.
+func (p *Pool) acquire(index int) *conn {
+	e := &p.endpoints[index]
+	now := p.loop.Now()
+	for i := len(e.idle) - 1; i >= 0; i-- {
+		c := e.idle[i]
+		if now-c.idleSince < p.limits.Durations.ReuseDelay {
 			continue
 		}
-		if c.pool.loop.Quiet(c.fd) {
-			h.idle = append(h.idle[:i], h.idle[i+1:]...)
+		if p.loop.Quiet(c.fd) {
+			e.remove(c)
 			return c
 		}
 		c.closeUnsolicited()
 	}
-	return m.dial(node)
+	return p.dial(index)
 }
 
-func (m *Pool) dial(node int) *conn {
-	at := m.endpoints[node].address
-	if !at.IsValid() || m.connections >= m.limits.Counts.BackendConnections && m.loop.Open() >= m.limits.Counts.SharedDescriptors && !m.closeLongestIdle() {
+// dial begins a connection; nil if the endpoint has no address, no descriptor is free, or the system refuses one.
+func (p *Pool) dial(index int) *conn {
+	e := &p.endpoints[index]
+	if !e.address.IsValid() || !p.hasDescriptor() {
 		return nil
 	}
-	m.counters.BackendConnects++
-	fd, err := m.loop.Dial(at)
+	p.counters.BackendConnects++
+	fd, err := p.loop.Dial(e.address)
 	if err != nil {
-		m.counters.BackendConnectFailures++
+		p.counters.BackendConnectFailures++
 		return nil
 	}
-	c := &conn{
-		pool: m, endpoint: node, generation: m.endpoints[node].generation, address: at, fd: fd, input: m.blocks.New(), output: m.blocks.New(),
-		answer: pg.Answer{Row: m.blocks.New()},
-	}
-	c.timer = loop.NewTimer(c.timerExpired)
-	if err := m.loop.Add(fd, c, true, true); err != nil {
-		m.loop.Discard(fd)
+	c := newConn(p, index, fd)
+	if err := p.loop.Add(fd, c, true, true); err != nil {
+		p.loop.Discard(fd)
 		return nil
 	}
-	m.connections++
+	p.connections++
 	return c
 }
 
-// CloseSurplus closes an idle connection if members hold more than their own descriptors.
-func (m *Pool) CloseSurplus() bool {
-	return m.connections > m.limits.Counts.BackendConnections && m.closeLongestIdle()
+// hasDescriptor reports whether a connection may be opened: within the descriptors reserved for backends, within those
+// shared with clients, or in place of an idle connection, which it closes.
+func (p *Pool) hasDescriptor() bool {
+	return p.connections < p.limits.Counts.BackendConnections ||
+		p.loop.Open() < p.limits.Counts.SharedDescriptors ||
+		p.closeLongestIdle()
 }
 
-// closeLongestIdle closes the longest idle connection to make room for a new one, and says whether there was one.
-func (m *Pool) closeLongestIdle() bool {
+// closeLongestIdle closes the connection that has been idle longest and reports whether there was one.
+func (p *Pool) closeLongestIdle() bool {
 	var oldest *conn
-	for i := range m.endpoints {
-		if s := m.endpoints[i].idle; len(s) > 0 && (oldest == nil || s[0].since < oldest.since) {
-			oldest = s[0]
+	for i := range p.endpoints {
+		idle := p.endpoints[i].idle
+		if len(idle) > 0 && (oldest == nil || idle[0].idleSince < oldest.idleSince) {
+			oldest = idle[0]
 		}
 	}
 	if oldest == nil {
@@ -139,10 +170,3 @@
 	oldest.close()
 	return true
 }
-
-// CloseIdle ends all idle connections.
-func (m *Pool) CloseIdle() {
-	for i := range m.endpoints {
-		m.endpoints[i].closeIdle()
-	}
-}
