--- a/internal/member/attempt_test.go
+++ b/internal/member/attempt_test.go
@@ -10,71 +10,71 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-func TestStatementIsPassedOnWithTheTimeLeft(t *testing.T) {
-	b := newBench(t)
-	b.send("d=99 rest", 1000)
-	c := b.accept()
+func TestStatementIsForwardedWithTheRemainingWait(t *testing.T) {
+	f := newFixture(t)
+	f.send("d=99 rest", 1000)
+	c := f.accept()
 	want := pg.Query(nil, "d=999999 rest")
-	got := b.hear(c, len(want))
+	got := f.receive(c, len(want))
 	assert.Regexp(t, `^Q\x00\x00\x00\x12d=99\d{4} rest\x00$`, got)
 	_, _ = c.Write(answer("one"))
-	b.run(b.ended(1))
-	assert.Equal(t, []router.Result{router.Answered}, b.endings)
-	assert.Equal(t, []string{"one"}, b.values)
+	f.run(f.hasResults(1))
+	assert.Equal(t, []router.Result{router.Answered}, f.results)
+	assert.Equal(t, []string{"one"}, f.values)
 
-	b.send("d=99 again", far)
-	b.hear(c, 5)
-	assert.Equal(t, 1, b.m.ConnectionCount(), "the connection is used again")
+	f.send("d=99 again", distantDeadline)
+	f.receive(c, 5)
+	assert.Equal(t, 1, f.pool.ConnectionCount(), "the connection is used again")
 }
 
-func TestTimeOutBeforeTheLastByteHasNeverRun(t *testing.T) {
-	b := newBench(t)
-	b.send("d=99", 0.2) // nobody greets
-	b.run(b.ended(1))
-	c, err := b.node.Accept()
+func TestTimeoutBeforeTheLastByteIsConnectFailed(t *testing.T) {
+	f := newFixture(t)
+	f.send("d=99", 0.2) // no answer to the start-up packet
+	f.run(f.hasResults(1))
+	c, err := f.backend.Accept()
 	require.NoError(t, err)
 	_ = c.Close()
-	d := b.send("d=99"+string(make([]byte, 32<<20)), far)
-	c = b.accept()
-	b.hear(c, 5)
-	d.conn.timerExpired() // its time has run out while the member reads no more
-	assert.Equal(t, []router.Result{router.ConnectFailed, router.ConnectFailed}, b.endings)
-	assert.Zero(t, b.m.ConnectionCount())
+	d := f.send("d=99"+string(make([]byte, 32<<20)), distantDeadline)
+	c = f.accept()
+	f.receive(c, 5)
+	d.conn.timerExpired() // its deadline passes while the backend reads no more
+	assert.Equal(t, []router.Result{router.ConnectFailed, router.ConnectFailed}, f.results)
+	assert.Zero(t, f.pool.ConnectionCount())
 }
 
-func TestRecallGoesByTheLastByte(t *testing.T) {
-	b := newBench(t)
-	long := b.send("d=99"+string(make([]byte, 32<<20)), far)
-	c := b.accept()
-	b.hear(c, 5)
+func TestCanceledAttemptIsConnectFailedUntilItsLastByteIsWritten(t *testing.T) {
+	f := newFixture(t)
+	long := f.send("d=99"+string(make([]byte, 32<<20)), distantDeadline)
+	c := f.accept()
+	f.receive(c, 5)
 	require.True(t, long.Unsent())
-	b.m.Cancel(long)
-	b.m.Cancel(long)
-	short := b.send("d=99", far)
-	c = b.accept()
-	b.hear(c, 5)
+	f.pool.Cancel(long)
+	f.pool.Cancel(long)
+	short := f.send("d=99", distantDeadline)
+	c = f.accept()
+	f.receive(c, 5)
 	require.False(t, short.Unsent())
-	b.m.Cancel(short)
-	assert.Equal(t, []router.Result{router.ConnectFailed, router.Canceled}, b.endings)
+	f.pool.Cancel(short)
+	assert.Equal(t, []router.Result{router.ConnectFailed, router.Canceled}, f.results)
 	_, err := io.Copy(io.Discard, c)
-	assert.NoError(t, err, "the connection was closed at once")
-	assert.Zero(t, b.m.ConnectionCount())
+	require.NoError(t, err, "the connection was closed at once")
+	assert.Zero(t, f.pool.ConnectionCount())
 }
 
-func TestSilenceAfterTheLastByteIsATimeOut(t *testing.T) {
-	b := newBench(t)
-	b.send("d=99", 0.3)
-	b.accept()
-	b.run(b.ended(1))
-	assert.Equal(t, []router.Result{router.TimedOut}, b.endings)
-	assert.Zero(t, b.m.ConnectionCount())
+func TestSilenceAfterTheLastByteIsTimedOut(t *testing.T) {
+	f := newFixture(t)
+	f.send("d=99", 0.3)
+	f.accept()
+	f.run(f.hasResults(1))
+	assert.Equal(t, []router.Result{router.TimedOut}, f.results)
+	assert.Zero(t, f.pool.ConnectionCount())
 }
 
-func TestOutcomesByWhatComesBack(t *testing.T) {
+func TestResultFollowsTheAnswer(t *testing.T) {
 	fail := func(code string, fatal bool) []byte { return pg.Error(nil, fatal, code, "", "") }
-	for what, k := range map[string]struct {
-		said   []byte
-		ending router.Result
+	for name, k := range map[string]struct {
+		sent   []byte
+		result router.Result
 		open   int
 	}{
 		"full":           {pg.Ready(fail(pg.CodeFull, false)), router.Overloaded, 1},
@@ -88,22 +88,22 @@
 		"nonsense":       {[]byte("HTTP/1.1 400 Bad Request\r\n\r\n"), router.Errored, 0},
 		"too much":       {append(answer("x"), answer("y")...), router.Answered, 0},
 	} {
-		b := newBench(t)
-		b.send("d=99", far)
-		c := b.accept()
-		b.hear(c, 5)
-		_, _ = c.Write(k.said)
-		b.run(b.ended(1))
-		assert.Equal(t, k.ending, b.endings[0], what)
-		assert.Equal(t, k.open, b.m.ConnectionCount(), what)
+		f := newFixture(t)
+		f.send("d=99", distantDeadline)
+		c := f.accept()
+		f.receive(c, 5)
+		_, _ = c.Write(k.sent)
+		f.run(f.hasResults(1))
+		assert.Equal(t, k.result, f.results[0], name)
+		assert.Equal(t, k.open, f.pool.ConnectionCount(), name)
 	}
-	b := newBench(t)
-	b.send("d=99", far)
-	c := b.accept()
-	b.hear(c, 5)
+	f := newFixture(t)
+	f.send("d=99", distantDeadline)
+	c := f.accept()
+	f.receive(c, 5)
 	_, _ = c.Write(answer("cut short")[:20])
 	_ = c.Close()
-	b.run(b.ended(1))
-	assert.Equal(t, router.ConnectionLost, b.endings[0], "what was not whole reaches nobody")
-	assert.Empty(t, b.values)
+	f.run(f.hasResults(1))
+	assert.Equal(t, router.ConnectionLost, f.results[0], "an incomplete answer is not passed on")
+	assert.Empty(t, f.values)
 }
--- a/internal/member/connection_test.go
+++ b/internal/member/connection_test.go
@@ -9,10 +9,10 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-func TestMemberThatDoesNotGreetProperlyHasRunNothing(t *testing.T) {
-	for what, k := range map[string]struct {
-		said   []byte
-		ending router.Result
+func TestBadStartupAnswerIsConnectFailedOrOverloaded(t *testing.T) {
+	for name, k := range map[string]struct {
+		sent   []byte
+		result router.Result
 	}{
 		"a row":           {answer("x"), router.ConnectFailed},
 		"nonsense":        {[]byte("SSH-2.0-x\r\n"), router.ConnectFailed},
@@ -21,34 +21,34 @@
 		"a password, pls": {pg.Message(nil, 'R', []byte{0, 0, 0, 3}), router.ConnectFailed},
 		"one byte more":   {append(pg.Welcome(nil), 'N'), router.ConnectFailed},
 	} {
-		b := newBench(t)
-		d := b.send("d=99", far)
-		c, err := b.node.Accept()
+		f := newFixture(t)
+		d := f.send("d=99", distantDeadline)
+		c, err := f.backend.Accept()
 		require.NoError(t, err)
-		_, _ = c.Write(k.said)
-		b.run(b.ended(1))
+		_, _ = c.Write(k.sent)
+		f.run(f.hasResults(1))
 		_ = c.Close()
-		assert.Equal(t, k.ending, b.endings[0], what)
+		assert.Equal(t, k.result, f.results[0], name)
 		d.Statement.Free()
-		assert.Zero(t, b.blocks.Out(), what)
+		assert.Zero(t, f.blocks.Out(), name)
 	}
 }
 
-// The order that matters: an answer, the next command, then bytes that belong to no command.
-func TestWhatComesBehindAnAnswerMeetsNoOtherCommand(t *testing.T) {
-	b := newBench(t)
-	b.m.limits.Durations.ReuseDelay = 1000
-	b.send("d=99", far)
-	c := b.accept()
-	b.reply(c, "one")
-	b.send("d=99", far)
-	_, _ = c.Write(answer("one")) // a second copy, while the next command is out
-	other := b.accept()
-	b.reply(other, "two")
-	b.run(func() bool { return b.count.BackendUnsolicited == 1 })
-	assert.Equal(t, []string{"one", "two"}, b.values)
-	b.m.limits.Durations.ReuseDelay = 0
+// The order that matters: an answer, the next attempt, then data that belongs to no attempt.
+func TestUnsolicitedDataReachesNoOtherCommand(t *testing.T) {
+	f := newFixture(t)
+	f.pool.limits.Durations.ReuseDelay = 1000
+	f.send("d=99", distantDeadline)
+	c := f.accept()
+	f.reply(c, "one")
+	f.send("d=99", distantDeadline)
+	_, _ = c.Write(answer("one")) // a second copy, while the next attempt is in flight
+	other := f.accept()
+	f.reply(other, "two")
+	f.run(func() bool { return f.counters.BackendUnsolicited == 1 })
+	assert.Equal(t, []string{"one", "two"}, f.values)
+	f.pool.limits.Durations.ReuseDelay = 0
 	_, _ = other.Write([]byte("noise"))
-	b.run(func() bool { return b.count.BackendUnsolicited == 2 })
-	assert.Zero(t, b.m.ConnectionCount(), "neither connection is used again")
+	f.run(func() bool { return f.counters.BackendUnsolicited == 2 })
+	assert.Zero(t, f.pool.ConnectionCount(), "neither connection is used again")
 }
--- a/internal/member/helper_test.go
+++ b/internal/member/helper_test.go
@@ -17,34 +17,38 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-// bench is Members with one node, whose listener the test works itself.
-type bench struct {
-	t       *testing.T
-	m       *Pool
-	l       *loop.Loop
-	blocks  *buffer.Pool
-	count   count.Counters
-	node    net.Listener
-	endings []router.Result
-	values  []string
-	probes  []router.Result
-	reports []string
+// fixture is a Pool with one endpoint, whose listener the test serves itself, and the results that the Pool reported.
+type fixture struct {
+	t        *testing.T
+	pool     *Pool
+	loop     *loop.Loop
+	blocks   *buffer.Pool
+	counters count.Counters
+	backend  net.Listener
+	results  []router.Result // of attempts
+	values   []string        // of answers to attempts
+	checks   []router.Result // of health checks
+	reports  []string        // of health checks
 }
 
-func (b *bench) AttemptEnded(_ *Attempt, e router.Result, _ float64, a *pg.Answer) {
-	b.endings = append(b.endings, e)
-	if a != nil {
-		b.values = append(b.values, a.Report())
-		a.Row.Free()
+// AttemptEnded implements ResultHandler.
+func (f *fixture) AttemptEnded(_ *Attempt, result router.Result, _ float64, answer *pg.Answer) {
+	f.results = append(f.results, result)
+	if answer != nil {
+		f.values = append(f.values, answer.Report())
+		answer.Row.Free()
 	}
 }
 
-func (b *bench) HealthChecked(_ int, ending router.Result, _ float64, report string) {
-	b.probes, b.reports = append(b.probes, ending), append(b.reports, report)
+// HealthChecked implements ResultHandler.
+func (f *fixture) HealthChecked(_ int, result router.Result, _ float64, report string) {
+	f.checks = append(f.checks, result)
+	f.reports = append(f.reports, report)
 }
 
-func listener(t *testing.T) net.Listener {
-	// Small receive buffers, so that a long statement cannot be written whole to a member that does not read.
+// listen returns a listener with small receive buffers, so that a long statement cannot be written completely to a
+// backend that does not read.
+func listen(t *testing.T) net.Listener {
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
@@ -56,10 +60,11 @@
 	return n
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, blocks: buffer.NewPool(4096, 1<<20), node: listener(t)}
+// newFixture returns a Pool whose endpoint 0 is the fixture's listener.
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{t: t, blocks: buffer.NewPool(4096, 1<<20), backend: listen(t)}
 	var err error
-	b.l, err = loop.New(16)
+	f.loop, err = loop.New(16)
 	require.NoError(t, err)
 	limits := &site.Limits{
 		Sizes: site.Sizes{
@@ -72,44 +77,47 @@
 			ConnectTimeout: 30, HealthCheckTimeout: 30, BackendIdleTimeout: 60,
 		},
 	}
-	b.m = New(b.l, limits, b.blocks, b, &b.count)
-	b.place(b.node)
-	return b
+	f.pool = New(f.loop, limits, f.blocks, f, &f.counters)
+	f.setAddress(f.backend)
+	return f
 }
 
-func (b *bench) place(n net.Listener) {
-	b.m.SetAddress(0, netip.MustParseAddrPort(n.Addr().String()), false)
+// setAddress gives endpoint 0 the address of a listener.
+func (f *fixture) setAddress(n net.Listener) {
+	f.pool.SetAddress(0, netip.MustParseAddrPort(n.Addr().String()), false)
 }
 
-func (b *bench) send(text string, until float64) *Attempt {
-	c := b.blocks.New()
+// send sends a statement whose waiting time is the two digits after its first two bytes.
+func (f *fixture) send(text string, deadline float64) *Attempt {
+	c := f.blocks.New()
 	c.Write([]byte(text + "\x00"))
-	d := &Attempt{Statement: &c, WaitStart: 2, WaitEnd: 4, Deadline: until}
-	b.m.Send(d)
-	return d
+	attempt := &Attempt{Statement: &c, WaitStart: 2, WaitEnd: 4, Deadline: deadline}
+	f.pool.Send(attempt)
+	return attempt
 }
 
-// run turns the loop until something holds.
-func (b *bench) run(until func() bool) {
-	b.t.Helper()
+// run runs the event loop until the condition holds.
+func (f *fixture) run(until func() bool) {
+	f.t.Helper()
 	late := time.Now().Add(20 * time.Second)
-	require.NoError(b.t, b.l.Run(func(now float64) float64 {
+	require.NoError(f.t, f.loop.Run(func(now float64) float64 {
 		if until() || time.Now().After(late) {
-			b.l.Stop()
+			f.loop.Stop()
 		}
 		return now + 0.002
 	}))
-	require.True(b.t, until(), "waited for in vain")
+	require.True(f.t, until(), "waited for in vain")
 }
 
-func (b *bench) ended(n int) func() bool { return func() bool { return len(b.endings) == n } }
+// hasResults returns the condition that so many attempts have ended.
+func (f *fixture) hasResults(n int) func() bool { return func() bool { return len(f.results) == n } }
 
-// accept takes the member's side of a connection and greets, while the loop turns.
-func (b *bench) accept() net.Conn {
-	b.t.Helper()
+// accept accepts a connection as the backend and answers its start-up packet.
+func (f *fixture) accept() net.Conn {
+	f.t.Helper()
 	done := make(chan net.Conn, 1)
 	go func() {
-		c, err := b.node.Accept()
+		c, err := f.backend.Accept()
 		if err == nil {
 			_, _ = io.ReadFull(c, make([]byte, len(pg.Hello(nil))))
 			_, _ = c.Write(pg.Welcome(nil))
@@ -117,49 +125,50 @@
 		done <- c
 	}()
 	var c net.Conn
-	b.run(func() bool {
+	f.run(func() bool {
 		select {
 		case c = <-done:
 		default:
 		}
 		return c != nil
 	})
-	b.t.Cleanup(func() { _ = c.Close() })
+	f.t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
-// hear reads what the member is sent.
-func (b *bench) hear(c net.Conn, n int) string {
-	b.t.Helper()
+// receive reads n bytes as the backend.
+func (f *fixture) receive(c net.Conn, n int) string {
+	f.t.Helper()
 	got := make(chan string, 1)
 	go func() {
-		text := make([]byte, n)
-		_, _ = io.ReadFull(c, text)
-		got <- string(text)
+		buf := make([]byte, n)
+		_, _ = io.ReadFull(c, buf)
+		got <- string(buf)
 	}()
-	said := ""
-	b.run(func() bool {
+	text := ""
+	f.run(func() bool {
 		select {
-		case said = <-got:
+		case text = <-got:
 		default:
 		}
-		return said != ""
+		return text != ""
 	})
-	return said
+	return text
 }
 
-// reply answers a dispatch once it has come.
-func (b *bench) reply(c net.Conn, value string) {
-	b.t.Helper()
-	b.hear(c, 5)
+// reply answers an attempt once it has come.
+func (f *fixture) reply(c net.Conn, value string) {
+	f.t.Helper()
+	f.receive(c, 5)
 	_, _ = c.Write(answer(value))
-	b.run(b.ended(len(b.endings) + 1))
+	f.run(f.hasResults(len(f.results) + 1))
 }
 
+// answer returns the messages of an answer with one row.
 func answer(value string) []byte {
 	a := pg.Message(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
 	a = pg.Message(a, 'D', []byte{0, 1, 0, 0, 0, byte(len(value))}, []byte(value))
 	return pg.Ready(pg.Message(a, 'C', []byte("x\x00")))
 }
 
-const far = 1e6 // seconds
+const distantDeadline = 1e6 // seconds, on the event loop's clock
--- a/internal/member/pool_test.go
+++ b/internal/member/pool_test.go
@@ -8,65 +8,65 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-func TestEndedConnectionIsNotUsedAgain(t *testing.T) {
-	b := newBench(t)
-	b.send("d=99", far)
-	c := b.accept()
-	b.reply(c, "one")
+func TestClosedConnectionIsNotReused(t *testing.T) {
+	f := newFixture(t)
+	f.send("d=99", distantDeadline)
+	c := f.accept()
+	f.reply(c, "one")
 	_ = c.Close()
-	b.send("d=99", far) // before the loop has seen the end
-	b.reply(b.accept(), "two")
-	assert.Equal(t, []router.Result{router.Answered, router.Answered}, b.endings)
-	assert.EqualValues(t, 2, b.count.BackendConnects)
+	f.send("d=99", distantDeadline) // before the loop has seen the end
+	f.reply(f.accept(), "two")
+	assert.Equal(t, []router.Result{router.Answered, router.Answered}, f.results)
+	assert.EqualValues(t, 2, f.counters.BackendConnects)
 }
 
-func TestChangedAddressTakesNothingNewOnOldConnections(t *testing.T) {
-	b := newBench(t)
-	b.send("d=99", far)
-	b.reply(b.accept(), "one")
-	b.node = listener(t)
-	b.place(b.node)
-	assert.Zero(t, b.m.ConnectionCount(), "the idle one is closed")
-	b.send("d=98", far)
-	c := b.accept()
-	b.node = listener(t)
-	b.place(b.node)
-	assert.Equal(t, 1, b.m.ConnectionCount(), "the busy one ends first")
-	b.reply(c, "two")
-	assert.Zero(t, b.m.ConnectionCount())
-	b.send("d=97", far)
-	b.reply(b.accept(), "three")
-	assert.Equal(t, []string{"one", "two", "three"}, b.values)
+func TestConnectionsToAnEarlierAddressTakeNothingNew(t *testing.T) {
+	f := newFixture(t)
+	f.send("d=99", distantDeadline)
+	f.reply(f.accept(), "one")
+	f.backend = listen(t)
+	f.setAddress(f.backend)
+	assert.Zero(t, f.pool.ConnectionCount(), "the idle one is closed")
+	f.send("d=98", distantDeadline)
+	c := f.accept()
+	f.backend = listen(t)
+	f.setAddress(f.backend)
+	assert.Equal(t, 1, f.pool.ConnectionCount(), "the busy one ends first")
+	f.reply(c, "two")
+	assert.Zero(t, f.pool.ConnectionCount())
+	f.send("d=97", distantDeadline)
+	f.reply(f.accept(), "three")
+	assert.Equal(t, []string{"one", "two", "three"}, f.values)
 }
 
-func TestIdleConnectionMakesRoomForANewOne(t *testing.T) {
-	b := newBench(t)
-	b.m.limits.Counts.BackendConnections = 1
-	b.m.limits.Counts.SharedDescriptors = 2 // the loop's own and one
-	b.send("d=99", far)
-	c := b.accept()
-	b.m.CheckHealth(0)
-	assert.Equal(t, []router.Result{router.ConnectFailed}, b.probes, "the one place is taken")
-	b.reply(c, "one")
-	other := listener(t)
-	b.m.SetAddress(1, netip.MustParseAddrPort(other.Addr().String()), false)
-	b.m.CheckHealth(1)
-	assert.Len(t, b.probes, 1)
-	assert.Equal(t, 1, b.m.ConnectionCount())
-	b.m.limits.Counts.SharedDescriptors = 3
-	b.m.CheckHealth(1)
-	assert.Equal(t, 2, b.m.ConnectionCount(), "beyond its own where descriptors are free")
+func TestIdleConnectionIsClosedForANewOne(t *testing.T) {
+	f := newFixture(t)
+	f.pool.limits.Counts.BackendConnections = 1
+	f.pool.limits.Counts.SharedDescriptors = 2 // the event loop's own and one
+	f.send("d=99", distantDeadline)
+	c := f.accept()
+	f.pool.CheckHealth(0)
+	assert.Equal(t, []router.Result{router.ConnectFailed}, f.checks, "the one descriptor is in use")
+	f.reply(c, "one")
+	other := listen(t)
+	f.pool.SetAddress(1, netip.MustParseAddrPort(other.Addr().String()), false)
+	f.pool.CheckHealth(1)
+	assert.Len(t, f.checks, 1)
+	assert.Equal(t, 1, f.pool.ConnectionCount())
+	f.pool.limits.Counts.SharedDescriptors = 3
+	f.pool.CheckHealth(1)
+	assert.Equal(t, 2, f.pool.ConnectionCount(), "beyond its own where descriptors are free")
 }
 
-func TestForgottenMemberLeavesNothing(t *testing.T) {
-	b := newBench(t)
-	b.send("d=99", far)
-	c := b.accept()
-	b.reply(c, "one")
-	b.send("d=98", far)
-	b.m.Release(0)
-	b.reply(c, "late")
-	assert.Zero(t, b.m.ConnectionCount(), "one that was busy is not kept for whoever has the row next")
-	b.m.CheckHealth(0)
-	assert.Equal(t, []router.Result{router.ConnectFailed}, b.probes, "no address is left")
+func TestReleasedEndpointKeepsNoConnection(t *testing.T) {
+	f := newFixture(t)
+	f.send("d=99", distantDeadline)
+	c := f.accept()
+	f.reply(c, "one")
+	f.send("d=98", distantDeadline)
+	f.pool.Release(0)
+	f.reply(c, "late")
+	assert.Zero(t, f.pool.ConnectionCount(), "one that was busy is not kept for whoever has the row next")
+	f.pool.CheckHealth(0)
+	assert.Equal(t, []router.Result{router.ConnectFailed}, f.checks, "no address is left")
 }
