--- a/internal/hand/simulation_fleet_test.go
+++ b/internal/hand/simulation_fleet_test.go
@@ -119,7 +119,7 @@
 	default:
 		s.disturbEndpoint(&s.endpoints[at])
 	}
-	if !s.site.PollList || s.following {
+	if !s.config.PollList || s.following {
 		s.after(s.of(0.01, 0.1, 1), func() { s.publish(at) })
 	}
 }
@@ -165,9 +165,9 @@
 }
 
 func (s *simulation) list(l []router.EndpointInfo, whole, cached bool) {
-	s.note(callListed, s.now, flagged(whole), flagged(cached), float64(len(l)))
+	s.note(callUpdateEndpoints, s.now, flagged(whole), flagged(cached), float64(len(l)))
 	for _, e := range l {
-		s.note(callListed, float64(e.Index), float64(e.Shard), float64(e.Zone), float64(e.State), e.StartedAt, flagged(e.Primary))
+		s.note(callUpdateEndpoints, float64(e.Index), float64(e.Shard), float64(e.Zone), float64(e.State), e.StartedAt, flagged(e.Primary))
 	}
-	s.hand.UpdateEndpoints(s.now, l, whole, cached)
+	s.tracker.UpdateEndpoints(s.now, l, whole, cached)
 }
--- a/internal/hand/simulation_test.go
+++ b/internal/hand/simulation_test.go
@@ -32,17 +32,17 @@
 
 // Calls to the module, and its calls to what carries its decisions out.
 const (
-	callTake call = iota
-	callLeft
-	callEnded
-	callListed
+	callAdd call = iota
+	callClientGone
+	callAttemptEnded
+	callUpdateEndpoints
 	callListFailed
-	callProbed
-	callSettle
-	callMove
-	callDispatch
-	callRecall
-	callThrottle
+	callHealthChecked
+	callReviewDue
+	callSwitchRouter
+	callForward
+	callCancel
+	callReject
 	callFail
 )
 
@@ -126,12 +126,12 @@
 type simulation struct {
 	*random
 	digest
-	now    float64
-	queue  events
-	order  int
-	site   router.Config
-	router *router.Router // the one in force
-	hand   *hand.Tracker
+	now     float64
+	queue   events
+	order   int
+	config  router.Config
+	router  *router.Router // the one in force
+	tracker *hand.Tracker
 	// The time by which the module wants to be asked again. A flood asks no sooner, others after every event.
 	reviewAt float64
 	nextID   uint32
@@ -154,12 +154,12 @@
 	s.flood = seed == floodSeed
 	s.drawTraffic()
 	s.drawFleet()
-	s.site = s.drawSite()
+	s.config = s.drawConfig()
 	if s.flood {
 		s.settleFlood()
 	}
-	s.router = router.New(s.site, s.next())
-	s.hand = hand.New(s.router, s)
+	s.router = router.New(s.config, s.next())
+	s.tracker = hand.New(s.router, s)
 	s.publishAll(s.chance(0.5))
 	s.after(0, s.arrive)
 	s.after(s.exponential(s.turbulence), s.disturb)
@@ -193,9 +193,9 @@
 }
 
 func (s *simulation) review() {
-	next, upkeep := s.hand.ReviewDue(s.now)
-	s.note(callSettle, s.now, next, float64(s.hand.Len()), flagged(upkeep.Subscribe))
-	s.maintain(upkeep)
+	next, due := s.tracker.ReviewDue(s.now)
+	s.note(callReviewDue, s.now, next, float64(s.tracker.Len()), flagged(due.Subscribe))
+	s.maintain(due)
 	step := leastStep
 	if s.flood {
 		step = floodStep
@@ -204,17 +204,17 @@
 }
 
 // maintain carries out what the module wants done besides commands.
-func (s *simulation) maintain(upkeep router.Maintenance) {
-	for _, at := range upkeep.HealthCheck {
-		s.note(callProbed, float64(at))
+func (s *simulation) maintain(due router.Maintenance) {
+	for _, at := range due.HealthCheck {
+		s.note(callHealthChecked, float64(at))
 		s.probe(at)
 	}
-	for _, at := range upkeep.Release {
-		s.note(callProbed, float64(at), -1)
+	for _, at := range due.Release {
+		s.note(callHealthChecked, float64(at), -1)
 		s.endpoints[at].released = true
 		s.free = append(s.free, at)
 	}
-	if upkeep.Subscribe {
+	if due.Subscribe {
 		s.after(s.between(0.01, 0.4), s.answerList)
 	}
 }
@@ -238,14 +238,14 @@
 func (s *simulation) probe(at int) {
 	e := &s.endpoints[at]
 	took := s.between(0.0005, 0.02)
-	ending, position := router.Answered, e.position(s.now, s.site.PositionEpoch)
+	result, position := router.Answered, e.position(s.now, s.config.PositionEpoch)
 	switch e.condition {
 	case unreachable, hung:
-		ending, took = s.failedProbe(), s.site.ConnectTimeout
+		result, took = s.failedProbe(), s.config.ConnectTimeout
 	case refusing:
-		ending = router.Overloaded
+		result = router.Overloaded
 	case erring:
-		ending = router.Errored
+		result = router.Errored
 	case serving, breaking, slow:
 	}
 	if s.chance(0.1) {
@@ -253,8 +253,8 @@
 	}
 	primary := e.primary
 	s.after(took, func() {
-		s.note(callProbed, s.now, float64(at), float64(ending), took, position, flagged(primary))
-		s.router.HealthChecked(s.now, at, ending, took, position, primary)
+		s.note(callHealthChecked, s.now, float64(at), float64(result), took, position, flagged(primary))
+		s.router.HealthChecked(s.now, at, result, took, position, primary)
 	})
 }
 
@@ -267,11 +267,11 @@
 
 // move puts other settings in force.
 func (s *simulation) move() {
-	s.site = s.drawSite()
+	s.config = s.drawConfig()
 	seed := s.next()
-	s.note(callMove, s.now, float64(seed>>11)) // what a float64 holds of it
-	s.router = router.New(s.site, seed)
-	s.hand.SwitchRouter(s.now, s.router)
+	s.note(callSwitchRouter, s.now, float64(seed>>11)) // what a float64 holds of it
+	s.router = router.New(s.config, seed)
+	s.tracker.SwitchRouter(s.now, s.router)
 	if s.chance(0.5) {
 		s.after(s.of(0.2, 2, 20), s.move)
 	}
--- a/internal/hand/simulation_traffic_test.go
+++ b/internal/hand/simulation_traffic_test.go
@@ -6,9 +6,9 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// drawSite draws settings, among them those at the edges of what is allowed.
-func (s *simulation) drawSite() router.Config {
-	site := router.Config{
+// drawConfig draws settings, among them those at the edges of what is allowed.
+func (s *simulation) drawConfig() router.Config {
+	config := router.Config{
 		TotalWeight: s.of(0, 1, 1), WorstGroupWeight: s.of(0, 0.5, 2),
 		RouterCount: int(s.of(0, 1, 1, 3, 20, 300)), Instance: s.intn(20), Zone: s.intn(4) - 1,
 		BatchInterval: s.of(0, 0.001, 0.005, 0.02), PositionEpoch: s.of(0, 50),
@@ -19,9 +19,9 @@
 		SlowStart: s.of(0.5, 2, 10), OverloadFactor: s.of(1.2, 2), OverloadWindow: s.of(0.2, 2),
 	}
 	for range 2 + s.intn(6) {
-		site.CommandGroups = append(site.CommandGroups, s.drawGroup())
+		config.CommandGroups = append(config.CommandGroups, s.drawGroup())
 	}
-	return site
+	return config
 }
 
 func (s *simulation) drawGroup() router.CommandGroup {
@@ -58,9 +58,9 @@
 	}
 	read := write
 	read.Consistency = router.SessionConsistent
-	s.site.CommandGroups = []router.CommandGroup{write, write, write, read}
-	s.site.RouterCount, s.site.MaxAttempts, s.site.HealthChecks = 1, 6, true
-	s.site.PollList, s.site.ClientTokens, s.site.LoadReports = false, false, true
+	s.config.CommandGroups = []router.CommandGroup{write, write, write, read}
+	s.config.RouterCount, s.config.MaxAttempts, s.config.HealthChecks = 1, 6, true
+	s.config.PollList, s.config.ClientTokens, s.config.LoadReports = false, false, true
 }
 
 // arrive takes a command in.
@@ -69,14 +69,14 @@
 	if !s.flood && s.chance(0.001) {
 		s.gap = s.of(0.001, 0.005, 0.02, 0.1) // traffic rises and falls
 	}
-	at := s.intn(len(s.site.CommandGroups))
-	g := &s.site.CommandGroups[at]
+	at := s.intn(len(s.config.CommandGroups))
+	g := &s.config.CommandGroups[at]
 	arrived := s.now - s.of(0, 0, 0.001, 0.02)
 	c := router.Command{
 		Group: at, Shard: s.intn(s.shards), ArrivedAt: arrived, ClientDeadline: arrived + g.ClientTimeout*s.of(1, 1, 1, 0.5),
 		Session: uint64(s.intn(s.sessions + 1)), ClientRetry: s.chance(0.1),
 	}
-	if s.site.ClientTokens {
+	if s.config.ClientTokens {
 		c.LastWriteAge = s.of(0, 0.01, 0.2, 3, -0.01)
 	}
 	if s.chance(0.002) {
@@ -90,13 +90,13 @@
 			c.Session = uint64(1 + s.intn(int(id)))
 		}
 	}
-	s.note(callTake, s.now, float64(id), float64(c.Group), float64(c.Shard), float64(c.Session), c.ArrivedAt, c.ClientDeadline,
+	s.note(callAdd, s.now, float64(id), float64(c.Group), float64(c.Shard), float64(c.Session), c.ArrivedAt, c.ClientDeadline,
 		c.LastWriteAge, flagged(c.ClientRetry))
-	s.hand.Add(s.now, id, c)
+	s.tracker.Add(s.now, id, c)
 	if s.chance(s.leavers) {
 		s.after(s.between(0, 1.2*g.ClientTimeout), func() {
-			s.note(callLeft, s.now, float64(id))
-			s.hand.ClientGone(s.now, id)
+			s.note(callClientGone, s.now, float64(id))
+			s.tracker.ClientGone(s.now, id)
 		})
 	}
 }
@@ -104,19 +104,19 @@
 // end hands in how an attempt ended, after a while.
 func (s *simulation) end(id uint32, o router.AttemptResult, delay float64) {
 	s.after(delay, func() {
-		s.note(callEnded, s.now, float64(id), float64(o.Attempt), float64(o.Result), o.Elapsed, flagged(o.Final), o.Position,
+		s.note(callAttemptEnded, s.now, float64(id), float64(o.Attempt), float64(o.Result), o.Elapsed, flagged(o.Final), o.Position,
 			float64(o.Role))
-		s.hand.AttemptEnded(s.now, id, o)
+		s.tracker.AttemptEnded(s.now, id, o)
 	})
 }
 
 // Dispatch sends an attempt to a simulated server.
-func (s *simulation) Forward(id uint32, leg, node int, until float64) {
-	s.note(callDispatch, float64(id), float64(leg), float64(node), until)
+func (s *simulation) Forward(id uint32, attempt, node int, until float64) {
+	s.note(callForward, float64(id), float64(attempt), float64(node), until)
 	o := s.outcome(&s.endpoints[node])
-	o.Attempt = leg
+	o.Attempt = attempt
 	if left := until - s.now; o.Elapsed >= left {
-		o = router.AttemptResult{Attempt: leg, Result: router.TimedOut, Elapsed: math.Max(0, left), Position: -1}
+		o = router.AttemptResult{Attempt: attempt, Result: router.TimedOut, Elapsed: math.Max(0, left), Position: -1}
 	}
 	s.end(id, o, o.Elapsed)
 }
@@ -126,7 +126,7 @@
 	failed := router.AttemptResult{Elapsed: s.between(0.0005, 0.01), Position: -1}
 	switch e.condition {
 	case unreachable:
-		failed.Result, failed.Elapsed = router.ConnectFailed, s.of(0.001, s.site.ConnectTimeout)
+		failed.Result, failed.Elapsed = router.ConnectFailed, s.of(0.001, s.config.ConnectTimeout)
 		return failed
 	case hung:
 		failed.Result, failed.Elapsed = router.TimedOut, math.Inf(1)
@@ -160,8 +160,8 @@
 	if o.Elapsed > 1 {
 		return router.AttemptResult{Result: router.Overloaded, Elapsed: 0.001, Position: -1}
 	}
-	if s.site.LoadReports || s.chance(0.3) {
-		o.Position = e.position(s.now, s.site.PositionEpoch)
+	if s.config.LoadReports || s.chance(0.3) {
+		o.Position = e.position(s.now, s.config.PositionEpoch)
 		o.Role = router.RoleReplica
 		if e.primary {
 			o.Role = router.RolePrimary
@@ -174,14 +174,14 @@
 }
 
 // Recall calls an attempt off: the server stops, or was quicker.
-func (s *simulation) Cancel(id uint32, leg int) {
-	s.note(callRecall, float64(id), float64(leg))
-	s.end(id, router.AttemptResult{Attempt: leg, Result: router.Canceled, Elapsed: s.between(0.001, 0.05), Position: -1}, s.between(0, 0.02))
+func (s *simulation) Cancel(id uint32, attempt int) {
+	s.note(callCancel, float64(id), float64(attempt))
+	s.end(id, router.AttemptResult{Attempt: attempt, Result: router.Canceled, Elapsed: s.between(0.001, 0.05), Position: -1}, s.between(0, 0.02))
 }
 
 // Throttle turns a command away.
-func (s *simulation) Reject(id uint32, comeBack float64) {
-	s.note(callThrottle, float64(id), comeBack)
+func (s *simulation) Reject(id uint32, retryAfter float64) {
+	s.note(callReject, float64(id), retryAfter)
 }
 
 // Fail ends a command with an error.
--- a/internal/hand/tracker.go
+++ b/internal/hand/tracker.go
@@ -1,183 +1,161 @@
-// Package hand keeps the commands in hand and the times at which the module wants to be asked about
-// them again. It drives the module's calls and decides nothing; what carries the decisions out, a
-// simulator's wire or sockets, stands behind Executor.
+// Package hand keeps the commands in flight and the times at which the router wants to review them. It makes the
+// router's calls and decides nothing; what carries the decisions out, the simulator's wire or sockets, is an Executor.
 package hand
 
 import (
-	"container/heap"
-	"math"
 	"slices"
 
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// Executor carries out what the module decides. Its calls must not call the hand.
+// Executor carries out the router's decisions on a command. Its methods must not call the Tracker.
 type Executor interface {
-	Forward(id uint32, leg, node int, until float64)
-	Cancel(id uint32, leg int)
-	Reject(id uint32, comeBack float64)
+	// Forward sends an attempt, numbered from 0 for each command, to an endpoint. It times out at a time.
+	Forward(id uint32, attempt, endpoint int, deadline float64)
+	// Cancel cancels an attempt that was forwarded. Its end is still to be told to AttemptEnded.
+	Cancel(id uint32, attempt int)
+	// Reject answers that the command is given up and may be retried, after so many seconds if they are not 0.
+	Reject(id uint32, retryAfter float64)
+	// Fail answers that the command is given up and may have run.
 	Fail(id uint32)
 }
 
-// command is one that still has an answer or a dispatch to come.
+// command is a command that still has an answer or the end of an attempt to come.
 type command struct {
 	router.Command
-	router *router.Router // that took it, and decides to its end
-	id     uint32
-	asked  float64 // the next time to ask about it
-	done   bool
+	router   *router.Router // which took it, and decides on it to its end
+	id       uint32
+	reviewAt float64 // the review that counts; earlier requests are passed over
+	answered bool    // has had its final answer, or needs none
 }
 
-// Tracker is one router's commands.
+func (c *command) hasAttemptInFlight() bool {
+	return slices.ContainsFunc(c.Attempts, func(a router.Attempt) bool { return a.InFlight })
+}
+
+// Tracker is the commands in flight of one router. It is not safe for concurrent use. Times are in seconds and must
+// not go back.
 type Tracker struct {
-	router *router.Router   // takes what comes
-	past   []*router.Router // under earlier settings, with commands in hand
-	out    Executor
-	cmds   map[uint32]*command
-	dues   dues
-	seq    uint64
+	router   *router.Router   // takes new commands
+	earlier  []*router.Router // of earlier settings, with commands in flight
+	executor Executor
+	commands map[uint32]*command
+	reviews  reviewQueue
 }
 
-// New returns a hand without commands.
-func New(r *router.Router, out Executor) *Tracker {
-	return &Tracker{router: r, out: out, cmds: map[uint32]*command{}}
+// New returns a tracker without commands.
+func New(r *router.Router, executor Executor) *Tracker {
+	return &Tracker{router: r, executor: executor, commands: map[uint32]*command{}}
 }
 
-// Len is the number of commands in hand.
-func (h *Tracker) Len() int { return len(h.cmds) }
+// Len is the number of commands in flight.
+func (t *Tracker) Len() int { return len(t.commands) }
 
-// Add takes a command in. Ids never come twice.
-func (h *Tracker) Add(now float64, id uint32, cmd router.Command) {
-	c := &command{id: id, Command: cmd, router: h.router}
-	h.cmds[id] = c
-	h.carry(c, c.router.Route(now, &c.Command))
+// Add takes in a command. An id must not be used again.
+func (t *Tracker) Add(now float64, id uint32, cmd router.Command) {
+	c := &command{id: id, Command: cmd, router: t.router}
+	t.commands[id] = c
+	t.execute(c, c.router.Route(now, &c.Command))
 }
 
-// SwitchRouter has a fresh router take what comes from here on, with what the present one has learnt that still means
-// the same. What is in hand ends by the present one.
-func (h *Tracker) SwitchRouter(now float64, fresh *router.Router) {
-	fresh.MigrateFrom(now, h.router)
-	h.past = append(h.past, h.router)
-	h.router = fresh
+// SwitchRouter has a fresh router take new commands, with what the present one has learned that still means the same.
+// What is in flight ends by the present one.
+func (t *Tracker) SwitchRouter(now float64, fresh *router.Router) {
+	fresh.MigrateFrom(now, t.router)
+	t.earlier = append(t.earlier, t.router)
+	t.router = fresh
 }
 
-// UpdateEndpoints takes in the list, for whichever router has commands in hand.
-func (h *Tracker) UpdateEndpoints(now float64, list []router.EndpointInfo, whole, cached bool) {
-	h.router.UpdateEndpoints(now, list, whole, cached)
-	for _, r := range h.past {
-		r.UpdateEndpoints(now, list, whole, cached)
+// UpdateEndpoints hands the endpoint list to every router that has commands in flight; see router.UpdateEndpoints.
+func (t *Tracker) UpdateEndpoints(now float64, list []router.EndpointInfo, complete, cached bool) {
+	t.router.UpdateEndpoints(now, list, complete, cached)
+	for _, r := range t.earlier {
+		r.UpdateEndpoints(now, list, complete, cached)
 	}
 }
 
-// ClientGone takes in that a command's client has gone.
-func (h *Tracker) ClientGone(now float64, id uint32) {
-	if c := h.cmds[id]; c != nil && !c.done {
-		c.done = true
-		h.carry(c, router.Decision{Action: router.None, CancelAttempt: c.router.ClientGone(now, &c.Command)})
-		h.release(c)
+// ClientGone takes in that the client of a command has gone. It may be called for a command that has ended.
+func (t *Tracker) ClientGone(now float64, id uint32) {
+	c := t.commands[id]
+	if c == nil || c.answered {
+		return
 	}
+	c.answered = true
+	t.execute(c, router.Decision{Action: router.None, CancelAttempt: c.router.ClientGone(now, &c.Command)})
+	t.release(c)
 }
 
-// AttemptEnded takes in how a dispatch ended; an outcome that nobody waits for is passed over.
-func (h *Tracker) AttemptEnded(now float64, id uint32, o router.AttemptResult) {
-	c := h.cmds[id]
-	if c == nil || o.Attempt >= len(c.Attempts) || !c.Attempts[o.Attempt].InFlight {
+// AttemptEnded takes in how an attempt ended. A result that nobody waits for is passed over.
+func (t *Tracker) AttemptEnded(now float64, id uint32, result router.AttemptResult) {
+	c := t.commands[id]
+	if c == nil || result.Attempt >= len(c.Attempts) || !c.Attempts[result.Attempt].InFlight {
 		return
 	}
-	o.Final = o.Final || c.done
-	a := c.router.AttemptEnded(now, &c.Command, o)
-	if c.router != h.router {
-		h.router.LearnFrom(&c.Command, c.router)
+	result.Final = result.Final || c.answered
+	decision := c.router.AttemptEnded(now, &c.Command, result)
+	if c.router != t.router {
+		t.router.LearnFrom(&c.Command, c.router)
 	}
-	c.done = c.done || o.Final
-	h.carry(c, a)
-	h.release(c)
+	c.answered = c.answered || result.Final
+	t.execute(c, decision)
+	t.release(c)
 }
 
-// ReviewDue asks about all that is due and returns when to settle next, and the upkeep due now.
-func (h *Tracker) ReviewDue(now float64) (float64, router.Maintenance) {
-	for len(h.dues) > 0 && h.dues[0].at <= now {
-		d := heap.Pop(&h.dues).(due)
-		if !d.cmd.done && d.cmd.asked == d.at {
-			h.carry(d.cmd, d.cmd.router.Route(now, &d.cmd.Command))
+// ReviewDue makes all reviews that are due. It returns when to call it next at the latest, and the maintenance that
+// is due now.
+func (t *Tracker) ReviewDue(now float64) (float64, router.Maintenance) {
+	for t.reviews.nextAt() <= now {
+		r := t.reviews.pop()
+		if c := r.command; !c.answered && c.reviewAt == r.at {
+			t.execute(c, c.router.Route(now, &c.Command))
 		}
 	}
-	h.past = slices.DeleteFunc(h.past, func(r *router.Router) bool {
-		for _, c := range h.cmds {
-			if c.router == r {
-				return false
-			}
+	t.earlier = slices.DeleteFunc(t.earlier, func(r *router.Router) bool { return !t.hasCommandsOf(r) })
+	wait, maintenance := t.router.Maintain(now) // endpoints are the present router's to look after
+	return min(now+wait, t.reviews.nextAt()), maintenance
+}
+
+func (t *Tracker) hasCommandsOf(r *router.Router) bool {
+	for _, c := range t.commands {
+		if c.router == r {
+			return true
 		}
-		return true
-	})
-	pause, keep := h.router.Maintain(now) // the fleet is the present one's to look after
-	next := now + pause
-	if len(h.dues) > 0 {
-		next = math.Min(next, h.dues[0].at)
 	}
-	return next, keep
+	return false
 }
 
-// release forgets a command with nothing more to come.
-func (h *Tracker) release(c *command) {
-	if !c.done {
-		return
-	}
-	for i := range c.Attempts {
-		if c.Attempts[i].InFlight {
-			return
-		}
+// release forgets a command that has nothing more to come.
+func (t *Tracker) release(c *command) {
+	if c.answered && !c.hasAttemptInFlight() {
+		delete(t.commands, c.id)
 	}
-	delete(h.cmds, c.id)
 }
 
-// carry has one answer carried out.
-func (h *Tracker) carry(c *command, a router.Decision) {
-	if a.CancelAttempt >= 0 {
-		h.out.Cancel(c.id, a.CancelAttempt)
+// execute has a decision carried out and books its review.
+func (t *Tracker) execute(c *command, d router.Decision) {
+	if d.CancelAttempt >= 0 {
+		t.executor.Cancel(c.id, d.CancelAttempt)
 	}
-	if c.done {
+	if c.answered {
 		return
 	}
-	switch a.Action {
+	switch d.Action {
 	case router.Forward:
-		h.out.Forward(c.id, len(c.Attempts)-1, a.Endpoint, a.AttemptDeadline)
+		t.executor.Forward(c.id, len(c.Attempts)-1, d.Endpoint, d.AttemptDeadline)
 	case router.Reject:
-		c.done = true
-		h.out.Reject(c.id, a.RetryAfter)
+		c.answered = true
+		t.executor.Reject(c.id, d.RetryAfter)
 	case router.Fail:
-		c.done = true
-		h.out.Fail(c.id)
+		c.answered = true
+		t.executor.Fail(c.id)
+	case router.Wait, router.None:
 	}
-	if c.done {
-		h.release(c)
+	if c.answered {
+		t.release(c)
 		return
 	}
-	if a.ReviewAt > 0 {
-		c.asked = a.ReviewAt
-		h.seq++
-		heap.Push(&h.dues, due{at: a.ReviewAt, seq: h.seq, cmd: c})
+	if d.ReviewAt > 0 {
+		c.reviewAt = d.ReviewAt
+		t.reviews.push(d.ReviewAt, c)
 	}
 }
-
-// due is a time to ask about a command again.
-type due struct {
-	at  float64
-	seq uint64
-	cmd *command
-}
-
-type dues []due
-
-func (d dues) Len() int { return len(d) }
-func (d dues) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
-}
-func (d dues) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *dues) Push(x any)   { *d = append(*d, x.(due)) }
-func (d *dues) Pop() any {
-	old := *d
-	x := old[len(old)-1]
-	*d = old[:len(old)-1]
-	return x
-}
--- a/internal/hand/tracker_test.go
+++ b/internal/hand/tracker_test.go
@@ -9,145 +9,178 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// record notes what is carried out.
-type record struct {
-	sent, recalled, throttled, failed int
-	until                             float64
-	node                              int
+// Command groups of newTracker.
+const (
+	idempotent = iota
+	nonIdempotent
+)
+
+// recorder counts what is carried out, and keeps the last attempt's deadline and endpoint.
+type recorder struct {
+	forwarded, canceled, rejected, failed int
+	deadline                              float64
+	endpoint                              int
 }
 
-func (r *record) Forward(_ uint32, _, n int, until float64) { r.sent++; r.until, r.node = until, n }
-func (r *record) Cancel(uint32, int)                        { r.recalled++ }
-func (r *record) Reject(uint32, float64)                    { r.throttled++ }
-func (r *record) Fail(uint32)                               { r.failed++ }
+func (r *recorder) Forward(_ uint32, _, endpoint int, deadline float64) {
+	r.forwarded++
+	r.deadline = deadline
+	r.endpoint = endpoint
+}
 
-// holding is a hand with one replayable and one mutating group, and so many members.
-func holding(members int) (*Tracker, *record) {
-	row := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1}
-	write := row
+func (r *recorder) Cancel(uint32, int)     { r.canceled++ }
+func (r *recorder) Reject(uint32, float64) { r.rejected++ }
+func (r *recorder) Fail(uint32)            { r.failed++ }
+
+// newTracker returns a tracker with one idempotent and one non-idempotent group, and so many endpoints.
+func newTracker(endpoints int) (*Tracker, *recorder) {
+	read := router.CommandGroup{
+		Consistency: router.Eventual, LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1,
+	}
+	write := read
 	write.Idempotency = router.NonIdempotent
-	m := router.New(router.Config{CommandGroups: []router.CommandGroup{row, write}, RouterCount: 1, BatchInterval: 0.005, MaxAttempts: 2,
-		CanCancel: true}, 7)
+	r := router.New(router.Config{
+		CommandGroups: []router.CommandGroup{read, write}, RouterCount: 1, BatchInterval: 0.005, MaxAttempts: 2,
+		CanCancel: true,
+	}, 7)
 	var list []router.EndpointInfo
-	for i := range members {
-		list = append(list, router.EndpointInfo{Index: i, State: router.Ready, StartedAt: math.Inf(-1)})
+	for i := range endpoints {
+		list = append(list, ready(i))
 	}
-	m.UpdateEndpoints(0, list, true, true)
-	out := &record{}
-	return New(m, out), out
+	r.UpdateEndpoints(0, list, true, true)
+	out := &recorder{}
+	return New(r, out), out
 }
 
-func cmd(group int) router.Command {
+func ready(index int) router.EndpointInfo {
+	return router.EndpointInfo{Index: index, State: router.Ready, StartedAt: math.Inf(-1)}
+}
+
+func draining(index int) router.EndpointInfo {
+	return router.EndpointInfo{Index: index, State: router.Draining, StartedAt: math.Inf(-1)}
+}
+
+func newCommand(group int) router.Command {
 	return router.Command{Group: group, ArrivedAt: 1, ClientDeadline: 3}
 }
 
 func TestAnsweredCommandIsForgotten(t *testing.T) {
-	h, out := holding(1)
-	h.Add(1, 4, cmd(0))
-	assert.Equal(t, record{sent: 1, until: 1.5}, *out)
-	h.AttemptEnded(1.1, 4, router.AttemptResult{Result: router.Answered, Final: true, Position: -1})
-	assert.Zero(t, h.Len())
-	h.AttemptEnded(1.2, 4, router.AttemptResult{Result: router.ConnectionLost})
-	assert.Equal(t, record{sent: 1, until: 1.5}, *out, "a late outcome reaches nobody")
+	tracker, out := newTracker(1)
+	tracker.Add(1, 4, newCommand(idempotent))
+	assert.Equal(t, recorder{forwarded: 1, deadline: 1.5}, *out)
+	tracker.AttemptEnded(1.1, 4, router.AttemptResult{Result: router.Answered, Final: true, Position: -1})
+	assert.Zero(t, tracker.Len())
+	tracker.AttemptEnded(1.2, 4, router.AttemptResult{Result: router.ConnectionLost})
+	assert.Equal(t, recorder{forwarded: 1, deadline: 1.5}, *out, "a late result reaches nobody")
 }
 
-func TestOutcomeCountsOnce(t *testing.T) {
-	h, out := holding(2)
-	h.Add(1, 4, cmd(0))
+func TestEndOfAnAttemptCountsOnce(t *testing.T) {
+	tracker, out := newTracker(2)
+	tracker.Add(1, 4, newCommand(idempotent))
 	o := router.AttemptResult{Result: router.ConnectFailed, Position: -1}
-	h.AttemptEnded(1.1, 4, o)
-	h.AttemptEnded(1.1, 4, o)
-	assert.Equal(t, 2, out.sent, "the second end of the first dispatch is passed over")
-	h.AttemptEnded(1.1, 4, router.AttemptResult{Attempt: 7})
-	assert.Equal(t, 1, h.Len())
+	tracker.AttemptEnded(1.1, 4, o)
+	tracker.AttemptEnded(1.1, 4, o)
+	assert.Equal(t, 2, out.forwarded, "the second end of the first attempt is passed over")
+	tracker.AttemptEnded(1.1, 4, router.AttemptResult{Attempt: 7})
+	assert.Equal(t, 1, tracker.Len())
 }
 
-func TestMutatingCommandThatMayHaveRunFails(t *testing.T) {
-	h, out := holding(2)
-	h.Add(1, 4, cmd(1))
-	h.AttemptEnded(1.1, 4, router.AttemptResult{Result: router.ConnectionLost, Position: -1})
-	assert.Equal(t, 1, out.sent)
+func TestNonIdempotentCommandThatMayHaveRunFails(t *testing.T) {
+	tracker, out := newTracker(2)
+	tracker.Add(1, 4, newCommand(nonIdempotent))
+	tracker.AttemptEnded(1.1, 4, router.AttemptResult{Result: router.ConnectionLost, Position: -1})
+	assert.Equal(t, 1, out.forwarded)
 	assert.Equal(t, 1, out.failed)
-	assert.Zero(t, h.Len())
+	assert.Zero(t, tracker.Len())
 }
 
-func TestLeftCommandIsRecalledAndKeptUntilItsDispatchEnds(t *testing.T) {
-	h, out := holding(1)
-	h.Add(1, 4, cmd(0))
-	h.ClientGone(1.1, 4)
-	h.ClientGone(1.1, 4)
-	assert.Equal(t, 1, out.recalled)
-	assert.Equal(t, 1, h.Len())
-	h.AttemptEnded(1.1, 4, router.AttemptResult{Result: router.Canceled, Position: -1})
-	assert.Zero(t, h.Len())
-	assert.Equal(t, 1, out.sent, "nothing is sent for it afterwards")
-	assert.Zero(t, out.throttled+out.failed, "and nobody is answered")
+func TestCommandOfAGoneClientIsCanceledAndKeptUntilItsAttemptEnds(t *testing.T) {
+	tracker, out := newTracker(1)
+	tracker.Add(1, 4, newCommand(idempotent))
+	tracker.ClientGone(1.1, 4)
+	tracker.ClientGone(1.1, 4)
+	assert.Equal(t, 1, out.canceled)
+	assert.Equal(t, 1, tracker.Len())
+	tracker.AttemptEnded(1.1, 4, router.AttemptResult{Result: router.Canceled, Position: -1})
+	assert.Zero(t, tracker.Len())
+	assert.Equal(t, 1, out.forwarded, "nothing is sent for it afterwards")
+	assert.Zero(t, out.rejected+out.failed, "and nobody is answered")
 }
 
-func TestHeldCommandIsAskedAboutUntilItIsGivenUp(t *testing.T) {
-	h, out := holding(0)
-	c := cmd(0)
+func TestWaitingCommandIsReviewedUntilItIsRejected(t *testing.T) {
+	tracker, out := newTracker(0)
+	c := newCommand(idempotent)
 	c.Shard = -1
-	h.Add(1, 3, c)
-	assert.Equal(t, 1, out.throttled, "no list has named its set")
+	tracker.Add(1, 3, c)
+	assert.Equal(t, 1, out.rejected, "no list has named its shard")
 
-	h, out = holding(1)
-	h.router.UpdateEndpoints(1, []router.EndpointInfo{{Index: 0, State: router.Draining}}, false, false)
-	h.Add(1, 4, cmd(0))
-	assert.Zero(t, out.sent)
+	tracker, out = newTracker(1)
+	tracker.router.UpdateEndpoints(1, []router.EndpointInfo{draining(0)}, false, false)
+	tracker.Add(1, 4, newCommand(idempotent))
+	assert.Zero(t, out.forwarded)
 	last := 0.0
-	for now := 1.0; h.Len() > 0 && now < 4; {
-		next, _ := h.ReviewDue(now)
+	for now := 1.0; tracker.Len() > 0 && now < 4; {
+		next, _ := tracker.ReviewDue(now)
 		assert.Greater(t, next, now)
 		last, now = now, next
 	}
-	assert.Equal(t, 1, out.throttled)
+	assert.Equal(t, 1, out.rejected)
 	assert.Less(t, last, 3.0, "before its client timeout")
 }
 
-// What is in hand at a move ends by the router that took it, which hears of drains until then; and what it learns of
-// a session there binds the reads that come after.
-func TestCommandsInHandAtAMoveEndWhereTheyWereTaken(t *testing.T) {
+// What is in flight at a switch ends by the router that took it, which hears of draining endpoints until then.
+func TestCommandsInFlightAtASwitchEndAtTheirRouter(t *testing.T) {
 	const many = 20
-	h, out := holding(2)
+	tracker, out := newTracker(2)
 	for id := range uint32(many) {
-		h.Add(1, id, cmd(1))
+		tracker.Add(1, id, newCommand(nonIdempotent))
 	}
-	h.SwitchRouter(1.1, router.New(router.Config{CommandGroups: []router.CommandGroup{{LatencyObjective: 9, ClientTimeout: 9}}, BatchInterval: 0.005, MaxAttempts: 1}, 7))
-	h.UpdateEndpoints(1.2, []router.EndpointInfo{{Index: 0, State: router.Draining, StartedAt: math.Inf(-1)}}, false, false)
+	groups := []router.CommandGroup{{LatencyObjective: 9, ClientTimeout: 9}}
+	later := router.New(router.Config{CommandGroups: groups, BatchInterval: 0.005, MaxAttempts: 1}, 7)
+	tracker.SwitchRouter(1.1, later)
+	tracker.UpdateEndpoints(1.2, []router.EndpointInfo{draining(0)}, false, false)
 	for id := range uint32(many) {
-		h.AttemptEnded(1.3, id, router.AttemptResult{Result: router.NotServed, Position: -1})
-		assert.Equal(t, many+int(id)+1, out.sent, "by the tries of the settings that it came by")
-		assert.Equal(t, 1, out.node, "nothing to one that drains")
+		tracker.AttemptEnded(1.3, id, router.AttemptResult{Result: router.NotServed, Position: -1})
+		assert.Equal(t, many+int(id)+1, out.forwarded, "by the attempts allowed when it came")
+		assert.Equal(t, 1, out.endpoint, "nothing to one that is draining")
 	}
-	h.ReviewDue(1.9)
-	assert.Len(t, h.past, 1)
+	tracker.ReviewDue(1.9)
+	assert.Len(t, tracker.earlier, 1)
 	for id := range uint32(many) {
-		h.AttemptEnded(1.9, id, router.AttemptResult{Attempt: 1, Result: router.Answered, Final: true, Position: -1})
+		tracker.AttemptEnded(1.9, id, router.AttemptResult{Attempt: 1, Result: router.Answered, Final: true, Position: -1})
 	}
-	h.ReviewDue(1.9)
-	assert.Empty(t, h.past)
+	tracker.ReviewDue(1.9)
+	assert.Empty(t, tracker.earlier)
 }
 
-func TestReadAfterAMoveSeesAWriteThatEndedAtTheRouterBefore(t *testing.T) {
-	groups := []router.CommandGroup{{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent, LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1},
-		{Consistency: router.SessionConsistent, LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1}}
+func TestReadAfterASwitchSeesAWriteThatEndedAtTheEarlierRouter(t *testing.T) {
+	groups := []router.CommandGroup{
+		{
+			Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent,
+			LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1,
+		},
+		{Consistency: router.SessionConsistent, LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1},
+	}
 	fresh := func() *router.Router {
 		return router.New(router.Config{CommandGroups: groups, BatchInterval: 0.005, MaxAttempts: 2, LoadReports: true}, 7)
 	}
-	out := &record{}
-	h := New(fresh(), out)
-	h.UpdateEndpoints(0, []router.EndpointInfo{{Index: 0, State: router.Ready, StartedAt: math.Inf(-1), Primary: true},
-		{Index: 1, State: router.Ready, StartedAt: math.Inf(-1)}}, true, true)
-	h.Add(10, 1, router.Command{Group: 0, Session: 9, ArrivedAt: 10, ClientDeadline: 12})
-	m := fresh()
-	h.SwitchRouter(10.1, m)
-	h.AttemptEnded(10.2, 1, router.AttemptResult{Result: router.Answered, Final: true, Elapsed: 0.2, Position: 10.15, Role: router.RolePrimary})
-	m.HealthChecked(10.25, 1, router.Answered, 0, 10.1, false)
-	h.Add(10.3, 2, router.Command{Group: 1, Session: 9, ArrivedAt: 10.3, ClientDeadline: 12.3})
-	assert.Equal(t, 1, out.sent, "the replica does not cover it yet")
-	m.HealthChecked(10.31, 1, router.Answered, 0, 10.2, false)
-	h.ReviewDue(10.32)
-	assert.Equal(t, 2, out.sent)
-	assert.Equal(t, 1, out.node)
+	out := &recorder{}
+	tracker := New(fresh(), out)
+	tracker.UpdateEndpoints(0, []router.EndpointInfo{
+		{Index: 0, State: router.Ready, StartedAt: math.Inf(-1), Primary: true},
+		ready(1),
+	}, true, true)
+	tracker.Add(10, 1, router.Command{Group: 0, Session: 9, ArrivedAt: 10, ClientDeadline: 12})
+	later := fresh()
+	tracker.SwitchRouter(10.1, later)
+	tracker.AttemptEnded(10.2, 1, router.AttemptResult{
+		Result: router.Answered, Final: true, Elapsed: 0.2, Position: 10.15, Role: router.RolePrimary,
+	})
+	later.HealthChecked(10.25, 1, router.Answered, 0, 10.1, false)
+	tracker.Add(10.3, 2, router.Command{Group: 1, Session: 9, ArrivedAt: 10.3, ClientDeadline: 12.3})
+	assert.Equal(t, 1, out.forwarded, "the replica does not cover it yet")
+	later.HealthChecked(10.31, 1, router.Answered, 0, 10.2, false)
+	tracker.ReviewDue(10.32)
+	assert.Equal(t, 2, out.forwarded)
+	assert.Equal(t, 1, out.endpoint)
 }
--- a/internal/systems/command.go
+++ b/internal/systems/command.go
@@ -534,10 +534,11 @@
 	}
 }
 
-// commandRules leave out to whom the commands in hand report, and the numbers that tell timers of one time apart.
+// commandRules leave out to whom the tracker reports, and the numbers that tell reviews of one time apart.
 var commandRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
-	"hand.Tracker": {"out", "seq"},
-	"hand.due":     {"seq"},
+	"hand.Tracker":     {"executor"},
+	"hand.review":      {"order"},
+	"hand.reviewQueue": {"count"},
 }}
 
 // Fingerprint implements explore.System. Nothing of the module is left out, chance included; what the world
