--- a/internal/fleet/tool/tool_test.go
+++ b/internal/fleet/tool/client_test.go
@@ -45,7 +45,6 @@
 	fleet  *layout.Fleet
 	keys   keys.Folder
 	agents []func() // that end them
-	mu     sync.Mutex
 }
 
 // newRig has n agents with one instance each, in one hall.
@@ -143,7 +142,7 @@
 	}
 }
 
-func TestBadRevisionsEndOnTheOldOne(t *testing.T) {
+func TestFailingRolloutRollsBackToThePreviousRevision(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 3)
 	ayla := r.tool("ayla")
@@ -174,7 +173,7 @@
 	assert.ErrorContains(t, err, "x.json: instance n0: discovery:", "refused before any agent is asked")
 }
 
-func TestToolDiesAndAnotherGoesOnFromAnotherMachine(t *testing.T) {
+func TestAnotherClientResumesAnInterruptedRollout(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 4)
 	ayla, mehmet := r.tool("ayla"), r.tool("mehmet")
@@ -183,7 +182,7 @@
 	b := r.push(ayla, "b", stand.Conduct{Ready: 0.2}, 101)
 	ctx, kill := context.WithCancel(context.Background())
 	began := 0
-	o := ayla.Drive(ctx, ayla.NewRollout(b, false), func(v roll.View, events []roll.Event) {
+	o := ayla.Drive(ctx, ayla.NewRollout(b, false), func(_ roll.View, events []roll.Event) {
 		for _, e := range events {
 			if e.Action == plan.ActionBeginStep {
 				if began++; began == 2 {
@@ -218,7 +217,7 @@
 	assert.Len(t, h.Rollouts, 2)
 }
 
-func TestTwoOperatorsAtOnceOneRollsTheOtherIsTold(t *testing.T) {
+func TestOneOfTwoOperatorsRollsOutAndTheOtherIsDenied(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 4)
 	ayla, mehmet := r.tool("ayla"), r.tool("mehmet")
@@ -247,7 +246,7 @@
 	r.allRun(ayla, []form.Revision{a, b}[won].Digest)
 }
 
-func TestAnotherOperatorPausesAndAGoneAgentIsLeftOut(t *testing.T) {
+func TestRequestedPauseIsFollowedAndUnreachableAgentIsLeftOut(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 4)
 	r.fleet.MinAvailable = 2
@@ -256,7 +255,7 @@
 	r.complete(r.drive(ayla, ayla.NewRollout(a, false), nil))
 	b := r.push(ayla, "b", stand.Conduct{Ready: 0.3}, 101)
 	asked := false
-	o := r.drive(ayla, ayla.NewRollout(b, false), func(v roll.View, events []roll.Event) {
+	o := r.drive(ayla, ayla.NewRollout(b, false), func(v roll.View, _ []roll.Event) {
 		if !asked && v.Rollout.CurrentStep.Number == 1 {
 			asked = true
 			assert.Equal(t, 4, mehmet.RequestAction(context.Background(), v.Rollout, plan.RequestPause))
@@ -275,7 +274,7 @@
 	r.allRun(ayla, b.Digest)
 }
 
-func TestEffectsAndFinding(t *testing.T) {
+func TestPreviewFindAndTrace(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 3)
 	ayla := r.tool("ayla")
@@ -297,9 +296,12 @@
 	require.NoError(t, err)
 	assert.Equal(t, a.Digest, found.Digest)
 	_, err = ayla.FindRevision(context.Background(), "nothing")
-	assert.ErrorContains(t, err, `no agent keeps a revision "nothing"`)
+	require.ErrorContains(t, err, `no agent keeps a revision "nothing"`)
+	var missing *RevisionNotFoundError
+	require.ErrorAs(t, err, &missing)
+	assert.Equal(t, "nothing", missing.Called)
 	_, err = New(r.fleet, r.keys, "nobody", zerolog.Nop())
-	assert.ErrorContains(t, err, "operator nobody:")
+	require.ErrorContains(t, err, "operator nobody:")
 	path := filepath.Join(t.TempDir(), "spans")
 	spans, err := ayla.NewTrace(path)
 	require.NoError(t, err)
--- /dev/null
+++ b/internal/fleet/tool/explain.go
@@ -0,0 +1,128 @@
+package tool
+
+import (
+	"fmt"
+	"time"
+
+	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/revision"
+)
+
+// RolloutStatus is a rollout for people.
+type RolloutStatus struct {
+	ID           string   `json:"id"`
+	Revision     string   `json:"revision"` // short digest
+	RevisionName string   `json:"name,omitempty"`
+	State        string   `json:"state"`
+	RollingBack  bool     `json:"back"`
+	Why          string   `json:"why,omitempty"`   // it paused or ended
+	Cause        string   `json:"cause,omitempty"` // of the rollback
+	StartedBy    string   `json:"by"`
+	RequestedBy  string   `json:"asked,omitempty"` // operator whose request was followed last
+	StartedAt    string   `json:"began"`           // RFC 3339
+	Steps        uint64   `json:"steps"`           // begun so far
+	LeftOut      []string `json:"left_out,omitempty"`
+	Step         string   `json:"step,omitempty"` // under way
+}
+
+// DescribeRollout is a rollout for people, with the names of the fleet file.
+func (c *Client) DescribeRollout(r form.Rollout) *RolloutStatus {
+	status := &RolloutStatus{
+		ID:           r.ID,
+		Revision:     revision.ShortDigest(r.Revision),
+		RevisionName: r.RevisionName,
+		State:        r.State.String(),
+		RollingBack:  r.RollingBack,
+		Why:          c.Explain(r.Reason),
+		Cause:        c.Explain(r.RollbackCause),
+		StartedBy:    r.StartedBy,
+		RequestedBy:  r.RequestedBy,
+		StartedAt:    time.Unix(r.StartedAt, 0).UTC().Format(time.RFC3339),
+		Steps:        r.StepsBegun,
+	}
+	for _, i := range r.ExcludedInstances {
+		status.LeftOut = append(status.LeftOut, c.instanceName(i))
+	}
+	if r.CurrentStep.Number != 0 {
+		status.Step = fmt.Sprintf("step %d, %s", r.CurrentStep.Number, c.instanceName(r.CurrentStep.Instance))
+	}
+	return status
+}
+
+// Explain is a reason for people, with the names of the fleet file; empty for none.
+func (c *Client) Explain(r plan.Reason) string {
+	switch r.Kind {
+	case plan.ReasonNone:
+		return r.Detail
+	case plan.ReasonOperator:
+		return "by an operator's word"
+	case plan.ReasonZoneMinimum:
+		return fmt.Sprintf("hall %s would be left with %d serving, and its floor is %d", c.zoneName(r.Zone), r.Have, r.Need)
+	case plan.ReasonFleetMinimum:
+		return fmt.Sprintf("the fleet would be left with %d serving, and its floor is %d", r.Have, r.Need)
+	case plan.ReasonInstancesExcluded:
+		return fmt.Sprintf("%d instances were left out and are not done", r.Have)
+	case plan.ReasonNothingToDo:
+		return "there is nothing to do"
+	default:
+		return c.explainInstance(r)
+	}
+}
+
+// explainInstance is a reason that concerns one instance or its agent.
+func (c *Client) explainInstance(r plan.Reason) string {
+	instance := c.instanceName(r.Instance)
+	agent := c.agentName(r.Instance)
+	switch r.Kind {
+	case plan.ReasonAgentUnreachable:
+		return fmt.Sprintf("agent %s of instance %s is not heard from: bring it back and resume, or resume with --leave-out %s",
+			agent, instance, instance)
+	case plan.ReasonProcessUnknown:
+		return fmt.Sprintf("agent %s does not know instance %s yet", agent, instance)
+	case plan.ReasonInstanceBusy:
+		return fmt.Sprintf("instance %s is in a step of another rollout", instance)
+	case plan.ReasonStepUnresolved:
+		return fmt.Sprintf("the step of instance %s has no end", instance)
+	case plan.ReasonStepFailed:
+		return fmt.Sprintf("instance %s did not come up with the revision: %s", instance, r.Detail)
+	case plan.ReasonSoakFailed:
+		return fmt.Sprintf("instance %s was %s in its soak", instance, r.Detail)
+	case plan.ReasonMoreUnanswered:
+		return fmt.Sprintf("instance %s left %d of %d commands unanswered in its soak, a larger share than before", instance,
+			r.Have, r.Need)
+	case plan.ReasonCannotRollBack:
+		return fmt.Sprintf("instance %s cannot go back: %s", instance, r.Detail)
+	case plan.ReasonStepNeverApplied:
+		return fmt.Sprintf("the step of %s came to nothing %d times in a row: its agent %s ended before it did anything, or the "+
+			"router came up by itself", instance, r.Have, agent)
+	case plan.ReasonStepRefused:
+		return fmt.Sprintf("agent %s refuses the step of %s: %s", agent, instance, r.Detail)
+	default:
+		return "for a reason that this tool does not know"
+	}
+}
+
+// instanceName is an instance's name by its index, which a record of another fleet file may put out of range.
+func (c *Client) instanceName(index int) string {
+	if index < 0 || index >= len(c.Fleet.Instances) {
+		return fmt.Sprint("instance ", index)
+	}
+	return c.Fleet.Instances[index].Name
+}
+
+// agentName is the name of an instance's agent; empty if the index is out of range.
+func (c *Client) agentName(instance int) string {
+	if instance < 0 || instance >= len(c.Fleet.Instances) {
+		return ""
+	}
+	return c.Fleet.Instances[instance].Agent
+}
+
+// zoneName is a zone's name by its index; empty if that is out of range.
+func (c *Client) zoneName(index int) string {
+	if index < 0 || index >= len(c.Fleet.Zones) {
+		return ""
+	}
+	return c.Fleet.Zones[index].Name
+}
--- /dev/null
+++ b/internal/fleet/tool/preview.go
@@ -0,0 +1,94 @@
+package tool
+
+import (
+	"context"
+
+	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/revision"
+)
+
+// InstanceChange is how an instance would take a revision.
+type InstanceChange string
+
+// Ways to take a revision. Their values are printed.
+const (
+	ChangeUnknown InstanceChange = "unknown" // its agent does not report it
+	ChangeNone    InstanceChange = "none"    // it runs the revision
+	ChangeStart   InstanceChange = "start"   // it runs nothing
+	ChangeReload  InstanceChange = "reload"
+	ChangeRestart InstanceChange = "restart"
+)
+
+// RevisionEffect is what a revision would mean for one instance.
+type RevisionEffect struct {
+	Instance string         `json:"instance"`
+	Change   InstanceChange `json:"how"`
+	Keys     []string       `json:"keys,omitempty"` // that need a restart
+}
+
+// PreviewEffects tells what a revision would mean for each instance, in the order of the fleet file.
+func (c *Client) PreviewEffects(ctx context.Context, content []byte) ([]RevisionEffect, error) {
+	running := map[string]string{} // digests by instance
+	for _, answer := range c.Broadcast(ctx, form.Request{Verb: form.StatusVerb}) {
+		for _, instance := range answer.Reply.Instances {
+			running[instance.Name] = instance.Revision
+		}
+	}
+	next := revision.Digest(content)
+	contents := map[string][]byte{} // by digest
+	var effects []RevisionEffect
+	for i := range c.Fleet.Instances {
+		instance := &c.Fleet.Instances[i]
+		effect := RevisionEffect{Instance: instance.Name}
+		switch from, known := running[instance.Name]; {
+		case !known:
+			effect.Change = ChangeUnknown
+		case from == "":
+			effect.Change = ChangeStart
+		case from == next:
+			effect.Change = ChangeNone
+		default:
+			if err := c.fetchContent(ctx, contents, from); err != nil {
+				return nil, err
+			}
+			var err error
+			if effect, err = replaceEffect(instance, contents[from], content); err != nil {
+				return nil, err
+			}
+		}
+		effects = append(effects, effect)
+	}
+	return effects, nil
+}
+
+// fetchContent adds a revision's content to contents unless it is there.
+func (c *Client) fetchContent(ctx context.Context, contents map[string][]byte, digest string) error {
+	if contents[digest] != nil {
+		return nil
+	}
+	content, err := c.RevisionContent(ctx, digest)
+	if err != nil {
+		return err
+	}
+	contents[digest] = content
+	return nil
+}
+
+// replaceEffect is what it means for an instance to go from one revision to another.
+func replaceEffect(instance *layout.Instance, from, to []byte) (RevisionEffect, error) {
+	effect := RevisionEffect{Instance: instance.Name, Change: ChangeReload}
+	before, err := revision.Check(from, instance.RevisionInstance())
+	if err != nil {
+		return effect, err
+	}
+	after, err := revision.Check(to, instance.RevisionInstance())
+	if err != nil {
+		return effect, err
+	}
+	effect.Keys = revision.RestartKeys(&before, &after)
+	if len(effect.Keys) > 0 {
+		effect.Change = ChangeRestart
+	}
+	return effect, nil
+}
--- /dev/null
+++ b/internal/fleet/tool/revisions.go
@@ -0,0 +1,127 @@
+package tool
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"strings"
+	"time"
+
+	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/revision"
+)
+
+// minDigestPrefix is how many characters of a digest find a revision.
+const minDigestPrefix = 4
+
+// RevisionNotFoundError is the error of a revision that no agent has.
+type RevisionNotFoundError struct {
+	Called string // a name, or the beginning of a digest
+}
+
+func (e *RevisionNotFoundError) Error() string {
+	return fmt.Sprintf("no agent keeps a revision %q: see fleet history, or push it", e.Called)
+}
+
+// AmbiguousRevisionError is the error of a beginning that several revisions' digests have.
+type AmbiguousRevisionError struct {
+	Prefix  string
+	Matches int
+}
+
+func (e *AmbiguousRevisionError) Error() string {
+	return fmt.Sprintf("%d revisions begin with %q", e.Matches, e.Prefix)
+}
+
+// PushResult is what came of PushRevision.
+type PushResult struct {
+	Digest  string        `json:"revision"`
+	Name    string        `json:"name,omitempty"`
+	Stored  int           `json:"kept"` // by so many agents
+	Agents  int           `json:"agents"`
+	Missing []AgentStatus `json:"missing,omitempty"` // agents that have not stored it
+}
+
+// ReadRevision reads a revision's file, checks it for every instance without asking an agent, and returns its canonical
+// content. Errors begin with the file.
+func (c *Client) ReadRevision(file string) ([]byte, error) {
+	raw, err := os.ReadFile(file)
+	if err != nil {
+		return nil, fmt.Errorf("revision: %w", err)
+	}
+	content, err := revision.Canonical(file, raw)
+	if err != nil {
+		return nil, err
+	}
+	for i := range c.Fleet.Instances {
+		if _, err := revision.Check(content, c.Fleet.Instances[i].RevisionInstance()); err != nil {
+			return nil, fmt.Errorf("%s: %w", file, err)
+		}
+	}
+	return content, nil
+}
+
+// PushRevision has every agent store a revision. content is canonical; name is for people and may be empty.
+func (c *Client) PushRevision(ctx context.Context, content []byte, name string) PushResult {
+	pushed := form.Revision{
+		Digest:   revision.Digest(content),
+		Name:     name,
+		PushedBy: c.Operator,
+		PushedAt: time.Now().Unix(),
+		Content:  content,
+	}
+	result := PushResult{Digest: pushed.Digest, Name: name, Agents: len(c.agents)}
+	for _, answer := range c.Broadcast(ctx, form.Request{Verb: form.PutRevisionVerb, Revision: pushed}) {
+		if answer.Err != nil {
+			result.Missing = append(result.Missing, AgentStatus{Name: answer.Agent, Failure: answer.Err.Error()})
+			continue
+		}
+		result.Stored++
+	}
+	return result
+}
+
+// FindRevision finds a revision by its name, the newest if several have it, or by the beginning of its digest. Its errors
+// are *RevisionNotFoundError, *AmbiguousRevisionError and those of History.
+func (c *Client) FindRevision(ctx context.Context, called string) (form.Revision, error) {
+	history, err := c.History(ctx)
+	if err != nil {
+		return form.Revision{}, err
+	}
+	var matches []form.Revision
+	for _, r := range history.Revisions {
+		if r.Name == called {
+			return r, nil
+		}
+		if len(called) >= minDigestPrefix && strings.HasPrefix(r.Digest, called) {
+			matches = append(matches, r)
+		}
+	}
+	switch len(matches) {
+	case 0:
+		return form.Revision{}, &RevisionNotFoundError{Called: called}
+	case 1:
+		return matches[0], nil
+	default:
+		return form.Revision{}, &AmbiguousRevisionError{Prefix: called, Matches: len(matches)}
+	}
+}
+
+// RevisionContent fetches a revision's content from the first agent that has it.
+func (c *Client) RevisionContent(ctx context.Context, digest string) ([]byte, error) {
+	request := form.Request{Verb: form.GetRevisionVerb, Revision: form.Revision{Digest: digest}}
+	var failures []error
+	for i := range c.agents {
+		reply, err := c.call(ctx, i, request)
+		if err != nil {
+			failures = append(failures, err)
+			continue
+		}
+		if len(reply.Revisions) == 1 && revision.Digest(reply.Revisions[0].Content) == digest {
+			return reply.Revisions[0].Content, nil
+		}
+	}
+	failures = append(failures, fmt.Errorf("no agent that can be heard keeps revision %s", revision.ShortDigest(digest)))
+	return nil, errors.Join(failures...)
+}
--- a/internal/fleet/tool/trace.go
+++ b/internal/fleet/tool/trace.go
@@ -16,73 +16,84 @@
 	"stoatdale.example/stoatdale/internal/fleet/roll"
 )
 
-// Trace writes a rollout and its steps as spans to a file.
+// Trace writes a rollout and its steps to a file as spans of OpenTelemetry.
 type Trace struct {
 	client   *Client
 	file     *os.File
 	provider *sdk.TracerProvider
 	tracer   trace.Tracer
-	ctx      context.Context
 	rollout  trace.Span
-	step     trace.Span
+	step     trace.Span // nil: none is open
 }
 
-// NewTrace begins a file of spans, one JSON object each.
-func (t *Client) NewTrace(path string) (*Trace, error) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// NewTrace begins to append spans to a file, one JSON object each. Close ends it.
+func (c *Client) NewTrace(path string) (*Trace, error) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	e, err := stdouttrace.New(stdouttrace.WithWriter(f))
+	exporter, err := stdouttrace.New(stdouttrace.WithWriter(file))
 	if err != nil {
-		_ = f.Close()
+		_ = file.Close()
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	p := sdk.NewTracerProvider(sdk.WithBatcher(e))
-	x := &Trace{client: t, file: f, provider: p, tracer: p.Tracer("stoatdale/fleet")}
-	x.ctx, x.rollout = x.tracer.Start(context.Background(), "rollout")
-	return x, nil
+	provider := sdk.NewTracerProvider(sdk.WithBatcher(exporter))
+	t := &Trace{client: c, file: file, provider: provider, tracer: provider.Tracer("stoatdale/fleet")}
+	_, t.rollout = t.tracer.Start(context.Background(), "rollout")
+	return t, nil
 }
 
-// Watch takes in what has come about.
-func (x *Trace) Record(_ roll.View, events []roll.Event) {
+// Record takes in what has come about in a rollout. It is made to be called by Drive.
+func (t *Trace) Record(_ roll.View, events []roll.Event) {
 	for _, e := range events {
 		if e.AcquiredEpoch != 0 {
-			x.rollout.AddEvent("claimed", trace.WithAttributes(attribute.Int64("epoch", int64(e.AcquiredEpoch))))
+			t.rollout.AddEvent("claimed", trace.WithAttributes(attribute.Int64("epoch", int64(e.AcquiredEpoch))))
 		}
 		switch e.Action {
 		case plan.ActionBeginStep:
-			_, x.step = x.tracer.Start(x.ctx, "step", trace.WithAttributes(
-				attribute.String("instance", x.client.instanceName(e.Step.Instance)), attribute.Int64("number", int64(e.Step.Number)),
-				attribute.String("revision", revision.ShortDigest(e.Step.Revision)), attribute.Bool("back", e.Step.Rollback)))
+			t.beginStep(e.Step)
 		case plan.ActionCompleteStep, plan.ActionStartRollback, plan.ActionFinish:
-			x.endStep(e)
+			t.endStep(e)
+		default: // nothing has begun or ended
 		}
 	}
 }
 
-func (x *Trace) endStep(e roll.Event) {
-	if x.step == nil {
+func (t *Trace) beginStep(step plan.Step) {
+	inRollout := trace.ContextWithSpan(context.Background(), t.rollout)
+	_, t.step = t.tracer.Start(inRollout, "step", trace.WithAttributes(
+		attribute.String("instance", t.client.instanceName(step.Instance)),
+		attribute.Int64("number", int64(step.Number)),
+		attribute.String("revision", revision.ShortDigest(step.Revision)),
+		attribute.Bool("back", step.Rollback),
+	))
+}
+
+func (t *Trace) endStep(e roll.Event) {
+	if t.step == nil {
 		return
 	}
 	if e.Action != plan.ActionCompleteStep {
-		x.step.SetStatus(codes.Error, x.client.Explain(e.Reason))
+		t.step.SetStatus(codes.Error, t.client.Explain(e.Reason))
 	}
-	x.step.End()
-	x.step = nil
+	t.step.End()
+	t.step = nil
 }
 
 // Close ends the spans with the rollout's outcome and writes them.
-func (x *Trace) Close(o roll.Outcome) error {
-	if x.step != nil {
-		x.step.SetStatus(codes.Error, "the tool ended")
-		x.step.End()
+func (t *Trace) Close(o roll.Outcome) error {
+	if t.step != nil {
+		t.step.SetStatus(codes.Error, "the tool ended")
+		t.step.End()
 	}
-	x.rollout.SetAttributes(attribute.String("id", o.Rollout.ID), attribute.String("state", o.Rollout.State.String()),
-		attribute.String("why", x.client.Explain(o.Reason)))
-	x.rollout.End()
-	if err := x.provider.Shutdown(context.Background()); err != nil {
+	t.rollout.SetAttributes(
+		attribute.String("id", o.Rollout.ID),
+		attribute.String("state", o.Rollout.State.String()),
+		attribute.String("why", t.client.Explain(o.Reason)),
+	)
+	t.rollout.End()
+	if err := t.provider.Shutdown(context.Background()); err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
-	return x.file.Close()
+	return t.file.Close()
 }
