--- a/internal/count/count.go
+++ b/internal/count/count.go
@@ -1,6 +1,8 @@
 // Package count holds the router's counters and writes them to its log.
 package count
 
+import "slices"
+
 // Counters is what a router has received, sent and answered since its start. Values only grow, except for those marked
 // as gauges, which are filled in when a snapshot is taken. The event loop's goroutine owns them; others get copies.
 type Counters struct {
@@ -58,3 +60,23 @@
 	BufferBlocksInUse  uint64  // gauge
 	LongestTurnSeconds float64 // the event loop's longest turn
 }
+
+// SetGroups has commands be counted under the groups of other settings. A group of the same name keeps its count.
+func (c *Counters) SetGroups(names []string) {
+	received := map[string]uint64{}
+	for i, name := range c.GroupNames {
+		received[name] = c.ReceivedByGroup[i]
+	}
+	c.GroupNames = names
+	c.ReceivedByGroup = make([]uint64, len(names))
+	for i, name := range names {
+		c.ReceivedByGroup[i] = received[name]
+	}
+}
+
+// Clone returns a copy that shares nothing with the counters that changes.
+func (c *Counters) Clone() Counters {
+	clone := *c
+	clone.ReceivedByGroup = slices.Clone(c.ReceivedByGroup)
+	return clone
+}
--- a/internal/count/count_test.go
+++ b/internal/count/count_test.go
@@ -68,6 +68,24 @@
 	assert.InDelta(t, 250, numbers["longest_turn_ms"], 0)
 }
 
+func TestGroupsOfTheSameNameKeepTheirCount(t *testing.T) {
+	var counters Counters
+	counters.SetGroups([]string{"look", "book"})
+	assert.Equal(t, []uint64{0, 0}, counters.ReceivedByGroup)
+	counters.ReceivedByGroup[0], counters.ReceivedByGroup[1] = 5, 6
+	counters.SetGroups([]string{"book", "cook"})
+	assert.Equal(t, []string{"book", "cook"}, counters.GroupNames)
+	assert.Equal(t, []uint64{6, 0}, counters.ReceivedByGroup)
+}
+
+func TestCloneIsNotChangedByLaterCounts(t *testing.T) {
+	counters := Counters{Received: 1, ReceivedByGroup: []uint64{1}, GroupNames: []string{"look"}}
+	clone := counters.Clone()
+	counters.Received++
+	counters.ReceivedByGroup[0]++
+	assert.Equal(t, Counters{Received: 1, ReceivedByGroup: []uint64{1}, GroupNames: []string{"look"}}, clone)
+}
+
 // The agent of an earlier release counts a router's answers by these keys.
 func TestKeysThatAgentsReadStay(t *testing.T) {
 	numbers := logged(t, &Counters{Answered: 1, Rejected: 2, Failed: 3, InvalidQueries: 4})
--- a/internal/front/client_gone_test.go
+++ b/internal/front/client_gone_test.go
@@ -11,6 +11,7 @@
 
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/roster"
+	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
 )
 
@@ -40,7 +41,7 @@
 			d.runUntil(s.locked(func() bool { return s.started == 1 }))
 			d.publishState(roster.StateDraining)
 			close(s.accepting)
-			d.runUntil(func() bool { return d.counters.AttemptResults[2] == 1 })
+			d.runUntil(func() bool { return d.counters.AttemptResults[router.Overloaded] == 1 })
 			return c
 		}, []string{"a1"}, 1},
 		"while its connection comes up": {none, func(s *fakeBackend) { s.greeting = make(chan struct{}) }, func(d *harness, _ *fakeBackend) net.Conn {
@@ -160,7 +161,7 @@
 	d.runUntil(func() bool { return d.counters.Abandoned == 1 })
 	assert.Zero(t, d.counters.ClientsLeftUnsent)
 	close(say)
-	d.runUntil(func() bool { return d.counters.AttemptResults[2] == 1 })
+	d.runUntil(func() bool { return d.counters.AttemptResults[router.Overloaded] == 1 })
 	d.client(startupThen(query("b1", "c=look,d=300000")))
 	d.runUntil(s.locked(func() bool { return len(s.received) > 1 }))
 	assert.Equal(t, "b1", s.ids()[1])
--- a/service/counters.go
+++ b/service/counters.go
@@ -30,8 +30,7 @@
 // snapshot copies the counters and adds the gauges. It is called on the event loop's goroutine, or after that has
 // ended.
 func (r *Router) snapshot() Counters {
-	counters := r.counters
-	counters.ReceivedByGroup = append([]uint64(nil), counters.ReceivedByGroup...)
+	counters := r.counters.Clone()
 	counters.ClientsOpen = uint64(r.front.OpenConnections())
 	counters.InFlight = uint64(r.core.InFlight())
 	counters.BackendConnectionsOpen = uint64(r.core.BackendConnections())
--- a/service/reload.go
+++ b/service/reload.go
@@ -37,24 +37,10 @@
 func (r *Router) migrate(next *Config) {
 	r.core.RunTurn(r.loop.Now()) // commands already received name their group by the earlier settings
 	r.config.AdoptSettings(next)
-	r.renameGroups(next.Settings.GroupNames)
+	r.counters.SetGroups(next.Settings.GroupNames)
 	r.front.ReloadGroups()
 	r.core.ApplySettings()
 	r.counters.SettingsMigrations++
 	r.log.Info().Int("in_flight", r.core.InFlight()).Strs("groups", next.Settings.GroupNames).
 		Msg("migrated to changed settings")
 }
-
-// renameGroups gives the counters by command group the groups of other settings; a group of the same name keeps its
-// count.
-func (r *Router) renameGroups(names []string) {
-	byName := map[string]uint64{}
-	for i, name := range r.counters.GroupNames {
-		byName[name] = r.counters.ReceivedByGroup[i]
-	}
-	r.counters.GroupNames = names
-	r.counters.ReceivedByGroup = make([]uint64, len(names))
-	for i, name := range names {
-		r.counters.ReceivedByGroup[i] = byName[name]
-	}
-}
--- a/service/service.go
+++ b/service/service.go
@@ -53,8 +53,7 @@
 		log:     log,
 		stopped: make(chan struct{}),
 	}
-	r.counters.GroupNames = config.Settings.GroupNames
-	r.counters.ReceivedByGroup = make([]uint64, len(config.Settings.GroupNames))
+	r.counters.SetGroups(config.Settings.GroupNames)
 	r.core = core.New(&r.config, events, r.buffers, &r.counters, log)
 	r.front, err = front.Listen(config.Listen, events, front.Options{
 		Limits:     &r.config.Limits,
