--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -121,8 +121,8 @@
 		Index:     attemptIndex,
 		Endpoint:  endpoint,
 		Statement: &command.Statement,
-		WaitStart: command.TimeoutStart,
-		WaitEnd:   command.TimeoutEnd,
+		WaitStart: command.WaitStart,
+		WaitEnd:   command.WaitEnd,
 		Deadline:  deadline,
 	}
 	d.decided.sends = append(d.decided.sends, command.attempt)
--- a/internal/core/command.go
+++ b/internal/core/command.go
@@ -16,8 +16,8 @@
 	LastWriteAge   float64 // seconds since the session's last write, negative if ahead of this clock; 0: not known
 	ClientDeadline float64 // loop time at which the client stops waiting
 	Statement      buffer.Chain
-	TimeoutStart   int // offset in Statement of the digits of the client's timeout
-	TimeoutEnd     int // offset after them
+	WaitStart      int // offset in Statement of the digits of the time for which the client waits
+	WaitEnd        int // offset after them
 	Responder      Responder
 	Owner          any // for the frontend; the dispatcher does not look at it
 
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -58,15 +58,15 @@
 		return nil, rejected
 	}
 	command := &core.Command{
-		ID:           statement.ID,
-		Group:        group,
-		Shard:        shard,
-		Session:      statement.Session,
-		ClientRetry:  statement.Repeat,
-		Statement:    s.buffers.New(),
-		TimeoutStart: statement.From,
-		TimeoutEnd:   statement.To,
-		Responder:    s,
+		ID:          statement.ID,
+		Group:       group,
+		Shard:       shard,
+		Session:     statement.Session,
+		ClientRetry: statement.Repeat,
+		Statement:   s.buffers.New(),
+		WaitStart:   statement.From,
+		WaitEnd:     statement.To,
+		Responder:   s,
 	}
 	if statement.WriteAt > 0 {
 		// A write of this very moment must not look like none.
