--- a/internal/front/backend_test.go
+++ b/internal/front/backend_test.go
@@ -11,105 +11,152 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// fakeBackend is the desk's member: it greets once greet is closed, takes statements once takes is, and gives each what
-// answer returns, or nothing at all.
+// fakeBackend is the harness's endpoint. A test decides when it goes on, and how it answers.
 type fakeBackend struct {
-	greeting, accepting chan struct{}
-	clientLeft          chan struct{} // closed once the client has left
-	answered            chan struct{} // gets one for each answer, if not nil
-	answer              func(id string) []byte
+	greeting   chan struct{}          // connections are greeted once it is closed
+	accepting  chan struct{}          // statements are read to their end once it is closed
+	clientGone chan struct{}          // closed by the test once its client has gone
+	answered   chan struct{}          // gets one for each answer, if not nil
+	answer     func(id string) []byte // nil: the statement gets no answer
 
 	mu       sync.Mutex
-	received []string // ids of the statements that came whole
+	received []string // ids of the statements that came complete
 	started  int      // statements whose first byte came
-	closed   int      // connections that the router ended
 }
 
-var idOf = regexp.MustCompile(`id=([0-9a-f]+),`)
+var statementID = regexp.MustCompile(`id=([0-9a-f]+),`)
 
-func (d *harness) startBackend(change func(*fakeBackend)) *fakeBackend {
+// startBackend serves the endpoint by a backend that greets, accepts and answers nothing unless a test changes it. It
+// ends with the listener, at the end of the test.
+func (h *harness) startBackend(change func(*fakeBackend)) *fakeBackend {
 	opened := make(chan struct{})
 	close(opened)
-	s := &fakeBackend{greeting: opened, accepting: opened, clientLeft: make(chan struct{}), answer: func(string) []byte { return nil }}
-	change(s)
+	b := &fakeBackend{
+		greeting:   opened,
+		accepting:  opened,
+		clientGone: make(chan struct{}),
+		answer:     func(string) []byte { return nil },
+	}
+	change(b)
 	go func() {
 		for {
-			c, err := d.backendListener.Accept()
+			conn, err := h.backendListener.Accept()
 			if err != nil {
 				return
 			}
-			go s.serve(c)
+			go b.serve(conn)
 		}
 	}()
-	return s
+	return b
 }
 
-func (s *fakeBackend) serve(c net.Conn) {
-	defer func() {
-		_ = c.Close()
-		s.mu.Lock()
-		s.closed++
-		s.mu.Unlock()
-	}()
-	var n uint32
-	if binary.Read(c, binary.BigEndian, &n) != nil {
-		return
-	}
-	if _, err := io.CopyN(io.Discard, c, int64(n)-4); err != nil {
+func (b *fakeBackend) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	if !b.greet(conn) {
 		return
 	}
-	<-s.greeting
-	if _, err := c.Write(pg.Welcome(nil)); err != nil {
-		return
-	}
-	for r := bufio.NewReader(c); ; {
-		kind, err := r.ReadByte()
-		if err != nil || kind != 'Q' {
-			return
-		}
-		s.mu.Lock()
-		s.started++
-		s.mu.Unlock()
-		<-s.accepting
-		if binary.Read(r, binary.BigEndian, &n) != nil {
-			return
-		}
-		text := make([]byte, n-4)
-		if _, err := io.ReadFull(r, text); err != nil {
+	reader := bufio.NewReader(conn)
+	for {
+		id, ok := b.receive(reader)
+		if !ok {
 			return
 		}
-		id := idOf.FindStringSubmatch(string(text))[1]
-		s.mu.Lock()
-		s.received = append(s.received, id)
-		s.mu.Unlock()
-		if b := s.answer(id); b != nil {
-			_, _ = c.Write(b)
-			if s.answered != nil {
-				s.answered <- struct{}{}
+		if answer := b.answer(id); answer != nil {
+			_, _ = conn.Write(answer)
+			if b.answered != nil {
+				b.answered <- struct{}{}
 			}
 		}
 	}
 }
 
-func (s *fakeBackend) locked(f func() bool) func() bool {
-	return func() bool { s.mu.Lock(); defer s.mu.Unlock(); return f() }
+// greet reads the start-up packet and greets.
+func (b *fakeBackend) greet(conn net.Conn) bool {
+	var length uint32
+	if binary.Read(conn, binary.BigEndian, &length) != nil {
+		return false
+	}
+	if _, err := io.CopyN(io.Discard, conn, int64(length)-4); err != nil {
+		return false
+	}
+	<-b.greeting
+	_, err := conn.Write(pg.Welcome(nil))
+	return err == nil
 }
 
-func (s *fakeBackend) hasReceived(n int) func() bool {
-	return s.locked(func() bool { return len(s.received) == n })
+// receive reads one statement and returns its id.
+func (b *fakeBackend) receive(reader *bufio.Reader) (id string, ok bool) {
+	kind, err := reader.ReadByte()
+	if err != nil || kind != messageQuery {
+		return "", false
+	}
+	b.mu.Lock()
+	b.started++
+	b.mu.Unlock()
+	<-b.accepting
+	var length uint32
+	if binary.Read(reader, binary.BigEndian, &length) != nil {
+		return "", false
+	}
+	text := make([]byte, length-4)
+	if _, err := io.ReadFull(reader, text); err != nil {
+		return "", false
+	}
+	id = statementID.FindStringSubmatch(string(text))[1]
+	b.mu.Lock()
+	b.received = append(b.received, id)
+	b.mu.Unlock()
+	return id, true
 }
 
-func (s *fakeBackend) ids() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]string(nil), s.received...)
+// resume lets the backend greet and accept, if a test held it up.
+func (b *fakeBackend) resume() {
+	for _, held := range []chan struct{}{b.greeting, b.accepting} {
+		select {
+		case <-held:
+		default:
+			close(held)
+		}
+	}
+}
+
+// hasStarted is the condition that the first byte of so many statements came.
+func (b *fakeBackend) hasStarted(n int) func() bool {
+	return func() bool {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		return b.started == n
+	}
+}
+
+// hasReceived is the condition that so many statements came complete.
+func (b *fakeBackend) hasReceived(n int) func() bool {
+	return func() bool { return len(b.ids()) == n }
+}
+
+// ids returns the ids of the statements that came complete.
+func (b *fakeBackend) ids() []string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return append([]string(nil), b.received...)
 }
 
 // valueRow is an answer of one value.
 func valueRow(id string) []byte {
-	b := pg.Message(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
-	b = pg.Message(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len("value of "+id))), []byte("value of "+id))
-	return pg.Ready(pg.Message(b, 'C', []byte("SELECT 1\x00")))
+	value := "value of " + id
+	column := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value)))
+	message := pg.Message(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
+	message = pg.Message(message, 'D', column, []byte(value))
+	return pg.Ready(pg.Message(message, 'C', []byte("SELECT 1\x00")))
+}
+
+// valueRowAfter answers with valueRow once a channel is closed.
+func valueRowAfter(release <-chan struct{}) func(id string) []byte {
+	return func(id string) []byte {
+		<-release
+		return valueRow(id)
+	}
 }
 
+// overloaded is an answer that rejects a command unseen.
 func overloaded(string) []byte { return pg.Ready(pg.Error(nil, false, pg.CodeFull, "full", "")) }
--- a/internal/front/client_gone_test.go
+++ b/internal/front/client_gone_test.go
@@ -11,189 +11,262 @@
 
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/roster"
+	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-// These tests make two events cross on real connections, in the order that is the worse one, every time: the member
-// holds back what it says until it is told, and the loop turns only until what was waited for has happened.
-
-// A client that leaves while its command waits has nothing sent for it any more, in whatever way it waits, whether
-// it closes or resets. Unseen it was wherever it was not read: epoll told of an end only with bytes to read.
-func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
-	wait := func(id string) []byte { return query(id, "c=look,d=300000") }
-	none := func(*site.Limits) {}
-	for what, w := range map[string]struct {
-		limits func(*site.Limits)
-		member func(*fakeBackend)
-		waits  func(d *harness, s *fakeBackend) net.Conn // returns once it does
-		sent   []string                                  // what came to the member before
-		left   int                                       // commands that had been taken
-	}{
-		"held by the module": {none, func(*fakeBackend) {}, func(d *harness, _ *fakeBackend) net.Conn {
-			d.publishState(roster.StateDraining)
-			c, _ := d.client(startupThen(wait("a1")))
-			d.runUntil(d.acceptedCommands(1))
-			return c
-		}, nil, 1},
-		"between tries": {none, func(s *fakeBackend) { s.answer = overloaded; s.accepting = make(chan struct{}) }, func(d *harness, s *fakeBackend) net.Conn {
-			c, _ := d.client(startupThen(wait("a1")))
-			d.runUntil(s.locked(func() bool { return s.started == 1 }))
-			d.publishState(roster.StateDraining)
-			close(s.accepting)
-			d.runUntil(func() bool { return d.counters.AttemptResults[2] == 1 })
-			return c
-		}, []string{"a1"}, 1},
-		"while its connection comes up": {none, func(s *fakeBackend) { s.greeting = make(chan struct{}) }, func(d *harness, _ *fakeBackend) net.Conn {
-			c, _ := d.client(startupThen(wait("a1")))
-			d.runUntil(func() bool { return d.counters.BackendConnects == 1 })
-			return c
-		}, nil, 1},
-		"with half of its statement written": {
-			func(l *site.Limits) { l.Sizes.ClientMessage = 64 << 20; l.Sizes.ReadPerTurn = 64 << 20 },
-			func(s *fakeBackend) { s.accepting = make(chan struct{}) }, func(d *harness, s *fakeBackend) net.Conn {
-				c, _ := d.client()
-				go func() { _, _ = c.Write(startupThen(hugeQuery("a1"))) }()
-				d.runUntil(s.locked(func() bool { return s.started == 1 }))
-				return c
-			}, nil, 1,
+// The tests of this package make two events cross on real connections in the worse order, every time: the backend holds
+// its answers back until it is notified, and the loop turns only until what was waited for has happened.
+
+// goneClient is a client that leaves while its command waits.
+type goneClient struct {
+	limits     func(*site.Limits)
+	backend    func(*fakeBackend)
+	arrange    func(*harness, *fakeBackend) net.Conn // returns once the command waits
+	sentBefore []string                              // ids that came to the backend before
+	commands   int                                   // commands that were taken
+}
+
+func noChange(*site.Limits)        {}
+func noAnswers(*fakeBackend)       {}
+func holdGreeting(b *fakeBackend)  { b.greeting = make(chan struct{}) }
+func holdAccepting(b *fakeBackend) { b.accepting = make(chan struct{}) }
+
+// goneClients are the ways in which a command may wait, by name.
+var goneClients = map[string]goneClient{
+	"held by the module": {
+		limits: noChange, backend: noAnswers, arrange: commandHeld, commands: 1,
+	},
+	"between attempts": {
+		limits: noChange,
+		backend: func(b *fakeBackend) {
+			b.answer = overloaded
+			holdAccepting(b)
+		},
+		arrange: commandBetweenAttempts, sentBefore: []string{"a1"}, commands: 1,
+	},
+	"while its connection comes up": {
+		limits: noChange, backend: holdGreeting, arrange: commandWhileConnecting, commands: 1,
+	},
+	"with half of its statement written": {
+		limits: func(l *site.Limits) {
+			l.Sizes.ClientMessage = 64 << 20
+			l.Sizes.ReadPerTurn = 64 << 20
+		},
+		backend: holdAccepting, arrange: commandHalfWritten, commands: 1,
+	},
+	"behind a full pipeline": {
+		limits:  func(l *site.Limits) { l.Counts.PipelinedCommands = 2 },
+		backend: noAnswers, arrange: pipelineFull, commands: 2,
+	},
+	"unread with bytes before its end": {
+		limits: func(l *site.Limits) {
+			l.Counts.PipelinedCommands = 1
+			l.Sizes.ReadPerTurn = 4096
 		},
-		"behind a full pipeline": {func(l *site.Limits) { l.Counts.PipelinedCommands = 2 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.StateDraining)
-			c, _ := d.client(startupThen(wait("a1"), wait("a2"), wait("a3"), wait("a4")))
-			d.runUntil(d.acceptedCommands(2))
-			return c
-		}, nil, 2},
-		"unread with bytes before its end": {func(l *site.Limits) { l.Counts.PipelinedCommands = 1; l.Sizes.ReadPerTurn = 4096 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.StateDraining)
-			var all []byte
-			for i := range 40 {
-				all = append(all, longQuery(fmt.Sprintf("a%x", i))...)
-			}
-			c, _ := d.client(startupThen(all))
-			d.runUntil(d.acceptedCommands(1))
-			return c
-		}, nil, 1},
-		"with its last answer owed": {none, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.StateDraining)
-			c, _ := d.client(startupThen(wait("a1"), []byte("?\x00\x00\x00\x04")))
-			d.runUntil(func() bool { return d.counters.InvalidQueries == 1 })
-			return c
-		}, nil, 1},
-		"with answers that it does not take": {func(l *site.Limits) { l.Sizes.UnsentAnswers = 4096; l.Counts.InvalidQueries = 1 << 30 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.StateDraining)
-			c, err := net.Dial("tcp", d.server.Address.String()) // which reads nothing
-			require.NoError(d.t, err)
-			go func() {
-				_, _ = c.Write(startupThen([]byte(strings.Repeat(string(pg.Query(nil, "SELECT 1")), 100_000)), wait("a1")))
-			}()
-			d.runUntil(func() bool {
-				for k := range d.server.conns {
-					return k.output.Len() > 4096
-				}
-				return false
-			})
-			return c
-		}, nil, 0},
-		"unread for want of buffers": {func(l *site.Limits) { l.Counts.BufferBlocks = 1 << 10 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.StateDraining)
-			c, _ := d.client(startupThen(wait("a1")))
-			d.runUntil(d.acceptedCommands(1))
-			hoard := d.buffers.New()
-			hoard.Write(make([]byte, 4096<<10))
-			_, err := c.Write(pg.Query(nil, strings.Repeat("z", 60_000))[:9000])
-			require.NoError(d.t, err)
-			d.runUntil(func() bool { return len(d.server.awaitingBuffers) == 1 })
-			go func() { <-s.clientLeft; d.loop.Post(hoard.Free) }()
-			return c
-		}, nil, 1},
-		"while the router drains": {func(l *site.Limits) { l.Durations.DrainDeadline = 0 }, func(*fakeBackend) {}, func(d *harness, s *fakeBackend) net.Conn {
-			d.publishState(roster.StateDraining)
-			c, _ := d.client(startupThen(wait("a1")))
-			other, err := net.Dial("tcp", d.server.Address.String()) // for the command that comes after, taken before the end
-			require.NoError(d.t, err)
-			_, err = other.Write(startupThen(wait("b1")))
-			require.NoError(d.t, err)
-			d.runUntil(d.acceptedCommands(2))
-			d.server.Shutdown()
-			return c
-		}, nil, 1},
-	} {
-		for how, linger := range map[string]int{"closes": -1, "resets": 0} {
-			t.Run(what+", "+how, func(t *testing.T) {
-				d := newHarness(t, func(l *site.Limits) { l.Durations.DrainDeadline = 100; w.limits(l) })
-				s := d.startBackend(w.member)
-				c := w.waits(d, s)
-				_ = c.(*net.TCPConn).SetLinger(linger)
-				open := d.server.OpenConnections()
-				_ = c.Close()
-				d.runUntil(func() bool { return d.server.OpenConnections() == open-1 })
-				assert.EqualValues(t, w.left, d.counters.Abandoned)
-				assert.EqualValues(t, min(w.left, 1), d.counters.ClientsLeftUnsent, "clients noticed gone with a command unsent")
-				close(s.clientLeft)
-				// What comes after it arrives, and nothing else.
-				for _, held := range []chan struct{}{s.greeting, s.accepting} {
-					select {
-					case <-held:
-					default:
-						close(held)
-					}
-				}
-				if d.publishState(roster.StateReady); !d.server.ListenerClosed() {
-					d.client(startupThen(wait("b1")))
-				}
-				d.runUntil(s.hasReceived(len(w.sent) + 1))
-				assert.Equal(t, append(w.sent, "b1"), s.ids())
-			})
+		backend: noAnswers, arrange: commandsUnread, commands: 1,
+	},
+	"with its last answer owed": {
+		limits: noChange, backend: noAnswers, arrange: lastAnswerOwed, commands: 1,
+	},
+	"with answers that it does not take": {
+		limits: func(l *site.Limits) {
+			l.Sizes.UnsentAnswers = 4096
+			l.Counts.InvalidQueries = 1 << 30
+		},
+		backend: noAnswers, arrange: answersNotTaken, commands: 0,
+	},
+	"unread for want of buffers": {
+		limits:  func(l *site.Limits) { l.Counts.BufferBlocks = 1 << 10 },
+		backend: noAnswers, arrange: buffersScarce, commands: 1,
+	},
+	"while the router drains": {
+		limits:  func(l *site.Limits) { l.Durations.DrainDeadline = 0 },
+		backend: noAnswers, arrange: routerDrains, commands: 1,
+	},
+}
+
+func commandHeld(h *harness, _ *fakeBackend) net.Conn {
+	h.publishState(roster.StateDraining)
+	conn, _ := h.client(startupThen(patientQuery("a1")))
+	h.runUntil(h.acceptedCommands(1))
+	return conn
+}
+
+func commandBetweenAttempts(h *harness, backend *fakeBackend) net.Conn {
+	conn, _ := h.client(startupThen(patientQuery("a1")))
+	h.runUntil(backend.hasStarted(1))
+	h.publishState(roster.StateDraining)
+	close(backend.accepting)
+	h.runUntil(func() bool { return h.counters.AttemptResults[router.Overloaded] == 1 })
+	return conn
+}
+
+func commandWhileConnecting(h *harness, _ *fakeBackend) net.Conn {
+	conn, _ := h.client(startupThen(patientQuery("a1")))
+	h.runUntil(func() bool { return h.counters.BackendConnects == 1 })
+	return conn
+}
+
+func commandHalfWritten(h *harness, backend *fakeBackend) net.Conn {
+	conn, _ := h.client()
+	go func() { _, _ = conn.Write(startupThen(hugeQuery("a1"))) }()
+	h.runUntil(backend.hasStarted(1))
+	return conn
+}
+
+func pipelineFull(h *harness, _ *fakeBackend) net.Conn {
+	h.publishState(roster.StateDraining)
+	conn, _ := h.client(startupThen(patientQuery("a1"), patientQuery("a2"), patientQuery("a3"), patientQuery("a4")))
+	h.runUntil(h.acceptedCommands(2))
+	return conn
+}
+
+func commandsUnread(h *harness, _ *fakeBackend) net.Conn {
+	h.publishState(roster.StateDraining)
+	var queries []byte
+	for i := range 40 {
+		queries = append(queries, longQuery(fmt.Sprintf("a%x", i))...)
+	}
+	conn, _ := h.client(startupThen(queries))
+	h.runUntil(h.acceptedCommands(1))
+	return conn
+}
+
+func lastAnswerOwed(h *harness, _ *fakeBackend) net.Conn {
+	h.publishState(roster.StateDraining)
+	unknownMessage := []byte("?\x00\x00\x00\x04")
+	conn, _ := h.client(startupThen(patientQuery("a1"), unknownMessage))
+	h.runUntil(func() bool { return h.counters.InvalidQueries == 1 })
+	return conn
+}
+
+func answersNotTaken(h *harness, _ *fakeBackend) net.Conn {
+	h.publishState(roster.StateDraining)
+	conn := h.dial()
+	invalid := []byte(strings.Repeat(string(pg.Query(nil, "SELECT 1")), 100_000))
+	go func() { _, _ = conn.Write(startupThen(invalid, patientQuery("a1"))) }()
+	h.runUntil(func() bool {
+		for accepted := range h.server.conns {
+			return accepted.output.Len() > 4096
+		}
+		return false
+	})
+	return conn
+}
+
+func buffersScarce(h *harness, backend *fakeBackend) net.Conn {
+	h.publishState(roster.StateDraining)
+	conn, _ := h.client(startupThen(patientQuery("a1")))
+	h.runUntil(h.acceptedCommands(1))
+	hoard := h.buffers.New()
+	hoard.Write(make([]byte, testBlockSize<<10))
+	_, err := conn.Write(pg.Query(nil, strings.Repeat("z", 60_000))[:9000])
+	require.NoError(h.t, err)
+	h.runUntil(func() bool { return len(h.server.awaitingBuffers) == 1 })
+	go func() {
+		<-backend.clientGone
+		h.loop.Post(hoard.Free)
+	}()
+	return conn
+}
+
+func routerDrains(h *harness, _ *fakeBackend) net.Conn {
+	h.publishState(roster.StateDraining)
+	conn, _ := h.client(startupThen(patientQuery("a1")))
+	other := h.dial() // for the command that comes after, taken before the shutdown
+	_, err := other.Write(startupThen(patientQuery("b1")))
+	require.NoError(h.t, err)
+	h.runUntil(h.acceptedCommands(2))
+	h.server.Shutdown()
+	return conn
+}
+
+// closings are the ways in which a client closes its connection, as the linger that makes it so.
+var closings = map[string]int{"closes": -1, "resets": 0}
+
+// A client that leaves while its command waits has nothing sent for it any more, in whatever way it waits. Its leaving
+// was once unseen wherever it was not read: epoll reported an end only with bytes to read.
+func TestNothingIsForwardedForAGoneClient(t *testing.T) {
+	for waiting, client := range goneClients {
+		for closing, linger := range closings {
+			t.Run(waiting+", "+closing, func(t *testing.T) { testGoneClient(t, client, linger) })
 		}
 	}
 }
 
-// What a client leaves behind is at a member already: it may run there, and nothing more is sent of it, whatever the
-// member says of it then.
-func TestWhatIsAtAMemberWhenItsClientLeavesIsNotTriedAgain(t *testing.T) {
-	d := newHarness(t, func(*site.Limits) {})
-	say := make(chan struct{})
-	s := d.startBackend(func(s *fakeBackend) { s.answer = func(id string) []byte { <-say; return overloaded(id) } })
-	c, _ := d.client(startupThen(query("a1", "c=look,d=300000")))
-	d.runUntil(s.hasReceived(1))
-	_ = c.Close()
-	d.runUntil(func() bool { return d.counters.Abandoned == 1 })
-	assert.Zero(t, d.counters.ClientsLeftUnsent)
-	close(say)
-	d.runUntil(func() bool { return d.counters.AttemptResults[2] == 1 })
-	d.client(startupThen(query("b1", "c=look,d=300000")))
-	d.runUntil(s.locked(func() bool { return len(s.received) > 1 }))
-	assert.Equal(t, "b1", s.ids()[1])
-}
-
-// A burst and its end stand in the socket together: nobody waits for the burst any more.
-func TestBurstOfAClientThatIsGoneIsNotTaken(t *testing.T) {
-	d := newHarness(t, func(*site.Limits) {})
-	c, err := net.Dial("tcp", d.server.Address.String())
-	require.NoError(t, err)
-	d.runUntil(func() bool { return d.counters.ClientsAccepted == 1 })
-	_, err = c.Write(startupThen(query("a1", "c=look,d=300000")))
+func testGoneClient(t *testing.T, client goneClient, linger int) {
+	t.Helper()
+	h := newDrainHarness(t, client.limits)
+	backend := h.startBackend(client.backend)
+	conn := client.arrange(h, backend)
+	_ = conn.(*net.TCPConn).SetLinger(linger)
+	open := h.server.OpenConnections()
+	_ = conn.Close()
+	h.runUntil(func() bool { return h.server.OpenConnections() == open-1 })
+	assert.EqualValues(t, client.commands, h.counters.Abandoned)
+	assert.EqualValues(t, min(client.commands, 1), h.counters.ClientsLeftUnsent, "clients noticed gone with a command unsent")
+	close(backend.clientGone)
+
+	// The command that comes after it arrives, and nothing else.
+	backend.resume()
+	h.publishState(roster.StateReady)
+	if !h.server.ListenerClosed() {
+		h.client(startupThen(patientQuery("b1")))
+	}
+	h.runUntil(backend.hasReceived(len(client.sentBefore) + 1))
+	assert.Equal(t, append(client.sentBefore, "b1"), backend.ids())
+}
+
+// The command of a gone client is at a backend already: it may run there, and is not retried whatever the backend
+// answers.
+func TestForwardedCommandOfAGoneClientIsNotRetried(t *testing.T) {
+	h := newHarness(t, noChange)
+	release := make(chan struct{})
+	backend := h.startBackend(func(b *fakeBackend) {
+		b.answer = func(id string) []byte {
+			<-release
+			return overloaded(id)
+		}
+	})
+	conn, _ := h.client(startupThen(patientQuery("a1")))
+	h.runUntil(backend.hasReceived(1))
+	_ = conn.Close()
+	h.runUntil(func() bool { return h.counters.Abandoned == 1 })
+	assert.Zero(t, h.counters.ClientsLeftUnsent)
+	close(release)
+	h.runUntil(func() bool { return h.counters.AttemptResults[router.Overloaded] == 1 })
+	h.client(startupThen(patientQuery("b1")))
+	h.runUntil(backend.hasReceived(2))
+	assert.Equal(t, "b1", backend.ids()[1])
+}
+
+// Pipelined commands and the end of the connection lie in the socket together: nobody waits for the commands any more.
+func TestPipelineOfAGoneClientIsNotDispatched(t *testing.T) {
+	h := newHarness(t, noChange)
+	conn := h.dial()
+	h.runUntil(func() bool { return h.counters.ClientsAccepted == 1 })
+	_, err := conn.Write(startupThen(patientQuery("a1")))
 	require.NoError(t, err)
-	require.NoError(t, c.Close())
-	d.runUntil(func() bool { return d.server.OpenConnections() == 0 })
-	assert.Zero(t, d.counters.Attempts)
+	require.NoError(t, conn.Close())
+	h.runUntil(func() bool { return h.server.OpenConnections() == 0 })
+	assert.Zero(t, h.counters.Attempts)
 }
 
-// A client that waits to be accepted asks and leaves meanwhile: what it asked is not sent on once there is room for it.
-func TestClientThatLeavesBeforeItIsAcceptedIsNotHeard(t *testing.T) {
-	for how, linger := range map[string]int{"closes": -1, "resets": 0} {
-		d := newHarness(t, func(*site.Limits) {})
-		s := d.startBackend(func(*fakeBackend) {})
-		c, err := net.Dial("tcp", d.server.Address.String())
-		require.NoError(t, err)
-		_, err = c.Write(startupThen(query("a1", "c=look,d=300000")))
+// A client sends a query and leaves while it waits to be accepted: the query is not forwarded once there is capacity.
+func TestClientGoneBeforeItIsAcceptedIsNotRead(t *testing.T) {
+	for closing, linger := range closings {
+		h := newHarness(t, noChange)
+		backend := h.startBackend(noAnswers)
+		conn := h.dial()
+		_, err := conn.Write(startupThen(patientQuery("a1")))
 		require.NoError(t, err)
-		require.NoError(t, c.(*net.TCPConn).SetLinger(linger))
-		require.NoError(t, c.Close()) // the loop has not turned yet
-		d.client(startupThen(query("b1", "c=look,d=300000")))
-		d.runUntil(s.hasReceived(1))
-		assert.Equal(t, []string{"b1"}, s.ids(), how)
-		assert.EqualValues(t, 1, d.counters.Received, how)
-		assert.EqualValues(t, 2, d.counters.ClientsAccepted, how)
+		require.NoError(t, conn.(*net.TCPConn).SetLinger(linger))
+		require.NoError(t, conn.Close()) // the loop has not turned yet
+		h.client(startupThen(patientQuery("b1")))
+		h.runUntil(backend.hasReceived(1))
+		assert.Equal(t, []string{"b1"}, backend.ids(), closing)
+		assert.EqualValues(t, 1, h.counters.Received, closing)
+		assert.EqualValues(t, 2, h.counters.ClientsAccepted, closing)
 	}
 }
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -10,136 +10,147 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-// A client whose connection was accepted just before the end has not said anything yet: it is heard until the last
-// call. It was ended without a word, which counts as refused, and in numbers as lost.
-func TestClientThatCameJustBeforeTheEndIsHeard(t *testing.T) {
-	for what, first := range map[string][]byte{
-		"nothing": nil, "half of the start-up": pg.Hello(nil)[:11], "the start-up": pg.Hello(nil),
-		"half of the query": startupThen(query("a1", "c=look,d=300")[:20]),
+// A client whose connection was accepted just before the shutdown has not sent its query yet: it has until the drain
+// deadline. Closing it without an error would count as a refused connection.
+func TestClientAcceptedJustBeforeShutdownIsServed(t *testing.T) {
+	for sent, first := range map[string][]byte{
+		"nothing":              nil,
+		"half of the start-up": pg.Hello(nil)[:11],
+		"the start-up":         pg.Hello(nil),
+		"half of the query":    startupThen(query("a1", "c=look,d=300")[:20]),
 	} {
-		d := newDrainHarness(t, func(*site.Limits) {})
-		s := d.startBackend(func(s *fakeBackend) { s.answer = overloaded })
-		c, heard := d.client(first)
-		d.runUntil(func() bool {
-			for k := range d.server.conns {
-				return k.input.Len()+k.output.Len() > 0 || k.state == stateOpen || len(first) == 0
+		h := newDrainHarness(t, noChange)
+		backend := h.startBackend(func(b *fakeBackend) { b.answer = overloaded })
+		conn, received := h.client(first)
+		h.runUntil(func() bool {
+			for accepted := range h.server.conns {
+				return accepted.input.Len()+accepted.output.Len() > 0 || accepted.state == stateOpen || len(first) == 0
 			}
 			return false
 		})
-		d.server.Shutdown()
-		require.True(t, d.server.ListenerClosed())
-		_, err := c.Write(startupThen(query("a1", "c=look,d=300"))[len(first):])
+		h.server.Shutdown()
+		require.True(t, h.server.ListenerClosed())
+		_, err := conn.Write(startupThen(query("a1", "c=look,d=300"))[len(first):])
 		require.NoError(t, err)
-		assert.Contains(t, d.readAll(heard), pg.CodeFull, "asked after %s", what)
-		assert.Contains(t, s.ids(), "a1")
-		require.NoError(t, c.Close())
-		d.runUntil(func() bool { return d.server.OpenConnections() == 0 })
-		assert.False(t, d.server.drainTimer.IsSet())
+		assert.Contains(t, h.readAll(received), pg.CodeFull, "sent before: %s", sent)
+		assert.Contains(t, backend.ids(), "a1")
+		require.NoError(t, conn.Close())
+		h.runUntil(func() bool { return h.server.OpenConnections() == 0 })
+		assert.False(t, h.server.drainTimer.IsSet())
 	}
 }
 
-// Who has not asked by the last call hears that asking elsewhere does no harm, and is ended.
-func TestClientThatDoesNotAskByTheLastCallIsToldSo(t *testing.T) {
-	for what, first := range map[string][]byte{
-		"nothing": nil, "half of the start-up": pg.Hello(nil)[:11], "the start-up": pg.Hello(nil),
-		"half of the query": startupThen(query("a1", "c=look,d=300000")[:20]),
-		"half of the next":  startupThen(pg.Query(nil, ""), query("a1", "c=look,d=300000")[:20]),
+// A client that has not sent a complete query by the drain deadline gets an error that allows a retry, and is closed.
+func TestClientWithoutQueryAtTheDrainDeadlineGetsAnError(t *testing.T) {
+	for sent, first := range map[string][]byte{
+		"nothing":              nil,
+		"half of the start-up": pg.Hello(nil)[:11],
+		"the start-up":         pg.Hello(nil),
+		"half of the query":    startupThen(patientQuery("a1")[:20]),
+		"half of the next":     startupThen(pg.Query(nil, ""), patientQuery("a1")[:20]),
 	} {
-		d := newHarness(t, func(l *site.Limits) { l.Durations.DrainDeadline = 0.05 })
-		_, heard := d.client(first)
-		d.runUntil(func() bool { return d.counters.ClientsAccepted == 1 })
-		d.server.Shutdown()
-		assert.Contains(t, d.readAll(heard), pg.CodeEnding, "%s", what)
-		assert.Zero(t, d.counters.Received)
+		h := newHarness(t, func(l *site.Limits) { l.Durations.DrainDeadline = 0.05 })
+		_, received := h.client(first)
+		h.runUntil(func() bool { return h.counters.ClientsAccepted == 1 })
+		h.server.Shutdown()
+		assert.Contains(t, h.readAll(received), pg.CodeEnding, "%s", sent)
+		assert.Zero(t, h.counters.Received)
 	}
 }
 
-// All descriptors are taken by clients that are spared for a moment, and one more waits to be accepted: closing the
-// listener then would reset it.
-func TestClientThatWaitsToBeAcceptedAtTheEndIsServed(t *testing.T) {
-	d := newDrainHarness(t, func(l *site.Limits) { l.Counts.ClientConnections = 2; l.Durations.ShedGrace = 0.05 })
-	d.client(pg.Hello(nil))
-	d.client(pg.Hello(nil))
-	d.runUntil(func() bool { return d.server.silent.Len() == 2 })
-	_, heard := d.client(startupThen(pg.Query(nil, "")))
-	d.server.Shutdown()
-	assert.False(t, d.server.ListenerClosed())
-	d.runUntil(d.server.ListenerClosed)
-	assert.EqualValues(t, 3, d.counters.ClientsAccepted)
-	assert.Contains(t, d.readAll(heard), string(pg.Empty(nil)))
+// All descriptors are taken by clients in their grace period, and one more waits to be accepted: closing the listener
+// then would reset it.
+func TestClientInTheBacklogAtShutdownIsServed(t *testing.T) {
+	h := newDrainHarness(t, func(l *site.Limits) {
+		l.Counts.ClientConnections = 2
+		l.Durations.ShedGrace = 0.05
+	})
+	h.client(pg.Hello(nil))
+	h.client(pg.Hello(nil))
+	h.runUntil(func() bool { return h.server.silent.Len() == 2 })
+	_, received := h.client(startupThen(pg.Query(nil, "")))
+	h.server.Shutdown()
+	assert.False(t, h.server.ListenerClosed())
+	h.runUntil(h.server.ListenerClosed)
+	assert.EqualValues(t, 3, h.counters.ClientsAccepted)
+	assert.Contains(t, h.readAll(received), string(pg.Empty(nil)))
 }
 
-// Where none makes room the listener is closed at the last call all the same.
-func TestFullRouterEndsAllTheSame(t *testing.T) {
-	d := newHarness(t, func(l *site.Limits) {
+// Where no connection can be shed the listener is closed at the drain deadline all the same.
+func TestShutdownEndsWithoutAFreeDescriptor(t *testing.T) {
+	h := newHarness(t, func(l *site.Limits) {
 		l.Counts.ClientConnections = 1
 		l.Durations.ShedGrace = 0.01
 		l.Durations.DrainDeadline = 0.05
 	})
-	s := d.startBackend(func(*fakeBackend) {})
-	c, _ := d.client(startupThen(query("a1", "c=look,d=300000")))
-	d.runUntil(s.hasReceived(1))
-	d.client(startupThen(query("a2", "c=look,d=300000")))
-	d.runUntil(func() bool { return d.loop.Now() > 0.02 && d.server.resumeTimer.IsSet() })
-	d.server.Shutdown()
-	d.runUntil(d.server.ListenerClosed)
-	assert.EqualValues(t, 1, d.counters.Received)
-	require.NoError(t, c.Close())
-	d.runUntil(func() bool { return d.server.OpenConnections() == 0 })
+	backend := h.startBackend(noAnswers)
+	conn, _ := h.client(startupThen(patientQuery("a1")))
+	h.runUntil(backend.hasReceived(1))
+	h.client(startupThen(patientQuery("a2")))
+	h.runUntil(func() bool { return h.loop.Now() > 0.02 && h.server.resumeTimer.IsSet() })
+	h.server.Shutdown()
+	h.runUntil(h.server.ListenerClosed)
+	assert.EqualValues(t, 1, h.counters.Received)
+	require.NoError(t, conn.Close())
+	h.runUntil(func() bool { return h.server.OpenConnections() == 0 })
 }
 
-// A command lies in the socket when its connection would be ended: it was asked in time, and is answered.
-func TestCommandInTheSocketIsNotSwallowedAtTheEnd(t *testing.T) {
-	d := newDrainHarness(t, func(*site.Limits) {})
-	s := d.startBackend(func(s *fakeBackend) { s.answer = overloaded })
-	c, heard := d.client(startupThen(pg.Query(nil, "")))
-	d.runUntil(func() bool { return d.server.idle.Len() == 1 })
-	_, err := c.Write(query("a1", "c=look,d=300"))
+// A command lies in the socket when its connection would be closed: it was sent in time, and is answered.
+func TestCommandInTheSocketAtShutdownIsAnswered(t *testing.T) {
+	h := newDrainHarness(t, noChange)
+	backend := h.startBackend(func(b *fakeBackend) { b.answer = overloaded })
+	conn, received := h.client(startupThen(pg.Query(nil, "")))
+	h.runUntil(func() bool { return h.server.idle.Len() == 1 })
+	_, err := conn.Write(query("a1", "c=look,d=300"))
 	require.NoError(t, err)
-	d.server.Shutdown() // the loop has not turned since it was written
-	assert.Contains(t, d.readAll(heard), pg.CodeFull)
-	assert.Contains(t, s.ids(), "a1")
+	h.server.Shutdown() // the loop has not turned since it was written
+	assert.Contains(t, h.readAll(received), pg.CodeFull)
+	assert.Contains(t, backend.ids(), "a1")
 }
 
-// So it is behind the answer to the one before: that is the moment at which a connection in a drain is ended. The
-// next command comes in the turn of the answer, too late to be among what is ready in it.
-func TestCommandBehindAnAnswerIsNotSwallowedAtTheEnd(t *testing.T) {
-	d := newDrainHarness(t, func(*site.Limits) {})
-	say, said := make(chan struct{}), make(chan struct{}, 2)
-	s := d.startBackend(func(s *fakeBackend) {
-		s.answer = func(id string) []byte { <-say; return valueRow(id) }
-		s.answered = said
+// A command comes behind the answer to the one before, which is the moment at which a draining connection is closed: in
+// the turn of the answer, too late to be among what is ready in it.
+func TestCommandBehindAnAnswerDuringShutdownIsAnswered(t *testing.T) {
+	h := newDrainHarness(t, noChange)
+	release := make(chan struct{})
+	answered := make(chan struct{}, 2)
+	backend := h.startBackend(func(b *fakeBackend) {
+		b.answer = valueRowAfter(release)
+		b.answered = answered
 	})
-	c, heard := d.client(startupThen(query("a1", "c=look,d=300000")))
-	d.runUntil(s.hasReceived(1))
-	d.server.Shutdown()
-	close(say)
-	<-said // it lies in the router's socket
-	d.loop.Post(func() {
-		_, err := c.Write(query("a2", "c=look,d=300000"))
-		assert.NoError(t, err)
+	conn, received := h.client(startupThen(patientQuery("a1")))
+	h.runUntil(backend.hasReceived(1))
+	h.server.Shutdown()
+	close(release)
+	<-answered // the answer lies in the router's socket
+	h.loop.Post(func() {
+		_, err := conn.Write(patientQuery("a2"))
+		require.NoError(t, err)
 	})
-	got := d.readAll(heard)
-	assert.Contains(t, got, "value of a1")
-	assert.Contains(t, got, "value of a2")
+	answers := h.readAll(received)
+	assert.Contains(t, answers, "value of a1")
+	assert.Contains(t, answers, "value of a2")
 }
 
-// A client that goes on asking before it is answered is read no more after the last call: what was taken is
-// answered and the connection ends, so that what it asks later it may ask elsewhere.
-func TestClientThatPipelinesForGoodIsEnded(t *testing.T) {
-	d := newHarness(t, func(l *site.Limits) { l.Durations.DrainDeadline = 0.05; l.Durations.CloseLinger = 0.05 })
-	say := make(chan struct{})
-	s := d.startBackend(func(s *fakeBackend) { s.answer = func(id string) []byte { <-say; return valueRow(id) } })
-	c, heard := d.client(startupThen(query("a1", "c=look,d=300000")))
-	d.runUntil(s.hasReceived(1))
-	d.server.Shutdown()
-	d.runUntil(func() bool { return d.server.deadlinePassed })
-	_, err := c.Write(query("a2", "c=look,d=300000"))
+// A client that goes on sending queries before it is answered is not read after the drain deadline: what was taken is
+// answered and the connection ends, so that the client may send its later queries elsewhere.
+func TestPipeliningClientIsNotReadAfterTheDrainDeadline(t *testing.T) {
+	h := newHarness(t, func(l *site.Limits) {
+		l.Durations.DrainDeadline = 0.05
+		l.Durations.CloseLinger = 0.05
+	})
+	release := make(chan struct{})
+	backend := h.startBackend(func(b *fakeBackend) { b.answer = valueRowAfter(release) })
+	conn, received := h.client(startupThen(patientQuery("a1")))
+	h.runUntil(backend.hasReceived(1))
+	h.server.Shutdown()
+	h.runUntil(func() bool { return h.server.deadlinePassed })
+	_, err := conn.Write(patientQuery("a2"))
 	require.NoError(t, err)
-	close(say)
-	got := d.readAll(heard)
-	assert.Contains(t, got, "value of a1")
-	assert.NotContains(t, got, "value of a2")
-	assert.EqualValues(t, 1, d.counters.Received)
-	d.runUntil(func() bool { return d.server.OpenConnections() == 0 })
+	close(release)
+	answers := h.readAll(received)
+	assert.Contains(t, answers, "value of a1")
+	assert.NotContains(t, answers, "value of a2")
+	assert.EqualValues(t, 1, h.counters.Received)
+	h.runUntil(func() bool { return h.server.OpenConnections() == 0 })
 }
--- a/internal/front/harness_test.go
+++ b/internal/front/harness_test.go
@@ -23,155 +23,218 @@
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-// harness is a front whose one member takes connections and says nothing.
+const (
+	testShard     = 2
+	testBlockSize = 4096
+	// testDeadline bounds each wait for a condition.
+	testDeadline = 20 * time.Second
+	// never is a timeout in seconds that no test reaches.
+	never = 100
+)
+
+// harness is a server on an event loop that turns only while a test waits, with one endpoint.
 type harness struct {
 	t          *testing.T
 	server     *Server
 	loop       *loop.Loop
 	dispatcher *core.Dispatcher
 	counters   count.Counters
+	buffers    *buffer.Pool
 
-	backendListener net.Listener // the member's
 	endpoint        roster.Endpoint
-	buffers         *buffer.Pool
+	backendListener net.Listener // the endpoint's; it says nothing before startBackend
 }
 
+// newHarness returns a harness with limits that no test reaches, changed by the test.
 func newHarness(t *testing.T, change func(*site.Limits)) *harness {
-	mute := func() net.Listener {
-		n, err := net.Listen("tcp", "127.0.0.1:0")
-		require.NoError(t, err)
-		t.Cleanup(func() { _ = n.Close() })
-		return n
+	t.Helper()
+	h := &harness{t: t, counters: count.Counters{ReceivedByGroup: make([]uint64, 2)}, backendListener: newSilentListener(t)}
+	limitReceiveBuffer(t, h.backendListener, testBlockSize)
+	h.endpoint = roster.Endpoint{
+		ID:      "a",
+		Address: netip.MustParseAddrPort(h.backendListener.Addr().String()),
+		Shard:   testShard,
+		State:   roster.StateReady,
+		Primary: true,
 	}
-	d := &harness{t: t, counters: count.Counters{ReceivedByGroup: make([]uint64, 2)}, backendListener: mute()}
-	raw, err := d.backendListener.(*net.TCPListener).SyscallConn()
+	config := testConfig()
+	config.KnownList = roster.List{Complete: true, Endpoints: []roster.Endpoint{h.endpoint}}
+	config.Discovery = netip.MustParseAddrPort(newSilentListener(t).Addr().String())
+	change(&config.Limits)
+	var err error
+	h.loop, err = loop.New(16)
 	require.NoError(t, err)
-	require.NoError(t, raw.Control(func(fd uintptr) { // connections that it accepts have it too
-		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
-	}))
-	require.NoError(t, err)
-	d.loop, err = loop.New(16)
+	h.buffers = buffer.NewPool(testBlockSize, config.Limits.Counts.BufferBlocks)
+	h.dispatcher = core.New(config, h.loop, h.buffers, &h.counters, zerolog.Nop())
+	h.dispatcher.RunTurn(0)
+	h.server, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), h.loop, Options{
+		Limits:     &config.Limits,
+		Settings:   &config.Settings,
+		Buffers:    h.buffers,
+		Dispatcher: h.dispatcher,
+		Counters:   &h.counters,
+		Log:        zerolog.Nop(),
+	})
 	require.NoError(t, err)
-	d.endpoint = roster.Endpoint{ID: "a", Address: netip.MustParseAddrPort(d.backendListener.Addr().String()), Shard: 2, State: roster.StateReady, Primary: true}
-	s := &site.Config{KnownList: roster.List{Complete: true, Endpoints: []roster.Endpoint{d.endpoint}}}
-	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 500, ClientTimeout: 500, PriorityWeight: 1}
-	keyed := router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, LatencyObjective: 500, ClientTimeout: 500, PriorityWeight: 1}
-	s.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{group, keyed}, RouterCount: 1, MaxAttempts: 4, BatchInterval: 0.005, PollList: true, SlowStart: 1, OverloadWindow: 1}
-	s.Settings.GroupNames = []string{"look", "order"}
-	s.Discovery = netip.MustParseAddrPort(mute().Addr().String())
-	s.Limits = site.Limits{
+	return h
+}
+
+// newDrainHarness returns a harness whose drain deadline does not pass within a test.
+func newDrainHarness(t *testing.T, change func(*site.Limits)) *harness {
+	t.Helper()
+	return newHarness(t, func(l *site.Limits) {
+		l.Durations.DrainDeadline = never
+		change(l)
+	})
+}
+
+// testConfig returns a configuration with two command groups: look may be repeated, order bears idempotency keys.
+func testConfig() *site.Config {
+	config := &site.Config{Limits: testLimits()}
+	config.Settings.GroupNames = []string{"look", "order"}
+	config.Settings.Config = router.Config{
+		CommandGroups: []router.CommandGroup{
+			{Consistency: router.Eventual, LatencyObjective: 500, ClientTimeout: 500, PriorityWeight: 1},
+			{
+				Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey,
+				LatencyObjective: 500, ClientTimeout: 500, PriorityWeight: 1,
+			},
+		},
+		RouterCount: 1, MaxAttempts: 4, BatchInterval: 0.005, PollList: true, SlowStart: 1, OverloadWindow: 1,
+	}
+	return config
+}
+
+func testLimits() site.Limits {
+	return site.Limits{
 		Sizes: site.Sizes{
-			ReadPerTurn: 1 << 16, BufferBlock: 4096, BackendMessage: 1 << 17, InspectedMessage: 1 << 10,
+			ReadPerTurn: 1 << 16, BufferBlock: testBlockSize, BackendMessage: 1 << 17, InspectedMessage: 1 << 10,
 			ClientMessage: 1 << 16, StartupPacket: 1000, StatementComment: 1 << 10, DiscardedInput: 1 << 20,
 			UnsentAnswers: 1 << 20,
 		},
 		Counts: site.Counts{
 			BackendConnections: 8, ClientConnections: 8, SharedDescriptors: 64, AcceptsPerTurn: 8, ListenBacklog: 64,
-			MessagesPerTurn: 100, PipelinedCommands: 8, InvalidQueries: 100, IdleClients: 100,
+			MessagesPerTurn: 100, PipelinedCommands: 8, InvalidQueries: 100, IdleClients: 100, BufferBlocks: 1 << 20,
 		},
 		Durations: site.Durations{
-			PositionEpoch: 3600, ConnectTimeout: 100, HealthCheckTimeout: 100, SilenceTimeout: 100, LongPollHold: 1,
-			MinBackoff: 100, MaxBackoff: 100, MaxClientTimeout: 1000, FirstQueryTimeout: 100, MessageTimeout: 100,
-			WriteStallTimeout: 100, IdleTimeout: 100, CloseLinger: 100, BackendIdleTimeout: 100,
+			PositionEpoch: 3600, ConnectTimeout: never, HealthCheckTimeout: never, SilenceTimeout: never, LongPollHold: 1,
+			MinBackoff: never, MaxBackoff: never, MaxClientTimeout: 1000, FirstQueryTimeout: never, MessageTimeout: never,
+			WriteStallTimeout: never, IdleTimeout: never, CloseLinger: never, BackendIdleTimeout: never,
 		},
 	}
-	s.Limits.Counts.BufferBlocks = 1 << 20
-	change(&s.Limits)
-	d.buffers = buffer.NewPool(4096, s.Limits.Counts.BufferBlocks)
-	d.dispatcher = core.New(s, d.loop, d.buffers, &d.counters, zerolog.Nop())
-	d.dispatcher.RunTurn(0)
-	d.server, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), d.loop, Options{
-		Limits:     &s.Limits,
-		Settings:   &s.Settings,
-		Buffers:    d.buffers,
-		Dispatcher: d.dispatcher,
-		Counters:   &d.counters,
-		Log:        zerolog.Nop(),
-	})
+}
+
+// newSilentListener returns a listener whose connections nobody accepts.
+func newSilentListener(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	return d
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener
 }
 
-// newDrainHarness is a desk whose last call does not end within a test.
-func newDrainHarness(t *testing.T, change func(*site.Limits)) *harness {
-	return newHarness(t, func(l *site.Limits) { l.Durations.DrainDeadline = 100; change(l) })
-}
-
-// runUntil turns the loop until something holds.
-func (d *harness) runUntil(until func() bool) {
-	d.t.Helper()
-	late := time.Now().Add(20 * time.Second)
-	require.NoError(d.t, d.loop.Run(func(now float64) float64 {
-		d.server.ProcessPending()
-		d.dispatcher.RunTurn(now)
-		if until() || time.Now().After(late) {
-			d.loop.Stop()
+// limitReceiveBuffer sets the receive buffer of a listener and of the connections that it accepts.
+func limitReceiveBuffer(t *testing.T, listener net.Listener, size int) {
+	t.Helper()
+	raw, err := listener.(*net.TCPListener).SyscallConn()
+	require.NoError(t, err)
+	require.NoError(t, raw.Control(func(fd uintptr) {
+		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, size)
+	}))
+	require.NoError(t, err)
+}
+
+// runUntil turns the loop until a condition holds.
+func (h *harness) runUntil(condition func() bool) {
+	h.t.Helper()
+	deadline := time.Now().Add(testDeadline)
+	require.NoError(h.t, h.loop.Run(func(now float64) float64 {
+		h.server.ProcessPending()
+		h.dispatcher.RunTurn(now)
+		if condition() || time.Now().After(deadline) {
+			h.loop.Stop()
 		}
 		return now + 0.002
 	}))
-	require.True(d.t, until(), "waited for in vain")
-}
-
-// client connects and sends, and then its answers are read until the end.
-func (d *harness) client(say ...[]byte) (net.Conn, chan string) {
-	d.t.Helper()
-	c, err := net.Dial("tcp", d.server.Address.String())
-	require.NoError(d.t, err)
-	d.t.Cleanup(func() { _ = c.Close() })
-	for _, b := range say {
-		_, err := c.Write(b)
-		require.NoError(d.t, err)
+	require.True(h.t, condition(), "waited for in vain")
+}
+
+// dial connects to the server. What the server sends is left unread.
+func (h *harness) dial() net.Conn {
+	h.t.Helper()
+	conn, err := net.Dial("tcp", h.server.Address.String())
+	require.NoError(h.t, err)
+	h.t.Cleanup(func() { _ = conn.Close() })
+	return conn
+}
+
+// client connects and sends messages. All that it receives until the connection ends comes by the channel.
+func (h *harness) client(messages ...[]byte) (net.Conn, <-chan string) {
+	h.t.Helper()
+	conn := h.dial()
+	for _, message := range messages {
+		_, err := conn.Write(message)
+		require.NoError(h.t, err)
 	}
-	heard := make(chan string, 1)
+	received := make(chan string, 1)
 	go func() {
-		b, _ := io.ReadAll(c)
-		heard <- string(b)
+		all, _ := io.ReadAll(conn)
+		received <- string(all)
 	}()
-	return c, heard
+	return conn, received
 }
 
-func (d *harness) readAll(from chan string) string {
-	d.t.Helper()
-	said, ok := "", false
-	d.runUntil(func() bool {
+// readAll turns the loop until a client's connection has ended, and returns what it received.
+func (h *harness) readAll(received <-chan string) string {
+	h.t.Helper()
+	var all string
+	ended := false
+	h.runUntil(func() bool {
 		select {
-		case said = <-from:
-			ok = true
+		case all = <-received:
+			ended = true
 		default:
 		}
-		return ok
+		return ended
 	})
-	return said
+	return all
 }
 
-func (d *harness) acceptedCommands(n int) func() bool {
-	return func() bool { return d.counters.Received == uint64(n) }
+// acceptedCommands is the condition that so many commands were taken.
+func (h *harness) acceptedCommands(n int) func() bool {
+	return func() bool { return h.counters.Received == uint64(n) }
 }
 
-// drains and readies say in a publishState that the member does.
-func (d *harness) publishState(state roster.State) {
-	d.endpoint.State = state
-	d.dispatcher.HandleList(roster.List{Generation: 9, Endpoints: []roster.Endpoint{d.endpoint}})
-	d.dispatcher.RunTurn(d.loop.Now())
+// publishState publishes an endpoint list in which the endpoint has a state.
+func (h *harness) publishState(state roster.State) {
+	h.endpoint.State = state
+	h.dispatcher.HandleList(roster.List{Generation: 9, Endpoints: []roster.Endpoint{h.endpoint}})
+	h.dispatcher.RunTurn(h.loop.Now())
 }
 
-func query(id string, rest string) []byte {
-	return pg.Query(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = 'k' /* id=%s,cluster=2,%s */", id, rest))
+// startupThen returns the start-up packet and messages after it.
+func startupThen(messages ...[]byte) []byte {
+	sent := pg.Hello(nil)
+	for _, message := range messages {
+		sent = append(sent, message...)
+	}
+	return sent
 }
 
-func startupThen(more ...[]byte) []byte {
-	b := pg.Hello(nil)
-	for _, m := range more {
-		b = append(b, m...)
-	}
-	return b
+// query returns a query whose comment bears an id and other names.
+func query(id, names string) []byte {
+	return pg.Query(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = 'k' /* id=%s,cluster=2,%s */", id, names))
 }
 
+// patientQuery is a query whose client waits for longer than any test runs.
+func patientQuery(id string) []byte { return query(id, "c=look,d=300000") }
+
+// longQuery is a patient query of nearly a kilobyte, the limit of a comment.
 func longQuery(id string) []byte {
-	return query(id, "c=look,d=300000,x="+strings.Repeat("y", 900)) // a comment is a kilobyte at the most
+	return query(id, "c=look,d=300000,x="+strings.Repeat("y", 900))
 }
 
-// hugeQuery is a statement that the sockets on the way to the member cannot hold: its own receive buffer is small.
+// hugeQuery is a patient query that the sockets on the way to the backend cannot hold: its receive buffer is small.
 func hugeQuery(id string) []byte {
 	return pg.Query(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = '%s' /* id=%s,cluster=2,c=look,d=300000 */",
 		strings.Repeat("y", 6<<20), id))
--- a/internal/front/phase_test.go
+++ b/internal/front/phase_test.go
@@ -5,65 +5,67 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/site"
 )
 
-func TestHalfAMessageIsAnErrorInTime(t *testing.T) {
-	for what, half := range map[string][]byte{
-		"start-up": pg.Hello(nil)[:20], "query": append(pg.Hello(nil), query("1", "c=look,d=300")[:30]...),
+func TestIncompleteMessageTimesOutWithAnError(t *testing.T) {
+	for message, half := range map[string][]byte{
+		"start-up": pg.Hello(nil)[:20],
+		"query":    append(pg.Hello(nil), query("1", "c=look,d=300")[:30]...),
 	} {
-		d := newHarness(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
-		_, heard := d.client(half)
-		assert.Contains(t, d.readAll(heard), pg.CodeProtocol, what)
-		assert.EqualValues(t, 1, d.counters.MessageTimeouts, what)
+		h := newHarness(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
+		_, received := h.client(half)
+		assert.Contains(t, h.readAll(received), pg.CodeProtocol, message)
+		assert.EqualValues(t, 1, h.counters.MessageTimeouts, message)
 	}
-	d := newHarness(t, func(l *site.Limits) { l.Durations.MessageTimeout = 0.05 })
-	c, heard := d.client(pg.Hello(nil), pg.Query(nil, ""))
-	go func() { // drips, which renews nothing
+	h := newHarness(t, func(l *site.Limits) { l.Durations.MessageTimeout = 0.05 })
+	conn, received := h.client(pg.Hello(nil), pg.Query(nil, ""))
+	go func() { // sends byte by byte, which does not renew the timeout
 		for _, b := range query("1", "c=look,d=300") {
-			if _, err := c.Write([]byte{b}); err != nil {
+			if _, err := conn.Write([]byte{b}); err != nil {
 				return
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	assert.Contains(t, d.readAll(heard), pg.CodeProtocol)
-	assert.Zero(t, d.counters.Received)
+	assert.Contains(t, h.readAll(received), pg.CodeProtocol)
+	assert.Zero(t, h.counters.Received)
 }
 
-func TestClientThatNeverAsksIsClosed(t *testing.T) {
-	d := newHarness(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
-	_, nothing := d.client()
-	_, hello := d.client(pg.Hello(nil))
-	assert.Empty(t, d.readAll(nothing))
-	assert.NotEmpty(t, d.readAll(hello), "the welcome")
-	assert.EqualValues(t, 2, d.counters.FirstQueryTimeouts)
-	assert.Zero(t, d.server.OpenConnections())
-	assert.Zero(t, d.server.silent.Len()+d.server.idle.Len()+d.server.closing.Len())
+func TestClientWithoutQueryTimesOut(t *testing.T) {
+	h := newHarness(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
+	_, nothing := h.client()
+	_, hello := h.client(pg.Hello(nil))
+	assert.Empty(t, h.readAll(nothing))
+	assert.NotEmpty(t, h.readAll(hello), "the welcome")
+	assert.EqualValues(t, 2, h.counters.FirstQueryTimeouts)
+	assert.Zero(t, h.server.OpenConnections())
+	assert.Zero(t, h.server.silent.Len()+h.server.idle.Len()+h.server.closing.Len())
 }
 
-// The rest of a message comes in the turn in which its time is over: it was whole in time.
-func TestMessageThatLiesInTheSocketIsNotCutShort(t *testing.T) {
-	d := newHarness(t, func(*site.Limits) {})
-	d.startBackend(func(s *fakeBackend) { s.answer = valueRow })
-	whole := query("a1", "c=look,d=300000")
-	c, heard := d.client(startupThen(pg.Query(nil, ""), whole[:20]))
-	var k *conn
-	d.runUntil(func() bool {
-		for k = range d.server.conns {
-			return k.phase == phaseReadingMessage
+// The rest of a message comes in the turn in which its timeout ends: it was complete in time.
+func TestMessageInTheSocketDoesNotTimeOut(t *testing.T) {
+	h := newHarness(t, noChange)
+	h.startBackend(func(b *fakeBackend) { b.answer = valueRow })
+	message := patientQuery("a1")
+	client, received := h.client(startupThen(pg.Query(nil, ""), message[:20]))
+	var accepted *conn
+	h.runUntil(func() bool {
+		for accepted = range h.server.conns {
+			return accepted.phase == phaseReadingMessage
 		}
 		return false
 	})
-	d.loop.Post(func() {
-		_, err := c.Write(whole[20:])
-		assert.NoError(t, err)
-		k.timerExpired()
+	h.loop.Post(func() {
+		_, err := client.Write(message[20:])
+		require.NoError(t, err)
+		accepted.timerExpired()
 	})
-	d.runUntil(d.acceptedCommands(1))
-	assert.Zero(t, d.counters.MessageTimeouts)
-	d.server.Shutdown()
-	assert.Contains(t, d.readAll(heard), "value of a1")
+	h.runUntil(h.acceptedCommands(1))
+	assert.Zero(t, h.counters.MessageTimeouts)
+	h.server.Shutdown()
+	assert.Contains(t, h.readAll(received), "value of a1")
 }
