--- a/internal/loop/wire.go
+++ b/internal/loop/wire.go
@@ -73,6 +73,3 @@
 
 // EndSending implements ListenWire.
 func (*Loop) EndSending(fd int) { EndSending(fd) }
-
-// Fire has the timer's call made, for a Wire that is no Loop.
-func (t *Timer) Fire() { t.fire() }
