--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -27,7 +27,7 @@
 		return err
 	}
 	if err := w.loop.Add(fd, w, true, true); err != nil {
-		w.loop.Discard(fd)
+		w.loop.CloseUnwatched(fd)
 		return err
 	}
 	w.fd, w.connected = fd, false
@@ -36,7 +36,7 @@
 
 // disconnect closes the connection if there is one, and drops all that was sent or received in part.
 func (w *Watch) disconnect() {
-	w.loop.Unset(w.timer)
+	w.loop.StopTimer(w.timer)
 	if w.fd != noSocket {
 		w.loop.Close(w.fd)
 		w.fd = noSocket
@@ -68,7 +68,7 @@
 
 // finishConnect learns whether the connection is open, and sends the first request on it.
 func (w *Watch) finishConnect() {
-	if err := w.loop.Dialled(w.fd); err != nil {
+	if err := w.loop.ConnectError(w.fd); err != nil {
 		w.fail(err)
 		return
 	}
@@ -85,7 +85,7 @@
 		timeout += hold
 	}
 	w.out.Write([]byte(http1.Get(w.address.String(), path)))
-	w.loop.Set(w.timer, w.loop.Now()+timeout)
+	w.loop.SetTimer(w.timer, w.loop.Now()+timeout)
 	w.flush()
 }
 
@@ -95,7 +95,7 @@
 		w.fail(err)
 		return
 	}
-	w.loop.Want(w.fd, true, w.out.Len() > 0)
+	w.loop.SetInterest(w.fd, true, w.out.Len() > 0)
 }
 
 // receive reads from the connection and handles the reply once it is complete.
@@ -109,7 +109,7 @@
 		w.fail(err)
 		return
 	}
-	if errors.Is(readErr, loop.ErrEnded) { // and not a reset, before which bytes may be missing
+	if errors.Is(readErr, loop.ErrPeerClosed) { // and not a reset, before which bytes may be missing
 		complete = w.reply.End() || complete
 	}
 	switch {
@@ -127,7 +127,7 @@
 	if w.replyDeadline == 0 {
 		w.replyDeadline = now + w.limits.Durations.ReplyTimeout
 	}
-	w.loop.Set(w.timer, min(w.replyDeadline, now+w.limits.Durations.SilenceTimeout))
+	w.loop.SetTimer(w.timer, min(w.replyDeadline, now+w.limits.Durations.SilenceTimeout))
 }
 
 // handleReply hands a complete reply on and begins the next call at once, on the same connection if that is open and
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -32,7 +32,7 @@
 // Watch is a watch of the endpoint list. By default it polls for good and repeats failed calls with backoff. A watch on
 // demand stops at a failed call until Poll is called again.
 type Watch struct {
-	loop     loop.Wire
+	loop     loop.Network
 	limits   *site.Limits
 	address  netip.AddrPort
 	handler  ListHandler
@@ -52,7 +52,7 @@
 
 // New returns a watch of the list at an address, which does nothing until Poll is called.
 func New(
-	l loop.Wire, limits *site.Limits, address netip.AddrPort, onDemand bool, blocks *buffer.Pool, handler ListHandler, log zerolog.Logger,
+	l loop.Network, limits *site.Limits, address netip.AddrPort, onDemand bool, blocks *buffer.Pool, handler ListHandler, log zerolog.Logger,
 ) *Watch {
 	w := &Watch{
 		loop:       l,
@@ -80,7 +80,7 @@
 		w.fail(err)
 		return
 	}
-	w.loop.Set(w.timer, w.loop.Now()+w.limits.Durations.SilenceTimeout)
+	w.loop.SetTimer(w.timer, w.loop.Now()+w.limits.Durations.SilenceTimeout)
 }
 
 // SetAddress gives up the call that is out and asks another address for the complete list at once. The list that was
@@ -120,7 +120,7 @@
 		w.generation = NoGeneration
 	}
 	if !w.onDemand {
-		w.loop.Set(w.timer, w.loop.Now()+w.backoff)
+		w.loop.SetTimer(w.timer, w.loop.Now()+w.backoff)
 		w.backoff = min(2*w.backoff, w.limits.Durations.MaxBackoff)
 	}
 	w.handler.HandleCallFailure()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -268,7 +268,7 @@
 	h.watch.Close()
 	h.watch.SetAddress(standIn)
 	assert.Equal(t, noSocket, h.watch.fd)
-	assert.Equal(t, 1, h.loop.Open(), "no descriptor is left but the loop's own")
+	assert.Equal(t, 1, h.loop.OpenDescriptors(), "no descriptor is left but the loop's own")
 }
 
 func TestRepliesWithoutAUsableListAreTypedErrors(t *testing.T) {
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -49,6 +49,8 @@
 	queuedAt    float64       // when it entered shedQueue
 }
 
+var _ loop.HangupHandler = (*conn)(nil)
+
 // newConn returns the state of a connection that has just been accepted.
 func newConn(s *Server, fd int) *conn {
 	c := &conn{
@@ -62,9 +64,9 @@
 	return c
 }
 
-// Left implements loop.Leaver. Nobody waits any more for what the client has asked for, so nothing is read before the
+// HungUp implements loop.HangupHandler. Nobody waits any more for what the client has asked for, so nothing is read before the
 // connection is closed.
-func (c *conn) Left() { c.close() }
+func (c *conn) HungUp() { c.close() }
 
 // Ready implements loop.Handler.
 func (c *conn) Ready(readable, writable bool) {
@@ -90,7 +92,7 @@
 		}
 	}
 	if !c.readSuspended { // otherwise the input has waited since reading was suspended
-		c.earliestArrival = c.server.loop.Since()
+		c.earliestArrival = c.server.loop.ReadySince()
 	}
 	c.readSuspended = false
 	got, err := c.server.loop.Read(c.fd, &c.input, limit)
@@ -181,7 +183,7 @@
 		c.readSuspended = true
 		c.earliestArrival = c.server.loop.Now()
 	}
-	c.server.loop.Want(c.fd, reads, c.output.Len() > 0)
+	c.server.loop.SetInterest(c.fd, reads, c.output.Len() > 0)
 	c.enterPhase(c.currentPhase())
 }
 
@@ -201,7 +203,7 @@
 func (c *conn) beginClosing() {
 	c.state = stateClosing
 	c.input.Free()
-	c.server.loop.EndSending(c.fd)
+	c.server.loop.CloseWrite(c.fd)
 }
 
 // close closes the connection and notifies the dispatcher that the commands in flight have lost their client.
@@ -213,9 +215,9 @@
 	c.leaveShedQueue()
 	delete(c.server.conns, c)
 	if c.server.listenerClosed && len(c.server.conns) == 0 {
-		c.server.loop.Unset(c.server.drainTimer)
+		c.server.loop.StopTimer(c.server.drainTimer)
 	}
-	c.server.loop.Unset(c.timer)
+	c.server.loop.StopTimer(c.timer)
 	c.server.loop.Close(c.fd)
 	c.input.Free()
 	c.output.Free()
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -26,7 +26,7 @@
 	}
 	s.deadlinePassed = now >= s.drainDeadline
 	if !s.deadlinePassed && len(s.conns) > 0 {
-		s.loop.Set(s.drainTimer, s.drainDeadline)
+		s.loop.SetTimer(s.drainTimer, s.drainDeadline)
 	}
 	for c := range s.conns {
 		c.process()
@@ -38,12 +38,12 @@
 // the latest until the drain deadline.
 func (s *Server) closeListener(now float64) bool {
 	s.accept(s.limits.Counts.ListenBacklog)
-	if s.loop.Waiting(s.listener) && now < s.drainDeadline {
-		s.loop.Set(s.drainTimer, math.Min(now+s.limits.Durations.ShedGrace, s.drainDeadline))
+	if s.loop.HasBacklog(s.listener) && now < s.drainDeadline {
+		s.loop.SetTimer(s.drainTimer, math.Min(now+s.limits.Durations.ShedGrace, s.drainDeadline))
 		return false
 	}
 	s.listenerClosed = true
-	s.loop.Unset(s.resumeTimer)
+	s.loop.StopTimer(s.resumeTimer)
 	s.loop.Close(s.listener)
 	s.listener = noDescriptor
 	return true
@@ -82,7 +82,7 @@
 		return true
 	case c.server.listenerClosed:
 		// What waits in the socket was sent in time: it is read next.
-		return c.hasQueried && c.input.Len() == 0 && c.server.loop.Quiet(c.fd)
+		return c.hasQueried && c.input.Len() == 0 && c.server.loop.NothingToRead(c.fd)
 	}
 	return false
 }
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -21,11 +21,11 @@
 // be. Where there is none to spare accepting pauses, since the listener would stay ready and spin the event loop.
 func (s *Server) reserveDescriptor() bool {
 	clientsFull := len(s.conns) >= s.limits.Counts.ClientConnections
-	descriptorsFull := s.loop.Open() >= s.limits.Counts.SharedDescriptors
+	descriptorsFull := s.loop.OpenDescriptors() >= s.limits.Counts.SharedDescriptors
 	if !clientsFull && !descriptorsFull {
 		return true
 	}
-	if !s.loop.Waiting(s.listener) {
+	if !s.loop.HasBacklog(s.listener) {
 		return false
 	}
 	backendClosed := !clientsFull && s.dispatcher.CloseIdleBackend()
@@ -50,12 +50,12 @@
 	}
 	c := newConn(s, fd)
 	if err := s.loop.Add(fd, c, true, false); err != nil {
-		s.loop.Discard(fd)
+		s.loop.CloseUnwatched(fd)
 		return false
 	}
 	s.counters.ClientsAccepted++
 	s.conns[c] = true
-	if s.loop.Left(fd) { // it left while it waited to be accepted: what it sent is not read
+	if s.loop.PeerClosed(fd) { // it left while it waited to be accepted: what it sent is not read
 		c.close()
 		return true
 	}
@@ -66,14 +66,14 @@
 // setAccepting watches the listener for new connections, or stops doing so.
 func (s *Server) setAccepting(on bool) {
 	if s.listener != noDescriptor {
-		s.loop.Want(s.listener, on, false)
+		s.loop.SetInterest(s.listener, on, false)
 	}
 }
 
 // pauseAccepting leaves new connections in the backlog for a moment.
 func (s *Server) pauseAccepting() {
 	s.setAccepting(false)
-	s.loop.Set(s.resumeTimer, s.loop.Now()+s.limits.Durations.ShedGrace)
+	s.loop.SetTimer(s.resumeTimer, s.loop.Now()+s.limits.Durations.ShedGrace)
 }
 
 // shedOne closes one connection to free its descriptor, and reports whether there was one: one that is closing anyway,
@@ -94,7 +94,7 @@
 		if s.loop.Now()-c.queuedAt < s.limits.Durations.ShedGrace {
 			return false
 		}
-		if s.loop.Quiet(c.fd) {
+		if s.loop.NothingToRead(c.fd) {
 			s.counters.ClientsShed++
 			c.close()
 			return true
--- a/internal/front/phase.go
+++ b/internal/front/phase.go
@@ -48,9 +48,9 @@
 	}
 	c.phase = p
 	c.moveToShedQueue(c.shedQueueFor(p))
-	c.server.loop.Unset(c.timer)
+	c.server.loop.StopTimer(c.timer)
 	if timeout := c.phaseEnd(p); timeout != noTimeout {
-		c.server.loop.Set(c.timer, timeout)
+		c.server.loop.SetTimer(c.timer, timeout)
 	}
 	// Clients that send one query and stay exhaust the descriptors of their own side long before those of this one.
 	if p == phaseIdle && c.server.idle.Len() > c.server.limits.Counts.IdleClients {
@@ -118,9 +118,9 @@
 // a message and not completed it.
 func (c *conn) timerExpired() {
 	switch {
-	case c.expectsInput() && !c.awaitsBuffers && !c.server.loop.Quiet(c.fd):
+	case c.expectsInput() && !c.awaitsBuffers && !c.server.loop.NothingToRead(c.fd):
 		// Its input has come and is read next.
-		c.server.loop.Set(c.timer, c.server.loop.Now()+c.server.limits.Durations.MinBackoff)
+		c.server.loop.SetTimer(c.timer, c.server.loop.Now()+c.server.limits.Durations.MinBackoff)
 	case c.expectsInput() && c.phase != phaseIdle && c.input.Len() > 0:
 		c.server.counters.MessageTimeouts++
 		c.protocolError(pg.CodeProtocol, "a message was not whole in time")
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -47,7 +47,7 @@
 type Server struct {
 	Address netip.AddrPort // where it listens, with the port that the kernel chose if none was given
 
-	loop       loop.ListenWire
+	loop       loop.ServerNetwork
 	limits     *site.Limits
 	settings   *site.Settings
 	buffers    *buffer.Pool
@@ -77,7 +77,7 @@
 }
 
 // Listen opens a server on one address and watches it by the event loop. It fails if the address cannot be listened on.
-func Listen(address netip.AddrPort, events loop.ListenWire, options Options) (*Server, error) {
+func Listen(address netip.AddrPort, events loop.ServerNetwork, options Options) (*Server, error) {
 	s := &Server{
 		loop:       events,
 		limits:     options.Limits,
@@ -96,7 +96,7 @@
 	if s.listener, err = events.Listen(address, s.limits.Counts.ListenBacklog); err != nil {
 		return nil, err
 	}
-	if s.Address, err = events.Bound(s.listener); err != nil {
+	if s.Address, err = events.LocalAddress(s.listener); err != nil {
 		return nil, err
 	}
 	return s, events.Add(s.listener, s, true, false)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -18,33 +18,33 @@
 	Ready(readable, writable bool)
 }
 
-// Leaver is a Handler that is told of a hang-up by a call of its own, in place of Ready: also where it is watched for
+// HangupHandler is a Handler that is told of a hang-up by a call of its own, in place of Ready: also where it is watched for
 // nothing, and with bytes that were not read still ahead of the end. It has to close the descriptor then, which
 // would be ready for good.
-type Leaver interface {
+type HangupHandler interface {
 	Handler
-	Left()
+	HungUp()
 }
 
-type watched struct {
+type registration struct {
 	handler     Handler
-	gen         int32
+	generation  int32
 	read, write bool
 }
 
 // Loop belongs to the goroutine that calls Run; only Post may be called from others.
 type Loop struct {
-	events   int
-	start    time.Time
-	now      float64
-	polled   float64 // when the wait before this one ended
-	since    float64
-	ep, wake int
-	files    map[int]*watched
-	gen      int32
-	timers   timers
-	stopped  bool
-	longest  float64
+	eventsPerTurn  int
+	start          time.Time
+	now            float64
+	lastPoll       float64 // when the wait before this one ended
+	readySince     float64
+	epoll, wakeup  int
+	registered     map[int]*registration
+	lastGeneration int32
+	timers         timerHeap
+	stopped        bool
+	longestTurn    float64
 
 	mu     sync.Mutex
 	posted []func()
@@ -53,15 +53,15 @@
 // New returns a loop that gathers so many events in one turn at the most, so that no turn grows long. Its clock
 // reads 0 at its start: wall time is read once, and the clock then goes on by monotonic time.
 func New(events int) (*Loop, error) {
-	l := &Loop{events: events, start: time.Now(), files: map[int]*watched{}}
+	l := &Loop{eventsPerTurn: events, start: time.Now(), registered: map[int]*registration{}}
 	var err error
-	if l.ep, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	if l.wake, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
+	if l.wakeup, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	return l, l.Add(l.wake, wakener{l}, true, false)
+	return l, l.Add(l.wakeup, wakeupHandler{l}, true, false)
 }
 
 // StartedAt is the wall time at which the clock read 0.
@@ -73,19 +73,19 @@
 // Clock reads the time anew: what was read in this turn may have come after its poll.
 func (l *Loop) Clock() float64 { return time.Since(l.start).Seconds() }
 
-// Since is the earliest time at which what is ready in this turn may have become so: bytes that came
+// ReadySince is the earliest time at which what is ready in this turn may have become so: bytes that came
 // while the last turn was at work have waited since that turn's poll.
-func (l *Loop) Since() float64 { return l.since }
+func (l *Loop) ReadySince() float64 { return l.readySince }
 
-// Open is the number of descriptors that the loop watches.
-func (l *Loop) Open() int { return len(l.files) }
+// OpenDescriptors is the number of descriptors that the loop watches.
+func (l *Loop) OpenDescriptors() int { return len(l.registered) }
 
-// Longest is the longest turn so far, in seconds.
-func (l *Loop) Longest() float64 { return l.longest }
+// LongestTurn is the longest turn so far, in seconds.
+func (l *Loop) LongestTurn() float64 { return l.longestTurn }
 
-// events asks for the other side's end always: epoll would tell of it only together with bytes to read, and who is
+// eventMask asks for the other side's end always: epoll would tell of it only together with bytes to read, and who is
 // not read at present may leave all the same.
-func events(read, write bool) uint32 {
+func eventMask(read, write bool) uint32 {
 	e := uint32(unix.EPOLLRDHUP)
 	if read {
 		e |= unix.EPOLLIN
@@ -98,31 +98,31 @@
 
 // Add watches a descriptor.
 func (l *Loop) Add(fd int, h Handler, read, write bool) error {
-	l.gen++
-	w := &watched{handler: h, gen: l.gen, read: read, write: write}
-	e := unix.EpollEvent{Events: events(read, write), Fd: int32(fd), Pad: w.gen}
-	if err := unix.EpollCtl(l.ep, unix.EPOLL_CTL_ADD, fd, &e); err != nil {
+	l.lastGeneration++
+	w := &registration{handler: h, generation: l.lastGeneration, read: read, write: write}
+	e := unix.EpollEvent{Events: eventMask(read, write), Fd: int32(fd), Pad: w.generation}
+	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &e); err != nil {
 		return fmt.Errorf("watching a descriptor: %w", err)
 	}
-	l.files[fd] = w
+	l.registered[fd] = w
 	return nil
 }
 
-// Want changes what a descriptor is watched for.
-func (l *Loop) Want(fd int, read, write bool) {
-	w := l.files[fd]
+// SetInterest changes what a descriptor is watched for.
+func (l *Loop) SetInterest(fd int, read, write bool) {
+	w := l.registered[fd]
 	if w == nil || w.read == read && w.write == write {
 		return
 	}
 	w.read, w.write = read, write
-	e := unix.EpollEvent{Events: events(read, write), Fd: int32(fd), Pad: w.gen}
-	_ = unix.EpollCtl(l.ep, unix.EPOLL_CTL_MOD, fd, &e)
+	e := unix.EpollEvent{Events: eventMask(read, write), Fd: int32(fd), Pad: w.generation}
+	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &e)
 }
 
 // Close closes a watched descriptor; events that were gathered for it go nowhere.
 func (l *Loop) Close(fd int) {
-	if _, ok := l.files[fd]; ok {
-		delete(l.files, fd)
+	if _, ok := l.registered[fd]; ok {
+		delete(l.registered, fd)
 		_ = unix.Close(fd)
 	}
 }
@@ -133,28 +133,28 @@
 // Run turns until Stop, and may be called again: descriptors, timers, then settle, which says when it wants
 // to be called at the latest.
 func (l *Loop) Run(settle func(now float64) float64) error {
-	ready := make([]unix.EpollEvent, l.events)
+	ready := make([]unix.EpollEvent, l.eventsPerTurn)
 	next := 0.0
-	l.tick()
-	l.polled, l.stopped = l.now, false
+	l.readClock()
+	l.lastPoll, l.stopped = l.now, false
 	for !l.stopped {
-		l.tick()
-		l.longest = math.Max(l.longest, l.now-l.polled)
+		l.readClock()
+		l.longestTurn = math.Max(l.longestTurn, l.now-l.lastPoll)
 		before := l.now
-		n, err := unix.EpollWait(l.ep, ready, l.pause(next))
+		n, err := unix.EpollWait(l.epoll, ready, l.waitMilliseconds(next))
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return fmt.Errorf("waiting: %w", err)
 		}
-		l.tick()
-		if l.since = l.now; l.now-before < 0.001 { // it hardly waited
-			l.since = l.polled
+		l.readClock()
+		if l.readySince = l.now; l.now-before < 0.001 { // it hardly waited
+			l.readySince = l.lastPoll
 		}
-		l.polled = l.now
+		l.lastPoll = l.now
 		for _, e := range ready[:max(0, n)] {
-			if w := l.files[int(e.Fd)]; w != nil && w.gen == e.Pad {
+			if w := l.registered[int(e.Fd)]; w != nil && w.generation == e.Pad {
 				bad := e.Events&(unix.EPOLLERR|unix.EPOLLHUP) != 0
-				if h, ok := w.handler.(Leaver); ok && (bad || e.Events&unix.EPOLLRDHUP != 0) {
-					h.Left()
+				if h, ok := w.handler.(HangupHandler); ok && (bad || e.Events&unix.EPOLLRDHUP != 0) {
+					h.HungUp()
 					continue
 				}
 				w.handler.Ready(bad || e.Events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0,
@@ -170,10 +170,10 @@
 	return nil
 }
 
-func (l *Loop) tick() { l.now = l.Clock() }
+func (l *Loop) readClock() { l.now = l.Clock() }
 
-// pause is how long to wait, in whole milliseconds and never short of what is due.
-func (l *Loop) pause(next float64) int {
+// waitMilliseconds is how long to wait, in whole milliseconds and never short of what is due.
+func (l *Loop) waitMilliseconds(next float64) int {
 	if len(l.timers) > 0 {
 		next = math.Min(next, l.timers[0].at)
 	}
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -25,13 +25,13 @@
 	l, fired := newLoop(t), ""
 	note := func(s string) *Timer { return NewTimer(func() { fired += s }) }
 	a, b, c, d := note("a"), note("b"), note("c"), note("d")
-	l.Set(a, 0.003)
-	l.Set(b, 0.001)
-	l.Set(c, 0.002)
-	l.Set(d, 0.002)
-	l.Set(a, 0) // instead of the first time
-	l.Unset(d)
-	l.Unset(d)
+	l.SetTimer(a, 0.003)
+	l.SetTimer(b, 0.001)
+	l.SetTimer(c, 0.002)
+	l.SetTimer(d, 0.002)
+	l.SetTimer(a, 0) // instead of the first time
+	l.StopTimer(d)
+	l.StopTimer(d)
 	require.NoError(t, l.Run(func(now float64) float64 {
 		if now > 0.01 {
 			l.Stop()
@@ -83,23 +83,23 @@
 func TestReadAndWriteGoByChains(t *testing.T) {
 	listener, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), 5)
 	require.NoError(t, err)
-	defer Discard(listener)
+	defer CloseUnwatched(listener)
 	_, ok, err := Accept(listener)
 	require.NoError(t, err)
 	require.False(t, ok, "nobody waits")
-	at, err := Bound(listener)
+	at, err := LocalAddress(listener)
 	require.NoError(t, err)
 	c, err := net.Dial("tcp", at.String())
 	require.NoError(t, err)
 	fd, ok, err := Accept(listener)
 	require.NoError(t, err)
 	require.True(t, ok)
-	defer Discard(fd)
-	assert.True(t, Quiet(fd))
+	defer CloseUnwatched(fd)
+	assert.True(t, NothingToRead(fd))
 
 	_, err = c.Write([]byte("hello, this is longer than a block"))
 	require.NoError(t, err)
-	assert.False(t, Quiet(fd))
+	assert.False(t, NothingToRead(fd))
 	in := buffer.NewPool(8, 10).New()
 	n, err := Read(fd, &in, 100)
 	require.NoError(t, err)
@@ -112,8 +112,8 @@
 	assert.Equal(t, "hello, this is longer than a block", string(back))
 	_ = c.Close()
 	_, err = Read(fd, &in, 100)
-	assert.ErrorIs(t, err, ErrEnded)
-	assert.False(t, Quiet(fd), "an ended connection is not quiet")
+	assert.ErrorIs(t, err, ErrPeerClosed)
+	assert.False(t, NothingToRead(fd), "an ended connection is not quiet")
 }
 
 func TestWaitingBytesCountFromTheLastPoll(t *testing.T) {
@@ -124,13 +124,13 @@
 		case 1:
 			slow = now
 			time.Sleep(20 * time.Millisecond)
-			l.Post(func() { assert.LessOrEqual(t, l.Since(), slow, "what came in the slow turn") })
+			l.Post(func() { assert.LessOrEqual(t, l.ReadySince(), slow, "what came in the slow turn") })
 			return now
 		}
 		l.Stop()
 		return now
 	}))
-	assert.GreaterOrEqual(t, l.Longest(), 0.02)
+	assert.GreaterOrEqual(t, l.LongestTurn(), 0.02)
 }
 
 func TestLogLinesAreDroppedRatherThanWaitedFor(t *testing.T) {
@@ -139,7 +139,7 @@
 	defer func() { _ = r.Close() }()
 	line := append(bytes.Repeat([]byte{'x'}, 999), '\n')
 	for range 1000 { // more than a pipe holds
-		n, err := Lines(w.Fd()).Write(line)
+		n, err := DroppingWriter(w.Fd()).Write(line)
 		require.NoError(t, err)
 		require.Equal(t, len(line), n)
 	}
--- a/internal/loop/post.go
+++ b/internal/loop/post.go
@@ -9,18 +9,18 @@
 	l.mu.Lock()
 	l.posted = append(l.posted, call)
 	l.mu.Unlock()
-	_, _ = unix.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+	_, _ = unix.Write(l.wakeup, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
-type wakener struct{ l *Loop }
+type wakeupHandler struct{ loop *Loop }
 
-func (w wakener) Ready(bool, bool) {
+func (w wakeupHandler) Ready(bool, bool) {
 	var b [8]byte
-	_, _ = unix.Read(w.l.wake, b[:])
-	w.l.mu.Lock()
-	calls := w.l.posted
-	w.l.posted = nil
-	w.l.mu.Unlock()
+	_, _ = unix.Read(w.loop.wakeup, b[:])
+	w.loop.mu.Lock()
+	calls := w.loop.posted
+	w.loop.posted = nil
+	w.loop.mu.Unlock()
 	for _, call := range calls {
 		call()
 	}
--- a/internal/loop/socket.go
+++ b/internal/loop/socket.go
@@ -8,25 +8,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrEnded says that the other side has closed.
-var ErrEnded = errors.New("connection ended")
+// ErrPeerClosed says that the other side has closed.
+var ErrPeerClosed = errors.New("connection ended")
 
-func address(at netip.AddrPort) (int, unix.Sockaddr) {
+func socketAddress(at netip.AddrPort) (int, unix.Sockaddr) {
 	if a := at.Addr().Unmap(); a.Is4() {
 		return unix.AF_INET, &unix.SockaddrInet4{Port: int(at.Port()), Addr: a.As4()}
 	}
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(at.Port()), Addr: at.Addr().As16()}
 }
 
-func socket(at netip.AddrPort) (int, unix.Sockaddr, error) {
-	family, where := address(at)
+func newSocket(at netip.AddrPort) (int, unix.Sockaddr, error) {
+	family, where := socketAddress(at)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	return fd, where, err
 }
 
 // Listen opens a listening socket on one address only.
 func Listen(at netip.AddrPort, backlog int) (int, error) {
-	fd, where, err := socket(at)
+	fd, where, err := newSocket(at)
 	if err != nil {
 		return -1, fmt.Errorf("opening a socket: %w", err)
 	}
@@ -42,8 +42,8 @@
 	return fd, nil
 }
 
-// Bound is the address that a listening socket got.
-func Bound(fd int) (netip.AddrPort, error) {
+// LocalAddress is the address that a listening socket got.
+func LocalAddress(fd int) (netip.AddrPort, error) {
 	where, err := unix.Getsockname(fd)
 	if err != nil {
 		return netip.AddrPort{}, fmt.Errorf("asking for the address: %w", err)
@@ -57,15 +57,15 @@
 	return netip.AddrPort{}, errors.New("asking for the address: unknown family")
 }
 
-// Waiting says that a connection waits to be accepted.
-func Waiting(listener int) bool {
+// HasBacklog says that a connection waits to be accepted.
+func HasBacklog(listener int) bool {
 	ready := []unix.PollFd{{Fd: int32(listener), Events: unix.POLLIN}}
 	n, err := unix.Poll(ready, 0)
 	return n == 1 && err == nil
 }
 
-// Left says that the other side of a connection has ended, also where bytes that it sent before were not read.
-func Left(fd int) bool {
+// PeerClosed says that the other side of a connection has ended, also where bytes that it sent before were not read.
+func PeerClosed(fd int) bool {
 	ended := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(ended, 0)
 	return n == 1 && err == nil
@@ -90,7 +90,7 @@
 
 // Dial starts to connect. The descriptor is writable once that has ended; Dialled tells how.
 func Dial(at netip.AddrPort) (int, error) {
-	fd, where, err := socket(at)
+	fd, where, err := newSocket(at)
 	if err != nil {
 		return -1, fmt.Errorf("opening a socket: %w", err)
 	}
@@ -102,8 +102,8 @@
 	return fd, nil
 }
 
-// Dialled tells how a connection attempt ended.
-func Dialled(fd int) error {
+// ConnectError tells how a connection attempt ended.
+func ConnectError(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
 		return err
@@ -114,15 +114,15 @@
 	return nil
 }
 
-// Quiet says that a connection is open and has nothing to read.
-func Quiet(fd int) bool {
+// NothingToRead says that a connection is open and has nothing to read.
+func NothingToRead(fd int) bool {
 	var b [1]byte
 	_, _, err := unix.Recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// EndSending tells the other side that nothing more comes.
-func EndSending(fd int) { _ = unix.Shutdown(fd, unix.SHUT_WR) }
+// CloseWrite tells the other side that nothing more comes.
+func CloseWrite(fd int) { _ = unix.Shutdown(fd, unix.SHUT_WR) }
 
-// Discard closes a descriptor that the loop does not watch.
-func Discard(fd int) { _ = unix.Close(fd) }
+// CloseUnwatched closes a descriptor that the loop does not watch.
+func CloseUnwatched(fd int) { _ = unix.Close(fd) }
--- a/internal/loop/stream.go
+++ b/internal/loop/stream.go
@@ -9,8 +9,8 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// pieces of a chain go in one call where there is more than one: a long value would cost a call a block.
-const pieces = 16
+// maxVectors of a chain go in one call where there is more than one: a long value would cost a call a block.
+const maxVectors = 16
 
 // Read fills a chain with what there is, about most bytes at the most; more may wait then.
 func Read(fd int, into *buffer.Chain, most int) (got int, err error) {
@@ -23,7 +23,7 @@
 			into.Grow(max(0, n))
 			room = len(one)
 		} else {
-			rooms := into.Rooms(pieces)
+			rooms := into.Rooms(maxVectors)
 			n, err = unix.Readv(fd, rooms)
 			into.Fill(rooms, max(0, n))
 			for _, b := range rooms {
@@ -39,7 +39,7 @@
 		}
 		switch {
 		case err == nil:
-			return got, ErrEnded
+			return got, ErrPeerClosed
 		case errors.Is(err, unix.EAGAIN):
 			return got, nil
 		case !errors.Is(err, unix.EINTR):
@@ -57,7 +57,7 @@
 		if first := from.First(); len(first) == from.Len() {
 			n, err = unix.SendmsgN(fd, first, nil, nil, unix.MSG_NOSIGNAL)
 		} else {
-			n, err = unix.SendmsgBuffers(fd, from.Runs(pieces), nil, nil, unix.MSG_NOSIGNAL)
+			n, err = unix.SendmsgBuffers(fd, from.Runs(maxVectors), nil, nil, unix.MSG_NOSIGNAL)
 		}
 		switch {
 		case err == nil:
--- a/internal/loop/wire.go
+++ b/internal/loop/wire.go
@@ -6,70 +6,70 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// Wire is what connections need of a loop: its clock, its timers and its sockets. A Loop is one; whatever else
+// Network is what connections need of a loop: its clock, its timers and its sockets. A Loop is one; whatever else
 // is one can drive the same connections without a socket.
-type Wire interface {
+type Network interface {
 	Now() float64
-	Open() int // descriptors that are watched
-	Set(t *Timer, at float64)
-	Unset(t *Timer)
+	OpenDescriptors() int // descriptors that are watched
+	SetTimer(t *Timer, at float64)
+	StopTimer(t *Timer)
 	Dial(at netip.AddrPort) (fd int, err error)
-	Dialled(fd int) error
-	Discard(fd int) // closes one that is not watched
+	ConnectError(fd int) error
+	CloseUnwatched(fd int) // closes one that is not watched
 	Add(fd int, h Handler, read, write bool) error
-	Want(fd int, read, write bool)
+	SetInterest(fd int, read, write bool)
 	Close(fd int)
-	Quiet(fd int) bool
+	NothingToRead(fd int) bool
 	Read(fd int, into *buffer.Chain, most int) (got int, err error)
 	Write(fd int, from *buffer.Chain) error
 }
 
-// ListenWire is a Wire that listens.
-type ListenWire interface {
-	Wire
-	Since() float64
+// ServerNetwork is a Wire that listens.
+type ServerNetwork interface {
+	Network
+	ReadySince() float64
 	Listen(at netip.AddrPort, backlog int) (listener int, err error)
-	Bound(listener int) (netip.AddrPort, error)
-	Waiting(listener int) bool
+	LocalAddress(listener int) (netip.AddrPort, error)
+	HasBacklog(listener int) bool
 	Accept(listener int) (fd int, ok bool, err error)
-	Left(fd int) bool // the other side has ended, whatever it sent before
-	EndSending(fd int)
+	PeerClosed(fd int) bool // the other side has ended, whatever it sent before
+	CloseWrite(fd int)
 }
 
-var _ ListenWire = (*Loop)(nil)
+var _ ServerNetwork = (*Loop)(nil)
 
-// Dial implements Wire by the function of that name, as the others do.
+// Dial implements Network by the function of that name, as the others do.
 func (*Loop) Dial(at netip.AddrPort) (int, error) { return Dial(at) }
 
-// Dialled implements Wire.
-func (*Loop) Dialled(fd int) error { return Dialled(fd) }
+// ConnectError implements Network.
+func (*Loop) ConnectError(fd int) error { return ConnectError(fd) }
 
-// Discard implements Wire.
-func (*Loop) Discard(fd int) { Discard(fd) }
+// CloseUnwatched implements Network.
+func (*Loop) CloseUnwatched(fd int) { CloseUnwatched(fd) }
 
-// Quiet implements Wire.
-func (*Loop) Quiet(fd int) bool { return Quiet(fd) }
+// NothingToRead implements Network.
+func (*Loop) NothingToRead(fd int) bool { return NothingToRead(fd) }
 
-// Read implements Wire.
+// Read implements Network.
 func (*Loop) Read(fd int, into *buffer.Chain, most int) (int, error) { return Read(fd, into, most) }
 
-// Write implements Wire.
+// Write implements Network.
 func (*Loop) Write(fd int, from *buffer.Chain) error { return Write(fd, from) }
 
-// Listen implements ListenWire.
+// Listen implements ServerNetwork.
 func (*Loop) Listen(at netip.AddrPort, backlog int) (int, error) { return Listen(at, backlog) }
 
-// Bound implements ListenWire.
-func (*Loop) Bound(listener int) (netip.AddrPort, error) { return Bound(listener) }
+// LocalAddress implements ServerNetwork.
+func (*Loop) LocalAddress(listener int) (netip.AddrPort, error) { return LocalAddress(listener) }
 
-// Waiting implements ListenWire.
-func (*Loop) Waiting(listener int) bool { return Waiting(listener) }
+// HasBacklog implements ServerNetwork.
+func (*Loop) HasBacklog(listener int) bool { return HasBacklog(listener) }
 
-// Accept implements ListenWire.
+// Accept implements ServerNetwork.
 func (*Loop) Accept(listener int) (int, bool, error) { return Accept(listener) }
 
-// Left implements ListenWire.
-func (*Loop) Left(fd int) bool { return Left(fd) }
+// PeerClosed implements ServerNetwork.
+func (*Loop) PeerClosed(fd int) bool { return PeerClosed(fd) }
 
-// EndSending implements ListenWire.
-func (*Loop) EndSending(fd int) { EndSending(fd) }
+// CloseWrite implements ServerNetwork.
+func (*Loop) CloseWrite(fd int) { CloseWrite(fd) }
--- a/internal/member/connection.go
+++ b/internal/member/connection.go
@@ -61,10 +61,10 @@
 	now := c.pool.loop.Now()
 	deadline := c.deadline()
 	if c.state != stateIdle {
-		c.pool.loop.Set(c.timer, min(deadline, now+c.pool.limits.Durations.ConnectTimeout))
+		c.pool.loop.SetTimer(c.timer, min(deadline, now+c.pool.limits.Durations.ConnectTimeout))
 		return
 	}
-	c.pool.loop.Set(c.timer, deadline)
+	c.pool.loop.SetTimer(c.timer, deadline)
 	c.state = stateSending
 	if c.checking {
 		c.output.Write(pg.Query(nil, healthQuery))
@@ -91,13 +91,13 @@
 	if c.output.Len() == 0 && c.state == stateSending {
 		c.state = stateAwaitingAnswer
 	}
-	c.pool.loop.Want(c.fd, true, c.output.Len() > 0)
+	c.pool.loop.SetInterest(c.fd, true, c.output.Len() > 0)
 }
 
 // Ready implements loop.Handler.
 func (c *conn) Ready(readable, writable bool) {
 	if c.state == stateConnecting {
-		if err := c.pool.loop.Dialled(c.fd); err != nil {
+		if err := c.pool.loop.ConnectError(c.fd); err != nil {
 			c.fail(router.ConnectFailed)
 			return
 		}
@@ -197,7 +197,7 @@
 	c.state = stateIdle
 	c.idleSince = now
 	e.idle = append(e.idle, c)
-	c.pool.loop.Set(c.timer, now+c.pool.limits.Durations.BackendIdleTimeout)
+	c.pool.loop.SetTimer(c.timer, now+c.pool.limits.Durations.BackendIdleTimeout)
 }
 
 // timerExpired is called when the time for what the connection does has run out.
@@ -242,7 +242,7 @@
 	}
 	c.state = stateClosed
 	c.pool.connections--
-	c.pool.loop.Unset(c.timer)
+	c.pool.loop.StopTimer(c.timer)
 	c.pool.loop.Close(c.fd)
 	c.input.Free()
 	c.output.Free()
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -28,7 +28,7 @@
 
 // Pool holds all connections to backends. Endpoints are named by the router's small indices.
 type Pool struct {
-	loop        loop.Wire
+	loop        loop.Network
 	limits      *site.Limits
 	blocks      *buffer.Pool
 	results     ResultHandler
@@ -45,7 +45,7 @@
 }
 
 // New returns an empty Pool that reports to results.
-func New(l loop.Wire, limits *site.Limits, blocks *buffer.Pool, results ResultHandler, counters *count.Counters) *Pool {
+func New(l loop.Network, limits *site.Limits, blocks *buffer.Pool, results ResultHandler, counters *count.Counters) *Pool {
 	return &Pool{loop: l, limits: limits, blocks: blocks, results: results, counters: counters}
 }
 
@@ -117,7 +117,7 @@
 		if now-c.idleSince < p.limits.Durations.ReuseDelay {
 			continue
 		}
-		if p.loop.Quiet(c.fd) {
+		if p.loop.NothingToRead(c.fd) {
 			e.remove(c)
 			return c
 		}
@@ -140,7 +140,7 @@
 	}
 	c := newConn(p, index, fd)
 	if err := p.loop.Add(fd, c, true, true); err != nil {
-		p.loop.Discard(fd)
+		p.loop.CloseUnwatched(fd)
 		return nil
 	}
 	p.connections++
@@ -151,7 +151,7 @@
 // shared with clients, or in place of an idle connection, which it closes.
 func (p *Pool) hasDescriptor() bool {
 	return p.connections < p.limits.Counts.BackendConnections ||
-		p.loop.Open() < p.limits.Counts.SharedDescriptors ||
+		p.loop.OpenDescriptors() < p.limits.Counts.SharedDescriptors ||
 		p.closeLongestIdle()
 }
 
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -115,17 +115,17 @@
 	return s
 }
 
-// Listen implements loop.ListenWire, as the others do.
+// Listen implements loop.ServerNetwork, as the others do.
 func (l *listening) Listen(netip.AddrPort, int) (int, error) {
 	l.last++
 	l.listener = l.last
 	return l.listener, nil
 }
-func (l *listening) Bound(int) (netip.AddrPort, error) { return netip.AddrPort{}, nil }
-func (l *listening) Waiting(int) bool                  { return len(l.coming) > 0 }
-func (l *listening) Left(fd int) bool                  { return l.socks[fd].ended }
-func (l *listening) Since() float64                    { return l.now }
-func (l *listening) EndSending(int)                    {}
+func (l *listening) LocalAddress(int) (netip.AddrPort, error) { return netip.AddrPort{}, nil }
+func (l *listening) HasBacklog(int) bool                      { return len(l.coming) > 0 }
+func (l *listening) PeerClosed(fd int) bool                   { return l.socks[fd].ended }
+func (l *listening) ReadySince() float64                      { return l.now }
+func (l *listening) CloseWrite(int)                           {}
 func (l *listening) Accept(int) (int, bool, error) {
 	if len(l.coming) == 0 {
 		return -1, false, nil
@@ -351,8 +351,8 @@
 		}
 		k.in = append(k.in, m...)
 	case "see":
-		if left, ok := k.handler.(loop.Leaver); ok && k.ended {
-			left.Left()
+		if left, ok := k.handler.(loop.HangupHandler); ok && k.ended {
+			left.HungUp()
 			break
 		}
 		k.handler.Ready(true, false)
--- a/internal/systems/wire.go
+++ b/internal/systems/wire.go
@@ -11,7 +11,7 @@
 	"stoatdale.example/stoatdale/internal/loop"
 )
 
-// wire is a loop.Wire without sockets: what arrives, and when it is seen, is the adversary's to pick.
+// wire is a loop.Network without sockets: what arrives, and when it is seen, is the adversary's to pick.
 type wire struct {
 	now    float64
 	last   int
@@ -46,12 +46,12 @@
 
 func newWire() *wire { return &wire{socks: map[int]*sock{}, timers: map[*loop.Timer]float64{}} }
 
-func (w *wire) Now() float64                     { return w.now }
-func (w *wire) Open() int                        { return len(w.socks) }
-func (w *wire) Set(t *loop.Timer, at float64)    { w.timers[t] = at }
-func (w *wire) Unset(t *loop.Timer)              { delete(w.timers, t) }
-func (w *wire) Dial(netip.AddrPort) (int, error) { w.last++; return w.last, nil }
-func (w *wire) Discard(int)                      {}
+func (w *wire) Now() float64                       { return w.now }
+func (w *wire) OpenDescriptors() int               { return len(w.socks) }
+func (w *wire) SetTimer(t *loop.Timer, at float64) { w.timers[t] = at }
+func (w *wire) StopTimer(t *loop.Timer)            { delete(w.timers, t) }
+func (w *wire) Dial(netip.AddrPort) (int, error)   { w.last++; return w.last, nil }
+func (w *wire) CloseUnwatched(int)                 {}
 func (w *wire) Close(fd int) {
 	if k := w.socks[fd]; w.keepOpen && k != nil {
 		k.handler = nil
@@ -60,9 +60,12 @@
 	delete(w.socks, fd)
 }
 
-func (w *wire) Quiet(fd int) bool { s := w.socks[fd]; return w.deafQuiet || !s.ended && len(s.in) == 0 }
+func (w *wire) NothingToRead(fd int) bool {
+	s := w.socks[fd]
+	return w.deafQuiet || !s.ended && len(s.in) == 0
+}
 
-func (w *wire) Want(fd int, read, write bool) {
+func (w *wire) SetInterest(fd int, read, write bool) {
 	if s := w.socks[fd]; s != nil {
 		s.wantRead, s.wantWrite = read, write
 	}
@@ -73,7 +76,7 @@
 	return nil
 }
 
-func (w *wire) Dialled(fd int) error {
+func (w *wire) ConnectError(fd int) error {
 	if w.socks[fd].refused {
 		return errRefused
 	}
@@ -86,7 +89,7 @@
 	into.Write(s.in[:n])
 	s.in = s.in[n:]
 	if len(s.in) == 0 && s.ended {
-		return n, loop.ErrEnded
+		return n, loop.ErrPeerClosed
 	}
 	return n, nil
 }
--- a/service/counters.go
+++ b/service/counters.go
@@ -39,6 +39,6 @@
 	known, rows := r.core.EndpointRows()
 	counters.EndpointsKnown = uint64(known)
 	counters.EndpointRows = uint64(rows)
-	counters.LongestTurnSeconds = r.loop.Longest()
+	counters.LongestTurnSeconds = r.loop.LongestTurn()
 	return counters
 }
--- a/service/service.go
+++ b/service/service.go
@@ -24,7 +24,7 @@
 func Load(env func(string) string) (Config, error) { return site.Load(env) }
 
 // LogWriter returns a writer for logs that drops lines rather than wait for a slow reader of the descriptor.
-func LogWriter(descriptor uintptr) io.Writer { return loop.Lines(descriptor) }
+func LogWriter(descriptor uintptr) io.Writer { return loop.DroppingWriter(descriptor) }
 
 // Router is one router on sockets. Everything but stopped belongs to the goroutine that runs Run; the exported methods
 // hand their work over to it.
@@ -109,6 +109,6 @@
 		r.draining = true
 		r.log.Info().Int("in_flight", r.core.InFlight()).Msg("draining")
 		stopAccepting := r.loop.Now() + r.config.Limits.Durations.AcceptLinger
-		r.loop.Set(loop.NewTimer(r.front.Shutdown), stopAccepting)
+		r.loop.SetTimer(loop.NewTimer(r.front.Shutdown), stopAccepting)
 	})
 }
