--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,9 +1,10 @@
-// Package loop is the router's one event loop: epoll, timers, and calls posted from outside. A turn
-// gathers what is ready, then has it settled in one go.
+// Package loop is the event loop of a router: epoll, timers, sockets, and calls posted from other goroutines. A turn
+// handles the ready descriptors and the due timers, and then calls once for what they add up to.
+//
+// Times are seconds on the loop's clock, which reads 0 when the loop is made.
 package loop
 
 import (
-	"container/heap"
 	"errors"
 	"fmt"
 	"math"
@@ -13,47 +14,61 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handler is told that its descriptor is ready. A hang-up shows as readable.
+// Handler handles the events of a descriptor.
 type Handler interface {
+	// Ready is called when the descriptor is ready for something that it is watched for. A hang-up counts as
+	// readable, an error as both.
 	Ready(readable, writable bool)
 }
 
-// HangupHandler is a Handler that is told of a hang-up by a call of its own, in place of Ready: also where it is watched for
-// nothing, and with bytes that were not read still ahead of the end. It has to close the descriptor then, which
-// would be ready for good.
+// HangupHandler is a Handler that handles a hang-up or an error of the other side apart: also while the descriptor is
+// watched for nothing, and with bytes ahead of the end that were not read.
 type HangupHandler interface {
 	Handler
+	// HungUp is called in place of Ready. It has to close the descriptor, which would be ready for good.
 	HungUp()
 }
 
+// registration is a watched descriptor. Its generation tells it from an earlier one under the same number.
 type registration struct {
-	handler     Handler
-	generation  int32
-	read, write bool
+	handler    Handler
+	generation int32
+	read       bool
+	write      bool
 }
 
-// Loop belongs to the goroutine that calls Run; only Post may be called from others.
+// Loop is an event loop. It belongs to the goroutine that calls Run; only Post may be called from others.
 type Loop struct {
-	eventsPerTurn  int
-	start          time.Time
-	now            float64
-	lastPoll       float64 // when the wait before this one ended
-	readySince     float64
-	epoll, wakeup  int
-	registered     map[int]*registration
+	eventsPerTurn int
+	epoll         int // descriptor
+	wakeup        int // descriptor of the eventfd that a posted call makes ready
+
+	registered     map[int]*registration // by descriptor
 	lastGeneration int32
 	timers         timerHeap
 	stopped        bool
-	longestTurn    float64
 
-	mu     sync.Mutex
+	start       time.Time // when the clock read 0
+	now         float64
+	lastPoll    float64 // when the wait of the last turn ended
+	readySince  float64
+	longestTurn float64 // seconds
+
+	mu     sync.Mutex // guards posted
 	posted []func()
 }
 
-// New returns a loop that gathers so many events in one turn at the most, so that no turn grows long. Its clock
-// reads 0 at its start: wall time is read once, and the clock then goes on by monotonic time.
-func New(events int) (*Loop, error) {
-	l := &Loop{eventsPerTurn: events, start: time.Now(), registered: map[int]*registration{}}
+const (
+	// briefWait is the wait, in seconds, up to which descriptors may have become ready before it.
+	briefWait = 0.001
+	// maxWait bounds the wait for events, in seconds.
+	maxWait = 60
+)
+
+// New returns a loop that handles at most so many events a turn, so that no turn grows long. Wall time is read once; the
+// clock then goes on by monotonic time.
+func New(eventsPerTurn int) (*Loop, error) {
+	l := &Loop{eventsPerTurn: eventsPerTurn, start: time.Now(), registered: map[int]*registration{}}
 	var err error
 	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
@@ -64,62 +79,63 @@
 	return l, l.Add(l.wakeup, wakeupHandler{l}, true, false)
 }
 
-// StartedAt is the wall time at which the clock read 0.
+// StartedAt returns the wall time at which the clock read 0.
 func (l *Loop) StartedAt() time.Time { return l.start }
 
-// Now is the time of this turn in seconds.
+// Now returns the time of this turn.
 func (l *Loop) Now() float64 { return l.now }
 
-// Clock reads the time anew: what was read in this turn may have come after its poll.
+// Clock reads the clock anew: what was read in this turn may have come after its poll.
 func (l *Loop) Clock() float64 { return time.Since(l.start).Seconds() }
 
-// ReadySince is the earliest time at which what is ready in this turn may have become so: bytes that came
-// while the last turn was at work have waited since that turn's poll.
+// ReadySince returns the earliest time at which what is ready in this turn may have become so: bytes that came during the
+// last turn have waited since that turn's poll.
 func (l *Loop) ReadySince() float64 { return l.readySince }
 
-// OpenDescriptors is the number of descriptors that the loop watches.
+// OpenDescriptors returns the number of descriptors that the loop watches, its own included.
 func (l *Loop) OpenDescriptors() int { return len(l.registered) }
 
-// LongestTurn is the longest turn so far, in seconds.
+// LongestTurn returns the duration of the longest turn so far, in seconds.
 func (l *Loop) LongestTurn() float64 { return l.longestTurn }
 
-// eventMask asks for the other side's end always: epoll would tell of it only together with bytes to read, and who is
-// not read at present may leave all the same.
-func eventMask(read, write bool) uint32 {
-	e := uint32(unix.EPOLLRDHUP)
-	if read {
-		e |= unix.EPOLLIN
-	}
-	if write {
-		e |= unix.EPOLLOUT
-	}
-	return e
-}
-
-// Add watches a descriptor.
-func (l *Loop) Add(fd int, h Handler, read, write bool) error {
+// Add watches a descriptor for being readable, writable, both or neither.
+func (l *Loop) Add(fd int, handler Handler, read, write bool) error {
 	l.lastGeneration++
-	w := &registration{handler: h, generation: l.lastGeneration, read: read, write: write}
-	e := unix.EpollEvent{Events: eventMask(read, write), Fd: int32(fd), Pad: w.generation}
-	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &e); err != nil {
+	r := &registration{handler: handler, generation: l.lastGeneration, read: read, write: write}
+	event := r.event(fd)
+	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
 		return fmt.Errorf("watching a descriptor: %w", err)
 	}
-	l.registered[fd] = w
+	l.registered[fd] = r
 	return nil
 }
 
-// SetInterest changes what a descriptor is watched for.
+// SetInterest changes what a descriptor is watched for. One that is not watched is passed over.
 func (l *Loop) SetInterest(fd int, read, write bool) {
-	w := l.registered[fd]
-	if w == nil || w.read == read && w.write == write {
+	r := l.registered[fd]
+	if r == nil || r.read == read && r.write == write {
 		return
 	}
-	w.read, w.write = read, write
-	e := unix.EpollEvent{Events: eventMask(read, write), Fd: int32(fd), Pad: w.generation}
-	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &e)
+	r.read = read
+	r.write = write
+	event := r.event(fd)
+	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &event)
+}
+
+// event returns what epoll is asked for. Hang-ups are always part of it: epoll would report them only together with
+// bytes to read, and a peer that is not read at present may leave all the same.
+func (r *registration) event(fd int) unix.EpollEvent {
+	mask := uint32(unix.EPOLLRDHUP)
+	if r.read {
+		mask |= unix.EPOLLIN
+	}
+	if r.write {
+		mask |= unix.EPOLLOUT
+	}
+	return unix.EpollEvent{Events: mask, Fd: int32(fd), Pad: r.generation}
 }
 
-// Close closes a watched descriptor; events that were gathered for it go nowhere.
+// Close closes a watched descriptor. Events of this turn that were not handled yet are dropped.
 func (l *Loop) Close(fd int) {
 	if _, ok := l.registered[fd]; ok {
 		delete(l.registered, fd)
@@ -127,55 +143,75 @@
 	}
 }
 
-// Stop ends Run after this turn.
+// Stop has Run return after this turn.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run turns until Stop, and may be called again: descriptors, timers, then settle, which says when it wants
-// to be called at the latest.
-func (l *Loop) Run(settle func(now float64) float64) error {
+// Run turns until Stop is called, and may be called again. Each turn handles the ready descriptors and fires the due
+// timers, in this order, and then calls afterEvents, which returns the time of the next turn at the latest. It fails only
+// if the kernel refuses to wait.
+func (l *Loop) Run(afterEvents func(now float64) float64) error {
 	ready := make([]unix.EpollEvent, l.eventsPerTurn)
 	next := 0.0
 	l.readClock()
-	l.lastPoll, l.stopped = l.now, false
+	l.lastPoll = l.now
+	l.stopped = false
 	for !l.stopped {
-		l.readClock()
-		l.longestTurn = math.Max(l.longestTurn, l.now-l.lastPoll)
-		before := l.now
-		n, err := unix.EpollWait(l.epoll, ready, l.waitMilliseconds(next))
-		if err != nil && !errors.Is(err, unix.EINTR) {
-			return fmt.Errorf("waiting: %w", err)
-		}
-		l.readClock()
-		if l.readySince = l.now; l.now-before < 0.001 { // it hardly waited
-			l.readySince = l.lastPoll
+		n, err := l.poll(ready, next)
+		if err != nil {
+			return err
 		}
-		l.lastPoll = l.now
-		for _, e := range ready[:max(0, n)] {
-			if w := l.registered[int(e.Fd)]; w != nil && w.generation == e.Pad {
-				bad := e.Events&(unix.EPOLLERR|unix.EPOLLHUP) != 0
-				if h, ok := w.handler.(HangupHandler); ok && (bad || e.Events&unix.EPOLLRDHUP != 0) {
-					h.HungUp()
-					continue
-				}
-				w.handler.Ready(bad || e.Events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0,
-					bad || e.Events&unix.EPOLLOUT != 0)
-			}
+		for _, event := range ready[:n] {
+			l.handle(event)
 		}
-		for len(l.timers) > 0 && l.timers[0].at <= l.now {
-			t := heap.Pop(&l.timers).(*Timer)
-			t.fire()
-		}
-		next = settle(l.now)
+		l.fireTimers()
+		next = afterEvents(l.now)
 	}
 	return nil
 }
 
+// poll waits for events until a time at the latest, and returns how many there are.
+func (l *Loop) poll(ready []unix.EpollEvent, until float64) (int, error) {
+	l.readClock()
+	l.longestTurn = math.Max(l.longestTurn, l.now-l.lastPoll)
+	waitStart := l.now
+	n, err := unix.EpollWait(l.epoll, ready, l.waitMilliseconds(until))
+	if err != nil && !errors.Is(err, unix.EINTR) {
+		return 0, fmt.Errorf("waiting: %w", err)
+	}
+	l.readClock()
+	l.readySince = l.now
+	if l.now-waitStart < briefWait {
+		l.readySince = l.lastPoll
+	}
+	l.lastPoll = l.now
+	return max(0, n), nil
+}
+
+// handle calls the handler of an event, unless the descriptor has been closed meanwhile.
+func (l *Loop) handle(event unix.EpollEvent) {
+	r := l.registered[int(event.Fd)]
+	if r == nil || r.generation != event.Pad {
+		return
+	}
+	failed := event.Events&(unix.EPOLLERR|unix.EPOLLHUP) != 0
+	hungUp := failed || event.Events&unix.EPOLLRDHUP != 0
+	if handler, ok := r.handler.(HangupHandler); ok && hungUp {
+		handler.HungUp()
+		return
+	}
+	readable := hungUp || event.Events&unix.EPOLLIN != 0
+	writable := failed || event.Events&unix.EPOLLOUT != 0
+	r.handler.Ready(readable, writable)
+}
+
 func (l *Loop) readClock() { l.now = l.Clock() }
 
-// waitMilliseconds is how long to wait, in whole milliseconds and never short of what is due.
-func (l *Loop) waitMilliseconds(next float64) int {
+// waitMilliseconds returns how long to wait until a time or the first timer, rounded up so that it is due then.
+func (l *Loop) waitMilliseconds(until float64) int {
+	const millisecondsPerSecond = 1000
 	if len(l.timers) > 0 {
-		next = math.Min(next, l.timers[0].at)
+		until = math.Min(until, l.timers[0].at)
 	}
-	return int(math.Ceil(math.Min(math.Max(0, next-l.now), 60) * 1000))
+	seconds := math.Min(math.Max(0, until-l.now), maxWait)
+	return int(math.Ceil(seconds * millisecondsPerSecond))
 }
--- a/internal/loop/timer.go
+++ b/internal/loop/timer.go
@@ -1,39 +1,46 @@
 package loop
 
-import (
-	"container/heap"
-)
+import "container/heap"
 
-// Timer calls once when its time has come.
+// Timer calls a function once when its time has come. It may be set again afterwards.
 type Timer struct {
 	at       float64
 	fire     func()
-	position int // place in the heap, 1 first; 0: not set
+	position int // in the heap, from 1; 0: not set
 }
 
 // NewTimer returns a timer that is not set.
 func NewTimer(fire func()) *Timer { return &Timer{fire: fire} }
 
-// SetTimer has a timer fire at a time instead of any it was set to.
+// IsSet reports whether the timer will fire.
+func (t *Timer) IsSet() bool { return t.position > 0 }
+
+// Fire calls the timer's function. It is for implementations of Network beside Loop.
+func (t *Timer) Fire() { t.fire() }
+
+// SetTimer has a timer fire at a time, in place of any that it was set to.
 func (l *Loop) SetTimer(t *Timer, at float64) {
 	l.StopTimer(t)
 	t.at = at
 	heap.Push(&l.timers, t)
 }
 
-// StopTimer keeps a timer from firing.
+// StopTimer keeps a timer from firing. One that is not set is passed over.
 func (l *Loop) StopTimer(t *Timer) {
 	if t.position > 0 {
 		heap.Remove(&l.timers, t.position-1)
 	}
 }
 
-// IsSet says whether the timer will fire.
-func (t *Timer) IsSet() bool { return t.position > 0 }
-
-// Fire has the timer's call made, for a Network that is no Loop.
-func (t *Timer) Fire() { t.fire() }
+// fireTimers fires the timers that are due, in the order of their times.
+func (l *Loop) fireTimers() {
+	for len(l.timers) > 0 && l.timers[0].at <= l.now {
+		due := heap.Pop(&l.timers).(*Timer)
+		due.fire()
+	}
+}
 
+// timerHeap implements heap.Interface: the earliest timer is the first.
 type timerHeap []*Timer
 
 func (t timerHeap) Len() int { return len(t) }
@@ -42,7 +49,8 @@
 
 func (t timerHeap) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
-	t[i].position, t[j].position = i+1, j+1
+	t[i].position = i + 1
+	t[j].position = j + 1
 }
 
 func (t *timerHeap) Push(x any) {
@@ -53,8 +61,9 @@
 
 func (t *timerHeap) Pop() any {
 	old := *t
-	timer := old[len(old)-1]
-	*t = old[:len(old)-1]
+	last := len(old) - 1
+	timer := old[last]
+	*t = old[:last]
 	timer.position = 0
 	return timer
 }
