--- a/internal/loop/log.go
+++ b/internal/loop/log.go
@@ -1,18 +1,17 @@
 package loop
 
-import (
-	"golang.org/x/sys/unix"
-)
+import "golang.org/x/sys/unix"
 
-// DroppingWriter writes whole lines to a descriptor. One that would have to wait for a slow reader is dropped: a log
-// must not hold the loop up.
+// DroppingWriter writes whole lines to the descriptor that it is. A line that would have to wait for a slow reader is
+// dropped: a log must not block the event loop.
 type DroppingWriter int
 
-// Write implements io.Writer. It always takes all of p.
-func (fd DroppingWriter) Write(p []byte) (int, error) {
+// Write implements io.Writer. It never fails and always reports all of line as written.
+func (fd DroppingWriter) Write(line []byte) (int, error) {
 	ready := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLOUT}}
-	if n, err := unix.Poll(ready, 0); n == 1 && err == nil && ready[0].Revents&unix.POLLOUT != 0 {
-		_, _ = unix.Write(int(fd), p)
+	n, err := unix.Poll(ready, 0)
+	if n == 1 && err == nil && ready[0].Revents&unix.POLLOUT != 0 {
+		_, _ = unix.Write(int(fd), line)
 	}
-	return len(p), nil
+	return len(line), nil
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -39,6 +39,8 @@
 
 // Loop is an event loop. It belongs to the goroutine that calls Run; only Post may be called from others.
 type Loop struct {
+	Sockets
+
 	eventsPerTurn int
 	epoll         int // descriptor
 	wakeup        int // descriptor of the eventfd that a posted call makes ready
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -15,6 +15,8 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
+var sockets Sockets
+
 func newLoop(t *testing.T) *Loop {
 	l, err := New(16)
 	require.NoError(t, err)
@@ -66,7 +68,7 @@
 	var fds [2]int
 	calls := 0
 	for i := range fds {
-		fds[i], err = Dial(at)
+		fds[i], err = sockets.Dial(at)
 		require.NoError(t, err)
 		require.NoError(t, l.Add(fds[i], spy{func(_, writable bool) {
 			calls++
@@ -81,39 +83,39 @@
 }
 
 func TestReadAndWriteGoByChains(t *testing.T) {
-	listener, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), 5)
+	listener, err := sockets.Listen(netip.MustParseAddrPort("127.0.0.1:0"), 5)
 	require.NoError(t, err)
-	defer CloseUnwatched(listener)
-	_, ok, err := Accept(listener)
+	defer sockets.CloseUnwatched(listener)
+	_, ok, err := sockets.Accept(listener)
 	require.NoError(t, err)
 	require.False(t, ok, "nobody waits")
-	at, err := LocalAddress(listener)
+	at, err := sockets.LocalAddress(listener)
 	require.NoError(t, err)
 	c, err := net.Dial("tcp", at.String())
 	require.NoError(t, err)
-	fd, ok, err := Accept(listener)
+	fd, ok, err := sockets.Accept(listener)
 	require.NoError(t, err)
 	require.True(t, ok)
-	defer CloseUnwatched(fd)
-	assert.True(t, NothingToRead(fd))
+	defer sockets.CloseUnwatched(fd)
+	assert.True(t, sockets.NothingToRead(fd))
 
 	_, err = c.Write([]byte("hello, this is longer than a block"))
 	require.NoError(t, err)
-	assert.False(t, NothingToRead(fd))
+	assert.False(t, sockets.NothingToRead(fd))
 	in := buffer.NewPool(8, 10).New()
-	n, err := Read(fd, &in, 100)
+	n, err := sockets.Read(fd, &in, 100)
 	require.NoError(t, err)
 	assert.Equal(t, 34, n)
-	require.NoError(t, Write(fd, &in))
+	require.NoError(t, sockets.Write(fd, &in))
 	assert.Zero(t, in.Len())
 	back := make([]byte, 34)
 	_, err = c.Read(back)
 	require.NoError(t, err)
 	assert.Equal(t, "hello, this is longer than a block", string(back))
 	_ = c.Close()
-	_, err = Read(fd, &in, 100)
+	_, err = sockets.Read(fd, &in, 100)
 	assert.ErrorIs(t, err, ErrPeerClosed)
-	assert.False(t, NothingToRead(fd), "an ended connection is not quiet")
+	assert.False(t, sockets.NothingToRead(fd), "an ended connection is not quiet")
 }
 
 func TestWaitingBytesCountFromTheLastPoll(t *testing.T) {
--- a/internal/loop/socket.go
+++ b/internal/loop/socket.go
@@ -8,102 +8,98 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrPeerClosed says that the other side has closed.
-var ErrPeerClosed = errors.New("connection ended")
+// Sockets are the non-blocking TCP sockets of the kernel: the part of a ServerNetwork that does not depend on a loop.
+// Its methods may be called from any goroutine. System errors are wrapped: they match unix.Errno.
+type Sockets struct{}
 
-func socketAddress(at netip.AddrPort) (int, unix.Sockaddr) {
-	if a := at.Addr().Unmap(); a.Is4() {
-		return unix.AF_INET, &unix.SockaddrInet4{Port: int(at.Port()), Addr: a.As4()}
-	}
-	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(at.Port()), Addr: at.Addr().As16()}
-}
+// noDescriptor is returned in place of a descriptor with an error.
+const noDescriptor = -1
 
-func newSocket(at netip.AddrPort) (int, unix.Sockaddr, error) {
-	family, where := socketAddress(at)
-	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	return fd, where, err
-}
+// ErrPeerClosed is returned by Read when the other side has closed the connection.
+var ErrPeerClosed = errors.New("connection ended")
+
+// errUnknownFamily is returned for the address of a socket that is not TCP over IP.
+var errUnknownFamily = errors.New("asking for the address: unknown family")
 
-// Listen opens a listening socket on one address only.
-func Listen(at netip.AddrPort, backlog int) (int, error) {
-	fd, where, err := newSocket(at)
+// Listen opens a listening socket on one address only, so many connections at the most waiting to be accepted.
+func (Sockets) Listen(address netip.AddrPort, backlog int) (listener int, err error) {
+	fd, socketAddress, err := newSocket(address)
 	if err != nil {
-		return -1, fmt.Errorf("opening a socket: %w", err)
+		return noDescriptor, fmt.Errorf("opening a socket: %w", err)
 	}
-	// A restarted router must get its address back while old connections fade.
+	// A router that restarts must get its address back while connections of the earlier one are in TIME_WAIT.
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err = unix.Bind(fd, where); err == nil {
+	if err = unix.Bind(fd, socketAddress); err == nil {
 		err = unix.Listen(fd, backlog)
 	}
 	if err != nil {
 		_ = unix.Close(fd)
-		return -1, fmt.Errorf("listening on %s: %w", at, err)
+		return noDescriptor, fmt.Errorf("listening on %s: %w", address, err)
 	}
 	return fd, nil
 }
 
-// LocalAddress is the address that a listening socket got.
-func LocalAddress(fd int) (netip.AddrPort, error) {
-	where, err := unix.Getsockname(fd)
+// LocalAddress returns the address that a listening socket got.
+func (Sockets) LocalAddress(listener int) (netip.AddrPort, error) {
+	socketAddress, err := unix.Getsockname(listener)
 	if err != nil {
 		return netip.AddrPort{}, fmt.Errorf("asking for the address: %w", err)
 	}
-	switch a := where.(type) {
+	switch a := socketAddress.(type) {
 	case *unix.SockaddrInet4:
 		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port)), nil
 	case *unix.SockaddrInet6:
 		return netip.AddrPortFrom(netip.AddrFrom16(a.Addr), uint16(a.Port)), nil
 	}
-	return netip.AddrPort{}, errors.New("asking for the address: unknown family")
+	return netip.AddrPort{}, errUnknownFamily
 }
 
-// HasBacklog says that a connection waits to be accepted.
-func HasBacklog(listener int) bool {
-	ready := []unix.PollFd{{Fd: int32(listener), Events: unix.POLLIN}}
-	n, err := unix.Poll(ready, 0)
-	return n == 1 && err == nil
-}
+// HasBacklog reports whether a connection waits to be accepted.
+func (Sockets) HasBacklog(listener int) bool { return isReady(listener, unix.POLLIN) }
 
-// PeerClosed says that the other side of a connection has ended, also where bytes that it sent before were not read.
-func PeerClosed(fd int) bool {
-	ended := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(ended, 0)
+// PeerClosed reports whether the other side has closed, also with bytes ahead of the end that were not read.
+func (Sockets) PeerClosed(fd int) bool { return isReady(fd, unix.POLLRDHUP) }
+
+// isReady reports whether a descriptor is ready for something now, or has failed.
+func isReady(fd int, events int16) bool {
+	polled := []unix.PollFd{{Fd: int32(fd), Events: events}}
+	n, err := unix.Poll(polled, 0)
 	return n == 1 && err == nil
 }
 
-// Accept takes one connection; false: none waits. An error is a lack of descriptors or memory.
-func Accept(listener int) (fd int, ok bool, err error) {
+// Accept accepts a connection; false: none waits. An error is a lack of descriptors or memory.
+func (Sockets) Accept(listener int) (fd int, ok bool, err error) {
 	for {
 		fd, _, err = unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch {
 		case err == nil:
-			_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+			setNoDelay(fd)
 			return fd, true, nil
 		case errors.Is(err, unix.EAGAIN):
-			return -1, false, nil
+			return noDescriptor, false, nil
 		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED):
 		default:
-			return -1, false, fmt.Errorf("accepting: %w", err)
+			return noDescriptor, false, fmt.Errorf("accepting: %w", err)
 		}
 	}
 }
 
-// Dial starts to connect. The descriptor is writable once that has ended; Dialled tells how.
-func Dial(at netip.AddrPort) (int, error) {
-	fd, where, err := newSocket(at)
+// Dial starts to connect. The descriptor is writable once the attempt has ended; ConnectError tells how.
+func (Sockets) Dial(address netip.AddrPort) (fd int, err error) {
+	fd, socketAddress, err := newSocket(address)
 	if err != nil {
-		return -1, fmt.Errorf("opening a socket: %w", err)
+		return noDescriptor, fmt.Errorf("opening a socket: %w", err)
 	}
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	if err = unix.Connect(fd, where); err != nil && !errors.Is(err, unix.EINPROGRESS) {
+	setNoDelay(fd)
+	if err = unix.Connect(fd, socketAddress); err != nil && !errors.Is(err, unix.EINPROGRESS) {
 		_ = unix.Close(fd)
-		return -1, fmt.Errorf("connecting to %s: %w", at, err)
+		return noDescriptor, fmt.Errorf("connecting to %s: %w", address, err)
 	}
 	return fd, nil
 }
 
-// ConnectError tells how a connection attempt ended.
-func ConnectError(fd int) error {
+// ConnectError returns how an attempt to connect has ended; nil: the connection is up.
+func (Sockets) ConnectError(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
 		return err
@@ -114,15 +110,34 @@
 	return nil
 }
 
-// NothingToRead says that a connection is open and has nothing to read.
-func NothingToRead(fd int) bool {
-	var b [1]byte
-	_, _, err := unix.Recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+// NothingToRead reports whether a connection is open and has nothing to read.
+func (Sockets) NothingToRead(fd int) bool {
+	var peeked [1]byte
+	_, _, err := unix.Recvfrom(fd, peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// CloseWrite tells the other side that nothing more comes.
-func CloseWrite(fd int) { _ = unix.Shutdown(fd, unix.SHUT_WR) }
+// CloseWrite ends sending; the connection can still be read.
+func (Sockets) CloseWrite(fd int) { _ = unix.Shutdown(fd, unix.SHUT_WR) }
+
+// CloseUnwatched closes a descriptor that no loop watches.
+func (Sockets) CloseUnwatched(fd int) { _ = unix.Close(fd) }
+
+// newSocket opens a socket for an address.
+func newSocket(address netip.AddrPort) (int, unix.Sockaddr, error) {
+	family, socketAddress := toSocketAddress(address)
+	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	return fd, socketAddress, err
+}
+
+// toSocketAddress returns an address as the kernel takes it, and its family.
+func toSocketAddress(address netip.AddrPort) (family int, socketAddress unix.Sockaddr) {
+	port := int(address.Port())
+	if a := address.Addr().Unmap(); a.Is4() {
+		return unix.AF_INET, &unix.SockaddrInet4{Port: port, Addr: a.As4()}
+	}
+	return unix.AF_INET6, &unix.SockaddrInet6{Port: port, Addr: address.Addr().As16()}
+}
 
-// CloseUnwatched closes a descriptor that the loop does not watch.
-func CloseUnwatched(fd int) { _ = unix.Close(fd) }
+// setNoDelay has small messages sent at once.
+func setNoDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
--- a/internal/loop/stream.go
+++ b/internal/loop/stream.go
@@ -9,56 +9,53 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// maxVectors of a chain go in one call where there is more than one: a long value would cost a call a block.
+// maxVectors is how many blocks of a chain one system call reads or writes: a large value would cost a call a block.
 const maxVectors = 16
 
-// Read fills a chain with what there is, about most bytes at the most; more may wait then.
-func Read(fd int, into *buffer.Chain, most int) (got int, err error) {
-	for got < most {
-		var n, room int
-		var err error
-		if got == 0 {
-			one := into.Room()
-			n, err = unix.Read(fd, one)
-			into.Grow(max(0, n))
-			room = len(one)
-		} else {
-			rooms := into.Rooms(maxVectors)
-			n, err = unix.Readv(fd, rooms)
-			into.Fill(rooms, max(0, n))
-			for _, b := range rooms {
-				room += len(b)
-			}
-		}
-		if n > 0 {
-			got += n
-			if n < room {
-				return got, nil
-			}
-			continue
-		}
+// Read appends about limit bytes at the most to a chain, and returns their number. More may wait then. The error is
+// ErrPeerClosed at the end of the connection; bytes may come with it.
+func (Sockets) Read(fd int, into *buffer.Chain, limit int) (total int, err error) {
+	for total < limit {
+		n, room, err := readOnce(fd, into, total == 0)
 		switch {
+		case n > 0:
+			total += n
+			if n < room { // that was all
+				return total, nil
+			}
 		case err == nil:
-			return got, ErrPeerClosed
+			return total, ErrPeerClosed
 		case errors.Is(err, unix.EAGAIN):
-			return got, nil
+			return total, nil
 		case !errors.Is(err, unix.EINTR):
-			return got, fmt.Errorf("reading: %w", err)
+			return total, fmt.Errorf("reading: %w", err)
 		}
 	}
-	return got, nil
+	return total, nil
 }
 
-// Write sends what the socket takes and reads that off the chain.
-func Write(fd int, from *buffer.Chain) error {
+// readOnce makes one system call, and returns how much it read of how much there was room for. The first call reads into
+// one block, as most of what comes is short.
+func readOnce(fd int, into *buffer.Chain, first bool) (n, room int, err error) {
+	if first {
+		block := into.Room()
+		n, err = unix.Read(fd, block)
+		into.Grow(max(0, n))
+		return n, len(block), err
+	}
+	blocks := into.Rooms(maxVectors)
+	n, err = unix.Readv(fd, blocks)
+	into.Fill(blocks, max(0, n))
+	for _, block := range blocks {
+		room += len(block)
+	}
+	return n, room, err
+}
+
+// Write writes what the socket takes and removes that from the chain.
+func (Sockets) Write(fd int, from *buffer.Chain) error {
 	for from.Len() > 0 {
-		var n int
-		var err error
-		if first := from.First(); len(first) == from.Len() {
-			n, err = unix.SendmsgN(fd, first, nil, nil, unix.MSG_NOSIGNAL)
-		} else {
-			n, err = unix.SendmsgBuffers(fd, from.Runs(maxVectors), nil, nil, unix.MSG_NOSIGNAL)
-		}
+		n, err := writeOnce(fd, from)
 		switch {
 		case err == nil:
 			from.Skip(n)
@@ -70,3 +67,11 @@
 	}
 	return nil
 }
+
+// writeOnce makes one system call, and returns how much it wrote.
+func writeOnce(fd int, from *buffer.Chain) (n int, err error) {
+	if first := from.First(); len(first) == from.Len() {
+		return unix.SendmsgN(fd, first, nil, nil, unix.MSG_NOSIGNAL)
+	}
+	return unix.SendmsgBuffers(fd, from.Runs(maxVectors), nil, nil, unix.MSG_NOSIGNAL)
+}
