--- /dev/null
+++ b/internal/loop/socket_test.go
@@ -0,0 +1,51 @@
+package loop
+
+import (
+	"net"
+	"net/netip"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"stoatdale.example/stoatdale/internal/buffer"
+)
+
+func TestSocketsReadAndWriteChains(t *testing.T) {
+	const sent = "hello, this is longer than a block"
+	var sockets Sockets
+	listener, err := sockets.Listen(netip.MustParseAddrPort("127.0.0.1:0"), 5)
+	require.NoError(t, err)
+	defer sockets.CloseUnwatched(listener)
+	_, ok, err := sockets.Accept(listener)
+	require.NoError(t, err)
+	require.False(t, ok, "nobody waits")
+	address, err := sockets.LocalAddress(listener)
+	require.NoError(t, err)
+	client, err := net.Dial("tcp", address.String())
+	require.NoError(t, err)
+	fd, ok, err := sockets.Accept(listener)
+	require.NoError(t, err)
+	require.True(t, ok)
+	defer sockets.CloseUnwatched(fd)
+	assert.True(t, sockets.NothingToRead(fd))
+
+	_, err = client.Write([]byte(sent))
+	require.NoError(t, err)
+	assert.False(t, sockets.NothingToRead(fd))
+	chain := buffer.NewPool(8, 10).New()
+	n, err := sockets.Read(fd, &chain, 100)
+	require.NoError(t, err)
+	assert.Equal(t, 34, n)
+	require.NoError(t, sockets.Write(fd, &chain))
+	assert.Zero(t, chain.Len())
+	received := make([]byte, 34)
+	_, err = client.Read(received)
+	require.NoError(t, err)
+	assert.Equal(t, sent, string(received))
+
+	_ = client.Close()
+	_, err = sockets.Read(fd, &chain, 100)
+	require.ErrorIs(t, err, ErrPeerClosed)
+	assert.False(t, sockets.NothingToRead(fd), "there is the end of the connection to read")
+}
