--- a/internal/fleet/claim/lease.go
+++ b/internal/fleet/claim/lease.go
@@ -34,14 +34,15 @@
 	"the claim has run out", "a newer record is kept",
 }
 
+// String returns the denial as a text for people.
 func (d Denial) String() string { return denials[d] }
 
 // PersistentState is what an agent must have stored before it acknowledges a call that changed it.
 type PersistentState struct {
-	Epoch  uint64 `cbor:"Epoch"`
-	Holder string `cbor:"Holder"`
-	Held   bool   `cbor:"Held"`
-	Record Record `cbor:"Record"`
+	Epoch  uint64 `cbor:"Epoch"`  // the highest granted
+	Holder string `cbor:"Holder"` // to whom it was granted
+	Held   bool   `cbor:"Held"`   // neither expired nor released
+	Record Record `cbor:"Record"` // the newest that a holder had stored
 }
 
 // Lease is an agent's side of the lease. The zero value has granted nothing. It is a plain value: a caller that
--- a/internal/fleet/plan/decision.go
+++ b/internal/fleet/plan/decision.go
@@ -16,7 +16,7 @@
 // Decision is what to do next.
 type Decision struct {
 	Action  Action
-	Step    Step
+	Step    Step    // to be sent for ActionResendStep; else the rollout's current step
 	Rollout Rollout // as it is to be stored
-	Reason  Reason
+	Reason  Reason  // of a wait, a pause, an end or a rollback
 }
--- a/internal/fleet/plan/observation.go
+++ b/internal/fleet/plan/observation.go
@@ -15,6 +15,7 @@
 
 var processStates = [...]string{"unknown", "down", "starting", "ready", "draining", "broken"}
 
+// String returns the state as it is shown to operators.
 func (s ProcessState) String() string { return processStates[s] }
 
 // StepResult is how a step ended.
@@ -50,8 +51,8 @@
 
 // Observation is what was last seen of an instance.
 type Observation struct {
-	SeenAt            float64       `cbor:"Seen"` // seconds on the observer's clock; -Inf: never
-	State             ProcessState  `cbor:"Life"`
+	SeenAt            float64       `cbor:"Seen"`     // seconds on the observer's clock; -Inf: never
+	State             ProcessState  `cbor:"Life"`     // of the process, as its agent knows it
 	Revision          string        `cbor:"Revision"` // that it runs, or is to run
 	LastStep          Step          `cbor:"Last"`     // the newest that its agent has begun
 	LastResult        StepResult    `cbor:"End"`      // of LastStep
--- a/internal/fleet/plan/planner.go
+++ b/internal/fleet/plan/planner.go
@@ -5,7 +5,7 @@
 // Planner decides over one rollout. Beside the rollout it keeps only how long it has been waiting for the same
 // thing: a new planner for the same rollout waits anew.
 type Planner struct {
-	Fleet   *Fleet
+	Fleet   *Fleet  // not changed
 	Rollout Rollout // as a majority of agents stores it; the caller replaces it once a decision is stored
 
 	waitReason   Reason
--- a/internal/fleet/plan/reason.go
+++ b/internal/fleet/plan/reason.go
@@ -20,14 +20,14 @@
 	ReasonInstancesExcluded            // Have excluded instances have not been changed
 	ReasonStepNeverApplied             // Instance's step was not applied Have times in a row
 	ReasonStepRefused                  // Instance's agent refuses the step; Detail says why
-	ReasonNothingToDo
+	ReasonNothingToDo                  // no instance remains, or the rollout is not running
 )
 
 // Reason says why a rollout waits, pauses, ends or rolls back. Which fields are set depends on Kind.
 type Reason struct {
 	Kind     ReasonKind `cbor:"Kind"`
-	Instance int        `cbor:"Instance"`
-	Zone     int        `cbor:"Hall"`
+	Instance int        `cbor:"Instance"` // index into Fleet.Instances
+	Zone     int        `cbor:"Hall"`     // index into Fleet.ZoneMinAvailable
 	Have     int        `cbor:"Have"`
 	Need     int        `cbor:"Need"`
 	Detail   string     `cbor:"Detail"` // for people
--- a/internal/fleet/plan/rollout.go
+++ b/internal/fleet/plan/rollout.go
@@ -5,16 +5,17 @@
 
 // States of a rollout. The numbers are stored: their order must stay.
 const (
-	None State = iota
-	Running
-	Paused
-	Complete   // every instance runs the revision
-	RolledBack // every instance that was changed runs again what it ran before
-	Aborted    // given up by an operator; instances stay as they are
+	None       State = iota
+	Running          // a tool drives it, or is to continue it
+	Paused           // an operator must resume it
+	Complete         // every instance runs the revision
+	RolledBack       // every instance that was changed runs again what it ran before
+	Aborted          // given up by an operator; instances stay as they are
 )
 
 var states = [...]string{"none", "running", "paused", "complete", "rolled back", "aborted"}
 
+// String returns the state as it is shown to operators.
 func (s State) String() string { return states[s] }
 
 // Terminal tells whether the rollout takes no more steps, unless an operator rolls it back.
@@ -25,10 +26,10 @@
 
 // Operator requests. The numbers are sent and stored, and of several requests the highest counts: their order must stay.
 const (
-	RequestNone OperatorRequest = iota
-	RequestPause
-	RequestAbort
-	RequestRollback
+	RequestNone     OperatorRequest = iota
+	RequestPause                    // pause before the next step
+	RequestAbort                    // end the rollout; instances stay as they are
+	RequestRollback                 // roll back what was changed
 )
 
 // Rollout is what is wanted and how far it has come. The agents store it.
--- a/internal/fleet/tend/action.go
+++ b/internal/fleet/tend/action.go
@@ -18,6 +18,7 @@
 
 var actionKinds = [...]string{"find", "prepare", "place", "start", "probe", "count", "term", "kill", "hup"}
 
+// String returns the short name of the kind.
 func (k ActionKind) String() string { return actionKinds[k] }
 
 // Action is one thing to do.
