--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -28,12 +28,12 @@
 	file, folder, operator string
 }
 
-func (f *fleetFlags) open(a *app) (*tool.Client, error) {
+func (f *fleetFlags) open() (*tool.Client, error) {
 	l, err := layout.Load(f.file)
 	if err != nil {
 		return nil, status(Misused, err)
 	}
-	t, err := tool.New(l, keys.Folder(f.folder), f.operator, a.log)
+	t, err := tool.New(l, keys.Folder(f.folder), f.operator)
 	if err != nil {
 		return nil, status(Misused, err)
 	}
@@ -100,7 +100,7 @@
 		Use: "status", Short: "Shows agents, instances, the rollout and who holds the claim",
 		Long: "Exit status 1 if an agent cannot be heard.", Example: "  stoatctl fleet status --watch 2s", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			t, err := f.open(a)
+			t, err := f.open()
 			if err != nil {
 				return err
 			}
@@ -180,7 +180,7 @@
 		Long:    "REVISION is a file, the name of a pushed revision or the beginning of its digest. With one, it is held against what runs.",
 		Example: "  stoatctl fleet diff winter.json\n  stoatctl fleet diff autumn winter", Args: cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			t, err := f.open(a)
+			t, err := f.open()
 			if err != nil {
 				return err
 			}
@@ -265,7 +265,7 @@
 			"agents could not take it: push again once they can be heard.",
 		Example: "  stoatctl fleet push winter.json --name winter", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			t, err := f.open(a)
+			t, err := f.open()
 			if err != nil {
 				return err
 			}
@@ -319,7 +319,7 @@
 			"up, or leaves a larger share of commands unanswered than before, all that were touched go back by themselves.",
 		Example: "  stoatctl fleet roll winter\n  stoatctl fleet roll winter --dry-run", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			t, err := f.open(a)
+			t, err := f.open()
 			if err != nil {
 				return err
 			}
@@ -347,7 +347,7 @@
 		Use: "resume", Short: "Goes on with the rollout that paused, or whose tool is gone",
 		Example: "  stoatctl fleet resume --leave-out n7", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			t, err := f.open(a)
+			t, err := f.open()
 			if err != nil {
 				return err
 			}
@@ -367,7 +367,7 @@
 		Long:    "Without a name, each instance that the newest rollout touched goes back to what it ran before.",
 		Example: "  stoatctl fleet rollback\n  stoatctl fleet rollback autumn", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			t, err := f.open(a)
+			t, err := f.open()
 			if err != nil {
 				return err
 			}
@@ -398,7 +398,7 @@
 		Long: "If a tool drives the rollout it is asked, and does so once its step has ended. Else this tool does it.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			t, err := f.open(a)
+			t, err := f.open()
 			if err != nil {
 				return err
 			}
@@ -446,7 +446,7 @@
 	c := &cobra.Command{
 		Use: "history", Short: "Lists revisions and rollouts, newest first", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			t, err := f.open(a)
+			t, err := f.open()
 			if err != nil {
 				return err
 			}
@@ -494,7 +494,7 @@
 	c := &cobra.Command{
 		Use: "claim", Short: "Tells who may change the fleet, since when and until when", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			t, err := f.open(a)
+			t, err := f.open()
 			if err != nil {
 				return err
 			}
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -16,7 +16,6 @@
 	"syscall"
 	"time"
 
-	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
 	"stoatdale.example/stoatdale/internal/fleet/agent"
@@ -196,7 +195,7 @@
 			return err
 		}
 	}
-	if s.tool, err = tool.New(s.fleet, folder, operatorName, zerolog.Nop()); err != nil {
+	if s.tool, err = tool.New(s.fleet, folder, operatorName); err != nil {
 		return err
 	}
 	return s.heard(ctx)
--- a/internal/drill/status.go
+++ b/internal/drill/status.go
@@ -143,7 +143,7 @@
 	if f, err = layout.Parse("sizes", f.Text()); err != nil {
 		return Size{}, err
 	}
-	t, err := tool.New(f, folder, operatorName, zerolog.Nop())
+	t, err := tool.New(f, folder, operatorName)
 	if err != nil {
 		return Size{}, err
 	}
--- a/internal/fleet/tool/client.go
+++ b/internal/fleet/tool/client.go
@@ -8,7 +8,6 @@
 	"fmt"
 	"time"
 
-	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
 	"stoatdale.example/stoatdale/internal/fleet/api"
@@ -29,19 +28,18 @@
 	Fleet       *layout.Fleet
 	Operator    string
 	agents      []*api.Client // in the order of the fleet file
-	log         zerolog.Logger
 	callTimeout time.Duration
 }
 
 // New returns a client that has not connected to any agent. It fails if the operator's certificate in the folder cannot be
 // used now.
-func New(f *layout.Fleet, folder keys.Folder, operator string, log zerolog.Logger) (*Client, error) {
+func New(f *layout.Fleet, folder keys.Folder, operator string) (*Client, error) {
 	source := folder.Source(keys.Operator, operator)
 	if err := source.Check(); err != nil {
 		return nil, fmt.Errorf("operator %s: %w", operator, err)
 	}
 	pollInterval := time.Duration(float64(f.Times.PollInterval) * float64(time.Second))
-	c := &Client{Fleet: f, Operator: operator, log: log, callTimeout: max(minCallTimeout, pollsPerCall*pollInterval)}
+	c := &Client{Fleet: f, Operator: operator, callTimeout: max(minCallTimeout, pollsPerCall*pollInterval)}
 	for _, agent := range f.Agents {
 		c.agents = append(c.agents, api.NewClient(agent.Name, agent.Listen.String(), source, api.SupportedVersions))
 	}
--- a/internal/fleet/tool/client_test.go
+++ b/internal/fleet/tool/client_test.go
@@ -102,7 +102,7 @@
 func (r *rig) end(i int) { r.agents[i](); r.agents[i] = nil }
 
 func (r *rig) tool(operator string) *Client {
-	t, err := New(r.fleet, r.keys, operator, zerolog.New(io.Discard))
+	t, err := New(r.fleet, r.keys, operator)
 	require.NoError(r.t, err)
 	r.t.Cleanup(t.Close)
 	return t
@@ -300,7 +300,7 @@
 	var missing *RevisionNotFoundError
 	require.ErrorAs(t, err, &missing)
 	assert.Equal(t, "nothing", missing.Called)
-	_, err = New(r.fleet, r.keys, "nobody", zerolog.Nop())
+	_, err = New(r.fleet, r.keys, "nobody")
 	require.ErrorContains(t, err, "operator nobody:")
 	path := filepath.Join(t.TempDir(), "spans")
 	spans, err := ayla.NewTrace(path)
