--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -27,8 +27,8 @@
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
 
-// patience ends a test that hangs; no test that passes waits for it.
-const patience = 20 * time.Second
+// testTimeout ends a test that hangs; no test that passes waits for it.
+const testTimeout = 20 * time.Second
 
 // TestMain is also the stand-in router that agents start.
 func TestMain(m *testing.M) {
@@ -38,13 +38,13 @@
 	goleak.VerifyTestMain(m)
 }
 
-// faulty is a store that can be told to fail.
-type faulty struct {
+// faultyStore is a store whose disk can be made full.
+type faultyStore struct {
 	*store.Store
 	full atomic.Bool
 }
 
-func (f *faulty) Save(c store.Change) error {
+func (f *faultyStore) Save(c store.Change) error {
 	if f.full.Load() {
 		return errors.New("store: no space left on device")
 	}
@@ -53,13 +53,13 @@
 
 // rig is one agent with one instance, in this process; it can be killed and started again.
 type rig struct {
-	t      *testing.T
-	fleet  *layout.Fleet
-	folder string
-	agent  *Agent
-	store  *faulty
-	stop   func()
-	number uint64
+	t          *testing.T
+	fleet      *layout.Fleet
+	folder     string
+	agent      *Agent
+	store      *faultyStore
+	stop       func() // ends the agent, and waits for it
+	stepNumber uint64
 }
 
 // newRig starts an agent that holds no revision yet, and takes its lease under epoch 1.
@@ -76,7 +76,7 @@
 		killRouters(t, dir)
 	})
 	r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 1, Holder: "h", Takeover: true}})
-	r.until("it knows its router", func(t form.InstanceStatus) bool { return t.State != plan.ProcessUnknown })
+	r.waitFor("it knows its router", func(t form.InstanceStatus) bool { return t.State != plan.ProcessUnknown })
 	return r
 }
 
@@ -84,7 +84,7 @@
 func (r *rig) start() {
 	s, err := OpenStore(r.fleet.Agent("a"))
 	require.NoError(r.t, err)
-	r.store = &faulty{Store: s}
+	r.store = &faultyStore{Store: s}
 	r.agent, err = New(r.fleet, "a", "test", r.store, zerolog.New(io.Discard))
 	require.NoError(r.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -100,21 +100,23 @@
 	r.start()
 }
 
+// call sends a request to the agent as operator op.
 func (r *rig) call(c form.Request) form.Reply {
 	r.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	reply, err := r.agent.Handle(ctx, "op", c)
 	require.NoError(r.t, err)
 	return reply
 }
 
-func (r *rig) sight() form.InstanceStatus {
+// status is the agent's report of the instance.
+func (r *rig) status() form.InstanceStatus {
 	return r.call(form.Request{Verb: form.StatusVerb}).Instances[0]
 }
 
-// inLoop runs something in the agent's turn.
-func (r *rig) inLoop(f func()) {
+// inEventLoop runs something in the agent's goroutine, between its events.
+func (r *rig) inEventLoop(f func()) {
 	done := make(chan struct{})
 	r.agent.post(context.Background(), func(context.Context) { f(); close(done) })
 	<-done
@@ -123,25 +125,25 @@
 // process is the router's process as the agent has it, or nil.
 func (r *rig) process() *processHandle {
 	var p *processHandle
-	r.inLoop(func() { p = r.agent.routers[0].process })
+	r.inEventLoop(func() { p = r.agent.routers[0].process })
 	return p
 }
 
-// until waits for something to be seen of the instance.
-func (r *rig) until(what string, is func(t form.InstanceStatus) bool) form.InstanceStatus {
+// waitFor polls the instance's status until a condition holds, which what names.
+func (r *rig) waitFor(what string, condition func(t form.InstanceStatus) bool) form.InstanceStatus {
 	r.t.Helper()
-	for late := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-		told := r.sight()
-		if is(told) {
-			return told
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+		status := r.status()
+		if condition(status) {
+			return status
 		}
-		if time.Now().After(late) {
-			require.Fail(r.t, "not seen: "+what, "%+v", told)
+		if time.Now().After(deadline) {
+			require.Fail(r.t, "not seen: "+what, "%+v", status)
 		}
 	}
 }
 
-// push keeps a revision and returns its digest.
+// push has the agent store a revision and returns its digest.
 func (r *rig) push(conduct stand.Conduct, more map[string]any) string {
 	r.t.Helper()
 	if more == nil {
@@ -156,22 +158,22 @@
 	return digest
 }
 
-// step begins one and waits for its end.
-func (r *rig) step(digest string) form.InstanceStatus {
+// completeStep begins the next step and waits until it is over.
+func (r *rig) completeStep(digest string) form.InstanceStatus {
 	r.t.Helper()
-	fault := r.begin(digest)
-	require.Empty(r.t, fault)
-	return r.until("its end", func(t form.InstanceStatus) bool {
-		return t.LastStep.Number == r.number && t.LastResult != plan.StepPending
+	failure := r.beginStep(digest)
+	require.Empty(r.t, failure)
+	return r.waitFor("its end", func(t form.InstanceStatus) bool {
+		return t.LastStep.Number == r.stepNumber && t.LastResult != plan.StepPending
 	})
 }
 
-// begin begins the next step and returns why it was not begun.
-func (r *rig) begin(digest string) string {
-	r.number++
+// beginStep begins the next step and returns why it was not begun.
+func (r *rig) beginStep(digest string) string {
+	r.stepNumber++
 	reply := r.call(form.Request{
 		Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n",
-		Step: plan.Step{RolloutID: "r", Number: r.number, Revision: digest},
+		Step: plan.Step{RolloutID: "r", Number: r.stepNumber, Revision: digest},
 	})
 	if reply.Denial != claim.Granted {
 		return reply.Denial.String() + " " + reply.Failure
@@ -185,19 +187,19 @@
 	t.Parallel()
 	r := newRig(t)
 	a := r.push(stand.Conduct{}, nil)
-	told := r.step(a)
-	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
-	first := told.ProcessID
+	status := r.completeStep(a)
+	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
+	first := status.ProcessID
 	assert.NotZero(t, first)
-	r.until("counters", func(t form.InstanceStatus) bool { return t.CommandsSinceStep.Completed >= 200 })
+	r.waitFor("counters", func(t form.InstanceStatus) bool { return t.CommandsSinceStep.Completed >= 200 })
 	b := r.push(stand.Conduct{}, map[string]any{"discovery": "127.0.0.1:10"})
-	told = r.step(b)
-	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
-	assert.Equal(t, first, told.ProcessID, "another address of discovery moves by SIGHUP")
+	status = r.completeStep(b)
+	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
+	assert.Equal(t, first, status.ProcessID, "another address of discovery moves by SIGHUP")
 	c := r.push(stand.Conduct{Ready: 0.3}, map[string]any{"limits": map[string]any{"sockets": 300}})
-	told = r.step(c)
-	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
-	assert.NotEqual(t, first, told.ProcessID)
+	status = r.completeStep(c)
+	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
+	assert.NotEqual(t, first, status.ProcessID)
 	raw, err := os.ReadFile(filepath.Join(r.folder, "n", configName))
 	require.NoError(t, err)
 	assert.Contains(t, string(raw), `"sockets":300`)
@@ -207,19 +209,19 @@
 	t.Parallel()
 	r := newRig(t)
 	good := r.push(stand.Conduct{}, nil)
-	r.step(good)
+	r.completeStep(good)
 	for says, conduct := range map[string]stand.Conduct{
 		"it ended with status 3: stand-in: told to end": {Exit: 3},
 		"it was not ready within 2 s":                   {Silent: true},
 	} {
-		told := r.step(r.push(conduct, map[string]any{"limits": map[string]any{"sockets": 300}}))
-		assert.Equal(t, plan.StepFailed, told.LastResult)
-		assert.Contains(t, told.LastFailure, says)
-		told = r.step(good)
-		assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
-		assert.Equal(t, plan.ProcessReady, told.State)
+		status := r.completeStep(r.push(conduct, map[string]any{"limits": map[string]any{"sockets": 300}}))
+		assert.Equal(t, plan.StepFailed, status.LastResult)
+		assert.Contains(t, status.LastFailure, says)
+		status = r.completeStep(good)
+		assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
+		assert.Equal(t, plan.ProcessReady, status.State)
 	}
-	assert.Contains(t, r.step(strings.Repeat("0", 32)).LastFailure, "is not at agent a: push it")
+	assert.Contains(t, r.completeStep(strings.Repeat("0", 32)).LastFailure, "is not at agent a: push it")
 	reply := r.call(form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Digest: "x", Content: []byte(`{"discovery":"x"}`)}})
 	assert.Contains(t, reply.Failure, "and it is called x")
 	raw := []byte(`{"discovery":"x"}`)
@@ -230,28 +232,28 @@
 func TestRouterIsKilledAfterItsDrainTimeout(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	r.step(r.push(stand.Conduct{Deaf: true}, nil))
+	r.completeStep(r.push(stand.Conduct{Deaf: true}, nil))
 	began := time.Now()
-	told := r.step(r.push(stand.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}}))
-	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
+	status := r.completeStep(r.push(stand.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}}))
+	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.GreaterOrEqual(t, time.Since(began), 1500*time.Millisecond, "ten client timeouts, half a second, the grace")
-	r.step(r.push(stand.Conduct{Drain: 0.7}, map[string]any{"limits": map[string]any{"sockets": 301}}))
+	r.completeStep(r.push(stand.Conduct{Drain: 0.7}, map[string]any{"limits": map[string]any{"sockets": 301}}))
 	p := r.process()
-	told = r.step(r.push(stand.Conduct{}, nil))
-	assert.Equal(t, plan.StepSucceeded, told.LastResult)
-	assert.NotEqual(t, p.pid, told.ProcessID)
+	status = r.completeStep(r.push(stand.Conduct{}, nil))
+	assert.Equal(t, plan.StepSucceeded, status.LastResult)
+	assert.NotEqual(t, p.pid, status.ProcessID)
 }
 
 func TestRestartedAgentAdoptsRunningRouter(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	told := r.step(r.push(stand.Conduct{}, nil))
+	status := r.completeStep(r.push(stand.Conduct{}, nil))
 	r.restart()
-	again := r.until("ready", ready)
-	assert.Equal(t, told.ProcessID, again.ProcessID)
+	again := r.waitFor("ready", ready)
+	assert.Equal(t, status.ProcessID, again.ProcessID)
 	p := r.process()
 	require.NoError(t, p.signal(unix.SIGKILL))
-	after := r.until("a new one", func(t form.InstanceStatus) bool { return ready(t) && t.ProcessID != told.ProcessID })
+	after := r.waitFor("a new one", func(t form.InstanceStatus) bool { return ready(t) && t.ProcessID != status.ProcessID })
 	assert.Equal(t, 1, after.Crashes)
 	assert.NotEqual(t, claim.Granted, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 1, Holder: "other"}}).Denial,
 		"promises outlive the agent")
@@ -260,11 +262,11 @@
 func TestProcessWithoutIncarnationIsNotAdopted(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	told := r.step(r.push(stand.Conduct{}, nil))
+	status := r.completeStep(r.push(stand.Conduct{}, nil))
 	r.stop()
 	p, err := findRunning(r.agent.routers[0].incarnation(1))
 	require.NoError(t, err)
-	require.Equal(t, told.ProcessID, p.pid)
+	require.Equal(t, status.ProcessID, p.pid)
 	require.NoError(t, p.signal(unix.SIGKILL))
 	for gone := false; !gone; gone, _ = p.exited() {
 		time.Sleep(time.Millisecond)
@@ -273,7 +275,7 @@
 	require.NoError(t, err)
 	assert.Nil(t, p, "a router is known by its incarnation alone, and this process has none")
 	r.start()
-	assert.NotEqual(t, told.ProcessID, r.until("ready", ready).ProcessID)
+	assert.NotEqual(t, status.ProcessID, r.waitFor("ready", ready).ProcessID)
 }
 
 func TestRestartedAgentResolvesItsOpenStep(t *testing.T) {
@@ -283,15 +285,15 @@
 		"before it is ready": 700 * time.Millisecond,
 	} {
 		r := newRig(t)
-		r.step(r.push(stand.Conduct{Drain: 0.5}, nil))
+		r.completeStep(r.push(stand.Conduct{Drain: 0.5}, nil))
 		b := r.push(stand.Conduct{Ready: 0.5}, map[string]any{"limits": map[string]any{"sockets": 300}})
-		require.Empty(t, r.begin(b), name)
+		require.Empty(t, r.beginStep(b), name)
 		time.Sleep(after)
 		r.restart()
-		told := r.until("an end", func(t form.InstanceStatus) bool { return t.LastResult != plan.StepPending && ready(t) })
-		assert.NotEqual(t, plan.StepFailed, told.LastResult, "%s: %s", name, told.LastFailure)
-		if told.LastResult == plan.StepSucceeded {
-			assert.Equal(t, b, told.Revision, name)
+		status := r.waitFor("an end", func(t form.InstanceStatus) bool { return t.LastResult != plan.StepPending && ready(t) })
+		assert.NotEqual(t, plan.StepFailed, status.LastResult, "%s: %s", name, status.LastFailure)
+		if status.LastResult == plan.StepSucceeded {
+			assert.Equal(t, b, status.Revision, name)
 		}
 	}
 }
@@ -299,25 +301,25 @@
 func TestFullDiskRejectsTheStepAndChangesNothing(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	told := r.step(r.push(stand.Conduct{}, nil))
+	status := r.completeStep(r.push(stand.Conduct{}, nil))
 	b := r.push(stand.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}})
 	r.store.full.Store(true)
-	assert.Contains(t, r.begin(b), "no space left")
+	assert.Contains(t, r.beginStep(b), "no space left")
 	assert.Contains(t, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 9, Holder: "h"}}).Failure, "no space left")
-	assert.Equal(t, told.ProcessID, r.sight().ProcessID)
+	assert.Equal(t, status.ProcessID, r.status().ProcessID)
 	assert.EqualValues(t, 1, r.call(form.Request{Verb: form.StatusVerb}).LeaseState.Epoch, "nothing is promised that is not kept")
 	r.store.full.Store(false)
-	assert.Equal(t, plan.StepSucceeded, r.step(b).LastResult)
+	assert.Equal(t, plan.StepSucceeded, r.completeStep(b).LastResult)
 }
 
 func TestCrashLoopIsReported(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	r.inLoop(func() { r.agent.limits.MinBackoffSeconds, r.agent.limits.MaxCrashes = 0.01, 3 })
-	told := r.step(r.push(stand.Conduct{LiveFor: 0.3}, nil))
-	assert.Equal(t, plan.StepSucceeded, told.LastResult)
-	told = r.until("broken", func(t form.InstanceStatus) bool { return t.State == plan.ProcessCrashLooping })
-	assert.Equal(t, 4, told.Crashes)
+	r.inEventLoop(func() { r.agent.limits.MinBackoffSeconds, r.agent.limits.MaxCrashes = 0.01, 3 })
+	status := r.completeStep(r.push(stand.Conduct{LiveFor: 0.3}, nil))
+	assert.Equal(t, plan.StepSucceeded, status.LastResult)
+	status = r.waitFor("broken", func(t form.InstanceStatus) bool { return t.State == plan.ProcessCrashLooping })
+	assert.Equal(t, 4, status.Crashes)
 }
 
 func TestLogIsReadByLinesAndRotated(t *testing.T) {
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -30,15 +30,15 @@
 func TestAgentContinuesFromRecordedStore(t *testing.T) {
 	t.Parallel()
 	r, names := startOnRecordedStore(t)
-	told := r.until("the open step is done", func(x form.InstanceStatus) bool { return x.LastResult != plan.StepPending })
-	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
-	assert.Equal(t, recordedSecond, told.Revision)
-	assert.Equal(t, plan.Step{RolloutID: "r-running", Number: 11, Revision: recordedSecond, Restart: true}, told.LastStep)
+	status := r.waitFor("the open step is done", func(x form.InstanceStatus) bool { return x.LastResult != plan.StepPending })
+	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
+	assert.Equal(t, recordedSecond, status.Revision)
+	assert.Equal(t, plan.Step{RolloutID: "r-running", Number: 11, Revision: recordedSecond, Restart: true}, status.LastStep)
 	for i, name := range names {
 		if name == "failed" {
 			continue // its revision ends at once, again and again
 		}
-		r.until(name+" is ready", func(form.InstanceStatus) bool {
+		r.waitFor(name+" is ready", func(form.InstanceStatus) bool {
 			return ready(r.call(form.Request{Verb: form.StatusVerb}).Instances[i])
 		})
 	}
@@ -60,9 +60,9 @@
 	})
 	require.Equal(t, claim.Granted, reply.Denial)
 	require.Empty(t, reply.Failure)
-	told = r.until("the next step", func(x form.InstanceStatus) bool { return x.LastStep.Number == 12 && x.LastResult != plan.StepPending })
-	assert.Equal(t, plan.StepSucceeded, told.LastResult, told.LastFailure)
-	assert.Equal(t, recordedFirst, told.Revision)
+	status = r.waitFor("the next step", func(x form.InstanceStatus) bool { return x.LastStep.Number == 12 && x.LastResult != plan.StepPending })
+	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
+	assert.Equal(t, recordedFirst, status.Revision)
 }
 
 // startOnRecordedStore starts an agent on a copy of the recorded store. The instances are named as they are there.
@@ -81,7 +81,7 @@
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(filepath.Join(dir, storeName), raw, 0o600))
 	placeRecordedFiles(t, f)
-	r = &rig{t: t, fleet: f, folder: dir, number: 11}
+	r = &rig{t: t, fleet: f, folder: dir, stepNumber: 11}
 	t.Cleanup(func() { killRouters(t, dir) })
 	r.start()
 	t.Cleanup(func() { r.stop() })
--- a/internal/fleet/api/api_test.go
+++ b/internal/fleet/api/api_test.go
@@ -31,11 +31,11 @@
 
 // rig is an agent's server on loopback, with the keys of an agent and an operator. It takes the server's log.
 type rig struct {
-	t    *testing.T
-	keys keys.Folder
-	at   string
-	mu   sync.Mutex // guards log
-	log  bytes.Buffer
+	t       *testing.T
+	keys    keys.Folder
+	address string
+	mu      sync.Mutex // guards log
+	log     bytes.Buffer
 }
 
 func (r *rig) Write(p []byte) (int, error) {
@@ -59,7 +59,7 @@
 	require.NoError(t, r.keys.Issue(keys.Operator, "ayla", time.Minute, time.Now()))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	r.at = l.Addr().String()
+	r.address = l.Addr().String()
 	s := NewServer(l, h, r.keys.Source(keys.Agent, "a1"), v, zerolog.New(r))
 	done := make(chan error, 1)
 	go func() { done <- s.Serve() }()
@@ -68,7 +68,7 @@
 }
 
 func (r *rig) client(v Versions) *Client {
-	c := NewClient("a1", r.at, r.keys.Source(keys.Operator, "ayla"), v)
+	c := NewClient("a1", r.address, r.keys.Source(keys.Operator, "ayla"), v)
 	r.t.Cleanup(c.Close)
 	return c
 }
@@ -121,7 +121,7 @@
 func (r *rig) raw() net.Conn {
 	conf, err := r.keys.Source(keys.Operator, "ayla").Client("a1")
 	require.NoError(r.t, err)
-	c, err := tls.Dial("tcp", r.at, conf)
+	c, err := tls.Dial("tcp", r.address, conf)
 	require.NoError(r.t, err)
 	r.t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
@@ -135,7 +135,7 @@
 	h := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
 	t.Cleanup(h.CloseIdleConnections)
 	post := func(path, version string, body io.Reader) (int, string) {
-		q, err := http.NewRequest(http.MethodPost, "https://"+r.at+path, body)
+		q, err := http.NewRequest(http.MethodPost, "https://"+r.address+path, body)
 		require.NoError(t, err)
 		q.Header.Set(versionHeader, version)
 		a, err := h.Do(q)
@@ -214,13 +214,13 @@
 	other := keys.Folder(t.TempDir())
 	require.NoError(t, other.MakeAuthority("g", time.Hour, time.Now()))
 	require.NoError(t, other.Issue(keys.Operator, "ayla", time.Minute, time.Now()))
-	stranger := NewClient("a1", r.at, keys.Source{Own: other.File(keys.Operator, "ayla"), Trusted: r.keys.Trusted(), Now: time.Now}, SupportedVersions)
+	stranger := NewClient("a1", r.address, keys.Source{Own: other.File(keys.Operator, "ayla"), Trusted: r.keys.Trusted(), Now: time.Now}, SupportedVersions)
 	defer stranger.Close()
 	_, err := stranger.Call(context.Background(), form.Request{Verb: form.StatusVerb})
 	require.ErrorIs(t, err, ErrCertificateRefused)
 	require.ErrorContains(t, err, "it refuses this operator's certificate")
 	assert.Contains(t, r.logged(), "operator ayla is from an authority that is not trusted here")
-	misled := NewClient("a2", r.at, r.keys.Source(keys.Operator, "ayla"), SupportedVersions)
+	misled := NewClient("a2", r.address, r.keys.Source(keys.Operator, "ayla"), SupportedVersions)
 	defer misled.Close()
 	_, err = misled.Call(context.Background(), form.Request{Verb: form.StatusVerb})
 	require.ErrorContains(t, err, "agent a1's, and should be agent a2's")
--- a/internal/fleet/api/recorded_test.go
+++ b/internal/fleet/api/recorded_test.go
@@ -56,7 +56,7 @@
 	t.Cleanup(plainHTTP.CloseIdleConnections)
 	c := r.client(SupportedVersions)
 	for v, raw := range calls {
-		q, err := http.NewRequest(http.MethodPost, "https://"+r.at+"/fleet", bytes.NewReader(raw))
+		q, err := http.NewRequest(http.MethodPost, "https://"+r.address+"/fleet", bytes.NewReader(raw))
 		require.NoError(t, err)
 		q.Header.Set("Fleet-Version", "1")
 		a, err := plainHTTP.Do(q)
--- a/internal/fleet/tool/client_test.go
+++ b/internal/fleet/tool/client_test.go
@@ -28,8 +28,8 @@
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
 
-// patience ends a test that hangs; no test that passes waits for it.
-const patience = 60 * time.Second
+// testTimeout ends a test that hangs; no test that passes waits for it.
+const testTimeout = 60 * time.Second
 
 // TestMain is also the stand-in router that agents start.
 func TestMain(m *testing.M) {
@@ -44,10 +44,10 @@
 	t      *testing.T
 	fleet  *layout.Fleet
 	keys   keys.Folder
-	agents []func() // that end them
+	agents []func() // that stop them; nil for those that are stopped
 }
 
-// newRig has n agents with one instance each, in one hall.
+// newRig starts n agents with one instance each, in one zone, which all but one must serve.
 func newRig(t *testing.T, n int) *rig {
 	dir := t.TempDir()
 	text := fmt.Sprintf("(name t) (floor %d) (hall h (floor 1)) (times (soak 200ms) (fresh 1s) (contact 2s) (step 20s) (claim 2s) (look 50ms) (ready 2s) (grace 100ms))\n", n-1)
@@ -64,7 +64,7 @@
 	}
 	for i := range n {
 		require.NoError(t, r.keys.Issue(keys.Agent, fmt.Sprint("a", i), time.Minute, time.Now()))
-		r.start(i)
+		r.startAgent(i)
 	}
 	t.Cleanup(func() {
 		for _, end := range r.agents {
@@ -81,8 +81,8 @@
 	return r
 }
 
-// start starts an agent; its end is like a kill: routers go on, nothing is saved.
-func (r *rig) start(i int) {
+// startAgent starts an agent; its end is like a kill: routers go on, nothing is saved.
+func (r *rig) startAgent(i int) {
 	me := &r.fleet.Agents[i]
 	s, err := agent.OpenStore(me)
 	require.NoError(r.t, err)
@@ -99,9 +99,10 @@
 	r.agents[i] = func() { server.Close(); cancel(); done.Wait(); _ = s.Close() }
 }
 
-func (r *rig) end(i int) { r.agents[i](); r.agents[i] = nil }
+func (r *rig) stopAgent(i int) { r.agents[i](); r.agents[i] = nil }
 
-func (r *rig) tool(operator string) *Client {
+// client is one of an operator's.
+func (r *rig) client(operator string) *Client {
 	t, err := New(r.fleet, r.keys, operator)
 	require.NoError(r.t, err)
 	r.t.Cleanup(t.Close)
@@ -121,19 +122,22 @@
 	return form.Revision{Digest: p.Digest, Name: name}
 }
 
+// drive carries a task out to its end.
 func (r *rig) drive(t *Client, task roll.Task, watch func(roll.View, []roll.Event)) roll.Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return t.Drive(ctx, task, watch)
 }
 
-func (r *rig) complete(o roll.Outcome) {
+// requireComplete requires that a rollout has brought its revision to all instances.
+func (r *rig) requireComplete(o roll.Outcome) {
 	r.t.Helper()
 	require.Equal(r.t, roll.OutcomeEnded, o.Kind, "%v", o)
 	require.Equal(r.t, plan.Complete, o.Rollout.State, "%v", o)
 }
 
-func (r *rig) allRun(t *Client, digest string) {
+// assertAllRun asserts that all instances run a revision and serve.
+func (r *rig) assertAllRun(t *Client, digest string) {
 	r.t.Helper()
 	s := t.Status(context.Background())
 	for _, x := range s.Instances {
@@ -145,9 +149,9 @@
 func TestFailingRolloutRollsBackToThePreviousRevision(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 3)
-	ayla := r.tool("ayla")
+	ayla := r.client("ayla")
 	good := r.push(ayla, "good", stand.Conduct{}, 100)
-	r.complete(r.drive(ayla, ayla.NewRollout(good, false), nil))
+	r.requireComplete(r.drive(ayla, ayla.NewRollout(good, false), nil))
 	time.Sleep(1200 * time.Millisecond) // counters are read once a second
 	for name, c := range map[string]struct {
 		conduct stand.Conduct
@@ -164,7 +168,7 @@
 		assert.Equal(t, plan.RolledBack, o.Rollout.State, name)
 		assert.Contains(t, ayla.Explain(o.Reason), c.says)
 		assert.Contains(t, ayla.Explain(o.Reason), "instance n0")
-		r.allRun(ayla, good.Digest)
+		r.assertAllRun(ayla, good.Digest)
 		r.fleet.Times.Soak = 0.2
 	}
 	file := filepath.Join(t.TempDir(), "x.json")
@@ -176,9 +180,9 @@
 func TestAnotherClientResumesAnInterruptedRollout(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 4)
-	ayla, mehmet := r.tool("ayla"), r.tool("mehmet")
+	ayla, mehmet := r.client("ayla"), r.client("mehmet")
 	a := r.push(ayla, "a", stand.Conduct{}, 100)
-	r.complete(r.drive(ayla, ayla.NewRollout(a, false), nil))
+	r.requireComplete(r.drive(ayla, ayla.NewRollout(a, false), nil))
 	b := r.push(ayla, "b", stand.Conduct{Ready: 0.2}, 101)
 	ctx, kill := context.WithCancel(context.Background())
 	began := 0
@@ -205,12 +209,12 @@
 			}
 		}
 	})
-	r.complete(o)
+	r.requireComplete(o)
 	assert.LessOrEqual(t, steps, 3, "it goes on where the other was")
-	r.allRun(mehmet, b.Digest)
+	r.assertAllRun(mehmet, b.Digest)
 	o = r.drive(mehmet, roll.Task{Operation: roll.OperationRollback, Operator: "mehmet"}, nil)
 	assert.Equal(t, plan.RolledBack, o.Rollout.State)
-	r.allRun(mehmet, a.Digest)
+	r.assertAllRun(mehmet, a.Digest)
 	h, err := ayla.History(context.Background())
 	require.NoError(t, err)
 	assert.Len(t, h.Revisions, 2)
@@ -220,7 +224,7 @@
 func TestOneOfTwoOperatorsRollsOutAndTheOtherIsDenied(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 4)
-	ayla, mehmet := r.tool("ayla"), r.tool("mehmet")
+	ayla, mehmet := r.client("ayla"), r.client("mehmet")
 	a, b := r.push(ayla, "a", stand.Conduct{}, 100), r.push(mehmet, "b", stand.Conduct{}, 101)
 	var got [2]roll.Outcome
 	var both sync.WaitGroup
@@ -243,16 +247,16 @@
 	loser := got[1-won]
 	assert.Equal(t, roll.OutcomeLeaseHeld, loser.Kind)
 	assert.True(t, strings.HasPrefix(loser.Holder.Holder, []string{"ayla/", "mehmet/"}[won]), loser.Holder.Holder)
-	r.allRun(ayla, []form.Revision{a, b}[won].Digest)
+	r.assertAllRun(ayla, []form.Revision{a, b}[won].Digest)
 }
 
 func TestRequestedPauseIsFollowedAndUnreachableAgentIsLeftOut(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 4)
 	r.fleet.MinAvailable = 2
-	ayla, mehmet := r.tool("ayla"), r.tool("mehmet")
+	ayla, mehmet := r.client("ayla"), r.client("mehmet")
 	a := r.push(ayla, "a", stand.Conduct{}, 100)
-	r.complete(r.drive(ayla, ayla.NewRollout(a, false), nil))
+	r.requireComplete(r.drive(ayla, ayla.NewRollout(a, false), nil))
 	b := r.push(ayla, "b", stand.Conduct{Ready: 0.3}, 101)
 	asked := false
 	o := r.drive(ayla, ayla.NewRollout(b, false), func(v roll.View, _ []roll.Event) {
@@ -263,21 +267,21 @@
 	})
 	assert.Equal(t, plan.Paused, o.Rollout.State)
 	assert.Equal(t, "mehmet", o.Rollout.RequestedBy)
-	r.end(3)
+	r.stopAgent(3)
 	o = r.drive(mehmet, roll.Task{Operation: roll.OperationResume, Operator: "mehmet"}, nil)
 	assert.Equal(t, plan.Paused, o.Rollout.State)
 	assert.Contains(t, mehmet.Explain(o.Reason), "agent a3 of instance n3 is not heard from")
 	o = r.drive(mehmet, roll.Task{Operation: roll.OperationResume, Operator: "mehmet", ExcludedInstances: []int{3}}, nil)
 	assert.Equal(t, "1 instances were left out and are not done", mehmet.Explain(o.Reason))
-	r.start(3)
-	r.complete(r.drive(ayla, roll.Task{Operation: roll.OperationResume, Operator: "ayla"}, nil))
-	r.allRun(ayla, b.Digest)
+	r.startAgent(3)
+	r.requireComplete(r.drive(ayla, roll.Task{Operation: roll.OperationResume, Operator: "ayla"}, nil))
+	r.assertAllRun(ayla, b.Digest)
 }
 
 func TestPreviewFindAndTrace(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 3)
-	ayla := r.tool("ayla")
+	ayla := r.client("ayla")
 	a := r.push(ayla, "a", stand.Conduct{}, 100)
 	effects := func(sockets int, discovery string) []RevisionEffect {
 		doc := stand.Deployment(discovery, 0.1, map[string]any{"stand": stand.Conduct{}, "limits": map[string]any{"sockets": sockets}})
@@ -288,7 +292,7 @@
 		return e
 	}
 	assert.Equal(t, RevisionEffect{Instance: "n0", Change: "start"}, effects(100, "127.0.0.1:9")[0])
-	r.complete(r.drive(ayla, ayla.NewRollout(a, false), nil))
+	r.requireComplete(r.drive(ayla, ayla.NewRollout(a, false), nil))
 	assert.Equal(t, RevisionEffect{Instance: "n0", Change: "none"}, effects(100, "127.0.0.1:9")[0])
 	assert.Equal(t, RevisionEffect{Instance: "n1", Change: "reload"}, effects(100, "127.0.0.1:10")[1])
 	assert.Equal(t, RevisionEffect{Instance: "n2", Change: "restart", Keys: []string{"limits"}}, effects(101, "127.0.0.1:9")[2])
@@ -306,7 +310,7 @@
 	spans, err := ayla.NewTrace(path)
 	require.NoError(t, err)
 	o := r.drive(ayla, ayla.NewRollout(a, true), spans.Record)
-	r.complete(o)
+	r.requireComplete(o)
 	require.NoError(t, spans.Close(o))
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
