--- a/internal/fleet/agent/requests.go
+++ b/internal/fleet/agent/requests.go
@@ -89,6 +89,7 @@
 		change.Lease = &lease
 	}
 	if changes.Lease && request.Verb == form.StoreRecordVerb {
+		// A record of a later version may not be readable here. It is stored all the same, but not in the history.
 		var rollout form.Rollout
 		if err := form.Decode("record", request.Record.Body, &rollout); err == nil && rollout.ID != "" {
 			change.Rollout = &rollout
