--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -12,53 +12,53 @@
 		Errored: Fail, TimedOut: Fail, ConnectionLost: Fail, Canceled: Fail,
 		Overloaded: Forward, ConnectFailed: Forward, NeverSent: Forward,
 	} {
-		r := testRouter(t, testSite())
+		r := testRouter(t, testConfig())
 		r.endpoints[0].resultSum, r.endpoints[0].decayedAt = 9, 10
-		c := command(gWrite)
+		c := newCommand(writes)
 		r.Route(10, c)
 		assert.Equal(t, want, r.AttemptEnded(10.1, c, AttemptResult{Result: ending, Position: -1}).Action, "ending %d", ending)
 	}
 }
 
-// Half of all commands once erred at every host, and each took eight dispatches.
+// Half of all commands once erred at every endpoint, and each took eight attempts.
 func TestCommandThatErrsEverywhereIsRejected(t *testing.T) {
-	r := testRouter(t, testSite())
-	c := command(gAny)
+	r := testRouter(t, testConfig())
+	c := newCommand(eventualReads)
 	r.Route(10, c)
 	assert.Equal(t, Forward, r.AttemptEnded(10.01, c, AttemptResult{Result: Errored, Position: -1}).Action)
 	assert.Equal(t, Reject, r.AttemptEnded(10.02, c, AttemptResult{Attempt: 1, Result: Errored, Position: -1}).Action)
 }
 
 func TestRetryByKeyLeavesTimeForItsConnection(t *testing.T) {
-	s := testSite()
-	s.CommandGroups[gWrite].Idempotency = IdempotentWithKey
+	s := testConfig()
+	s.CommandGroups[writes].Idempotency = IdempotentWithKey
 	r := testRouter(t, s)
 	c := &Command{uncertainRuns: 1, uncertainAt: 10}
-	assert.True(t, r.mayRetry(11.7, c, &r.groups[gWrite]))
-	assert.False(t, r.mayRetry(11.75, c, &r.groups[gWrite]), "a connection may take as long as Dial")
-	assert.Equal(t, Fail, r.giveUp(11.9, c, &r.groups[gWrite]).Action, "known in its own group only")
-	r.groups[gWrite].KeyScope = GlobalScope
-	assert.Equal(t, Reject, r.giveUp(11.9, c, &r.groups[gWrite]).Action)
+	assert.True(t, r.mayRetry(11.7, c, &r.groups[writes]))
+	assert.False(t, r.mayRetry(11.75, c, &r.groups[writes]), "a connection may take as long as Dial")
+	assert.Equal(t, Fail, r.giveUp(11.9, c, &r.groups[writes]).Action, "known in its own group only")
+	r.groups[writes].KeyScope = GlobalScope
+	assert.Equal(t, Reject, r.giveUp(11.9, c, &r.groups[writes]).Action)
 }
 
 func TestRetryByKeyStaysInItsZone(t *testing.T) {
-	s := testSite()
-	s.CommandGroups[gWrite].Idempotency, s.CommandGroups[gWrite].KeyScope = IdempotentWithKey, ZoneScope
+	s := testConfig()
+	s.CommandGroups[writes].Idempotency, s.CommandGroups[writes].KeyScope = IdempotentWithKey, ZoneScope
 	r := testRouter(t, s)
-	c := command(gWrite)
+	c := newCommand(writes)
 	c.uncertainRuns, c.uncertainAt, c.uncertainEndpoint = 1, 10, 1
 	assert.Equal(t, Forward, r.Route(10, c).Action)
 	r.endpoints[1].zone = 1
-	c = command(gWrite)
+	c = newCommand(writes)
 	c.uncertainRuns, c.uncertainAt, c.uncertainEndpoint = 1, 10, 1
 	assert.Equal(t, Wait, r.Route(10, c).Action)
 }
 
 // Lost answers once counted as queues and as seconds of work, and primaries looked full.
 func TestLostAnswersAreNoQueue(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.latency, r.queueLength = 0.05, 1
-	c := command(gWrite)
+	c := newCommand(writes)
 	n := &r.endpoints[r.Route(10, c).Endpoint]
 	r.Route(10.1, c)
 	assert.Equal(t, 1, n.queued)
@@ -71,29 +71,29 @@
 }
 
 func TestOverdueReadIsCanceled(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.latency = 0.02
-	c := command(gAny)
+	c := newCommand(eventualReads)
 	a := r.Route(10, c)
 	n := &r.endpoints[a.Endpoint]
 	n.unanswered = 8
 	b := r.Route(10.4, c)
 	assert.Equal(t, 0, b.CancelAttempt)
 	assert.Positive(t, n.failureSum, "a hang is seen by what is overdue")
-	w := command(gWrite)
+	w := newCommand(writes)
 	w.Attempts = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}
-	assert.Equal(t, -1, r.Route(10.4, w).CancelAttempt, "a mutating command is never called off for a repeat")
+	assert.Equal(t, -1, r.Route(10.4, w).CancelAttempt, "a non-idempotent command is never canceled for a retry")
 }
 
-// A keyed repeat that a member takes in slowly ran after its memory was over.
+// A retry by key that an endpoint takes in slowly ran after its idempotency window was over.
 func TestRetryByKeyTimesOutWithItsIdempotencyWindow(t *testing.T) {
-	s := testSite()
-	s.CommandGroups[gWrite].Idempotency, s.CommandGroups[gWrite].IdempotencyWindow = IdempotentWithKey, 1.5
+	s := testConfig()
+	s.CommandGroups[writes].Idempotency, s.CommandGroups[writes].IdempotencyWindow = IdempotentWithKey, 1.5
 	r := testRouter(t, s)
-	c := command(gWrite)
+	c := newCommand(writes)
 	a := r.Route(10, c)
 	assert.Equal(t, Forward, a.Action)
-	assert.InDelta(t, c.ClientDeadline, a.AttemptDeadline, 0, "a first dispatch has all of its client's time")
+	assert.InDelta(t, c.ClientDeadline, a.AttemptDeadline, 0, "a first attempt has all of its client's time")
 	a = r.AttemptEnded(10.01, c, AttemptResult{Result: ConnectionLost, Elapsed: 0.01, Position: -1})
 	for k := 0; a.Action == Wait && k < 100; k++ {
 		a = r.Route(a.ReviewAt, c)
@@ -104,11 +104,11 @@
 
 func TestLostAnswerIsRetriedInTime(t *testing.T) {
 	for left, again := range map[float64]bool{0.4: true, 0.02: false} {
-		r := testRouter(t, testSite())
+		r := testRouter(t, testConfig())
 		for i := range r.endpoints {
 			r.endpoints[i].latencySum, r.endpoints[i].answerSum, r.endpoints[i].decayedAt = 0.1, 10, 10 // 10 ms each
 		}
-		c := command(gAny)
+		c := newCommand(eventualReads)
 		c.ClientDeadline = 10.1 + left
 		require.Equal(t, Forward, r.Route(10, c).Action)
 		n := &r.endpoints[c.Attempts[0].Endpoint]
@@ -120,17 +120,17 @@
 
 func TestLostWriteWithKeyGoesToThePrimaryAgain(t *testing.T) {
 	for effect, recall := range map[Idempotency]int{IdempotentWithKey: 0, NonIdempotent: -1} {
-		r := testRouter(t, testSite())
-		r.groups[gWrite].Idempotency = effect
+		r := testRouter(t, testConfig())
+		r.groups[writes].Idempotency = effect
 		r.endpoints[0].latencySum, r.endpoints[0].answerSum, r.endpoints[0].decayedAt = 0.1, 10, 10
-		c := command(gWrite)
+		c := newCommand(writes)
 		require.Equal(t, 0, r.Route(10, c).Endpoint)
 		r.endpoints[0].answeredAt, r.endpoints[0].unanswered = 10.05, 0
 		assert.Equal(t, recall, r.Route(10.1, c).CancelAttempt)
 		if effect == IdempotentWithKey {
 			a := r.AttemptEnded(10.1, c, AttemptResult{Result: Canceled, Position: -1})
 			assert.Equal(t, Forward, a.Action)
-			assert.Equal(t, 0, a.Endpoint, "its own set knows the key")
+			assert.Equal(t, 0, a.Endpoint, "its own shard knows the key")
 		}
 	}
 }
--- a/internal/router/consistency_test.go
+++ b/internal/router/consistency_test.go
@@ -10,41 +10,41 @@
 )
 
 func TestSessionReadCoversItsLastWriteAndHighestRead(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.sessions.Put(9, session{lastWrite: 9, highestRead: 10.2})
 	r.endpoints[2].position = 10.3
 	for range 20 {
-		a := r.Route(10.3, command(gSession))
+		a := r.Route(10.3, newCommand(sessionReads))
 		assert.Equal(t, Forward, a.Action)
-		assert.Equal(t, 2, a.Endpoint, "only node 2 covers both positions")
+		assert.Equal(t, 2, a.Endpoint, "only endpoint 2 covers both positions")
 		r.endpoints[2].queued = 0
 	}
 }
 
 func TestClientTokenIsTheTimeOfTheLastWrite(t *testing.T) {
-	s := testSite()
+	s := testConfig()
 	s.ClientTokens = true
 	r := testRouter(t, s)
-	c := command(gSession)
+	c := newCommand(sessionReads)
 	c.LastWriteAge = 0.25
 	r.Route(10, c)
 	assert.InDelta(t, 9.75, c.requiredPosition, 1e-9)
 }
 
 func TestBoundedStalenessReadWaitsAndThenFallsBack(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.endpoints[1].position, r.endpoints[2].position = 9.5, 9.7
-	assert.Equal(t, 2, r.Route(10.05, command(gBound)).Endpoint)
-	c := command(gBound)
+	assert.Equal(t, 2, r.Route(10.05, newCommand(boundedReads)).Endpoint)
+	c := newCommand(boundedReads)
 	c.ArrivedAt = 10.15
 	assert.Equal(t, Wait, r.Route(10.15, c).Action, "none within the bound: it waits")
 	assert.Equal(t, 0, r.Route(10.26, c).Endpoint, "and then goes to the primary")
 }
 
-// With every replica stalled by one heavy record the wait only spent the target.
+// With every replica stalled by one heavy record the wait only spent the objective.
 func TestReadDoesNotWaitWhereNoReplicaCanCatchUp(t *testing.T) {
-	r := testRouter(t, testSite())
-	c := command(gBound)
+	r := testRouter(t, testConfig())
+	c := newCommand(boundedReads)
 	c.ArrivedAt, c.ClientDeadline = 10.6, 12
 	assert.Equal(t, Wait, r.Route(10.6, c).Action, "heard 0.6 s ago, a replica may have caught up")
 	r.endpoints[1].position, r.endpoints[2].position = 5, 5
@@ -52,46 +52,46 @@
 }
 
 func TestFreshestReplicaServesWhereReplicasCheckReads(t *testing.T) {
-	s := testSite()
+	s := testConfig()
 	s.ReplicasCheckReads = true
 	r := testRouter(t, s)
 	r.sessions.Put(9, session{lastWrite: 10.1, highestRead: math.Inf(-1)})
 	r.endpoints[1].lag, r.endpoints[2].lag = 3, 0.01
-	c := command(gSession)
+	c := newCommand(sessionReads)
 	assert.Equal(t, 2, r.Route(10, c).Endpoint)
 	a := r.AttemptEnded(10.06, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
-	assert.Equal(t, 0, a.Endpoint, "turned away as too far behind, it goes to the primary")
+	assert.Equal(t, 0, a.Endpoint, "not served as too stale, it goes to the primary")
 }
 
 // With 127 routers a primary was often unknown, and what was heard of replicas seconds old.
 func TestLinearizableReadWithoutAPrimary(t *testing.T) {
-	s := testSite()
+	s := testConfig()
 	s.ReplicasCheckReads = true
 	r := testRouter(t, s)
 	r.endpoints[0].role = RoleReplica
 	for i := range r.endpoints {
 		r.endpoints[i].lag = float64(i)
 	}
-	assert.Equal(t, 0, r.Route(10.2, command(gCurrent)).Endpoint, "the least behind checks it itself")
-	c := command(gCurrent)
+	assert.Equal(t, 0, r.Route(10.2, newCommand(linearizableReads)).Endpoint, "the least behind checks it itself")
+	c := newCommand(linearizableReads)
 	c.Attempts, c.ArrivedAt, c.routed = []Attempt{{Endpoint: 0, SentAt: 10.1, InFlight: true}}, 10.1, true
 	a := r.AttemptEnded(10.2, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
-	assert.Equal(t, 1, a.Endpoint, "turned away, it meets the next: one of them may be the primary")
+	assert.Equal(t, 1, a.Endpoint, "not served, it meets the next: one of them may be the primary")
 	assert.InDelta(t, 1.0, r.recentLag(10.2, 1), 0)
 	assert.Zero(t, r.recentLag(11, 1), "it may have caught up since")
 }
 
 func TestUnheardReplicaCoversNoBoundedRead(t *testing.T) {
-	r := New(testSite(), 1)
-	r.UpdateEndpoints(10, []EndpointInfo{listed(0), listed(1)}, true, true)
-	assert.Equal(t, Wait, r.Route(10, command(gBound)).Action)
+	r := New(testConfig(), 1)
+	r.UpdateEndpoints(10, []EndpointInfo{warmEndpoint(0), warmEndpoint(1)}, true, true)
+	assert.Equal(t, Wait, r.Route(10, newCommand(boundedReads)).Action)
 	_, up := r.Maintain(10)
 	assert.Equal(t, []int{0}, up.HealthCheck, "the one that the read needs")
-	assert.Equal(t, Forward, r.Route(10, command(gAny)).Action, "any read may go to any replica")
+	assert.Equal(t, Forward, r.Route(10, newCommand(eventualReads)).Action, "any read may go to any replica")
 }
 
 func TestForgottenSessionsRaiseThePositionFloor(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.sessions.Put(1, session{lastWrite: 9})
 	r.shards[0].newestPosition = 9
 	span := retentionTimeouts * 2.0
@@ -106,24 +106,24 @@
 }
 
 func TestLastWriteAheadOfTheClockCounts(t *testing.T) {
-	s := testSite()
+	s := testConfig()
 	s.ClientTokens = true
 	for _, age := range []float64{-math.SmallestNonzeroFloat64, -0.25} {
-		c := command(gSession)
+		c := newCommand(sessionReads)
 		c.LastWriteAge = age
 		testRouter(t, s).Route(10, c)
 		assert.InDelta(t, 10-age, c.requiredPosition, 1e-9)
 	}
-	c := command(gSession)
+	c := newCommand(sessionReads)
 	testRouter(t, s).Route(10, c)
 	assert.Less(t, c.requiredPosition, 10.0, "0: none is known")
 }
 
-// A session read is sent while a write of its session is out, or after one that broke: the member may have run the write
-// and its answer been on its way, so that the read owes what it wrote. A lagging replica was read (rule 5).
+// A session read is sent while a write of its session is out, or after one that broke: the endpoint may have run the
+// write and its answer been on its way, so that the read owes what it wrote. A lagging replica was read (rule 5).
 func TestSessionReadCoversWritesThatMayHaveRun(t *testing.T) {
-	s := testSite()
-	s.CommandGroups[gWrite].Idempotency = IdempotentWithKey
+	s := testConfig()
+	s.CommandGroups[writes].Idempotency = IdempotentWithKey
 	replicas := []int{1, 2}
 	for what, w := range map[string]struct {
 		o      *AttemptResult // at 10.1; nil: it is out
@@ -147,12 +147,12 @@
 					r.endpoints[i].position, r.endpoints[i].reportedAt, r.endpoints[i].lag = pos, 10.15, 10.15-pos
 				}
 			}
-			first := command(gSession)
+			first := newCommand(sessionReads)
 			require.Contains(t, replicas, r.Route(10, first).Endpoint)
-			r.AttemptEnded(10, first, AttemptResult{Result: Answered, Elapsed: 0.01, Final: true, Position: 10}) // seen mark 10
-			c := command(gWrite)
+			r.AttemptEnded(10, first, AttemptResult{Result: Answered, Elapsed: 0.01, Final: true, Position: 10}) // highest read 10
+			c := newCommand(writes)
 			require.Equal(t, 0, r.Route(10, c).Endpoint)
-			waits := command(gSession) // arrived before the write ended, and found no replica
+			waits := newCommand(sessionReads) // arrived before the write ended, and found no replica
 			waits.routed, waits.requiredPosition = true, 10
 			if w.o != nil {
 				o := *w.o
@@ -164,22 +164,22 @@
 			}
 			assert.Equal(t, w.o == nil, r.session(9).writesInFlight == 1, what)
 			hold(w.covers + held)
-			other := command(gSession)
+			other := newCommand(sessionReads)
 			other.Session, other.ArrivedAt, other.ClientDeadline = 8, 10.15, 12
 			assert.Contains(t, replicas, r.Route(10.15, other).Endpoint, "%s: of another session", what)
-			assert.Equal(t, held > 0, slices.Contains(replicas, r.pickReplica(10.15, waits, &r.groups[gSession], r.sessionPosition(10.15, waits))), "%s, %g", what, held)
+			assert.Equal(t, held > 0, slices.Contains(replicas, r.pickReplica(10.15, waits, &r.groups[sessionReads], r.sessionPosition(10.15, waits))), "%s, %g", what, held)
 		}
 	}
 }
 
-// Where those that cover a read have no room a position more is of no use: at a burst each read held for want of
-// room once had a probe every 100 ms.
+// Where those that cover a read have no room a position more is of no use: at a burst each read held for want of room
+// once had a health check every 100 ms.
 func TestKnownPositionIsNotChecked(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	for i := range r.endpoints {
 		r.endpoints[i].latencySum, r.endpoints[i].answerSum, r.endpoints[i].queued, r.endpoints[i].answeredAt = 400, 100, 9, 10.25
 	}
-	c := command(gBound)
+	c := newCommand(boundedReads)
 	c.ArrivedAt, c.ClientDeadline = 10.25, 12.25
 	require.Equal(t, Wait, r.Route(10.25, c).Action)
 	assert.Empty(t, r.pendingChecks, "both replicas cover it")
@@ -190,23 +190,24 @@
 	assert.Len(t, r.pendingChecks, 1)
 }
 
-// Where replicas check reads a miss tells their position for nothing; probes for it cost a service point in thirty.
+// Where replicas check reads a miss tells their position for nothing; health checks for it cost a service point in
+// thirty.
 func TestPositionIsNotCheckedWhereReplicasCheckReads(t *testing.T) {
 	for _, guarded := range []bool{true, false} {
-		s := testSite()
+		s := testConfig()
 		s.ReplicasCheckReads = guarded
 		r := testRouter(t, s)
 		count(&r.reads, 10.2, 1)
 		count(&r.fallbacks, 10.2, 1)
-		r.Route(10.2, uncovered(r))
+		r.Route(10.2, uncoveredRead(r))
 		assert.Equal(t, guarded, len(r.pendingChecks) == 0)
 	}
 }
 
 // A read that goes to the primary at once has no replica asked for it.
 func TestReadThatFallsBackAtOnceChecksNoPosition(t *testing.T) {
-	r := testRouter(t, testSite())
-	c := uncovered(r)
+	r := testRouter(t, testConfig())
+	c := uncoveredRead(r)
 	count(&r.reads, 10, 10)
 	a := r.Route(10.2, c)
 	require.Equal(t, Forward, a.Action)
@@ -218,22 +219,22 @@
 // nobody asked.
 func TestReplicaWithoutSlowStartBudgetIsNotChecked(t *testing.T) {
 	for me := range 4 {
-		s := testSite()
+		s := testConfig()
 		s.Instance, s.RouterCount = me, 1000
 		r := testRouter(t, s)
 		r.endpoints[1].startedAt, r.endpoints[1].slowStartBudgetAt = 10, 10.2
-		c := uncovered(r)
+		c := uncoveredRead(r)
 		require.Equal(t, Wait, r.Route(10.2, c).Action)
 		assert.Equal(t, []int{2}, r.pendingChecks, "router %d", me)
 	}
 }
 
-// A read waits for a replica for no longer than leaves its primary time to answer within a short target.
+// A read waits for a replica for no longer than leaves its primary time to answer within a short objective.
 func TestReadWaitsNoLongerThanHalfOfAShortObjective(t *testing.T) {
-	s := testSite()
-	s.CommandGroups[gBound].LatencyObjective = 0.1
+	s := testConfig()
+	s.CommandGroups[boundedReads].LatencyObjective = 0.1
 	r := testRouter(t, s)
-	c := uncovered(r)
+	c := uncoveredRead(r)
 	require.Equal(t, Wait, r.Route(10.2, c).Action)
 	require.Equal(t, Wait, r.Route(10.245, c).Action)
 	a := r.Route(10.255, c)
--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Chance connect failures once made warm hosts count as cold and throttled quiet days.
+// Chance connect failures once made warm endpoints count as cold and rejected commands on quiet days.
 func TestOneFailedConnectionIsNoRestart(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.endpoints[1].recordUnreachable(10)
 	r.recordReachable(10.3, &r.endpoints[1])
 	assert.True(t, math.IsInf(r.endpoints[1].startedAt, -1))
@@ -23,9 +23,9 @@
 	assert.InDelta(t, 12.0, r.endpoints[1].startedAt, 0)
 }
 
-// A hung host keeps its last position and would go on qualifying.
+// A hung endpoint keeps its last position and would go on qualifying.
 func TestSilentEndpointIsEjectedUntilItAnswers(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.latency = 0.05
 	n := &r.endpoints[1]
 	n.queued, n.unanswered, n.unansweredSince = 4, 4, 10
@@ -34,37 +34,37 @@
 	n.queued = 0
 	assert.True(t, r.suspected(13, 1), "no answer since")
 	n.queued = 1
-	c := &Command{Group: gAny, Attempts: []Attempt{{Endpoint: 1, InFlight: true}}, ArrivedAt: 10, ClientDeadline: 14, routed: true}
+	c := &Command{Group: eventualReads, Attempts: []Attempt{{Endpoint: 1, InFlight: true}}, ArrivedAt: 10, ClientDeadline: 14, routed: true}
 	r.AttemptEnded(13, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
 	assert.False(t, r.suspected(13, 1))
 }
 
-// A host that turned all commands away at once looked idle and drew a third of them.
+// An endpoint that rejected all commands at once looked idle and drew a third of them.
 func TestOverloadedResultIsAFailure(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	for range 4 {
-		c := command(gAny)
+		c := newCommand(eventualReads)
 		c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}, true
 		r.AttemptEnded(10, c, AttemptResult{Result: Overloaded, Position: -1})
 	}
 	assert.True(t, r.suspected(10, 1))
 }
 
-// Forty routers once doubted all members of all sets, and with nothing sent nothing was learnt.
+// Forty routers once ejected all endpoints of all shards, and with nothing sent nothing was learnt.
 func TestWhereAllAreEjectedOneFailsOpen(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	for i := range r.endpoints {
 		r.endpoints[i].ejected, r.endpoints[i].recoveryAt = true, 10.6-float64(i)/10
 	}
 	r.recoveryAt, r.recoveryInterval = 10, 100
-	assert.Equal(t, 2, r.Route(10.1, command(gAny)).Endpoint, "the one that failed longest ago")
-	assert.Equal(t, Wait, r.Route(10.1, command(gAny)).Action, "one dispatch at a time, not too soon")
+	assert.Equal(t, 2, r.Route(10.1, newCommand(eventualReads)).Endpoint, "the one that failed longest ago")
+	assert.Equal(t, Wait, r.Route(10.1, newCommand(eventualReads)).Action, "one attempt at a time, not too soon")
 }
 
-// A host that was reached and is silent answers probes all the same: hundreds of routers each kept probing those
-// that they doubted, and only a command's answer ends the doubt. One out of reach is probed.
+// An endpoint that was reached and is silent answers health checks all the same: hundreds of routers each kept
+// checking those that they ejected, and only a command's answer ends the ejection. One unreachable is checked.
 func TestEjectedEndpointIsCheckedOnlyIfUnreachable(t *testing.T) {
-	s := testSite()
+	s := testConfig()
 	s.RouterCount = 300
 	r := testRouter(t, s)
 	r.endpoints[1].ejected, r.endpoints[2].ejected = true, true
@@ -74,12 +74,12 @@
 	assert.Equal(t, []int{2}, up.HealthCheck)
 }
 
-// What was sent to a member that could not be reached counted as its silence, which shunned it again as soon as a
-// probe had been answered; and then it was probed no more.
+// What was sent to an endpoint that could not be reached counted as its silence, which ejected it again as soon as a
+// health check had been answered; and then it was checked no more.
 func TestEndpointThatIsBackIsNotEjectedForWhatNeverReachedIt(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	for at := 10.0; at < 10.4; at += 0.1 {
-		c := command(gAny)
+		c := newCommand(eventualReads)
 		c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: at, InFlight: true}}, true
 		r.endpoints[1].unanswered++
 		r.endpoints[1].unansweredSince = 10
@@ -91,19 +91,19 @@
 	assert.False(t, r.suspected(12, 1))
 	r.endpoints[1].unanswered, r.endpoints[1].unansweredSince = 3, 12
 	r.HealthChecked(13, 1, Answered, 0, 13, false)
-	assert.True(t, r.suspected(14, 1), "one that was reached and is silent goes on being doubted")
+	assert.True(t, r.suspected(14, 1), "one that was reached and is silent stays ejected")
 }
 
-// A router that hears each host every few seconds doubted it after one answer that was lost or late.
+// A router that hears each endpoint every few seconds ejected it after one answer that was lost or late.
 func TestOneLostAnswerEjectsNobody(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.latency = 0.05
 	for lost, doubted := range []bool{false, true} {
-		c := command(gAny)
+		c := newCommand(eventualReads)
 		c.ArrivedAt = 10 + float64(lost)
 		require.Equal(t, Forward, r.Route(c.ArrivedAt, c).Action)
 		at := c.Attempts[0].Endpoint
-		for i := range r.endpoints { // the same node again
+		for i := range r.endpoints { // the same endpoint again
 			r.endpoints[i].draining = i != at
 		}
 		c.Attempts[0].overdue = true
@@ -112,11 +112,11 @@
 	}
 }
 
-// Among many routers no replica is known to cover most reads: that once sent them all to a doubted primary.
+// Among many routers no replica is known to cover most reads: that once sent them all to an ejected primary.
 func TestNoFailOpenWhereAHealthyReplicaMayCover(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.endpoints[0].ejected, r.endpoints[0].recoveryAt, r.recoveryAt, r.recoveryInterval = true, 9, 10, 100
-	c := uncovered(r)
+	c := uncoveredRead(r)
 	assert.Equal(t, Wait, r.Route(10.2, c).Action)
 	assert.Len(t, r.pendingChecks, 1, "a replica is asked")
 	r.endpoints[1].ejected, r.endpoints[2].ejected = true, true
@@ -126,40 +126,40 @@
 	assert.Equal(t, 0, a.Endpoint)
 }
 
-// A router that hears a member every few seconds doubted it after a single failure.
+// A router that hears an endpoint every few seconds ejected it after a single failure.
 func TestOneFailureAloneEjectsNobody(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.decayTime = 5 * decayObjectives
 	r.recordFailure(10, &r.endpoints[1])
 	assert.False(t, r.suspected(10, 1))
 	r.recordFailure(12, &r.endpoints[1])
-	assert.True(t, r.suspected(12, 1), "two are remembered where dispatches are rare")
+	assert.True(t, r.suspected(12, 1), "two are remembered where attempts are rare")
 }
 
 func TestHealthIsAgainstTheFleetsMedian(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	for i := range r.endpoints {
 		r.endpoints[i].failureSum, r.endpoints[i].resultSum, r.endpoints[i].decayedAt = 4, 8, 10
 	}
 	r.updateFleet(10)
-	assert.False(t, r.suspected(10, 1), "all fail alike: no node stands out")
+	assert.False(t, r.suspected(10, 1), "all fail alike: no endpoint stands out")
 	r.endpoints[1].failureSum, r.endpoints[1].resultSum = 8, 8
 	assert.True(t, r.suspected(10, 1))
 }
 
 func TestShortSilenceEjectsNobodyHoweverQuickAnswersAre(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	n := &r.endpoints[1]
 	n.latencySum, n.answerSum, n.decayedAt = 0.02, 10, 10 // 2 ms each
 	n.unanswered, n.unansweredSince = 3, 10
-	assert.False(t, r.suspected(10.04, 1), "twenty answer times, but little of a target")
+	assert.False(t, r.suspected(10.04, 1), "twenty answer times, but little of an objective")
 	assert.True(t, r.suspected(10.06, 1))
 }
 
-// Where probes failed for half a minute at hosts that served as usual these counted as out of reach and, once a
-// probe went through, as started anew.
+// Where health checks failed for half a minute at endpoints that served as usual these counted as unreachable and,
+// once a health check went through, as started anew.
 func TestFailedHealthChecksOfServingEndpointsSayNothing(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	for now := 10.1; now < 20; now += 0.5 {
 		r.endpoints[1].answeredAt = now - 0.05
 		r.HealthChecked(now, 1, Errored, 0.01, -1, false)
@@ -176,9 +176,9 @@
 	assert.InDelta(t, 21.7, n.startedAt, 0, "away for longer than chance, it may have started anew")
 }
 
-// The whole fleet's join day broke rule 5 once: a probe's report was taken though the probe had erred.
+// The whole fleet's join day broke rule 5 once: a health check's report was taken though the health check had erred.
 func TestReportOfAFailedHealthCheckSaysNothingOfData(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	for _, ending := range []Result{Errored, Overloaded, NotServed, TimedOut, ConnectionLost} {
 		r.HealthChecked(20, 1, ending, 0.01, 19, true)
 		assert.InDelta(t, 10.0, r.endpoints[1].position, 0)
--- a/internal/router/helper_test.go
+++ b/internal/router/helper_test.go
@@ -7,41 +7,41 @@
 	"stoatdale.example/stoatdale/internal/router/rolling"
 )
 
-// Command groups of the test site, one a need.
+// Command groups of the test configuration, one for each consistency.
 const (
-	gWrite = iota
-	gCurrent
-	gSession
-	gBound
-	gAny
+	writes = iota
+	linearizableReads
+	sessionReads
+	boundedReads
+	eventualReads
 )
 
-// testSite states figures of its own; no deployment has them.
-func testSite() Config {
-	row := func(need Consistency) CommandGroup {
-		return CommandGroup{Consistency: need, LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1, IdempotencyWindow: 2}
+// testConfig states figures of its own; no deployment has them.
+func testConfig() Config {
+	group := func(consistency Consistency) CommandGroup {
+		return CommandGroup{Consistency: consistency, LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1, IdempotencyWindow: 2}
 	}
 	s := Config{
 		RouterCount: 1, BatchInterval: 0.005, LoadReports: true, CanCancel: true,
 		HealthChecks: true, MaxAttempts: 6, ConnectTimeout: 0.25, SlowStartFloor: 0.2, SlowStart: 10, OverloadFactor: 2, OverloadWindow: 2,
-		PollWindow: 8, CommandGroups: []CommandGroup{row(PrimaryOnly), row(Linearizable), row(SessionConsistent), row(BoundedStaleness), row(Eventual)},
+		PollWindow: 8, CommandGroups: []CommandGroup{group(PrimaryOnly), group(Linearizable), group(SessionConsistent), group(BoundedStaleness), group(Eventual)},
 	}
-	s.CommandGroups[gWrite].Idempotency = NonIdempotent
-	s.CommandGroups[gWrite].PriorityWeight = 3
-	s.CommandGroups[gBound].MaxStaleness = 0.4
+	s.CommandGroups[writes].Idempotency = NonIdempotent
+	s.CommandGroups[writes].PriorityWeight = 3
+	s.CommandGroups[boundedReads].MaxStaleness = 0.4
 	return s
 }
 
-// listed is one warm, ready node of set 0.
-func listed(node int) EndpointInfo {
-	return EndpointInfo{Index: node, State: Ready, StartedAt: math.Inf(-1)}
+// warmEndpoint is a warm, ready endpoint of shard 0.
+func warmEndpoint(index int) EndpointInfo {
+	return EndpointInfo{Index: index, State: Ready, StartedAt: math.Inf(-1)}
 }
 
-// testRouter knows a set of three: node 0 is the primary, 1 and 2 are replicas, all heard at time 10.
+// testRouter knows a shard of three: endpoint 0 is the primary, 1 and 2 are replicas, all heard at time 10.
 func testRouter(t *testing.T, s Config) *Router {
 	t.Helper()
 	r := New(s, 7)
-	r.UpdateEndpoints(10, []EndpointInfo{listed(0), listed(1), listed(2)}, true, true)
+	r.UpdateEndpoints(10, []EndpointInfo{warmEndpoint(0), warmEndpoint(1), warmEndpoint(2)}, true, true)
 	for i := range r.endpoints {
 		r.endpoints[i].recordReport(10, r.config.PositionEpoch, 10, RoleReplica)
 	}
@@ -49,22 +49,22 @@
 	return r
 }
 
-func command(group int) *Command {
+func newCommand(group int) *Command {
 	return &Command{Group: group, Session: 9, ArrivedAt: 10, ClientDeadline: 12}
 }
 
-// uncovered is a bounded read at 10.2 that no replica is known to cover, but may.
-func uncovered(r *Router) *Command {
+// uncoveredRead is a bounded read at 10.2 that no replica is known to cover, but may.
+func uncoveredRead(r *Router) *Command {
 	for i := range r.endpoints {
 		r.endpoints[i].position = 9.5
 	}
-	c := command(gBound)
+	c := newCommand(boundedReads)
 	c.ArrivedAt, c.ClientDeadline = 10.2, 12.2
 	return c
 }
 
-// chances is the seed of one of many routers. Small seeds leave the generator's half that draw reads the same.
-func chances(i int) uint64 { return uint64(i+1) * 0x9e3779b97f4a7c15 }
+// seedOf is the seed of one of many routers. Small seeds leave the generator's half that draw reads the same.
+func seedOf(i int) uint64 { return uint64(i+1) * 0x9e3779b97f4a7c15 }
 
 // count adds so many events at a time.
 func count(c *rolling.Counter, now float64, events int) {
--- a/internal/router/latency_test.go
+++ b/internal/router/latency_test.go
@@ -9,9 +9,9 @@
 
 // Queues once passed for work under load, and crowded replicas stopped applying the log.
 func TestServiceTimeIsTheLeastMean(t *testing.T) {
-	r := testRouter(t, testSite())
-	g, n, l := &r.groups[gAny], &r.endpoints[1], &Attempt{Endpoint: 1}
-	c := command(gAny)
+	r := testRouter(t, testConfig())
+	g, n, l := &r.groups[eventualReads], &r.endpoints[1], &Attempt{Endpoint: 1}
+	c := newCommand(eventualReads)
 	for range 8 {
 		r.recordAnswer(10, c, g, n, l, AttemptResult{Elapsed: 0.1, Position: -1})
 	}
@@ -21,19 +21,19 @@
 	assert.InDelta(t, 0.15, g.serviceTime, 0.06)
 }
 
-// The first answer alone once stood for a group's work for minutes: at three commands a second the
-// least mean drifts up too slowly to mend a lucky one.
+// The first answer alone once stood for a group's work for minutes: at three commands a second the least mean drifts
+// up too slowly to mend a lucky one.
 func TestFirstAnswersCountAlike(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	for i, took := range []float64{0.01, 0.2, 0.2, 0.2} {
-		r.recordAnswer(10, command(gAny), &r.groups[gAny], &r.endpoints[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: took, Position: -1})
+		r.recordAnswer(10, newCommand(eventualReads), &r.groups[eventualReads], &r.endpoints[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: took, Position: -1})
 		seen, a := 0.01+0.2*float64(i), float64(i+1)
-		assert.InDelta(t, (seen+priorWeight*assumedServiceShare*0.5)/(a+priorWeight), r.groups[gAny].serviceTime, 1e-9,
-			"leaning on a quarter of the target")
+		assert.InDelta(t, (seen+priorWeight*assumedServiceShare*0.5)/(a+priorWeight), r.groups[eventualReads].serviceTime, 1e-9,
+			"leaning on a quarter of the objective")
 	}
-	assert.InDelta(t, r.groups[gAny].serviceTime, r.latency, 0.05, "the lucky first one is no more than one of four")
-	r.answers, r.serviceTime, r.latency, r.groups[gAny].serviceTime, r.groups[gAny].batchedAt = 100, 0.1, 0.1, 0.1, 10
-	r.recordAnswer(10, command(gAny), &r.groups[gAny], &r.endpoints[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: 100, Position: -1})
+	assert.InDelta(t, r.groups[eventualReads].serviceTime, r.latency, 0.05, "the lucky first one is no more than one of four")
+	r.answers, r.serviceTime, r.latency, r.groups[eventualReads].serviceTime, r.groups[eventualReads].batchedAt = 100, 0.1, 0.1, 0.1, 10
+	r.recordAnswer(10, newCommand(eventualReads), &r.groups[eventualReads], &r.endpoints[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: 100, Position: -1})
 	assert.InDelta(t, 0.11, r.latency, 1e-9, "nor does one met in a jam: a twentieth of three mean works")
 }
 
@@ -41,90 +41,91 @@
 // counts as all of that, but for what it tells of its group's stretch.
 func TestCanceledAttemptDoesNotCountAsQuick(t *testing.T) {
 	for at, left := range map[int][2]float64{1: {0.01, 0.11}, 2: {9, 9.1}} { // when, and what it counts as
-		r := testRouter(t, testSite())
-		r.serviceTime, r.latency, r.groups[gAny].serviceTime = 0.1, 0.1, 0.1
-		c := command(gAny)
+		r := testRouter(t, testConfig())
+		r.serviceTime, r.latency, r.groups[eventualReads].serviceTime = 0.1, 0.1, 0.1
+		c := newCommand(eventualReads)
 		c.Attempts, c.routed = []Attempt{{Endpoint: at, SentAt: 10, InFlight: true}}, true
 		r.AttemptEnded(10+left[0], c, AttemptResult{Result: Canceled, Elapsed: left[0], Final: true, Position: -1})
 		assert.InDelta(t, left[1], r.endpoints[at].latencySum, 1e-9)
 		assert.InDelta(t, left[1], r.shards[0].latencySum, 1e-9)
 		told := math.Min(left[1]/0.1, maxTailFactor)
-		assert.InDelta(t, 1+averageWeight*(told-1), r.groups[gAny].tailFactor, 1e-9)
+		assert.InDelta(t, 1+averageWeight*(told-1), r.groups[eventualReads].tailFactor, 1e-9)
 	}
 }
 
-// Hundreds of thin routers, each of which heard a member every ten seconds, went on sending to a set that answered
-// nothing in time: what one of its members shows counts for those that were not heard, and for no other set.
+// Hundreds of routers with low traffic, each of which heard an endpoint every ten seconds, went on sending to a shard
+// that answered nothing in time: what one of its endpoints shows counts for those that were not heard, and for no
+// other shard.
 func TestShardThatAnswersNothingInTimeIsLeftAlone(t *testing.T) {
-	s := testSite()
+	s := testConfig()
 	s.RouterCount = 300
 	r := testRouter(t, s)
-	r.serviceTime, r.latency, r.groups[gAny].serviceTime = 0.05, 0.05, 0.05
+	r.serviceTime, r.latency, r.groups[eventualReads].serviceTime = 0.05, 0.05, 0.05
 	r.UpdateEndpoints(0, []EndpointInfo{{Index: 5, Shard: 1, State: Ready, StartedAt: math.Inf(-1)}}, false, false)
 	other := r.meanLatency(&r.endpoints[5])
 	for k := range 3 {
-		c := command(gAny)
+		c := newCommand(eventualReads)
 		c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}, true
 		r.endpoints[1].inFlight, r.endpoints[1].queued = 1, 1
 		r.AttemptEnded(10.5+float64(k)*0.01, c, AttemptResult{Result: TimedOut, Elapsed: 0.5, Final: true, Position: -1})
 	}
 	assert.Greater(t, r.meanLatency(&r.endpoints[2]), 4*other)
 	assert.InDelta(t, other, r.meanLatency(&r.endpoints[5]), 1e-9)
-	c := command(gAny)
+	c := newCommand(eventualReads)
 	c.ArrivedAt, c.ClientDeadline = 10.6, 12
-	assert.Equal(t, Wait, r.Route(10.6, c).Action, "it would come too late everywhere in the set")
-	c = command(gAny)
+	assert.Equal(t, Wait, r.Route(10.6, c).Action, "it would come too late everywhere in the shard")
+	c = newCommand(eventualReads)
 	c.Shard, c.ArrivedAt, c.ClientDeadline = 1, 10.6, 12
 	assert.Equal(t, 5, r.Route(10.6, c).Endpoint)
-	later := 10.6 + 4*decayObjectives*r.longestObjective // what it showed fades in the time of some targets
-	c = command(gAny)
+	later := 10.6 + 4*decayObjectives*r.longestObjective // what it showed fades in the time of some objectives
+	c = newCommand(eventualReads)
 	c.ArrivedAt, c.ClientDeadline = later, later+1.4
 	assert.Equal(t, Forward, r.Route(later, c).Action)
 }
 
-// With slow handshakes each dispatch that ran out of time lost a connection that could not be replaced.
+// With slow handshakes each attempt that ran out of time lost a connection that could not be replaced.
 func TestOpenConnectionsAreKeptWhereNewOnesAreCostly(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.latency = 0.05
-	c := command(gAny)
+	c := newCommand(eventualReads)
 	c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true, newConnection: true}}, true
 	r.AttemptEnded(10.25, c, AttemptResult{Result: Answered, Elapsed: 0.25, Position: -1, Final: true})
 	assert.InDelta(t, averageWeight*(0.25-0.05), r.connectCost, 0.005)
 	assert.Equal(t, 1, r.endpoints[1].idleConnections, "its connection stands")
-	failed := command(gAny)
+	failed := newCommand(eventualReads)
 	failed.Attempts, failed.routed = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true, newConnection: true}}, true
 	r.AttemptEnded(10.26, failed, AttemptResult{Result: ConnectFailed, Elapsed: 0.25, Position: -1, Final: true})
 	assert.InDelta(t, connectFailureWeight*0.25, r.connectCost, 0.01, "a failed one weighs more")
 	r.recordReachable(10.26, &r.endpoints[1])
 	r.connectCost, r.serviceTime, r.latency, r.endpoints[1].answerSum = 0.2, 0.05, 0.05, 0
-	r.endpoints[1].latencySum, r.endpoints[1].queueSum, r.groups[gAny].serviceTime = 0, 0, 0.05
+	r.endpoints[1].latencySum, r.endpoints[1].queueSum, r.groups[eventualReads].serviceTime = 0, 0, 0.05
 	for range 5 {
-		assert.Equal(t, 1, r.pickReplica(10.1, command(gAny), &r.groups[gAny], 0), "node 2 has none")
+		assert.Equal(t, 1, r.pickReplica(10.1, newCommand(eventualReads), &r.groups[eventualReads], 0), "endpoint 2 has none")
 	}
-	assert.InDelta(t, 12.0, r.Route(10.1, command(gAny)).AttemptDeadline, 0, "nor is it lost at the target")
+	assert.InDelta(t, 12.0, r.Route(10.1, newCommand(eventualReads)).AttemptDeadline, 0, "nor is it lost at the objective")
 	assert.Zero(t, r.endpoints[1].idleConnections)
 }
 
 // One heavy answer among three once made a primary look full for seconds.
 func TestHeavyCommandIsNoQueue(t *testing.T) {
-	r := testRouter(t, testSite())
-	r.serviceTime, r.groups[gAny].serviceTime = 0.1, 0.2
-	r.recordLatency(&r.groups[gAny], &r.endpoints[1], &Attempt{}, 0.25)
+	r := testRouter(t, testConfig())
+	r.serviceTime, r.groups[eventualReads].serviceTime = 0.1, 0.2
+	r.recordLatency(&r.groups[eventualReads], &r.endpoints[1], &Attempt{}, 0.25)
 	assert.InDelta(t, 0.125, r.endpoints[1].latencySum, 1e-9, "twice the mean work: half of what it took beyond")
-	r.groups[gSession].serviceTime = 0.05
-	r.recordLatency(&r.groups[gSession], &r.endpoints[2], &Attempt{}, 0.25)
+	r.groups[sessionReads].serviceTime = 0.05
+	r.recordLatency(&r.groups[sessionReads], &r.endpoints[2], &Attempt{}, 0.25)
 	assert.InDelta(t, 0.3, r.endpoints[2].latencySum, 1e-9, "a light one's is all queue")
 }
 
-// Reports of a second and a half among reads of a tenth: each was blamed on its member while it ran, and
-// the first one at a router, whose work was not known yet, counted as a queue of its whole length.
+// Reports of a second and a half among reads of a tenth: each was blamed on its endpoint while it ran, and the first
+// one at a router, whose work was not known yet, counted as a queue of its whole length.
 func TestHeavyGroupIsNeitherSilenceNorQueue(t *testing.T) {
-	s := testSite()
-	s.CommandGroups[gAny].LatencyObjective, s.CommandGroups[gAny].ClientTimeout = 6, 12
+	s := testConfig()
+	s.CommandGroups[eventualReads].LatencyObjective, s.CommandGroups[eventualReads].ClientTimeout = 6, 12
 	r := testRouter(t, s)
 	assert.InDelta(t, 0.5, r.longestObjective, 0, "how soon one must know goes by what needs fresh data")
 	r.latency, r.serviceTime, r.queueLength = 0.1, 0.1, 1
-	c := command(gAny)
+	c := newCommand(eventualReads)
 	c.ClientDeadline = 22
 	a := r.Route(10, c)
 	assert.Equal(t, Forward, a.Action)
--- a/internal/router/maintenance_test.go
+++ b/internal/router/maintenance_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A hundred routers once probed every member at the tightest bound.
+// A hundred routers once checked every endpoint at the tightest bound.
 func TestHealthChecksFollowTheRoutersOwnTraffic(t *testing.T) {
-	s := testSite()
+	s := testConfig()
 	s.RouterCount, s.Instance = 100, 3
 	r := testRouter(t, s)
 	_, up := r.Maintain(11)
-	assert.Empty(t, up.HealthCheck, "no commands, no upkeep probes")
-	c := command(gBound)
+	assert.Empty(t, up.HealthCheck, "no commands, no health checks")
+	c := newCommand(boundedReads)
 	c.ArrivedAt, c.ClientDeadline = 11, 13
 	r.Route(11, c)
 	_, up = r.Maintain(11)
@@ -25,47 +25,47 @@
 	assert.Empty(t, up.HealthCheck)
 }
 
-// Three hundred routers by a hundred and twenty hosts: at their start each once asked every host for its
+// Three hundred routers by a hundred and twenty endpoints: at their start each once asked every endpoint for its
 // position, over a new connection, and few commands came while the answers were good.
 func TestLowTrafficChecksNoPositionUnasked(t *testing.T) {
-	const routers, hosts = 300, 120
-	s := testSite()
+	const routers, endpoints = 300, 120
+	s := testConfig()
 	s.RouterCount = routers
 	var list []EndpointInfo
-	for i := range hosts {
-		l := listed(i)
+	for i := range endpoints {
+		l := warmEndpoint(i)
 		l.Shard = i / 6
 		list = append(list, l)
 	}
-	probes := 0
+	checks := 0
 	for me := range routers {
 		s.Instance = me
-		r := New(s, chances(me))
+		r := New(s, seedOf(me))
 		r.UpdateEndpoints(0, list, true, true)
 		for now := 0.0; now < 4; now += 0.2 {
-			c := command(gAny)
-			c.Shard, c.ArrivedAt, c.ClientDeadline = r.random.IntN(hosts/6), now, now+2
+			c := newCommand(eventualReads)
+			c.Shard, c.ArrivedAt, c.ClientDeadline = r.random.IntN(endpoints/6), now, now+2
 			if a := r.Route(now, c); a.Action == Forward {
 				r.AttemptEnded(now+0.05, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
 			}
 			_, up := r.Maintain(now + 0.05)
-			probes += len(up.HealthCheck)
+			checks += len(up.HealthCheck)
 		}
 	}
-	assert.Zero(t, probes, "nothing was read that needs a position")
+	assert.Zero(t, checks, "nothing was read that needs a position")
 }
 
-// Where every member gets commands while a position is good, it is looked up before it is asked for.
+// Where every endpoint gets commands while a position is good, it is checked before it is asked for.
 func TestBusyRouterChecksPositionsUnasked(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.commands, r.maintainedAt = 200, 10
 	_, up := r.Maintain(10.5)
 	assert.ElementsMatch(t, []int{0, 1, 2}, up.HealthCheck)
 }
 
-// Where members are looked at rarely a list that failed was asked for again up to half a span late.
+// Where endpoints are looked at rarely a list that failed was asked for again up to half a span late.
 func TestFailedListIsPolledWhenItIsDue(t *testing.T) {
-	s := testSite()
+	s := testConfig()
 	s.PollList = true
 	for i := range s.CommandGroups {
 		s.CommandGroups[i].Consistency, s.CommandGroups[i].LatencyObjective, s.CommandGroups[i].ClientTimeout = Eventual, 8, 20
@@ -89,7 +89,7 @@
 }
 
 func TestListPollsBackOff(t *testing.T) {
-	s := testSite()
+	s := testConfig()
 	s.PollList = true
 	r := testRouter(t, s)
 	_, up := r.Maintain(10)
@@ -110,15 +110,15 @@
 }
 
 func TestRemovedEndpointIsReleasedAndStartsClean(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.endpoints[2].shard, r.endpoints[2].startedAt = 0, 9
-	gone := listed(2)
+	gone := warmEndpoint(2)
 	gone.State = Removed
 	r.UpdateEndpoints(10, []EndpointInfo{gone}, false, false)
 	span := r.config.SlowStart + retentionTimeouts*r.longestTimeout
 	r.endpoints[2].inFlight = 1
 	_, up := r.Maintain(11 + span)
-	assert.Empty(t, up.Release, "a dispatch is out there")
+	assert.Empty(t, up.Release, "an attempt is out there")
 	r.endpoints[2].inFlight = 0
 	_, up = r.Maintain(9 + span)
 	assert.Empty(t, up.Release, "a list may flap")
--- a/internal/router/migration_test.go
+++ b/internal/router/migration_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestMigrationKeepsWhatStillMeansTheSame(t *testing.T) {
-	old := testRouter(t, testSite())
+	old := testRouter(t, testConfig())
 	old.endpoints[1].position, old.endpoints[1].latencySum, old.endpoints[1].answerSum, old.endpoints[1].inFlight, old.endpoints[1].unanswered = 11, 40, 100, 3, 2
 	old.endpoints[2].ejected, old.endpoints[2].startedAt, old.endpoints[2].slowStartBudget = true, 9, 5
 	old.UpdateEndpoints(10, []EndpointInfo{{Index: 0, State: Draining, StartedAt: math.Inf(-1)}}, false, false)
@@ -17,14 +17,14 @@
 	old.sessions.Put(9, session{lastWrite: 10.5, highestRead: 10.7})
 	old.shards[0].latencySum, old.shards[0].answerSum = 40, 100
 	old.shards[0].positionFloor, old.latency, old.warmRate = 9.5, 0.4, 50
-	s := testSite()
-	s.CommandGroups = append(s.CommandGroups[:1:1], s.CommandGroups[gSession]) // other groups, in another order
+	s := testConfig()
+	s.CommandGroups = append(s.CommandGroups[:1:1], s.CommandGroups[sessionReads]) // other groups, in another order
 	r := New(s, 8)
 	r.MigrateFrom(12, old)
 	assert.InDelta(t, 11.0, r.endpoints[1].position, 0, "a position holds for good")
 	assert.Equal(t, RolePrimary, r.endpoints[0].role)
 	assert.False(t, r.eligible(&r.endpoints[0]), "what was told of drains binds on")
-	assert.True(t, r.endpoints[2].ejected, "a doubt stands until it answers")
+	assert.True(t, r.endpoints[2].ejected, "an ejection stands until it answers")
 	assert.InDelta(t, 9.0, r.endpoints[2].startedAt, 0, "and a cold one is cold")
 	assert.InDelta(t, 5.0, r.endpoints[2].slowStartBudget, 0)
 	assert.True(t, r.subscribed)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestSameSeedGivesSameRandomNumbers(t *testing.T) {
-	a, b := testRouter(t, testSite()), testRouter(t, testSite())
+	a, b := testRouter(t, testConfig()), testRouter(t, testConfig())
 	seen := map[int]bool{}
 	for range 100 {
 		x := a.random.IntN(5)
@@ -19,23 +19,23 @@
 }
 
 func TestUnknownShardAndPassedDeadlineAreRejected(t *testing.T) {
-	r := testRouter(t, testSite())
-	c := command(gAny)
+	r := testRouter(t, testConfig())
+	c := newCommand(eventualReads)
 	c.Shard = -1
 	assert.Equal(t, Reject, r.Route(10, c).Action)
-	c = command(gAny)
+	c = newCommand(eventualReads)
 	c.ClientDeadline = 9
 	assert.Equal(t, Reject, r.Route(10, c).Action)
 }
 
 func TestDrainingAndRemovedEndpointsGetNothingNew(t *testing.T) {
-	r := testRouter(t, testSite())
-	l := listed(1)
+	r := testRouter(t, testConfig())
+	l := warmEndpoint(1)
 	l.State = Draining
-	gone := listed(2)
+	gone := warmEndpoint(2)
 	gone.State = Removed
 	r.UpdateEndpoints(10, []EndpointInfo{l, gone}, false, false)
-	assert.NotContains(t, []int{1, 2}, r.Route(10, command(gAny)).Endpoint)
+	assert.NotContains(t, []int{1, 2}, r.Route(10, newCommand(eventualReads)).Endpoint)
 	r.config.SoftRemoval = true
 	r.UpdateEndpoints(10, []EndpointInfo{gone}, false, false)
 	assert.True(t, r.eligible(&r.endpoints[2]), "gone alone does not bind there")
@@ -45,15 +45,15 @@
 }
 
 func TestCommandNeverSentIsRejectedByHalfOfItsClientsTime(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	for i := range r.endpoints {
 		r.endpoints[i].draining = true
 	}
-	c := command(gAny)
-	c.ClientDeadline = 10.4 // well before the target
+	c := newCommand(eventualReads)
+	c.ClientDeadline = 10.4 // well before the objective
 	assert.Equal(t, Wait, r.Route(10.15, c).Action)
-	assert.Equal(t, Reject, r.Route(10.195, c).Action, "in time for a look a tick later")
-	c = command(gAny)
+	assert.Equal(t, Reject, r.Route(10.195, c).Action, "in time for a look a batch later")
+	c = newCommand(eventualReads)
 	c.ClientDeadline = 10.4
 	r.endpoints[1].draining = false
 	require.Equal(t, Forward, r.Route(10, c).Action)
@@ -62,15 +62,15 @@
 }
 
 func TestCommandNeverDeliveredIsRejectedByHalfOfItsClientsTime(t *testing.T) {
-	r := testRouter(t, testSite())
-	c := command(gAny)
+	r := testRouter(t, testConfig())
+	c := newCommand(eventualReads)
 	a := r.Route(10, c)
 	require.Equal(t, Forward, a.Action)
 	a = r.AttemptEnded(11, c, AttemptResult{Result: ConnectFailed, Position: -1})
 	assert.Equal(t, Reject, a.Action, "half of its client's time is over and nobody has had it")
-	c = command(gCurrent)
-	r.groups[gCurrent].LateValue = 1
+	c = newCommand(linearizableReads)
+	r.groups[linearizableReads].LateValue = 1
 	require.Equal(t, Forward, r.Route(10, c).Action)
 	a = r.AttemptEnded(11, c, AttemptResult{Result: Overloaded, Position: -1})
-	assert.NotEqual(t, Reject, a.Action, "a member has had this one")
+	assert.NotEqual(t, Reject, a.Action, "an endpoint has had this one")
 }
--- a/internal/router/selection_test.go
+++ b/internal/router/selection_test.go
@@ -8,10 +8,10 @@
 )
 
 func TestReadsSpreadEvenlyOverReplicas(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	count := map[int]int{}
 	for range 400 {
-		count[r.Route(10, command(gAny)).Endpoint]++
+		count[r.Route(10, newCommand(eventualReads)).Endpoint]++
 		r.endpoints[1].queued, r.endpoints[2].queued = 0, 0
 	}
 	assert.Zero(t, count[0], "the primary is spared")
@@ -20,21 +20,21 @@
 
 // Few reads a router over all replicas opened a connection for most of them. Over all routers they stay even.
 func TestLowTrafficReadsWhereAConnectionIsOpen(t *testing.T) {
-	const routers, hosts, reads = 300, 6, 8
-	fresh, taken := 0, make([]int, hosts)
+	const routers, endpoints, reads = 300, 6, 8
+	fresh, taken := 0, make([]int, endpoints)
 	for me := range routers {
-		s := testSite()
+		s := testConfig()
 		s.RouterCount = routers
-		r := New(s, chances(me))
+		r := New(s, seedOf(me))
 		var list []EndpointInfo
-		for i := range hosts {
-			list = append(list, listed(i))
+		for i := range endpoints {
+			list = append(list, warmEndpoint(i))
 		}
 		r.UpdateEndpoints(0, list, true, true)
 		for k := range reads {
 			now := 10 + 2*float64(k)
 			r.Maintain(now)
-			c := command(gAny)
+			c := newCommand(eventualReads)
 			c.ArrivedAt, c.ClientDeadline = now, now+2
 			require.Equal(t, Forward, r.Route(now, c).Action)
 			taken[c.Attempts[0].Endpoint]++
@@ -46,18 +46,18 @@
 	}
 	assert.Less(t, fresh, 2*routers, "spread over all it is five of eight")
 	for i := range taken {
-		assert.InDelta(t, routers*reads/hosts, taken[i], routers*reads/hosts/3, "host %d", i)
+		assert.InDelta(t, routers*reads/endpoints, taken[i], routers*reads/endpoints/3, "endpoint %d", i)
 	}
 }
 
-// Spread evenly, reads of any age that run for seconds stopped the log of every replica of their set, and other
+// Spread evenly, reads of any age that run for seconds stopped the log of every replica of their shard, and other
 // reads met theirs.
 func TestHeavyReadsMeetAtOneReplica(t *testing.T) {
-	s := testSite()
-	s.CommandGroups[gAny].LatencyObjective, s.CommandGroups[gAny].ClientTimeout = 6, 12
+	s := testConfig()
+	s.CommandGroups[eventualReads].LatencyObjective, s.CommandGroups[eventualReads].ClientTimeout = 6, 12
 	r := testRouter(t, s)
 	heavy := func() int {
-		c := command(gAny)
+		c := newCommand(eventualReads)
 		c.ClientDeadline = 22
 		return r.Route(10, c).Endpoint
 	}
@@ -65,24 +65,24 @@
 		assert.Equal(t, 1, heavy(), "the first listed replica")
 	}
 	for range 20 {
-		assert.Equal(t, 2, r.pickReplica(10, command(gBound), &r.groups[gBound], 10), "others leave it alone")
+		assert.Equal(t, 2, r.pickReplica(10, newCommand(boundedReads), &r.groups[boundedReads], 10), "others leave it alone")
 	}
 	r.endpoints[2].position = 9.5
-	c := command(gBound)
+	c := newCommand(boundedReads)
 	c.requiredPosition = 9.9
 	r.checkPosition(10.2, c, 0)
 	assert.Equal(t, []int{2}, r.pendingChecks, "nor is it asked for its position")
-	assert.Equal(t, 1, r.pickReplica(10, command(gBound), &r.groups[gBound], 10), "where another will do")
+	assert.Equal(t, 1, r.pickReplica(10, newCommand(boundedReads), &r.groups[boundedReads], 10), "where another will do")
 	r.endpoints[1].latencySum, r.endpoints[1].answerSum, r.endpoints[1].answeredAt, r.latency = 400, 100, 10, 0.1
 	assert.Equal(t, 0, heavy(), "the primary, whose log nothing stops, where it has no room")
 	r.endpoints[1].recordUnreachable(10)
-	assert.Equal(t, 2, heavy(), "the next once it is out of reach")
+	assert.Equal(t, 2, heavy(), "the next once it is unreachable")
 }
 
-// A way between two halls was slow for half a minute and no thin router saw enough to tell.
+// A way between two zones was slow for half a minute and no router with low traffic saw enough to tell.
 func TestLowTrafficKeepsToItsOwnZone(t *testing.T) {
 	for _, thin := range []bool{true, false} {
-		s := testSite()
+		s := testConfig()
 		s.Zone = 1
 		r := testRouter(t, s)
 		r.endpoints[2].zone = 1
@@ -91,12 +91,12 @@
 		}
 		var met [3]int
 		for range 40 {
-			met[r.pickReplica(10, command(gAny), &r.groups[gAny], 0)]++
+			met[r.pickReplica(10, newCommand(eventualReads), &r.groups[eventualReads], 0)]++
 		}
 		assert.Equal(t, thin, met[1] == 0)
 		r.endpoints[2].latencySum, r.endpoints[2].answerSum, r.latency = 100, 100, 0.01
-		assert.Equal(t, 1, r.pickReplica(10, command(gAny), &r.groups[gAny], 0), "a crowded one is left")
-		c := uncovered(r)
+		assert.Equal(t, 1, r.pickReplica(10, newCommand(eventualReads), &r.groups[eventualReads], 0), "a crowded one is left")
+		c := uncoveredRead(r)
 		c.requiredPosition = 9.9
 		r.checkPosition(10.2, c, 0)
 		assert.Equal(t, thin, r.pendingChecks[0] == 2, "positions are asked for there too")
--- a/internal/router/slowstart_test.go
+++ b/internal/router/slowstart_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestEndpointInSlowStartHasABudget(t *testing.T) {
-	r := testRouter(t, testSite())
+	r := testRouter(t, testConfig())
 	r.endpoints[1].startedAt, r.endpoints[1].slowStartBudgetAt = 10, 10
 	r.warmRate = 10
 	sent := 0
@@ -22,13 +22,13 @@
 	assert.LessOrEqual(t, float64(sent), most, "over one fall span")
 }
 
-// A hundred routers with one dispatch each once pushed a cold host over in its first second.
+// A hundred routers with one attempt each once pushed a cold endpoint over in its first second.
 func TestSlowStartBudgetsOfAllRoutersAddUp(t *testing.T) {
 	sent, many := 0, 100
 	for seed := range many {
-		s := testSite()
+		s := testConfig()
 		s.RouterCount = many
-		r := New(s, chances(seed))
+		r := New(s, seedOf(seed))
 		r.UpdateEndpoints(10, []EndpointInfo{{State: Ready, StartedAt: 9}}, true, false)
 		r.warmRate = 0.1
 		for at := 10.0; at < 12; at += 0.1 {
@@ -38,18 +38,18 @@
 			}
 		}
 	}
-	assert.Less(t, sent, 12, "ten a second at a warm host allow four a second at a third of its capacity")
+	assert.Less(t, sent, 12, "ten a second at a warm endpoint allow four a second at a third of its capacity")
 }
 
-// Routers that have just started meet a fleet of which half is new, and have no warm member's rate to go by: they
-// sent next to nothing to hosts that stood idle. Together they send less than one slot bears at that capacity.
+// Routers that have just started meet a fleet of which half is new, and have no warm endpoint's rate to go by: they
+// sent next to nothing to endpoints that stood idle. Together they send less than one slot bears at that capacity.
 func TestFreshRoutersUseColdEndpointsWithinTheirCapacity(t *testing.T) {
 	const many, work = 300, 0.05
 	sent := 0
 	for seed := range many {
-		s := testSite()
+		s := testConfig()
 		s.RouterCount = many
-		r := New(s, chances(seed))
+		r := New(s, seedOf(seed))
 		r.UpdateEndpoints(10, []EndpointInfo{{State: Ready, StartedAt: 10}}, true, false)
 		r.serviceTime = work
 		for at := 10.0; at < 20; at += 0.1 {
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -108,13 +108,13 @@
 
 	Attempts []Attempt // in the order in which they were sent
 
-	delivered         bool    // a member has had a dispatch whole
-	uncertainRuns     int     // dispatches that may have run and gave no answer
+	delivered         bool    // an endpoint may have had an attempt
+	uncertainRuns     int     // attempts that may have run without an answer
 	uncertainAt       float64 // when the first of those was sent
 	uncertainEndpoint int     // and where
 	routed            bool    // seen by Route before
-	requiredPosition  float64 // position that its data must cover
-	tooStale          bool    // a replica turned it away as too far behind
+	requiredPosition  float64 // log position that its data must cover
+	tooStale          bool    // a replica did not serve it: NotServed
 }
 
 // Attempt is one sending of a command to an endpoint.
@@ -123,11 +123,11 @@
 	SentAt   float64
 	InFlight bool
 
-	queuePosition int  // own dispatches out at the node when it was sent
+	queuePosition int  // this router's attempts at the endpoint when it was sent
 	newConnection bool // needed a new connection
-	overdue       bool // counted as overdue
-	canceled      bool // called off
-	lost          bool // overtaken by other answers for too long
+	overdue       bool // has counted as a failure for being overdue
+	canceled      bool // a decision has asked to cancel it
+	lost          bool // overtaken by other answers for too long: not in the queue any more
 }
 
 // Result is how an attempt or a health check ended.
