--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -134,8 +134,7 @@
 	pollAt       float64 // when the list may be polled again
 	pollFailures float64 // in a row
 
-	candidates      []int // endpoints for the command that is being decided on
-	healthyReplicas int   // replicas that are not ejected and may cover the read that was looked at last
+	candidates []int // endpoints for the command that is being decided on
 }
 
 // unknownEndpoint is an endpoint of which nothing is known.
