--- a/internal/hand/simulation_fleet_test.go
+++ b/internal/hand/simulation_fleet_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// publish hands in a change of the list, or the whole of it.
+// publish hands in a change of the list, or all of it.
 func (s *simulation) publish(at int) {
 	if s.chance(0.2) {
 		s.publishAll(s.chance(0.1))
@@ -164,10 +164,11 @@
 	s.list(all, true, cached)
 }
 
-func (s *simulation) list(l []router.EndpointInfo, whole, cached bool) {
-	s.note(callUpdateEndpoints, s.now, flagged(whole), flagged(cached), float64(len(l)))
+func (s *simulation) list(l []router.EndpointInfo, complete, cached bool) {
+	s.note(callUpdateEndpoints, s.now, flagged(complete), flagged(cached), float64(len(l)))
 	for _, e := range l {
-		s.note(callUpdateEndpoints, float64(e.Index), float64(e.Shard), float64(e.Zone), float64(e.State), e.StartedAt, flagged(e.Primary))
+		s.note(callUpdateEndpoints, float64(e.Index), float64(e.Shard), float64(e.Zone), float64(e.State), e.StartedAt,
+			flagged(e.Primary))
 	}
-	s.tracker.UpdateEndpoints(s.now, l, whole, cached)
+	s.tracker.UpdateEndpoints(s.now, l, complete, cached)
 }
--- a/internal/hand/simulation_test.go
+++ b/internal/hand/simulation_test.go
@@ -36,7 +36,7 @@
 	callClientGone
 	callAttemptEnded
 	callUpdateEndpoints
-	callListFailed
+	callEndpointListFailed
 	callHealthChecked
 	callReviewDue
 	callSwitchRouter
@@ -136,16 +136,16 @@
 	reviewAt float64
 	nextID   uint32
 
-	endpoints  []endpoint
-	free       []int // indices that the module has given back
-	shards     int
-	following  bool
-	gap        float64 // mean time between two commands
-	leavers    float64 // share of clients that leave early
-	sessions   int
-	answered   bool // an error can be the final answer
-	flood      bool
-	turbulence float64 // mean time between two changes of the fleet
+	endpoints      []endpoint
+	free           []int // indices that the module has given back
+	shards         int
+	following      bool
+	gap            float64 // mean time between two commands
+	leavers        float64 // share of clients that leave early
+	sessions       int
+	errorsAreFinal bool // an error can be the final answer
+	flood          bool
+	turbulence     float64 // mean time between two changes of the fleet
 }
 
 // simulate runs a fleet until so many calls have been made, and returns its digests.
@@ -164,7 +164,7 @@
 	s.after(0, s.arrive)
 	s.after(s.exponential(s.turbulence), s.disturb)
 	if !s.flood && s.chance(0.5) {
-		s.after(s.of(0.2, 2, 20), s.move)
+		s.after(s.of(0.2, 2, 20), s.switchRouter)
 	}
 	for s.calls < calls {
 		s.step()
@@ -230,18 +230,18 @@
 
 func (s *simulation) failList() {
 	s.following = false
-	s.note(callListFailed, s.now)
+	s.note(callEndpointListFailed, s.now)
 	s.router.EndpointListFailed(s.now)
 }
 
 // probe asks an endpoint for its state, and hands the result in.
 func (s *simulation) probe(at int) {
 	e := &s.endpoints[at]
-	took := s.between(0.0005, 0.02)
+	elapsed := s.between(0.0005, 0.02)
 	result, position := router.Answered, e.position(s.now, s.config.PositionEpoch)
 	switch e.condition {
 	case unreachable, hung:
-		result, took = s.failedProbe(), s.config.ConnectTimeout
+		result, elapsed = s.failedProbe(), s.config.ConnectTimeout
 	case refusing:
 		result = router.Overloaded
 	case erring:
@@ -252,9 +252,9 @@
 		position = -1
 	}
 	primary := e.primary
-	s.after(took, func() {
-		s.note(callHealthChecked, s.now, float64(at), float64(result), took, position, flagged(primary))
-		s.router.HealthChecked(s.now, at, result, took, position, primary)
+	s.after(elapsed, func() {
+		s.note(callHealthChecked, s.now, float64(at), float64(result), elapsed, position, flagged(primary))
+		s.router.HealthChecked(s.now, at, result, elapsed, position, primary)
 	})
 }
 
@@ -265,14 +265,14 @@
 	return router.ConnectFailed
 }
 
-// move puts other settings in force.
-func (s *simulation) move() {
+// switchRouter puts other settings in force.
+func (s *simulation) switchRouter() {
 	s.config = s.drawConfig()
 	seed := s.next()
 	s.note(callSwitchRouter, s.now, float64(seed>>11)) // what a float64 holds of it
 	s.router = router.New(s.config, seed)
 	s.tracker.SwitchRouter(s.now, s.router)
 	if s.chance(0.5) {
-		s.after(s.of(0.2, 2, 20), s.move)
+		s.after(s.of(0.2, 2, 20), s.switchRouter)
 	}
 }
--- a/internal/hand/simulation_traffic_test.go
+++ b/internal/hand/simulation_traffic_test.go
@@ -26,7 +26,8 @@
 
 func (s *simulation) drawGroup() router.CommandGroup {
 	g := router.CommandGroup{
-		Consistency: router.Consistency(s.intn(5)), Idempotency: router.Idempotency(s.intn(3)), KeyScope: router.KeyScope(s.intn(3)),
+		Consistency: router.Consistency(s.intn(5)),
+		Idempotency: router.Idempotency(s.intn(3)), KeyScope: router.KeyScope(s.intn(3)),
 		LatencyObjective: s.of(0.02, 0.1, 0.1, 0.5), PriorityWeight: s.of(0.5, 1, 1, 3, 10), LateValue: s.of(0, 0, 0.3),
 		MaxStaleness: s.of(0.02, 0.2, 1), IdempotencyWindow: s.of(0.3, 1, 5),
 	}
@@ -42,7 +43,7 @@
 	s.gap = s.of(0.001, 0.005, 0.02, 0.1)
 	s.leavers = s.of(0, 0.05, 0.3, 0.9)
 	s.sessions = int(s.of(1, 5, 50, 1000))
-	s.answered = s.chance(0.5)
+	s.errorsAreFinal = s.chance(0.5)
 }
 
 // settleFlood has all servers serve for good, so that most commands are answered. Replicas are as far behind as the
@@ -90,7 +91,8 @@
 			c.Session = uint64(1 + s.intn(int(id)))
 		}
 	}
-	s.note(callAdd, s.now, float64(id), float64(c.Group), float64(c.Shard), float64(c.Session), c.ArrivedAt, c.ClientDeadline,
+	s.note(callAdd, s.now, float64(id), float64(c.Group), float64(c.Shard), float64(c.Session),
+		c.ArrivedAt, c.ClientDeadline,
 		c.LastWriteAge, flagged(c.ClientRetry))
 	s.tracker.Add(s.now, id, c)
 	if s.chance(s.leavers) {
@@ -104,7 +106,8 @@
 // end hands in how an attempt ended, after a while.
 func (s *simulation) end(id uint32, o router.AttemptResult, delay float64) {
 	s.after(delay, func() {
-		s.note(callAttemptEnded, s.now, float64(id), float64(o.Attempt), float64(o.Result), o.Elapsed, flagged(o.Final), o.Position,
+		s.note(callAttemptEnded, s.now, float64(id), float64(o.Attempt), float64(o.Result), o.Elapsed,
+			flagged(o.Final), o.Position,
 			float64(o.Role))
 		s.tracker.AttemptEnded(s.now, id, o)
 	})
@@ -135,7 +138,7 @@
 		failed.Result = router.Overloaded
 		return failed
 	case erring:
-		failed.Result, failed.Final = router.Errored, s.answered
+		failed.Result, failed.Final = router.Errored, s.errorsAreFinal
 		return failed
 	case breaking:
 		failed.Result = router.ConnectionLost
@@ -176,7 +179,9 @@
 // Recall calls an attempt off: the server stops, or was quicker.
 func (s *simulation) Cancel(id uint32, attempt int) {
 	s.note(callCancel, float64(id), float64(attempt))
-	s.end(id, router.AttemptResult{Attempt: attempt, Result: router.Canceled, Elapsed: s.between(0.001, 0.05), Position: -1}, s.between(0, 0.02))
+	o := router.AttemptResult{Attempt: attempt, Result: router.Canceled, Position: -1}
+	o.Elapsed = s.between(0.001, 0.05)
+	s.end(id, o, s.between(0, 0.02))
 }
 
 // Throttle turns a command away.
