--- a/cmd/stoatdale/clients_test.go
+++ b/cmd/stoatdale/clients_test.go
@@ -12,7 +12,7 @@
 
 func TestEmptyQueryIsAnsweredFromTheStart(t *testing.T) {
 	c := startRouter(t).dial()
-	c.send(append(pg.Hello(nil), pg.Query(nil, "")...))
+	c.send(append(pg.AppendStartupMessage(nil), pg.AppendQuery(nil, "")...))
 	assert.Empty(t, c.readReply(), "the welcome")
 	assert.Equal(t, "EMPTY", c.readReply())
 }
@@ -22,21 +22,21 @@
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
 	c := r.connect()
 	for text, code := range map[string]string{
-		"SELECT 1": pg.CodeSyntax,
-		strings.Replace(readStatement("k"), "c=look", "c=gaze", 1):        pg.CodeValue,
-		strings.Replace(readStatement("k"), "cluster=2", "cluster=9", 1):  pg.CodeValue,
-		strings.Replace(readStatement("k"), "d=3000", "d=much", 1):        pg.CodeSyntax,
-		strings.Replace(readStatement("k"), "SELECT", "SELECT 1; SEL", 1): pg.CodeSyntax,
+		"SELECT 1": pg.CodeSyntaxError,
+		strings.Replace(readStatement("k"), "c=look", "c=gaze", 1):        pg.CodeInvalidParameterValue,
+		strings.Replace(readStatement("k"), "cluster=2", "cluster=9", 1):  pg.CodeInvalidParameterValue,
+		strings.Replace(readStatement("k"), "d=3000", "d=much", 1):        pg.CodeSyntaxError,
+		strings.Replace(readStatement("k"), "SELECT", "SELECT 1; SEL", 1): pg.CodeSyntaxError,
 	} {
 		assert.Equal(t, code, c.query(text), text)
 	}
-	c.send(pg.Message(pg.Message(nil, 'P', []byte("x\x00\x00\x00\x00")), 'S'))
-	assert.Equal(t, pg.CodeUnsupported, c.readReply(), "extended queries, up to Sync")
+	c.send(pg.AppendMessage(pg.AppendMessage(nil, 'P', []byte("x\x00\x00\x00\x00")), 'S'))
+	assert.Equal(t, pg.CodeFeatureNotSupported, c.readReply(), "extended queries, up to Sync")
 	assert.Equal(t, "value of k", c.query(readStatement("k")))
 	for _, fatal := range []string{"Q\xff\xff\xff\xff", "Q\x7f\x00\x00\x00", "Q\x00\x00\x00\x01", "?\x00\x00\x00\x04"} {
 		c := r.connect()
 		c.send([]byte(fatal))
-		assert.Equal(t, pg.CodeProtocol+" END", c.readReply(), "%q", fatal)
+		assert.Equal(t, pg.CodeProtocolViolation+" END", c.readReply(), "%q", fatal)
 	}
 	c = r.dial()
 	c.send([]byte("\x00\x00\x00\x08\x04\xd2\x16\x2f"))
@@ -61,7 +61,7 @@
 func TestStalledClientsHoldBoundedMemoryAndOthersAreServed(t *testing.T) {
 	b := newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
-	part := pg.Query(nil, readStatement(strings.Repeat("z", 250_000)))
+	part := pg.AppendQuery(nil, readStatement(strings.Repeat("z", 250_000)))
 	for range 100 { // more than the buffers hold
 		c := r.connect()
 		go func() { _, _ = c.Write(part[:len(part)-1]) }()
--- a/cmd/stoatdale/commands_test.go
+++ b/cmd/stoatdale/commands_test.go
@@ -43,7 +43,7 @@
 	})
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
 	c := r.connect()
-	all := pg.Query(pg.Query(pg.Query(nil, readStatement("slow")), ""), readStatement("quick"))
+	all := pg.AppendQuery(pg.AppendQuery(pg.AppendQuery(nil, readStatement("slow")), ""), readStatement("quick"))
 	for i := range all {
 		c.send(all[i : i+1])
 	}
@@ -56,7 +56,7 @@
 
 func TestWriteRejectedByAReplicaIsRetriedAtThePrimary(t *testing.T) {
 	rejectWrite := func(string) []byte {
-		return pg.Ready(pg.Status(pg.Error(nil, false, pg.CodeNotPrimary, "read only", ""), "recovery", "on"))
+		return pg.AppendReadyForQuery(pg.AppendParameterStatus(pg.AppendErrorResponse(nil, false, pg.CodeReadOnlyTransaction, "read only", ""), "recovery", "on"))
 	}
 	a, b := newTestBackend(t, rejectWrite), newTestBackend(t, answerAs("off"))
 	r := startRouter(t, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"))
@@ -68,7 +68,7 @@
 func TestWriteThatMayHaveRunIsNotRetried(t *testing.T) {
 	a, b := newTestBackend(t, func(string) []byte { return nil }), newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"))
-	assert.Equal(t, pg.CodeFailed, r.connect().query(writeStatement("w", 6000)), "failed, and not rejected")
+	assert.Equal(t, pg.CodeSystemError, r.connect().query(writeStatement("w", 6000)), "failed, and not rejected")
 	assert.Len(t, a.statements, 1)
 	assert.Empty(t, b.statements)
 	assert.EqualValues(t, 1, r.counters()["attempt_results"].(map[string]any)["connection_lost"])
@@ -86,7 +86,7 @@
 	a := newTestBackend(t, func(string) []byte { <-hang; return nil })
 	r := startRouter(t, listEntry(a, "a", "ready", "off"))
 	began := time.Now()
-	assert.Equal(t, pg.CodeFailed, r.connect().query(writeStatement("w", 300)))
+	assert.Equal(t, pg.CodeSystemError, r.connect().query(writeStatement("w", 300)))
 	assert.GreaterOrEqual(t, time.Since(began), 250*time.Millisecond)
 	assert.EqualValues(t, 1, r.counters()["attempt_results"].(map[string]any)["timed_out"])
 }
@@ -102,7 +102,7 @@
 	})
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
 	c := r.connect()
-	c.send(pg.Query(nil, readStatement("gone")))
+	c.send(pg.AppendQuery(nil, readStatement("gone")))
 	receive(t, b.statements)
 	_ = c.Close()
 	r.waitForCounter("abandoned", 1)
@@ -171,7 +171,7 @@
 	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
 	servedBy(b, "SELECT") // it has written nothing, and the position of b is known now
 
-	writes.send(pg.Query(nil, writeStatement("k7", 8000)))
+	writes.send(pg.AppendQuery(nil, writeStatement("k7", 8000)))
 	servedBy(a, "INSERT")
 	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
 	servedBy(a, "SELECT")
@@ -180,10 +180,10 @@
 
 	writeSucceeds <- true
 	assert.Equal(t, "value of k7", writes.readReply())
-	writes.send(pg.Query(nil, writeStatement("k8", 8000))) // a session that reads nothing meanwhile
+	writes.send(pg.AppendQuery(nil, writeStatement("k8", 8000))) // a session that reads nothing meanwhile
 	servedBy(a, "INSERT")
 	writeSucceeds <- false
-	assert.Contains(t, writes.readReply(), pg.CodeFailed)
+	assert.Contains(t, writes.readReply(), pg.CodeSystemError)
 	for _, key := range []string{"k7", "k8"} {
 		assert.Equal(t, "value of "+key, reads.query(readStatement(key)))
 		servedBy(a, "SELECT")
--- a/cmd/stoatdale/main_test.go
+++ b/cmd/stoatdale/main_test.go
@@ -96,7 +96,7 @@
 		}
 		r := startRouterWith(t, routerOptions{sockets: 64, memoryMB: 16}, list...)
 		c := r.connect()
-		c.send(pg.Query(nil, ""))
+		c.send(pg.AppendQuery(nil, ""))
 		assert.Equal(t, "EMPTY", c.readReply())
 		r.waitForCounter("endpoints_known", float64(endpoints))
 	}
--- a/cmd/stoatdale/reload_test.go
+++ b/cmd/stoatdale/reload_test.go
@@ -18,7 +18,7 @@
 	a, b := newTestBackend(t, func(q string) []byte { <-hold; return answerAs("on")(q) }), newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(a, "a", "ready", "on"))
 	c := r.connect()
-	c.send(pg.Query(nil, readStatement("k")))
+	c.send(pg.AppendQuery(nil, readStatement("k")))
 	receive(t, a.statements)
 	other := newTestDiscovery(t, listEntry(b, "b", "ready", "on"))
 	r.reload(`"discovery":"`+r.discovery.address, `"discovery":"`+other.address)
@@ -57,7 +57,7 @@
 	replica := func(q string) []byte {
 		switch {
 		case strings.HasPrefix(q, "INSERT"):
-			return pg.Ready(pg.Status(pg.Error(nil, false, pg.CodeNotPrimary, "read only", ""), "recovery", "on"))
+			return pg.AppendReadyForQuery(pg.AppendParameterStatus(pg.AppendErrorResponse(nil, false, pg.CodeReadOnlyTransaction, "read only", ""), "recovery", "on"))
 		case strings.Contains(q, "slow"):
 			<-hold
 		}
@@ -67,7 +67,7 @@
 	r := startRouter(t, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"), listEntry(p, "p", "ready", "on"))
 	c, slow := r.connect(), r.connect()
 	assert.Equal(t, "value of w", c.query(writeStatement("w", 6000)))
-	slow.send(pg.Query(nil, strings.Replace(readStatement("slow"), "d=3000", "d=7000", 1)))
+	slow.send(pg.AppendQuery(nil, strings.Replace(readStatement("slow"), "d=3000", "d=7000", 1)))
 	r.waitForCounter("attempts", 3) // the rejected write, its retry and this
 	missed := r.counters()["attempt_results"].(map[string]any)["not_served"]
 	r.reload(`"seed":"1f"`, `"seed":"1f","move":true`, `"name":"look"`, `"name":"view"`,
@@ -81,7 +81,7 @@
 	}
 	assert.Equal(t, "value of v", c.query(strings.Replace(readStatement("v"), "c=look,d=3000", "c=view,d=6000", 1)))
 	assert.Equal(t, "value of r", c.query(strings.Replace(readStatement("r"), "c=look", "c=report", 1)))
-	assert.Equal(t, pg.CodeValue, c.query(readStatement("k")), "a group that is no more")
+	assert.Equal(t, pg.CodeInvalidParameterValue, c.query(readStatement("k")), "a group that is no more")
 	close(hold)
 	assert.Equal(t, "value of slow", slow.readReply(), "what was in flight ends under the settings that it came by")
 	n := r.counters()
--- a/cmd/stoatdale/testbackend_test.go
+++ b/cmd/stoatdale/testbackend_test.go
@@ -57,7 +57,7 @@
 	if skipStartup(reader) != nil {
 		return
 	}
-	_, _ = connection.Write(pg.Welcome(nil))
+	_, _ = connection.Write(pg.AppendStartupReply(nil))
 	for {
 		kind, body, err := readMessage(reader)
 		if err != nil || kind != 'Q' {
@@ -104,11 +104,11 @@
 
 // rowAnswer is an answer of one value, with the backend's log position and whether it is in recovery: "on" or "off".
 func rowAnswer(value, recovery string) []byte {
-	b := pg.Message(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
-	b = pg.Message(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
-	b = pg.Message(b, 'C', []byte("SELECT 1\x00"))
-	b = pg.Status(b, "lsn_ms", fmt.Sprint(time.Now().UnixMilli()))
-	return pg.Ready(pg.Status(b, "recovery", recovery))
+	b := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
+	b = pg.AppendMessage(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
+	b = pg.AppendMessage(b, 'C', []byte("SELECT 1\x00"))
+	b = pg.AppendParameterStatus(b, "lsn_ms", fmt.Sprint(time.Now().UnixMilli()))
+	return pg.AppendReadyForQuery(pg.AppendParameterStatus(b, "recovery", recovery))
 }
 
 // answerAs answers each statement with "value of" and its key, in recovery or not.
--- a/cmd/stoatdale/testclient_test.go
+++ b/cmd/stoatdale/testclient_test.go
@@ -36,7 +36,7 @@
 func (r *testRouter) connect() *testClient {
 	r.t.Helper()
 	client := r.dial()
-	client.send(pg.Hello(nil))
+	client.send(pg.AppendStartupMessage(nil))
 	client.readReply()
 	return client
 }
@@ -84,7 +84,7 @@
 // query sends a statement and returns its reply.
 func (c *testClient) query(text string) string {
 	c.t.Helper()
-	c.send(pg.Query(nil, text))
+	c.send(pg.AppendQuery(nil, text))
 	return c.readReply()
 }
 
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -58,15 +58,15 @@
 		Position: noPosition,
 		Role:     rolesByRecovery[ended.answer.Role],
 	}
-	if ended.answer.Position > 0 {
-		result.Position = d.readPosition(float64(ended.answer.Position) / millisecondsPerSecond)
+	if ended.answer.PositionMs > 0 {
+		result.Position = d.readPosition(float64(ended.answer.PositionMs) / millisecondsPerSecond)
 	}
 	return result
 }
 
 // deliverAnswersReport tells the router of the load report beside an answer, as if a health check had brought it.
 func (d *Dispatcher) deliverAnswersReport(now float64, ended *endedAttempt) {
-	report := d.readReport(ended.answer.Health)
+	report := d.readReport(ended.answer.LoadReport)
 	if report.position >= 0 && d.settings.ReportsOnAnswers {
 		d.router.HealthChecked(now, ended.attempt.Endpoint, ended.result, ended.elapsed, report.position, report.primary)
 	}
--- a/internal/fleet/agent/healthcheck.go
+++ b/internal/fleet/agent/healthcheck.go
@@ -34,7 +34,7 @@
 	_ = conn.SetDeadline(time.Now().Add(healthCheckTimeout))
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Now()) })
 	defer stop()
-	if _, err := conn.Write(pg.Query(pg.Hello(nil), "")); err != nil {
+	if _, err := conn.Write(pg.AppendQuery(pg.AppendStartupMessage(nil), "")); err != nil {
 		return err
 	}
 	return awaitEmptyAnswer(bufio.NewReader(conn))
@@ -43,7 +43,7 @@
 // awaitEmptyAnswer reads up to the end of the answer to an empty query.
 func awaitEmptyAnswer(r *bufio.Reader) error {
 	for empty := false; ; {
-		kind, _, err := pg.Receive(r, maxAnswerBytes)
+		kind, _, err := pg.ReceiveMessage(r, maxAnswerBytes)
 		switch {
 		case err != nil:
 			return err
--- a/internal/front/backend_test.go
+++ b/internal/front/backend_test.go
@@ -80,7 +80,7 @@
 		return false
 	}
 	<-b.greeting
-	_, err := conn.Write(pg.Welcome(nil))
+	_, err := conn.Write(pg.AppendStartupReply(nil))
 	return err == nil
 }
 
@@ -145,9 +145,9 @@
 func valueRow(id string) []byte {
 	value := "value of " + id
 	column := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value)))
-	message := pg.Message(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
-	message = pg.Message(message, 'D', column, []byte(value))
-	return pg.Ready(pg.Message(message, 'C', []byte("SELECT 1\x00")))
+	message := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
+	message = pg.AppendMessage(message, 'D', column, []byte(value))
+	return pg.AppendReadyForQuery(pg.AppendMessage(message, 'C', []byte("SELECT 1\x00")))
 }
 
 // valueRowAfter answers with valueRow once a channel is closed.
@@ -159,4 +159,4 @@
 }
 
 // overloaded is an answer that rejects a command unseen.
-func overloaded(string) []byte { return pg.Ready(pg.Error(nil, false, pg.CodeFull, "full", "")) }
+func overloaded(string) []byte { return pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, pg.CodeTooManyConnections, "full", "")) }
--- a/internal/front/client_gone_test.go
+++ b/internal/front/client_gone_test.go
@@ -144,7 +144,7 @@
 func answersNotTaken(h *harness, _ *fakeBackend) net.Conn {
 	h.publishState(roster.StateDraining)
 	conn := h.dial()
-	invalid := []byte(strings.Repeat(string(pg.Query(nil, "SELECT 1")), 100_000))
+	invalid := []byte(strings.Repeat(string(pg.AppendQuery(nil, "SELECT 1")), 100_000))
 	go func() { _, _ = conn.Write(startupThen(invalid, patientQuery("a1"))) }()
 	h.runUntil(func() bool {
 		for accepted := range h.server.conns {
@@ -161,7 +161,7 @@
 	h.runUntil(h.acceptedCommands(1))
 	hoard := h.buffers.New()
 	hoard.Write(make([]byte, testBlockSize<<10))
-	_, err := conn.Write(pg.Query(nil, strings.Repeat("z", 60_000))[:9000])
+	_, err := conn.Write(pg.AppendQuery(nil, strings.Repeat("z", 60_000))[:9000])
 	require.NoError(h.t, err)
 	h.runUntil(func() bool { return len(h.server.awaitingBuffers) == 1 })
 	go func() {
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -53,7 +53,7 @@
 // that the drain deadline finds about to send a query is told so first.
 func (c *conn) closeIfDue() {
 	if c.isCutOff() {
-		c.finalError(pg.CodeEnding, "the router is ending")
+		c.finalError(pg.CodeCannotConnectNow, "the router is ending")
 	}
 	if c.state != stateClosed && c.mayClose() {
 		c.beginClosing()
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -15,8 +15,8 @@
 func TestClientAcceptedJustBeforeShutdownIsServed(t *testing.T) {
 	for sent, first := range map[string][]byte{
 		"nothing":              nil,
-		"half of the start-up": pg.Hello(nil)[:11],
-		"the start-up":         pg.Hello(nil),
+		"half of the start-up": pg.AppendStartupMessage(nil)[:11],
+		"the start-up":         pg.AppendStartupMessage(nil),
 		"half of the query":    startupThen(query("a1", "c=look,d=300")[:20]),
 	} {
 		h := newDrainHarness(t, noChange)
@@ -32,7 +32,7 @@
 		require.True(t, h.server.ListenerClosed())
 		_, err := conn.Write(startupThen(query("a1", "c=look,d=300"))[len(first):])
 		require.NoError(t, err)
-		assert.Contains(t, h.readAll(received), pg.CodeFull, "sent before: %s", sent)
+		assert.Contains(t, h.readAll(received), pg.CodeTooManyConnections, "sent before: %s", sent)
 		assert.Contains(t, backend.ids(), "a1")
 		require.NoError(t, conn.Close())
 		h.runUntil(func() bool { return h.server.OpenConnections() == 0 })
@@ -44,16 +44,16 @@
 func TestClientWithoutQueryAtTheDrainDeadlineGetsAnError(t *testing.T) {
 	for sent, first := range map[string][]byte{
 		"nothing":              nil,
-		"half of the start-up": pg.Hello(nil)[:11],
-		"the start-up":         pg.Hello(nil),
+		"half of the start-up": pg.AppendStartupMessage(nil)[:11],
+		"the start-up":         pg.AppendStartupMessage(nil),
 		"half of the query":    startupThen(patientQuery("a1")[:20]),
-		"half of the next":     startupThen(pg.Query(nil, ""), patientQuery("a1")[:20]),
+		"half of the next":     startupThen(pg.AppendQuery(nil, ""), patientQuery("a1")[:20]),
 	} {
 		h := newHarness(t, func(l *site.Limits) { l.Durations.DrainDeadline = 0.05 })
 		_, received := h.client(first)
 		h.runUntil(func() bool { return h.counters.ClientsAccepted == 1 })
 		h.server.Shutdown()
-		assert.Contains(t, h.readAll(received), pg.CodeEnding, "%s", sent)
+		assert.Contains(t, h.readAll(received), pg.CodeCannotConnectNow, "%s", sent)
 		assert.Zero(t, h.counters.Received)
 	}
 }
@@ -65,15 +65,15 @@
 		l.Counts.ClientConnections = 2
 		l.Durations.ShedGrace = 0.05
 	})
-	h.client(pg.Hello(nil))
-	h.client(pg.Hello(nil))
+	h.client(pg.AppendStartupMessage(nil))
+	h.client(pg.AppendStartupMessage(nil))
 	h.runUntil(func() bool { return h.server.silent.Len() == 2 })
-	_, received := h.client(startupThen(pg.Query(nil, "")))
+	_, received := h.client(startupThen(pg.AppendQuery(nil, "")))
 	h.server.Shutdown()
 	assert.False(t, h.server.ListenerClosed())
 	h.runUntil(h.server.ListenerClosed)
 	assert.EqualValues(t, 3, h.counters.ClientsAccepted)
-	assert.Contains(t, h.readAll(received), string(pg.Empty(nil)))
+	assert.Contains(t, h.readAll(received), string(pg.AppendEmptyQueryResponse(nil)))
 }
 
 // Where no connection can be shed the listener is closed at the drain deadline all the same.
@@ -99,12 +99,12 @@
 func TestCommandInTheSocketAtShutdownIsAnswered(t *testing.T) {
 	h := newDrainHarness(t, noChange)
 	backend := h.startBackend(func(b *fakeBackend) { b.answer = overloaded })
-	conn, received := h.client(startupThen(pg.Query(nil, "")))
+	conn, received := h.client(startupThen(pg.AppendQuery(nil, "")))
 	h.runUntil(func() bool { return h.server.idle.Len() == 1 })
 	_, err := conn.Write(query("a1", "c=look,d=300"))
 	require.NoError(t, err)
 	h.server.Shutdown() // the loop has not turned since it was written
-	assert.Contains(t, h.readAll(received), pg.CodeFull)
+	assert.Contains(t, h.readAll(received), pg.CodeTooManyConnections)
 	assert.Contains(t, backend.ids(), "a1")
 }
 
--- a/internal/front/harness_test.go
+++ b/internal/front/harness_test.go
@@ -214,7 +214,7 @@
 
 // startupThen returns the start-up packet and messages after it.
 func startupThen(messages ...[]byte) []byte {
-	sent := pg.Hello(nil)
+	sent := pg.AppendStartupMessage(nil)
 	for _, message := range messages {
 		sent = append(sent, message...)
 	}
@@ -223,7 +223,7 @@
 
 // query returns a query whose comment bears an id and other names.
 func query(id, names string) []byte {
-	return pg.Query(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = 'k' /* id=%s,cluster=2,%s */", id, names))
+	return pg.AppendQuery(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = 'k' /* id=%s,cluster=2,%s */", id, names))
 }
 
 // patientQuery is a query whose client waits for longer than any test runs.
@@ -236,6 +236,6 @@
 
 // hugeQuery is a patient query that the sockets on the way to the backend cannot hold: its receive buffer is small.
 func hugeQuery(id string) []byte {
-	return pg.Query(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = '%s' /* id=%s,cluster=2,c=look,d=300000 */",
+	return pg.AppendQuery(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = '%s' /* id=%s,cluster=2,c=look,d=300000 */",
 		strings.Repeat("y", 6<<20), id))
 }
--- a/internal/front/listener_test.go
+++ b/internal/front/listener_test.go
@@ -11,7 +11,7 @@
 
 func TestSilentClientIsShedBeforeAnIdleOne(t *testing.T) {
 	h := newHarness(t, func(l *site.Limits) { l.Counts.ClientConnections = 2 })
-	_, idle := h.client(pg.Hello(nil), pg.Query(nil, ""))
+	_, idle := h.client(pg.AppendStartupMessage(nil), pg.AppendQuery(nil, ""))
 	h.runUntil(func() bool { return h.server.idle.Len() == 1 })
 	_, silent := h.client()
 	h.runUntil(func() bool { return h.server.silent.Len() == 1 })
@@ -23,10 +23,10 @@
 
 func TestOldestIdleClientIsShedAboveTheLimit(t *testing.T) {
 	h := newHarness(t, func(l *site.Limits) { l.Counts.IdleClients = 2 })
-	_, first := h.client(pg.Hello(nil), pg.Query(nil, ""))
+	_, first := h.client(pg.AppendStartupMessage(nil), pg.AppendQuery(nil, ""))
 	h.runUntil(func() bool { return h.server.idle.Len() == 1 })
 	for range 2 {
-		h.client(pg.Hello(nil), pg.Query(nil, ""))
+		h.client(pg.AppendStartupMessage(nil), pg.AppendQuery(nil, ""))
 	}
 	h.readAll(first)
 	h.runUntil(func() bool { return h.server.idle.Len() == 2 })
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -25,12 +25,12 @@
 		return false
 	}
 	if kind := c.input.First()[0]; !isKnownMessage(kind) {
-		c.protocolError(pg.CodeProtocol, fmt.Sprintf("unknown message type %q", kind))
+		c.protocolError(pg.CodeProtocolViolation, fmt.Sprintf("unknown message type %q", kind))
 		return false
 	}
-	kind, size, ok, err := pg.Next(&c.input, c.server.limits.Sizes.ClientMessage)
+	kind, size, ok, err := pg.NextMessage(&c.input, c.server.limits.Sizes.ClientMessage)
 	if err != nil {
-		c.protocolError(pg.CodeProtocol, err.Error())
+		c.protocolError(pg.CodeProtocolViolation, err.Error())
 		return false
 	}
 	if !ok {
@@ -54,12 +54,12 @@
 		c.processQuery(size)
 	case kind == messageSync:
 		c.state = stateOpen
-		c.send(pg.Ready(nil))
+		c.send(pg.AppendReadyForQuery(nil))
 	case c.state == stateSkippingToSync:
 	default:
 		c.state = stateSkippingToSync
 		c.server.counters.InvalidQueries++
-		c.send(pg.Error(nil, false, pg.CodeUnsupported, "only simple queries are served", ""))
+		c.send(pg.AppendErrorResponse(nil, false, pg.CodeFeatureNotSupported, "only simple queries are served", ""))
 	}
 }
 
@@ -79,22 +79,22 @@
 // processStartup processes what comes before the first message: the start-up packet, or a request for encryption or
 // cancellation.
 func (c *conn) processStartup() (more bool) {
-	kind, ok, err := pg.ReadStart(&c.input, c.server.limits.Sizes.StartupPacket)
+	kind, ok, err := pg.ReadStartup(&c.input, c.server.limits.Sizes.StartupPacket)
 	switch {
 	case err != nil:
-		c.protocolError(pg.CodeProtocol, err.Error())
+		c.protocolError(pg.CodeProtocolViolation, err.Error())
 		return false
 	case !ok:
 		return false
-	case kind == pg.Encrypt:
+	case kind == pg.StartupEncryption:
 		c.send([]byte{'N'}) // encryption is not supported
 		return true
-	case kind == pg.Cancel:
+	case kind == pg.StartupCancel:
 		c.close()
 		return false
 	}
 	c.state = stateOpen
-	c.send(pg.Welcome(nil))
+	c.send(pg.AppendStartupReply(nil))
 	return true
 }
 
--- a/internal/front/phase.go
+++ b/internal/front/phase.go
@@ -123,7 +123,7 @@
 		c.server.loop.SetTimer(c.timer, c.server.loop.Now()+c.server.limits.Durations.MinBackoff)
 	case c.expectsInput() && c.phase != phaseIdle && c.input.Len() > 0:
 		c.server.counters.MessageTimeouts++
-		c.protocolError(pg.CodeProtocol, "a message was not whole in time")
+		c.protocolError(pg.CodeProtocolViolation, "a message was not whole in time")
 		c.process()
 	default:
 		c.countTimeout()
--- a/internal/front/phase_test.go
+++ b/internal/front/phase_test.go
@@ -13,16 +13,16 @@
 
 func TestIncompleteMessageTimesOutWithAnError(t *testing.T) {
 	for message, half := range map[string][]byte{
-		"start-up": pg.Hello(nil)[:20],
-		"query":    append(pg.Hello(nil), query("1", "c=look,d=300")[:30]...),
+		"start-up": pg.AppendStartupMessage(nil)[:20],
+		"query":    append(pg.AppendStartupMessage(nil), query("1", "c=look,d=300")[:30]...),
 	} {
 		h := newHarness(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
 		_, received := h.client(half)
-		assert.Contains(t, h.readAll(received), pg.CodeProtocol, message)
+		assert.Contains(t, h.readAll(received), pg.CodeProtocolViolation, message)
 		assert.EqualValues(t, 1, h.counters.MessageTimeouts, message)
 	}
 	h := newHarness(t, func(l *site.Limits) { l.Durations.MessageTimeout = 0.05 })
-	conn, received := h.client(pg.Hello(nil), pg.Query(nil, ""))
+	conn, received := h.client(pg.AppendStartupMessage(nil), pg.AppendQuery(nil, ""))
 	go func() { // sends byte by byte, which does not renew the timeout
 		for _, b := range query("1", "c=look,d=300") {
 			if _, err := conn.Write([]byte{b}); err != nil {
@@ -31,14 +31,14 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	assert.Contains(t, h.readAll(received), pg.CodeProtocol)
+	assert.Contains(t, h.readAll(received), pg.CodeProtocolViolation)
 	assert.Zero(t, h.counters.Received)
 }
 
 func TestClientWithoutQueryTimesOut(t *testing.T) {
 	h := newHarness(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
 	_, nothing := h.client()
-	_, hello := h.client(pg.Hello(nil))
+	_, hello := h.client(pg.AppendStartupMessage(nil))
 	assert.Empty(t, h.readAll(nothing))
 	assert.NotEmpty(t, h.readAll(hello), "the welcome")
 	assert.EqualValues(t, 2, h.counters.FirstQueryTimeouts)
@@ -51,7 +51,7 @@
 	h := newHarness(t, noChange)
 	h.startBackend(func(b *fakeBackend) { b.answer = valueRow })
 	message := patientQuery("a1")
-	client, received := h.client(startupThen(pg.Query(nil, ""), message[:20]))
+	client, received := h.client(startupThen(pg.AppendQuery(nil, ""), message[:20]))
 	var accepted *conn
 	h.runUntil(func() bool {
 		for accepted = range h.server.conns {
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -18,20 +18,20 @@
 
 // invalidValue rejects a query for a value in its comment.
 func invalidValue(format string, arguments ...any) *rejection {
-	return &rejection{code: pg.CodeValue, message: fmt.Sprintf(format, arguments...)}
+	return &rejection{code: pg.CodeInvalidParameterValue, message: fmt.Sprintf(format, arguments...)}
 }
 
 // processQuery processes a simple query: a command for the dispatcher, or something that gets its reply here.
 func (c *conn) processQuery(size int) {
 	body := size - messageHeader
-	statement, err := pg.Parse(&c.input, messageHeader, body, c.server.limits.Sizes.StatementComment)
+	statement, err := pg.ParseStatement(&c.input, messageHeader, body, c.server.limits.Sizes.StatementComment)
 	if err != nil {
-		c.rejectQuery(&rejection{code: pg.CodeSyntax, message: err.Error()})
+		c.rejectQuery(&rejection{code: pg.CodeSyntaxError, message: err.Error()})
 		return
 	}
 	c.hasQueried = true
 	if statement.Empty {
-		c.send(pg.Ready(pg.Empty(nil)))
+		c.send(pg.AppendReadyForQuery(pg.AppendEmptyQueryResponse(nil)))
 		return
 	}
 	command, rejected := c.server.newCommand(&statement)
@@ -50,9 +50,9 @@
 	if !ok {
 		return nil, invalidValue("c=%.40q: unknown command group", statement.Group)
 	}
-	shard, ok := s.dispatcher.LookupShard(statement.Cluster)
+	shard, ok := s.dispatcher.LookupShard(statement.Shard)
 	if !ok {
-		return nil, invalidValue("cluster=%d: unknown cluster", statement.Cluster)
+		return nil, invalidValue("cluster=%d: unknown cluster", statement.Shard)
 	}
 	if rejected := s.checkStatement(statement, group); rejected != nil {
 		return nil, rejected
@@ -62,15 +62,15 @@
 		Group:       group,
 		Shard:       shard,
 		Session:     statement.Session,
-		ClientRetry: statement.Repeat,
+		ClientRetry: statement.ClientRetry,
 		Statement:   s.buffers.New(),
-		WaitStart:   statement.From,
-		WaitEnd:     statement.To,
+		WaitStart:   statement.WaitStart,
+		WaitEnd:     statement.WaitEnd,
 		Responder:   s,
 	}
-	if statement.WriteAt > 0 {
+	if statement.LastWriteAt > 0 {
 		// A write of this very moment must not look like none.
-		command.LastWriteAge = cmp.Or(s.dispatcher.SecondsSince(statement.WriteAt), -math.SmallestNonzeroFloat64)
+		command.LastWriteAge = cmp.Or(s.dispatcher.SecondsSince(statement.LastWriteAt), -math.SmallestNonzeroFloat64)
 	}
 	return command, nil
 }
@@ -82,7 +82,7 @@
 	case statement.Wait > s.limits.Durations.MaxClientTimeout:
 		const millisecondsPerSecond = 1000
 		return invalidValue("d=%.0f: longer than any client waits", statement.Wait*millisecondsPerSecond)
-	case needsKey && !statement.Keyed:
+	case needsKey && !statement.HasIdempotencyKey:
 		return invalidValue("c=%.40q: commands of this group bear a key, k", statement.Group)
 	case s.dispatcher.IsInFlight(statement.ID):
 		return invalidValue("id=%s: a command of this id is in hand", statement.ID)
@@ -107,5 +107,5 @@
 		return
 	}
 	c.server.counters.InvalidQueries++
-	c.send(pg.Ready(pg.Error(nil, false, rejected.code, rejected.message, "")))
+	c.send(pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, rejected.code, rejected.message, "")))
 }
--- a/internal/front/reply.go
+++ b/internal/front/reply.go
@@ -26,7 +26,7 @@
 func (c *conn) finalError(code, message string) {
 	c.closeAfterReplies = true
 	c.input.Free()
-	c.send(pg.Error(nil, true, code, message, ""))
+	c.send(pg.AppendErrorResponse(nil, true, code, message, ""))
 }
 
 // send sends a complete reply behind those that are owed.
@@ -60,7 +60,7 @@
 		row.MoveTo(&to.reply.data)
 	}
 	row.Free()
-	s.complete(command, pg.Ready(nil))
+	s.complete(command, pg.AppendReadyForQuery(nil))
 }
 
 // Reject implements core.Responder: it sends an error upon which the client may retry, after so many seconds if it is
@@ -71,14 +71,14 @@
 	if retryAfter > 0 {
 		detail = strconv.Itoa(int(math.Ceil(retryAfter * millisecondsPerSecond)))
 	}
-	message := pg.Error(nil, false, pg.CodeFull, "throttled: trying again does no harm", detail)
-	s.complete(command, pg.Ready(message))
+	message := pg.AppendErrorResponse(nil, false, pg.CodeTooManyConnections, "throttled: trying again does no harm", detail)
+	s.complete(command, pg.AppendReadyForQuery(message))
 }
 
 // Fail implements core.Responder: it sends an error upon which the client cannot know whether the command ran.
 func (s *Server) Fail(command *core.Command) {
-	message := pg.Error(nil, false, pg.CodeFailed, "failed: it is not known whether the command ran", "")
-	s.complete(command, pg.Ready(message))
+	message := pg.AppendErrorResponse(nil, false, pg.CodeSystemError, "failed: it is not known whether the command ran", "")
+	s.complete(command, pg.AppendReadyForQuery(message))
 }
 
 // complete appends the last part of a command's reply, and sends the replies that are due by now.
--- a/internal/lab/stand/member.go
+++ b/internal/lab/stand/member.go
@@ -23,11 +23,11 @@
 // Row is an answer of one value, as a member sends it: its position is now, and role says "off" of a primary
 // and "on" of a replica.
 func Row(value, role string) []byte {
-	b := pg.Message(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
-	b = pg.Message(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
-	b = pg.Message(b, 'C', []byte("SELECT 1\x00"))
-	b = pg.Status(b, "lsn_ms", fmt.Sprint(time.Now().UnixMilli()))
-	return pg.Ready(pg.Status(b, "recovery", role))
+	b := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
+	b = pg.AppendMessage(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
+	b = pg.AppendMessage(b, 'C', []byte("SELECT 1\x00"))
+	b = pg.AppendParameterStatus(b, "lsn_ms", fmt.Sprint(time.Now().UnixMilli()))
+	return pg.AppendReadyForQuery(pg.AppendParameterStatus(b, "recovery", role))
 }
 
 // Member is a member of a set. For each statement it sends what Answer returns, and closes the connection
@@ -97,9 +97,9 @@
 	if _, err := r.Discard(int(n) - 4); err != nil {
 		return
 	}
-	_, _ = c.Write(pg.Welcome(nil))
+	_, _ = c.Write(pg.AppendStartupReply(nil))
 	for {
-		kind, body, err := pg.Receive(r, longest)
+		kind, body, err := pg.ReceiveMessage(r, longest)
 		if err != nil || kind != 'Q' || len(body) == 0 {
 			return
 		}
@@ -144,7 +144,7 @@
 	}
 	_ = c.SetDeadline(time.Now().Add(within))
 	x := &Client{c, bufio.NewReader(c)}
-	if _, err := c.Write(pg.Hello(nil)); err == nil {
+	if _, err := c.Write(pg.AppendStartupMessage(nil)); err == nil {
 		_, err = x.Reply()
 	}
 	if err != nil {
@@ -166,7 +166,7 @@
 func (c *Client) Reply() (Reply, error) {
 	var said Reply
 	for {
-		kind, body, err := pg.Receive(c.r, longest)
+		kind, body, err := pg.ReceiveMessage(c.r, longest)
 		if err != nil {
 			return said, err
 		}
@@ -195,7 +195,7 @@
 // Ask sends a query and reads its answer. sent tells whether all of it was written.
 func (c *Client) Ask(text string, within time.Duration) (said Reply, sent bool, err error) {
 	_ = c.SetDeadline(time.Now().Add(within))
-	if _, err := c.Write(pg.Query(nil, text)); err != nil {
+	if _, err := c.Write(pg.AppendQuery(nil, text)); err != nil {
 		return said, false, err
 	}
 	said, err = c.Reply()
--- a/internal/lab/stand/router.go
+++ b/internal/lab/stand/router.go
@@ -125,11 +125,11 @@
 		_, _ = io.Copy(io.Discard, r)
 		return
 	}
-	_, _ = c.Write(pg.Welcome(nil))
+	_, _ = c.Write(pg.AppendStartupReply(nil))
 	for {
-		if _, _, err := pg.Receive(r, longest); err != nil {
+		if _, _, err := pg.ReceiveMessage(r, longest); err != nil {
 			return
 		}
-		_, _ = c.Write(pg.Ready(pg.Empty(nil)))
+		_, _ = c.Write(pg.AppendReadyForQuery(pg.AppendEmptyQueryResponse(nil)))
 	}
 }
--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -11,13 +11,13 @@
 // Attempt is one sending of a command to one backend. The caller fills the exported fields and must not change them
 // until the attempt has ended. Times are in seconds on the event loop's clock.
 type Attempt struct {
-	CommandID uint32
-	Index     int           // index of the attempt among those of its command
-	Endpoint  int           // index of the endpoint that it is sent to
-	Statement *buffer.Chain // the statement's text, final zero included; it stays the caller's
+	CommandID    uint32
+	Index        int           // index of the attempt among those of its command
+	Endpoint     int           // index of the endpoint that it is sent to
+	Statement    *buffer.Chain // the statement's text, final zero included; it stays the caller's
 	WaitStart int           // where the digits of the client's waiting time begin in Statement
 	WaitEnd   int           // where they end
-	Deadline  float64       // when the attempt ends as timed out
+	Deadline     float64       // when the attempt ends as timed out
 
 	conn   *conn // nil before it is sent and after it has ended
 	sentAt float64
@@ -56,7 +56,7 @@
 	a := c.attempt
 	waitMs := strconv.Itoa(max(1, int((a.Deadline-now)*1000)))
 	length := a.Statement.Len()
-	c.output.Write(pg.QueryHead(nil, length-(a.WaitEnd-a.WaitStart)+len(waitMs)))
+	c.output.Write(pg.AppendQueryHeader(nil, length-(a.WaitEnd-a.WaitStart)+len(waitMs)))
 	a.Statement.CopyTo(&c.output, 0, a.WaitStart)
 	c.output.Write([]byte(waitMs))
 	a.Statement.CopyTo(&c.output, a.WaitEnd, length-a.WaitEnd)
@@ -65,11 +65,11 @@
 // resultOf returns the result that a complete answer stands for.
 func resultOf(answer *pg.Answer) router.Result {
 	switch {
-	case answer.Served():
+	case answer.HasRow():
 		return router.Answered
-	case answer.Refused(pg.CodeFull):
+	case answer.RejectedWith(pg.CodeTooManyConnections):
 		return router.Overloaded
-	case answer.Refused(pg.CodeNotPrimary), answer.Refused(pg.CodeBehind):
+	case answer.RejectedWith(pg.CodeReadOnlyTransaction), answer.RejectedWith(pg.CodeSnapshotTooOld):
 		return router.NotServed
 	}
 	return router.Errored
--- a/internal/member/attempt_test.go
+++ b/internal/member/attempt_test.go
@@ -14,7 +14,7 @@
 	f := newFixture(t)
 	f.send("d=99 rest", 1000)
 	c := f.accept()
-	want := pg.Query(nil, "d=999999 rest")
+	want := pg.AppendQuery(nil, "d=999999 rest")
 	got := f.receive(c, len(want))
 	assert.Regexp(t, `^Q\x00\x00\x00\x12d=99\d{4} rest\x00$`, got)
 	_, _ = c.Write(answer("one"))
@@ -71,20 +71,20 @@
 }
 
 func TestResultFollowsTheAnswer(t *testing.T) {
-	fail := func(code string, fatal bool) []byte { return pg.Error(nil, fatal, code, "", "") }
+	fail := func(code string, fatal bool) []byte { return pg.AppendErrorResponse(nil, fatal, code, "", "") }
 	for name, k := range map[string]struct {
 		sent   []byte
 		result router.Result
 		open   int
 	}{
-		"full":           {pg.Ready(fail(pg.CodeFull, false)), router.Overloaded, 1},
-		"full and ended": {fail(pg.CodeFull, true), router.Overloaded, 0},
-		"no primary":     {pg.Ready(fail(pg.CodeNotPrimary, false)), router.NotServed, 1},
-		"too far behind": {pg.Ready(fail(pg.CodeBehind, false)), router.NotServed, 1},
-		"error":          {pg.Ready(fail("XX000", false)), router.Errored, 1},
-		"no row":         {pg.Ready(nil), router.Errored, 1},
+		"full":           {pg.AppendReadyForQuery(fail(pg.CodeTooManyConnections, false)), router.Overloaded, 1},
+		"full and ended": {fail(pg.CodeTooManyConnections, true), router.Overloaded, 0},
+		"no primary":     {pg.AppendReadyForQuery(fail(pg.CodeReadOnlyTransaction, false)), router.NotServed, 1},
+		"too far behind": {pg.AppendReadyForQuery(fail(pg.CodeSnapshotTooOld, false)), router.NotServed, 1},
+		"error":          {pg.AppendReadyForQuery(fail("XX000", false)), router.Errored, 1},
+		"no row":         {pg.AppendReadyForQuery(nil), router.Errored, 1},
 		"3 GB promised":  {[]byte("D\xb2\xd0\x5e\x00"), router.Errored, 0},
-		"full in a row":  {pg.Ready(pg.Error(answer("x")[:41], false, pg.CodeFull, "", "")), router.Errored, 1},
+		"full in a row":  {pg.AppendReadyForQuery(pg.AppendErrorResponse(answer("x")[:41], false, pg.CodeTooManyConnections, "", "")), router.Errored, 1},
 		"nonsense":       {[]byte("HTTP/1.1 400 Bad Request\r\n\r\n"), router.Errored, 0},
 		"too much":       {append(answer("x"), answer("y")...), router.Answered, 0},
 	} {
--- a/internal/member/connection.go
+++ b/internal/member/connection.go
@@ -67,7 +67,7 @@
 	c.pool.loop.SetTimer(c.timer, deadline)
 	c.state = stateSending
 	if c.checking {
-		c.output.Write(pg.Query(nil, healthQuery))
+		c.output.Write(pg.AppendQuery(nil, healthQuery))
 	} else {
 		c.writeStatement(now)
 	}
@@ -102,7 +102,7 @@
 			return
 		}
 		c.state = stateStartup
-		c.output.Write(pg.Hello(nil))
+		c.output.Write(pg.AppendStartupMessage(nil))
 	}
 	if c.state == stateIdle { // the backend has nothing to say now but that it closes the connection
 		c.closeUnsolicited()
@@ -159,9 +159,9 @@
 	hasRow := answer.Row.Len() > 0
 	answer.Row.Free()
 	switch {
-	case answer.Code == pg.CodeFull:
+	case answer.ErrorCode == pg.CodeTooManyConnections:
 		c.fail(router.Overloaded)
-	case answer.Code != "" || hasRow || !reusable:
+	case answer.ErrorCode != "" || hasRow || !reusable:
 		c.fail(router.ConnectFailed)
 	default:
 		c.state = stateIdle
--- a/internal/member/connection_test.go
+++ b/internal/member/connection_test.go
@@ -16,10 +16,10 @@
 	}{
 		"a row":           {answer("x"), router.ConnectFailed},
 		"nonsense":        {[]byte("SSH-2.0-x\r\n"), router.ConnectFailed},
-		"an error":        {pg.Error(nil, true, "57P03", "", ""), router.ConnectFailed},
-		"too many of us":  {pg.Error(nil, true, pg.CodeFull, "", ""), router.Overloaded},
-		"a password, pls": {pg.Message(nil, 'R', []byte{0, 0, 0, 3}), router.ConnectFailed},
-		"one byte more":   {append(pg.Welcome(nil), 'N'), router.ConnectFailed},
+		"an error":        {pg.AppendErrorResponse(nil, true, "57P03", "", ""), router.ConnectFailed},
+		"too many of us":  {pg.AppendErrorResponse(nil, true, pg.CodeTooManyConnections, "", ""), router.Overloaded},
+		"a password, pls": {pg.AppendMessage(nil, 'R', []byte{0, 0, 0, 3}), router.ConnectFailed},
+		"one byte more":   {append(pg.AppendStartupReply(nil), 'N'), router.ConnectFailed},
 	} {
 		f := newFixture(t)
 		d := f.send("d=99", distantDeadline)
--- a/internal/member/health_check.go
+++ b/internal/member/health_check.go
@@ -28,7 +28,7 @@
 	result := resultOf(answer)
 	report := ""
 	if result == router.Answered { // the row before an error is no report
-		report = answer.Report()
+		report = answer.Value()
 	}
 	answer.Row.Free()
 	c.reportHealthCheck(result, elapsed, report)
--- a/internal/member/helper_test.go
+++ b/internal/member/helper_test.go
@@ -35,7 +35,7 @@
 func (f *fixture) AttemptEnded(_ *Attempt, result router.Result, _ float64, answer *pg.Answer) {
 	f.results = append(f.results, result)
 	if answer != nil {
-		f.values = append(f.values, answer.Report())
+		f.values = append(f.values, answer.Value())
 		answer.Row.Free()
 	}
 }
@@ -119,8 +119,8 @@
 	go func() {
 		c, err := f.backend.Accept()
 		if err == nil {
-			_, _ = io.ReadFull(c, make([]byte, len(pg.Hello(nil))))
-			_, _ = c.Write(pg.Welcome(nil))
+			_, _ = io.ReadFull(c, make([]byte, len(pg.AppendStartupMessage(nil))))
+			_, _ = c.Write(pg.AppendStartupReply(nil))
 		}
 		done <- c
 	}()
@@ -166,9 +166,9 @@
 
 // answer returns the messages of an answer with one row.
 func answer(value string) []byte {
-	a := pg.Message(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
-	a = pg.Message(a, 'D', []byte{0, 1, 0, 0, 0, byte(len(value))}, []byte(value))
-	return pg.Ready(pg.Message(a, 'C', []byte("x\x00")))
+	a := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
+	a = pg.AppendMessage(a, 'D', []byte{0, 1, 0, 0, 0, byte(len(value))}, []byte(value))
+	return pg.AppendReadyForQuery(pg.AppendMessage(a, 'C', []byte("x\x00")))
 }
 
 const distantDeadline = 1e6 // seconds, on the event loop's clock
--- a/internal/pg/answer.go
+++ b/internal/pg/answer.go
@@ -12,30 +12,32 @@
 
 // Answer is what a member says to one query or to the start-up packet, collected until it is whole.
 type Answer struct {
-	Row      buffer.Chain // RowDescription, DataRow and CommandComplete as they came
-	Code     string       // of an ErrorResponse
-	Fatal    bool         // the member ends the connection after that
-	Position int64        // Unix milliseconds; 0: not told
-	Role     string       // as told: off from a primary, on from a replica
-	Health   string       // a report told beside the answer
+	Row        buffer.Chain // RowDescription, DataRow and CommandComplete as they came
+	ErrorCode  string       // of an ErrorResponse
+	Fatal      bool         // the member ends the connection after that
+	PositionMs int64        // Unix milliseconds; 0: not told
+	Role       string       // as told: off from a primary, on from a replica
+	LoadReport string       // a report told beside the answer
 	described, rows, completed,
 	valueAt, value int // where the one value stands in the row, and its length
 	whole bool
 }
 
-// ErrShape says that an answer is not one row in order, or an error.
-var ErrShape = errors.New("malformed answer")
+// ErrMalformedAnswer says that an answer is not one row in order, or an error.
+var ErrMalformedAnswer = errors.New("malformed answer")
 
-// Refused says that the member turned the query away with a code before any part of a row.
-func (a *Answer) Refused(code string) bool { return a.whole && a.Code == code && a.described == 0 }
+// RejectedWith says that the member turned the query away with a code before any part of a row.
+func (a *Answer) RejectedWith(code string) bool {
+	return a.whole && a.ErrorCode == code && a.described == 0
+}
 
-// Served says that the answer holds a row and nothing else.
-func (a *Answer) Served() bool { return a.whole && a.Code == "" && a.oneRow() }
+// HasRow says that the answer holds a row and nothing else.
+func (a *Answer) HasRow() bool { return a.whole && a.ErrorCode == "" && a.oneRow() }
 
 func (a *Answer) oneRow() bool { return a.described == 1 && a.rows == 1 && a.completed == 1 }
 
-// Report is the one value of the row: what a probe is answered with.
-func (a *Answer) Report() string {
+// Value is the one value of the row: what a probe is answered with.
+func (a *Answer) Value() string {
 	b := make([]byte, 0, a.value)
 	a.Row.Each(a.valueAt, a.value, func(p []byte) { b = append(b, p...) })
 	return string(b)
@@ -49,7 +51,7 @@
 		if err := a.expect(in.First()[0]); err != nil {
 			return false, err
 		}
-		kind, size, ok, err := Next(in, most)
+		kind, size, ok, err := NextMessage(in, most)
 		if err != nil || size == 0 {
 			return false, err
 		}
@@ -75,16 +77,16 @@
 	ok := false
 	switch kind {
 	case 'T':
-		ok = a.described == 0 && a.Code == ""
+		ok = a.described == 0 && a.ErrorCode == ""
 	case 'D':
-		ok = a.described == 1 && a.rows == 0 && a.Code == ""
+		ok = a.described == 1 && a.rows == 0 && a.ErrorCode == ""
 	case 'C':
-		ok = a.rows == 1 && a.completed == 0 && a.Code == ""
+		ok = a.rows == 1 && a.completed == 0 && a.ErrorCode == ""
 	case 'R', 'S', 'E', 'Z', 'I', 'N', 'A', 'K':
 		ok = true
 	}
 	if !ok {
-		return fmt.Errorf("%w: a message %q out of place", ErrShape, kind)
+		return fmt.Errorf("%w: a message %q out of place", ErrMalformedAnswer, kind)
 	}
 	return nil
 }
@@ -110,7 +112,7 @@
 		}
 	}
 	if !ok {
-		return fmt.Errorf("%w: %d bytes in a message %q", ErrShape, size, kind)
+		return fmt.Errorf("%w: %d bytes in a message %q", ErrMalformedAnswer, size, kind)
 	}
 	return nil
 }
@@ -147,11 +149,11 @@
 		done = ok && a.Fatal
 	case 'Z':
 		ok = bytes.IndexByte([]byte("ITE"), note[0]) >= 0 &&
-			(a.described+a.rows+a.completed == 0 || a.Code != "" || a.oneRow())
+			(a.described+a.rows+a.completed == 0 || a.ErrorCode != "" || a.oneRow())
 		done = true
 	}
 	if !ok {
-		return false, fmt.Errorf("%w: in a message %q", ErrShape, kind)
+		return false, fmt.Errorf("%w: in a message %q", ErrMalformedAnswer, kind)
 	}
 	return done, nil
 }
@@ -172,12 +174,12 @@
 	switch string(parts[0]) {
 	case "lsn_ms":
 		if p, err := strconv.ParseInt(value, 10, 64); err == nil && p > 0 {
-			a.Position = p
+			a.PositionMs = p
 		}
 	case "recovery":
 		a.Role = value
 	case "health":
-		a.Health = value
+		a.LoadReport = value
 	}
 }
 
@@ -190,13 +192,13 @@
 		}
 		switch value := string(field[1:]); field[0] {
 		case 'C':
-			a.Code = value
+			a.ErrorCode = value
 		case 'S', 'V':
 			a.Fatal = a.Fatal || value == "FATAL" || value == "PANIC"
 		}
 		note = rest
 	}
-	return len(note) == 1 && note[0] == 0 && len(a.Code) == codeLen
+	return len(note) == 1 && note[0] == 0 && len(a.ErrorCode) == codeLen
 }
 
 // codeLen is the length of an error's code.
--- a/internal/pg/pg.go
+++ b/internal/pg/pg.go
@@ -20,29 +20,29 @@
 
 // Codes of errors.
 const (
-	CodeFull        = "53300" // too many connections: throttled
-	CodeNotPrimary  = "25006" // read only
-	CodeBehind      = "72000" // snapshot too old
-	CodeFailed      = "58000" // system error
-	CodeEnding      = "57P03" // cannot connect now: trying again does no harm
-	CodeProtocol    = "08P01" // protocol violation
-	CodeSyntax      = "42601"
-	CodeValue       = "22023" // invalid parameter value
-	CodeUnsupported = "0A000"
+	CodeTooManyConnections    = "53300" // too many connections: throttled
+	CodeReadOnlyTransaction   = "25006" // read only
+	CodeSnapshotTooOld        = "72000" // snapshot too old
+	CodeSystemError           = "58000" // system error
+	CodeCannotConnectNow      = "57P03" // cannot connect now: trying again does no harm
+	CodeProtocolViolation     = "08P01" // protocol violation
+	CodeSyntaxError           = "42601"
+	CodeInvalidParameterValue = "22023" // invalid parameter value
+	CodeFeatureNotSupported   = "0A000"
 )
 
-// Start is what a start-up packet asks for.
-type Start int
+// StartupKind is what a start-up packet asks for.
+type StartupKind int
 
 // Kinds of start-up packets.
 const (
-	Startup Start = iota
-	Encrypt       // to be answered with N
-	Cancel        // to be closed
+	StartupSession    StartupKind = iota
+	StartupEncryption             // to be answered with N
+	StartupCancel                 // to be closed
 )
 
-// ReadStart takes a start-up packet of most bytes at the most off a chain. ok is false while it is not whole.
-func ReadStart(in *buffer.Chain, most int) (kind Start, ok bool, err error) {
+// ReadStartup takes a start-up packet of most bytes at the most off a chain. ok is false while it is not whole.
+func ReadStartup(in *buffer.Chain, most int) (kind StartupKind, ok bool, err error) {
 	var head [8]byte
 	got := in.Peek(head[:])
 	if got < 4 {
@@ -59,11 +59,11 @@
 	in.Skip(n)
 	switch {
 	case code == codeSSL || code == codeGSS:
-		return Encrypt, true, nil
+		return StartupEncryption, true, nil
 	case code == codeCancel:
-		return Cancel, true, nil
+		return StartupCancel, true, nil
 	case code>>16 == major:
-		return Startup, true, nil
+		return StartupSession, true, nil
 	}
 	return 0, false, fmt.Errorf("protocol version %d.%d is not known", code>>16, code&0xffff)
 }
@@ -71,25 +71,25 @@
 // headLen is the type and the length.
 const headLen = 5
 
-// ErrLength says that a message's length cannot be.
-var ErrLength = errors.New("bad message length")
+// ErrMessageLength says that a message's length cannot be.
+var ErrMessageLength = errors.New("bad message length")
 
-// Next looks at the message that a chain starts with. size is the whole message's, head included; ok is
+// NextMessage looks at the message that a chain starts with. size is the whole message's, head included; ok is
 // false while it is not there whole. The length is checked as soon as it is there.
-func Next(in *buffer.Chain, most int) (kind byte, size int, ok bool, err error) {
+func NextMessage(in *buffer.Chain, most int) (kind byte, size int, ok bool, err error) {
 	var head [headLen]byte
 	if in.Peek(head[:]) < headLen {
 		return 0, 0, false, nil
 	}
 	n := int(int32(binary.BigEndian.Uint32(head[1:])))
 	if n < headLen-1 || n > most {
-		return head[0], 0, false, fmt.Errorf("%w: %d bytes in a message %q", ErrLength, n, head[0])
+		return head[0], 0, false, fmt.Errorf("%w: %d bytes in a message %q", ErrMessageLength, n, head[0])
 	}
 	return head[0], n + 1, in.Len() >= n+1, nil
 }
 
-// Message appends a message to b.
-func Message(b []byte, kind byte, body ...[]byte) []byte {
+// AppendMessage appends a message to b.
+func AppendMessage(b []byte, kind byte, body ...[]byte) []byte {
 	n := headLen - 1
 	for _, p := range body {
 		n += len(p)
@@ -103,19 +103,19 @@
 
 var zero = []byte{0}
 
-// Status appends a ParameterStatus.
-func Status(b []byte, name, value string) []byte {
-	return Message(b, 'S', []byte(name), zero, []byte(value), zero)
+// AppendParameterStatus appends a ParameterStatus.
+func AppendParameterStatus(b []byte, name, value string) []byte {
+	return AppendMessage(b, 'S', []byte(name), zero, []byte(value), zero)
 }
 
-// Ready appends ReadyForQuery.
-func Ready(b []byte) []byte { return Message(b, 'Z', []byte{'I'}) }
+// AppendReadyForQuery appends ReadyForQuery.
+func AppendReadyForQuery(b []byte) []byte { return AppendMessage(b, 'Z', []byte{'I'}) }
 
-// Empty appends the answer to an empty query, without ReadyForQuery.
-func Empty(b []byte) []byte { return Message(b, 'I') }
+// AppendEmptyQueryResponse appends the answer to an empty query, without ReadyForQuery.
+func AppendEmptyQueryResponse(b []byte) []byte { return AppendMessage(b, 'I') }
 
-// Error appends an ErrorResponse; detail may be empty.
-func Error(b []byte, fatal bool, code, message, detail string) []byte {
+// AppendErrorResponse appends an ErrorResponse; detail may be empty.
+func AppendErrorResponse(b []byte, fatal bool, code, message, detail string) []byte {
 	severity := "ERROR"
 	if fatal {
 		severity = "FATAL"
@@ -124,30 +124,30 @@
 	if detail != "" {
 		body += "D" + detail + "\x00"
 	}
-	return Message(b, 'E', []byte(body), zero)
+	return AppendMessage(b, 'E', []byte(body), zero)
 }
 
-// Welcome appends what follows a client's start-up packet.
-func Welcome(b []byte) []byte {
-	b = Message(b, 'R', []byte{0, 0, 0, 0})
-	b = Status(b, "server_version", "16.0")
-	b = Status(b, "server_encoding", "UTF8")
-	b = Status(b, "client_encoding", "UTF8")
-	b = Status(b, "standard_conforming_strings", "on")
-	b = Message(b, 'K', make([]byte, 8))
-	return Ready(b)
+// AppendStartupReply appends what follows a client's start-up packet.
+func AppendStartupReply(b []byte) []byte {
+	b = AppendMessage(b, 'R', []byte{0, 0, 0, 0})
+	b = AppendParameterStatus(b, "server_version", "16.0")
+	b = AppendParameterStatus(b, "server_encoding", "UTF8")
+	b = AppendParameterStatus(b, "client_encoding", "UTF8")
+	b = AppendParameterStatus(b, "standard_conforming_strings", "on")
+	b = AppendMessage(b, 'K', make([]byte, 8))
+	return AppendReadyForQuery(b)
 }
 
-// Hello appends the start-up packet that a router sends to a member.
-func Hello(b []byte) []byte {
+// AppendStartupMessage appends the start-up packet that a router sends to a member.
+func AppendStartupMessage(b []byte) []byte {
 	body := "\x00\x03\x00\x00user\x00app\x00database\x00shop\x00\x00"
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(body)+4)), body...)
 }
 
-// Query appends a simple query.
-func Query(b []byte, text string) []byte { return Message(b, 'Q', []byte(text), zero) }
+// AppendQuery appends a simple query.
+func AppendQuery(b []byte, text string) []byte { return AppendMessage(b, 'Q', []byte(text), zero) }
 
-// QueryHead appends the head of a simple query whose text has so many bytes, final zero included.
-func QueryHead(b []byte, text int) []byte {
+// AppendQueryHeader appends the head of a simple query whose text has so many bytes, final zero included.
+func AppendQueryHeader(b []byte, text int) []byte {
 	return binary.BigEndian.AppendUint32(append(b, 'Q'), uint32(text+headLen-1))
 }
--- a/internal/pg/receive.go
+++ b/internal/pg/receive.go
@@ -6,8 +6,8 @@
 	"io"
 )
 
-// Receive reads one message whole, for whoever is a client and may wait. Its body is most bytes long at most.
-func Receive(r io.Reader, most int) (kind byte, body []byte, err error) {
+// ReceiveMessage reads one message whole, for whoever is a client and may wait. Its body is most bytes long at most.
+func ReceiveMessage(r io.Reader, most int) (kind byte, body []byte, err error) {
 	var head [5]byte
 	if _, err = io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, fmt.Errorf("message: %w", err)
--- a/internal/pg/receive_test.go
+++ b/internal/pg/receive_test.go
@@ -9,17 +9,19 @@
 )
 
 func TestReceive(t *testing.T) {
-	r := bytes.NewReader(Query(Ready(nil), "abc"))
-	kind, body, err := Receive(r, 100)
+	r := bytes.NewReader(AppendQuery(AppendReadyForQuery(nil), "abc"))
+	kind, body, err := ReceiveMessage(r, 100)
 	require.NoError(t, err)
 	assert.Equal(t, byte('Z'), kind)
 	assert.Equal(t, "I", string(body))
-	_, body, err = Receive(r, 100)
+	_, body, err = ReceiveMessage(r, 100)
 	require.NoError(t, err)
 	assert.Equal(t, "abc\x00", string(body))
-	for text, says := range map[string]string{"": "EOF", "Q\x00": "unexpected EOF", "Q\x00\x00\x00\x08a": "unexpected EOF",
-		"Q\x00\x00\x00\x03": "its length is -1", "Q\x00\x00\x01\x00": "100 at most", "Q\xff\xff\xff\xff": "100 at most"} {
-		_, _, err := Receive(bytes.NewReader([]byte(text)), 100)
+	for text, says := range map[string]string{
+		"": "EOF", "Q\x00": "unexpected EOF", "Q\x00\x00\x00\x08a": "unexpected EOF",
+		"Q\x00\x00\x00\x03": "its length is -1", "Q\x00\x00\x01\x00": "100 at most", "Q\xff\xff\xff\xff": "100 at most",
+	} {
+		_, _, err := ReceiveMessage(bytes.NewReader([]byte(text)), 100)
 		assert.ErrorContains(t, err, says, "%q", text)
 	}
 }
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -11,19 +11,19 @@
 
 // Statement is what the router reads off a client's query. All else in it is passed on unseen.
 type Statement struct {
-	Empty      bool
-	ID         string
-	Keyed      bool // it bears a key by which a repeat is known
-	Group      string
-	Cluster    int
-	Wait       float64 // seconds from the client's send for which it waits
-	WriteAt    float64 // Unix seconds of the session's last write; 0: not told
-	Repeat     bool
-	Session    uint64 // told by the first quoted value; 0: none
-	From, To   int    // where the digits of the wait stand in the text
-	hasGroup   bool
-	hasCluster bool
-	hasWait    bool
+	Empty              bool
+	ID                 string
+	HasIdempotencyKey  bool // it bears a key by which a repeat is known
+	Group              string
+	Shard              int
+	Wait               float64 // seconds from the client's send for which it waits
+	LastWriteAt        float64 // Unix seconds of the session's last write; 0: not told
+	ClientRetry        bool
+	Session            uint64 // told by the first quoted value; 0: none
+	WaitStart, WaitEnd int    // where the digits of the wait stand in the text
+	hasGroup           bool
+	hasCluster         bool
+	hasWait            bool
 }
 
 // Places of the scanner in a statement.
@@ -139,9 +139,9 @@
 	}
 }
 
-// Parse reads a query's text, which is n bytes of a chain from an offset on, final zero included. Its comment
+// ParseStatement reads a query's text, which is n bytes of a chain from an offset on, final zero included. Its comment
 // may have most bytes.
-func Parse(in *buffer.Chain, from, n, most int) (Statement, error) {
+func ParseStatement(in *buffer.Chain, from, n, most int) (Statement, error) {
 	s := scanner{most: most}
 	last := byte(1)
 	if n > 0 {
@@ -206,25 +206,25 @@
 		seen, st.ID = st.ID != "", value
 		err = hexadecimal(value)
 	case "k":
-		st.Keyed = true
+		st.HasIdempotencyKey = true
 		err = hexadecimal(value)
 	case "c":
 		seen, st.hasGroup, st.Group = st.hasGroup, true, value
 	case "r":
-		st.Repeat = value == "1"
+		st.ClientRetry = value == "1"
 	case "d":
 		n, err = strconv.ParseInt(value, 10, 32)
 		if err == nil && n <= 0 {
 			err = errors.New("it must be above 0")
 		}
 		seen, st.hasWait, st.Wait = st.hasWait, true, float64(n)/1000
-		st.From, st.To = at, at+len(value)
+		st.WaitStart, st.WaitEnd = at, at+len(value)
 	case "cluster":
 		n, err = strconv.ParseInt(value, 10, 32)
-		seen, st.hasCluster, st.Cluster = st.hasCluster, true, int(n)
+		seen, st.hasCluster, st.Shard = st.hasCluster, true, int(n)
 	case "after":
 		n, err = strconv.ParseInt(value, 10, 64)
-		st.WriteAt = float64(n) / 1000
+		st.LastWriteAt = float64(n) / 1000
 	}
 	switch {
 	case err != nil:
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -174,21 +174,21 @@
 // message is what a client says as its n-th, the start-up packet first.
 func (s *clients) message(client, n int) []byte {
 	if n == 0 {
-		return pg.Hello(nil)
+		return pg.AppendStartupMessage(nil)
 	}
 	switch kind := s.bounds.Commands[n-1]; kind {
 	case "empty":
-		return pg.Query(nil, "")
+		return pg.AppendQuery(nil, "")
 	case "bad":
-		return pg.Query(nil, "SELECT 1")
+		return pg.AppendQuery(nil, "SELECT 1")
 	case "extended":
-		return pg.Message(pg.Message(nil, 'P', []byte("x\x00\x00\x00\x00")), 'S')
+		return pg.AppendMessage(pg.AppendMessage(nil, 'P', []byte("x\x00\x00\x00\x00")), 'S')
 	case "quit":
-		return pg.Message(nil, 'X')
+		return pg.AppendMessage(nil, 'X')
 	case "garbage":
 		return []byte("?\x00\x00\x00\x04")
 	default:
-		return pg.Query(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = '%c' /* id=%d%d,c=look,d=900,cluster=2 */", 'a'+n, client+1, n))
+		return pg.AppendQuery(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = '%c' /* id=%d%d,c=look,d=900,cluster=2 */", 'a'+n, client+1, n))
 	}
 }
 
@@ -203,13 +203,13 @@
 		case "empty":
 			return a.Empty
 		case "bad":
-			return a.Code == pg.CodeSyntax
+			return a.Code == pg.CodeSyntaxError
 		case "extended":
-			return a.Code == pg.CodeUnsupported
+			return a.Code == pg.CodeFeatureNotSupported
 		case "quit", "garbage":
-			return a.Code == pg.CodeProtocol
+			return a.Code == pg.CodeProtocolViolation
 		}
-		return a.Value == fmt.Sprintf("%d%d", client+1, n) || a.Code == pg.CodeFull || a.Code == pg.CodeFailed
+		return a.Value == fmt.Sprintf("%d%d", client+1, n) || a.Code == pg.CodeTooManyConnections || a.Code == pg.CodeSystemError
 	}
 }
 
@@ -238,7 +238,7 @@
 					a.Code = f[1:]
 				}
 			}
-			if a.Code == pg.CodeProtocol { // no ReadyForQuery comes after it
+			if a.Code == pg.CodeProtocolViolation { // no ReadyForQuery comes after it
 				out, a = append(out, a), verdict.Answer{}
 			}
 		case 'Z':
@@ -399,9 +399,9 @@
 		s.front.Fail(t.c)
 	default:
 		row := s.blocks.New()
-		b := pg.Message(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
-		b = pg.Message(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(to.name))), []byte(to.name))
-		row.Write(pg.Message(b, 'C', []byte("SELECT 1\x00")))
+		b := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
+		b = pg.AppendMessage(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(to.name))), []byte(to.name))
+		row.Write(pg.AppendMessage(b, 'C', []byte("SELECT 1\x00")))
 		s.front.Answer(t.c, &row)
 	}
 	t.c.Statement.Free()
@@ -416,10 +416,10 @@
 		var may []func(verdict.Answer) bool
 		for n := range c.said {
 			own := s.may(i, n)
-			may = append(may, func(a verdict.Answer) bool { return own(a) || c.slow && a.Code == pg.CodeProtocol })
+			may = append(may, func(a verdict.Answer) bool { return own(a) || c.slow && a.Code == pg.CodeProtocolViolation })
 		}
 		if c.half { // its own half message may be found wrong
-			may = append(may, func(a verdict.Answer) bool { return a.Code == pg.CodeProtocol })
+			may = append(may, func(a verdict.Answer) bool { return a.Code == pg.CodeProtocolViolation })
 		}
 		s.check.Read(i, answers(c.got), may)
 	}
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -201,13 +201,13 @@
 // answer is what the member says to a question; "" is the start-up.
 func answerTo(question string) []byte {
 	if question == "" {
-		return pg.Welcome(nil)
+		return pg.AppendStartupReply(nil)
 	}
 	v := "value " + strings.SplitN(question, "'", 3)[1]
-	b := pg.Message(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
-	b = pg.Message(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(v))), []byte(v))
-	b = pg.Message(b, 'C', []byte("SELECT 1\x00"))
-	return pg.Ready(pg.Status(b, "recovery", "on"))
+	b := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
+	b = pg.AppendMessage(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(v))), []byte(v))
+	b = pg.AppendMessage(b, 'C', []byte("SELECT 1\x00"))
+	return pg.AppendReadyForQuery(pg.AppendParameterStatus(b, "recovery", "on"))
 }
 
 // Steps implements explore.System.
@@ -394,7 +394,7 @@
 		k.in = append(k.in, a[:len(a)/2]...)
 		p.half = a[len(a)/2:]
 	case "full":
-		k.in = append(k.in, pg.Ready(pg.Error(nil, false, pg.CodeFull, "no room", ""))...)
+		k.in = append(k.in, pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, pg.CodeTooManyConnections, "no room", ""))...)
 	case "spoil":
 		k.in = append(k.in, "D\xff\xff\xff\xff"...)
 	}
