--- a/internal/front/backend_test.go
+++ b/internal/front/backend_test.go
@@ -159,4 +159,6 @@
 }
 
 // overloaded is an answer that rejects a command unseen.
-func overloaded(string) []byte { return pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, pg.CodeTooManyConnections, "full", "")) }
+func overloaded(string) []byte {
+	return pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, pg.CodeTooManyConnections, "full", ""))
+}
--- a/internal/member/attempt.go
+++ b/internal/member/attempt.go
@@ -11,13 +11,13 @@
 // Attempt is one sending of a command to one backend. The caller fills the exported fields and must not change them
 // until the attempt has ended. Times are in seconds on the event loop's clock.
 type Attempt struct {
-	CommandID    uint32
-	Index        int           // index of the attempt among those of its command
-	Endpoint     int           // index of the endpoint that it is sent to
-	Statement    *buffer.Chain // the statement's text, final zero included; it stays the caller's
+	CommandID uint32
+	Index     int           // index of the attempt among those of its command
+	Endpoint  int           // index of the endpoint that it is sent to
+	Statement *buffer.Chain // the statement's text, final zero included; it stays the caller's
 	WaitStart int           // where the digits of the client's waiting time begin in Statement
 	WaitEnd   int           // where they end
-	Deadline     float64       // when the attempt ends as timed out
+	Deadline  float64       // when the attempt ends as timed out
 
 	conn   *conn // nil before it is sent and after it has ended
 	sentAt float64
