--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -28,20 +28,20 @@
 		c.protocolError(pg.CodeProtocolViolation, fmt.Sprintf("unknown message type %q", kind))
 		return false
 	}
-	kind, size, ok, err := pg.NextMessage(&c.input, c.server.limits.Sizes.ClientMessage)
+	message, err := pg.PeekMessage(&c.input, c.server.limits.Sizes.ClientMessage)
 	if err != nil {
 		c.protocolError(pg.CodeProtocolViolation, err.Error())
 		return false
 	}
-	if !ok {
+	if !message.Complete {
 		return false
 	}
-	if kind == messageTerminate {
+	if message.Kind == messageTerminate {
 		c.close()
 		return false
 	}
-	c.handleMessage(kind, size)
-	c.input.Skip(size)
+	c.handleMessage(message.Kind, message.Size)
+	c.input.Skip(message.Size)
 	return true
 }
 
--- a/internal/pg/answer_test.go
+++ b/internal/pg/answer_test.go
@@ -79,7 +79,7 @@
 	} {
 		a := Answer{Row: *chain(nil)}
 		_, err := a.Take(chain(b), 60000, 1024)
-		assert.Error(t, err, what)
+		require.Error(t, err, what)
 	}
 	a := Answer{Row: *chain(nil)}
 	done, err := a.Take(chain(AppendReadyForQuery(nil)), 1024, 1024)
--- a/internal/pg/message.go
+++ b/internal/pg/message.go
@@ -1,96 +1,132 @@
-// Package pg parses and writes version 3 of PostgreSQL's wire protocol, as far as simple queries need
-// it. It does no I/O.
+// Package pg parses and writes version 3 of PostgreSQL's wire protocol, as far as simple queries need it. It does no I/O
+// but for ReceiveMessage.
 package pg
 
 import (
 	"encoding/binary"
-	"errors"
 	"fmt"
 	"io"
 
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// headLen is the type and the length.
-const headLen = 5
+// Types of messages.
+const (
+	kindAuthentication       = 'R'
+	kindBackendKeyData       = 'K'
+	kindCommandComplete      = 'C'
+	kindDataRow              = 'D'
+	kindEmptyQueryResponse   = 'I'
+	kindErrorResponse        = 'E'
+	kindNoticeResponse       = 'N'
+	kindNotificationResponse = 'A'
+	kindParameterStatus      = 'S'
+	kindQuery                = 'Q'
+	kindReadyForQuery        = 'Z'
+	kindRowDescription       = 'T'
+)
 
-// ErrMessageLength says that a message's length cannot be.
-var ErrMessageLength = errors.New("bad message length")
+// Sizes of a message's parts, in bytes.
+const (
+	lengthSize = 4              // the length, which counts itself but not the type
+	headerSize = 1 + lengthSize // the type and the length
+)
 
-// NextMessage looks at the message that a chain starts with. size is the whole message's, head included; ok is
-// false while it is not there whole. The length is checked as soon as it is there.
-func NextMessage(in *buffer.Chain, most int) (kind byte, size int, ok bool, err error) {
-	var head [headLen]byte
-	if in.Peek(head[:]) < headLen {
-		return 0, 0, false, nil
+// MessageHeader is what the beginning of a message tells. The zero value stands for a header that is not complete.
+type MessageHeader struct {
+	Kind     byte
+	Size     int  // bytes of the message, header included
+	Complete bool // the message is there completely
+}
+
+// PeekMessage returns the header of the message that a chain begins with, and leaves the message there. A length that
+// cannot be or is above maxLength is a *MessageError for ErrMessageLength, as soon as the header is complete.
+func PeekMessage(in *buffer.Chain, maxLength int) (MessageHeader, error) {
+	var header [headerSize]byte
+	if in.Peek(header[:]) < headerSize {
+		return MessageHeader{}, nil
 	}
-	n := int(int32(binary.BigEndian.Uint32(head[1:])))
-	if n < headLen-1 || n > most {
-		return head[0], 0, false, fmt.Errorf("%w: %d bytes in a message %q", ErrMessageLength, n, head[0])
+	kind := header[0]
+	length := int(int32(binary.BigEndian.Uint32(header[1:])))
+	if length < lengthSize || length > maxLength {
+		return MessageHeader{}, lengthError(ErrMessageLength, kind, length)
 	}
-	return head[0], n + 1, in.Len() >= n+1, nil
+	size := 1 + length
+	return MessageHeader{Kind: kind, Size: size, Complete: in.Len() >= size}, nil
 }
 
-// ReceiveMessage reads one message whole, for whoever is a client and may wait. Its body is most bytes long at most.
-func ReceiveMessage(r io.Reader, most int) (kind byte, body []byte, err error) {
-	var head [5]byte
-	if _, err = io.ReadFull(r, head[:]); err != nil {
+// ReceiveMessage reads one complete message, whose body has at most maxBody bytes. It blocks, and is for clients that may
+// wait. Its errors wrap those of the reader, or ErrMessageLength.
+func ReceiveMessage(r io.Reader, maxBody int) (kind byte, body []byte, err error) {
+	var header [headerSize]byte
+	if _, err = io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, fmt.Errorf("message: %w", err)
 	}
-	n := int64(binary.BigEndian.Uint32(head[1:])) - 4
-	if n < 0 || n > int64(most) {
-		return 0, nil, fmt.Errorf("message %q: its length is %d, %d at most", head[0], n, most)
+	kind = header[0]
+	length := int64(binary.BigEndian.Uint32(header[1:])) - lengthSize
+	if length < 0 || length > int64(maxBody) {
+		return 0, nil, &MessageError{
+			Kind:   kind,
+			Length: int(length),
+			Reason: fmt.Sprintf("message %q: its length is %d, %d at most", kind, length, maxBody),
+			Err:    ErrMessageLength,
+		}
 	}
-	body = make([]byte, n)
+	body = make([]byte, length)
 	if _, err = io.ReadFull(r, body); err != nil {
-		return 0, nil, fmt.Errorf("message %q: %w", head[0], err)
+		return 0, nil, fmt.Errorf("message %q: %w", kind, err)
 	}
-	return head[0], body, nil
+	return kind, body, nil
 }
 
-// AppendMessage appends a message to b.
+// AppendMessage appends a message whose body stands in pieces.
 func AppendMessage(b []byte, kind byte, body ...[]byte) []byte {
-	n := headLen - 1
-	for _, p := range body {
-		n += len(p)
+	length := lengthSize
+	for _, piece := range body {
+		length += len(piece)
 	}
-	b = binary.BigEndian.AppendUint32(append(b, kind), uint32(n))
-	for _, p := range body {
-		b = append(b, p...)
+	b = append(b, kind)
+	b = binary.BigEndian.AppendUint32(b, uint32(length))
+	for _, piece := range body {
+		b = append(b, piece...)
 	}
 	return b
 }
 
+// zero ends strings in messages.
 var zero = []byte{0}
 
 // AppendParameterStatus appends a ParameterStatus.
 func AppendParameterStatus(b []byte, name, value string) []byte {
-	return AppendMessage(b, 'S', []byte(name), zero, []byte(value), zero)
+	return AppendMessage(b, kindParameterStatus, []byte(name), zero, []byte(value), zero)
 }
 
-// AppendReadyForQuery appends ReadyForQuery.
-func AppendReadyForQuery(b []byte) []byte { return AppendMessage(b, 'Z', []byte{'I'}) }
+// AppendReadyForQuery appends a ReadyForQuery outside a transaction.
+func AppendReadyForQuery(b []byte) []byte { return AppendMessage(b, kindReadyForQuery, []byte{'I'}) }
 
 // AppendEmptyQueryResponse appends the answer to an empty query, without ReadyForQuery.
-func AppendEmptyQueryResponse(b []byte) []byte { return AppendMessage(b, 'I') }
+func AppendEmptyQueryResponse(b []byte) []byte { return AppendMessage(b, kindEmptyQueryResponse) }
 
-// AppendErrorResponse appends an ErrorResponse; detail may be empty.
+// AppendErrorResponse appends an ErrorResponse of the severity ERROR or, if the connection ends with it, FATAL. detail
+// may be empty.
 func AppendErrorResponse(b []byte, fatal bool, code, message, detail string) []byte {
-	severity := "ERROR"
+	severity := severityError
 	if fatal {
-		severity = "FATAL"
+		severity = severityFatal
 	}
 	body := "S" + severity + "\x00V" + severity + "\x00C" + code + "\x00M" + message + "\x00"
 	if detail != "" {
 		body += "D" + detail + "\x00"
 	}
-	return AppendMessage(b, 'E', []byte(body), zero)
+	return AppendMessage(b, kindErrorResponse, []byte(body), zero)
 }
 
 // AppendQuery appends a simple query.
-func AppendQuery(b []byte, text string) []byte { return AppendMessage(b, 'Q', []byte(text), zero) }
+func AppendQuery(b []byte, text string) []byte {
+	return AppendMessage(b, kindQuery, []byte(text), zero)
+}
 
-// AppendQueryHeader appends the head of a simple query whose text has so many bytes, final zero included.
-func AppendQueryHeader(b []byte, text int) []byte {
-	return binary.BigEndian.AppendUint32(append(b, 'Q'), uint32(text+headLen-1))
+// AppendQueryHeader appends the header of a simple query whose text has so many bytes, final zero included.
+func AppendQueryHeader(b []byte, textSize int) []byte {
+	return binary.BigEndian.AppendUint32(append(b, kindQuery), uint32(textSize+lengthSize))
 }
--- a/internal/pg/message_test.go
+++ b/internal/pg/message_test.go
@@ -10,13 +10,13 @@
 
 func TestLengthIsCheckedBeforeTheMessageIsThere(t *testing.T) {
 	for _, b := range []string{"Q\xff\xff\xff\xff", "Q\x00\x00\x00\x03", "Q\x00\x00\x04\x01"} {
-		_, _, _, err := NextMessage(chain([]byte(b)), 1024)
-		assert.ErrorIs(t, err, ErrMessageLength, "%q", b)
+		_, err := PeekMessage(chain([]byte(b)), 1024)
+		require.ErrorIs(t, err, ErrMessageLength, "%q", b)
 	}
-	_, size, ok, err := NextMessage(chain([]byte("Q\x00\x00\x04\x00")), 1024)
+	message, err := PeekMessage(chain([]byte("Q\x00\x00\x04\x00")), 1024)
 	require.NoError(t, err)
-	assert.False(t, ok)
-	assert.Equal(t, 1025, size)
+	assert.False(t, message.Complete)
+	assert.Equal(t, 1025, message.Size)
 }
 
 func TestReceive(t *testing.T) {
--- a/internal/pg/scanner.go
+++ b/internal/pg/scanner.go
@@ -1,114 +1,156 @@
 package pg
 
-// Places of the scanner in a statement.
+// scanContext is the kind of text that a scanner is in.
+type scanContext int
+
 const (
-	plain = iota
-	quoted
-	escaped
-	named
-	line
-	block
+	contextPlain         scanContext = iota
+	contextString                    // 'a literal'
+	contextEscapedString             // E'a literal with backslashes'
+	contextIdentifier                // "a quoted identifier"
+	contextLineComment               // -- to the end of the line
+	contextBlockComment              // /* may be nested */
 )
 
-// scanner goes over a statement byte by byte, so that it may lie in pieces.
+// scanner goes over a statement byte by byte, so that the statement may lie in pieces. It finds the statement's last
+// block comment, hashes its first string, and notices a second statement.
 type scanner struct {
-	most             int // bytes of a comment
-	at, place, depth int
-	prev             byte
-	any, ended, over bool   // something but space; a semicolon; something behind that
-	literals         int    // quoted values so far
-	key              uint64 // hash of the first
-	comment          []byte // the last comment
-	commentAt        int
+	maxComment int // bytes of a comment that are kept, but for one more that tells that it is longer
+	offset     int // bytes scanned
+	context    scanContext
+	depth      int // of nested block comments
+	previous   byte
+
+	hasText       bool // there is something but space and comments
+	afterEnd      bool // a semicolon was seen
+	hasSecond     bool // there is text behind a semicolon
+	strings       int  // strings so far
+	stringHash    uint64
+	comment       []byte // the last block comment, without its delimiters
+	commentOffset int    // where it begins; 0: there was none
 }
 
-// FNV-1a, 64 bits.
+// Parameters of the 64-bit FNV-1a hash.
 const (
 	hashStart = 14695981039346656037
 	hashPrime = 1099511628211
 )
 
-func (s *scanner) piece(b []byte) {
-	for _, c := range b {
+// scan scans one piece of the statement.
+func (s *scanner) scan(piece []byte) {
+	for _, c := range piece {
 		s.step(c)
-		s.at++
+		s.offset++
 	}
 }
 
+// step scans one byte.
 func (s *scanner) step(c byte) {
-	prev := s.prev
-	s.prev = c
-	switch s.place {
-	case plain:
-		s.plainly(prev, c)
-	case quoted, escaped:
-		switch {
-		case s.place == escaped && prev == '\\':
-			s.prev = 0 // an escaped backslash escapes nothing
-		case c == '\'':
-			s.place = plain
-		}
-		if s.place != plain && s.literals == 1 {
-			s.key = (s.key ^ uint64(c)) * hashPrime
-		}
-	case named:
+	previous := s.previous
+	s.previous = c
+	switch s.context {
+	case contextPlain:
+		s.stepPlain(previous, c)
+	case contextString, contextEscapedString:
+		s.stepString(previous, c)
+	case contextIdentifier:
 		if c == '"' {
-			s.place = plain
+			s.context = contextPlain
 		}
-	case line:
+	case contextLineComment:
 		if c == '\n' {
-			s.place = plain
-		}
-	case block:
-		switch {
-		case prev == '*' && c == '/':
-			s.prev = 0
-			if s.depth--; s.depth == 0 {
-				s.place = plain
-				if len(s.comment) <= s.most {
-					s.comment = s.comment[:max(0, len(s.comment)-1)] // its end's star
-				}
-				return
-			}
-		case prev == '/' && c == '*':
-			s.prev = 0
-			s.depth++
-		}
-		if len(s.comment) <= s.most {
-			s.comment = append(s.comment, c)
+			s.context = contextPlain
 		}
+	case contextBlockComment:
+		s.stepBlockComment(previous, c)
 	}
 }
 
-func (s *scanner) plainly(prev, c byte) {
+// stepPlain scans a byte outside strings, identifiers and comments.
+func (s *scanner) stepPlain(previous, c byte) {
 	switch {
-	case c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f':
-		return
-	case prev == '-' && c == '-':
-		s.place = line
-		return
-	case prev == '/' && c == '*':
-		s.place, s.depth, s.prev = block, 1, 0
-		s.comment, s.commentAt = s.comment[:0], s.at+1
-		return
-	case c == '/' || c == '-':
-		return // a comment's start, or an operator between what counts anyway
+	case isSpace(c):
+	case previous == '-' && c == '-':
+		s.context = contextLineComment
+	case previous == '/' && c == '*':
+		s.context = contextBlockComment
+		s.depth = 1
+		s.previous = 0
+		s.comment = s.comment[:0]
+		s.commentOffset = s.offset + 1
+	case c == '/' || c == '-': // the beginning of a comment, or an operator, which has text on either side
 	case c == ';':
-		s.ended = true
-		return
+		s.afterEnd = true
+	default:
+		s.stepText(previous, c)
 	}
-	s.any = true
-	s.over = s.over || s.ended
+}
+
+// stepText scans a byte of the statement's text proper.
+func (s *scanner) stepText(previous, c byte) {
+	s.hasText = true
+	s.hasSecond = s.hasSecond || s.afterEnd
 	switch c {
 	case '\'':
-		s.place = quoted
-		if prev == 'E' || prev == 'e' {
-			s.place = escaped
+		s.context = contextString
+		if previous == 'E' || previous == 'e' {
+			s.context = contextEscapedString
 		}
-		if s.literals++; s.literals == 1 {
-			s.key = hashStart
+		s.strings++
+		if s.strings == 1 {
+			s.stringHash = hashStart
 		}
 	case '"':
-		s.place = named
+		s.context = contextIdentifier
+	}
+}
+
+// stepString scans a byte of a string or its closing quote. A doubled quote ends the string and begins another.
+func (s *scanner) stepString(previous, c byte) {
+	switch {
+	case s.context == contextEscapedString && previous == '\\':
+		s.previous = 0 // an escaped backslash escapes nothing
+	case c == '\'':
+		s.context = contextPlain
+		return
+	}
+	if s.strings == 1 {
+		s.stringHash = (s.stringHash ^ uint64(c)) * hashPrime
+	}
+}
+
+// stepBlockComment scans a byte of a block comment or its end.
+func (s *scanner) stepBlockComment(previous, c byte) {
+	switch {
+	case previous == '*' && c == '/':
+		s.previous = 0
+		s.depth--
+		if s.depth == 0 {
+			s.endBlockComment()
+			return
+		}
+	case previous == '/' && c == '*':
+		s.previous = 0
+		s.depth++
+	}
+	if len(s.comment) <= s.maxComment {
+		s.comment = append(s.comment, c)
+	}
+}
+
+// endBlockComment takes the closing delimiter's star off the comment, unless the comment is too long anyway.
+func (s *scanner) endBlockComment() {
+	s.context = contextPlain
+	if len(s.comment) <= s.maxComment {
+		s.comment = s.comment[:max(0, len(s.comment)-1)]
+	}
+}
+
+// isSpace reports whether PostgreSQL takes a byte for white space.
+func isSpace(c byte) bool {
+	switch c {
+	case ' ', '\t', '\n', '\r', '\f':
+		return true
 	}
+	return false
 }
--- a/internal/pg/startup.go
+++ b/internal/pg/startup.go
@@ -2,69 +2,80 @@
 
 import (
 	"encoding/binary"
-	"fmt"
 
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// Codes that a start-up packet opens with.
+// Codes at the beginning of a start-up packet: the protocol's version, or a request.
 const (
-	major      = 3
-	codeSSL    = 80877103
-	codeGSS    = 80877104
-	codeCancel = 80877102
+	protocolMajor         = 3
+	codeEncryptionRequest = 80877103 // SSLRequest
+	codeGSSRequest        = 80877104 // GSSENCRequest
+	codeCancelRequest     = 80877102
 )
 
+// startupHeader is the size of a start-up packet's length and code, in bytes.
+const startupHeader = 8
+
 // StartupKind is what a start-up packet asks for.
 type StartupKind int
 
 // Kinds of start-up packets.
 const (
-	StartupSession    StartupKind = iota
-	StartupEncryption             // to be answered with N
-	StartupCancel                 // to be closed
+	StartupSession    StartupKind = iota // a session, to be answered by AppendStartupReply
+	StartupEncryption                    // encryption, to be refused by the one byte N; another packet follows
+	StartupCancel                        // the cancellation of a query; the connection is to be closed
 )
 
-// ReadStartup takes a start-up packet of most bytes at the most off a chain. ok is false while it is not whole.
-func ReadStartup(in *buffer.Chain, most int) (kind StartupKind, ok bool, err error) {
-	var head [8]byte
-	got := in.Peek(head[:])
-	if got < 4 {
+// ReadStartup takes a start-up packet of at most so many bytes off a chain. ok is false while it is not complete. Its
+// errors are of the types *StartupLengthError and *VersionError.
+func ReadStartup(in *buffer.Chain, maxLength int) (kind StartupKind, ok bool, err error) {
+	var header [startupHeader]byte
+	got := in.Peek(header[:])
+	if got < lengthSize {
 		return 0, false, nil
 	}
-	n := int(int32(binary.BigEndian.Uint32(head[:])))
-	if n < len(head) || n > most {
-		return 0, false, fmt.Errorf("start-up packet of %d bytes", n)
+	length := int(int32(binary.BigEndian.Uint32(header[:])))
+	if length < startupHeader || length > maxLength {
+		return 0, false, &StartupLengthError{Length: length}
 	}
-	if got < len(head) || in.Len() < n {
+	if in.Len() < length {
 		return 0, false, nil
 	}
-	code := binary.BigEndian.Uint32(head[4:])
-	in.Skip(n)
+	code := binary.BigEndian.Uint32(header[lengthSize:])
+	in.Skip(length)
+	kind, err = startupKind(code)
+	return kind, err == nil, err
+}
+
+// startupKind returns what a start-up packet's code asks for.
+func startupKind(code uint32) (StartupKind, error) {
+	major, minor := int(code>>16), int(code&0xffff)
 	switch {
-	case code == codeSSL || code == codeGSS:
-		return StartupEncryption, true, nil
-	case code == codeCancel:
-		return StartupCancel, true, nil
-	case code>>16 == major:
-		return StartupSession, true, nil
+	case code == codeEncryptionRequest || code == codeGSSRequest:
+		return StartupEncryption, nil
+	case code == codeCancelRequest:
+		return StartupCancel, nil
+	case major == protocolMajor:
+		return StartupSession, nil
 	}
-	return 0, false, fmt.Errorf("protocol version %d.%d is not known", code>>16, code&0xffff)
+	return 0, &VersionError{Major: major, Minor: minor}
 }
 
-// AppendStartupReply appends what follows a client's start-up packet.
+// AppendStartupReply appends what a server sends in answer to a client's start-up packet, ReadyForQuery included.
 func AppendStartupReply(b []byte) []byte {
-	b = AppendMessage(b, 'R', []byte{0, 0, 0, 0})
+	b = AppendMessage(b, kindAuthentication, []byte{0, 0, 0, 0})
 	b = AppendParameterStatus(b, "server_version", "16.0")
 	b = AppendParameterStatus(b, "server_encoding", "UTF8")
 	b = AppendParameterStatus(b, "client_encoding", "UTF8")
 	b = AppendParameterStatus(b, "standard_conforming_strings", "on")
-	b = AppendMessage(b, 'K', make([]byte, 8))
+	b = AppendMessage(b, kindBackendKeyData, make([]byte, 8))
 	return AppendReadyForQuery(b)
 }
 
-// AppendStartupMessage appends the start-up packet that a router sends to a member.
+// AppendStartupMessage appends the start-up packet that the router sends to a backend.
 func AppendStartupMessage(b []byte) []byte {
 	body := "\x00\x03\x00\x00user\x00app\x00database\x00shop\x00\x00"
-	return append(binary.BigEndian.AppendUint32(b, uint32(len(body)+4)), body...)
+	b = binary.BigEndian.AppendUint32(b, uint32(len(body)+lengthSize))
+	return append(b, body...)
 }
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -9,129 +9,202 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// Statement is what the router reads off a client's query. All else in it is passed on unseen.
+// Statement is what the router reads from a client's query: the parameters in its last comment, and its first string. The
+// rest is passed on unread.
 type Statement struct {
-	Empty              bool
-	ID                 string
-	HasIdempotencyKey  bool // it bears a key by which a repeat is known
-	Group              string
-	Shard              int
-	Wait               float64 // seconds from the client's send for which it waits
-	LastWriteAt        float64 // Unix seconds of the session's last write; 0: not told
-	ClientRetry        bool
-	Session            uint64 // told by the first quoted value; 0: none
-	WaitStart, WaitEnd int    // where the digits of the wait stand in the text
-	hasGroup           bool
-	hasCluster         bool
-	hasWait            bool
+	Empty             bool    // there is nothing but space, comments and semicolons; the other fields are not set
+	ID                string  // parameter id: the client's name of the command
+	HasIdempotencyKey bool    // parameter k is there: a backend recognizes a repeated command by its key
+	Group             string  // parameter c: the name of the command group
+	Shard             int     // parameter cluster: the client's number of the shard
+	Wait              float64 // parameter d: seconds for which the client waits, counted from when it sent the query
+	LastWriteAt       float64 // parameter after: Unix seconds of the session's last write; 0: not given
+	ClientRetry       bool    // parameter r: the client has sent this command before
+	Session           uint64  // a hash of the first string, which names the session; 0: there is no string
+	WaitStart         int     // where the digits of parameter d begin in the text
+	WaitEnd           int     // where they end
+
+	hasGroup bool
+	hasShard bool
+	hasWait  bool
 }
 
-// ParseStatement reads a query's text, which is n bytes of a chain from an offset on, final zero included. Its comment
-// may have most bytes.
-func ParseStatement(in *buffer.Chain, from, n, most int) (Statement, error) {
-	s := scanner{most: most}
-	last := byte(1)
-	if n > 0 {
-		in.Each(from+n-1, 1, func(b []byte) { last = b[0] })
+// ParseStatement parses a query's text, which is size bytes of a chain from an offset on, final zero included. Its comment
+// may have maxComment bytes. Its errors are of the type *SyntaxError.
+func ParseStatement(in *buffer.Chain, offset, size, maxComment int) (Statement, error) {
+	if !endsWithZero(in, offset, size) {
+		return Statement{}, syntaxError(size, "the query does not end with a zero byte")
+	}
+	s := scanner{maxComment: maxComment}
+	in.Each(offset, size-1, s.scan)
+	if !s.hasText && s.context == contextPlain {
+		return Statement{Empty: true}, nil
+	}
+	if err := s.check(); err != nil {
+		return Statement{}, err
+	}
+	statement := Statement{}
+	if s.strings > 0 {
+		statement.Session = max(1, s.stringHash)
 	}
-	if last != 0 {
-		return Statement{}, errors.New("the query does not end with a zero byte")
+	return statement, statement.parseParameters(string(s.comment), s.commentOffset)
+}
+
+// endsWithZero reports whether the last of size bytes from an offset on is zero.
+func endsWithZero(in *buffer.Chain, offset, size int) bool {
+	ends := false
+	if size > 0 {
+		in.Each(offset+size-1, 1, func(piece []byte) { ends = piece[0] == 0 })
 	}
-	in.Each(from, n-1, s.piece)
+	return ends
+}
+
+// check returns why a scanned statement cannot be routed, or nil.
+func (s *scanner) check() error {
 	switch {
-	case !s.any && s.place == plain:
-		return Statement{Empty: true}, nil
-	case s.place != plain && s.place != line:
-		return Statement{}, errors.New("a quote or comment is not closed")
-	case s.over:
-		return Statement{}, errors.New("two statements in one query")
-	case s.commentAt == 0:
-		return Statement{}, errors.New("the comment with id, c, d and cluster is missing")
-	case len(s.comment) > most:
-		return Statement{}, fmt.Errorf("the comment is longer than %d bytes", most)
-	}
-	st := Statement{}
-	if s.literals > 0 {
-		st.Session = max(1, s.key)
-	}
-	return st, st.names(string(s.comment), s.commentAt)
+	case s.context != contextPlain && s.context != contextLineComment:
+		return syntaxError(s.offset, "a quote or comment is not closed")
+	case s.hasSecond:
+		return syntaxError(s.offset, "two statements in one query")
+	case s.commentOffset == 0:
+		return syntaxError(s.offset, "the comment with id, c, d and cluster is missing")
+	case len(s.comment) > s.maxComment:
+		return syntaxError(s.commentOffset, fmt.Sprintf("the comment is longer than %d bytes", s.maxComment))
+	}
+	return nil
 }
 
-// names reads a comment's names and values; those that are not known are passed over.
-func (st *Statement) names(comment string, at int) error {
+// syntaxError is the SyntaxError for a statement as a whole.
+func syntaxError(offset int, reason string) error {
+	return &SyntaxError{Offset: offset, Reason: reason}
+}
+
+// parseParameters parses the comment, which begins at an offset of the text. Parameters stand as name=value between
+// commas; unknown ones are ignored.
+func (st *Statement) parseParameters(comment string, offset int) error {
 	for len(comment) > 0 {
 		part, rest, _ := strings.Cut(comment, ",")
-		lead := len(part) - len(strings.TrimLeft(part, " \t\r\n"))
+		leadingSpace := len(part) - len(strings.TrimLeft(part, " \t\r\n"))
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if ok {
-			if err := st.set(name, value, at+lead+len(name)+1); err != nil {
+			valueOffset := offset + leadingSpace + len(name) + 1
+			if err := st.setParameter(name, value, valueOffset); err != nil {
 				return err
 			}
 		}
-		at += len(part) + 1
+		offset += len(part) + 1
 		comment = rest
 	}
+	return st.checkParameters(offset)
+}
+
+// checkParameters returns which required parameter is missing, or nil.
+func (st *Statement) checkParameters(offset int) error {
+	missing := func(name, reason string) error {
+		return &SyntaxError{Offset: offset, Parameter: name, Reason: reason}
+	}
 	switch {
 	case st.ID == "":
-		return errors.New("id is missing")
+		return missing("id", "id is missing")
 	case !st.hasGroup:
-		return errors.New("c, the command group, is missing")
+		return missing("c", "c, the command group, is missing")
 	case !st.hasWait:
-		return errors.New("d, the time to wait, is missing")
-	case !st.hasCluster:
-		return errors.New("cluster is missing")
+		return missing("d", "d, the time to wait, is missing")
+	case !st.hasShard:
+		return missing("cluster", "cluster is missing")
+	}
+	return nil
+}
+
+// setParameter takes in one parameter.
+func (st *Statement) setParameter(name, value string, offset int) error {
+	isRepeated := st.hasParameter(name)
+	if err := st.parseParameter(name, value, offset); err != nil {
+		reason := fmt.Sprintf("%s=%.20q: %v", name, value, err)
+		return &SyntaxError{Offset: offset, Parameter: name, Reason: reason, Err: err}
+	}
+	if isRepeated {
+		return &SyntaxError{Offset: offset, Parameter: name, Reason: name + " stands twice"}
 	}
 	return nil
 }
 
-func (st *Statement) set(name, value string, at int) error {
-	var seen bool
-	var n int64
-	var err error
+// hasParameter reports whether a required parameter has been set; the others may be repeated.
+func (st *Statement) hasParameter(name string) bool {
+	switch name {
+	case "id":
+		return st.ID != ""
+	case "c":
+		return st.hasGroup
+	case "d":
+		return st.hasWait
+	case "cluster":
+		return st.hasShard
+	}
+	return false
+}
+
+const millisecondsPerSecond = 1000
+
+// parseParameter parses one parameter's value and sets its field.
+func (st *Statement) parseParameter(name, value string, offset int) (err error) {
+	var number int64
 	switch name {
 	case "id":
-		seen, st.ID = st.ID != "", value
-		err = hexadecimal(value)
+		st.ID = value
+		err = checkHexadecimal(value)
 	case "k":
 		st.HasIdempotencyKey = true
-		err = hexadecimal(value)
+		err = checkHexadecimal(value)
 	case "c":
-		seen, st.hasGroup, st.Group = st.hasGroup, true, value
+		st.hasGroup = true
+		st.Group = value
 	case "r":
 		st.ClientRetry = value == "1"
 	case "d":
-		n, err = strconv.ParseInt(value, 10, 32)
-		if err == nil && n <= 0 {
-			err = errors.New("it must be above 0")
-		}
-		seen, st.hasWait, st.Wait = st.hasWait, true, float64(n)/1000
-		st.WaitStart, st.WaitEnd = at, at+len(value)
+		number, err = parsePositive(value)
+		st.hasWait = true
+		st.Wait = float64(number) / millisecondsPerSecond
+		st.WaitStart, st.WaitEnd = offset, offset+len(value)
 	case "cluster":
-		n, err = strconv.ParseInt(value, 10, 32)
-		seen, st.hasCluster, st.Shard = st.hasCluster, true, int(n)
+		number, err = strconv.ParseInt(value, 10, 32)
+		st.hasShard = true
+		st.Shard = int(number)
 	case "after":
-		n, err = strconv.ParseInt(value, 10, 64)
-		st.LastWriteAt = float64(n) / 1000
+		number, err = strconv.ParseInt(value, 10, 64)
+		st.LastWriteAt = float64(number) / millisecondsPerSecond
 	}
-	switch {
-	case err != nil:
-		return fmt.Errorf("%s=%.20q: %w", name, value, err)
-	case seen:
-		return fmt.Errorf("%s stands twice", name)
+	return err
+}
+
+// errNotPositive is the cause of the SyntaxError for a waiting time that is not above 0.
+var errNotPositive = errors.New("it must be above 0")
+
+// parsePositive parses a number of 32 bits that must be above 0.
+func parsePositive(value string) (int64, error) {
+	number, err := strconv.ParseInt(value, 10, 32)
+	if err == nil && number <= 0 {
+		err = errNotPositive
 	}
-	return nil
+	return number, err
 }
 
-// hexadecimal says what keeps a value from being an id or a key: it has some digits, and no more than the
-// longest in use.
-func hexadecimal(value string) error {
-	const most = 32
-	ok := value != "" && len(value) <= most
+// maxHexadecimalDigits is the length of the longest id or key in use.
+const maxHexadecimalDigits = 32
+
+// checkHexadecimal returns why a value cannot be an id or a key, or nil.
+func checkHexadecimal(value string) error {
+	ok := value != "" && len(value) <= maxHexadecimalDigits
 	for _, c := range []byte(value) {
-		ok = ok && (c >= '0' && c <= '9' || c >= 'A' && c <= 'F' || c >= 'a' && c <= 'f')
+		ok = ok && isHexadecimal(c)
 	}
 	if !ok {
-		return fmt.Errorf("it must be hexadecimal, and not longer than %d digits", most)
+		return fmt.Errorf("it must be hexadecimal, and not longer than %d digits", maxHexadecimalDigits)
 	}
 	return nil
 }
+
+// isHexadecimal reports whether a byte is a hexadecimal digit.
+func isHexadecimal(c byte) bool {
+	return c >= '0' && c <= '9' || c >= 'A' && c <= 'F' || c >= 'a' && c <= 'f'
+}
--- a/internal/pg/statement_test.go
+++ b/internal/pg/statement_test.go
@@ -56,7 +56,7 @@
 	}
 	for _, text := range []string{"", " ", ";", " ; /* nothing */ ;"} {
 		s, err := parse(text)
-		assert.NoError(t, err)
+		require.NoError(t, err)
 		assert.True(t, s.Empty, "%q", text)
 	}
 }
@@ -85,7 +85,7 @@
 		"SELECT 1 /*" + strings.Repeat("x", 2000) + "*/": "longer",
 	} {
 		_, err := parse(text)
-		assert.ErrorContains(t, err, says, text)
+		require.ErrorContains(t, err, says, text)
 	}
 	_, err := ParseStatement(chain([]byte("SELECT 1")), 0, 8, 1024)
 	assert.ErrorContains(t, err, "zero byte")
