--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -48,7 +48,7 @@
 
 // resetReply has the next byte that is received begin a new reply.
 func (w *Watch) resetReply() {
-	w.reply = http1.Reply{}
+	w.reply = http1.Response{}
 	w.replyDeadline = 0
 }
 
@@ -84,7 +84,7 @@
 		path += "?from=" + strconv.FormatInt(w.generation, 10) + "&hold_ms=" + strconv.Itoa(int(hold*millisecondsPerSecond))
 		timeout += hold
 	}
-	w.out.Write([]byte(http1.Get(w.address.String(), path)))
+	w.out.Write([]byte(http1.GetRequest(w.address.String(), path)))
 	w.loop.SetTimer(w.timer, w.loop.Now()+timeout)
 	w.flush()
 }
@@ -110,7 +110,7 @@
 		return
 	}
 	if errors.Is(readErr, loop.ErrPeerClosed) { // and not a reset, before which bytes may be missing
-		complete = w.reply.End() || complete
+		complete = w.reply.ConnectionEnded() || complete
 	}
 	switch {
 	case complete:
@@ -153,7 +153,7 @@
 
 // parseReply returns the list in a reply if it is complete or follows from the last one. A complete list may go back to
 // an earlier generation.
-func (w *Watch) parseReply(reply *http1.Reply) (roster.List, error) {
+func (w *Watch) parseReply(reply *http1.Response) (roster.List, error) {
 	if reply.Status != statusOK {
 		return roster.List{}, &StatusError{Status: reply.Status}
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -42,7 +42,7 @@
 	fd            int // noSocket: no connection
 	connected     bool
 	in, out       buffer.Chain
-	reply         http1.Reply
+	reply         http1.Response
 	replyDeadline float64     // loop time at which the reply must be complete; 0: none has begun
 	generation    int64       // of the last list, or NoGeneration
 	backoff       float64     // seconds before the next call if the present one fails
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -273,16 +273,16 @@
 
 func TestRepliesWithoutAUsableListAreTypedErrors(t *testing.T) {
 	watch := &Watch{generation: 4}
-	_, err := watch.parseReply(&http1.Reply{Status: 503})
+	_, err := watch.parseReply(&http1.Response{Status: 503})
 	var statusError *StatusError
 	require.ErrorAs(t, err, &statusError)
 	assert.Equal(t, 503, statusError.Status)
 
-	_, err = watch.parseReply(&http1.Reply{Status: 200, Body: []byte(`{}`)})
+	_, err = watch.parseReply(&http1.Response{Status: 200, Body: []byte(`{}`)})
 	var parseError *roster.ParseError
 	require.ErrorAs(t, err, &parseError)
 
-	_, err = watch.parseReply(&http1.Reply{Status: 200, Body: []byte(`{"generation":3}`)})
+	_, err = watch.parseReply(&http1.Response{Status: 200, Body: []byte(`{"generation":3}`)})
 	var generationError *GenerationError
 	require.ErrorAs(t, err, &generationError)
 	assert.Equal(t, &GenerationError{Got: 3, Have: 4}, generationError)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -11,13 +11,13 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// Get is a request for a path on a kept connection.
-func Get(host, path string) string {
+// GetRequest is a request for a path on a kept connection.
+func GetRequest(host, path string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n"
 }
 
-// Reply is one reply, taken in as its bytes come.
-type Reply struct {
+// Response is one reply, taken in as its bytes come.
+type Response struct {
 	Status int
 	Body   []byte
 	Close  bool // the connection ends with this reply
@@ -43,12 +43,12 @@
 	done
 )
 
-// ErrReply says that what came is no reply.
-var ErrReply = errors.New("malformed reply")
+// ErrMalformedResponse says that what came is no reply.
+var ErrMalformedResponse = errors.New("malformed reply")
 
 // Take takes bytes off a chain, and says whether the reply is whole. The body has most bytes at the most, and
 // each line so many.
-func (r *Reply) Take(in *buffer.Chain, most, line int) (bool, error) {
+func (r *Response) Take(in *buffer.Chain, most, line int) (bool, error) {
 	r.most = line
 	for in.Len() > 0 && r.step != done {
 		piece := in.First()
@@ -61,8 +61,8 @@
 	return r.step == done, nil
 }
 
-// End takes in that the connection ended, and says whether that makes the reply whole.
-func (r *Reply) End() bool {
+// ConnectionEnded takes in that the connection ended, and says whether that makes the reply whole.
+func (r *Response) ConnectionEnded() bool {
 	if r.step == toEnd {
 		r.step = done
 	}
@@ -70,7 +70,7 @@
 }
 
 // piece reads from one piece and returns how much of it was read.
-func (r *Reply) piece(b []byte, most int) (int, error) {
+func (r *Response) piece(b []byte, most int) (int, error) {
 	switch r.step {
 	case body, toEnd:
 		n := len(b)
@@ -79,7 +79,7 @@
 			r.left -= n
 		}
 		if len(r.Body)+n > most {
-			return 0, fmt.Errorf("%w: body over %d bytes", ErrReply, most)
+			return 0, fmt.Errorf("%w: body over %d bytes", ErrMalformedResponse, most)
 		}
 		r.Body = append(r.Body, b[:n]...)
 		if r.step == body && r.left == 0 {
@@ -93,7 +93,7 @@
 	for i, c := range b {
 		if c != '\n' {
 			if len(r.line) >= r.most {
-				return 0, fmt.Errorf("%w: line over %d bytes", ErrReply, r.most)
+				return 0, fmt.Errorf("%w: line over %d bytes", ErrMalformedResponse, r.most)
 			}
 			r.line = append(r.line, c)
 			continue
@@ -106,14 +106,14 @@
 }
 
 // take reads one line.
-func (r *Reply) take(text string, most int) error {
+func (r *Response) take(text string, most int) error {
 	switch r.step {
 	case statusLine:
 		version, rest, _ := strings.Cut(text, " ")
 		code, _, _ := strings.Cut(rest, " ")
 		status, err := strconv.Atoi(code)
 		if err != nil || status < 100 || status > 999 || version != "HTTP/1.1" && version != "HTTP/1.0" {
-			return fmt.Errorf("%w: status line %.40q", ErrReply, text)
+			return fmt.Errorf("%w: status line %.40q", ErrMalformedResponse, text)
 		}
 		r.Status, r.Close, r.step = status, version == "HTTP/1.0", header
 	case header:
@@ -125,14 +125,14 @@
 		size, _, _ := strings.Cut(text, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil || len(r.Body)+int(n) > most {
-			return fmt.Errorf("%w: chunk of %.20q", ErrReply, text)
+			return fmt.Errorf("%w: chunk of %.20q", ErrMalformedResponse, text)
 		}
 		if r.left, r.step = int(n), body; n == 0 {
 			r.step = trailer
 		}
 	case chunkEnd:
 		if text != "" {
-			return fmt.Errorf("%w: chunk without end", ErrReply)
+			return fmt.Errorf("%w: chunk without end", ErrMalformedResponse)
 		}
 		r.step = chunkSize
 	case trailer:
@@ -143,22 +143,22 @@
 	return nil
 }
 
-func (r *Reply) header(text string) error {
+func (r *Response) header(text string) error {
 	name, value, ok := strings.Cut(text, ":")
 	if !ok || name == "" || strings.ContainsAny(name, " \t") {
-		return fmt.Errorf("%w: header %.40q", ErrReply, text)
+		return fmt.Errorf("%w: header %.40q", ErrMalformedResponse, text)
 	}
 	value = strings.ToLower(strings.TrimSpace(value))
 	switch strings.ToLower(name) {
 	case "content-length":
 		n, err := strconv.ParseUint(value, 10, 31)
 		if err != nil || r.sized && int(n) != r.left {
-			return fmt.Errorf("%w: length %.20q", ErrReply, value)
+			return fmt.Errorf("%w: length %.20q", ErrMalformedResponse, value)
 		}
 		r.sized, r.left = true, int(n)
 	case "transfer-encoding":
 		if value != "chunked" {
-			return fmt.Errorf("%w: encoding %.20q", ErrReply, value)
+			return fmt.Errorf("%w: encoding %.20q", ErrMalformedResponse, value)
 		}
 		r.chunked = true
 	case "connection":
@@ -168,16 +168,16 @@
 }
 
 // start goes over to the body once the head is whole.
-func (r *Reply) start(most int) error {
+func (r *Response) start(most int) error {
 	switch {
 	case r.Status < 200: // a note ahead of the reply
-		*r = Reply{most: r.most}
+		*r = Response{most: r.most}
 	case r.chunked:
 		r.left, r.step = 0, chunkSize
 	case r.Status == 204 || r.Status == 304 || r.sized && r.left == 0:
 		r.step = done
 	case r.sized && r.left > most:
-		return fmt.Errorf("%w: body of %d bytes", ErrReply, r.left)
+		return fmt.Errorf("%w: body of %d bytes", ErrMalformedResponse, r.left)
 	case r.sized:
 		r.step = body
 	default:
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -24,7 +24,7 @@
 func TestRepliesSplitAtEveryByte(t *testing.T) {
 	for _, text := range []string{sized, chunked, "HTTP/1.1 100 Continue\r\n\r\n" + sized} {
 		for n := range text {
-			in, r := chain(text[:n]), Reply{}
+			in, r := chain(text[:n]), Response{}
 			done, err := r.Take(in, 100, 200)
 			require.NoError(t, err)
 			require.False(t, done, "%q", text[:n])
@@ -41,17 +41,17 @@
 }
 
 func TestEndOfTheConnectionEndsABodyWithoutLength(t *testing.T) {
-	r := Reply{}
+	r := Response{}
 	done, err := r.Take(chain("HTTP/1.0 200 OK\r\n\r\nhello"), 100, 200)
 	require.NoError(t, err)
 	assert.False(t, done)
-	assert.True(t, r.End())
+	assert.True(t, r.ConnectionEnded())
 	assert.True(t, r.Close)
 	assert.Equal(t, "hello", string(r.Body))
-	r = Reply{}
+	r = Response{}
 	_, err = r.Take(chain(sized[:len(sized)-1]), 100, 200)
 	require.NoError(t, err)
-	assert.False(t, r.End(), "a body cut short is not whole")
+	assert.False(t, r.ConnectionEnded(), "a body cut short is not whole")
 }
 
 func TestNonsenseIsNoReply(t *testing.T) {
@@ -62,13 +62,13 @@
 		head + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n", head + "Transfer-Encoding: chunked\r\n\r\n65\r\n",
 		head + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", head + strings.Repeat("x", 201),
 		"HTTP/1.0 200 OK\r\n\r\n" + strings.Repeat("x", 101)} {
-		_, err := new(Reply).Take(chain(text), 100, 200)
-		assert.ErrorIs(t, err, ErrReply, text)
+		_, err := new(Response).Take(chain(text), 100, 200)
+		assert.ErrorIs(t, err, ErrMalformedResponse, text)
 	}
 }
 
 func TestRequestNamesHostAndPath(t *testing.T) {
-	assert.Equal(t, "GET /p?a=1 HTTP/1.1\r\nHost: h:1\r\nAccept: application/json\r\n\r\n", Get("h:1", "/p?a=1"))
+	assert.Equal(t, "GET /p?a=1 HTTP/1.1\r\nHost: h:1\r\nAccept: application/json\r\n\r\n", GetRequest("h:1", "/p?a=1"))
 }
 
 func FuzzReply(f *testing.F) {
@@ -76,7 +76,7 @@
 	f.Add(chunked, 60)
 	f.Add("HTTP/1.1 204 No\r\n\r\n", 3)
 	f.Fuzz(func(t *testing.T, text string, cut int) {
-		var one, two Reply
+		var one, two Response
 		done, err := one.Take(chain(text), 1000, 200)
 		cut = min(max(0, cut), len(text))
 		in := chain(text[:cut])
