--- a/internal/http1/http1_test.go
+++ b/internal/http1/response_test.go
@@ -10,6 +10,7 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
+// chain returns a chain of blocks of seven bytes, so that no line lies in one piece.
 func chain(text string) *buffer.Chain {
 	c := buffer.NewPool(7, 1<<20).New()
 	c.Write([]byte(text))
@@ -21,7 +22,7 @@
 	chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6;x=y\r\nhello \r\n5\r\nthere\r\n0\r\nT: 1\r\n\r\n"
 )
 
-func TestRepliesSplitAtEveryByte(t *testing.T) {
+func TestResponseIsTakenOnceComplete(t *testing.T) {
 	for _, text := range []string{sized, chunked, "HTTP/1.1 100 Continue\r\n\r\n" + sized} {
 		for n := range text {
 			in, r := chain(text[:n]), Response{}
@@ -35,12 +36,12 @@
 			require.Equal(t, 200, r.Status)
 			require.Equal(t, "hello there", string(r.Body))
 			require.False(t, r.Close)
-			require.Equal(t, 4, in.Len(), "the next reply stays")
+			require.Equal(t, 4, in.Len(), "the next response stays")
 		}
 	}
 }
 
-func TestEndOfTheConnectionEndsABodyWithoutLength(t *testing.T) {
+func TestConnectionEndCompletesABodyWithoutLength(t *testing.T) {
 	r := Response{}
 	done, err := r.Take(chain("HTTP/1.0 200 OK\r\n\r\nhello"), 100, 200)
 	require.NoError(t, err)
@@ -51,27 +52,31 @@
 	r = Response{}
 	_, err = r.Take(chain(sized[:len(sized)-1]), 100, 200)
 	require.NoError(t, err)
-	assert.False(t, r.ConnectionEnded(), "a body cut short is not whole")
+	assert.False(t, r.ConnectionEnded(), "a body cut short is not complete")
 }
 
-func TestNonsenseIsNoReply(t *testing.T) {
+func TestMalformedResponseIsAnError(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\n"
-	for _, text := range []string{"hello\r\n", "HTTP/2 200 OK\r\n", "HTTP/1.1 abc\r\n", head + "no colon\r\n",
+	for _, text := range []string{
+		"hello\r\n", "HTTP/2 200 OK\r\n", "HTTP/1.1 abc\r\n", head + "no colon\r\n",
 		head + "Content-Length: -1\r\n", head + "Content-Length: 101\r\n\r\n",
 		head + "Content-Length: 1\r\nContent-Length: 2\r\n", head + "Transfer-Encoding: gzip\r\n",
 		head + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n", head + "Transfer-Encoding: chunked\r\n\r\n65\r\n",
 		head + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", head + strings.Repeat("x", 201),
-		"HTTP/1.0 200 OK\r\n\r\n" + strings.Repeat("x", 101)} {
+		"HTTP/1.0 200 OK\r\n\r\n" + strings.Repeat("x", 101),
+	} {
 		_, err := new(Response).Take(chain(text), 100, 200)
-		assert.ErrorIs(t, err, ErrMalformedResponse, text)
+		require.ErrorIs(t, err, ErrMalformedResponse, text)
+		var bad *ResponseError
+		require.ErrorAs(t, err, &bad, text)
 	}
 }
 
-func TestRequestNamesHostAndPath(t *testing.T) {
+func TestGetRequestNamesHostAndPath(t *testing.T) {
 	assert.Equal(t, "GET /p?a=1 HTTP/1.1\r\nHost: h:1\r\nAccept: application/json\r\n\r\n", GetRequest("h:1", "/p?a=1"))
 }
 
-func FuzzReply(f *testing.F) {
+func FuzzResponse(f *testing.F) {
 	f.Add(sized, 30)
 	f.Add(chunked, 60)
 	f.Add("HTTP/1.1 204 No\r\n\r\n", 3)
