--- a/internal/systems/command.go
+++ b/internal/systems/command.go
@@ -244,62 +244,50 @@
 }
 
 // Steps implements explore.System.
-func (c *commands) Steps() (s []string) {
+func (c *commands) Steps() []string {
 	if c.Ended() && !c.sending() && len(c.giveups) == 0 {
 		return nil // nothing more can come of them
 	}
 	may := func(kind string) bool { return c.bounds.may(kind, c.faults) }
+	var s stepList
 	for i, x := range c.cmds {
-		if !x.taken {
-			s = append(s, fmt.Sprintf("take %d", i))
-		}
-		if x.taken && x.Open() && may("leave") {
-			s = append(s, fmt.Sprintf("leave %d", i))
-		}
+		s.addIf(!x.taken, "take %d", i)
+		s.addIf(x.taken && x.Open() && may("leave"), "leave %d", i)
 		for k, l := range x.out {
-			if l.ghost {
-				s = append(s, fmt.Sprintf("answered %d %d", i, k))
-				continue
-			}
-			if l.recalled {
-				s = append(s, fmt.Sprintf("recalled %d %d", i, k), fmt.Sprintf("answered %d %d", i, k)) // the race
-				continue
-			}
-			s = append(s, fmt.Sprintf("answered %d %d", i, k))
-			for _, e := range []string{"errored", "full", "unreached", "broken"} {
-				if may(e) {
-					s = append(s, fmt.Sprintf("%s %d %d", e, i, k))
-				}
-			}
+			c.addEndings(&s, l, i, k)
 		}
 	}
-	for i, m := range c.members {
-		if c.probes[i] {
-			s = append(s, fmt.Sprintf("report %d", i))
-		}
-		if !m.primary && m.Covers < c.now && m.told != router.Removed {
-			s = append(s, fmt.Sprintf("apply %d", i))
-		}
-		if may("drain") && m.told == router.Ready {
-			s = append(s, fmt.Sprintf("drain %d", i))
-		}
-		if may("replace") && !m.primary && m.told == router.Ready {
-			s = append(s, fmt.Sprintf("replace %d", i))
-		}
-		if may("promote") && !m.primary && m.Covers >= c.token && m.told == router.Ready {
-			s = append(s, fmt.Sprintf("promote %d", i))
-		}
-	}
-	if may("restart") {
-		s = append(s, "restart")
+	for i := range c.members {
+		c.addMemberSteps(&s, i)
 	}
-	if slices.Contains(c.bounds.Only, "idle") && may("idle") { // costly, and of use in few bounds
-		s = append(s, "idle")
+	s.addIf(may("restart"), "restart")
+	s.addIf(slices.Contains(c.bounds.Only, "idle") && may("idle"), "idle") // costly, and of use in few bounds
+	s.addIf(c.ticks < c.bounds.Ticks, "tick")
+	return s
+}
+
+// addEndings adds how a dispatch may end.
+func (c *commands) addEndings(s *stepList, l *leg, i, k int) {
+	s.addIf(l.recalled && !l.ghost, "recalled %d %d", i, k) // the race with its answer
+	s.add("answered %d %d", i, k)
+	if l.ghost || l.recalled {
+		return
 	}
-	if c.ticks < c.bounds.Ticks {
-		s = append(s, "tick")
+	for _, kind := range []string{"errored", "full", "unreached", "broken"} {
+		s.addIf(c.bounds.may(kind, c.faults), "%s %d %d", kind, i, k)
 	}
-	return s
+}
+
+// addMemberSteps adds what a member may do, and what may become of it.
+func (c *commands) addMemberSteps(s *stepList, i int) {
+	may := func(kind string) bool { return c.bounds.may(kind, c.faults) }
+	m := &c.members[i]
+	isReady, isReadyReplica := m.told == router.Ready, m.told == router.Ready && !m.primary
+	s.addIf(c.probes[i], "report %d", i)
+	s.addIf(!m.primary && m.Covers < c.now && m.told != router.Removed, "apply %d", i)
+	s.addIf(may("drain") && isReady, "drain %d", i)
+	s.addIf(may("replace") && isReadyReplica, "replace %d", i)
+	s.addIf(may("promote") && isReadyReplica && m.Covers >= c.token, "promote %d", i)
 }
 
 // Commute implements explore.Commuter: a replica that applies its log touches nothing but itself, and most steps
@@ -327,57 +315,25 @@
 
 // Take implements explore.System.
 func (c *commands) Take(step string) {
-	what := explore.Kind(step)
-	var n, k int
-	_, _ = fmt.Sscanf(step[len(what):], "%d %d", &n, &k)
-	switch what {
+	kind, n, k := parseStep(step)
+	switch kind {
 	case "take":
 		c.take(n)
 	case "leave":
-		c.faults++
-		c.check.Ended(&c.cmds[n].Command)
-		if c.fault != "left-behind" {
-			c.hand.ClientGone(c.now, uint32(n))
-		}
+		c.leave(n)
 	case "report":
-		delete(c.probes, n)
-		m := c.members[n]
-		at := m.Covers
-		if c.fault == "spoilt-position" {
-			at += 2 * cmdTick
-		}
-		c.router.HealthChecked(c.now, n, router.Answered, 0, at, m.primary)
+		c.report(n)
 	case "apply":
 		c.members[n].Covers = c.now
 	case "drain":
-		c.faults++
-		m := &c.members[n]
-		m.told, m.Away, m.AwaySince = router.Draining, true, c.now
-		if c.fault != "drain-overlooked" || !c.sending() {
-			c.list(false)
-		}
+		c.drain(n)
 	case "replace":
 		c.faults++
 		c.replace(n)
 	case "promote":
-		c.faults++
-		for i := range c.members {
-			c.members[i].primary = i == n
-		}
-		c.members[n].Covers = c.now
-		if c.fault != "untold-primary" {
-			c.list(false)
-		}
+		c.promote(n)
 	case "restart":
-		c.faults++
-		for _, x := range c.cmds {
-			if x.taken {
-				c.check.Ended(&x.Command)
-				x.out = nil
-			}
-		}
-		c.probes, c.giveups, c.seen = map[int]bool{}, nil, math.Inf(-1)
-		c.boot()
+		c.restart()
 	case "tick":
 		c.ticks++
 		c.pass(cmdTick)
@@ -385,11 +341,63 @@
 		c.faults++
 		c.pass(cmdIdle)
 	default:
-		c.end(n, k, what)
+		c.end(n, k, kind)
 	}
 	c.settle()
 }
 
+func (c *commands) leave(n int) {
+	c.faults++
+	c.check.Ended(&c.cmds[n].Command)
+	if c.fault != "left-behind" {
+		c.hand.ClientGone(c.now, uint32(n))
+	}
+}
+
+// report has a member answer a probe.
+func (c *commands) report(n int) {
+	delete(c.probes, n)
+	m := c.members[n]
+	at := m.Covers
+	if c.fault == "spoilt-position" {
+		at += 2 * cmdTick
+	}
+	c.router.HealthChecked(c.now, n, router.Answered, 0, at, m.primary)
+}
+
+func (c *commands) drain(n int) {
+	c.faults++
+	m := &c.members[n]
+	m.told, m.Away, m.AwaySince = router.Draining, true, c.now
+	if c.fault != "drain-overlooked" || !c.sending() {
+		c.list(false)
+	}
+}
+
+func (c *commands) promote(n int) {
+	c.faults++
+	for i := range c.members {
+		c.members[i].primary = i == n
+	}
+	c.members[n].Covers = c.now
+	if c.fault != "untold-primary" {
+		c.list(false)
+	}
+}
+
+// restart has the router end and start anew; its clients' commands end with it.
+func (c *commands) restart() {
+	c.faults++
+	for _, x := range c.cmds {
+		if x.taken {
+			c.check.Ended(&x.Command)
+			x.out = nil
+		}
+	}
+	c.probes, c.giveups, c.seen = map[int]bool{}, nil, math.Inf(-1)
+	c.boot()
+}
+
 // replace has a replica go for good, and another come that has nothing yet, under an index that the module has let go
 // if there is one.
 func (c *commands) replace(n int) {
@@ -440,56 +448,81 @@
 }
 
 // end has a dispatch end.
-func (c *commands) end(n, k int, what string) {
+func (c *commands) end(n, k int, kind string) {
 	x := c.cmds[n]
 	l := x.out[k]
 	if l.ghost {
 		c.check.Answered(c.now, x.name, &x.Command)
 	}
-	if c.fault == "answers-twice" && what == "timed" && !l.ghost {
+	if c.fault == "answers-twice" && kind == "timed" && !l.ghost {
 		l.ghost = true
 		defer func() { x.out = append(x.out, l) }()
 	}
-	x.out = append(append([]*leg{}, x.out[:k]...), x.out[k+1:]...)
-	e := endings[what]
-	if what != "answered" && what != "recalled" && what != "timed" {
+	x.out = slices.Delete(slices.Clone(x.out), k, k+1)
+	if kind != "answered" && kind != "recalled" && kind != "timed" {
 		c.faults++
 	}
+	result := endings[kind]
 	m := &c.members[l.node]
-	ran := e == router.Answered || e == router.Errored || e == router.ConnectionLost || e == router.TimedOut || e == router.Canceled
-	g := cmdGroups[x.group].g
-	missed := e == router.Answered && g.Consistency == router.PrimaryOnly && !m.primary // a replica turns it away
-	c.check.Back(&x.Command, l.sent, m.Set, ran && !missed)
-	o := router.AttemptResult{Attempt: l.number, Result: e, Elapsed: c.now - l.sent, Final: e == router.Answered, Position: -1}
-	if (e == router.Answered || e == router.Errored) && c.fault != "untold-primary" { // an answer says what its member is
+	missed := result == router.Answered && x.consistency() == router.PrimaryOnly && !m.primary // a replica turns it away
+	c.check.Back(&x.Command, l.sent, m.Set, mayHaveRun(result) && !missed)
+	o := c.outcome(l, result, missed)
+	if o.Result == router.Answered {
+		c.serve(x, l, &o)
+	}
+	wasOpen := x.Open()
+	if c.fault != "lost-end" || result != router.Canceled {
+		c.hand.AttemptEnded(c.now, uint32(n), o)
+	}
+	if o.Result == router.Answered && wasOpen {
+		x.served = true
+		c.check.Answered(c.now, x.name, &x.Command)
+	}
+}
+
+func (x *cmd) consistency() router.Consistency { return cmdGroups[x.group].g.Consistency }
+
+// mayHaveRun tells whether a command may have run whose dispatch ended so.
+func mayHaveRun(result router.Result) bool {
+	switch result {
+	case router.Answered, router.Errored, router.ConnectionLost, router.TimedOut, router.Canceled:
+		return true
+	default:
+		return false
+	}
+}
+
+// outcome is what the module is told of the end of a dispatch.
+func (c *commands) outcome(l *leg, result router.Result, missed bool) router.AttemptResult {
+	o := router.AttemptResult{Attempt: l.number, Result: result, Elapsed: c.now - l.sent, Final: result == router.Answered, Position: -1}
+	hasAnswer := result == router.Answered || result == router.Errored
+	if hasAnswer && c.fault != "untold-primary" { // an answer says what its member is
 		o.Role = router.RoleReplica
-		if m.primary {
+		if c.members[l.node].primary {
 			o.Role = router.RolePrimary
 		}
 	}
 	switch {
 	case missed:
 		o.Result, o.Final = router.NotServed, false
-	case e == router.Answered && g.Consistency == router.PrimaryOnly:
-		c.token, m.Covers = c.now, c.now
-		o.Position = c.now
-	case e == router.Answered:
-		o.Position = m.Covers
-		c.check.Served(x.name, &x.Command, l.node, &m.Member)
-		if g.Consistency == router.SessionConsistent {
-			c.seen = math.Max(c.seen, m.Covers)
-		}
-	}
-	if c.fault == "early-byte" && e == router.ConnectionLost {
+	case c.fault == "early-byte" && result == router.ConnectionLost:
 		o.Result = router.ConnectFailed
 	}
-	was := x.Open()
-	if c.fault != "lost-end" || e != router.Canceled {
-		c.hand.AttemptEnded(c.now, uint32(n), o)
+	return o
+}
+
+// serve has a member's answer take effect: a write moves its position, a read shows it.
+func (c *commands) serve(x *cmd, l *leg, o *router.AttemptResult) {
+	m := &c.members[l.node]
+	if x.consistency() == router.PrimaryOnly {
+		c.token, m.Covers = c.now, c.now
+		o.Position = c.now
+		return
 	}
-	if o.Result == router.Answered && was {
-		x.served = true
-		c.check.Answered(c.now, x.name, &x.Command)
+	o.Position = m.Covers
+	c.check.Served(x.name, &x.Command, l.node, &m.Member)
+	if x.consistency() == router.SessionConsistent {
+		c.seen = math.Max(c.seen, m.Covers)
 	}
 }
 
