--- a/internal/systems/chart.go
+++ b/internal/systems/chart.go
@@ -63,28 +63,24 @@
 // partsOf names the parties of a step.
 func partsOf(t Trace, step string) []string {
 	words := strings.Fields(step)
-	number := func(i int) int {
-		if i >= len(words) {
-			return -1
+	number := -1 // of the party that the step names first
+	if len(words) > 1 {
+		if n, err := strconv.Atoi(words[1]); err == nil {
+			number = n
 		}
-		n, err := strconv.Atoi(words[i])
-		if err != nil {
-			return -1
-		}
-		return n
 	}
 	switch explore.Kind(step) {
 	case "die", "back":
 		return []string{strings.Join(words[1:], " ")}
 	case "act", "crash":
-		return []string{fmt.Sprint("agent ", number(1))}
+		return []string{fmt.Sprint("agent ", number)}
 	case "deliver", "lose", "deafen", "delay":
-		return []string{fmt.Sprint("tool ", number(1))}
+		return []string{fmt.Sprint("tool ", number)}
 	case "report", "apply", "drain", "promote":
-		return []string{fmt.Sprint("member ", number(1))}
+		return []string{fmt.Sprint("member ", number)}
 	}
-	if n := number(1); n >= 0 && n < len(t.Bounds.Commands) {
-		return []string{fmt.Sprint(t.Bounds.Commands[n], " ", n)}
+	if number >= 0 && number < len(t.Bounds.Commands) {
+		return []string{fmt.Sprint(t.Bounds.Commands[number], " ", number)}
 	}
 	return nil
 }
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -250,55 +250,45 @@
 }
 
 // Steps implements explore.System.
-func (s *clients) Steps() (out []string) {
-	may := func(kind string) bool { return s.bounds.may(kind, s.faults) }
+func (s *clients) Steps() []string {
+	var out stepList
 	for i, c := range s.clients {
-		if !c.come {
-			if !s.drained {
-				out = append(out, fmt.Sprintf("come %d", i))
-			}
-			continue
-		}
-		k := s.wire.socks[c.fd]
-		if k == nil || k.handler == nil {
-			continue
-		}
-		if len(k.in) > 0 && k.wantRead || k.ended {
-			out = append(out, fmt.Sprintf("see %d", i))
-		}
-		if k.wantWrite && k.room == 0 {
-			out = append(out, fmt.Sprintf("take %d", i))
-		}
-		if k.ended {
-			continue
-		}
-		if c.said <= len(s.bounds.Commands) {
-			out = append(out, fmt.Sprintf("say %d", i))
-			if !c.half && may("half") {
-				out = append(out, fmt.Sprintf("half %d", i))
-			}
-		}
-		if may("leave") {
-			out = append(out, fmt.Sprintf("leave %d", i))
-		}
-		if k.room > 0 && may("stall") {
-			out = append(out, fmt.Sprintf("stall %d", i))
+		if c.come {
+			s.addClientSteps(&out, i, c)
+		} else {
+			out.addIf(!s.drained, "come %d", i)
 		}
 	}
 	for i, t := range s.taken {
 		if t.open {
-			out = append(out, fmt.Sprintf("answer %d", i), fmt.Sprintf("throttle %d", i), fmt.Sprintf("fail %d", i))
+			out.add("answer %d", i)
+			out.add("throttle %d", i)
+			out.add("fail %d", i)
 		}
 	}
-	if !s.drained && may("drain") {
-		out = append(out, "drain")
+	out.addIf(!s.drained && s.bounds.may("drain", s.faults), "drain")
+	_, hasTimer := s.wire.next()
+	out.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
+	return out
+}
+
+// addClientSteps adds what a client may do that has come, and what may become of its connection.
+func (s *clients) addClientSteps(out *stepList, i int, c *asker) {
+	k := s.wire.socks[c.fd]
+	if k == nil || k.handler == nil {
+		return
 	}
-	if s.ticks < s.bounds.Ticks {
-		if _, ok := s.wire.next(); ok {
-			out = append(out, "tick")
-		}
+	may := func(kind string) bool { return s.bounds.may(kind, s.faults) }
+	out.addIf(len(k.in) > 0 && k.wantRead || k.ended, "see %d", i)
+	out.addIf(k.wantWrite && k.room == 0, "take %d", i)
+	if k.ended {
+		return
 	}
-	return out
+	hasMore := c.said <= len(s.bounds.Commands)
+	out.addIf(hasMore, "say %d", i)
+	out.addIf(hasMore && !c.half && may("half"), "half %d", i)
+	out.addIf(may("leave"), "leave %d", i)
+	out.addIf(k.room > 0 && may("stall"), "stall %d", i)
 }
 
 // Commute implements explore.Commuter: what one client sends is nothing to the connection of another.
@@ -318,42 +308,67 @@
 
 // Take implements explore.System.
 func (s *clients) Take(step string) {
-	var n int
-	what := explore.Kind(step)
-	_, _ = fmt.Sscanf(step[len(what):], "%d", &n)
-	var c *asker
-	var k *sock
-	if n < len(s.clients) {
-		c = s.clients[n]
-		k = s.wire.socks[c.fd]
-	}
-	switch what {
+	kind, n, _ := parseStep(step)
+	switch kind {
+	case "drain":
+		s.faults++
+		s.drained = true
+		s.front.Shutdown()
+	case "tick":
+		s.ticks++
+		s.wire.fire(s.order())
+	case "answer", "throttle", "fail":
+		s.core(kind, n)
 	case "come":
-		c.come = true
-		s.wire.coming = append(s.wire.coming, n)
-		s.front.Ready(true, false)
-		if c.fd = s.wire.fds[n]; s.wire.socks[c.fd] != nil {
-			s.wire.socks[c.fd].room = 1 << 16
-		}
+		s.come(n)
 	case "say", "half":
-		m := s.message(n, c.said)
-		switch {
-		case c.half:
-			m = m[len(m)/2:]
-			c.half = false
-			c.said++
-		case what == "half":
-			s.faults++
-			m = m[:len(m)/2]
-			c.half, c.slow = true, true
-		default:
-			c.said++
-		}
-		k.in = append(k.in, m...)
+		s.say(n, kind == "half")
+	default:
+		s.onConnection(kind, s.wire.socks[s.clients[n].fd])
+	}
+	s.front.ProcessPending()
+	s.judge()
+}
+
+// come has a client connect.
+func (s *clients) come(n int) {
+	c := s.clients[n]
+	c.come = true
+	s.wire.coming = append(s.wire.coming, n)
+	s.front.Ready(true, false)
+	c.fd = s.wire.fds[n]
+	if k := s.wire.socks[c.fd]; k != nil {
+		k.room = 1 << 16
+	}
+}
+
+// say has a client send its next message, the first half of it or the second.
+func (s *clients) say(n int, half bool) {
+	c := s.clients[n]
+	m := s.message(n, c.said)
+	switch {
+	case c.half:
+		m = m[len(m)/2:]
+		c.half = false
+		c.said++
+	case half:
+		s.faults++
+		m = m[:len(m)/2]
+		c.half, c.slow = true, true
+	default:
+		c.said++
+	}
+	k := s.wire.socks[c.fd]
+	k.in = append(k.in, m...)
+}
+
+// onConnection is what the network and the client's side do to a connection.
+func (s *clients) onConnection(kind string, k *sock) {
+	switch kind {
 	case "see":
-		if left, ok := k.handler.(loop.HangupHandler); ok && k.ended {
-			left.HungUp()
-			break
+		if handler, ok := k.handler.(loop.HangupHandler); ok && k.ended {
+			handler.HungUp()
+			return
 		}
 		k.handler.Ready(true, false)
 	case "stall":
@@ -365,18 +380,7 @@
 	case "leave":
 		s.faults++
 		k.ended = true
-	case "drain":
-		s.faults++
-		s.drained = true
-		s.front.Shutdown()
-	case "tick":
-		s.ticks++
-		s.wire.fire(s.order())
-	default:
-		s.core(what, n)
 	}
-	s.front.ProcessPending()
-	s.judge()
 }
 
 // core is what the core does with a command that it has in hand.
--- a/internal/systems/command.go
+++ b/internal/systems/command.go
@@ -459,7 +459,7 @@
 		defer func() { x.out = append(x.out, l) }()
 	}
 	x.out = slices.Delete(slices.Clone(x.out), k, k+1)
-	if kind != "answered" && kind != "recalled" && kind != "timed" {
+	if isFault(kind) {
 		c.faults++
 	}
 	result := endings[kind]
@@ -480,6 +480,11 @@
 	}
 }
 
+// isFault tells whether an ending of a dispatch is a fault of the adversary's.
+func isFault(ending string) bool {
+	return ending != "answered" && ending != "recalled" && ending != "timed"
+}
+
 func (x *cmd) consistency() router.Consistency { return cmdGroups[x.group].g.Consistency }
 
 // mayHaveRun tells whether a command may have run whose dispatch ended so.
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -211,63 +211,58 @@
 }
 
 // Steps implements explore.System.
-func (s *members) Steps() (out []string) {
-	may := func(kind string) bool { return s.bounds.may(kind, s.faults) }
+func (s *members) Steps() []string {
+	var out stepList
 	for i, x := range s.sends {
-		if x.state == 0 {
-			out = append(out, fmt.Sprintf("send %d", i))
-		}
-		if x.state == 1 && may("recall") {
-			out = append(out, fmt.Sprintf("recall %d", i))
-		}
+		out.addIf(x.state == 0, "send %d", i)
+		out.addIf(x.state == 1 && s.bounds.may("recall", s.faults), "recall %d", i)
 	}
 	for _, fd := range s.wire.fds() {
-		k, p := s.wire.socks[fd], s.pg[fd]
-		at := s.at(fd)
-		if k.handler == nil { // closed, but for a fault
-			continue
-		}
-		if !k.up {
-			out = append(out, fmt.Sprintf("up %d", at))
-			if may("refuse") {
-				out = append(out, fmt.Sprintf("refuse %d", at))
-			}
-			continue
-		}
-		if len(k.in) > 0 || k.ended {
-			out = append(out, fmt.Sprintf("see %d", at))
-		}
-		if k.wantWrite && k.room == 0 {
-			out = append(out, fmt.Sprintf("room %d", at), fmt.Sprintf("most %d", at))
-		}
-		if k.ended {
-			continue
-		}
-		if len(p.half) > 0 {
-			out = append(out, fmt.Sprintf("rest %d", at))
-		} else if len(p.asked) > 0 {
-			out = append(out, fmt.Sprintf("answer %d", at))
-			for _, kind := range []string{"half", "full", "spoil", "double"} {
-				if may(kind) {
-					out = append(out, fmt.Sprintf("%s %d", kind, at))
-				}
-			}
-		} else if p.greeted && may("echo") && s.idle() { // the protocol cannot tell a copy that comes later
-			out = append(out, fmt.Sprintf("echo %d", at))
-		}
-		if may("end") {
-			out = append(out, fmt.Sprintf("end %d", at))
-		}
+		s.addConnectionSteps(&out, fd)
 	}
-	if s.ticks < s.bounds.Ticks {
-		if _, ok := s.wire.next(); ok {
-			out = append(out, "tick")
-		}
+	_, hasTimer := s.wire.next()
+	out.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
+	out.addIf(s.done() && !s.closed, "close")
+	return out
+}
+
+// addConnectionSteps adds what may happen on a connection.
+func (s *members) addConnectionSteps(out *stepList, fd int) {
+	k, at := s.wire.socks[fd], s.at(fd)
+	may := func(kind string) bool { return s.bounds.may(kind, s.faults) }
+	if k.handler == nil { // closed, but for a fault
+		return
 	}
-	if s.done() && !s.closed {
-		out = append(out, "close")
+	if !k.up {
+		out.add("up %d", at)
+		out.addIf(may("refuse"), "refuse %d", at)
+		return
+	}
+	out.addIf(len(k.in) > 0 || k.ended, "see %d", at)
+	if k.wantWrite && k.room == 0 {
+		out.add("room %d", at)
+		out.add("most %d", at)
+	}
+	if k.ended {
+		return
+	}
+	s.addAnswers(out, s.pg[fd], at)
+	out.addIf(may("end"), "end %d", at)
+}
+
+// addAnswers adds what the member may say.
+func (s *members) addAnswers(out *stepList, p *peer, at int) {
+	switch {
+	case len(p.half) > 0:
+		out.add("rest %d", at)
+	case len(p.asked) > 0:
+		out.add("answer %d", at)
+		for _, kind := range []string{"half", "full", "spoil", "double"} {
+			out.addIf(s.bounds.may(kind, s.faults), "%s %d", kind, at)
+		}
+	default: // the protocol cannot tell a copy that comes later
+		out.addIf(p.greeted && s.bounds.may("echo", s.faults) && s.idle(), "echo %d", at)
 	}
-	return out
 }
 
 // idle tells whether no dispatch is out.
@@ -302,15 +297,12 @@
 
 // Take implements explore.System.
 func (s *members) Take(step string) {
-	var n int
-	what := explore.Kind(step)
-	_, _ = fmt.Sscanf(step[len(what):], "%d", &n)
+	kind, n, _ := parseStep(step)
 	fd := 0
 	if n < len(s.order) {
 		fd = s.order[n]
 	}
-	k := s.wire.socks[fd]
-	switch what {
+	switch kind {
 	case "send":
 		x := s.sends[n]
 		x.state, x.d.Deadline = 1, s.wire.now+0.9
@@ -318,6 +310,23 @@
 	case "recall":
 		s.faults++
 		s.m.Cancel(s.sends[n].d)
+	case "tick":
+		s.ticks++
+		s.wire.fire(s.order)
+	case "close":
+		s.close()
+	case "up", "refuse", "see", "room", "most":
+		s.onConnection(kind, fd)
+	default:
+		s.member(kind, fd, s.wire.socks[fd])
+	}
+	s.look()
+}
+
+// onConnection is what the network does to a connection.
+func (s *members) onConnection(kind string, fd int) {
+	k := s.wire.socks[fd]
+	switch kind {
 	case "up":
 		k.up, k.room = true, 60 // more than a start-up packet, less than a statement
 		k.handler.Ready(false, true)
@@ -330,29 +339,30 @@
 	case "room":
 		k.room = 1 << 16
 		k.handler.Ready(false, true)
-	case "most": // all that is left but one byte
-		k.room = 1 << 16
-		if left := s.unwritten(fd); left > 1 {
-			k.room = left - 1
-		}
-		k.handler.Ready(false, true)
-		if kk := s.wire.socks[fd]; kk != nil {
-			kk.room = 0
-		}
-	case "tick":
-		s.ticks++
-		s.wire.fire(s.order)
-	case "close":
-		s.closed = true
-		s.m.CloseIdle()
-		for _, x := range s.sends {
-			x.text.Free()
-		}
-		s.check.Left(len(s.wire.socks), len(s.wire.timers), s.blocks.Out())
-	default:
-		s.member(what, fd, k)
+	case "most":
+		s.takeMost(fd, k)
 	}
-	s.look()
+}
+
+// takeMost takes all that a connection has to write but one byte.
+func (s *members) takeMost(fd int, k *sock) {
+	k.room = 1 << 16
+	if left := s.unwritten(fd); left > 1 {
+		k.room = left - 1
+	}
+	k.handler.Ready(false, true)
+	if after := s.wire.socks[fd]; after != nil {
+		after.room = 0
+	}
+}
+
+func (s *members) close() {
+	s.closed = true
+	s.m.CloseIdle()
+	for _, x := range s.sends {
+		x.text.Free()
+	}
+	s.check.Left(len(s.wire.socks), len(s.wire.timers), s.blocks.Out())
 }
 
 // unwritten is how much of a statement a connection has still to write; a statement's length is known.
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"strings"
 
 	"stoatdale.example/stoatdale/internal/explore"
@@ -170,32 +171,23 @@
 
 func (r *rollout) answer(c rollCall) form.Reply {
 	a := r.agents[c.At]
-	switch {
-	case r.fault == "unkept" && c.Call.Verb == form.StoreRecordVerb:
+	if r.fault == "unkept" && c.Call.Verb == form.StoreRecordVerb {
 		return form.Reply{LeaseState: a.desk.Lease.State(r.now)}
-	case r.fault == "epoch-twice" && c.Call.Verb == form.RequestLeaseVerb && c.Call.LeaseRequest.Epoch == a.desk.Lease.Epoch:
+	}
+	if r.fault == "epoch-twice" && c.Call.Verb == form.RequestLeaseVerb && c.Call.LeaseRequest.Epoch == a.desk.Lease.Epoch {
 		a.desk.Lease.Epoch--
 		a.desk.Lease.Held = false
 	}
 	if c.Call.Verb == form.BeginStepVerb {
 		c.Call.Step.OnlyIfNotServing = c.Call.Step.OnlyIfNotServing && r.fault != "rash"
-		var kept int
-		for _, b := range r.agents {
-			if s := b.claims.Record.Version; s.Epoch >= c.Call.Epoch {
-				kept++
-			}
-		}
-		r.check.Sent(fmt.Sprint(c.Call.Step.RolloutID, "/", c.Call.Step.Number), kept >= claim.Majority(len(r.agents)))
+		r.check.Sent(stepName(c.Call.Step), r.isKept(c.Call.Epoch))
 	}
 	reply, saves := a.desk.Handle(r.now, c.Call)
 	if r.fault == "two-begin" {
-		for i := range reply.Instances {
-			if x := &reply.Instances[i]; x.LastStep.Number != 0 && x.LastResult == plan.StepPending {
-				x.LastResult, x.State, x.Revision = plan.StepSucceeded, plan.ProcessReady, x.LastStep.Revision
-			}
-		}
+		hidePendingSteps(&reply)
 	}
-	if reply.Denial == claim.Granted && (c.Call.Verb == form.BeginStepVerb || c.Call.Verb == form.StoreRecordVerb) {
+	isChange := c.Call.Verb == form.BeginStepVerb || c.Call.Verb == form.StoreRecordVerb
+	if reply.Denial == claim.Granted && isChange {
 		r.check.Acted(c.Call.Epoch, c.Call.Holder)
 	}
 	if saves.Lease {
@@ -208,6 +200,30 @@
 	return reply
 }
 
+// stepName is a step's name in the checker.
+func stepName(s plan.Step) string { return fmt.Sprint(s.RolloutID, "/", s.Number) }
+
+// isKept tells whether a majority of agents keeps a record of an epoch or a later one.
+func (r *rollout) isKept(epoch uint64) bool {
+	kept := 0
+	for _, a := range r.agents {
+		if a.claims.Record.Version.Epoch >= epoch {
+			kept++
+		}
+	}
+	return kept >= claim.Majority(len(r.agents))
+}
+
+// hidePendingSteps has a reply say that no instance is in a step.
+func hidePendingSteps(reply *form.Reply) {
+	for i := range reply.Instances {
+		x := &reply.Instances[i]
+		if x.LastStep.Number != 0 && x.LastResult == plan.StepPending {
+			x.LastResult, x.State, x.Revision = plan.StepSucceeded, plan.ProcessReady, x.LastStep.Revision
+		}
+	}
+}
+
 // stored keeps an instance's record, and sees steps begin and end.
 func (r *rollout) stored(i int) {
 	a := r.agents[i]
@@ -252,30 +268,13 @@
 	case tend.ActionInstallRevision:
 		out = x.RevisionInstalled(r.now, nil)
 	case tend.ActionStart:
-		running := 0
-		if a.runs {
-			running = 1
-		}
-		r.check.Started(i, running)
-		a.runs, a.serves, a.mark = true, false, e.Incarnation
-		if r.fault != "untold-start" {
-			out = x.ProcessStarted(r.now, e.Incarnation, nil)
-		}
+		out = r.startRouter(i, e.Incarnation)
 	case tend.ActionHealthCheck:
 		a.serves = a.runs
 		out = x.HealthChecked(r.now, a.runs)
 	case tend.ActionTerminate:
-		others := 0
-		for j, b := range r.agents {
-			if j != i && b.serves {
-				others++
-			}
-		}
-		if a.serves {
-			r.check.Taken(i, others)
-		}
-		a.runs, a.serves = false, false
-		out = x.ProcessExited(r.now, "ended")
+		out = r.terminateRouter(i)
+	case tend.ActionReadCounters, tend.ActionKill, tend.ActionReload: // nothing comes of them here
 	}
 	if out.Store {
 		r.stored(i)
@@ -283,48 +282,69 @@
 	a.todo = append(a.todo, out.Actions...)
 }
 
+func (r *rollout) startRouter(i int, incarnation uint64) tend.Transition {
+	a := r.agents[i]
+	running := 0
+	if a.runs {
+		running = 1
+	}
+	r.check.Started(i, running)
+	a.runs, a.serves, a.mark = true, false, incarnation
+	if r.fault == "untold-start" {
+		return tend.Transition{}
+	}
+	return a.desk.Supervisors[0].ProcessStarted(r.now, incarnation, nil)
+}
+
+func (r *rollout) terminateRouter(i int) tend.Transition {
+	a := r.agents[i]
+	others := 0
+	for j, other := range r.agents {
+		if j != i && other.serves {
+			others++
+		}
+	}
+	if a.serves {
+		r.check.Taken(i, others)
+	}
+	a.runs, a.serves = false, false
+	return a.desk.Supervisors[0].ProcessExited(r.now, "ended")
+}
+
 // Steps implements explore.System.
-func (r *rollout) Steps() (s []string) {
+func (r *rollout) Steps() []string {
 	may := func(kind string) bool { return r.bounds.may(kind, r.faults) }
+	var s stepList
 	for i, a := range r.agents {
-		if a.alive && len(a.todo) > 0 {
-			s = append(s, fmt.Sprintf("act %d", i))
-		}
-		if a.alive && may("die") {
-			s = append(s, fmt.Sprintf("die agent %d", i))
-		}
-		if !a.alive {
-			s = append(s, fmt.Sprintf("back agent %d", i))
-		}
-		if a.alive && a.runs && may("crash") && r.calm() {
-			s = append(s, fmt.Sprintf("crash %d", i))
-		}
+		s.addIf(a.alive && len(a.todo) > 0, "act %d", i)
+		s.addIf(a.alive && may("die"), "die agent %d", i)
+		s.addIf(!a.alive, "back agent %d", i)
+		s.addIf(a.alive && a.runs && may("crash") && r.calm(), "crash %d", i)
 	}
 	for t, x := range r.tools {
-		if x.driver == nil {
-			continue
-		}
-		if may("die") {
-			s = append(s, fmt.Sprintf("die tool %d", t))
-		}
-		for k := range x.out {
-			s = append(s, fmt.Sprintf("deliver %d %d", t, k))
-			for _, kind := range []string{"lose", "deafen", "delay"} {
-				if may(kind) {
-					s = append(s, fmt.Sprintf("%s %d %d", kind, t, k))
-				}
-			}
+		if x.driver != nil {
+			r.addToolSteps(&s, t, x)
 		}
 	}
 	for k := range r.late {
-		s = append(s, fmt.Sprintf("arrive %d", k))
-	}
-	if r.ticks < r.bounds.Ticks {
-		s = append(s, "tick")
+		s.add("arrive %d", k)
 	}
+	s.addIf(r.ticks < r.bounds.Ticks, "tick")
 	return s
 }
 
+// addToolSteps adds what may become of a tool and its calls.
+func (r *rollout) addToolSteps(s *stepList, t int, x *rollTool) {
+	may := func(kind string) bool { return r.bounds.may(kind, r.faults) }
+	s.addIf(may("die"), "die tool %d", t)
+	for k := range x.out {
+		s.add("deliver %d %d", t, k)
+		for _, kind := range []string{"lose", "deafen", "delay"} {
+			s.addIf(may(kind), "%s %d %d", kind, t, k)
+		}
+	}
+}
+
 // Commute implements explore.Commuter: what one agent does by itself is nothing to another.
 func (r *rollout) Commute(a, b string) bool {
 	if explore.Kind(a) != "act" {
@@ -371,64 +391,74 @@
 
 // Take implements explore.System.
 func (r *rollout) Take(step string) {
-	var n, k int
-	what := explore.Kind(step)
-	switch {
-	case strings.HasPrefix(step, "die agent"), strings.HasPrefix(step, "back agent"), strings.HasPrefix(step, "die tool"):
-		_, _ = fmt.Sscanf(step[strings.LastIndexByte(step, ' ')+1:], "%d", &n)
-	default:
-		_, _ = fmt.Sscanf(step[len(what):], "%d %d", &n, &k)
-	}
-	switch what {
+	kind, n, k := parseStep(step)
+	switch kind {
 	case "act":
 		r.act(n)
-	case "die":
-		r.faults++
-		if strings.HasPrefix(step, "die tool") {
-			r.tools[n].driver, r.tools[n].out = nil, nil
-		} else {
-			r.agents[n].alive = false
-		}
-	case "back":
-		r.birth(n)
+	case "die", "back": // of an agent or a tool, which the second word says
+		_, _ = fmt.Sscanf(step[strings.LastIndexByte(step, ' ')+1:], "%d", &n)
+		r.dieOrComeBack(step, n)
 	case "tick":
 		r.tick()
-	case "crash": // and it is seen before anything else happens
-		r.faults++
-		a := r.agents[n]
-		a.runs, a.serves = false, false
-		if out := a.desk.Supervisors[0].ProcessExited(r.now, "by itself"); out.Store {
-			r.stored(n)
-		}
-		r.ticks++
-		r.now += rollTick
+	case "crash":
+		r.crash(n)
 	case "arrive":
 		c := r.late[n]
-		r.late = append(append([]rollCall{}, r.late[:n]...), r.late[n+1:]...)
+		r.late = slices.Delete(slices.Clone(r.late), n, n+1)
 		if r.agents[c.At].alive {
 			r.answer(c)
 		}
 	default:
-		x := r.tools[n]
-		c := x.out[k]
-		x.out = append(append([]rollCall{}, x.out[:k]...), x.out[k+1:]...)
-		switch what {
-		case "deliver":
-			r.deliver(c, true)
-		case "deafen":
-			r.faults++
-			r.deliver(c, false)
-		default: // lost, or late
-			r.faults++
-			x.driver.HandleFailure(r.now, c.ID, "lost")
-			if what == "delay" {
-				r.late = append(r.late, c)
-			}
-		}
+		r.endCall(kind, n, k)
 	}
 	r.turn()
 }
 
+func (r *rollout) dieOrComeBack(step string, n int) {
+	switch {
+	case strings.HasPrefix(step, "back"):
+		r.birth(n)
+	case strings.HasPrefix(step, "die tool"):
+		r.faults++
+		r.tools[n].driver, r.tools[n].out = nil, nil
+	default:
+		r.faults++
+		r.agents[n].alive = false
+	}
+}
+
+// crash has a router end by itself, and its agent see it before anything else happens.
+func (r *rollout) crash(n int) {
+	r.faults++
+	a := r.agents[n]
+	a.runs, a.serves = false, false
+	if out := a.desk.Supervisors[0].ProcessExited(r.now, "by itself"); out.Store {
+		r.stored(n)
+	}
+	r.ticks++
+	r.now += rollTick
+}
+
+// endCall is what becomes of a tool's call.
+func (r *rollout) endCall(kind string, n, k int) {
+	x := r.tools[n]
+	c := x.out[k]
+	x.out = slices.Delete(slices.Clone(x.out), k, k+1)
+	switch kind {
+	case "deliver":
+		r.deliver(c, true)
+	case "deafen":
+		r.faults++
+		r.deliver(c, false)
+	default: // lost, or late
+		r.faults++
+		x.driver.HandleFailure(r.now, c.ID, "lost")
+		if kind == "delay" {
+			r.late = append(r.late, c)
+		}
+	}
+}
+
 // rolloutRules leave out what decides nothing: numbers of calls, which only tell them apart, readings of counters and of
 // a claim's age, which nothing here goes by, and what is the same in all states. Times count from now.
 var rolloutRules = &explore.Rules{
--- a/internal/systems/systems.go
+++ b/internal/systems/systems.go
@@ -105,7 +105,8 @@
 		return &sexp.Error{Position: b.Place, Reason: err.Error()}
 	}
 	for _, c := range b.Commands {
-		if groupOf(c) < 0 && !(b.System == "client" && slices.Contains(clientSays, c)) {
+		isClientMessage := b.System == "client" && slices.Contains(clientSays, c)
+		if groupOf(c) < 0 && !isClientMessage {
 			return &sexp.Error{Position: b.Place, Reason: fmt.Sprintf("commands: there is no command group %s", c)}
 		}
 	}
--- a/internal/systems/systems_test.go
+++ b/internal/systems/systems_test.go
@@ -232,7 +232,7 @@
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		_, err := Load(path, "command")
-		assert.ErrorContains(t, err, says)
+		require.ErrorContains(t, err, says)
 	}
 	f := Inject(context.Background(), commandKind, "early-byte", 1)
 	require.NoError(t, f.Trace.Save(path))
--- a/internal/systems/watch.go
+++ b/internal/systems/watch.go
@@ -137,49 +137,40 @@
 }
 
 // Steps implements explore.System.
-func (s *watching) Steps() (out []string) {
-	may := func(kind string) bool { return s.bounds.may(kind, s.faults) }
+func (s *watching) Steps() []string {
+	var out stepList
 	for i, fd := range s.order {
-		k, c := s.wire.socks[fd], s.calls[fd]
-		switch {
-		case k == nil || k.handler == nil:
-			continue
-		case !k.up:
-			out = append(out, fmt.Sprintf("up %d", i))
-			if may("refuse") {
-				out = append(out, fmt.Sprintf("refuse %d", i))
-			}
-			continue
-		}
-		if len(k.in) > 0 || k.ended {
-			out = append(out, fmt.Sprintf("see %d", i))
-		}
-		if k.ended {
-			continue
-		}
-		if len(c.half) > 0 {
-			out = append(out, fmt.Sprintf("rest %d", i))
-		} else if len(c.asked) > 0 && s.lists < 3 {
-			out = append(out, fmt.Sprintf("answer %d", i))
-			for _, kind := range []string{"half", "sick", "spoil", "old"} {
-				if may(kind) {
-					out = append(out, fmt.Sprintf("%s %d", kind, i))
-				}
-			}
-		}
-		if may("end") {
-			out = append(out, fmt.Sprintf("end %d", i))
+		if k := s.wire.socks[fd]; k != nil && k.handler != nil {
+			s.addCallSteps(&out, i, k, s.calls[fd])
 		}
 	}
-	if may("move") {
-		out = append(out, "move")
+	out.addIf(s.bounds.may("move", s.faults), "move")
+	_, hasTimer := s.wire.next()
+	out.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
+	return out
+}
+
+// addCallSteps adds what may happen on the connection of a call.
+func (s *watching) addCallSteps(out *stepList, i int, k *sock, c *call) {
+	may := func(kind string) bool { return s.bounds.may(kind, s.faults) }
+	if !k.up {
+		out.add("up %d", i)
+		out.addIf(may("refuse"), "refuse %d", i)
+		return
+	}
+	out.addIf(len(k.in) > 0 || k.ended, "see %d", i)
+	if k.ended {
+		return
 	}
-	if s.ticks < s.bounds.Ticks {
-		if _, ok := s.wire.next(); ok {
-			out = append(out, "tick")
+	if len(c.half) > 0 {
+		out.add("rest %d", i)
+	} else if len(c.asked) > 0 && s.lists < 3 {
+		out.add("answer %d", i)
+		for _, kind := range []string{"half", "sick", "spoil", "old"} {
+			out.addIf(may(kind), "%s %d", kind, i)
 		}
 	}
-	return out
+	out.addIf(may("end"), "end %d", i)
 }
 
 // Take implements explore.System.
