--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -40,17 +40,17 @@
 
 // clients is the system: a front and its clients; the core is the adversary's.
 type clients struct {
-	bounds  Bounds
-	fault   string
-	wire    *listening
-	front   *front.Server
-	blocks  *buffer.Pool
-	check   verdict.Clients
-	clients []*asker
-	taken   []*taken
-	faults  int
-	ticks   int
-	drained bool
+	bounds   Bounds
+	fault    string
+	wire     *listening
+	front    *front.Server
+	blocks   *buffer.Pool
+	check    verdict.Clients
+	clients  []*scriptedClient
+	received []*receivedCommand
+	faults   int
+	ticks    int
+	drained  bool
 }
 
 // listening is a wire with a listener.
@@ -61,18 +61,18 @@
 	fds      map[int]int
 }
 
-// asker is one client: what it says, in order, and how much of that it has said.
-type asker struct {
-	fd   int
-	come bool
-	said int // messages, the start-up packet first
-	half bool
-	slow bool   // it has said half a message, and may be cut short for it
-	got  []byte // all that it was ever sent
+// scriptedClient is one client: what it says, in order, and how much of that it has said.
+type scriptedClient struct {
+	fd           int
+	connected    bool
+	messagesSent int // messages, the start-up packet first
+	halfSent     bool
+	wasSlow      bool   // it has said half a message, and may be cut short for it
+	received     []byte // all that it was ever sent
 }
 
-// taken is a command that the front took.
-type taken struct {
+// receivedCommand is a command that the front took.
+type receivedCommand struct {
 	c    *core.Command
 	name string
 	open bool
@@ -110,7 +110,7 @@
 		panic(err) // the wire refuses nothing
 	}
 	for range b.Clients {
-		s.clients = append(s.clients, &asker{})
+		s.clients = append(s.clients, &scriptedClient{})
 	}
 	return s
 }
@@ -144,7 +144,7 @@
 func (clientCore) LookupShard(int) (int, bool) { return 0, true }
 
 func (s clientCore) IsInFlight(name string) bool {
-	for _, t := range s.taken {
+	for _, t := range s.received {
 		if t.open && t.c.ID == name {
 			return true
 		}
@@ -153,11 +153,11 @@
 }
 
 func (s clientCore) Submit(c *core.Command) {
-	s.taken = append(s.taken, &taken{c: c, name: c.ID, open: true})
+	s.received = append(s.received, &receivedCommand{c: c, name: c.ID, open: true})
 }
 
 func (s clientCore) ClientGone(cs []*core.Command) {
-	for _, t := range s.taken {
+	for _, t := range s.received {
 		if slices.Contains(cs, t.c) && s.fault != "unheard" {
 			s.check.Ended(t.name)
 			t.open = s.fault == "left-twice"
@@ -253,13 +253,13 @@
 func (s *clients) Steps() []string {
 	var out stepList
 	for i, c := range s.clients {
-		if c.come {
+		if c.connected {
 			s.addClientSteps(&out, i, c)
 		} else {
 			out.addIf(!s.drained, "come %d", i)
 		}
 	}
-	for i, t := range s.taken {
+	for i, t := range s.received {
 		if t.open {
 			out.add("answer %d", i)
 			out.add("throttle %d", i)
@@ -273,7 +273,7 @@
 }
 
 // addClientSteps adds what a client may do that has come, and what may become of its connection.
-func (s *clients) addClientSteps(out *stepList, i int, c *asker) {
+func (s *clients) addClientSteps(out *stepList, i int, c *scriptedClient) {
 	k := s.wire.socks[c.fd]
 	if k == nil || k.handler == nil {
 		return
@@ -284,9 +284,9 @@
 	if k.ended {
 		return
 	}
-	hasMore := c.said <= len(s.bounds.Commands)
+	hasMore := c.messagesSent <= len(s.bounds.Commands)
 	out.addIf(hasMore, "say %d", i)
-	out.addIf(hasMore && !c.half && may("half"), "half %d", i)
+	out.addIf(hasMore && !c.halfSent && may("half"), "half %d", i)
 	out.addIf(may("leave"), "leave %d", i)
 	out.addIf(k.room > 0 && may("stall"), "stall %d", i)
 }
@@ -333,7 +333,7 @@
 // come has a client connect.
 func (s *clients) come(n int) {
 	c := s.clients[n]
-	c.come = true
+	c.connected = true
 	s.wire.coming = append(s.wire.coming, n)
 	s.front.Ready(true, false)
 	c.fd = s.wire.fds[n]
@@ -345,18 +345,18 @@
 // say has a client send its next message, the first half of it or the second.
 func (s *clients) say(n int, half bool) {
 	c := s.clients[n]
-	m := s.message(n, c.said)
+	m := s.message(n, c.messagesSent)
 	switch {
-	case c.half:
+	case c.halfSent:
 		m = m[len(m)/2:]
-		c.half = false
-		c.said++
+		c.halfSent = false
+		c.messagesSent++
 	case half:
 		s.faults++
 		m = m[:len(m)/2]
-		c.half, c.slow = true, true
+		c.halfSent, c.wasSlow = true, true
 	default:
-		c.said++
+		c.messagesSent++
 	}
 	k := s.wire.socks[c.fd]
 	k.in = append(k.in, m...)
@@ -385,10 +385,10 @@
 
 // core is what the core does with a command that it has in hand.
 func (s *clients) core(what string, n int) {
-	t := s.taken[n]
+	t := s.received[n]
 	to := t
 	if s.fault == "swapped" {
-		for _, o := range s.taken {
+		for _, o := range s.received {
 			if o != t && o.open {
 				to = o
 			}
@@ -414,22 +414,22 @@
 // judge reads what clients were sent, and looks at what is left once all have gone.
 func (s *clients) judge() {
 	for i, c := range s.clients {
-		if k := s.wire.socks[c.fd]; c.come && k != nil {
-			c.got = append(c.got[:0], k.sent...)
+		if k := s.wire.socks[c.fd]; c.connected && k != nil {
+			c.received = append(c.received[:0], k.sent...)
 		}
 		var may []func(verdict.Answer) bool
-		for n := range c.said {
+		for n := range c.messagesSent {
 			own := s.may(i, n)
-			may = append(may, func(a verdict.Answer) bool { return own(a) || c.slow && a.Code == pg.CodeProtocol })
+			may = append(may, func(a verdict.Answer) bool { return own(a) || c.wasSlow && a.Code == pg.CodeProtocol })
 		}
-		if c.half { // its own half message may be found wrong
+		if c.halfSent { // its own half message may be found wrong
 			may = append(may, func(a verdict.Answer) bool { return a.Code == pg.CodeProtocol })
 		}
-		s.check.Read(i, answers(c.got), may)
+		s.check.Read(i, answers(c.received), may)
 	}
 	if s.drained && s.front.OpenConnections() == 0 {
 		open := 0
-		for _, t := range s.taken {
+		for _, t := range s.received {
 			if t.open {
 				open++
 			}
--- a/internal/systems/command.go
+++ b/internal/systems/command.go
@@ -86,14 +86,14 @@
 	cmdIdle    = 8.5 // seconds in which the module turns its sessions over and lets rows of members go
 )
 
-type cmdGroup struct {
+type commandGroup struct {
 	name string
 	g    router.CommandGroup
 	e    verdict.Effect
 }
 
 // Names of command groups in bounds, and what they are.
-var cmdGroups = []cmdGroup{
+var commandGroups = []commandGroup{
 	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, verdict.Replayable},
 	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, verdict.Replayable},
 	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, verdict.Mutating},
@@ -102,77 +102,77 @@
 
 // commands is the system: one router, one set whose member 0 is the primary at first, and one session.
 type commands struct {
-	bounds  Bounds
-	fault   string
-	now     float64
-	ticks   int
-	faults  int
-	router  *router.Router
-	hand    *hand.Tracker
-	next    float64
-	members []host
-	cmds    []*cmd
-	probes  map[int]bool // that the module waits for
-	check   verdict.Commands
-	token   float64  // position of the session's last write
-	seen    float64  // the furthest position that its reads have shown at this router
-	boots   int      // of the router
-	giveups []int    // commands whose answer is held back by a fault
-	free    []int    // indices of members that the module has let go
-	early   [][2]int // dispatches that a fault has ended before they have
-}
-
-type host struct {
+	bounds            Bounds
+	fault             string
+	now               float64
+	ticks             int
+	faults            int
+	router            *router.Router
+	tracker           *hand.Tracker
+	nextReviewAt      float64
+	endpoints         []endpoint
+	cmds              []*clientCommand
+	healthChecks      map[int]bool // that the module waits for
+	check             verdict.Commands
+	lastWrite         float64  // position of the session's last write
+	readHighWaterMark float64  // the furthest position that its reads have shown at this router
+	starts            int      // of the router
+	heldAnswers       []int    // commands whose answer is held back by a fault
+	freeRows          []int    // indices of members that the module has let go
+	endedEarly        [][2]int // dispatches that a fault has ended before they have
+}
+
+type endpoint struct {
 	verdict.Member
-	primary bool
-	told    router.EndpointState
+	primary     bool
+	listedState router.EndpointState
 }
 
-type cmd struct {
+type clientCommand struct {
 	verdict.Command
-	name   string
-	group  int
-	taken  bool
-	served bool // its answer is a member's
-	out    []*leg
+	name     string
+	group    int
+	received bool
+	answered bool // its answer is a member's
+	attempts []*attempt
 }
 
-type leg struct {
-	number, node int
-	sent, until  float64
-	recalled     bool
-	ghost        bool // its command was told that it ran out of time
+type attempt struct {
+	number, endpoint int
+	sentAt, deadline float64
+	canceled         bool
+	ghost            bool // its command was told that it ran out of time
 }
 
 // groupOf finds a command group, or returns -1.
 func groupOf(name string) int {
-	return slices.IndexFunc(cmdGroups, func(g cmdGroup) bool { return g.name == name })
+	return slices.IndexFunc(commandGroups, func(g commandGroup) bool { return g.name == name })
 }
 
 func newCommands(b Bounds, fault string) *commands {
 	c := &commands{
-		bounds: b, fault: fault, probes: map[int]bool{}, check: verdict.Commands{Grace: cmdGrace}, token: math.Inf(-1),
-		seen: math.Inf(-1),
+		bounds: b, fault: fault, healthChecks: map[int]bool{}, check: verdict.Commands{Grace: cmdGrace}, lastWrite: math.Inf(-1),
+		readHighWaterMark: math.Inf(-1),
 	}
 	for range b.Members {
-		c.members = append(c.members, host{told: router.Ready, Member: verdict.Member{Covers: 10}})
+		c.endpoints = append(c.endpoints, endpoint{listedState: router.Ready, Member: verdict.Member{Covers: 10}})
 	}
-	c.members[0].primary = true
+	c.endpoints[0].primary = true
 	for i, name := range b.Commands {
-		c.cmds = append(c.cmds, &cmd{name: fmt.Sprint(name, " ", i), group: groupOf(name)})
+		c.cmds = append(c.cmds, &clientCommand{name: fmt.Sprint(name, " ", i), group: groupOf(name)})
 	}
 	c.now = 10
-	c.boot()
+	c.startRouter()
 	return c
 }
 
-// boot starts the router, for the first time or anew: it knows only the list that it had last.
-func (c *commands) boot() {
+// startRouter starts the router, for the first time or anew: it knows only the list that it had last.
+func (c *commands) startRouter() {
 	s := router.Config{
 		RouterCount: 1, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
 		MaxAttempts: 3, ConnectTimeout: 0.05, SlowStartFloor: 0.2, SlowStart: 0.1, OverloadFactor: 2, OverloadWindow: 1,
 	}
-	for _, x := range cmdGroups {
+	for _, x := range commandGroups {
 		g := x.g
 		g.LatencyObjective, g.ClientTimeout, g.PriorityWeight, g.LateValue, g.IdempotencyWindow = cmdTimeout/2, cmdTimeout, 1, 0.5, cmdMemory
 		if c.fault == "long-memory" {
@@ -180,52 +180,52 @@
 		}
 		s.CommandGroups = append(s.CommandGroups, g)
 	}
-	c.boots++
-	c.router = router.New(s, uint64(c.boots)<<48) // a new seed with each start, that draws otherwise
-	c.hand = hand.New(c.router, c)
-	c.list(true)
+	c.starts++
+	c.router = router.New(s, uint64(c.starts)<<48) // a new seed with each start, that draws otherwise
+	c.tracker = hand.New(c.router, c)
+	c.sendList(true)
 	c.settle()
 }
 
-func (c *commands) list(cached bool) {
+func (c *commands) sendList(cached bool) {
 	var l []router.EndpointInfo
-	for i, m := range c.members {
-		l = append(l, router.EndpointInfo{Index: i, State: m.told, StartedAt: math.Inf(-1), Primary: m.primary})
+	for i, m := range c.endpoints {
+		l = append(l, router.EndpointInfo{Index: i, State: m.listedState, StartedAt: math.Inf(-1), Primary: m.primary})
 	}
 	c.router.UpdateEndpoints(c.now, l, true, cached)
 }
 
 // settle lets the module go on by itself up to now.
 func (c *commands) settle() {
-	next, keep := c.hand.ReviewDue(c.now)
-	for _, e := range c.early {
-		c.hand.AttemptEnded(c.now, uint32(e[0]), router.AttemptResult{Attempt: e[1], Result: router.Canceled, Position: -1})
+	next, keep := c.tracker.ReviewDue(c.now)
+	for _, e := range c.endedEarly {
+		c.tracker.AttemptEnded(c.now, uint32(e[0]), router.AttemptResult{Attempt: e[1], Result: router.Canceled, Position: -1})
 	}
-	c.early, c.next = nil, next
-	c.free = append(c.free, keep.Release...)
+	c.endedEarly, c.nextReviewAt = nil, next
+	c.freeRows = append(c.freeRows, keep.Release...)
 	for _, n := range keep.HealthCheck {
-		c.probes[n] = true
+		c.healthChecks[n] = true
 	}
 }
 
 // Forward implements hand.Executor.
 func (c *commands) Forward(id uint32, number, node int, until float64) {
 	x := c.cmds[id]
-	m := c.members[node].Member
+	m := c.endpoints[node].Member
 	if c.fault == "far-keyed" && number > 0 {
 		m.Set++
 	}
 	c.check.Sent(c.now, x.name, &x.Command, node, &m)
-	x.out = append(x.out, &leg{number: number, node: node, sent: c.now, until: until})
+	x.attempts = append(x.attempts, &attempt{number: number, endpoint: node, sentAt: c.now, deadline: until})
 }
 
 // Cancel implements hand.Executor.
 func (c *commands) Cancel(id uint32, number int) {
-	for _, l := range c.cmds[id].out {
+	for _, l := range c.cmds[id].attempts {
 		if l.number == number {
-			l.recalled = true
+			l.canceled = true
 			if c.fault == "two-out" {
-				c.early = append(c.early, [2]int{int(id), number})
+				c.endedEarly = append(c.endedEarly, [2]int{int(id), number})
 			}
 		}
 	}
@@ -237,7 +237,7 @@
 // Fail implements hand.Executor.
 func (c *commands) Fail(id uint32) {
 	if c.fault == "held-back" {
-		c.giveups = append(c.giveups, int(id))
+		c.heldAnswers = append(c.heldAnswers, int(id))
 		return
 	}
 	c.check.Answered(c.now, c.cmds[id].name, &c.cmds[id].Command)
@@ -245,19 +245,19 @@
 
 // Steps implements explore.System.
 func (c *commands) Steps() []string {
-	if c.Ended() && !c.sending() && len(c.giveups) == 0 {
+	if c.Ended() && !c.hasAttemptsInFlight() && len(c.heldAnswers) == 0 {
 		return nil // nothing more can come of them
 	}
 	may := func(kind string) bool { return c.bounds.may(kind, c.faults) }
 	var s stepList
 	for i, x := range c.cmds {
-		s.addIf(!x.taken, "take %d", i)
-		s.addIf(x.taken && x.Open() && may("leave"), "leave %d", i)
-		for k, l := range x.out {
+		s.addIf(!x.received, "take %d", i)
+		s.addIf(x.received && x.Open() && may("leave"), "leave %d", i)
+		for k, l := range x.attempts {
 			c.addEndings(&s, l, i, k)
 		}
 	}
-	for i := range c.members {
+	for i := range c.endpoints {
 		c.addMemberSteps(&s, i)
 	}
 	s.addIf(may("restart"), "restart")
@@ -267,10 +267,10 @@
 }
 
 // addEndings adds how a dispatch may end.
-func (c *commands) addEndings(s *stepList, l *leg, i, k int) {
-	s.addIf(l.recalled && !l.ghost, "recalled %d %d", i, k) // the race with its answer
+func (c *commands) addEndings(s *stepList, l *attempt, i, k int) {
+	s.addIf(l.canceled && !l.ghost, "recalled %d %d", i, k) // the race with its answer
 	s.add("answered %d %d", i, k)
-	if l.ghost || l.recalled {
+	if l.ghost || l.canceled {
 		return
 	}
 	for _, kind := range []string{"errored", "full", "unreached", "broken"} {
@@ -281,13 +281,13 @@
 // addMemberSteps adds what a member may do, and what may become of it.
 func (c *commands) addMemberSteps(s *stepList, i int) {
 	may := func(kind string) bool { return c.bounds.may(kind, c.faults) }
-	m := &c.members[i]
-	isReady, isReadyReplica := m.told == router.Ready, m.told == router.Ready && !m.primary
-	s.addIf(c.probes[i], "report %d", i)
-	s.addIf(!m.primary && m.Covers < c.now && m.told != router.Removed, "apply %d", i)
+	m := &c.endpoints[i]
+	isReady, isReadyReplica := m.listedState == router.Ready, m.listedState == router.Ready && !m.primary
+	s.addIf(c.healthChecks[i], "report %d", i)
+	s.addIf(!m.primary && m.Covers < c.now && m.listedState != router.Removed, "apply %d", i)
 	s.addIf(may("drain") && isReady, "drain %d", i)
 	s.addIf(may("replace") && isReadyReplica, "replace %d", i)
-	s.addIf(may("promote") && isReadyReplica && m.Covers >= c.token, "promote %d", i)
+	s.addIf(may("promote") && isReadyReplica && m.Covers >= c.lastWrite, "promote %d", i)
 }
 
 // Commute implements explore.Commuter: a replica that applies its log touches nothing but itself, and most steps
@@ -308,7 +308,7 @@
 	return false
 }
 
-var endings = map[string]router.Result{
+var attemptResults = map[string]router.Result{
 	"answered": router.Answered, "errored": router.Errored, "full": router.Overloaded,
 	"unreached": router.ConnectFailed, "broken": router.ConnectionLost, "recalled": router.Canceled, "timed": router.TimedOut,
 }
@@ -324,7 +324,7 @@
 	case "report":
 		c.report(n)
 	case "apply":
-		c.members[n].Covers = c.now
+		c.endpoints[n].Covers = c.now
 	case "drain":
 		c.drain(n)
 	case "replace":
@@ -336,12 +336,12 @@
 		c.restart()
 	case "tick":
 		c.ticks++
-		c.pass(cmdTick)
+		c.passTime(cmdTick)
 	case "idle":
 		c.faults++
-		c.pass(cmdIdle)
+		c.passTime(cmdIdle)
 	default:
-		c.end(n, k, kind)
+		c.endAttempt(n, k, kind)
 	}
 	c.settle()
 }
@@ -350,14 +350,14 @@
 	c.faults++
 	c.check.Ended(&c.cmds[n].Command)
 	if c.fault != "left-behind" {
-		c.hand.ClientGone(c.now, uint32(n))
+		c.tracker.ClientGone(c.now, uint32(n))
 	}
 }
 
 // report has a member answer a probe.
 func (c *commands) report(n int) {
-	delete(c.probes, n)
-	m := c.members[n]
+	delete(c.healthChecks, n)
+	m := c.endpoints[n]
 	at := m.Covers
 	if c.fault == "spoilt-position" {
 		at += 2 * cmdTick
@@ -367,21 +367,21 @@
 
 func (c *commands) drain(n int) {
 	c.faults++
-	m := &c.members[n]
-	m.told, m.Away, m.AwaySince = router.Draining, true, c.now
-	if c.fault != "drain-overlooked" || !c.sending() {
-		c.list(false)
+	m := &c.endpoints[n]
+	m.listedState, m.Away, m.AwaySince = router.Draining, true, c.now
+	if c.fault != "drain-overlooked" || !c.hasAttemptsInFlight() {
+		c.sendList(false)
 	}
 }
 
 func (c *commands) promote(n int) {
 	c.faults++
-	for i := range c.members {
-		c.members[i].primary = i == n
+	for i := range c.endpoints {
+		c.endpoints[i].primary = i == n
 	}
-	c.members[n].Covers = c.now
+	c.endpoints[n].Covers = c.now
 	if c.fault != "untold-primary" {
-		c.list(false)
+		c.sendList(false)
 	}
 }
 
@@ -389,36 +389,36 @@
 func (c *commands) restart() {
 	c.faults++
 	for _, x := range c.cmds {
-		if x.taken {
+		if x.received {
 			c.check.Ended(&x.Command)
-			x.out = nil
+			x.attempts = nil
 		}
 	}
-	c.probes, c.giveups, c.seen = map[int]bool{}, nil, math.Inf(-1)
-	c.boot()
+	c.healthChecks, c.heldAnswers, c.readHighWaterMark = map[int]bool{}, nil, math.Inf(-1)
+	c.startRouter()
 }
 
 // replace has a replica go for good, and another come that has nothing yet, under an index that the module has let go
 // if there is one.
 func (c *commands) replace(n int) {
-	m := &c.members[n]
+	m := &c.endpoints[n]
 	if c.fault == "reused-index" {
 		m.Covers = 0
 	} else {
-		m.told, m.Away, m.AwaySince = router.Removed, true, c.now
-		if len(c.free) > 0 {
-			c.members[c.free[0]] = host{told: router.Ready}
-			c.free = c.free[1:]
+		m.listedState, m.Away, m.AwaySince = router.Removed, true, c.now
+		if len(c.freeRows) > 0 {
+			c.endpoints[c.freeRows[0]] = endpoint{listedState: router.Ready}
+			c.freeRows = c.freeRows[1:]
 		} else {
-			c.members = append(c.members, host{told: router.Ready})
+			c.endpoints = append(c.endpoints, endpoint{listedState: router.Ready})
 		}
 	}
-	c.list(false)
+	c.sendList(false)
 }
 
-func (c *commands) sending() bool {
+func (c *commands) hasAttemptsInFlight() bool {
 	for _, x := range c.cmds {
-		if len(x.out) > 0 {
+		if len(x.attempts) > 0 {
 			return true
 		}
 	}
@@ -426,56 +426,56 @@
 }
 
 func (c *commands) take(n int) {
-	if c.fault == "forgotten-mark" && !c.sending() {
-		c.boot()
+	if c.fault == "forgotten-mark" && !c.hasAttemptsInFlight() {
+		c.startRouter()
 	}
 	x := c.cmds[n]
-	x.taken = true
-	g := cmdGroups[x.group]
+	x.received = true
+	g := commandGroups[x.group]
 	x.Effect, x.GiveUp, x.Memory, x.Needs = g.e, c.now+cmdTimeout, cmdMemory, math.Inf(-1)
 	in := router.Command{Group: x.group, Session: 7, ArrivedAt: c.now, ClientDeadline: x.GiveUp}
 	x.Seen = math.Inf(-1)
 	if g.g.Consistency == router.SessionConsistent {
-		x.Seen = c.seen
+		x.Seen = c.readHighWaterMark
 	}
-	if g.g.Consistency == router.SessionConsistent && !math.IsInf(c.token, -1) {
-		x.Needs, in.LastWriteAge = c.token, cmp.Or(c.now-c.token, -math.SmallestNonzeroFloat64) // as the front makes it
+	if g.g.Consistency == router.SessionConsistent && !math.IsInf(c.lastWrite, -1) {
+		x.Needs, in.LastWriteAge = c.lastWrite, cmp.Or(c.now-c.lastWrite, -math.SmallestNonzeroFloat64) // as the front makes it
 		if c.fault == "no-age" {
-			in.LastWriteAge = math.Max(0, c.now-c.token)
+			in.LastWriteAge = math.Max(0, c.now-c.lastWrite)
 		}
 	}
-	c.hand.Add(c.now, uint32(n), in)
+	c.tracker.Add(c.now, uint32(n), in)
 }
 
-// end has a dispatch end.
-func (c *commands) end(n, k int, kind string) {
+// endAttempt has a dispatch endAttempt.
+func (c *commands) endAttempt(n, k int, kind string) {
 	x := c.cmds[n]
-	l := x.out[k]
+	l := x.attempts[k]
 	if l.ghost {
 		c.check.Answered(c.now, x.name, &x.Command)
 	}
 	if c.fault == "answers-twice" && kind == "timed" && !l.ghost {
 		l.ghost = true
-		defer func() { x.out = append(x.out, l) }()
+		defer func() { x.attempts = append(x.attempts, l) }()
 	}
-	x.out = slices.Delete(slices.Clone(x.out), k, k+1)
+	x.attempts = slices.Delete(slices.Clone(x.attempts), k, k+1)
 	if isFault(kind) {
 		c.faults++
 	}
-	result := endings[kind]
-	m := &c.members[l.node]
+	result := attemptResults[kind]
+	m := &c.endpoints[l.endpoint]
 	missed := result == router.Answered && x.consistency() == router.PrimaryOnly && !m.primary // a replica turns it away
-	c.check.Back(&x.Command, l.sent, m.Set, mayHaveRun(result) && !missed)
+	c.check.Back(&x.Command, l.sentAt, m.Set, mayHaveRun(result) && !missed)
 	o := c.outcome(l, result, missed)
 	if o.Result == router.Answered {
 		c.serve(x, l, &o)
 	}
 	wasOpen := x.Open()
 	if c.fault != "lost-end" || result != router.Canceled {
-		c.hand.AttemptEnded(c.now, uint32(n), o)
+		c.tracker.AttemptEnded(c.now, uint32(n), o)
 	}
 	if o.Result == router.Answered && wasOpen {
-		x.served = true
+		x.answered = true
 		c.check.Answered(c.now, x.name, &x.Command)
 	}
 }
@@ -485,7 +485,7 @@
 	return ending != "answered" && ending != "recalled" && ending != "timed"
 }
 
-func (x *cmd) consistency() router.Consistency { return cmdGroups[x.group].g.Consistency }
+func (x *clientCommand) consistency() router.Consistency { return commandGroups[x.group].g.Consistency }
 
 // mayHaveRun tells whether a command may have run whose dispatch ended so.
 func mayHaveRun(result router.Result) bool {
@@ -498,12 +498,12 @@
 }
 
 // outcome is what the module is told of the end of a dispatch.
-func (c *commands) outcome(l *leg, result router.Result, missed bool) router.AttemptResult {
-	o := router.AttemptResult{Attempt: l.number, Result: result, Elapsed: c.now - l.sent, Final: result == router.Answered, Position: -1}
+func (c *commands) outcome(l *attempt, result router.Result, missed bool) router.AttemptResult {
+	o := router.AttemptResult{Attempt: l.number, Result: result, Elapsed: c.now - l.sentAt, Final: result == router.Answered, Position: -1}
 	hasAnswer := result == router.Answered || result == router.Errored
 	if hasAnswer && c.fault != "untold-primary" { // an answer says what its member is
 		o.Role = router.RoleReplica
-		if c.members[l.node].primary {
+		if c.endpoints[l.endpoint].primary {
 			o.Role = router.RolePrimary
 		}
 	}
@@ -517,48 +517,48 @@
 }
 
 // serve has a member's answer take effect: a write moves its position, a read shows it.
-func (c *commands) serve(x *cmd, l *leg, o *router.AttemptResult) {
-	m := &c.members[l.node]
+func (c *commands) serve(x *clientCommand, l *attempt, o *router.AttemptResult) {
+	m := &c.endpoints[l.endpoint]
 	if x.consistency() == router.PrimaryOnly {
-		c.token, m.Covers = c.now, c.now
+		c.lastWrite, m.Covers = c.now, c.now
 		o.Position = c.now
 		return
 	}
 	o.Position = m.Covers
-	c.check.Served(x.name, &x.Command, l.node, &m.Member)
+	c.check.Served(x.name, &x.Command, l.endpoint, &m.Member)
 	if x.consistency() == router.SessionConsistent {
-		c.seen = math.Max(c.seen, m.Covers)
+		c.readHighWaterMark = math.Max(c.readHighWaterMark, m.Covers)
 	}
 }
 
-// pass lets time pass. The module has its say at each moment that it asked for, and dispatches run out
+// passTime lets time passTime. The module has its say at each moment that it asked for, and dispatches run out
 // of time at theirs.
-func (c *commands) pass(span float64) {
-	held := c.giveups
-	c.giveups = nil
+func (c *commands) passTime(span float64) {
+	held := c.heldAnswers
+	c.heldAnswers = nil
 	end := c.now + span
 	for c.now < end {
-		at := math.Min(end, math.Max(c.next, c.now+0.001))
+		at := math.Min(end, math.Max(c.nextReviewAt, c.now+0.001))
 		for _, x := range c.cmds {
-			for _, l := range x.out {
+			for _, l := range x.attempts {
 				if !l.ghost {
-					at = math.Min(at, math.Max(l.until, c.now))
+					at = math.Min(at, math.Max(l.deadline, c.now))
 				}
 			}
 		}
 		c.now = at
 		for i, x := range c.cmds {
-			for k := 0; k < len(x.out); k++ {
-				if x.out[k].until <= c.now && !x.out[k].ghost {
-					c.end(i, k, "timed")
+			for k := 0; k < len(x.attempts); k++ {
+				if x.attempts[k].deadline <= c.now && !x.attempts[k].ghost {
+					c.endAttempt(i, k, "timed")
 					k--
 				}
 			}
 		}
 		c.settle()
-		for i := range c.members {
-			if c.members[i].primary {
-				c.members[i].Covers = c.now
+		for i := range c.endpoints {
+			if c.endpoints[i].primary {
+				c.endpoints[i].Covers = c.now
 			}
 		}
 	}
@@ -566,7 +566,7 @@
 		c.check.Answered(c.now, c.cmds[n].name, &c.cmds[n].Command)
 	}
 	for _, x := range c.cmds {
-		if x.taken {
+		if x.received {
 			c.check.Overdue(c.now, x.name, &x.Command)
 		}
 	}
@@ -585,15 +585,15 @@
 	h.Rules = commandRules
 	h.Float(c.now)
 	h.Uint(uint64(c.faults))
-	h.Value(c.hand)
-	h.Value(c.members)
+	h.Value(c.tracker)
+	h.Value(c.endpoints)
 	h.Value(c.cmds)
-	h.Value(c.probes)
+	h.Value(c.healthChecks)
 	h.Value(c.check)
-	h.Float(c.token)
-	h.Float(c.seen)
-	h.Value(c.giveups)
-	h.Value(c.free)
+	h.Float(c.lastWrite)
+	h.Float(c.readHighWaterMark)
+	h.Value(c.heldAnswers)
+	h.Value(c.freeRows)
 }
 
 // Broken implements explore.System.
@@ -602,7 +602,7 @@
 // Ended implements explore.System: every command has had its end.
 func (c *commands) Ended() bool {
 	for _, x := range c.cmds {
-		if !x.taken || x.Open() {
+		if !x.received || x.Open() {
 			return false
 		}
 	}
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -40,47 +40,47 @@
 // rollout is the system. What tools look at comes at once; what changes anything is delivered, lost, answered
 // into the void or late, as the adversary picks. Each act of an agent is a step, and it may die before it.
 type rollout struct {
-	bounds Bounds
-	fault  string
-	fleet  *plan.Fleet
-	names  []string
-	limits tend.Limits
-	now    float64
-	ticks  int
-	faults int
-	agents []*rollAgent
-	tools  []*rollTool
-	late   []rollCall // calls that are still on their way after their tool has given them up
-	check  *verdict.Fleet
+	bounds       Bounds
+	fault        string
+	fleet        *plan.Fleet
+	names        []string
+	limits       tend.Limits
+	now          float64
+	ticks        int
+	faults       int
+	agents       []*rollAgent
+	tools        []*rollTool
+	delayedCalls []rollCall // calls that are still on their way after their tool has given them up
+	check        *verdict.Fleet
 }
 
 type rollAgent struct {
-	desk   tend.RequestHandler
-	claims claim.PersistentState
-	record tend.Record
-	alive  bool
-	todo   []tend.Action // acts that are still to be carried out
-	runs   bool
-	serves bool // it has answered since it started, whichever life of the agent asked
-	mark   uint64
-	open   bool
-	lives  int
+	handler        tend.RequestHandler
+	lease          claim.PersistentState
+	record         tend.Record
+	alive          bool
+	pendingActions []tend.Action // acts that are still to be carried out
+	runs           bool
+	serves         bool // it has answered since it started, whichever life of the agent asked
+	incarnation    uint64
+	open           bool
+	lives          int
 }
 
 type rollTool struct {
-	driver *roll.Coordinator
-	holder string
-	out    []rollCall
-	ended  bool
+	coordinator *roll.Coordinator
+	holder      string
+	calls       []rollCall
+	ended       bool
 	// outcome of its last run
 	outcome roll.Outcome
 }
 
 type rollCall struct {
-	Tool int
-	ID   uint64
-	At   int
-	Call form.Request
+	Tool  int
+	ID    uint64
+	Agent int
+	Call  form.Request
 }
 
 func newRollout(b Bounds, fault string) *rollout {
@@ -95,10 +95,10 @@
 	for i := range b.Agents {
 		r.fleet.Instances = append(r.fleet.Instances, plan.Instance{Agent: i})
 		r.names = append(r.names, fmt.Sprint("n", i))
-		a := &rollAgent{runs: true, serves: true, mark: 1, record: tend.Record{ShouldRun: true, Revision: "old", Incarnation: 1}}
+		a := &rollAgent{runs: true, serves: true, incarnation: 1, record: tend.Record{ShouldRun: true, Revision: "old", Incarnation: 1}}
 		r.agents = append(r.agents, a)
 		r.birth(i)
-		for len(a.todo) > 0 {
+		for len(a.pendingActions) > 0 {
 			r.act(i)
 		}
 	}
@@ -120,32 +120,32 @@
 	if t > 0 {
 		task.Operation = roll.OperationResume
 	}
-	x.driver = roll.New(roll.Config{
+	x.coordinator = roll.New(roll.Config{
 		Fleet: r.fleet, InstanceNames: r.names, Agents: len(r.agents), Holder: x.holder,
 		Timing: roll.Timing{PollSeconds: rollTick, MajorityTimeoutSeconds: 50}, Task: task,
 		Random: func() float64 { return 0.5 },
 	})
-	x.out, x.ended = nil, false
+	x.calls, x.ended = nil, false
 }
 
 // turn lets every tool go on as far as it can without anything being delivered that changes an agent.
 func (r *rollout) turn() {
 	for t, x := range r.tools {
-		for again := true; again && x.driver != nil; {
+		for again := true; again && x.coordinator != nil; {
 			again = false
-			sends, _ := x.driver.Tick(r.now)
-			x.driver.TakeEvents()
+			sends, _ := x.coordinator.Tick(r.now)
+			x.coordinator.TakeEvents()
 			for _, s := range sends {
-				c := rollCall{Tool: t, ID: s.ID, At: s.Agent, Call: s.Request}
+				c := rollCall{Tool: t, ID: s.ID, Agent: s.Agent, Call: s.Request}
 				if s.Request.Verb != form.StatusVerb {
-					x.out = append(x.out, c)
+					x.calls = append(x.calls, c)
 					continue
 				}
 				r.deliver(c, true)
 				again = true
 			}
-			if o, over := x.driver.Outcome(); over {
-				x.driver, x.out, x.outcome = nil, nil, o
+			if o, over := x.coordinator.Outcome(); over {
+				x.coordinator, x.calls, x.outcome = nil, nil, o
 				x.ended = o.Kind == roll.OutcomeEnded && o.Rollout.State.Terminal()
 			}
 		}
@@ -154,7 +154,7 @@
 
 // deliver has a call arrive; its answer too, if heard.
 func (r *rollout) deliver(c rollCall, heard bool) {
-	a, d := r.agents[c.At], r.tools[c.Tool].driver
+	a, d := r.agents[c.Agent], r.tools[c.Tool].coordinator
 	if !a.alive {
 		if d != nil { // no call is out for good
 			d.HandleFailure(r.now, c.ID, "gone")
@@ -170,19 +170,19 @@
 }
 
 func (r *rollout) answer(c rollCall) form.Reply {
-	a := r.agents[c.At]
+	a := r.agents[c.Agent]
 	if r.fault == "unkept" && c.Call.Verb == form.StoreRecordVerb {
-		return form.Reply{LeaseState: a.desk.Lease.State(r.now)}
+		return form.Reply{LeaseState: a.handler.Lease.State(r.now)}
 	}
-	if r.fault == "epoch-twice" && c.Call.Verb == form.RequestLeaseVerb && c.Call.LeaseRequest.Epoch == a.desk.Lease.Epoch {
-		a.desk.Lease.Epoch--
-		a.desk.Lease.Held = false
+	if r.fault == "epoch-twice" && c.Call.Verb == form.RequestLeaseVerb && c.Call.LeaseRequest.Epoch == a.handler.Lease.Epoch {
+		a.handler.Lease.Epoch--
+		a.handler.Lease.Held = false
 	}
 	if c.Call.Verb == form.BeginStepVerb {
 		c.Call.Step.OnlyIfNotServing = c.Call.Step.OnlyIfNotServing && r.fault != "rash"
 		r.check.Sent(stepName(c.Call.Step), r.isKept(c.Call.Epoch))
 	}
-	reply, saves := a.desk.Handle(r.now, c.Call)
+	reply, saves := a.handler.Handle(r.now, c.Call)
 	if r.fault == "two-begin" {
 		hidePendingSteps(&reply)
 	}
@@ -191,12 +191,12 @@
 		r.check.Acted(c.Call.Epoch, c.Call.Holder)
 	}
 	if saves.Lease {
-		a.claims = a.desk.Lease.PersistentState
+		a.lease = a.handler.Lease.PersistentState
 	}
 	if saves.ChangedInstance >= 0 {
-		r.stored(c.At)
+		r.stored(c.Agent)
 	}
-	a.todo = append(a.todo, saves.Actions...)
+	a.pendingActions = append(a.pendingActions, saves.Actions...)
 	return reply
 }
 
@@ -207,7 +207,7 @@
 func (r *rollout) isKept(epoch uint64) bool {
 	kept := 0
 	for _, a := range r.agents {
-		if a.claims.Record.Version.Epoch >= epoch {
+		if a.lease.Record.Version.Epoch >= epoch {
 			kept++
 		}
 	}
@@ -227,7 +227,7 @@
 // stored keeps an instance's record, and sees steps begin and end.
 func (r *rollout) stored(i int) {
 	a := r.agents[i]
-	a.record = a.desk.Supervisors[0].Record
+	a.record = a.handler.Supervisors[0].Record
 	open := a.record.Step.Number != 0 && a.record.Result == plan.StepPending
 	switch {
 	case open && !a.open:
@@ -240,29 +240,29 @@
 
 func (r *rollout) birth(i int) {
 	a := r.agents[i]
-	a.alive, a.todo = true, nil
+	a.alive, a.pendingActions = true, nil
 	a.lives++
 	if r.fault == "forgetful" {
-		a.claims = claim.PersistentState{}
+		a.lease = claim.PersistentState{}
 	}
 	x, out := tend.NewSupervisor(a.record, &r.limits)
-	a.desk = tend.RequestHandler{
-		Agent: fmt.Sprint("a", i), InstanceNames: []string{r.names[i]}, Lease: claim.Restore(a.claims, rollTerm, r.now),
+	a.handler = tend.RequestHandler{
+		Agent: fmt.Sprint("a", i), InstanceNames: []string{r.names[i]}, Lease: claim.Restore(a.lease, rollTerm, r.now),
 		Supervisors: []tend.Supervisor{x},
 	}
-	a.todo = append(a.todo, out.Actions...)
+	a.pendingActions = append(a.pendingActions, out.Actions...)
 }
 
 // act carries out an agent's next act, and hands its outcome in.
 func (r *rollout) act(i int) {
 	a := r.agents[i]
-	x := &a.desk.Supervisors[0]
-	e := a.todo[0]
-	a.todo = a.todo[1:]
+	x := &a.handler.Supervisors[0]
+	e := a.pendingActions[0]
+	a.pendingActions = a.pendingActions[1:]
 	var out tend.Transition
 	switch e.Kind {
 	case tend.ActionFindProcess:
-		out = x.ProcessFound(r.now, a.runs && a.mark == e.Incarnation && (r.fault != "twin" || a.lives == 1))
+		out = x.ProcessFound(r.now, a.runs && a.incarnation == e.Incarnation && (r.fault != "twin" || a.lives == 1))
 	case tend.ActionPrepareRevision:
 		out = x.RevisionPrepared(r.now, tend.Preparation{DrainSeconds: 100}, nil)
 	case tend.ActionInstallRevision:
@@ -279,7 +279,7 @@
 	if out.Store {
 		r.stored(i)
 	}
-	a.todo = append(a.todo, out.Actions...)
+	a.pendingActions = append(a.pendingActions, out.Actions...)
 }
 
 func (r *rollout) startRouter(i int, incarnation uint64) tend.Transition {
@@ -289,11 +289,11 @@
 		running = 1
 	}
 	r.check.Started(i, running)
-	a.runs, a.serves, a.mark = true, false, incarnation
+	a.runs, a.serves, a.incarnation = true, false, incarnation
 	if r.fault == "untold-start" {
 		return tend.Transition{}
 	}
-	return a.desk.Supervisors[0].ProcessStarted(r.now, incarnation, nil)
+	return a.handler.Supervisors[0].ProcessStarted(r.now, incarnation, nil)
 }
 
 func (r *rollout) terminateRouter(i int) tend.Transition {
@@ -308,7 +308,7 @@
 		r.check.Taken(i, others)
 	}
 	a.runs, a.serves = false, false
-	return a.desk.Supervisors[0].ProcessExited(r.now, "ended")
+	return a.handler.Supervisors[0].ProcessExited(r.now, "ended")
 }
 
 // Steps implements explore.System.
@@ -316,17 +316,17 @@
 	may := func(kind string) bool { return r.bounds.may(kind, r.faults) }
 	var s stepList
 	for i, a := range r.agents {
-		s.addIf(a.alive && len(a.todo) > 0, "act %d", i)
+		s.addIf(a.alive && len(a.pendingActions) > 0, "act %d", i)
 		s.addIf(a.alive && may("die"), "die agent %d", i)
 		s.addIf(!a.alive, "back agent %d", i)
 		s.addIf(a.alive && a.runs && may("crash") && r.calm(), "crash %d", i)
 	}
 	for t, x := range r.tools {
-		if x.driver != nil {
+		if x.coordinator != nil {
 			r.addToolSteps(&s, t, x)
 		}
 	}
-	for k := range r.late {
+	for k := range r.delayedCalls {
 		s.add("arrive %d", k)
 	}
 	s.addIf(r.ticks < r.bounds.Ticks, "tick")
@@ -337,7 +337,7 @@
 func (r *rollout) addToolSteps(s *stepList, t int, x *rollTool) {
 	may := func(kind string) bool { return r.bounds.may(kind, r.faults) }
 	s.addIf(may("die"), "die tool %d", t)
-	for k := range x.out {
+	for k := range x.calls {
 		s.add("deliver %d %d", t, k)
 		for _, kind := range []string{"lose", "deafen", "delay"} {
 			s.addIf(may(kind), "%s %d %d", kind, t, k)
@@ -360,18 +360,18 @@
 // and the step may take a hall under its floor, and nobody can help that.
 func (r *rollout) calm() bool {
 	for _, a := range r.agents {
-		if a.open || len(a.todo) > 0 {
+		if a.open || len(a.pendingActions) > 0 {
 			return false
 		}
 	}
 	for _, t := range r.tools {
-		for _, c := range t.out {
+		for _, c := range t.calls {
 			if c.Call.Verb == form.BeginStepVerb {
 				return false
 			}
 		}
 	}
-	return len(r.late) == 0 && r.ticks < r.bounds.Ticks
+	return len(r.delayedCalls) == 0 && r.ticks < r.bounds.Ticks
 }
 
 // tick lets a step of time pass.
@@ -379,12 +379,12 @@
 	r.ticks++
 	r.now += rollTick
 	for i, a := range r.agents {
-		if x := &a.desk.Supervisors[0]; a.alive && r.now >= x.NextTick() {
+		if x := &a.handler.Supervisors[0]; a.alive && r.now >= x.NextTick() {
 			out := x.Tick(r.now)
 			if out.Store {
 				r.stored(i)
 			}
-			a.todo = append(a.todo, out.Actions...)
+			a.pendingActions = append(a.pendingActions, out.Actions...)
 		}
 	}
 }
@@ -403,9 +403,9 @@
 	case "crash":
 		r.crash(n)
 	case "arrive":
-		c := r.late[n]
-		r.late = slices.Delete(slices.Clone(r.late), n, n+1)
-		if r.agents[c.At].alive {
+		c := r.delayedCalls[n]
+		r.delayedCalls = slices.Delete(slices.Clone(r.delayedCalls), n, n+1)
+		if r.agents[c.Agent].alive {
 			r.answer(c)
 		}
 	default:
@@ -420,7 +420,7 @@
 		r.birth(n)
 	case strings.HasPrefix(step, "die tool"):
 		r.faults++
-		r.tools[n].driver, r.tools[n].out = nil, nil
+		r.tools[n].coordinator, r.tools[n].calls = nil, nil
 	default:
 		r.faults++
 		r.agents[n].alive = false
@@ -432,7 +432,7 @@
 	r.faults++
 	a := r.agents[n]
 	a.runs, a.serves = false, false
-	if out := a.desk.Supervisors[0].ProcessExited(r.now, "by itself"); out.Store {
+	if out := a.handler.Supervisors[0].ProcessExited(r.now, "by itself"); out.Store {
 		r.stored(n)
 	}
 	r.ticks++
@@ -442,8 +442,8 @@
 // endCall is what becomes of a tool's call.
 func (r *rollout) endCall(kind string, n, k int) {
 	x := r.tools[n]
-	c := x.out[k]
-	x.out = slices.Delete(slices.Clone(x.out), k, k+1)
+	c := x.calls[k]
+	x.calls = slices.Delete(slices.Clone(x.calls), k, k+1)
 	switch kind {
 	case "deliver":
 		r.deliver(c, true)
@@ -452,9 +452,9 @@
 		r.deliver(c, false)
 	default: // lost, or late
 		r.faults++
-		x.driver.HandleFailure(r.now, c.ID, "lost")
+		x.coordinator.HandleFailure(r.now, c.ID, "lost")
 		if kind == "delay" {
-			r.late = append(r.late, c)
+			r.delayedCalls = append(r.delayedCalls, c)
 		}
 	}
 }
@@ -493,16 +493,16 @@
 		h.Value(a)
 	}
 	for _, t := range r.tools {
-		h.Value(t.out)
+		h.Value(t.calls)
 		h.Value(t.ended)
-		if t.driver != nil {
-			h.Value(t.driver)
-			h.Uint(uint64(t.driver.PendingCalls()))
+		if t.coordinator != nil {
+			h.Value(t.coordinator)
+			h.Uint(uint64(t.coordinator.PendingCalls()))
 		} else {
 			h.Uint(math.MaxUint64)
 		}
 	}
-	h.Value(r.late)
+	h.Value(r.delayedCalls)
 	h.Value(r.check)
 }
 
--- a/internal/systems/settle.go
+++ b/internal/systems/settle.go
@@ -94,11 +94,11 @@
 	for range calmTicks / 2 { // a client timeout, and half of one
 		c.quiet()
 	}
-	if c.hand.Len() > 0 {
-		return verdict.ComesToEnd, fmt.Sprintf("%d commands stay in hand", c.hand.Len())
+	if c.tracker.Len() > 0 {
+		return verdict.ComesToEnd, fmt.Sprintf("%d commands stay in hand", c.tracker.Len())
 	}
-	primary := slices.ContainsFunc(c.members, func(m host) bool { return m.primary && m.told == router.Ready })
-	replica := slices.ContainsFunc(c.members, func(m host) bool { return !m.primary && m.told == router.Ready })
+	primary := slices.ContainsFunc(c.endpoints, func(m endpoint) bool { return m.primary && m.listedState == router.Ready })
+	replica := slices.ContainsFunc(c.endpoints, func(m endpoint) bool { return !m.primary && m.listedState == router.Ready })
 	for _, x := range []struct { // in one order always: the module's chance goes on from the first
 		group string
 		may   bool
@@ -114,12 +114,12 @@
 func (c *commands) servedAgain(group string) bool {
 	for range calmTries {
 		n := len(c.cmds)
-		c.cmds = append(c.cmds, &cmd{name: fmt.Sprint(group, " ", n), group: groupOf(group)})
+		c.cmds = append(c.cmds, &clientCommand{name: fmt.Sprint(group, " ", n), group: groupOf(group)})
 		c.Take(fmt.Sprint("take ", n))
 		for x := c.cmds[n]; x.Open(); {
 			c.quiet()
 		}
-		if c.cmds[n].served {
+		if c.cmds[n].answered {
 			return true
 		}
 	}
@@ -129,19 +129,19 @@
 // quiet is a step of time in which members answer at once, probes too, and replicas follow.
 func (c *commands) quiet() {
 	for i, x := range c.cmds {
-		for k := len(x.out) - 1; k >= 0; k-- {
+		for k := len(x.attempts) - 1; k >= 0; k-- {
 			what := "answered"
-			if x.out[k].recalled && !x.out[k].ghost {
+			if x.attempts[k].canceled && !x.attempts[k].ghost {
 				what = "recalled"
 			}
 			c.Take(fmt.Sprintf("%s %d %d", what, i, k))
 		}
 	}
-	for i := range c.members {
-		if m := &c.members[i]; !m.primary && m.told != router.Removed {
+	for i := range c.endpoints {
+		if m := &c.endpoints[i]; !m.primary && m.listedState != router.Removed {
 			m.Covers = math.Max(m.Covers, c.now)
 		}
-		if c.probes[i] {
+		if c.healthChecks[i] {
 			c.Take(fmt.Sprint("report ", i))
 		}
 	}
@@ -156,7 +156,9 @@
 		for steps := r.Steps(); steps[0] != "tick"; steps = r.Steps() { // agents are back first, and have acted
 			r.Take(steps[0])
 		}
-		if !calm(r, func() bool { return !slices.ContainsFunc(r.tools, func(t *rollTool) bool { return t.driver != nil }) }) {
+		if !calm(r, func() bool {
+			return !slices.ContainsFunc(r.tools, func(t *rollTool) bool { return t.coordinator != nil })
+		}) {
 			return verdict.ComesToEnd, "a tool neither goes on nor ends"
 		}
 		o := r.tools[len(r.tools)-1].outcome
--- a/internal/systems/systems_test.go
+++ b/internal/systems/systems_test.go
@@ -191,9 +191,9 @@
 		require.Contains(t, c.Steps(), step)
 		c.Take(step)
 	}
-	require.Equal(t, []int{1}, c.free)
+	require.Equal(t, []int{1}, c.freeRows)
 	c.Take("replace 2")
-	assert.Len(t, c.members, 3, "the index was used again")
+	assert.Len(t, c.endpoints, 3, "the index was used again")
 	c.Take("take 1")
 	c.Take("idle")
 	property, how := c.Broken()
