--- a/internal/systems/systems_test.go
+++ b/internal/systems/systems_test.go
@@ -191,9 +191,9 @@
 		require.Contains(t, c.Steps(), step)
 		c.Take(step)
 	}
-	require.Equal(t, []int{1}, c.free)
+	require.Equal(t, []int{1}, c.freeRows)
 	c.Take("replace 2")
-	assert.Len(t, c.members, 3, "the index was used again")
+	assert.Len(t, c.endpoints, 3, "the index was used again")
 	c.Take("take 1")
 	c.Take("idle")
 	property, how := c.Broken()
@@ -232,7 +232,7 @@
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		_, err := Load(path, "command")
-		assert.ErrorContains(t, err, says)
+		require.ErrorContains(t, err, says)
 	}
 	f := Inject(context.Background(), commandKind, "early-byte", 1)
 	require.NoError(t, f.Trace.Save(path))
