--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -4,35 +4,35 @@
 
 // Pool hands out blocks and takes them back. It belongs to one loop and has no lock.
 type Pool struct {
-	size, most, out int
-	free            [][]byte
+	blockSize, scarceAt, inUse int
+	free                       [][]byte
 }
 
 // NewPool returns a pool of blocks of a size. Beyond most of them in use it counts as scarce.
-func NewPool(size, most int) *Pool { return &Pool{size: size, most: most} }
+func NewPool(size, most int) *Pool { return &Pool{blockSize: size, scarceAt: most} }
 
 // Scarce says that so many blocks are in use that nothing new should be read.
-func (p *Pool) Scarce() bool { return p.out >= p.most }
+func (p *Pool) Scarce() bool { return p.inUse >= p.scarceAt }
 
-// Out is the number of blocks in use.
-func (p *Pool) Out() int { return p.out }
+// BlocksInUse is the number of blocks in use.
+func (p *Pool) BlocksInUse() int { return p.inUse }
 
 func (p *Pool) get() []byte {
-	p.out++
+	p.inUse++
 	if n := len(p.free); n > 0 {
 		b := p.free[n-1]
 		p.free = p.free[:n-1]
 		return b
 	}
-	return make([]byte, 0, p.size)
+	return make([]byte, 0, p.blockSize)
 }
 
-// keptShare of the most blocks stay in the pool; the rest goes back to the run time.
-const keptShare = 4
+// keptDivisor of the most blocks stay in the pool; the rest goes back to the run time.
+const keptDivisor = 4
 
 func (p *Pool) put(b []byte) {
-	p.out--
-	if len(p.free) < p.most/keptShare+1 {
+	p.inUse--
+	if len(p.free) < p.scarceAt/keptDivisor+1 {
 		p.free = append(p.free, b[:0])
 	}
 }
@@ -41,18 +41,18 @@
 type Chain struct {
 	pool   *Pool
 	blocks [][]byte
-	off    int // bytes of the first block that were read
-	n      int
+	offset int // bytes of the first block that were read
+	length int
 }
 
-// New returns an empty chain.
-func (p *Pool) New() Chain { return Chain{pool: p} }
+// NewChain returns an empty chain.
+func (p *Pool) NewChain() Chain { return Chain{pool: p} }
 
 // Len is the number of bytes to read.
-func (c *Chain) Len() int { return c.n }
+func (c *Chain) Len() int { return c.length }
 
-// Room is free space at the end; Grow says how much of it was filled.
-func (c *Chain) Room() []byte {
+// Reserve is free space at the end; Grow says how much of it was filled.
+func (c *Chain) Reserve() []byte {
 	last := len(c.blocks) - 1
 	if last < 0 || len(c.blocks[last]) == cap(c.blocks[last]) {
 		c.blocks = append(c.blocks, c.pool.get())
@@ -62,17 +62,17 @@
 	return b[len(b):cap(b)]
 }
 
-// Grow takes in n bytes that were written to Room.
-func (c *Chain) Grow(n int) {
+// Commit takes in n bytes that were written to Room.
+func (c *Chain) Commit(n int) {
 	last := len(c.blocks) - 1
 	c.blocks[last] = c.blocks[last][:len(c.blocks[last])+n]
-	c.n += n
-	c.tidy()
+	c.length += n
+	c.releaseEmptyTail()
 }
 
-// Rooms is free space at the end in so many blocks; Fill says how much of it was filled, in their order.
-func (c *Chain) Rooms(blocks int) [][]byte {
-	rooms := [][]byte{c.Room()}
+// ReserveBlocks is free space at the end in so many blocks; Fill says how much of it was filled, in their order.
+func (c *Chain) ReserveBlocks(blocks int) [][]byte {
+	rooms := [][]byte{c.Reserve()}
 	for len(rooms) < blocks {
 		c.blocks = append(c.blocks, c.pool.get())
 		b := c.blocks[len(c.blocks)-1]
@@ -81,10 +81,10 @@
 	return rooms
 }
 
-// Fill takes in n bytes that were written to Rooms; blocks that stayed empty go back to the pool.
-func (c *Chain) Fill(rooms [][]byte, n int) {
+// CommitBlocks takes in n bytes that were written to Rooms; blocks that stayed empty go back to the pool.
+func (c *Chain) CommitBlocks(rooms [][]byte, n int) {
 	at := len(c.blocks) - len(rooms)
-	c.n += n
+	c.length += n
 	for _, room := range rooms {
 		got := min(n, len(room))
 		n -= got
@@ -97,10 +97,10 @@
 	}
 }
 
-// Runs is the first bytes to read in so many pieces at the most.
-func (c *Chain) Runs(most int) [][]byte {
+// Pieces is the first bytes to read in so many pieces at the most.
+func (c *Chain) Pieces(most int) [][]byte {
 	var runs [][]byte
-	c.Each(0, c.n, func(b []byte) {
+	c.EachPiece(0, c.length, func(b []byte) {
 		if len(runs) < most {
 			runs = append(runs, b)
 		}
@@ -111,30 +111,30 @@
 // Write appends.
 func (c *Chain) Write(p []byte) {
 	for len(p) > 0 {
-		n := copy(c.Room(), p)
-		c.Grow(n)
+		n := copy(c.Reserve(), p)
+		c.Commit(n)
 		p = p[n:]
 	}
 }
 
-// First is the first run of bytes that lies in one piece.
-func (c *Chain) First() []byte {
-	if c.n == 0 {
+// FirstPiece is the first run of bytes that lies in one piece.
+func (c *Chain) FirstPiece() []byte {
+	if c.length == 0 {
 		return nil
 	}
-	return c.blocks[0][c.off:]
+	return c.blocks[0][c.offset:]
 }
 
 // Peek copies from the start without reading, and returns how many bytes there were.
 func (c *Chain) Peek(p []byte) int {
 	got := 0
-	c.Each(0, min(len(p), c.n), func(b []byte) { got += copy(p[got:], b) })
+	c.EachPiece(0, min(len(p), c.length), func(b []byte) { got += copy(p[got:], b) })
 	return got
 }
 
-// Each calls f with the n bytes from an offset on, piece by piece.
-func (c *Chain) Each(from, n int, f func([]byte)) {
-	from += c.off
+// EachPiece calls f with the n bytes from an offset on, piece by piece.
+func (c *Chain) EachPiece(from, n int, f func([]byte)) {
+	from += c.offset
 	for _, b := range c.blocks {
 		if n <= 0 {
 			return
@@ -151,26 +151,26 @@
 }
 
 // CopyTo appends n bytes from an offset on to another chain.
-func (c *Chain) CopyTo(dst *Chain, from, n int) { c.Each(from, n, dst.Write) }
+func (c *Chain) CopyTo(dst *Chain, from, n int) { c.EachPiece(from, n, dst.Write) }
 
 // MoveTo appends all of a chain to another and leaves it empty. Blocks change hands where the other is empty.
 func (c *Chain) MoveTo(dst *Chain) {
-	if dst.n == 0 && dst.pool == c.pool {
+	if dst.length == 0 && dst.pool == c.pool {
 		*c, *dst = *dst, *c
 		return
 	}
-	c.CopyTo(dst, 0, c.n)
+	c.CopyTo(dst, 0, c.length)
 	c.Free()
 }
 
-// Skip reads n bytes away; blocks that are used up go back to the pool.
-func (c *Chain) Skip(n int) {
-	n = min(n, c.n)
-	c.n -= n
-	c.off += n
+// Discard reads n bytes away; blocks that are used up go back to the pool.
+func (c *Chain) Discard(n int) {
+	n = min(n, c.length)
+	c.length -= n
+	c.offset += n
 	gone := 0
-	for gone < len(c.blocks) && c.off >= len(c.blocks[gone]) && (c.off > 0 || c.n == 0) {
-		c.off -= len(c.blocks[gone])
+	for gone < len(c.blocks) && c.offset >= len(c.blocks[gone]) && (c.offset > 0 || c.length == 0) {
+		c.offset -= len(c.blocks[gone])
 		c.pool.put(c.blocks[gone])
 		gone++
 	}
@@ -179,9 +179,9 @@
 	}
 }
 
-// tidy gives a block back that was taken for room and stayed empty.
-func (c *Chain) tidy() {
-	if last := len(c.blocks) - 1; c.n == 0 && last >= 0 && c.off == 0 && len(c.blocks[last]) == 0 {
+// releaseEmptyTail gives a block back that was taken for room and stayed empty.
+func (c *Chain) releaseEmptyTail() {
+	if last := len(c.blocks) - 1; c.length == 0 && last >= 0 && c.offset == 0 && len(c.blocks[last]) == 0 {
 		c.pool.put(c.blocks[last])
 		c.blocks = c.blocks[:last]
 	}
@@ -192,5 +192,5 @@
 	for _, b := range c.blocks {
 		c.pool.put(b)
 	}
-	c.blocks, c.off, c.n = nil, 0, 0
+	c.blocks, c.offset, c.length = nil, 0, 0
 }
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -17,7 +17,7 @@
 
 func TestChainHoldsWhatWasWrittenInOrder(t *testing.T) {
 	p := NewPool(8, 100)
-	c, want, draw := p.New(), []byte{}, rand.New(rand.NewSource(1))
+	c, want, draw := p.NewChain(), []byte{}, rand.New(rand.NewSource(1))
 	for i := range 5000 {
 		piece := bytes.Repeat([]byte{byte(i)}, draw.Intn(30))
 		switch draw.Intn(3) {
@@ -25,31 +25,31 @@
 			c.Write(piece)
 			want = append(want, piece...)
 		case 1:
-			n := copy(c.Room(), piece)
-			c.Grow(n)
+			n := copy(c.Reserve(), piece)
+			c.Commit(n)
 			want = append(want, piece[:n]...)
 		case 2:
 			n := min(draw.Intn(40), len(want))
-			c.Skip(n)
+			c.Discard(n)
 			want = want[n:]
 		}
 		require.Equal(t, len(want), c.Len())
 		require.Equal(t, append([]byte{}, want...), all(&c))
 		if len(want) > 0 {
-			require.Equal(t, want[0], c.First()[0])
+			require.Equal(t, want[0], c.FirstPiece()[0])
 		} else {
-			require.Zero(t, p.Out(), "an empty chain holds no block")
+			require.Zero(t, p.BlocksInUse(), "an empty chain holds no block")
 		}
 	}
 	c.Free()
-	assert.Zero(t, p.Out())
+	assert.Zero(t, p.BlocksInUse())
 }
 
 func TestPartOfAChainIsCopied(t *testing.T) {
 	p := NewPool(4, 100)
-	a, b := p.New(), p.New()
+	a, b := p.NewChain(), p.NewChain()
 	a.Write([]byte("xxabcdefghij"))
-	a.Skip(2)
+	a.Discard(2)
 	a.CopyTo(&b, 3, 6)
 	assert.Equal(t, "defghi", string(all(&b)))
 	assert.Equal(t, "abcdefghij", string(all(&a)), "the first is as it was")
@@ -57,51 +57,51 @@
 
 func TestChainIsMovedWhole(t *testing.T) {
 	p := NewPool(4, 100)
-	a, b := p.New(), p.New()
+	a, b := p.NewChain(), p.NewChain()
 	a.Write([]byte("xxabcdef"))
-	a.Skip(2)
-	first := &a.First()[0]
+	a.Discard(2)
+	first := &a.FirstPiece()[0]
 	a.MoveTo(&b)
-	assert.Same(t, first, &b.First()[0], "into an empty chain blocks go as they are")
+	assert.Same(t, first, &b.FirstPiece()[0], "into an empty chain blocks go as they are")
 	assert.Zero(t, a.Len())
 	a.Write([]byte("ghi"))
 	a.MoveTo(&b)
 	assert.Equal(t, "abcdefghi", string(all(&b)))
 	assert.Zero(t, a.Len())
 	b.Free()
-	assert.Zero(t, p.Out())
+	assert.Zero(t, p.BlocksInUse())
 }
 
 func TestBlocksAreUsedAgainAndCounted(t *testing.T) {
 	p := NewPool(4, 2)
-	c := p.New()
+	c := p.NewChain()
 	c.Write(make([]byte, 4))
 	assert.False(t, p.Scarce())
 	c.Write(make([]byte, 4))
 	assert.True(t, p.Scarce())
-	first := &c.First()[0]
-	c.Skip(4)
+	first := &c.FirstPiece()[0]
+	c.Discard(4)
 	assert.False(t, p.Scarce())
-	d := p.New()
+	d := p.NewChain()
 	d.Write([]byte{1})
-	assert.Same(t, first, &d.First()[0])
+	assert.Same(t, first, &d.FirstPiece()[0])
 }
 
 func TestRoomsAreFilledInOrderAndWhatStaysEmptyGoesBack(t *testing.T) {
 	p := NewPool(4, 100)
-	c := p.New()
+	c := p.NewChain()
 	c.Write([]byte("ab"))
-	rooms := c.Rooms(3)
+	rooms := c.ReserveBlocks(3)
 	assert.Equal(t, []int{2, 4, 4}, []int{len(rooms[0]), len(rooms[1]), len(rooms[2])})
 	copy(rooms[0], "cd")
 	copy(rooms[1], "e")
-	c.Fill(rooms, 3)
+	c.CommitBlocks(rooms, 3)
 	assert.Equal(t, 5, c.Len())
-	assert.Equal(t, 2, p.Out())
-	assert.Equal(t, "abcd", string(c.Runs(1)[0]))
-	assert.Equal(t, "e", string(c.Runs(9)[1]))
-	c.Fill(c.Rooms(2), 0)
-	c.Skip(5)
-	c.Fill(c.Rooms(2), 0)
-	assert.Zero(t, p.Out())
+	assert.Equal(t, 2, p.BlocksInUse())
+	assert.Equal(t, "abcd", string(c.Pieces(1)[0]))
+	assert.Equal(t, "e", string(c.Pieces(9)[1]))
+	c.CommitBlocks(c.ReserveBlocks(2), 0)
+	c.Discard(5)
+	c.CommitBlocks(c.ReserveBlocks(2), 0)
+	assert.Zero(t, p.BlocksInUse())
 }
--- a/internal/core/dispatcher_test.go
+++ b/internal/core/dispatcher_test.go
@@ -69,7 +69,7 @@
 // submit submits a command of the cluster that newTestDispatcher knows.
 func submit(d *Dispatcher, buffers *buffer.Pool, responder Responder) *Command {
 	shard, _ := d.LookupShard(testCluster)
-	command := &Command{ID: "9b1f", Shard: shard, ClientDeadline: 1, Statement: buffers.New(), Responder: responder}
+	command := &Command{ID: "9b1f", Shard: shard, ClientDeadline: 1, Statement: buffers.NewChain(), Responder: responder}
 	command.Statement.Write([]byte("d=99\x00"))
 	d.Submit(command)
 	return command
@@ -92,7 +92,7 @@
 	assert.Empty(t, answers)
 	assert.Zero(t, d.counters.Attempts)
 	assert.Zero(t, d.InFlight())
-	assert.Zero(t, buffers.Out())
+	assert.Zero(t, buffers.BlocksInUse())
 }
 
 func TestNothingIsSentForACommandThatIsOver(t *testing.T) {
@@ -118,7 +118,7 @@
 	attempt := d.decided.sends[0]
 	d.decided.sends = nil
 	newAnswer := func() *pg.Answer {
-		answer := &pg.Answer{Row: buffers.New()}
+		answer := &pg.Answer{Row: buffers.NewChain()}
 		answer.Row.Write([]byte("row"))
 		return answer
 	}
@@ -126,7 +126,7 @@
 	d.AttemptEnded(attempt, router.Answered, 0.1, newAnswer())
 	d.RunTurn(0.2)
 	assert.Equal(t, recorder{"answered"}, answers)
-	assert.Zero(t, buffers.Out(), "every block is given back")
+	assert.Zero(t, buffers.BlocksInUse(), "every block is given back")
 	d.AttemptEnded(&member.Attempt{CommandID: 99}, router.ConnectionLost, 0, nil)
 	d.RunTurn(0.3)
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -62,8 +62,8 @@
 		log:        log,
 		onDemand:   onDemand,
 		fd:         noSocket,
-		in:         blocks.New(),
-		out:        blocks.New(),
+		in:         blocks.NewChain(),
+		out:        blocks.NewChain(),
 		generation: NoGeneration,
 		backoff:    limits.Durations.MinBackoff,
 	}
--- a/internal/front/client_gone_test.go
+++ b/internal/front/client_gone_test.go
@@ -159,7 +159,7 @@
 	h.publishState(roster.StateDraining)
 	conn, _ := h.client(startupThen(patientQuery("a1")))
 	h.runUntil(h.acceptedCommands(1))
-	hoard := h.buffers.New()
+	hoard := h.buffers.NewChain()
 	hoard.Write(make([]byte, testBlockSize<<10))
 	_, err := conn.Write(pg.AppendQuery(nil, strings.Repeat("z", 60_000))[:9000])
 	require.NoError(h.t, err)
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -56,8 +56,8 @@
 	c := &conn{
 		server:     s,
 		fd:         fd,
-		input:      s.buffers.New(),
-		output:     s.buffers.New(),
+		input:      s.buffers.NewChain(),
+		output:     s.buffers.NewChain(),
 		acceptedAt: s.loop.Now(),
 	}
 	c.timer = loop.NewTimer(c.timerExpired)
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -24,7 +24,7 @@
 	if c.input.Len() == 0 {
 		return false
 	}
-	if kind := c.input.First()[0]; !isKnownMessage(kind) {
+	if kind := c.input.FirstPiece()[0]; !isKnownMessage(kind) {
 		c.protocolError(pg.CodeProtocolViolation, fmt.Sprintf("unknown message type %q", kind))
 		return false
 	}
@@ -41,7 +41,7 @@
 		return false
 	}
 	c.handleMessage(message.Kind, message.Size)
-	c.input.Skip(message.Size)
+	c.input.Discard(message.Size)
 	return true
 }
 
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -63,7 +63,7 @@
 		Shard:       shard,
 		Session:     statement.Session,
 		ClientRetry: statement.ClientRetry,
-		Statement:   s.buffers.New(),
+		Statement:   s.buffers.NewChain(),
 		WaitStart:   statement.WaitStart,
 		WaitEnd:     statement.WaitEnd,
 		Responder:   s,
@@ -92,7 +92,7 @@
 
 // forward hands a command to the dispatcher and keeps its place among the replies.
 func (c *conn) forward(command *core.Command) {
-	r := &reply{command: command, data: c.server.buffers.New()}
+	r := &reply{command: command, data: c.server.buffers.NewChain()}
 	c.replies = append(c.replies, r)
 	command.Owner = owner{conn: c, reply: r}
 	c.server.dispatcher.Submit(command)
--- a/internal/front/reply.go
+++ b/internal/front/reply.go
@@ -36,7 +36,7 @@
 		c.flush()
 		return
 	}
-	r := &reply{data: c.server.buffers.New(), complete: true}
+	r := &reply{data: c.server.buffers.NewChain(), complete: true}
 	r.data.Write(message)
 	c.replies = append(c.replies, r)
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -75,11 +75,11 @@
 func (r *Response) Take(in *buffer.Chain, maxBody, maxLine int) (complete bool, err error) {
 	r.maxLine = maxLine
 	for in.Len() > 0 && r.step != stepComplete {
-		consumed, err := r.takePiece(in.First(), maxBody)
+		consumed, err := r.takePiece(in.FirstPiece(), maxBody)
 		if err != nil {
 			return false, err
 		}
-		in.Skip(consumed)
+		in.Discard(consumed)
 	}
 	return r.step == stepComplete, nil
 }
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -12,7 +12,7 @@
 
 // chain returns a chain of blocks of seven bytes, so that no line lies in one piece.
 func chain(text string) *buffer.Chain {
-	c := buffer.NewPool(7, 1<<20).New()
+	c := buffer.NewPool(7, 1<<20).NewChain()
 	c.Write([]byte(text))
 	return &c
 }
--- a/internal/loop/socket_test.go
+++ b/internal/loop/socket_test.go
@@ -33,7 +33,7 @@
 	_, err = client.Write([]byte(sent))
 	require.NoError(t, err)
 	assert.False(t, sockets.NothingToRead(fd))
-	chain := buffer.NewPool(8, 10).New()
+	chain := buffer.NewPool(8, 10).NewChain()
 	n, err := sockets.Read(fd, &chain, 100)
 	require.NoError(t, err)
 	assert.Equal(t, 34, n)
--- a/internal/loop/stream.go
+++ b/internal/loop/stream.go
@@ -38,14 +38,14 @@
 // one block, as most of what comes is short.
 func readOnce(fd int, into *buffer.Chain, first bool) (n, room int, err error) {
 	if first {
-		block := into.Room()
+		block := into.Reserve()
 		n, err = unix.Read(fd, block)
-		into.Grow(max(0, n))
+		into.Commit(max(0, n))
 		return n, len(block), err
 	}
-	blocks := into.Rooms(maxVectors)
+	blocks := into.ReserveBlocks(maxVectors)
 	n, err = unix.Readv(fd, blocks)
-	into.Fill(blocks, max(0, n))
+	into.CommitBlocks(blocks, max(0, n))
 	for _, block := range blocks {
 		room += len(block)
 	}
@@ -58,7 +58,7 @@
 		n, err := writeOnce(fd, from)
 		switch {
 		case err == nil:
-			from.Skip(n)
+			from.Discard(n)
 		case errors.Is(err, unix.EAGAIN):
 			return nil
 		case !errors.Is(err, unix.EINTR):
@@ -70,8 +70,8 @@
 
 // writeOnce makes one system call, and returns how much it wrote.
 func writeOnce(fd int, from *buffer.Chain) (n int, err error) {
-	if first := from.First(); len(first) == from.Len() {
+	if first := from.FirstPiece(); len(first) == from.Len() {
 		return unix.SendmsgN(fd, first, nil, nil, unix.MSG_NOSIGNAL)
 	}
-	return unix.SendmsgBuffers(fd, from.Runs(maxVectors), nil, nil, unix.MSG_NOSIGNAL)
+	return unix.SendmsgBuffers(fd, from.Pieces(maxVectors), nil, nil, unix.MSG_NOSIGNAL)
 }
--- a/internal/member/connection.go
+++ b/internal/member/connection.go
@@ -47,9 +47,9 @@
 		generation: e.generation,
 		address:    e.address,
 		fd:         fd,
-		input:      p.blocks.New(),
-		output:     p.blocks.New(),
-		answer:     pg.Answer{Row: p.blocks.New()},
+		input:      p.blocks.NewChain(),
+		output:     p.blocks.NewChain(),
+		answer:     pg.Answer{Row: p.blocks.NewChain()},
 	}
 	c.timer = loop.NewTimer(c.timerExpired)
 	return c
@@ -141,7 +141,7 @@
 // answerComplete takes in a complete answer. ended says that the backend has closed the connection behind it.
 func (c *conn) answerComplete(ended bool) {
 	answer := c.answer
-	c.answer = pg.Answer{Row: c.pool.blocks.New()}
+	c.answer = pg.Answer{Row: c.pool.blocks.NewChain()}
 	reusable := !ended && !answer.Fatal && c.input.Len() == 0 && c.output.Len() == 0
 	switch c.state {
 	case stateStartup:
--- a/internal/member/connection_test.go
+++ b/internal/member/connection_test.go
@@ -30,7 +30,7 @@
 		_ = c.Close()
 		assert.Equal(t, k.result, f.results[0], name)
 		d.Statement.Free()
-		assert.Zero(t, f.blocks.Out(), name)
+		assert.Zero(t, f.blocks.BlocksInUse(), name)
 	}
 }
 
--- a/internal/member/helper_test.go
+++ b/internal/member/helper_test.go
@@ -89,7 +89,7 @@
 
 // send sends a statement whose waiting time is the two digits after its first two bytes.
 func (f *fixture) send(text string, deadline float64) *Attempt {
-	c := f.blocks.New()
+	c := f.blocks.NewChain()
 	c.Write([]byte(text + "\x00"))
 	attempt := &Attempt{Statement: &c, WaitStart: 2, WaitEnd: 4, Deadline: deadline}
 	f.pool.Send(attempt)
--- a/internal/pg/answer.go
+++ b/internal/pg/answer.go
@@ -47,7 +47,7 @@
 // Value returns the one value of the row.
 func (a *Answer) Value() string {
 	value := make([]byte, 0, a.valueSize)
-	a.Row.Each(a.valueOffset, a.valueSize, func(piece []byte) { value = append(value, piece...) })
+	a.Row.EachPiece(a.valueOffset, a.valueSize, func(piece []byte) { value = append(value, piece...) })
 	return string(value)
 }
 
@@ -56,7 +56,7 @@
 // cannot be part of the answer is a *MessageError as soon as its header tells, whatever length it promises.
 func (a *Answer) Take(in *buffer.Chain, maxLength, maxParsed int) (complete bool, err error) {
 	for in.Len() > 0 {
-		if err := a.checkOrder(in.First()[0]); err != nil {
+		if err := a.checkOrder(in.FirstPiece()[0]); err != nil {
 			return false, err
 		}
 		message, err := PeekMessage(in, maxLength)
@@ -69,7 +69,7 @@
 		if err := a.takeMessage(in, message); err != nil {
 			return false, err
 		}
-		in.Skip(message.Size)
+		in.Discard(message.Size)
 		if a.complete {
 			return true, nil
 		}
--- a/internal/pg/helper_test.go
+++ b/internal/pg/helper_test.go
@@ -4,7 +4,7 @@
 
 // chain returns a chain of blocks of three bytes, so that nothing lies in one piece.
 func chain(b []byte) *buffer.Chain {
-	c := buffer.NewPool(3, 1<<20).New()
+	c := buffer.NewPool(3, 1<<20).NewChain()
 	c.Write(b)
 	return &c
 }
--- a/internal/pg/startup.go
+++ b/internal/pg/startup.go
@@ -43,7 +43,7 @@
 		return 0, false, nil
 	}
 	code := binary.BigEndian.Uint32(header[lengthSize:])
-	in.Skip(length)
+	in.Discard(length)
 	kind, err = startupKind(code)
 	return kind, err == nil, err
 }
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -36,7 +36,7 @@
 		return Statement{}, syntaxError(size, "the query does not end with a zero byte")
 	}
 	s := scanner{maxComment: maxComment}
-	in.Each(offset, size-1, s.scan)
+	in.EachPiece(offset, size-1, s.scan)
 	if !s.hasText && s.context == contextPlain {
 		return Statement{Empty: true}, nil
 	}
@@ -54,7 +54,7 @@
 func endsWithZero(in *buffer.Chain, offset, size int) bool {
 	ends := false
 	if size > 0 {
-		in.Each(offset+size-1, 1, func(piece []byte) { ends = piece[0] == 0 })
+		in.EachPiece(offset+size-1, 1, func(piece []byte) { ends = piece[0] == 0 })
 	}
 	return ends
 }
--- a/internal/pg/statement_test.go
+++ b/internal/pg/statement_test.go
@@ -105,7 +105,7 @@
 	f.Add(`E'\''"" -- /* */;` + "\n$$")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := parse(text)
-		whole := buffer.NewPool(1<<16, 1).New()
+		whole := buffer.NewPool(1<<16, 1).NewChain()
 		whole.Write([]byte(text + "\x00"))
 		again, err2 := ParseStatement(&whole, 0, len(text)+1, 1024)
 		require.Equal(t, err, err2, "the same in whatever pieces the text lies")
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -398,7 +398,7 @@
 	case "fail":
 		s.front.Fail(t.c)
 	default:
-		row := s.blocks.New()
+		row := s.blocks.NewChain()
 		b := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
 		b = pg.AppendMessage(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(to.name))), []byte(to.name))
 		row.Write(pg.AppendMessage(b, 'C', []byte("SELECT 1\x00")))
@@ -430,7 +430,7 @@
 				open++
 			}
 		}
-		s.check.Left(len(s.wire.socks), len(s.wire.timers), s.blocks.Out(), open)
+		s.check.Left(len(s.wire.socks), len(s.wire.timers), s.blocks.BlocksInUse(), open)
 	}
 }
 
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -98,7 +98,7 @@
 	s.m = member.New(s.wire, limits, s.blocks, memberSink{s}, &count.Counters{})
 	s.m.SetAddress(0, netip.MustParseAddrPort("127.0.0.1:5432"), false)
 	for i := range b.Commands {
-		x := &sending{text: s.blocks.New()}
+		x := &sending{text: s.blocks.NewChain()}
 		text := fmt.Sprintf(memberStatement, 'a'+i, i+1)
 		x.text.Write([]byte(text))
 		from := strings.Index(text, "d=900") + 2
@@ -129,9 +129,9 @@
 	if e == router.Answered {
 		var row []byte
 		for a.Row.Len() > 0 {
-			first := a.Row.First()
+			first := a.Row.FirstPiece()
 			row = append(row, first...)
-			a.Row.Skip(len(first))
+			a.Row.Discard(len(first))
 		}
 		value := "?"
 		if i := bytes.Index(row, []byte("value ")); i >= 0 && i+7 <= len(row) {
@@ -348,7 +348,7 @@
 		for _, x := range s.sends {
 			x.text.Free()
 		}
-		s.check.Left(len(s.wire.socks), len(s.wire.timers), s.blocks.Out())
+		s.check.Left(len(s.wire.socks), len(s.wire.timers), s.blocks.BlocksInUse())
 	default:
 		s.member(what, fd, k)
 	}
--- a/internal/systems/wire.go
+++ b/internal/systems/wire.go
@@ -100,23 +100,23 @@
 		return errGone
 	}
 	for from.Len() > 0 && s.room > 0 {
-		first := from.First()
+		first := from.FirstPiece()
 		n := min(len(first), s.room)
 		if w.lateByte && n == from.Len() && n > 1 {
 			s.sent = append(s.sent, first[:n]...)
-			from.Skip(n - 1)
+			from.Discard(n - 1)
 			s.room = 0
 			return nil
 		}
 		s.sent = append(s.sent, first[:n]...)
 		s.room -= n
-		from.Skip(n)
+		from.Discard(n)
 	}
 	if w.loseByte && from.Len() == 0 && len(s.sent) > 0 {
 		s.sent = s.sent[:len(s.sent)-1]
 	}
 	if w.earlyByte && from.Len() == 1 { // it is taken off, and goes nowhere
-		from.Skip(1)
+		from.Discard(1)
 	}
 	return nil
 }
--- a/service/counters.go
+++ b/service/counters.go
@@ -34,7 +34,7 @@
 	counters.ClientsOpen = uint64(r.front.OpenConnections())
 	counters.InFlight = uint64(r.core.InFlight())
 	counters.BackendConnectionsOpen = uint64(r.core.BackendConnections())
-	counters.BufferBlocksInUse = uint64(r.buffers.Out())
+	counters.BufferBlocksInUse = uint64(r.buffers.BlocksInUse())
 	known, rows := r.core.EndpointRows()
 	counters.EndpointsKnown = uint64(known)
 	counters.EndpointRows = uint64(rows)
