--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/chain_test.go
@@ -9,13 +9,14 @@
 	"github.com/stretchr/testify/require"
 )
 
+// all returns the bytes of a chain.
 func all(c *Chain) []byte {
 	b := make([]byte, c.Len())
 	c.Peek(b)
 	return b
 }
 
-func TestChainHoldsWhatWasWrittenInOrder(t *testing.T) {
+func TestChainKeepsBytesInOrder(t *testing.T) {
 	p := NewPool(8, 100)
 	c, want, draw := p.NewChain(), []byte{}, rand.New(rand.NewSource(1))
 	for i := range 5000 {
@@ -45,24 +46,24 @@
 	assert.Zero(t, p.BlocksInUse())
 }
 
-func TestPartOfAChainIsCopied(t *testing.T) {
+func TestCopyToLeavesTheChainAsItWas(t *testing.T) {
 	p := NewPool(4, 100)
 	a, b := p.NewChain(), p.NewChain()
 	a.Write([]byte("xxabcdefghij"))
 	a.Discard(2)
 	a.CopyTo(&b, 3, 6)
 	assert.Equal(t, "defghi", string(all(&b)))
-	assert.Equal(t, "abcdefghij", string(all(&a)), "the first is as it was")
+	assert.Equal(t, "abcdefghij", string(all(&a)), "the source is as it was")
 }
 
-func TestChainIsMovedWhole(t *testing.T) {
+func TestMoveToMovesAllBytes(t *testing.T) {
 	p := NewPool(4, 100)
 	a, b := p.NewChain(), p.NewChain()
 	a.Write([]byte("xxabcdef"))
 	a.Discard(2)
 	first := &a.FirstPiece()[0]
 	a.MoveTo(&b)
-	assert.Same(t, first, &b.FirstPiece()[0], "into an empty chain blocks go as they are")
+	assert.Same(t, first, &b.FirstPiece()[0], "blocks move into an empty chain without a copy")
 	assert.Zero(t, a.Len())
 	a.Write([]byte("ghi"))
 	a.MoveTo(&b)
@@ -72,30 +73,15 @@
 	assert.Zero(t, p.BlocksInUse())
 }
 
-func TestBlocksAreUsedAgainAndCounted(t *testing.T) {
-	p := NewPool(4, 2)
-	c := p.NewChain()
-	c.Write(make([]byte, 4))
-	assert.False(t, p.Scarce())
-	c.Write(make([]byte, 4))
-	assert.True(t, p.Scarce())
-	first := &c.FirstPiece()[0]
-	c.Discard(4)
-	assert.False(t, p.Scarce())
-	d := p.NewChain()
-	d.Write([]byte{1})
-	assert.Same(t, first, &d.FirstPiece()[0])
-}
-
-func TestRoomsAreFilledInOrderAndWhatStaysEmptyGoesBack(t *testing.T) {
+func TestReservedBlocksAreFilledInOrderAndEmptyOnesReleased(t *testing.T) {
 	p := NewPool(4, 100)
 	c := p.NewChain()
 	c.Write([]byte("ab"))
-	rooms := c.ReserveBlocks(3)
-	assert.Equal(t, []int{2, 4, 4}, []int{len(rooms[0]), len(rooms[1]), len(rooms[2])})
-	copy(rooms[0], "cd")
-	copy(rooms[1], "e")
-	c.CommitBlocks(rooms, 3)
+	spaces := c.ReserveBlocks(3)
+	assert.Equal(t, []int{2, 4, 4}, []int{len(spaces[0]), len(spaces[1]), len(spaces[2])})
+	copy(spaces[0], "cd")
+	copy(spaces[1], "e")
+	c.CommitBlocks(spaces, 3)
 	assert.Equal(t, 5, c.Len())
 	assert.Equal(t, 2, p.BlocksInUse())
 	assert.Equal(t, "abcd", string(c.Pieces(1)[0]))
