--- a/internal/cli/agent.go
+++ b/internal/cli/agent.go
@@ -15,8 +15,8 @@
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
-func (a *app) agent() *cobra.Command {
-	var file, folder, name string
+func (a *app) agentCommand() *cobra.Command {
+	var fleetFile, keysFolder, name string
 	c := &cobra.Command{
 		Use: "agent", Short: "Runs this machine's agent",
 		Long: "The agent starts, watches and changes the routers that the fleet file gives to it, as the fleet tool asks. Its routers\n" +
@@ -24,57 +24,59 @@
 		Example: "  stoatctl agent --fleet deploy/fleet.sexp --name a1 --keys /etc/stoatdale/keys --log info",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			f, err := layout.Load(file)
+			fleet, err := layout.Load(fleetFile)
 			if err != nil {
-				return status(Misused, err)
+				return exitError(ExitUsage, err)
 			}
-			me := f.Agent(name)
-			if me == nil {
-				return status(Misused, fmt.Errorf("%s has no agent %q", file, name))
+			self := fleet.Agent(name)
+			if self == nil {
+				return exitErrorf(ExitUsage, "%s has no agent %q", fleetFile, name)
 			}
 			if !cmd.Flags().Changed("log") {
 				a.log = a.log.Level(zerolog.InfoLevel)
 			}
-			return status(Failed, a.serve(cmd.Context(), f, me, keys.Folder(folder)))
+			return exitError(ExitFailed, a.runAgent(cmd.Context(), fleet, self, keys.Folder(keysFolder)))
 		},
 	}
-	c.Flags().StringVar(&file, "fleet", "deploy/fleet.sexp", "fleet file")
+	c.Flags().StringVar(&fleetFile, "fleet", "deploy/fleet.sexp", "fleet file")
 	c.Flags().StringVar(&name, "name", "", "this agent's name in the fleet file")
-	c.Flags().StringVar(&folder, "keys", "keys", "folder of the keys")
+	c.Flags().StringVar(&keysFolder, "keys", "keys", "folder of the keys")
 	_ = c.MarkFlagRequired("name")
 	return c
 }
 
-func (a *app) serve(ctx context.Context, f *layout.Fleet, me *layout.Agent, folder keys.Folder) error {
-	source := folder.Source(keys.Agent, me.Name)
+// runAgent serves the agent's API and runs its supervisors until ctx is canceled or the API fails. Its routers go on.
+func (a *app) runAgent(ctx context.Context, fleet *layout.Fleet, self *layout.Agent, folder keys.Folder) error {
+	source := folder.Source(keys.Agent, self.Name)
 	if err := source.Check(); err != nil {
-		return fmt.Errorf("agent %s: %w", me.Name, err)
+		return fmt.Errorf("agent %s: %w", self.Name, err)
 	}
-	s, err := agent.OpenStore(me)
+	store, err := agent.OpenStore(self)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = s.Close() }()
-	x, err := agent.New(f, me.Name, program(), s, a.log)
+	defer func() { _ = store.Close() }()
+	runner, err := agent.New(fleet, self.Name, programVersion(), store, a.log)
 	if err != nil {
 		return err
 	}
-	l, err := net.Listen("tcp", me.Listen.String())
+	listener, err := net.Listen("tcp", self.Listen.String())
 	if err != nil {
-		return fmt.Errorf("agent %s: %w", me.Name, err)
+		return fmt.Errorf("agent %s: %w", self.Name, err)
 	}
-	server := api.NewServer(l, x, source, api.SupportedVersions, a.log)
+	server := api.NewServer(listener, runner, source, api.SupportedVersions, a.log)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	served := make(chan error, 1)
+	serverEnded := make(chan error, 1)
 	go func() {
-		served <- server.Serve()
-		cancel() // an agent that cannot be spoken to is of no use
+		serverEnded <- server.Serve()
+		cancel() // an agent that no operator can reach is of no use
 	}()
-	a.log.Info().Str("agent", me.Name).Stringer("listen", me.Listen).Str("program", program()).Int("instances", len(f.InstancesOf(me.Name))).Msg("serving")
-	x.Run(ctx)
+	a.log.Info().Str("agent", self.Name).Stringer("listen", self.Listen).Str("program", programVersion()).
+		Int("instances", len(fleet.InstancesOf(self.Name))).Msg("serving")
+	runner.Run(ctx)
 	server.Close()
-	err = <-served
+	err = <-serverEnded
 	if err == nil || errors.Is(err, net.ErrClosed) {
 		a.log.Info().Msg("ended; the routers go on")
 		return nil
--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -12,147 +12,177 @@
 	"stoatdale.example/stoatdale/internal/systems"
 )
 
-func (a *app) explore() *cobra.Command {
+func (a *app) exploreCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "explore", Short: "Takes the code that serves through every order of events within bounds",
 		Long: "Exit status 1 if a property is broken, 4 if an exploration ended before it was complete.",
 	}
-	c.AddCommand(a.exploreList(), a.exploreRun(), a.exploreWalk(), a.exploreInject(), a.exploreShow(), a.exploreReplay())
-	return group(c)
+	c.AddCommand(a.exploreListCommand(), a.exploreRunCommand(), a.exploreWalkCommand(), a.exploreInjectCommand(),
+		a.exploreShowCommand(), a.exploreReplayCommand())
+	return commandGroup(c)
 }
 
-func (a *app) exploreList() *cobra.Command {
+// listedSystem is one system of explore list, with what each of its faults does.
+type listedSystem struct {
+	System string            `json:"system"`
+	Words  string            `json:"words"`
+	Faults map[string]string `json:"faults"`
+}
+
+func (a *app) exploreListCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "list", Short: "Lists the systems and the bugs that can be injected", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			type entry struct {
-				System string            `json:"system"`
-				Words  string            `json:"words"`
-				Faults map[string]string `json:"faults"`
-			}
-			var all []entry
-			for _, k := range systems.Kinds() {
-				e := entry{k.Name, k.Words, map[string]string{}}
-				for n, f := range k.Faults {
-					e.Faults[n] = f.Words
+			var list []listedSystem
+			for _, kind := range systems.Kinds() {
+				entry := listedSystem{System: kind.Name, Words: kind.Words, Faults: map[string]string{}}
+				for name, fault := range kind.Faults {
+					entry.Faults[name] = fault.Words
 				}
-				all = append(all, e)
+				list = append(list, entry)
 			}
-			return a.show(all, func(w io.Writer) {
-				for _, k := range systems.Kinds() {
-					fmt.Fprintf(w, "%s: %s\n", k.Name, k.Words)
-					for _, n := range k.Names() {
-						fmt.Fprintf(w, "  %s: %s\n", n, k.Faults[n].Words)
+			return a.show(list, func(out io.Writer) {
+				for _, kind := range systems.Kinds() {
+					printf(out, "%s: %s\n", kind.Name, kind.Words)
+					for _, name := range kind.Names() {
+						printf(out, "  %s: %s\n", name, kind.Faults[name].Words)
 					}
 				}
 			})
 		},
 	}
-	a.asJSON(c)
+	a.addJSONFlag(c)
 	return c
 }
 
-func printTrace(w io.Writer, t systems.Trace) {
-	g := grid(w, "", "step")
-	for i, s := range t.Steps {
-		g.AppendRow(table.Row{i + 1, s})
+// loadSystem finds a system and reads its bounds from a file. Its errors are of usage.
+func loadSystem(name, boundsFile string) (systems.Kind, []systems.Bounds, error) {
+	kind, err := systems.Find(name)
+	if err != nil {
+		return systems.Kind{}, nil, exitError(ExitUsage, err)
+	}
+	bounds, err := systems.Load(boundsFile, kind.Name)
+	return kind, bounds, exitError(ExitUsage, err)
+}
+
+func printTrace(out io.Writer, trace *systems.Trace) {
+	t := newTable(out, "", "step")
+	for i, step := range trace.Steps {
+		t.AppendRow(table.Row{i + 1, step})
 	}
-	g.Render()
-	fmt.Fprintf(w, "broken: %s\n  %s\n", t.Property, t.How)
+	t.Render()
+	printf(out, "broken: %s\n  %s\n", trace.Property, trace.How)
+}
+
+// walkFlags are the flags of explore walk.
+type walkFlags struct {
+	boundsFile string
+	fault      string // empty: none
+	traceFile  string // empty: not kept
+	seed       uint64
+	walks      int
+	steps      int           // of a walk
+	duration   time.Duration // after which no walk begins
 }
 
-func (a *app) exploreWalk() *cobra.Command {
-	var file, fault, keep string
-	var seed uint64
-	var walks, steps int
-	var most time.Duration
+func (f *walkFlags) register(c *cobra.Command) {
+	c.Flags().StringVar(&f.boundsFile, "bounds", "deploy/bounds/large.sexp", "file of bounds, whose first for the system counts")
+	c.Flags().StringVar(&f.fault, "inject", "", "bug to put in")
+	c.Flags().StringVar(&f.traceFile, "trace", "", "file for the trace to a broken property")
+	c.Flags().Uint64Var(&f.seed, "seed", 0, "of all chance; drawn if not given")
+	c.Flags().IntVar(&f.walks, "walks", 10000, "ways")
+	c.Flags().IntVar(&f.steps, "steps", 200, "steps of one way")
+	c.Flags().DurationVar(&f.duration, "for", time.Minute, "time after which no other way is begun")
+}
+
+func (a *app) exploreWalkCommand() *cobra.Command {
+	var flags walkFlags
 	c := &cobra.Command{
 		Use: "walk SYSTEM", Short: "Takes ways at random through bounds that are too large to be explored", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			k, err := systems.Find(args[0])
-			if err != nil {
-				return status(Misused, err)
-			}
-			bounds, err := systems.Load(file, k.Name)
+			kind, bounds, err := loadSystem(args[0], flags.boundsFile)
 			if err != nil {
-				return status(Misused, err)
+				return err
 			}
-			a.seeded(cmd, &seed)
-			w := systems.Walk(cmd.Context(), k, bounds[0], fault, seed, walks, steps, most)
-			if w.Broken != nil && keep != "" {
-				if err := w.Broken.Save(keep); err != nil {
-					return status(Failed, err)
+			a.drawSeed(cmd, &flags.seed)
+			walked := systems.Walk(cmd.Context(), kind, bounds[0], flags.fault, flags.seed, flags.walks, flags.steps, flags.duration)
+			if walked.Broken != nil && flags.traceFile != "" {
+				if err := walked.Broken.Save(flags.traceFile); err != nil {
+					return exitError(ExitFailed, err)
 				}
 			}
-			if err := a.show(w, func(out io.Writer) {
-				fmt.Fprintf(out, "%d walks, %d steps: %v\n", w.Walks, w.Steps, w.Taken)
-				if w.Broken != nil {
-					printTrace(out, *w.Broken)
+			if err := a.show(walked, func(out io.Writer) {
+				printf(out, "%d walks, %d steps: %v\n", walked.Walks, walked.Steps, walked.Taken)
+				if walked.Broken != nil {
+					printTrace(out, walked.Broken)
 				}
 			}); err != nil {
 				return err
 			}
-			if w.Broken != nil {
-				return status(Failed, fmt.Errorf("broken: %s", w.Broken.Property))
+			if walked.Broken != nil {
+				return exitErrorf(ExitFailed, "broken: %s", walked.Broken.Property)
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&file, "bounds", "deploy/bounds/large.sexp", "file of bounds, whose first for the system counts")
-	c.Flags().StringVar(&fault, "inject", "", "bug to put in")
-	c.Flags().StringVar(&keep, "trace", "", "file for the trace to a broken property")
-	c.Flags().Uint64Var(&seed, "seed", 0, "of all chance; drawn if not given")
-	c.Flags().IntVar(&walks, "walks", 10000, "ways")
-	c.Flags().IntVar(&steps, "steps", 200, "steps of one way")
-	c.Flags().DurationVar(&most, "for", time.Minute, "time after which no other way is begun")
-	a.asJSON(c)
+	flags.register(c)
+	a.addJSONFlag(c)
 	return c
 }
 
-func (a *app) exploreShow() *cobra.Command {
-	var chart string
+func (a *app) exploreShowCommand() *cobra.Command {
+	var chartFile string
 	c := &cobra.Command{
 		Use: "show TRACE", Short: "Shows a trace step by step, and as a sequence chart", Args: cobra.ExactArgs(1),
 		Example: "  stoatctl explore show trace.json --svg trace.svg",
 		RunE: func(_ *cobra.Command, args []string) error {
-			t, err := systems.LoadTrace(args[0])
+			trace, err := systems.LoadTrace(args[0])
 			if err != nil {
-				return status(Misused, err)
+				return exitError(ExitUsage, err)
 			}
-			if chart != "" {
-				if err := os.WriteFile(chart, systems.Chart(t), 0o600); err != nil {
-					return status(Failed, err)
+			if chartFile != "" {
+				if err := os.WriteFile(chartFile, systems.Chart(trace), 0o600); err != nil {
+					return exitError(ExitFailed, err)
 				}
 			}
-			return a.show(t, func(w io.Writer) { printTrace(w, t) })
+			return a.show(trace, func(out io.Writer) { printTrace(out, &trace) })
 		},
 	}
-	c.Flags().StringVar(&chart, "svg", "", "file for the sequence chart")
-	a.asJSON(c)
+	c.Flags().StringVar(&chartFile, "svg", "", "file for the sequence chart")
+	a.addJSONFlag(c)
 	return c
 }
 
-func (a *app) exploreReplay() *cobra.Command {
+// replayReport is what became of a trace's steps on the code as it is now. Its keys are in the order of their names.
+type replayReport struct {
+	Broken string `json:"broken"` // the property; empty: none
+	How    string `json:"how"`
+	Steps  int    `json:"of"` // of the trace
+	Taken  int    `json:"taken"`
+}
+
+func (a *app) exploreReplayCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "replay TRACE", Short: "Takes the steps of a trace on the code as it is now",
 		Long: "Exit status 1 if a property is broken, 0 if none is: made for bisecting.", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			t, err := systems.LoadTrace(args[0])
+			trace, err := systems.LoadTrace(args[0])
 			if err != nil {
-				return status(Misused, err)
+				return exitError(ExitUsage, err)
 			}
-			taken, property, how := t.Replay()
-			if err := a.show(map[string]any{"taken": taken, "of": len(t.Steps), "broken": property, "how": how}, func(w io.Writer) {
-				fmt.Fprintf(w, "%d of %d steps taken\n%s\n", taken, len(t.Steps), how)
+			report := replayReport{Steps: len(trace.Steps)}
+			report.Taken, report.Broken, report.How = trace.Replay()
+			if err := a.show(report, func(out io.Writer) {
+				printf(out, "%d of %d steps taken\n%s\n", report.Taken, report.Steps, report.How)
 			}); err != nil {
 				return err
 			}
-			if property != "" {
-				return status(Failed, fmt.Errorf("broken: %s: %s", property, how))
+			if report.Broken != "" {
+				return exitError(ExitFailed, fmt.Errorf("broken: %s: %s", report.Broken, report.How))
 			}
 			return nil
 		},
 	}
-	a.asJSON(c)
+	a.addJSONFlag(c)
 	return c
 }
--- a/internal/cli/explore_inject.go
+++ b/internal/cli/explore_inject.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -12,62 +13,102 @@
 	"stoatdale.example/stoatdale/internal/systems"
 )
 
-func (a *app) exploreInject() *cobra.Command {
-	var every bool
-	var keep string
-	var workers int
+// injectReport is which of the injected faults were found.
+type injectReport struct {
+	Faults []systems.Found `json:"bugs"`
+	OK     bool            `json:"ok"` // all were found, and nothing was without them
+}
+
+func (r *injectReport) print(out io.Writer) {
+	t := newTable(out, "system", "bug", "found", "steps", "states", "seconds", "clean without it", "breaks")
+	for _, x := range r.Faults {
+		t.AppendRow(table.Row{x.System, x.Fault, x.Found, x.Length, x.States, fmt.Sprintf("%.2f", x.Seconds), x.Clean, x.Property})
+	}
+	t.Render()
+}
+
+// missed counts the faults that were not found, or whose bounds are not clean without them.
+func (r *injectReport) missed() int {
+	missed := 0
+	for i := range r.Faults {
+		if !r.Faults[i].Found || !r.Faults[i].Clean {
+			missed++
+		}
+	}
+	return missed
+}
+
+// injectFlags are the flags of explore inject.
+type injectFlags struct {
+	all         bool
+	traceFolder string // empty: traces are not kept
+	workers     int    // 0: one a core
+}
+
+func (f *injectFlags) register(c *cobra.Command) {
+	c.Flags().BoolVar(&f.all, "all", false, "all bugs of all systems")
+	c.Flags().StringVar(&f.traceFolder, "keep", "", "folder for the traces")
+	c.Flags().IntVar(&f.workers, "workers", 0, "cores; 0: all")
+}
+
+func (a *app) exploreInjectCommand() *cobra.Command {
+	var flags injectFlags
 	c := &cobra.Command{
 		Use: "inject [NAME...]", Short: "Puts bugs in and sees that each is found, and that nothing is found without it",
 		Example: "  stoatctl explore inject --all --json",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if every == (len(args) > 0) {
-				return status(Misused, errors.New("give names of bugs, or --all"))
-			}
-			wanted := map[string]bool{}
-			for _, n := range args {
-				wanted[n] = true
+			if flags.all == (len(args) > 0) {
+				return exitError(ExitUsage, errors.New("give names of bugs, or --all"))
 			}
-			var all []systems.Found
-			missed := 0
-			for _, k := range systems.Kinds() {
-				for _, n := range k.Names() {
-					if !every && !wanted[n] {
-						continue
-					}
-					delete(wanted, n)
-					f := systems.Inject(cmd.Context(), k, n, workers)
-					if !f.Found || !f.Clean {
-						missed++
-					}
-					if f.Trace != nil && keep != "" {
-						if err := f.Trace.Save(filepath.Join(keep, k.Name+"-"+n+".json")); err != nil {
-							return status(Failed, err)
-						}
-					}
-					all = append(all, f)
-				}
-			}
-			for n := range wanted {
-				return status(Misused, fmt.Errorf("there is no bug %q; see explore list", n))
+			report, err := injectFaults(cmd.Context(), args, &flags)
+			if err != nil {
+				return err
 			}
-			if err := a.show(map[string]any{"ok": missed == 0, "bugs": all}, func(w io.Writer) {
-				t := grid(w, "system", "bug", "found", "steps", "states", "seconds", "clean without it", "breaks")
-				for _, f := range all {
-					t.AppendRow(table.Row{f.System, f.Fault, f.Found, f.Length, f.States, fmt.Sprintf("%.2f", f.Seconds), f.Clean, f.Property})
-				}
-				t.Render()
-			}); err != nil {
+			if err := a.show(report, report.print); err != nil {
 				return err
 			}
-			if missed > 0 {
-				return status(Failed, fmt.Errorf("%d bugs were not found, or their bounds are not clean without them", missed))
+			if missed := report.missed(); missed > 0 {
+				return exitErrorf(ExitFailed, "%d bugs were not found, or their bounds are not clean without them", missed)
 			}
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&every, "all", false, "all bugs of all systems")
-	c.Flags().StringVar(&keep, "keep", "", "folder for the traces")
-	c.Flags().IntVar(&workers, "workers", 0, "cores; 0: all")
-	a.asJSON(c)
+	flags.register(c)
+	a.addJSONFlag(c)
 	return c
 }
+
+// injectFaults explores every system with each fault of the given names, or with all faults.
+func injectFaults(ctx context.Context, names []string, flags *injectFlags) (*injectReport, error) {
+	unmet := map[string]bool{}
+	for _, name := range names {
+		unmet[name] = true
+	}
+	wanted := func(name string) bool { return flags.all || unmet[name] }
+	var report injectReport
+	for _, kind := range systems.Kinds() {
+		for _, name := range kind.Names() {
+			if !wanted(name) {
+				continue
+			}
+			delete(unmet, name)
+			found := systems.Inject(ctx, kind, name, flags.workers)
+			if err := saveInjectTrace(found, flags.traceFolder); err != nil {
+				return nil, err
+			}
+			report.Faults = append(report.Faults, found)
+		}
+	}
+	for name := range unmet {
+		return nil, exitErrorf(ExitUsage, "there is no bug %q; see explore list", name)
+	}
+	report.OK = report.missed() == 0
+	return &report, nil
+}
+
+func saveInjectTrace(found systems.Found, folder string) error {
+	if found.Trace == nil || folder == "" {
+		return nil
+	}
+	return exitError(ExitFailed, found.Trace.Save(filepath.Join(folder, found.System+"-"+found.Fault+".json")))
+}
--- a/internal/cli/explore_run.go
+++ b/internal/cli/explore_run.go
@@ -14,141 +14,198 @@
 	"stoatdale.example/stoatdale/internal/systems"
 )
 
-// explored is one system's exploration in all its bounds.
-type explored struct {
-	System   string           `json:"system"`
-	OK       bool             `json:"ok"`
-	Complete bool             `json:"complete"`
-	States   int              `json:"states"`
-	Steps    int              `json:"steps"`
-	Depth    int              `json:"depth"`
-	Heap     uint64           `json:"peak_heap_bytes"`
-	Seconds  float64          `json:"seconds"`
-	Runs     []explore.Result `json:"runs"`
-	Trace    string           `json:"trace,omitempty"`
+const exploreProgressInterval = 2 * time.Second
+
+// exploreFlags are the flags of explore run.
+type exploreFlags struct {
+	boundsFile  string
+	traceFile   string // for the trace to a broken property
+	fault       string // to inject; empty: none
+	workers     int    // 0: one a core
+	whole       bool   // take every step, also of those that commute
+	depthFirst  bool
+	stoppedFile string // written if the exploration ends before it is complete
+	resumeFile  string // of an earlier exploration to go on with
+}
+
+func (f *exploreFlags) register(c *cobra.Command) {
+	c.Flags().StringVar(&f.boundsFile, "bounds", "deploy/bounds/ci.sexp", "file of bounds")
+	c.Flags().StringVar(&f.traceFile, "trace", "", "file for the trace to a broken property")
+	c.Flags().StringVar(&f.fault, "inject", "", "bug to put in")
+	c.Flags().IntVar(&f.workers, "workers", 0, "cores; 0: all")
+	c.Flags().BoolVar(&f.whole, "whole", false, "take every step, also of those that commute")
+	c.Flags().BoolVar(&f.depthFirst, "deep", false, "depth first, with a memory that the bounds' states bound")
+	c.Flags().StringVar(&f.stoppedFile, "stop", "", "file for an exploration that ends before it is complete")
+	c.Flags().StringVar(&f.resumeFile, "resume", "",
+		"file of such an exploration, which is gone on with under the first bounds' states, memory and time")
 }
 
-func (a *app) exploreRun() *cobra.Command {
-	var file, keep, fault, stop, from string
-	var how searching
+func (a *app) exploreRunCommand() *cobra.Command {
+	var flags exploreFlags
 	c := &cobra.Command{
 		Use: "run SYSTEM", Short: "Explores a system in the bounds of a file", Args: cobra.ExactArgs(1),
 		Long: "With --stop, what ended before it was complete is kept in a file, and --resume goes on from there. --deep goes depth first\n" +
 			"and keeps no more states than the bounds say; it needs a bound of depth.",
 		Example: "  stoatctl explore run command --bounds deploy/bounds/ci.sexp --json",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			k, err := systems.Find(args[0])
+			run, err := newExploration(args[0], &flags)
 			if err != nil {
-				return status(Misused, err)
+				return err
 			}
-			if _, known := k.Faults[fault]; fault != "" && !known {
-				return status(Misused, fmt.Errorf("--inject: system %s has no fault %q", k.Name, fault))
-			}
-			bounds, err := systems.Load(file, k.Name)
-			if err != nil {
-				return status(Misused, err)
-			}
-			if from != "" {
-				s, err := systems.LoadStopped(from)
-				if err != nil {
-					return status(Misused, err)
-				}
-				if s.System != k.Name {
-					return status(Misused, fmt.Errorf("--resume: %s is of system %s", from, s.System))
-				}
-				s.Bounds.States, s.Bounds.Memory, s.Bounds.For = bounds[0].States, bounds[0].Memory, bounds[0].For
-				bounds, fault, how.from = []systems.Bounds{s.Bounds}, s.Fault, &s.Saved
-			}
-			how.keep, how.stop = keep, stop
-			return a.explored(cmd.Context(), k, bounds, fault, how)
+			return a.explore(cmd.Context(), run)
 		},
 	}
-	c.Flags().StringVar(&file, "bounds", "deploy/bounds/ci.sexp", "file of bounds")
-	c.Flags().StringVar(&keep, "trace", "", "file for the trace to a broken property")
-	c.Flags().StringVar(&fault, "inject", "", "bug to put in")
-	c.Flags().IntVar(&how.workers, "workers", 0, "cores; 0: all")
-	c.Flags().BoolVar(&how.whole, "whole", false, "take every step, also of those that commute")
-	c.Flags().BoolVar(&how.deep, "deep", false, "depth first, with a memory that the bounds' states bound")
-	c.Flags().StringVar(&stop, "stop", "", "file for an exploration that ends before it is complete")
-	c.Flags().StringVar(&from, "resume", "", "file of such an exploration, which is gone on with under the first bounds' states, memory and time")
-	a.asJSON(c)
+	flags.register(c)
+	a.addJSONFlag(c)
 	return c
 }
 
-// searching is how a system is explored.
-type searching struct {
-	keep, stop  string
-	workers     int
-	whole, deep bool
-	from        *explore.Saved
+// exploration is a system that is explored in some bounds, one after the other.
+type exploration struct {
+	flags  *exploreFlags
+	kind   systems.Kind
+	fault  string // injected; empty: none
+	bounds []systems.Bounds
+	saved  *explore.Saved // where an earlier exploration stopped; nil: from the start
+}
+
+// newExploration reads what the flags name. All its errors are of usage.
+func newExploration(system string, flags *exploreFlags) (*exploration, error) {
+	kind, err := systems.Find(system)
+	if err != nil {
+		return nil, exitError(ExitUsage, err)
+	}
+	if _, known := kind.Faults[flags.fault]; flags.fault != "" && !known {
+		return nil, exitErrorf(ExitUsage, "--inject: system %s has no fault %q", kind.Name, flags.fault)
+	}
+	bounds, err := systems.Load(flags.boundsFile, kind.Name)
+	if err != nil {
+		return nil, exitError(ExitUsage, err)
+	}
+	e := &exploration{flags: flags, kind: kind, fault: flags.fault, bounds: bounds}
+	if flags.resumeFile == "" {
+		return e, nil
+	}
+	stopped, err := systems.LoadStopped(flags.resumeFile)
+	if err != nil {
+		return nil, exitError(ExitUsage, err)
+	}
+	if stopped.System != kind.Name {
+		return nil, exitErrorf(ExitUsage, "--resume: %s is of system %s", flags.resumeFile, stopped.System)
+	}
+	e.resume(stopped)
+	return e, nil
+}
+
+// resume goes on with a stopped exploration, under the present limits of states, memory and time.
+func (e *exploration) resume(stopped systems.Stopped) {
+	limits := e.bounds[0]
+	stopped.Bounds.States = limits.States
+	stopped.Bounds.Memory = limits.Memory
+	stopped.Bounds.For = limits.For
+	e.bounds = []systems.Bounds{stopped.Bounds}
+	e.fault = stopped.Fault
+	e.saved = &stopped.Saved
 }
 
-func (s *searching) run(ctx context.Context, k systems.Kind, b systems.Bounds, fault string, tell func(explore.Progress)) (explore.Result, error) {
-	x := b.Explore(s.workers)
-	x.TakeAllSteps = s.whole
-	if s.deep {
-		if x.MaxDepth == 0 {
-			return explore.Result{}, status(Misused, fmt.Errorf("%s: --deep needs a bound of depth", b.Place))
+// run explores in one of the bounds.
+func (e *exploration) run(ctx context.Context, bounds systems.Bounds, report func(explore.Progress)) (explore.Result, error) {
+	limits := bounds.Explore(e.flags.workers)
+	limits.TakeAllSteps = e.flags.whole
+	if e.flags.depthFirst {
+		if limits.MaxDepth == 0 {
+			return explore.Result{}, exitErrorf(ExitUsage, "%s: --deep needs a bound of depth", bounds.Place)
 		}
-		return explore.RunDepthFirst(ctx, k.New(b, fault), x), nil
+		return explore.RunDepthFirst(ctx, e.kind.New(bounds, e.fault), limits), nil
 	}
-	r, saved := explore.Resume(ctx, k.New(b, fault), x, s.from, tell)
-	if saved == nil || s.stop == "" {
-		return r, nil
+	result, saved := explore.Resume(ctx, e.kind.New(bounds, e.fault), limits, e.saved, report)
+	if saved == nil || e.flags.stoppedFile == "" {
+		return result, nil
 	}
-	return r, systems.Stopped{System: k.Name, Fault: fault, Bounds: b, Saved: *saved}.Save(s.stop)
+	stopped := systems.Stopped{System: e.kind.Name, Fault: e.fault, Bounds: bounds, Saved: *saved}
+	return result, stopped.Save(e.flags.stoppedFile)
 }
 
-func (a *app) explored(ctx context.Context, k systems.Kind, bounds []systems.Bounds, fault string, how searching) error {
-	all := explored{System: k.Name, OK: true, Complete: true}
-	var broken *systems.Trace
-	for _, b := range bounds {
-		last := time.Now()
-		r, err := how.run(ctx, k, b, fault, func(p explore.Progress) {
-			if time.Since(last) > 2*time.Second {
-				last = time.Now()
-				fmt.Fprintf(a.err, "%s: %d states, depth %d, %d to go on from, %d MB\n", k.Name, p.States, p.Depth, p.Frontier, p.HeapBytes>>20)
-			}
+// exploreReport is one system's exploration in all its bounds.
+type exploreReport struct {
+	System        string           `json:"system"`
+	OK            bool             `json:"ok"`
+	Complete      bool             `json:"complete"`
+	States        int              `json:"states"`
+	Steps         int              `json:"steps"`
+	Depth         int              `json:"depth"`
+	PeakHeapBytes uint64           `json:"peak_heap_bytes"`
+	Seconds       float64          `json:"seconds"`
+	Runs          []explore.Result `json:"runs"` // one for each of the bounds
+	TraceFile     string           `json:"trace,omitempty"`
+	broken        *systems.Trace
+}
+
+func (r *exploreReport) add(result explore.Result) {
+	r.Runs = append(r.Runs, result)
+	r.States += result.States
+	r.Steps += result.Steps
+	r.Depth = max(r.Depth, result.Depth)
+	r.PeakHeapBytes = max(r.PeakHeapBytes, result.PeakHeapBytes)
+	r.Seconds += result.Seconds
+	r.Complete = r.Complete && (result.Complete || result.Counterexample != nil)
+}
+
+func (r *exploreReport) print(out io.Writer, bounds []systems.Bounds) {
+	t := newTable(out, "bounds", "states", "steps", "depth", "complete", "ends", "clash", "seconds", "states a second")
+	for i, run := range r.Runs {
+		t.AppendRow(table.Row{
+			bounds[i].Place, run.States, run.Steps, run.Depth, run.Complete, run.EndStates, fmt.Sprintf("%.1e", run.CollisionChance),
+			fmt.Sprintf("%.2f", run.Seconds), int(float64(run.States) / run.Seconds),
 		})
+	}
+	t.Render()
+	if r.broken != nil {
+		printTrace(out, r.broken)
+	}
+}
+
+// explore explores in all bounds up to the first broken property, and shows the report.
+func (a *app) explore(ctx context.Context, e *exploration) error {
+	report := exploreReport{System: e.kind.Name, OK: true, Complete: true}
+	for _, bounds := range e.bounds {
+		result, err := e.run(ctx, bounds, a.exploreProgress(e.kind.Name))
 		if err != nil {
 			return err
 		}
-		all.Runs = append(all.Runs, r)
-		all.States, all.Steps, all.Depth = all.States+r.States, all.Steps+r.Steps, max(all.Depth, r.Depth)
-		all.Heap, all.Seconds = max(all.Heap, r.PeakHeapBytes), all.Seconds+r.Seconds
-		all.Complete = all.Complete && (r.Complete || r.Counterexample != nil)
-		if r.Counterexample != nil {
-			all.OK = false
-			broken = &systems.Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *r.Counterexample}
+		report.add(result)
+		if result.Counterexample != nil {
+			report.OK = false
+			report.broken = &systems.Trace{System: e.kind.Name, Fault: e.fault, Bounds: bounds, Trace: *result.Counterexample}
 			break
 		}
 	}
-	if broken != nil && how.keep != "" {
-		if err := broken.Save(how.keep); err != nil {
-			return status(Failed, err)
-		}
-		all.Trace = how.keep
-	}
-	if err := a.show(all, func(w io.Writer) {
-		t := grid(w, "bounds", "states", "steps", "depth", "complete", "ends", "clash", "seconds", "states a second")
-		for i, r := range all.Runs {
-			t.AppendRow(table.Row{
-				bounds[i].Place, r.States, r.Steps, r.Depth, r.Complete, r.EndStates, fmt.Sprintf("%.1e", r.CollisionChance),
-				fmt.Sprintf("%.2f", r.Seconds), int(float64(r.States) / r.Seconds),
-			})
+	if report.broken != nil && e.flags.traceFile != "" {
+		if err := report.broken.Save(e.flags.traceFile); err != nil {
+			return exitError(ExitFailed, err)
 		}
-		t.Render()
-		if broken != nil {
-			printTrace(w, *broken)
-		}
-	}); err != nil {
+		report.TraceFile = e.flags.traceFile
+	}
+	if err := a.show(report, func(out io.Writer) { report.print(out, e.bounds) }); err != nil {
 		return err
 	}
-	if broken != nil {
-		return status(Failed, fmt.Errorf("broken: %s: %s", broken.Property, broken.How))
+	if report.broken != nil {
+		return exitErrorf(ExitFailed, "broken: %s: %s", report.broken.Property, report.broken.How)
 	}
-	if !all.Complete {
-		return status(Paused, errors.New("an exploration ended before it was complete"))
+	if !report.Complete {
+		return exitError(ExitPaused, errors.New("an exploration ended before it was complete"))
 	}
 	return nil
 }
+
+// exploreProgress returns a function that writes progress to standard error at intervals.
+func (a *app) exploreProgress(system string) func(explore.Progress) {
+	last := time.Now()
+	return func(p explore.Progress) {
+		if time.Since(last) <= exploreProgressInterval {
+			return
+		}
+		last = time.Now()
+		printf(a.stderr, "%s: %d states, depth %d, %d to go on from, %d MB\n", system, p.States, p.Depth, p.Frontier, p.HeapBytes>>20)
+	}
+}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"context"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -12,37 +13,62 @@
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
-// fleetFlags are common to the commands that speak to agents.
+// fleetFlags are common to the commands that call agents.
 type fleetFlags struct {
-	file, folder, operator string
+	file       string
+	keysFolder string
+	operator   string
 }
 
-func (f *fleetFlags) open() (*tool.Client, error) {
-	l, err := layout.Load(f.file)
+// openClient reads the fleet file and returns a client for its agents.
+func (f *fleetFlags) openClient() (*tool.Client, error) {
+	fleet, err := layout.Load(f.file)
 	if err != nil {
-		return nil, status(Misused, err)
+		return nil, exitError(ExitUsage, err)
 	}
-	t, err := tool.New(l, keys.Folder(f.folder), f.operator)
+	client, err := tool.New(fleet, keys.Folder(f.keysFolder), f.operator)
 	if err != nil {
-		return nil, status(Misused, err)
+		return nil, exitError(ExitUsage, err)
 	}
-	return t, nil
+	return client, nil
 }
 
-func (a *app) fleet() *cobra.Command {
-	var f fleetFlags
+// withClient makes a command's function of one that needs a client, which is closed when it returns.
+func (f *fleetFlags) withClient(
+	run func(ctx context.Context, client *tool.Client, args []string) error,
+) func(*cobra.Command, []string) error {
+	return func(cmd *cobra.Command, args []string) error {
+		client, err := f.openClient()
+		if err != nil {
+			return err
+		}
+		defer client.Close()
+		return run(cmd.Context(), client, args)
+	}
+}
+
+func (a *app) fleetCommand() *cobra.Command {
+	var flags fleetFlags
 	c := &cobra.Command{
 		Use: "fleet", Short: "Shows a fleet and changes it, one instance at a time",
 		Long: "A rollout takes one instance at a time, never goes below the floors of the fleet file, and holds a claim that a majority\n" +
 			"of agents grants, so that no two operators change the fleet at once. It survives this tool: resume goes on from\n" +
-			"any machine.\n\n" + statuses,
+			"any machine.\n\n" + exitCodesHelp,
+	}
+	c.PersistentFlags().StringVar(&flags.file, "fleet", "deploy/fleet.sexp", "fleet file")
+	c.PersistentFlags().StringVar(&flags.keysFolder, "keys", "keys", "folder of the keys")
+	c.PersistentFlags().StringVar(&flags.operator, "as", os.Getenv("USER"), "operator whose certificate is shown")
+	pause := haltRequest{
+		verb: "pause", summary: "Pauses the rollout before its next step",
+		request: plan.RequestPause, operation: roll.OperationPause,
+	}
+	abort := haltRequest{
+		verb: "abort", summary: "Gives the rollout up: instances stay as they are",
+		request: plan.RequestAbort, operation: roll.OperationAbort,
 	}
-	c.PersistentFlags().StringVar(&f.file, "fleet", "deploy/fleet.sexp", "fleet file")
-	c.PersistentFlags().StringVar(&f.folder, "keys", "keys", "folder of the keys")
-	c.PersistentFlags().StringVar(&f.operator, "as", os.Getenv("USER"), "operator whose certificate is shown")
-	c.AddCommand(a.check(), a.status(&f), a.diff(&f), a.push(&f), a.roll(&f), a.resume(&f), a.rollback(&f),
-		a.halt(&f, "pause", "Pauses the rollout before its next step", plan.RequestPause, roll.OperationPause),
-		a.halt(&f, "abort", "Gives the rollout up: instances stay as they are", plan.RequestAbort, roll.OperationAbort),
-		a.history(&f), a.claimed(&f))
-	return group(c)
+	c.AddCommand(a.fleetCheckCommand(), a.fleetStatusCommand(&flags), a.fleetDiffCommand(&flags), a.fleetPushCommand(&flags),
+		a.fleetRollCommand(&flags), a.fleetResumeCommand(&flags), a.fleetRollbackCommand(&flags),
+		a.fleetHaltCommand(&flags, pause), a.fleetHaltCommand(&flags, abort),
+		a.fleetHistoryCommand(&flags), a.fleetLeaseCommand(&flags))
+	return commandGroup(c)
 }
--- /dev/null
+++ b/internal/cli/fleet_check.go
@@ -0,0 +1,59 @@
+package cli
+
+import (
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/fleet/tool"
+)
+
+// checkReport is what fleet check found in files without faults.
+type checkReport struct {
+	Agents         int    `json:"agents"`
+	Fleet          string `json:"fleet"`
+	Zones          int    `json:"halls"`
+	Instances      int    `json:"instances"`
+	RevisionDigest string `json:"revision,omitempty"` // of the revision that was checked too
+}
+
+func (r *checkReport) print(out io.Writer) {
+	printf(out, "%s: %d halls, %d agents, %d instances\n", r.Fleet, r.Zones, r.Agents, r.Instances)
+	if r.RevisionDigest != "" {
+		printf(out, "revision %s is right for all of them\n", r.RevisionDigest)
+	}
+}
+
+func (a *app) fleetCheckCommand() *cobra.Command {
+	c := &cobra.Command{
+		Use: "check FILE [REVISION.json]", Short: "Checks a fleet file, and a revision for its instances",
+		Example: "  stoatctl fleet check deploy/fleet.sexp winter.json", Args: cobra.RangeArgs(1, 2),
+		RunE: func(_ *cobra.Command, args []string) error {
+			fleet, err := layout.Load(args[0])
+			if err != nil {
+				return exitError(ExitUsage, err)
+			}
+			client := &tool.Client{Fleet: fleet} // without agents: it reads files and explains reasons
+			report := checkReport{Fleet: fleet.Name, Zones: len(fleet.Zones), Agents: len(fleet.Agents), Instances: len(fleet.Instances)}
+			if len(args) == 2 {
+				content, err := client.ReadRevision(args[1])
+				if err != nil {
+					return exitError(ExitUsage, err)
+				}
+				report.RevisionDigest = revision.Digest(content)
+			}
+			if err := a.show(report, report.print); err != nil {
+				return err
+			}
+			if reason := plan.CheckFeasible(fleet.PlannerFleet(), nil); reason.Kind != plan.ReasonNone {
+				return exitErrorf(ExitRejected, "no rollout is possible with these floors: %s", client.Explain(reason))
+			}
+			return nil
+		},
+	}
+	a.addJSONFlag(c)
+	return c
+}
--- a/internal/cli/fleet_drive.go
+++ b/internal/cli/fleet_drive.go
@@ -5,182 +5,175 @@
 	"errors"
 	"fmt"
 	"io"
-	"os"
+	"slices"
 
-	"github.com/jedib0t/go-pretty/v6/progress"
-	"golang.org/x/term"
+	"github.com/spf13/cobra"
 
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/roll"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
 
-// drive carries a task out, shows how it goes, and tells its end by the exit status.
-func (a *app) drive(ctx context.Context, t *tool.Client, task roll.Task, d *driving) error {
-	task.Takeover = d.takeOver
-	names := t.Fleet.InstanceNames()
-	for _, n := range d.leaveOut {
-		i := -1
-		for j := range names {
-			if names[j] == n {
-				i = j
-			}
-		}
-		if i < 0 {
-			return status(Misused, fmt.Errorf("--leave-out: there is no instance %s", n))
+// driveFlags are the flags of commands that drive a rollout.
+type driveFlags struct {
+	takeOver  bool
+	leaveOut  []string // names of instances
+	traceFile string   // empty: no trace
+}
+
+func (f *driveFlags) register(c *cobra.Command) {
+	c.Flags().BoolVar(&f.takeOver, "take-over", false, "take the claim also from a tool that holds it; that one is fenced off")
+	c.Flags().StringSliceVar(&f.leaveOut, "leave-out", nil, "instances that this run goes on without, known or not")
+	c.Flags().StringVar(&f.traceFile, "trace", "", "file for OpenTelemetry spans of the rollout and its steps")
+}
+
+// excludedInstances returns the numbers of the instances that are left out.
+func (f *driveFlags) excludedInstances(names []string) ([]int, error) {
+	var excluded []int
+	for _, name := range f.leaveOut {
+		instance := slices.Index(names, name)
+		if instance < 0 {
+			return nil, exitErrorf(ExitUsage, "--leave-out: there is no instance %s", name)
 		}
-		task.ExcludedInstances = append(task.ExcludedInstances, i)
+		excluded = append(excluded, instance)
 	}
-	var spans *tool.Trace
-	if d.trace != "" {
-		var err error
-		if spans, err = t.NewTrace(d.trace); err != nil {
-			return status(Misused, err)
+	return excluded, nil
+}
+
+// drive carries a task out, shows its progress, and returns its outcome as an exit error.
+func (a *app) drive(ctx context.Context, client *tool.Client, task roll.Task, flags *driveFlags) error {
+	names := client.Fleet.InstanceNames()
+	excluded, err := flags.excludedInstances(names)
+	if err != nil {
+		return err
+	}
+	task.Takeover = flags.takeOver
+	task.ExcludedInstances = append(task.ExcludedInstances, excluded...)
+	var trace *tool.Trace
+	if flags.traceFile != "" {
+		if trace, err = client.NewTrace(flags.traceFile); err != nil {
+			return exitError(ExitUsage, err)
 		}
 	}
-	live := a.live(len(names))
-	o := t.Drive(ctx, task, func(v roll.View, events []roll.Event) {
-		if spans != nil {
-			spans.Record(v, events)
+	bar := a.newProgressBar(len(names))
+	outcome := client.Drive(ctx, task, func(view roll.View, events []roll.Event) {
+		if trace != nil {
+			trace.Record(view, events)
 		}
-		for _, e := range events {
-			a.event(t, e)
+		for _, event := range events {
+			a.logEvent(client, event)
 		}
-		live.show(v)
+		bar.update(view)
 	})
-	live.end()
-	if spans != nil {
-		if err := spans.Close(o); err != nil {
-			a.log.Error().Err(err).Msg("trace")
+	bar.stop()
+	if trace != nil {
+		if err := trace.Close(outcome); err != nil {
+			a.log.Error().Err(err).Str("file", flags.traceFile).Msg("trace not written")
 		}
 	}
-	return a.outcome(t, o)
+	return a.reportOutcome(client, outcome)
 }
 
-func (a *app) event(t *tool.Client, e roll.Event) {
+func (a *app) logEvent(client *tool.Client, event roll.Event) {
 	name := ""
-	if i := e.Step.Instance; e.Step.Number != 0 && i < len(t.Fleet.Instances) {
-		name = t.Fleet.Instances[i].Name
+	if i := event.Step.Instance; event.Step.Number != 0 && i < len(client.Fleet.Instances) {
+		name = client.Fleet.Instances[i].Name
 	}
 	switch {
-	case e.AcquiredEpoch != 0:
-		a.log.Info().Uint64("epoch", e.AcquiredEpoch).Msg("claimed")
-	case e.StepRefusal != "":
-		a.log.Warn().Str("instance", name).Str("says", e.StepRefusal).Msg("its agent refuses the step")
-	case e.Action == plan.ActionBeginStep:
-		a.log.Info().Str("instance", name).Uint64("step", e.Step.Number).Bool("back", e.Step.Rollback).Msg("step")
-	case e.Action == plan.ActionCompleteStep:
-		a.log.Info().Str("instance", name).Uint64("step", e.Step.Number).Msg("step ended")
-	case e.Action == plan.ActionStartRollback:
-		a.log.Warn().Str("why", t.Explain(e.Reason)).Msg("the rollout goes back")
+	case event.AcquiredEpoch != 0:
+		a.log.Info().Uint64("epoch", event.AcquiredEpoch).Msg("lease acquired")
+	case event.StepRefusal != "":
+		a.log.Warn().Str("instance", name).Str("reason", event.StepRefusal).Msg("step rejected by the agent")
+	case event.Action == plan.ActionBeginStep:
+		a.log.Info().Str("instance", name).Uint64("step", event.Step.Number).Bool("rollback", event.Step.Rollback).Msg("step begun")
+	case event.Action == plan.ActionCompleteStep:
+		a.log.Info().Str("instance", name).Uint64("step", event.Step.Number).Msg("step ended")
+	case event.Action == plan.ActionStartRollback:
+		a.log.Warn().Str("reason", client.Explain(event.Reason)).Msg("rollback started")
 	}
 }
 
-// outcome tells a driver's end.
-func (a *app) outcome(t *tool.Client, o roll.Outcome) error {
-	r := t.DescribeRollout(o.Rollout)
-	said := struct {
-		Outcome string              `json:"outcome"`
-		Why     string              `json:"why,omitempty"`
-		Rollout *tool.RolloutStatus `json:"rollout,omitempty"`
-		Faults  []string            `json:"faults,omitempty"`
-	}{Outcome: r.State, Why: r.Why, Rollout: r, Faults: o.Faults}
-	code := Done
-	var err error
-	switch o.Kind {
-	case roll.OutcomeEnded:
-		switch o.Rollout.State {
-		case plan.Paused:
-			code = Paused
-			if o.Reason.Kind == plan.ReasonOperator {
-				code = Done
-			}
-			err = fmt.Errorf("the rollout is paused: %s", r.Why)
-			if r.RollingBack {
-				err = fmt.Errorf("%w; it was going back: %s", err, r.Cause)
-			}
-		case plan.RolledBack:
-			if o.Reason.Kind != plan.ReasonOperator {
-				code = Failed
-			}
-			err = fmt.Errorf("the rollout went back: %s", r.Why)
-		}
-	case roll.OutcomeLeaseHeld:
-		said.Outcome, said.Why = "refused", fmt.Sprintf("%s holds the claim since %.0f s, for %.0f s more unless renewed; --take-over fences it off",
-			o.Holder.Holder, o.Holder.HeldSeconds, o.Holder.RemainingSeconds)
-		code = Refused
-	case roll.OutcomeFenced:
-		said.Outcome, said.Why = "fenced", fmt.Sprintf("the claim was taken over by %s", o.Holder.Holder)
-		code = Refused
-	case roll.OutcomeNoMajority:
-		said.Outcome, said.Why = "paused", "no majority of agents can be heard: nothing more was begun"
-		code = Paused
-	case roll.OutcomeUnfinishedRollout:
-		said.Outcome, said.Why = "refused", fmt.Sprintf("rollout %s by %s is %s: resume, abort or roll it back first", r.ID, r.StartedBy, r.State)
-		code = Refused
-	case roll.OutcomeInfeasible:
-		said.Outcome, said.Why = "refused", "no step is possible: "+t.Explain(o.Reason)
-		code = Refused
-	case roll.OutcomeNoRollout:
-		said.Outcome, said.Why = "refused", "there is no rollout to go on with"
-		code = Refused
-	case roll.OutcomeOtherFleet:
-		said.Outcome, said.Why = "refused", "the rollout goes over another list of instances than this fleet file's"
-		code = Refused
-	case roll.OutcomeInterrupted:
-		said.Outcome, said.Why = "paused", "interrupted; the claim was given back, and fleet resume goes on"
-		code = Paused
-	}
-	if err == nil && said.Why != "" && code != Done {
-		err = errors.New(said.Why)
+// driveReport is what a command that drove a rollout prints.
+type driveReport struct {
+	Outcome string              `json:"outcome"`
+	Why     string              `json:"why,omitempty"`
+	Rollout *tool.RolloutStatus `json:"rollout,omitempty"`
+	Faults  []string            `json:"faults,omitempty"`
+}
+
+// reportOutcome shows how a rollout's driver ended, and returns the exit error that it stands for.
+func (a *app) reportOutcome(client *tool.Client, outcome roll.Outcome) error {
+	rollout := client.DescribeRollout(outcome.Rollout)
+	report := driveReport{Outcome: rollout.State, Why: rollout.Why, Rollout: rollout, Faults: outcome.Faults}
+	var exit error
+	if outcome.Kind == roll.OutcomeEnded {
+		exit = endedRolloutError(outcome, rollout)
+	} else if unfinished := describeUnfinished(client, outcome, rollout); unfinished.outcome != "" {
+		report.Outcome, report.Why = unfinished.outcome, unfinished.why
+		exit = exitError(unfinished.code, errors.New(unfinished.why))
 	}
-	if e := a.show(said, func(w io.Writer) {
-		fmt.Fprintf(w, "rollout %s: %s\n", r.ID, said.Outcome)
-		for _, f := range o.Faults {
-			fmt.Fprintln(w, f)
+	if err := a.show(report, func(out io.Writer) {
+		printf(out, "rollout %s: %s\n", rollout.ID, report.Outcome)
+		for _, fault := range outcome.Faults {
+			printf(out, "%s\n", fault)
 		}
-	}); e != nil {
-		return e
-	}
-	if code == Done {
-		return nil
+	}); err != nil {
+		return err
 	}
-	return status(code, err)
+	return exit
 }
 
-// live is a view of a rollout on a terminal.
-type live struct {
-	w progress.Writer
-	t *progress.Tracker
+// endedRolloutError is the exit error of a rollout that ended or paused, or nil if it ended as the operator asked.
+func endedRolloutError(outcome roll.Outcome, rollout *tool.RolloutStatus) error {
+	if outcome.Reason.Kind == plan.ReasonOperator {
+		return nil
+	}
+	switch outcome.Rollout.State {
+	case plan.Paused:
+		err := fmt.Errorf("the rollout is paused: %s", rollout.Why)
+		if rollout.RollingBack {
+			err = fmt.Errorf("%w; it was going back: %s", err, rollout.Cause)
+		}
+		return exitError(ExitPaused, err)
+	case plan.RolledBack:
+		return exitErrorf(ExitFailed, "the rollout went back: %s", rollout.Why)
+	case plan.None, plan.Running, plan.Complete, plan.Aborted:
+	}
+	return nil
 }
 
-func (a *app) live(of int) *live {
-	f, ok := a.err.(*os.File)
-	if !ok || !term.IsTerminal(int(f.Fd())) {
-		return &live{}
-	}
-	l := &live{w: progress.NewWriter(), t: &progress.Tracker{Total: int64(of), Message: "waiting for the claim"}}
-	l.w.SetOutputWriter(a.err)
-	l.w.SetAutoStop(false)
-	l.w.AppendTracker(l.t)
-	go l.w.Render()
-	return l
+// unfinishedDrive is how a driver ended that did not bring the rollout to its end.
+type unfinishedDrive struct {
+	outcome string
+	why     string
+	code    ExitCode
 }
 
-func (l *live) show(v roll.View) {
-	if l.w == nil || v.Epoch == 0 {
-		return
-	}
-	l.t.SetValue(int64(v.Finished))
-	what := fmt.Sprintf("%d serve", v.Serving)
-	if s := v.Rollout.CurrentStep; s.Number != 0 && s.Instance < len(v.Instances) {
-		what = fmt.Sprintf("%s: %s, %s", v.Instances[s.Instance].Name, v.Instances[s.Instance].State, what)
-	}
-	l.t.UpdateMessage(what)
+func rejectedDrive(format string, args ...any) unfinishedDrive {
+	return unfinishedDrive{outcome: "refused", why: fmt.Sprintf(format, args...), code: ExitRejected}
 }
 
-func (l *live) end() {
-	if l.w != nil {
-		l.w.Stop()
+func describeUnfinished(client *tool.Client, outcome roll.Outcome, rollout *tool.RolloutStatus) unfinishedDrive {
+	holder := outcome.Holder
+	switch outcome.Kind {
+	case roll.OutcomeEnded: // reportOutcome looks at the rollout's state instead
+	case roll.OutcomeLeaseHeld:
+		return rejectedDrive("%s holds the claim since %.0f s, for %.0f s more unless renewed; --take-over fences it off",
+			holder.Holder, holder.HeldSeconds, holder.RemainingSeconds)
+	case roll.OutcomeFenced:
+		return unfinishedDrive{"fenced", "the claim was taken over by " + holder.Holder, ExitRejected}
+	case roll.OutcomeNoMajority:
+		return unfinishedDrive{"paused", "no majority of agents can be heard: nothing more was begun", ExitPaused}
+	case roll.OutcomeUnfinishedRollout:
+		return rejectedDrive("rollout %s by %s is %s: resume, abort or roll it back first", rollout.ID, rollout.StartedBy, rollout.State)
+	case roll.OutcomeInfeasible:
+		return rejectedDrive("no step is possible: %s", client.Explain(outcome.Reason))
+	case roll.OutcomeNoRollout:
+		return rejectedDrive("there is no rollout to go on with")
+	case roll.OutcomeOtherFleet:
+		return rejectedDrive("the rollout goes over another list of instances than this fleet file's")
+	case roll.OutcomeInterrupted:
+		return unfinishedDrive{"paused", "interrupted; the claim was given back, and fleet resume goes on", ExitPaused}
 	}
+	return unfinishedDrive{}
 }
--- /dev/null
+++ b/internal/cli/fleet_history.go
@@ -0,0 +1,69 @@
+package cli
+
+import (
+	"context"
+	"io"
+	"time"
+
+	"github.com/jedib0t/go-pretty/v6/table"
+	"github.com/spf13/cobra"
+
+	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/fleet/tool"
+)
+
+type pushedRevision struct {
+	Digest   string `json:"revision"`
+	Name     string `json:"name,omitempty"`
+	PushedBy string `json:"by"`
+	PushedAt string `json:"at"` // RFC 3339, UTC
+}
+
+// historyReport is what fleet history prints: newest first.
+type historyReport struct {
+	Revisions []pushedRevision     `json:"revisions"`
+	Rollouts  []tool.RolloutStatus `json:"rollouts"`
+}
+
+func newHistoryReport(client *tool.Client, history tool.History) *historyReport {
+	var report historyReport
+	for _, x := range history.Revisions {
+		report.Revisions = append(report.Revisions, pushedRevision{
+			Digest: x.Digest, Name: x.Name, PushedBy: x.PushedBy, PushedAt: time.Unix(x.PushedAt, 0).UTC().Format(time.RFC3339),
+		})
+	}
+	for _, x := range history.Rollouts {
+		report.Rollouts = append(report.Rollouts, *client.DescribeRollout(x))
+	}
+	return &report
+}
+
+func (r *historyReport) print(out io.Writer) {
+	revisions := newTable(out, "revision", "name", "by", "at")
+	for _, x := range r.Revisions {
+		revisions.AppendRow(table.Row{revision.ShortDigest(x.Digest), x.Name, x.PushedBy, x.PushedAt})
+	}
+	revisions.Render()
+	printf(out, "\n")
+	rollouts := newTable(out, "rollout", "revision", "by", "began", "state", "")
+	for _, x := range r.Rollouts {
+		rollouts.AppendRow(table.Row{x.ID, x.Revision + " " + x.RevisionName, x.StartedBy, x.StartedAt, x.State, x.Why})
+	}
+	rollouts.Render()
+}
+
+func (a *app) fleetHistoryCommand(flags *fleetFlags) *cobra.Command {
+	c := &cobra.Command{
+		Use: "history", Short: "Lists revisions and rollouts, newest first", Args: cobra.NoArgs,
+		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
+			history, err := client.History(ctx)
+			if err != nil {
+				return exitError(ExitFailed, err)
+			}
+			report := newHistoryReport(client, history)
+			return a.show(report, report.print)
+		}),
+	}
+	a.addJSONFlag(c)
+	return c
+}
--- a/internal/cli/fleet_rollout.go
+++ b/internal/cli/fleet_rollout.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"time"
 
@@ -15,147 +14,143 @@
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
 
-// driving are the flags of commands that drive a rollout.
-type driving struct {
-	takeOver bool
-	leaveOut []string
-	trace    string
-}
-
-func (d *driving) flags(c *cobra.Command) {
-	c.Flags().BoolVar(&d.takeOver, "take-over", false, "take the claim also from a tool that holds it; that one is fenced off")
-	c.Flags().StringSliceVar(&d.leaveOut, "leave-out", nil, "instances that this run goes on without, known or not")
-	c.Flags().StringVar(&d.trace, "trace", "", "file for OpenTelemetry spans of the rollout and its steps")
-}
-
-func (a *app) roll(f *fleetFlags) *cobra.Command {
-	var d driving
-	var restart, dry bool
+func (a *app) fleetRollCommand(flags *fleetFlags) *cobra.Command {
+	var drive driveFlags
+	var restart, dryRun bool
 	c := &cobra.Command{
 		Use: "roll REVISION", Short: "Brings a pushed revision to all instances, one at a time",
 		Long: "Each instance is drained, changed, seen ready and watched for the soak before the next is touched. If it does not come\n" +
 			"up, or leaves a larger share of commands unanswered than before, all that were touched go back by themselves.",
 		Example: "  stoatctl fleet roll winter\n  stoatctl fleet roll winter --dry-run", Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			t, err := f.open()
-			if err != nil {
-				return err
-			}
-			defer t.Close()
-			r, err := t.FindRevision(cmd.Context(), args[0])
+		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, args []string) error {
+			found, err := client.FindRevision(ctx, args[0])
 			if err != nil {
-				return status(Failed, err)
+				return exitError(ExitFailed, err)
 			}
-			if dry {
-				return a.differ(cmd.Context(), t, []string{r.Digest})
+			if dryRun {
+				return a.showPreview(ctx, client, found.Digest)
 			}
-			return a.drive(cmd.Context(), t, t.NewRollout(r, restart), &d)
-		},
+			return a.drive(ctx, client, client.NewRollout(found, restart), &drive)
+		}),
 	}
-	d.flags(c)
+	drive.register(c)
 	c.Flags().BoolVar(&restart, "restart", false, "restart also where a reload would do, as after a new program was put in place")
-	c.Flags().BoolVar(&dry, "dry-run", false, "only show what would change")
-	a.asJSON(c)
+	c.Flags().BoolVar(&dryRun, "dry-run", false, "only show what would change")
+	a.addJSONFlag(c)
 	return c
 }
 
-func (a *app) resume(f *fleetFlags) *cobra.Command {
-	var d driving
+func (a *app) fleetResumeCommand(flags *fleetFlags) *cobra.Command {
+	var drive driveFlags
 	c := &cobra.Command{
 		Use: "resume", Short: "Goes on with the rollout that paused, or whose tool is gone",
 		Example: "  stoatctl fleet resume --leave-out n7", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			t, err := f.open()
-			if err != nil {
-				return err
-			}
-			defer t.Close()
-			return a.drive(cmd.Context(), t, roll.Task{Operation: roll.OperationResume, Operator: t.Operator}, &d)
-		},
+		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
+			return a.drive(ctx, client, roll.Task{Operation: roll.OperationResume, Operator: client.Operator}, &drive)
+		}),
 	}
-	d.flags(c)
-	a.asJSON(c)
+	drive.register(c)
+	a.addJSONFlag(c)
 	return c
 }
 
-func (a *app) rollback(f *fleetFlags) *cobra.Command {
-	var d driving
+func (a *app) fleetRollbackCommand(flags *fleetFlags) *cobra.Command {
+	var drive driveFlags
 	c := &cobra.Command{
 		Use: "rollback [REVISION]", Short: "Takes the newest rollout back, or rolls an earlier revision out",
 		Long:    "Without a name, each instance that the newest rollout touched goes back to what it ran before.",
 		Example: "  stoatctl fleet rollback\n  stoatctl fleet rollback autumn", Args: cobra.MaximumNArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			t, err := f.open()
-			if err != nil {
-				return err
-			}
-			defer t.Close()
-			ctx := cmd.Context()
+		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, args []string) error {
 			if len(args) == 1 {
-				r, err := t.FindRevision(ctx, args[0])
+				found, err := client.FindRevision(ctx, args[0])
 				if err != nil {
-					return status(Failed, err)
+					return exitError(ExitFailed, err)
 				}
-				return a.drive(ctx, t, t.NewRollout(r, false), &d)
+				return a.drive(ctx, client, client.NewRollout(found, false), &drive)
 			}
-			if r, driven, found := t.NewestRollout(ctx); found && driven && !r.State.Terminal() && !d.takeOver {
-				return a.wish(ctx, t, r, plan.RequestRollback)
+			rollout, driven, found := client.NewestRollout(ctx)
+			if found && driven && !rollout.State.Terminal() && !drive.takeOver {
+				return a.requestOfDriver(ctx, client, rollout, plan.RequestRollback)
 			}
-			return a.drive(ctx, t, roll.Task{Operation: roll.OperationRollback, Operator: t.Operator}, &d)
-		},
+			return a.drive(ctx, client, roll.Task{Operation: roll.OperationRollback, Operator: client.Operator}, &drive)
+		}),
 	}
-	d.flags(c)
-	a.asJSON(c)
+	drive.register(c)
+	a.addJSONFlag(c)
 	return c
 }
 
-func (a *app) halt(f *fleetFlags, use, short string, w plan.OperatorRequest, verb roll.Operation) *cobra.Command {
-	var d driving
+// haltRequest is a command that stops a rollout, which the tool that drives it is asked for, or this one does itself.
+type haltRequest struct {
+	verb      string
+	summary   string
+	request   plan.OperatorRequest // if another tool drives
+	operation roll.Operation       // if none does
+}
+
+func (a *app) fleetHaltCommand(flags *fleetFlags, halt haltRequest) *cobra.Command {
+	var drive driveFlags
 	c := &cobra.Command{
-		Use: use, Short: short,
+		Use: halt.verb, Short: halt.summary,
 		Long: "If a tool drives the rollout it is asked, and does so once its step has ended. Else this tool does it.",
 		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			t, err := f.open()
-			if err != nil {
-				return err
+		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
+			rollout, driven, found := client.NewestRollout(ctx)
+			if found && driven && rollout.State == plan.Running && !drive.takeOver {
+				return a.requestOfDriver(ctx, client, rollout, halt.request)
 			}
-			defer t.Close()
-			r, driven, found := t.NewestRollout(cmd.Context())
-			if found && driven && r.State == plan.Running && !d.takeOver {
-				return a.wish(cmd.Context(), t, r, w)
-			}
-			return a.drive(cmd.Context(), t, roll.Task{Operation: verb, Operator: t.Operator}, &d)
-		},
+			return a.drive(ctx, client, roll.Task{Operation: halt.operation, Operator: client.Operator}, &drive)
+		}),
 	}
-	c.Flags().BoolVar(&d.takeOver, "take-over", false, "do not ask the tool that drives: take the claim from it")
-	a.asJSON(c)
+	c.Flags().BoolVar(&drive.takeOver, "take-over", false, "do not ask the tool that drives: take the claim from it")
+	a.addJSONFlag(c)
 	return c
 }
 
-// wish asks the tool that drives, and waits until it has followed or is gone.
-func (a *app) wish(ctx context.Context, t *tool.Client, r form.Rollout, w plan.OperatorRequest) error {
-	if n := t.RequestAction(ctx, r, w); n == 0 {
-		return status(Failed, errors.New("no agent took the wish"))
+// requestOfDriver stores a request for the tool that drives the rollout, and polls until it is done or cannot be.
+func (a *app) requestOfDriver(ctx context.Context, client *tool.Client, rollout form.Rollout, request plan.OperatorRequest) error {
+	if agents := client.RequestAction(ctx, rollout, request); agents == 0 {
+		return exitError(ExitFailed, errors.New("no agent took the wish"))
 	}
 	for {
-		now, driven, found := t.NewestRollout(ctx)
+		newest, driven, found := client.NewestRollout(ctx)
 		switch {
-		case !found || now.ID != r.ID || now.Run != r.Run:
-			return status(Failed, errors.New("another rollout, or another run of it, has come meanwhile"))
-		case now.State == plan.Paused && w == plan.RequestPause, now.State == plan.Aborted && w == plan.RequestAbort, now.RollingBack && w == plan.RequestRollback:
-			return a.show(map[string]string{"rollout": now.ID, "state": now.State.String()}, func(out io.Writer) {
-				fmt.Fprintf(out, "rollout %s: %s\n", now.ID, now.State)
-			})
-		case now.State.Terminal():
-			return refuse("rollout %s has ended meanwhile: %s", now.ID, now.State)
+		case !found || newest.ID != rollout.ID || newest.Run != rollout.Run:
+			return exitError(ExitFailed, errors.New("another rollout, or another run of it, has come meanwhile"))
+		case requestDone(request, newest):
+			return a.showRolloutState(newest)
+		case newest.State.Terminal():
+			return exitErrorf(ExitRejected, "rollout %s has ended meanwhile: %s", newest.ID, newest.State)
 		case !driven:
-			return status(Paused, errors.New("the tool that drove the rollout is gone: say it again"))
+			return exitError(ExitPaused, errors.New("the tool that drove the rollout is gone: say it again"))
 		}
 		select {
-		case <-time.After(time.Duration(float64(t.Fleet.Times.PollInterval) * float64(time.Second))):
+		case <-time.After(time.Duration(float64(client.Fleet.Times.PollInterval) * float64(time.Second))):
 		case <-ctx.Done():
-			return status(Paused, errors.New("interrupted; the wish stands"))
+			return exitError(ExitPaused, errors.New("interrupted; the wish stands"))
 		}
 	}
 }
+
+// requestDone tells whether the rollout is as the operator has requested.
+func requestDone(request plan.OperatorRequest, rollout form.Rollout) bool {
+	switch request {
+	case plan.RequestNone:
+		return false
+	case plan.RequestPause:
+		return rollout.State == plan.Paused
+	case plan.RequestAbort:
+		return rollout.State == plan.Aborted
+	case plan.RequestRollback:
+		return rollout.RollingBack
+	}
+	return false
+}
+
+func (a *app) showRolloutState(rollout form.Rollout) error {
+	state := struct {
+		ID    string `json:"rollout"`
+		State string `json:"state"`
+	}{ID: rollout.ID, State: rollout.State.String()}
+	return a.show(state, func(out io.Writer) { printf(out, "rollout %s: %s\n", state.ID, state.State) })
+}
--- a/internal/cli/fleet_status.go
+++ b/internal/cli/fleet_status.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -12,99 +13,107 @@
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
 
-func (a *app) status(f *fleetFlags) *cobra.Command {
-	var watch time.Duration
+func (a *app) fleetStatusCommand(flags *fleetFlags) *cobra.Command {
+	var interval time.Duration // 0: once
 	c := &cobra.Command{
 		Use: "status", Short: "Shows agents, instances, the rollout and who holds the claim",
 		Long: "Exit status 1 if an agent cannot be heard.", Example: "  stoatctl fleet status --watch 2s", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			t, err := f.open()
+		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
+			if interval > 0 {
+				return a.watchStatus(ctx, client, interval)
+			}
+			status, err := a.showStatus(ctx, client)
 			if err != nil {
 				return err
 			}
-			defer t.Close()
-			for {
-				s := t.Status(cmd.Context())
-				if err := a.show(s, func(w io.Writer) { printStatus(w, s) }); err != nil {
-					return err
-				}
-				if watch > 0 {
-					select {
-					case <-time.After(watch):
-						continue
-					case <-cmd.Context().Done():
-						return nil
-					}
-				}
-				for _, x := range s.Agents {
-					if !x.Reachable {
-						return status(Failed, errors.New(x.Failure))
-					}
+			for _, agent := range status.Agents {
+				if !agent.Reachable {
+					return exitError(ExitFailed, errors.New(agent.Failure))
 				}
-				return nil
 			}
-		},
+			return nil
+		}),
 	}
-	c.Flags().DurationVar(&watch, "watch", 0, "show it again each so often, until interrupted")
-	a.asJSON(c)
+	c.Flags().DurationVar(&interval, "watch", 0, "show it again each so often, until interrupted")
+	a.addJSONFlag(c)
 	return c
 }
 
-func printStatus(w io.Writer, s tool.Status) {
-	fmt.Fprintf(w, "%s: %d of %d serve\n\n", s.Fleet, s.Serving, s.Total)
-	t := grid(w, "instance", "hall", "agent", "life", "revision", "process", "crashes", "unanswered", "")
-	for _, x := range s.Instances {
-		rev := x.Revision
+func (a *app) showStatus(ctx context.Context, client *tool.Client) (tool.Status, error) {
+	status := client.Status(ctx)
+	return status, a.show(status, func(out io.Writer) { printStatus(out, &status) })
+}
+
+// watchStatus shows the status again and again until ctx is canceled.
+func (a *app) watchStatus(ctx context.Context, client *tool.Client, interval time.Duration) error {
+	for {
+		if _, err := a.showStatus(ctx, client); err != nil {
+			return err
+		}
+		select {
+		case <-time.After(interval):
+		case <-ctx.Done():
+			return nil
+		}
+	}
+}
+
+func printStatus(out io.Writer, status *tool.Status) {
+	printf(out, "%s: %d of %d serve\n\n", status.Fleet, status.Serving, status.Total)
+	t := newTable(out, "instance", "hall", "agent", "life", "revision", "process", "crashes", "unanswered", "")
+	for _, x := range status.Instances {
+		revision := x.Revision
 		if x.TargetRevision != "" {
-			rev += " -> " + x.TargetRevision
+			revision += " -> " + x.TargetRevision
 		}
-		t.AppendRow(table.Row{x.Name, x.Zone, x.Agent, x.State, rev, x.ProcessID, x.Crashes, fmt.Sprintf("%d of %d", x.UnansweredCommands, x.EndedCommands), x.Step})
+		unanswered := fmt.Sprintf("%d of %d", x.UnansweredCommands, x.EndedCommands)
+		t.AppendRow(table.Row{x.Name, x.Zone, x.Agent, x.State, revision, x.ProcessID, x.Crashes, unanswered, x.Step})
 	}
 	t.Render()
-	for _, x := range s.Agents {
-		if !x.Reachable {
-			fmt.Fprintf(w, "\n%s", x.Failure)
+	for _, agent := range status.Agents {
+		if !agent.Reachable {
+			printf(out, "\n%s", agent.Failure)
 		}
 	}
-	fmt.Fprintln(w)
-	if r := s.Rollout; r != nil {
-		fmt.Fprintf(w, "rollout %s of revision %s by %s, begun %s: %s", r.ID, r.Revision, r.StartedBy, r.StartedAt, r.State)
-		if r.RollingBack {
-			fmt.Fprintf(w, ", going back (%s)", r.Cause)
-		}
-		if r.Why != "" {
-			fmt.Fprint(w, ": ", r.Why)
-		}
-		if r.Step != "" {
-			fmt.Fprint(w, " (", r.Step, ")")
-		}
-		fmt.Fprintln(w)
+	printf(out, "\n")
+	if status.Rollout != nil {
+		printRollout(out, status.Rollout)
+	}
+	printLease(out, status.Lease)
+}
+
+func printRollout(out io.Writer, rollout *tool.RolloutStatus) {
+	printf(out, "rollout %s of revision %s by %s, begun %s: %s", rollout.ID, rollout.Revision, rollout.StartedBy, rollout.StartedAt,
+		rollout.State)
+	if rollout.RollingBack {
+		printf(out, ", going back (%s)", rollout.Cause)
 	}
-	printClaim(w, s.Lease)
+	if rollout.Why != "" {
+		printf(out, ": %s", rollout.Why)
+	}
+	if rollout.Step != "" {
+		printf(out, " (%s)", rollout.Step)
+	}
+	printf(out, "\n")
 }
 
-func printClaim(w io.Writer, c *tool.LeaseStatus) {
-	if !c.Held {
-		fmt.Fprintf(w, "nobody holds the claim (epoch %d, %d of %d agents heard)\n", c.Epoch, c.ReachableAgents, c.Agents)
+func printLease(out io.Writer, lease *tool.LeaseStatus) {
+	if !lease.Held {
+		printf(out, "nobody holds the claim (epoch %d, %d of %d agents heard)\n", lease.Epoch, lease.ReachableAgents, lease.Agents)
 		return
 	}
-	fmt.Fprintf(w, "%s holds the claim under epoch %d since %.0f s, for %.0f s more unless renewed (%d of %d agents)\n", c.Holder, c.Epoch,
-		c.SinceSeconds, c.LeftSeconds, c.Grants, c.Agents)
+	printf(out, "%s holds the claim under epoch %d since %.0f s, for %.0f s more unless renewed (%d of %d agents)\n",
+		lease.Holder, lease.Epoch, lease.SinceSeconds, lease.LeftSeconds, lease.Grants, lease.Agents)
 }
 
-func (a *app) claimed(f *fleetFlags) *cobra.Command {
+func (a *app) fleetLeaseCommand(flags *fleetFlags) *cobra.Command {
 	c := &cobra.Command{
 		Use: "claim", Short: "Tells who may change the fleet, since when and until when", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			t, err := f.open()
-			if err != nil {
-				return err
-			}
-			defer t.Close()
-			s := t.Status(cmd.Context())
-			return a.show(s.Lease, func(w io.Writer) { printClaim(w, s.Lease) })
-		},
+		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
+			lease := client.Status(ctx).Lease
+			return a.show(lease, func(out io.Writer) { printLease(out, lease) })
+		}),
 	}
-	a.asJSON(c)
+	a.addJSONFlag(c)
 	return c
 }
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -1,14 +1,13 @@
 package cli
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"os"
-	"os/signal"
 	"path/filepath"
 	"strings"
-	"syscall"
 	"time"
 
 	"github.com/google/renameio/v2"
@@ -20,32 +19,44 @@
 	"stoatdale.example/stoatdale/internal/lab/world"
 )
 
-func (a *app) lab() *cobra.Command {
+func (a *app) labCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "lab", Short: "Plays experiments on a model of deployments, in virtual time",
 		Long: "Exit status 1 if the module breaks a rule, 4 if an experiment ended before it was complete.",
 	}
-	c.AddCommand(a.labRun(), a.labCompare(), a.labReport())
-	return group(c)
+	c.AddCommand(a.labRunCommand(), a.labCompareCommand(), a.labReportCommand())
+	return commandGroup(c)
 }
 
-// played is an experiment's outcome: what it printed, and what is kept with --out.
-type played struct {
+const (
+	modulePolicy = "module" // the router's own; others are held against it
+
+	// Files of a folder of results.
+	experimentFile = "experiment.sexp"
+	runsFile       = "runs.json"
+	reportFile     = "report.html"
+
+	resultFileMode   = 0o644
+	resultFolderMode = 0o755
+)
+
+// experimentResults are an experiment's results, as they are printed and, with --out, saved.
+type experimentResults struct {
 	Name     string    `json:"name"`
 	OK       bool      `json:"ok"` // the module kept all rules
 	Policies []sim.Row `json:"policies"`
 	Runs     []sim.Run `json:"runs,omitempty"`
-	Commands int       `json:"commands"` // asked in all runs, their repeats not counted
-	Out      string    `json:"out,omitempty"`
+	Commands int       `json:"commands"`      // of clients in all runs, retries not counted
+	Out      string    `json:"out,omitempty"` // folder that they were saved in
 }
 
-func (a *app) labRun() *cobra.Command {
-	var out string
+func (a *app) labRunCommand() *cobra.Command {
+	var folder string // empty: results are not kept
 	var workers int
 	c := &cobra.Command{
 		Use: "run FILE", Short: "Plays an experiment: every policy with every seed", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			raw, err := os.ReadFile(args[0])
+			text, err := os.ReadFile(args[0])
 			if err != nil {
 				return fmt.Errorf("experiment: %w", err)
 			}
@@ -53,60 +64,71 @@
 			if err != nil {
 				return err
 			}
-			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
 			began := time.Now()
-			runs, err := sim.Play(ctx, spec, workers, func(p sim.Progress) {
-				fmt.Fprintf(a.err, "%s: %d of %d runs, %s left\n", spec.Name, p.Done, p.Of, p.Left.Round(time.Second))
-			})
+			results, err := a.runExperiment(cmd.Context(), spec, workers)
 			if err != nil {
-				return status(Paused, err)
-			}
-			p := played{Name: spec.Name, OK: true, Policies: sim.Table(runs), Runs: runs, Out: out}
-			for _, r := range runs {
-				p.Commands += r.Tally.Asked
-				p.OK = p.OK && (r.Policy != "module" || len(r.Broken) == 0)
+				return err
 			}
-			took := time.Since(began).Seconds()
-			if out != "" {
-				if err := keepPlayed(out, raw, spec, p); err != nil {
+			results.Out = folder
+			elapsed := time.Since(began)
+			if folder != "" {
+				if err := saveResults(folder, text, spec, results); err != nil {
 					return err
 				}
 			}
-			if err := a.show(p, func(w io.Writer) { showPlayed(w, p, took) }); err != nil {
+			if err := a.show(results, func(out io.Writer) { results.print(out, elapsed) }); err != nil {
 				return err
 			}
-			if !p.OK {
-				return status(Failed, fmt.Errorf("experiment %s: the module broke a rule", spec.Name))
+			if !results.OK {
+				return exitErrorf(ExitFailed, "experiment %s: the module broke a rule", spec.Name)
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&out, "out", "", "folder for the experiment's file and all figures")
+	c.Flags().StringVar(&folder, "out", "", "folder for the experiment's file and all figures")
 	c.Flags().IntVar(&workers, "workers", 0, "cores; 0: all")
-	a.asJSON(c)
+	a.addJSONFlag(c)
 	return c
 }
 
-func (a *app) labCompare() *cobra.Command {
+// runExperiment plays every policy of an experiment with every seed, and writes its progress to standard error. It fails if
+// ctx is canceled before the end.
+func (a *app) runExperiment(ctx context.Context, spec *world.Spec, workers int) (experimentResults, error) {
+	runs, err := sim.Play(ctx, spec, workers, func(p sim.Progress) {
+		printf(a.stderr, "%s: %d of %d runs, %s left\n", spec.Name, p.Done, p.Of, p.Left.Round(time.Second))
+	})
+	if err != nil {
+		return experimentResults{}, exitError(ExitPaused, err)
+	}
+	results := experimentResults{Name: spec.Name, OK: true, Policies: sim.Table(runs), Runs: runs}
+	for _, run := range runs {
+		results.Commands += run.Tally.Asked
+		if run.Policy == modulePolicy && len(run.Broken) > 0 {
+			results.OK = false
+		}
+	}
+	return results, nil
+}
+
+func (a *app) labCompareCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "compare A B", Short: "Compares two experiments that were kept, paired by seed", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var runs [2][]sim.Run
-			for i, dir := range args {
-				p, err := keptPlayed(dir)
+			for i, folder := range args {
+				results, err := loadResults(folder)
 				if err != nil {
 					return err
 				}
-				runs[i] = p.Runs
+				runs[i] = results.Runs
 			}
-			d, err := sim.Compare(runs[0], runs[1])
+			differences, err := sim.Compare(runs[0], runs[1])
 			if err != nil {
 				return fmt.Errorf("%s and %s: %w", args[0], args[1], err)
 			}
-			return a.show(d, func(w io.Writer) {
-				t := grid(w, "policy", "pairs", args[0], args[1], "difference", "nine in ten", "")
-				for _, x := range d {
+			return a.show(differences, func(out io.Writer) {
+				t := newTable(out, "policy", "pairs", args[0], args[1], "difference", "nine in ten", "")
+				for _, x := range differences {
 					t.AppendRow(table.Row{
 						x.Policy, x.Pairs, fmt.Sprintf("%.4f", x.A), fmt.Sprintf("%.4f", x.B), fmt.Sprintf("%+.4f", x.Mean),
 						fmt.Sprintf("%+.4f to %+.4f", x.Low, x.High), x.Told(),
@@ -116,25 +138,26 @@
 			})
 		},
 	}
-	a.asJSON(c)
+	a.addJSONFlag(c)
 	return c
 }
 
-func (a *app) labReport() *cobra.Command {
+func (a *app) labReportCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "report DIR", Short: "Makes the page of an experiment that was kept anew", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, err := keptPlayed(args[0])
+			folder := args[0]
+			results, err := loadResults(folder)
 			if err != nil {
 				return err
 			}
-			spec, err := world.Load(filepath.Join(args[0], "experiment.sexp"))
+			spec, err := world.Load(filepath.Join(folder, experimentFile))
 			if err != nil {
 				return err
 			}
-			page, err := report.Page(spec, p.Runs)
+			page, err := report.Page(spec, results.Runs)
 			if err == nil {
-				err = renameio.WriteFile(filepath.Join(args[0], "report.html"), page, 0o644)
+				err = renameio.WriteFile(filepath.Join(folder, reportFile), page, resultFileMode)
 			}
 			if err != nil {
 				return fmt.Errorf("experiment: %w", err)
@@ -144,48 +167,51 @@
 	}
 }
 
-func keptPlayed(dir string) (p played, err error) {
-	path := filepath.Join(dir, "runs.json")
-	raw, err := os.ReadFile(path)
+func loadResults(folder string) (experimentResults, error) {
+	var results experimentResults
+	path := filepath.Join(folder, runsFile)
+	encoded, err := os.ReadFile(path)
 	if err != nil {
-		return p, fmt.Errorf("experiment: %w", err)
+		return results, fmt.Errorf("experiment: %w", err)
 	}
-	if err := json.Unmarshal(raw, &p); err != nil {
-		return p, fmt.Errorf("experiment: %s: %w", path, err)
+	if err := json.Unmarshal(encoded, &results); err != nil {
+		return results, fmt.Errorf("experiment: %s: %w", path, err)
 	}
-	return p, nil
+	return results, nil
 }
 
-// keepPlayed writes what a run depends on beside its results. The same file, seeds and build give the same bytes.
-func keepPlayed(dir string, file []byte, spec *world.Spec, p played) error {
-	p.Out = ""
-	raw, err := json.MarshalIndent(p, "", "  ")
+// saveResults writes the text of an experiment's file, its results and its report to a folder. The same file, seeds and
+// build give the same bytes.
+func saveResults(folder string, text []byte, spec *world.Spec, results experimentResults) error {
+	results.Out = "" // the folder may be moved
+	encoded, err := json.MarshalIndent(results, "", "  ")
 	if err != nil {
 		return fmt.Errorf("experiment: %w", err)
 	}
-	page, err := report.Page(spec, p.Runs)
+	page, err := report.Page(spec, results.Runs)
 	if err != nil {
 		return fmt.Errorf("experiment: %w", err)
 	}
-	if err := os.MkdirAll(dir, 0o755); err != nil {
+	if err := os.MkdirAll(folder, resultFolderMode); err != nil {
 		return fmt.Errorf("experiment: %w", err)
 	}
-	for name, content := range map[string][]byte{"experiment.sexp": file, "runs.json": append(raw, '\n'), "report.html": page} {
-		if err := renameio.WriteFile(filepath.Join(dir, name), content, 0o644); err != nil {
+	files := map[string][]byte{experimentFile: text, runsFile: append(encoded, '\n'), reportFile: page}
+	for name, content := range files {
+		if err := renameio.WriteFile(filepath.Join(folder, name), content, resultFileMode); err != nil {
 			return fmt.Errorf("experiment: %w", err)
 		}
 	}
 	return nil
 }
 
-func showPlayed(w io.Writer, p played, took float64) {
-	t := grid(w, "policy", "service", "least", "most", "in target", "reads on primary", "dispatches", "rules broken")
-	for _, r := range p.Policies {
+func (r *experimentResults) print(out io.Writer, elapsed time.Duration) {
+	t := newTable(out, "policy", "service", "least", "most", "in target", "reads on primary", "dispatches", "rules broken")
+	for _, x := range r.Policies {
 		t.AppendRow(table.Row{
-			r.Policy, fmt.Sprintf("%.3f", r.Service), fmt.Sprintf("%.3f", r.Least), fmt.Sprintf("%.3f", r.Most), fmt.Sprintf("%.3f", r.InTarget),
-			fmt.Sprintf("%.3f", r.Primary), fmt.Sprintf("%.2f", r.Dispatches), strings.Join(r.Broken, "; "),
+			x.Policy, fmt.Sprintf("%.3f", x.Service), fmt.Sprintf("%.3f", x.Least), fmt.Sprintf("%.3f", x.Most), fmt.Sprintf("%.3f", x.InTarget),
+			fmt.Sprintf("%.3f", x.Primary), fmt.Sprintf("%.2f", x.Dispatches), strings.Join(x.Broken, "; "),
 		})
 	}
 	t.Render()
-	fmt.Fprintf(w, "%s: %d commands in %d runs, %.1f s\n", p.Name, p.Commands, len(p.Runs), took)
+	printf(out, "%s: %d commands in %d runs, %.1f s\n", r.Name, r.Commands, len(r.Runs), elapsed.Seconds())
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -9,31 +9,34 @@
 	"github.com/spf13/cobra"
 )
 
-// asJSON gives a command the flag --json.
-func (a *app) asJSON(cs ...*cobra.Command) {
-	for _, c := range cs {
-		c.Flags().BoolVar(&a.json, "json", false, "print one JSON object on standard output")
-	}
+// addJSONFlag gives a command the flag --json, which show looks at.
+func (a *app) addJSONFlag(cmd *cobra.Command) {
+	cmd.Flags().BoolVar(&a.asJSON, "json", false, "print one JSON object on standard output")
 }
 
-// show prints a value as JSON, or as text for people.
-func (a *app) show(v any, text func(w io.Writer)) error {
-	if !a.json {
-		text(a.out)
+// show prints a value on standard output: as one line of JSON with --json, else as printText writes it for people.
+func (a *app) show(value any, printText func(out io.Writer)) error {
+	if !a.asJSON {
+		printText(a.stdout)
 		return nil
 	}
-	raw, err := json.Marshal(v)
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		return fmt.Errorf("json: %w", err)
 	}
-	_, err = fmt.Fprintf(a.out, "%s\n", raw)
+	_, err = fmt.Fprintf(a.stdout, "%s\n", encoded)
 	return err
 }
 
-// grid is a table for people.
-func grid(w io.Writer, columns ...any) table.Writer {
+// printf writes text for people. A reader that has gone away, as in a pipe to head, is no failure of the command.
+func printf(out io.Writer, format string, args ...any) {
+	_, _ = fmt.Fprintf(out, format, args...)
+}
+
+// newTable returns a table for people that renders to out.
+func newTable(out io.Writer, columns ...any) table.Writer {
 	t := table.NewWriter()
-	t.SetOutputMirror(w)
+	t.SetOutputMirror(out)
 	style := table.StyleLight
 	style.Options = table.OptionsNoBordersAndSeparators
 	t.SetStyle(style)
--- a/internal/cli/recorded_test.go
+++ b/internal/cli/recorded_test.go
@@ -11,23 +11,23 @@
 	"stoatdale.example/stoatdale/internal/lab/world"
 )
 
-// TestRecordedResultIsKeptTheSame reads a kept experiment of an earlier release and keeps it again: the same bytes.
-func TestRecordedResultIsKeptTheSame(t *testing.T) {
+// TestSavedResultsOfAnEarlierReleaseRoundTrip loads the results of an earlier release and saves them again: the same bytes.
+func TestSavedResultsOfAnEarlierReleaseRoundTrip(t *testing.T) {
 	recorded := filepath.Join("..", "lab", "sim", "testdata", "small")
-	p, err := keptPlayed(recorded)
+	results, err := loadResults(recorded)
 	require.NoError(t, err)
-	assert.Equal(t, "small", p.Name)
-	assert.True(t, p.OK)
-	assert.Equal(t, 1036, p.Commands)
-	assert.Len(t, p.Policies, 2)
-	assert.Len(t, p.Runs, 4)
+	assert.Equal(t, "small", results.Name)
+	assert.True(t, results.OK)
+	assert.Equal(t, 1036, results.Commands)
+	assert.Len(t, results.Policies, 2)
+	assert.Len(t, results.Runs, 4)
 	experiment := filepath.Join(recorded, "experiment.sexp")
 	text, err := os.ReadFile(experiment)
 	require.NoError(t, err)
 	spec, err := world.Load(experiment)
 	require.NoError(t, err)
 	dir := t.TempDir()
-	require.NoError(t, keepPlayed(dir, text, spec, p))
+	require.NoError(t, saveResults(dir, text, spec, results))
 	for _, name := range []string{"experiment.sexp", "runs.json"} {
 		want, err := os.ReadFile(filepath.Join(recorded, name))
 		require.NoError(t, err)
