--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -56,29 +56,29 @@
 }
 
 func (a *app) drillLeaseCommand() *cobra.Command {
-	var options drill.Claims
+	var options drill.LeaseOptions
 	c := &cobra.Command{
 		Use: "claims", Short: "Operators, agents and a bad network: at most one holder of an epoch acts, ever",
 		Long: "The decisions of plan, claim and agents in virtual time, on a network that loses, delays, repeats and reorders, with tools and\n" +
 			"agents that die. Histories are checked for an order in which one step at a time is taken by the holder of the epoch.\n\nFaults:" +
-			describeFaults(drill.ClaimFaults),
+			describeFaults(drill.LeaseFaults),
 		Example: "  stoatctl drill claims --operators 2 --rounds 200 --seed 1 --json", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := checkFaultName(options.Break, drill.ClaimFaults); err != nil {
+			if err := checkFaultName(options.Fault, drill.LeaseFaults); err != nil {
 				return err
 			}
 			if options.Operators < 1 || options.Rounds < 1 {
 				return exitError(ExitUsage, errors.New("--operators and --rounds must be above 0"))
 			}
 			a.drawSeed(cmd, &options.Seed)
-			report := drill.RunClaims(cmd.Context(), options)
+			report := drill.RunLease(cmd.Context(), options)
 			return a.reportDrill(report, report.Report)
 		},
 	}
 	c.Flags().IntVar(&options.Operators, "operators", 2, "operators at once")
 	c.Flags().IntVar(&options.Rounds, "rounds", 200, "worlds that are played")
 	c.Flags().Uint64Var(&options.Seed, "seed", 0, "of all chance; drawn if not given")
-	c.Flags().StringVar(&options.Break, "break", "", "fault to put in")
+	c.Flags().StringVar(&options.Fault, "break", "", "fault to put in")
 	a.addJSONFlag(c)
 	return c
 }
@@ -89,7 +89,7 @@
 		return err
 	}
 	if !r.OK {
-		return exitErrorf(ExitFailed, "drill %s, seed %d: %s", r.Drill, r.Seed, r.Broken)
+		return exitErrorf(ExitFailed, "drill %s, seed %d: %s", r.Drill, r.Seed, r.Violation)
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 			"instance is left out by word, and it ends paused with all others done.\n\nFaults:" + describeFaults(drill.RolloutFaults),
 		Example: "  stoatctl drill rollout --instances 20 --kill-agent --json", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := checkFaultName(options.Break, drill.RolloutFaults); err != nil {
+			if err := checkFaultName(options.Fault, drill.RolloutFaults); err != nil {
 				return err
 			}
 			if options.Instances < minRolloutInstances || options.Instances > maxRolloutInstances {
@@ -128,7 +128,7 @@
 	c.Flags().StringVar(&options.Keep, "keep", "", "folder that keeps logs, stores and spans")
 	c.Flags().StringVar(&options.Router, "router", "", "program of the router; that beside this program if not given")
 	c.Flags().Uint64Var(&options.Seed, "seed", 0, "of all chance; drawn if not given")
-	c.Flags().StringVar(&options.Break, "break", "", "fault to put in")
+	c.Flags().StringVar(&options.Fault, "break", "", "fault to put in")
 	a.addJSONFlag(c)
 	return c
 }
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -1,5 +1,5 @@
-// Package drill plays failures that the parts of the product are built for, with checkers of what must hold
-// whatever happens. Operators rehearse with them, and CI plays the short ones.
+// Package drill runs failure drills: a failure that a subsystem is built for, and checkers of what must hold in it.
+// Operators rehearse with them, and CI runs the short ones. With its seed a drill makes the same choices again.
 package drill
 
 import (
@@ -8,35 +8,35 @@
 	"io"
 )
 
-// Report is how a drill ended; figures of its own follow it in the same object.
+// Report is the part of a drill's result that all drills have. Each drill embeds it in a report with figures of its own.
 type Report struct {
-	Drill   string  `json:"drill"`
-	Seed    uint64  `json:"seed"`
-	Seconds float64 `json:"seconds"`
-	OK      bool    `json:"ok"`
-	Broken  string  `json:"broken,omitempty"` // the first promise that broke, and how to see it again
+	Drill     string  `json:"drill"`
+	Seed      uint64  `json:"seed"`
+	Seconds   float64 `json:"seconds"`
+	OK        bool    `json:"ok"`               // nothing was violated
+	Violation string  `json:"broken,omitempty"` // the first one, and how to see it again
 }
 
-// Break is the first break of a promise.
-func (r *Report) Break(format string, args ...any) {
-	if r.Broken == "" {
-		r.Broken = fmt.Sprintf(format, args...)
+// Fail records a violation. Only the first one is described.
+func (r *Report) Fail(format string, args ...any) {
+	if r.Violation == "" {
+		r.Violation = fmt.Sprintf(format, args...)
 	}
 	r.OK = false
 }
 
-// Print writes a report as the last line of a drill, or as lines for people.
-func Print(w io.Writer, asJSON bool, report any) error {
-	var raw []byte
+// Print writes a drill's report: as one line of JSON, or indented for people.
+func Print(out io.Writer, asJSON bool, report any) error {
+	var encoded []byte
 	var err error
 	if asJSON {
-		raw, err = json.Marshal(report)
+		encoded, err = json.Marshal(report)
 	} else {
-		raw, err = json.MarshalIndent(report, "", "  ")
+		encoded, err = json.MarshalIndent(report, "", "  ")
 	}
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	_, err = fmt.Fprintf(w, "%s\n", raw)
+	_, err = fmt.Fprintf(out, "%s\n", encoded)
 	return err
 }
--- a/internal/drill/event_queue.go
+++ b/internal/drill/event_queue.go
@@ -1,22 +1,33 @@
 package drill
 
+// event is a call at a virtual time. Events of the same time are called in the order in which they were scheduled.
 type event struct {
-	at    float64
-	order uint64
-	do    func()
+	at       float64 // virtual seconds
+	sequence uint64
+	call     func()
 }
 
-type queue []event
+// eventQueue is a heap of events, the next one first. It implements heap.Interface.
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+func (q eventQueue) Len() int { return len(q) }
+
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].sequence < q[j].sequence
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
+
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push implements heap.Interface.
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+
+// Pop implements heap.Interface.
+func (q *eventQueue) Pop() any {
 	old := *q
-	e := old[len(old)-1]
+	last := old[len(old)-1]
 	*q = old[:len(old)-1]
-	return e
+	return last
 }
--- a/internal/drill/fleet_size.go
+++ b/internal/drill/fleet_size.go
@@ -155,7 +155,7 @@
 		st := t.Status(ctx)
 		ms := time.Since(from).Seconds() * 1000
 		if st.Serving != n {
-			r.Break("status with %d instances told of %d", n, st.Serving)
+			r.Fail("status with %d instances told of %d", n, st.Serving)
 		}
 		if i == 0 {
 			size.FirstMs = ms
--- a/internal/drill/lease.go
+++ b/internal/drill/lease.go
@@ -14,136 +14,165 @@
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
 
-// Claims is what the drill of claims is played with. Each round is a world of its own in virtual time: a few
-// agents, operators whose tools die and start again, and a network that loses, delays, repeats and reorders.
-type Claims struct {
-	Operators int
+// LeaseOptions are the parameters of the lease drill. Each round is a simulation of its own in virtual time: a few agents,
+// operators whose tools crash and start again, and a network that loses, delays, duplicates and reorders messages.
+type LeaseOptions struct {
+	Operators int // at once
 	Rounds    int
 	Seed      uint64
-	Break     string // "", or a fault that the checkers must tell: see ClaimFaults
+	Fault     string // a key of LeaseFaults that the checkers must find; empty: none
 }
 
-// ClaimFaults are the faults that can be put in, each with what it does.
-var ClaimFaults = map[string]string{
-	"unfenced": "agents carry out a step whoever asks for it, under any epoch",
-	"forget":   "agents that start again have forgotten what they promised",
-	"unkept":   "agents say that they keep records, and do not",
+// Faults of the lease drill.
+const (
+	faultUnfenced = "unfenced"
+	faultForget   = "forget"
+	faultUnkept   = "unkept"
+)
+
+// LeaseFaults are the faults that can be injected into the lease drill, each with what it does.
+var LeaseFaults = map[string]string{
+	faultUnfenced: "agents carry out a step whoever asks for it, under any epoch",
+	faultForget:   "agents that start again have forgotten what they promised",
+	faultUnkept:   "agents say that they keep records, and do not",
 }
 
-// ClaimsReport is how it went.
-type ClaimsReport struct {
+// LeaseReport is the result of the lease drill. Its counts are over all rounds.
+type LeaseReport struct {
 	Report
-	Operators int `json:"operators"`
-	Rounds    int `json:"rounds"`
-	Claims    int `json:"claims"`  // won
-	Denied    int `json:"denied"`  // drivers that were told who holds the claim, or were fenced
-	Steps     int `json:"steps"`   // begun by agents
-	Undone    int `json:"undone"`  // of them that came to nothing
-	Ended     int `json:"ended"`   // rollouts
-	Deaths    int `json:"deaths"`  // of tools and agents
-	Late      int `json:"late"`    // steps refused since they came under an older epoch or a claim that ran out
-	Lost      int `json:"lost"`    // messages
-	Doubled   int `json:"doubled"` // messages
-	Unchecked int `json:"unchecked"`
+	Operators          int `json:"operators"`
+	Rounds             int `json:"rounds"`
+	LeasesAcquired     int `json:"claims"`
+	Denied             int `json:"denied"` // coordinators that met another holder, or were fenced
+	StepsBegun         int `json:"steps"`  // by agents
+	StepsNotApplied    int `json:"undone"` // of them
+	RolloutsEnded      int `json:"ended"`
+	Crashes            int `json:"deaths"` // of tools and agents
+	StaleSteps         int `json:"late"`   // rejected: under an older epoch or an expired lease
+	MessagesLost       int `json:"lost"`
+	MessagesDuplicated int `json:"doubled"`
+	HistoriesUnchecked int `json:"unchecked"` // the checker ran out of time
 }
 
 const (
-	roundLasts = 90.0 // virtual seconds
-	lossy      = 0.08
-	doubling   = 0.08
-	slow       = 0.06
+	roundSeconds = 90.0 // of virtual time
+
+	minAgents       = 3
+	agentsSpread    = 3 // agents are minAgents to minAgents+agentsSpread-1
+	agentFaults     = 4 // crashes and clock jumps in a round
+	clockRateSpread = 0.2
+	slowestClock    = 0.9
+
+	operatorStartSpread = 0.002 // seconds: operators begin at almost the same time
+
+	leaseSeconds = 5 // that agents grant
 )
 
-// RunClaims plays the drill.
-func RunClaims(ctx context.Context, c Claims) ClaimsReport {
+// RunLease runs the lease drill until its last round, the first violation, or ctx is canceled.
+func RunLease(ctx context.Context, options LeaseOptions) LeaseReport {
 	began := time.Now()
-	r := ClaimsReport{Report: Report{Drill: "claims", Seed: c.Seed, OK: true}, Operators: c.Operators, Rounds: c.Rounds}
-	for n := range c.Rounds {
+	report := LeaseReport{
+		Report:    Report{Drill: "claims", Seed: options.Seed, OK: true},
+		Operators: options.Operators, Rounds: options.Rounds,
+	}
+	for number := range options.Rounds {
 		if ctx.Err() != nil {
-			r.Break("interrupted in round %d", n)
+			report.Fail("interrupted in round %d", number)
 			break
 		}
-		w := newTheatre(c, n, &r)
-		w.play()
-		w.judge()
-		if !r.OK {
+		round := newLeaseRound(options, number, &report)
+		round.run()
+		round.checkHistory()
+		if !report.OK {
 			break
 		}
 	}
-	r.Seconds = time.Since(began).Seconds()
-	return r
+	report.Seconds = time.Since(began).Seconds()
+	return report
 }
 
-// theatre is one round.
-type theatre struct {
-	Claims
-	n      int
-	report *ClaimsReport
-	rng    *rand.Rand
-	now    float64
-	events queue
-	order  uint64
-	fleet  *plan.Fleet
-	names  []string
-	limits tend.Limits
-	agents []*actor
-	tools  []*console
-	spoken int           // holders so far
-	kept   claim.Version // newest record that a majority was said to keep
-	ops    []porcupine.Operation
-	acts   map[string]int64 // when the record of a step began to be kept, by holder and number
+// leaseRound is the simulation of one round. It runs on one goroutine.
+type leaseRound struct {
+	options       LeaseOptions
+	number        int
+	report        *LeaseReport
+	rng           *rand.Rand // the only source of chance: the order of draws decides the round
+	now           float64    // virtual seconds
+	events        eventQueue
+	sequence      uint64 // of events and of the history: all that happens is in one order
+	fleet         *plan.Fleet
+	instanceNames []string // one instance an agent
+	limits        tend.Limits
+	agents        []*simulatedAgent
+	operators     []*simulatedOperator
+	toolsStarted  int           // by all operators
+	newestStored  claim.Version // newest record that a majority confirmed to store
+	history       []porcupine.Operation
+	stepStored    map[stepKey]int64 // when the record of a step was first sent to be stored
 }
 
-func newTheatre(c Claims, n int, r *ClaimsReport) *theatre {
-	w := &theatre{
-		Claims: c, n: n, report: r, rng: rand.New(rand.NewPCG(c.Seed, uint64(n))), acts: map[string]int64{},
-		limits: tend.DefaultLimits(),
+func newLeaseRound(options LeaseOptions, number int, report *LeaseReport) *leaseRound {
+	r := &leaseRound{
+		options: options, number: number, report: report,
+		rng:        rand.New(rand.NewPCG(options.Seed, uint64(number))),
+		stepStored: map[stepKey]int64{},
+		limits:     tend.DefaultLimits(),
+		fleet: &plan.Fleet{
+			ZoneMinAvailable: []int{0}, MinAvailable: 1,
+			Timing: plan.Timing{SoakSeconds: 0.3, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 6, StepTimeoutSeconds: 20},
+		},
 	}
-	w.limits.HealthCheckSeconds, w.limits.CounterReadSeconds, w.limits.TerminationGraceSeconds = 0.2, 5, 1
-	count := 3 + w.rng.IntN(3)
-	w.fleet = &plan.Fleet{ZoneMinAvailable: []int{0}, MinAvailable: 1, Timing: plan.Timing{SoakSeconds: 0.3, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 6, StepTimeoutSeconds: 20}}
-	for i := range count {
-		w.fleet.Instances = append(w.fleet.Instances, plan.Instance{Agent: i})
-		w.names = append(w.names, fmt.Sprint("n", i))
-		a := &actor{w: w, i: i, drift: 0.9 + 0.2*w.rng.Float64()}
-		a.record = tend.Record{ShouldRun: true, Revision: "a", Incarnation: 1}
-		a.router.runs, a.router.mark = true, 1
-		w.agents = append(w.agents, a)
-		a.birth()
+	r.limits.HealthCheckSeconds = 0.2
+	r.limits.CounterReadSeconds = 5
+	r.limits.TerminationGraceSeconds = 1
+	agents := minAgents + r.rng.IntN(agentsSpread)
+	for i := range agents {
+		r.fleet.Instances = append(r.fleet.Instances, plan.Instance{Agent: i})
+		r.instanceNames = append(r.instanceNames, fmt.Sprint("n", i))
+		agent := newSimulatedAgent(r, i)
+		r.agents = append(r.agents, agent)
+		agent.start()
 	}
-	for i := range c.Operators {
-		t := &console{w: w, i: i}
-		w.tools = append(w.tools, t)
-		w.at(w.rng.Float64()*0.002, t.start) // within two milliseconds
+	for i := range options.Operators {
+		operator := &simulatedOperator{round: r, index: i}
+		r.operators = append(r.operators, operator)
+		r.after(r.rng.Float64()*operatorStartSpread, operator.start)
 	}
-	for range 4 {
-		w.at(w.rng.Float64()*roundLasts, w.mishap)
+	for range agentFaults {
+		r.after(r.rng.Float64()*roundSeconds, r.injectAgentFault)
 	}
-	return w
+	return r
 }
 
-func (w *theatre) at(in float64, do func()) {
-	w.order++
-	heap.Push(&w.events, event{w.now + in, w.order, do})
+// after schedules a call in so many virtual seconds.
+func (r *leaseRound) after(seconds float64, call func()) {
+	r.sequence++
+	heap.Push(&r.events, event{at: r.now + seconds, sequence: r.sequence, call: call})
 }
 
-func (w *theatre) play() {
-	for len(w.events) > 0 && w.report.OK {
-		e := heap.Pop(&w.events).(event)
-		if e.at > roundLasts {
+// run carries out events up to the round's end or the first violation.
+func (r *leaseRound) run() {
+	for len(r.events) > 0 && r.report.OK {
+		next := heap.Pop(&r.events).(event)
+		if next.at > roundSeconds {
 			return
 		}
-		w.now = e.at
-		e.do()
+		r.now = next.at
+		next.call()
 	}
 }
 
-// mishap ends an agent, or has its clock leap.
-func (w *theatre) mishap() {
-	a := w.agents[w.rng.IntN(len(w.agents))]
-	if w.rng.IntN(4) == 0 {
-		a.leap += 60 * (w.rng.Float64() - 0.3)
+// violation records a broken promise with what is needed to see it again.
+func (r *leaseRound) violation(format string, args ...any) {
+	r.report.Fail("round %d, seed %d: %s", r.number, r.options.Seed, fmt.Sprintf(format, args...))
+}
+
+// injectAgentFault has an agent crash, or its clock jump.
+func (r *leaseRound) injectAgentFault() {
+	agent := r.agents[r.rng.IntN(len(r.agents))]
+	if r.rng.IntN(4) == 0 {
+		agent.clockOffset += 60 * (r.rng.Float64() - 0.3)
 		return
 	}
-	a.die(0.1 + w.rng.ExpFloat64()*5)
+	agent.crash(0.1 + r.rng.ExpFloat64()*5)
 }
--- a/internal/drill/lease_agent.go
+++ b/internal/drill/lease_agent.go
@@ -8,161 +8,215 @@
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
 
-// actor is an agent and its one router.
-type actor struct {
-	w      *theatre
-	i      int
-	desk   tend.RequestHandler
-	claims claim.PersistentState
-	record tend.Record
-	alive  bool
-	life   int // which; events of an earlier one are lost
-	born   float64
-	drift  float64 // its clock's rate
-	leap   float64
-	alarm  float64
-	router struct {
-		runs bool
-		mark uint64
-	}
-	open string // the step that is open
+// Virtual seconds that an agent's actions take.
+const (
+	findProcessSeconds = 0.01
+	actionSeconds      = 0.02 // preparing, installing, starting, checking
+	reloadSeconds      = 0.05
+	minExitSeconds     = 0.05 // of a router that was told to end
+	meanExitSeconds    = 0.3  // beyond that
+	drainSeconds       = 3
+
+	minTickSeconds = 0.01
+	never          = 1e9 // later than any time of a round
+)
+
+// simulatedAgent is an agent with one router. Its decisions are those of the real agent; its store, processes and clock are
+// simulated.
+type simulatedAgent struct {
+	round       *leaseRound
+	index       int
+	handler     tend.RequestHandler
+	storedLease claim.PersistentState
+	record      tend.Record // as it is stored
+	alive       bool
+	incarnation int     // events of an earlier one are dropped
+	startedAt   float64 // virtual seconds
+	clockRate   float64 // seconds of its clock a virtual second
+	clockOffset float64 // seconds that its clock has jumped
+	nextTick    float64 // virtual seconds; an earlier scheduled tick is dropped
+	router      simulatedRouter
+	openStep    string // name of the step that is open; empty: none
+}
+
+type simulatedRouter struct {
+	running     bool
+	incarnation uint64
+}
+
+func newSimulatedAgent(r *leaseRound, index int) *simulatedAgent {
+	return &simulatedAgent{
+		round: r, index: index,
+		clockRate: slowestClock + clockRateSpread*r.rng.Float64(),
+		record:    tend.Record{ShouldRun: true, Revision: "a", Incarnation: 1},
+		router:    simulatedRouter{running: true, incarnation: 1},
+	}
 }
 
-func (a *actor) die(away float64) {
+// crash ends the agent and has it start again after so many virtual seconds. Its router goes on.
+func (a *simulatedAgent) crash(downSeconds float64) {
 	if !a.alive {
 		return
 	}
-	a.w.report.Deaths++
+	a.round.report.Crashes++
 	a.alive = false
-	a.life++
-	a.w.at(away, a.birth)
+	a.incarnation++
+	a.round.after(downSeconds, a.start)
 }
 
-func (a *actor) now() float64 { return (a.w.now-a.born)*a.drift + a.leap }
+// now is the time of the agent's own clock.
+func (a *simulatedAgent) now() float64 { return (a.round.now-a.startedAt)*a.clockRate + a.clockOffset }
 
-func (a *actor) birth() {
-	a.alive, a.born, a.leap = true, a.w.now, 0
-	a.life++
-	if a.w.Break == "forget" {
-		a.claims = claim.PersistentState{}
+// start restores the agent from what it has stored.
+func (a *simulatedAgent) start() {
+	r := a.round
+	a.alive = true
+	a.startedAt = r.now
+	a.clockOffset = 0
+	a.incarnation++
+	if r.options.Fault == faultForget {
+		a.storedLease = claim.PersistentState{}
+	}
+	a.handler = tend.RequestHandler{
+		Agent: fmt.Sprint("a", a.index), InstanceNames: []string{r.instanceNames[a.index]},
+		Lease: claim.Restore(a.storedLease, leaseSeconds, 0),
 	}
-	a.desk = tend.RequestHandler{Agent: fmt.Sprint("a", a.i), InstanceNames: []string{a.w.names[a.i]}, Lease: claim.Restore(a.claims, 5, 0)}
-	x, out := tend.NewSupervisor(a.record, &a.w.limits)
-	a.desk.Supervisors = []tend.Supervisor{x}
-	a.carry(out.Actions)
-	a.tick()
+	supervisor, transition := tend.NewSupervisor(a.record, &r.limits)
+	a.handler.Supervisors = []tend.Supervisor{supervisor}
+	a.perform(transition.Actions)
+	a.scheduleTick()
 }
 
-// later is something that this life of the agent hears of after a while.
-func (a *actor) later(in float64, do func(x *tend.Supervisor) tend.Transition) {
-	life := a.life
-	a.w.at(in, func() {
-		if a.life == life {
-			a.event(do)
+func (a *simulatedAgent) supervisor() *tend.Supervisor { return &a.handler.Supervisors[0] }
+
+// supervisorEvent is a call of the agent's supervisor.
+type supervisorEvent func(s *tend.Supervisor) tend.Transition
+
+// after schedules an event in so many virtual seconds, unless the agent crashes before.
+func (a *simulatedAgent) after(seconds float64, e supervisorEvent) {
+	incarnation := a.incarnation
+	a.round.after(seconds, func() {
+		if a.incarnation == incarnation {
+			a.handle(e)
 		}
 	})
 }
 
-func (a *actor) event(do func(x *tend.Supervisor) tend.Transition) {
-	out := do(&a.desk.Supervisors[0])
-	if out.Store {
+// handle has the supervisor take an event, and does what it asks for: store first, then act.
+func (a *simulatedAgent) handle(e supervisorEvent) {
+	transition := e(a.supervisor())
+	if transition.Store {
 		a.store()
 	}
-	a.carry(out.Actions)
-	a.tick()
+	a.perform(transition.Actions)
+	a.scheduleTick()
 }
 
-// store makes the record durable; now and then the agent dies right after it.
-func (a *actor) store() {
-	x := &a.desk.Supervisors[0]
-	a.record = x.Record
-	a.saw()
-	if a.w.rng.IntN(40) == 0 {
-		a.die(0.1 + a.w.rng.ExpFloat64()*4)
+// store makes the record durable; now and then the agent crashes right after it.
+func (a *simulatedAgent) store() {
+	a.record = a.supervisor().Record
+	a.recordStepChange()
+	if a.round.rng.IntN(40) == 0 {
+		a.crash(0.1 + a.round.rng.ExpFloat64()*4)
 	}
 }
 
-func (a *actor) carry(do []tend.Action) {
-	w := a.w
-	for _, e := range do {
+func (a *simulatedAgent) perform(actions []tend.Action) {
+	for _, action := range actions {
 		if !a.alive {
 			return
 		}
-		switch e.Kind {
-		case tend.ActionFindProcess:
-			running := a.router.runs && a.router.mark == e.Incarnation
-			a.later(0.01, func(x *tend.Supervisor) tend.Transition { return x.ProcessFound(a.now(), running) })
-		case tend.ActionPrepareRevision:
-			reload := w.rng.IntN(3) == 0
-			a.later(0.02, func(x *tend.Supervisor) tend.Transition {
-				return x.RevisionPrepared(a.now(), tend.Preparation{ReloadSuffices: reload, DrainSeconds: 3}, nil)
-			})
-		case tend.ActionInstallRevision:
-			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.RevisionInstalled(a.now(), nil) })
-		case tend.ActionStart:
-			if a.router.runs {
-				w.report.Break("round %d, seed %d: a second router was started by agent %d at %.3f", w.n, w.Seed, a.i, w.now)
-			}
-			a.router.runs, a.router.mark = true, e.Incarnation
-			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.ProcessStarted(a.now(), e.Incarnation, nil) })
-		case tend.ActionHealthCheck:
-			ok := a.router.runs
-			a.later(0.02, func(x *tend.Supervisor) tend.Transition { return x.HealthChecked(a.now(), ok) })
-		case tend.ActionTerminate, tend.ActionKill:
-			mark := a.router.mark
-			w.at(0.05+w.rng.ExpFloat64()*0.3, func() {
-				if a.router.runs && a.router.mark == mark {
-					a.router.runs = false
-					a.later(0, func(x *tend.Supervisor) tend.Transition { return x.ProcessExited(a.now(), "ended") })
-				}
-			})
-		case tend.ActionReload:
-			a.later(0.05, func(x *tend.Supervisor) tend.Transition { return x.ReloadReported(a.now(), "") })
-		}
+		a.performOne(action)
 	}
 }
 
-func (a *actor) tick() {
-	wake := a.desk.Supervisors[0].NextTick()
-	if !a.alive || wake > 1e9 {
+func (a *simulatedAgent) performOne(action tend.Action) {
+	switch action.Kind {
+	case tend.ActionFindProcess:
+		running := a.router.running && a.router.incarnation == action.Incarnation
+		a.after(findProcessSeconds, func(s *tend.Supervisor) tend.Transition { return s.ProcessFound(a.now(), running) })
+	case tend.ActionPrepareRevision:
+		preparation := tend.Preparation{ReloadSuffices: a.round.rng.IntN(3) == 0, DrainSeconds: drainSeconds}
+		a.after(actionSeconds, func(s *tend.Supervisor) tend.Transition { return s.RevisionPrepared(a.now(), preparation, nil) })
+	case tend.ActionInstallRevision:
+		a.after(actionSeconds, func(s *tend.Supervisor) tend.Transition { return s.RevisionInstalled(a.now(), nil) })
+	case tend.ActionStart:
+		a.startRouter(action.Incarnation)
+	case tend.ActionHealthCheck:
+		healthy := a.router.running
+		a.after(actionSeconds, func(s *tend.Supervisor) tend.Transition { return s.HealthChecked(a.now(), healthy) })
+	case tend.ActionTerminate, tend.ActionKill:
+		a.endRouter()
+	case tend.ActionReload:
+		a.after(reloadSeconds, func(s *tend.Supervisor) tend.Transition { return s.ReloadReported(a.now(), "") })
+	case tend.ActionReadCounters: // simulated routers serve no commands
+	}
+}
+
+func (a *simulatedAgent) startRouter(incarnation uint64) {
+	if a.router.running {
+		a.round.violation("a second router was started by agent %d at %.3f", a.index, a.round.now)
+	}
+	a.router = simulatedRouter{running: true, incarnation: incarnation}
+	a.after(actionSeconds, func(s *tend.Supervisor) tend.Transition { return s.ProcessStarted(a.now(), incarnation, nil) })
+}
+
+// endRouter has the router exit after a while, also if the agent crashes meanwhile.
+func (a *simulatedAgent) endRouter() {
+	incarnation := a.router.incarnation
+	a.round.after(minExitSeconds+a.round.rng.ExpFloat64()*meanExitSeconds, func() {
+		if !a.router.running || a.router.incarnation != incarnation {
+			return
+		}
+		a.router.running = false
+		a.after(0, func(s *tend.Supervisor) tend.Transition { return s.ProcessExited(a.now(), "ended") })
+	})
+}
+
+func (a *simulatedAgent) scheduleTick() {
+	wake := a.supervisor().NextTick()
+	if !a.alive || wake > never {
 		return
 	}
-	in := max(0.01, (wake-a.now())/a.drift)
-	a.alarm = a.w.now + in
-	alarm := a.alarm
-	life := a.life
-	a.w.at(in, func() {
-		if a.life == life && a.alarm == alarm {
-			a.event(func(x *tend.Supervisor) tend.Transition { return x.Tick(a.now()) })
+	seconds := max(minTickSeconds, (wake-a.now())/a.clockRate)
+	a.nextTick = a.round.now + seconds
+	tick := a.nextTick
+	incarnation := a.incarnation
+	a.round.after(seconds, func() {
+		if a.incarnation == incarnation && a.nextTick == tick {
+			a.handle(func(s *tend.Supervisor) tend.Transition { return s.Tick(a.now()) })
 		}
 	})
 }
 
-func (a *actor) answer(c form.Request) (form.Reply, bool) {
+// answer handles a request. It returns false if the agent is down, or crashes before it replies.
+func (a *simulatedAgent) answer(request form.Request) (form.Reply, bool) {
 	if !a.alive {
 		return form.Reply{}, false
 	}
-	if a.w.Break == "unfenced" && c.Verb == form.BeginStepVerb {
-		c.Epoch, c.Holder = a.desk.Lease.Epoch, a.desk.Lease.Holder
-		a.desk.Lease.Acquire(a.now(), claim.Request{Epoch: c.Epoch, Holder: c.Holder})
+	fault := a.round.options.Fault
+	if fault == faultUnfenced && request.Verb == form.BeginStepVerb {
+		request.Epoch = a.handler.Lease.Epoch
+		request.Holder = a.handler.Lease.Holder
+		a.handler.Lease.Acquire(a.now(), claim.Request{Epoch: request.Epoch, Holder: request.Holder})
 	}
-	if a.w.Break == "unkept" && c.Verb == form.StoreRecordVerb {
-		return form.Reply{LeaseState: a.desk.Lease.State(a.now())}, true
+	if fault == faultUnkept && request.Verb == form.StoreRecordVerb {
+		return form.Reply{LeaseState: a.handler.Lease.State(a.now())}, true
 	}
-	r, s := a.desk.Handle(a.now(), c)
-	if c.Verb == form.BeginStepVerb && (r.Denial == claim.StaleEpoch || r.Denial == claim.Expired) {
-		a.w.report.Late++
+	reply, changes := a.handler.Handle(a.now(), request)
+	if request.Verb == form.BeginStepVerb && (reply.Denial == claim.StaleEpoch || reply.Denial == claim.Expired) {
+		a.round.report.StaleSteps++
 	}
-	if s.Lease {
-		a.claims = a.desk.Lease.PersistentState
+	if changes.Lease {
+		a.storedLease = a.handler.Lease.PersistentState
 	}
-	if s.ChangedInstance >= 0 {
+	if changes.ChangedInstance >= 0 {
 		a.store()
-		if !a.alive { // it was stored, and not answered
+		if !a.alive { // it crashed between the store and the reply
 			return form.Reply{}, false
 		}
 	}
-	a.carry(s.Actions)
-	a.tick()
-	return r, true
+	a.perform(changes.Actions)
+	a.scheduleTick()
+	return reply, true
 }
--- a/internal/drill/lease_operator.go
+++ b/internal/drill/lease_operator.go
@@ -3,167 +3,218 @@
 import (
 	"fmt"
 
-	"github.com/anishathalye/porcupine"
-
 	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/roll"
 )
 
-type console struct {
-	w       *theatre
-	i       int
-	driver  *roll.Coordinator
-	holder  string
-	life    int
-	bidding int64         // when it first bid
-	found   claim.Version // kept by then
-	last    form.Rollout
-	alarm   float64
+// The simulated network.
+const (
+	lossChance      = 0.08 // of a message
+	duplicateChance = 0.08 // of a request
+	slowChance      = 0.06 // of a message
+
+	minDelaySeconds      = 0.001
+	meanDelaySeconds     = 0.01 // beyond the least
+	meanSlowDelaySeconds = 4    // beyond that, of a slow message
+
+	callTimeoutSeconds = 1
+)
+
+// Virtual seconds of operators' tools.
+const (
+	toolStartSeconds        = 0.001
+	meanToolLifeSeconds     = 8  // of one that crashes
+	meanCrashPauseSeconds   = 10 // before the operator starts the tool again
+	meanOutcomePauseSeconds = 2
+)
+
+// simulatedOperator is an operator whose tool drives a rollout with the real coordinator, again and again.
+type simulatedOperator struct {
+	round         *leaseRound
+	index         int
+	coordinator   *roll.Coordinator // nil: no tool runs
+	holder        string            // name of the tool's lease; each tool has its own
+	run           int               // of the tool; events of an earlier run are dropped
+	startedAt     int64             // timestamp of the history
+	versionBefore claim.Version     // stored by a majority when the tool started
+	lastRollout   form.Rollout      // as the last tool left it
+	nextTick      float64           // virtual seconds; an earlier scheduled tick is dropped
 }
 
-// start has an operator's tool start: it begins a rollout, or goes on with the one there is.
-func (t *console) start() {
-	w := t.w
-	t.life++
-	w.spoken++
-	t.holder = fmt.Sprint("operator ", t.i, ".", w.spoken)
+// start has the operator's tool start: it begins a rollout, or goes on with the one there is.
+func (o *simulatedOperator) start() {
+	r := o.round
+	o.run++
+	r.toolsStarted++
+	o.holder = fmt.Sprint("operator ", o.index, ".", r.toolsStarted)
 	task := roll.Task{
-		Operation: roll.OperationBegin, Operator: t.holder, Takeover: w.rng.IntN(4) == 0,
-		Rollout: form.Rollout{Rollout: plan.Rollout{ID: t.holder, Revision: fmt.Sprint("r", w.spoken)}},
+		Operation: roll.OperationBegin, Operator: o.holder, Takeover: r.rng.IntN(4) == 0,
+		Rollout: form.Rollout{Rollout: plan.Rollout{ID: o.holder, Revision: fmt.Sprint("r", r.toolsStarted)}},
 	}
-	if t.last.ID != "" && !t.last.State.Terminal() {
-		task.Operation = []roll.Operation{roll.OperationResume, roll.OperationResume, roll.OperationRollback, roll.OperationAbort}[w.rng.IntN(4)]
+	if o.lastRollout.ID != "" && !o.lastRollout.State.Terminal() {
+		operations := []roll.Operation{roll.OperationResume, roll.OperationResume, roll.OperationRollback, roll.OperationAbort}
+		task.Operation = operations[r.rng.IntN(len(operations))]
 	}
-	t.driver = roll.New(roll.Config{
-		Fleet: w.fleet, InstanceNames: w.names, Agents: len(w.agents), Holder: t.holder,
-		Timing: roll.Timing{PollSeconds: 0.3, MajorityTimeoutSeconds: 4}, Task: task, Random: w.rng.Float64,
+	o.coordinator = roll.New(roll.Config{
+		Fleet: r.fleet, InstanceNames: r.instanceNames, Agents: len(r.agents), Holder: o.holder,
+		Timing: roll.Timing{PollSeconds: 0.3, MajorityTimeoutSeconds: 4}, Task: task, Random: r.rng.Float64,
 	})
-	t.bidding, t.found = w.stamp(), w.kept
-	t.turn()
-	if w.rng.IntN(2) == 0 {
-		life := t.life
-		w.at(w.rng.ExpFloat64()*8, func() {
-			if t.life == life && t.driver != nil {
-				w.report.Deaths++
-				t.end(w.rng.ExpFloat64() * 10)
-			}
-		})
+	o.startedAt = r.timestamp()
+	o.versionBefore = r.newestStored
+	o.tick()
+	if r.rng.IntN(2) == 0 {
+		o.scheduleCrash()
 	}
 }
 
-// end has the tool gone, and started again later.
-func (t *console) end(pause float64) {
-	t.driver = nil
-	t.life++
-	t.w.at(0.001+pause, t.start)
+func (o *simulatedOperator) scheduleCrash() {
+	r := o.round
+	run := o.run
+	r.after(r.rng.ExpFloat64()*meanToolLifeSeconds, func() {
+		if o.run == run && o.coordinator != nil {
+			r.report.Crashes++
+			o.stop(r.rng.ExpFloat64() * meanCrashPauseSeconds)
+		}
+	})
 }
 
-func (t *console) turn() {
-	w := t.w
-	sends, wake := t.driver.Tick(w.now)
-	for _, e := range t.driver.TakeEvents() {
-		if e.AcquiredEpoch == 0 && w.kept.Before(e.RecordVersion) {
-			w.kept = e.RecordVersion
-		}
-		if e.AcquiredEpoch != 0 {
-			if e.RecordVersion.Before(t.found) {
-				w.report.Break("round %d, seed %d: %s found record %v, but %v had been kept before it bid", w.n, w.Seed,
-					t.holder, e.RecordVersion, t.found)
-			}
-			w.report.Claims++
-			w.ops = append(w.ops, porcupine.Operation{
-				ClientId: t.i, Input: deed{claim: true, epoch: e.AcquiredEpoch, holder: t.holder},
-				Call: t.bidding, Return: w.stamp(),
-			})
-		}
+// stop ends the tool and has it start again after a pause.
+func (o *simulatedOperator) stop(pauseSeconds float64) {
+	o.coordinator = nil
+	o.run++
+	o.round.after(toolStartSeconds+pauseSeconds, o.start)
+}
+
+// tick lets the coordinator go on, sends its calls and schedules the next tick.
+func (o *simulatedOperator) tick() {
+	r := o.round
+	calls, wake := o.coordinator.Tick(r.now)
+	for _, e := range o.coordinator.TakeEvents() {
+		o.handleEvent(e)
 	}
-	for _, s := range sends {
-		if s.Request.Verb == form.StoreRecordVerb {
-			t.noted(s.Request)
+	for _, call := range calls {
+		if call.Request.Verb == form.StoreRecordVerb {
+			o.noteStoredStep(call.Request)
 		}
-		t.post(s)
-	}
-	if o, over := t.driver.Outcome(); over {
-		t.last = o.Rollout
-		switch o.Kind {
-		case roll.OutcomeEnded:
-			w.report.Ended++
-			t.last = o.Rollout
-		case roll.OutcomeLeaseHeld, roll.OutcomeFenced:
-			w.report.Denied++
-		}
-		t.end(w.rng.ExpFloat64() * 2)
+		o.send(call)
+	}
+	if outcome, over := o.coordinator.Outcome(); over {
+		o.finish(outcome)
 		return
 	}
-	life := t.life
-	t.alarm = wake
-	w.at(wake-w.now, func() {
-		if t.life == life && t.alarm == wake {
-			t.turn()
+	run := o.run
+	o.nextTick = wake
+	r.after(wake-r.now, func() {
+		if o.run == run && o.nextTick == wake {
+			o.tick()
 		}
 	})
 }
 
-// noted keeps when the record of a step was first sent to be kept.
-func (t *console) noted(c form.Request) {
-	var r form.Rollout
-	if form.Decode("record", c.Record.Body, &r) == nil && r.CurrentStep.Number != 0 {
-		key := fmt.Sprint(c.Epoch, r.ID, r.CurrentStep.Number)
-		if _, had := t.w.acts[key]; !had {
-			t.w.acts[key] = t.w.stamp()
+// handleEvent follows the versions that a majority stores, and checks that a new holder finds none older than was stored
+// before it asked for the lease.
+func (o *simulatedOperator) handleEvent(e roll.Event) {
+	r := o.round
+	if e.AcquiredEpoch == 0 {
+		if r.newestStored.Before(e.RecordVersion) {
+			r.newestStored = e.RecordVersion
 		}
+		return
+	}
+	if e.RecordVersion.Before(o.versionBefore) {
+		r.violation("%s found record %v, but %v had been kept before it bid", o.holder, e.RecordVersion, o.versionBefore)
+	}
+	r.report.LeasesAcquired++
+	acquire := leaseOperation{kind: acquireLease, epoch: e.AcquiredEpoch, holder: o.holder}
+	r.recordOperation(o.index, acquire, o.startedAt, r.timestamp())
+}
+
+func (o *simulatedOperator) finish(outcome roll.Outcome) {
+	r := o.round
+	o.lastRollout = outcome.Rollout
+	switch outcome.Kind {
+	case roll.OutcomeEnded:
+		r.report.RolloutsEnded++
+	case roll.OutcomeLeaseHeld, roll.OutcomeFenced:
+		r.report.Denied++
+	case roll.OutcomeNoMajority, roll.OutcomeUnfinishedRollout, roll.OutcomeInfeasible, roll.OutcomeNoRollout,
+		roll.OutcomeOtherFleet, roll.OutcomeInterrupted:
+	}
+	o.stop(r.rng.ExpFloat64() * meanOutcomePauseSeconds)
+}
+
+// noteStoredStep remembers when the record of a step was first sent to be stored: from then on agents may begin it.
+func (o *simulatedOperator) noteStoredStep(request form.Request) {
+	var rollout form.Rollout
+	if form.Decode("record", request.Record.Body, &rollout) != nil || rollout.CurrentStep.Number == 0 {
+		return
+	}
+	key := stepKey{epoch: request.Epoch, rolloutID: rollout.ID, number: rollout.CurrentStep.Number}
+	if _, known := o.round.stepStored[key]; !known {
+		o.round.stepStored[key] = o.round.timestamp()
 	}
 }
 
-// way is how long a message takes, or that it is lost.
-func (w *theatre) way() (float64, bool) {
-	if w.rng.Float64() < lossy {
-		w.report.Lost++
+// messageDelay draws how many virtual seconds a message takes, or that it is lost.
+func (r *leaseRound) messageDelay() (seconds float64, delivered bool) {
+	if r.rng.Float64() < lossChance {
+		r.report.MessagesLost++
 		return 0, false
 	}
-	d := 0.001 + w.rng.ExpFloat64()*0.01
-	if w.rng.Float64() < slow {
-		d += w.rng.ExpFloat64() * 4
+	seconds = minDelaySeconds + r.rng.ExpFloat64()*meanDelaySeconds
+	if r.rng.Float64() < slowChance {
+		seconds += r.rng.ExpFloat64() * meanSlowDelaySeconds
 	}
-	return d, true
+	return seconds, true
+}
+
+// pendingCall is a call of a tool that waits for its first reply or its timeout.
+type pendingCall struct {
+	operator *simulatedOperator
+	run      int
+	id       uint64
+	over     bool
 }
 
-// post sends a call. Its answer counts within a second; the call may arrive later, and more than once.
-func (t *console) post(s roll.OutgoingCall) {
-	w, life := t.w, t.life
-	answered := false
+// end tells the coordinator how the call ended, unless it was told already or its tool is gone.
+func (c *pendingCall) end(tell func(coordinator *roll.Coordinator)) {
+	if c.operator.run != c.run || c.over {
+		return
+	}
+	c.over = true
+	tell(c.operator.coordinator)
+	c.operator.tick()
+}
+
+// send sends a call. Its reply counts until the timeout; the request may arrive later than that, and more than once.
+func (o *simulatedOperator) send(call roll.OutgoingCall) {
+	r := o.round
+	pending := &pendingCall{operator: o, run: o.run, id: call.ID}
 	copies := 1
-	if w.rng.Float64() < doubling {
+	if r.rng.Float64() < duplicateChance {
 		copies = 2
-		w.report.Doubled++
+		r.report.MessagesDuplicated++
 	}
 	for range copies {
-		d, ok := w.way()
-		if !ok {
-			continue
-		}
-		w.at(d, func() {
-			r, ok := w.agents[s.Agent].answer(s.Request)
-			back, came := w.way()
-			if !ok || !came {
-				return
-			}
-			w.at(back, func() {
-				if t.life == life && !answered {
-					answered = true
-					t.driver.HandleReply(w.now, s.ID, r)
-					t.turn()
-				}
-			})
-		})
-	}
-	w.at(1, func() {
-		if t.life == life && !answered {
-			answered = true
-			t.driver.HandleFailure(w.now, s.ID, "no answer")
-			t.turn()
+		if seconds, delivered := r.messageDelay(); delivered {
+			r.after(seconds, func() { r.deliver(call, pending) })
 		}
+	}
+	r.after(callTimeoutSeconds, func() {
+		pending.end(func(c *roll.Coordinator) { c.HandleFailure(r.now, pending.id, "no answer") })
+	})
+}
+
+// deliver has the agent handle a request, and sends its reply back.
+func (r *leaseRound) deliver(call roll.OutgoingCall, pending *pendingCall) {
+	reply, replied := r.agents[call.Agent].answer(call.Request)
+	seconds, delivered := r.messageDelay()
+	if !replied || !delivered {
+		return
+	}
+	r.after(seconds, func() {
+		pending.end(func(c *roll.Coordinator) { c.HandleReply(r.now, pending.id, reply) })
 	})
 }
--- a/internal/drill/lease_test.go
+++ b/internal/drill/lease_test.go
@@ -7,23 +7,23 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestClaimsHoldOnABadNetwork(t *testing.T) {
-	r := RunClaims(context.Background(), Claims{Operators: 2, Rounds: 60, Seed: 1})
-	assert.True(t, r.OK, r.Broken)
-	assert.Greater(t, r.Steps, 100)
-	assert.Greater(t, r.Claims, 60)
-	assert.Greater(t, r.Deaths, 20)
-	assert.Positive(t, r.Ended)
-	assert.Zero(t, r.Unchecked)
-	again := RunClaims(context.Background(), Claims{Operators: 2, Rounds: 60, Seed: 1})
+func TestLeaseHoldsOnAFaultyNetwork(t *testing.T) {
+	r := RunLease(context.Background(), LeaseOptions{Operators: 2, Rounds: 60, Seed: 1})
+	assert.True(t, r.OK, r.Violation)
+	assert.Greater(t, r.StepsBegun, 100)
+	assert.Greater(t, r.LeasesAcquired, 60)
+	assert.Greater(t, r.Crashes, 20)
+	assert.Positive(t, r.RolloutsEnded)
+	assert.Zero(t, r.HistoriesUnchecked)
+	again := RunLease(context.Background(), LeaseOptions{Operators: 2, Rounds: 60, Seed: 1})
 	again.Seconds = r.Seconds
-	assert.Equal(t, r, again, "one seed replays the whole")
+	assert.Equal(t, r, again, "the same seed gives the same rounds")
 }
 
-func TestClaimFaultsAreTold(t *testing.T) {
-	for fault := range ClaimFaults {
-		r := RunClaims(context.Background(), Claims{Operators: 3, Rounds: 400, Seed: 1, Break: fault})
+func TestLeaseFaultsAreFound(t *testing.T) {
+	for fault := range LeaseFaults {
+		r := RunLease(context.Background(), LeaseOptions{Operators: 3, Rounds: 400, Seed: 1, Fault: fault})
 		assert.False(t, r.OK, fault)
-		assert.Contains(t, r.Broken, "seed 1", fault)
+		assert.Contains(t, r.Violation, "seed 1", fault)
 	}
 }
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -29,7 +29,7 @@
 	Keep      string // folder for logs and traces; empty: a temporary one, removed
 	Router    string // program of the router
 	Tool      string // this program, which is the agent too
-	Break     string // a fault of RolloutFaults
+	Fault     string // a fault of RolloutFaults
 	Hard      bool   // the baseline: a loop that kills and starts, without a drain
 	Say       io.Writer
 }
@@ -211,11 +211,11 @@
 	s.report.Paused = o.Rollout.State == plan.Paused
 	switch {
 	case o.Kind != roll.OutcomeEnded:
-		s.report.Break("the rollout ended as no rollout ends: %d, held by %s, %v", o.Kind, o.Holder.Holder, o.Faults)
+		s.report.Fail("the rollout ended as no rollout ends: %d, held by %s, %v", o.Kind, o.Holder.Holder, o.Faults)
 	case s.Gone && (!s.report.Paused || o.Reason.Kind != plan.ReasonInstancesExcluded):
-		s.report.Break("with an agent gone the rollout ended %s: %s", s.report.State, s.report.Why)
+		s.report.Fail("with an agent gone the rollout ended %s: %s", s.report.State, s.report.Why)
 	case !s.Gone && o.Rollout.State != plan.Complete:
-		s.report.Break("the rollout ended %s: %s", s.report.State, s.report.Why)
+		s.report.Fail("the rollout ended %s: %s", s.report.State, s.report.Why)
 	}
 	return nil
 }
@@ -234,10 +234,10 @@
 			work.Add(1)
 			go func() { defer work.Done(); s.killAgent(ctx, s.killed, after) }()
 		}
-		if s.Break == "kill-router" {
+		if s.Fault == "kill-router" {
 			s.killRouter(e.Step.Instance)
 		}
-		if s.Break == "two-at-once" && e.Step.Number == 2 {
+		if s.Fault == "two-at-once" && e.Step.Number == 2 {
 			time.AfterFunc(600*time.Millisecond, func() { s.killRouter((e.Step.Instance + 1) % s.Instances) }) // as the step's has ended
 		}
 	case plan.ActionCompleteStep, plan.ActionStartRollback, plan.ActionFinish:
--- a/internal/drill/rollout_check.go
+++ b/internal/drill/rollout_check.go
@@ -80,7 +80,7 @@
 // judge looks at the processes, files and answers that are there at the end, and at what the wire showed.
 func (s *stage) judge(ctx context.Context) error {
 	r := s.report
-	if s.Break == "stray" {
+	if s.Fault == "stray" {
 		if err := os.WriteFile(filepath.Join(s.folder(0), "config.json"), []byte("{}"), 0o600); err != nil {
 			return err
 		}
@@ -95,7 +95,7 @@
 	r.Consistent = true
 	wrong := func(format string, args ...any) {
 		r.Consistent = false
-		r.Break(format, args...)
+		r.Fail(format, args...)
 	}
 	content, err := s.tool.RevisionContent(ctx, s.second)
 	if err != nil {
@@ -119,17 +119,17 @@
 	}
 	switch {
 	case r.Finished != wanted:
-		r.Break("%d instances are done, and should be %d", r.Finished, wanted)
+		r.Fail("%d instances are done, and should be %d", r.Finished, wanted)
 	case r.Lost > 0:
-		r.Break("%d commands were lost", r.Lost)
+		r.Fail("%d commands were lost", r.Lost)
 	case r.Late > 0:
-		r.Break("%d commands were answered after their client timeout", r.Late)
+		r.Fail("%d commands were answered after their client timeout", r.Late)
 	case r.Doubled > 0:
-		r.Break("%d mutating commands ran more than once", r.Doubled)
+		r.Fail("%d mutating commands ran more than once", r.Doubled)
 	case r.Least < s.Instances-s.away():
-		r.Break("only %d routers served at one moment, and the floor is %d", r.Least, s.Instances-s.away())
+		r.Fail("only %d routers served at one moment, and the floor is %d", r.Least, s.Instances-s.away())
 	case r.Asked < 10*s.Instances:
-		r.Break("the load was no load: %d commands", r.Asked)
+		r.Fail("the load was no load: %d commands", r.Asked)
 	}
 	return nil
 }
