--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -95,7 +95,7 @@
 }
 
 func (a *app) drillRolloutCommand() *cobra.Command {
-	var options drill.Rollout
+	var options drill.RolloutOptions
 	c := &cobra.Command{
 		Use: "rollout", Short: "Rolls a fleet of real routers on loopback under load, with one agent killed midway",
 		Long: "Real routers and agents, one agent an instance, stand-in members, and clients that count what came of every command. It\n" +
@@ -113,7 +113,7 @@
 				return err
 			}
 			a.drawSeed(cmd, &options.Seed)
-			options.Say = a.stderr
+			options.Progress = a.stderr
 			report, err := drill.RunRollout(cmd.Context(), options)
 			if err != nil {
 				return exitError(ExitFailed, err)
@@ -122,11 +122,11 @@
 		},
 	}
 	c.Flags().IntVar(&options.Instances, "instances", 20, "routers, each with an agent of its own")
-	c.Flags().BoolVar(&options.Kill, "kill-agent", false, "kill an agent in its step midway, and bring it back")
-	c.Flags().BoolVar(&options.Gone, "agent-stays-gone", false, "kill an agent in its step midway, for good")
-	c.Flags().BoolVar(&options.Hard, "hard", false, "the baseline: kill each router and have it started again, without a drain")
-	c.Flags().StringVar(&options.Keep, "keep", "", "folder that keeps logs, stores and spans")
-	c.Flags().StringVar(&options.Router, "router", "", "program of the router; that beside this program if not given")
+	c.Flags().BoolVar(&options.KillAgent, "kill-agent", false, "kill an agent in its step midway, and bring it back")
+	c.Flags().BoolVar(&options.AgentStaysGone, "agent-stays-gone", false, "kill an agent in its step midway, for good")
+	c.Flags().BoolVar(&options.HardRestart, "hard", false, "the baseline: kill each router and have it started again, without a drain")
+	c.Flags().StringVar(&options.Folder, "keep", "", "folder that keeps logs, stores and spans")
+	c.Flags().StringVar(&options.RouterProgram, "router", "", "program of the router; that beside this program if not given")
 	c.Flags().Uint64Var(&options.Seed, "seed", 0, "of all chance; drawn if not given")
 	c.Flags().StringVar(&options.Fault, "break", "", "fault to put in")
 	a.addJSONFlag(c)
@@ -134,16 +134,16 @@
 }
 
 // findPrograms sets the programs of the agents and, if it was not given, of the routers.
-func findPrograms(options *drill.Rollout) error {
+func findPrograms(options *drill.RolloutOptions) error {
 	self, err := os.Executable()
 	if err != nil {
 		return exitError(ExitFailed, err)
 	}
-	options.Tool = self
-	if options.Router == "" {
-		options.Router = filepath.Join(filepath.Dir(self), "stoatdale")
+	options.ToolProgram = self
+	if options.RouterProgram == "" {
+		options.RouterProgram = filepath.Join(filepath.Dir(self), "stoatdale")
 	}
-	if _, err := os.Stat(options.Router); err != nil {
+	if _, err := os.Stat(options.RouterProgram); err != nil {
 		return exitErrorf(ExitUsage, "--router: %w", err)
 	}
 	return nil
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -19,231 +19,260 @@
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
 
-// Rollout is what the drill of a rollout is played with: real routers and agents on loopback, one agent an
-// instance, under a steady load.
-type Rollout struct {
-	Instances int
-	Kill      bool // an agent midway, and bring it back
-	Gone      bool // it stays gone
-	Seed      uint64
-	Keep      string // folder for logs and traces; empty: a temporary one, removed
-	Router    string // program of the router
-	Tool      string // this program, which is the agent too
-	Fault     string // a fault of RolloutFaults
-	Hard      bool   // the baseline: a loop that kills and starts, without a drain
-	Say       io.Writer
+// RolloutOptions are the parameters of the rollout drill: real routers and agents on loopback, one agent an instance, under
+// a steady load.
+type RolloutOptions struct {
+	Instances      int
+	KillAgent      bool // kill an agent midway, in its step, and start it again
+	AgentStaysGone bool // kill an agent midway, in its step, for good
+	HardRestart    bool // the baseline: kill each router without a drain, and change no revision
+	Seed           uint64
+	Folder         string // for logs, stores and traces; empty: a temporary one, which is removed
+	RouterProgram  string
+	ToolProgram    string    // stoatctl, which is the agent too
+	Fault          string    // a key of RolloutFaults that the checkers must find; empty: none
+	Progress       io.Writer // lines for people; nil: none
 }
 
-// RolloutFaults are the faults that can be put in, each with what it does.
+// Faults of the rollout drill.
+const (
+	faultKillRouter = "kill-router"
+	faultTwoAtOnce  = "two-at-once"
+	faultStray      = "stray"
+)
+
+// RolloutFaults are the faults that can be injected into the rollout drill, each with what it does.
 var RolloutFaults = map[string]string{
-	"kill-router": "each router is killed as its step begins, instead of being drained",
-	"two-at-once": "while one instance is in its step another router is killed",
-	"stray":       "one instance is given another revision behind the fleet's back",
+	faultKillRouter: "each router is killed as its step begins, instead of being drained",
+	faultTwoAtOnce:  "while one instance is in its step another router is killed",
+	faultStray:      "one instance is given another revision behind the fleet's back",
 }
 
-// RolloutReport is how it went.
+// RolloutReport is the result of the rollout drill.
 type RolloutReport struct {
 	Report
-	Instances  int     `json:"instances"`
-	Finished   int     `json:"done"`
-	State      string  `json:"state"`
-	Why        string  `json:"why,omitempty"`
-	PausedOn   string  `json:"paused_on,omitempty"` // before an operator left an instance out
-	Paused     bool    `json:"paused"`
-	Consistent bool    `json:"consistent"` // all that are done run the revision, one process each
-	Least      int     `json:"least_serving"`
-	Asked      int     `json:"asked"`
-	Answered   int     `json:"answered"`
-	Throttled  int     `json:"throttled"`
-	Failed     int     `json:"failed"`
-	Lost       int     `json:"lost"`
-	Late       int     `json:"late"`
-	Turned     int     `json:"turned_away"` // connections ended before the command was taken; asked again
-	Doubled    int     `json:"doubled"`
-	MedianMs   float64 `json:"median_ms"`
-	P999Ms     float64 `json:"p999_ms"`
-	StepMedian float64 `json:"step_median_seconds"`
-	StepMost   float64 `json:"step_most_seconds"`
-	RollTook   float64 `json:"roll_seconds"`
-	Killed     string  `json:"killed_agent,omitempty"`
+	Instances         int     `json:"instances"`
+	Finished          int     `json:"done"` // instances
+	State             string  `json:"state"`
+	Reason            string  `json:"why,omitempty"`
+	PausedOn          string  `json:"paused_on,omitempty"` // why the rollout paused before an instance was excluded
+	Paused            bool    `json:"paused"`
+	Consistent        bool    `json:"consistent"`    // each finished instance runs the revision in one process
+	MinServing        int     `json:"least_serving"` // routers that served at one moment
+	CommandsSent      int     `json:"asked"`
+	Answered          int     `json:"answered"`
+	Rejected          int     `json:"throttled"`
+	Failed            int     `json:"failed"`
+	Lost              int     `json:"lost"`
+	Late              int     `json:"late"`        // answered after the client timeout
+	ConnectionsClosed int     `json:"turned_away"` // before the command was taken; it was sent again
+	RanTwice          int     `json:"doubled"`     // commands that are not idempotent
+	MedianMs          float64 `json:"median_ms"`
+	P999Ms            float64 `json:"p999_ms"`
+	StepMedianSeconds float64 `json:"step_median_seconds"`
+	StepMaxSeconds    float64 `json:"step_most_seconds"`
+	RolloutSeconds    float64 `json:"roll_seconds"`
+	KilledAgent       string  `json:"killed_agent,omitempty"`
 }
 
 const (
-	clientTimeout  = 2 * time.Second
-	memberTime     = 12 * time.Millisecond // that a member takes to answer
-	awayFor        = 2 * time.Second       // a killed agent
-	operatorName   = "drill"
-	clientsEach    = 2
-	serveLookEvery = 25 * time.Millisecond
-	drillWithin    = 3 * time.Minute
+	drillTimeout = 3 * time.Minute
+
+	clientTimeout    = 2 * time.Second
+	clientsPerRouter = 2
+	clientThinkTime  = 20 * time.Millisecond
+	writeShare       = 0.2
+	serviceTime      = 12 * time.Millisecond // of a database server
+
+	baselineTime = 500 * time.Millisecond // of load before the rollout, for the soak to compare with
+
+	operatorName = "drill"
+	baseline     = "baseline" // state of a drill with HardRestart
+
+	firstSockets  = 256 // limits.sockets of the first revision
+	secondSockets = 300
+
+	noInstance = -1
 )
 
-// stage is a drill that is being played.
-type stage struct {
-	Rollout
-	dir      string
-	fleet    *layout.Fleet
-	tool     *tool.Client
-	member   [3]*stand.Member
-	list     *stand.Discovery
-	load     *stand.Load
-	agents   []*exec.Cmd
-	orphans  []int      // processes
-	mu       sync.Mutex // over agents and orphans
-	rng      *rand.Rand
-	report   *RolloutReport
-	first    string // revision
-	second   string
-	least    atomic.Int64
-	steps    []float64
-	began    map[uint64]time.Time
-	midway   int
-	killed   int
-	stepping atomic.Int64 // instance in its step, or -1
+// rolloutDrill is a rollout drill that is running.
+type rolloutDrill struct {
+	options        RolloutOptions
+	report         *RolloutReport
+	rng            *rand.Rand
+	folder         string // absolute
+	fleet          *layout.Fleet
+	client         *tool.Client
+	members        [3]*stand.Member // the primary and two replicas
+	discovery      *stand.Discovery
+	load           *stand.Load
+	firstRevision  string // digest
+	secondRevision string // digest
+	minServing     atomic.Int64
+	stepSeconds    []float64
+	stepBegan      map[uint64]time.Time // by the step's number
+	killAfter      int                  // finished instances after which an agent is killed
+	killedInstance int                  // whose agent was killed, or noInstance
+
+	mu      sync.Mutex // guards agents and orphans
+	agents  []*exec.Cmd
+	orphans []int // processes of routers whose agent may be gone
 }
 
-// RunRollout plays the drill. Its error is one of the surroundings: the drill could not be played.
-func RunRollout(ctx context.Context, o Rollout) (RolloutReport, error) {
+// RunRollout runs the rollout drill. It returns an error if the drill could not be run to its end, as when ctx is canceled;
+// what the drill is for is in the report.
+func RunRollout(ctx context.Context, options RolloutOptions) (RolloutReport, error) {
 	began := time.Now()
-	r := RolloutReport{Report: Report{Drill: "rollout", Seed: o.Seed, OK: true}, Instances: o.Instances}
-	ctx, cancel := context.WithTimeout(ctx, drillWithin)
+	ctx, cancel := context.WithTimeout(ctx, drillTimeout)
 	defer cancel()
-	s := &stage{Rollout: o, rng: rand.New(rand.NewPCG(o.Seed, 0)), report: &r, began: map[uint64]time.Time{}, killed: -1}
-	s.midway = o.Instances/2 + s.rng.IntN(max(1, o.Instances/4))
-	err := s.setUp(ctx)
+	report := RolloutReport{Report: Report{Drill: "rollout", Seed: options.Seed, OK: true}, Instances: options.Instances}
+	d := &rolloutDrill{
+		options: options, report: &report,
+		rng:            rand.New(rand.NewPCG(options.Seed, 0)),
+		stepBegan:      map[uint64]time.Time{},
+		killedInstance: noInstance,
+	}
+	d.killAfter = options.Instances/2 + d.rng.IntN(max(1, options.Instances/4))
+	err := d.setUp(ctx)
 	if err == nil {
-		err = s.play(ctx)
+		err = d.run(ctx)
 	}
-	s.strike()
-	r.Seconds = time.Since(began).Seconds()
+	d.tearDown()
+	report.Seconds = time.Since(began).Seconds()
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	return r, ctx.Err()
+	return report, ctx.Err()
 }
 
-func (s *stage) say(format string, args ...any) {
-	if s.Say != nil {
-		fmt.Fprintf(s.Say, format+"\n", args...)
+// logf writes a line for people.
+func (d *rolloutDrill) logf(format string, args ...any) {
+	if d.options.Progress != nil {
+		_, _ = fmt.Fprintf(d.options.Progress, format+"\n", args...)
 	}
 }
 
-// away is how many instances the floors allow not to serve: one in its step, and one whose agent is gone, for
-// what is not known does not serve.
-func (s *stage) away() int {
-	if s.Gone {
-		return 2
+// run rolls the first revision out, and then the second one under load.
+func (d *rolloutDrill) run(ctx context.Context) error {
+	if err := d.rollOutFirst(ctx); err != nil {
+		return err
+	}
+	d.logf("routers serve; the load begins")
+	d.load.Start(d.options.Seed)
+	d.minServing.Store(int64(d.options.Instances))
+	watchContext, stopWatching := context.WithCancel(ctx)
+	defer stopWatching()
+	var watchers sync.WaitGroup
+	d.watchServing(watchContext, &watchers)
+	time.Sleep(baselineTime)
+	began := time.Now()
+	var err error
+	if d.options.HardRestart {
+		err = d.restartHard(ctx)
+	} else {
+		err = d.rollOutSecond(ctx)
+	}
+	d.report.RolloutSeconds = time.Since(began).Seconds()
+	stopWatching()
+	watchers.Wait()
+	d.recordCounts(d.load.Stop())
+	if err != nil {
+		return err
 	}
-	return 1
+	return d.check(ctx)
 }
 
-func (s *stage) play(ctx context.Context) error {
+// rollOutFirst pushes both revisions and brings the first one to all instances.
+func (d *rolloutDrill) rollOutFirst(ctx context.Context) error {
 	var err error
-	if s.first, err = s.push(ctx, 256, "first"); err != nil {
+	if d.firstRevision, err = d.pushRevision(ctx, "first", firstSockets); err != nil {
 		return err
 	}
-	if s.second, err = s.push(ctx, 300, "second"); err != nil {
+	if d.secondRevision, err = d.pushRevision(ctx, "second", secondSockets); err != nil {
 		return err
 	}
-	s.say("agents are up; the first revision goes out")
-	o := s.tool.Drive(ctx, s.tool.NewRollout(form.Revision{Digest: s.first, Name: "first"}, false), nil)
+	d.logf("agents are up; the first revision goes out")
+	o := d.client.Drive(ctx, d.client.NewRollout(form.Revision{Digest: d.firstRevision, Name: "first"}, false), nil)
 	if o.Kind != roll.OutcomeEnded || o.Rollout.State != plan.Complete {
-		return fmt.Errorf("the first rollout: %d %s %s %v", o.Kind, o.Rollout.State, s.tool.Explain(o.Reason), o.Faults)
-	}
-	s.say("routers serve; the load begins")
-	s.load.Start(s.Seed)
-	s.least.Store(int64(s.Instances))
-	watching, stopWatching := context.WithCancel(ctx)
-	var watch sync.WaitGroup
-	s.watchServing(watching, &watch)
-	time.Sleep(500 * time.Millisecond) // a base for the soak to compare with
-	rolled := time.Now()
-	if s.Hard {
-		err = s.hard(ctx)
-	} else {
-		err = s.roll(ctx)
+		return fmt.Errorf("the first rollout: %d %s %s %v", o.Kind, o.Rollout.State, d.client.Explain(o.Reason), o.Faults)
 	}
-	s.report.RollTook = time.Since(rolled).Seconds()
-	stopWatching()
-	watch.Wait()
-	counts, slow := s.load.Stop()
-	s.count(counts, slow)
-	if err != nil {
-		return err
-	}
-	return s.judge(ctx)
+	return nil
 }
 
-// roll is the rollout itself.
-func (s *stage) roll(ctx context.Context) error {
-	s.say("the second revision goes out")
-	s.stepping.Store(-1)
-	var spans *tool.Trace
-	if s.Keep != "" {
+// rollOutSecond drives the rollout that the drill is about.
+func (d *rolloutDrill) rollOutSecond(ctx context.Context) error {
+	d.logf("the second revision goes out")
+	var trace *tool.Trace
+	if d.options.Folder != "" {
 		var err error
-		if spans, err = s.tool.NewTrace(filepath.Join(s.dir, "spans.json")); err != nil {
+		if trace, err = d.client.NewTrace(filepath.Join(d.folder, "spans.json")); err != nil {
 			return err
 		}
 	}
-	var work sync.WaitGroup
-	defer work.Wait()
-	watch := func(v roll.View, events []roll.Event) {
-		if spans != nil {
-			spans.Record(v, events)
+	var faults sync.WaitGroup
+	defer faults.Wait()
+	watch := func(view roll.View, events []roll.Event) {
+		if trace != nil {
+			trace.Record(view, events)
 		}
 		for _, e := range events {
-			s.follow(ctx, v, e, &work)
+			d.handleEvent(ctx, view, e, &faults)
 		}
-		s.report.Finished = v.Finished
+		d.report.Finished = view.Finished
 	}
-	o := s.tool.Drive(ctx, s.tool.NewRollout(form.Revision{Digest: s.second, Name: "second"}, false), watch)
-	if s.Gone && o.Kind == roll.OutcomeEnded && o.Rollout.State == plan.Paused && s.killed >= 0 {
-		s.report.PausedOn = s.tool.Explain(o.Reason)
-		s.say("paused: %s; it is left out by word", s.report.PausedOn)
-		o = s.tool.Drive(ctx, roll.Task{Operation: roll.OperationResume, Operator: operatorName, ExcludedInstances: []int{s.killed}}, watch)
-	}
-	if spans != nil {
-		if err := spans.Close(o); err != nil {
+	outcome := d.driveSecond(ctx, watch)
+	if trace != nil {
+		if err := trace.Close(outcome); err != nil {
 			return err
 		}
 	}
-	s.report.State, s.report.Why = o.Rollout.State.String(), s.tool.Explain(o.Reason)
-	s.report.Paused = o.Rollout.State == plan.Paused
+	d.recordOutcome(outcome)
+	return nil
+}
+
+// driveSecond drives the second revision's rollout. If it pauses since an agent stays gone, the drill resumes it without
+// that instance, as an operator would.
+func (d *rolloutDrill) driveSecond(ctx context.Context, watch func(roll.View, []roll.Event)) roll.Outcome {
+	outcome := d.client.Drive(ctx, d.client.NewRollout(form.Revision{Digest: d.secondRevision, Name: "second"}, false), watch)
+	paused := outcome.Kind == roll.OutcomeEnded && outcome.Rollout.State == plan.Paused
+	agentIsGone := d.options.AgentStaysGone && d.killedInstance != noInstance
+	if !paused || !agentIsGone {
+		return outcome
+	}
+	d.report.PausedOn = d.client.Explain(outcome.Reason)
+	d.logf("paused: %s; it is left out by word", d.report.PausedOn)
+	task := roll.Task{Operation: roll.OperationResume, Operator: operatorName, ExcludedInstances: []int{d.killedInstance}}
+	return d.client.Drive(ctx, task, watch)
+}
+
+// recordOutcome checks that the rollout ended as it must.
+func (d *rolloutDrill) recordOutcome(outcome roll.Outcome) {
+	r := d.report
+	state := outcome.Rollout.State
+	r.State = state.String()
+	r.Reason = d.client.Explain(outcome.Reason)
+	r.Paused = state == plan.Paused
 	switch {
-	case o.Kind != roll.OutcomeEnded:
-		s.report.Fail("the rollout ended as no rollout ends: %d, held by %s, %v", o.Kind, o.Holder.Holder, o.Faults)
-	case s.Gone && (!s.report.Paused || o.Reason.Kind != plan.ReasonInstancesExcluded):
-		s.report.Fail("with an agent gone the rollout ended %s: %s", s.report.State, s.report.Why)
-	case !s.Gone && o.Rollout.State != plan.Complete:
-		s.report.Fail("the rollout ended %s: %s", s.report.State, s.report.Why)
+	case outcome.Kind != roll.OutcomeEnded:
+		r.Fail("the rollout ended as no rollout ends: %d, held by %s, %v", outcome.Kind, outcome.Holder.Holder, outcome.Faults)
+	case d.options.AgentStaysGone && (!r.Paused || outcome.Reason.Kind != plan.ReasonInstancesExcluded):
+		r.Fail("with an agent gone the rollout ended %s: %s", r.State, r.Reason)
+	case !d.options.AgentStaysGone && state != plan.Complete:
+		r.Fail("the rollout ended %s: %s", r.State, r.Reason)
 	}
-	return nil
 }
 
-// follow does what the drill is for as steps go by.
-func (s *stage) follow(ctx context.Context, v roll.View, e roll.Event, work *sync.WaitGroup) {
+// handleEvent measures steps and injects faults as they begin. Faults that take a while run in the group.
+func (d *rolloutDrill) handleEvent(ctx context.Context, view roll.View, e roll.Event, faults *sync.WaitGroup) {
 	switch e.Action {
 	case plan.ActionBeginStep:
-		s.began[e.Step.Number] = time.Now()
-		s.stepping.Store(int64(e.Step.Instance))
-		if (s.Kill || s.Gone) && s.killed < 0 && v.Finished >= s.midway {
-			s.killed = e.Step.Instance
-			s.report.Killed = s.fleet.Agents[s.killed].Name
-			// Before, while or after the agent acts: the seed tells.
-			after := time.Duration(s.rng.IntN(900)) * time.Millisecond
-			work.Add(1)
-			go func() { defer work.Done(); s.killAgent(ctx, s.killed, after) }()
-		}
-		if s.Fault == "kill-router" {
-			s.killRouter(e.Step.Instance)
-		}
-		if s.Fault == "two-at-once" && e.Step.Number == 2 {
-			time.AfterFunc(600*time.Millisecond, func() { s.killRouter((e.Step.Instance + 1) % s.Instances) }) // as the step's has ended
-		}
+		d.stepBegan[e.Step.Number] = time.Now()
+		d.injectFaults(ctx, view, e.Step, faults)
 	case plan.ActionCompleteStep, plan.ActionStartRollback, plan.ActionFinish:
-		if b, ok := s.began[e.Step.Number]; ok && e.Step.Number != 0 {
-			s.steps = append(s.steps, time.Since(b).Seconds())
-			delete(s.began, e.Step.Number)
+		if began, known := d.stepBegan[e.Step.Number]; known && e.Step.Number != 0 {
+			d.stepSeconds = append(d.stepSeconds, time.Since(began).Seconds())
+			delete(d.stepBegan, e.Step.Number)
 		}
+	case plan.ActionWait, plan.ActionResendStep:
 	}
 }
--- a/internal/drill/rollout_check.go
+++ b/internal/drill/rollout_check.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"sort"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -16,151 +16,193 @@
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
 
-// watchServing counts, again and again, the routers that answer an empty query, by connections of its own.
-func (s *stage) watchServing(ctx context.Context, done *sync.WaitGroup) {
-	up := make([]atomic.Bool, s.Instances)
-	for i := range s.Instances {
-		up[i].Store(true)
-		done.Add(1)
-		go func() {
-			defer done.Done()
-			var c *stand.Client
-			for ctx.Err() == nil {
-				var err error
-				if c != nil {
-					if _, _, err = c.Ask("", time.Second); err != nil { // routers end what stands between commands for long
-						_ = c.Close()
-						c = nil
-					}
-				}
-				if c == nil {
-					if c, err = stand.Dial(s.load.Routers[i], time.Second); err == nil {
-						_, _, err = c.Ask("", time.Second)
-					}
+const (
+	servingPollInterval = 25 * time.Millisecond
+	queryTimeout        = time.Second
+	configFile          = "config.json"
+
+	minCommandsPerRouter = 10 // fewer are no load to judge by
+)
+
+// watchServing follows which routers serve, and the least number of them at one moment, until ctx is canceled. Its
+// goroutines run in the group.
+func (d *rolloutDrill) watchServing(ctx context.Context, watchers *sync.WaitGroup) {
+	serving := make([]atomic.Bool, d.options.Instances)
+	for i := range serving {
+		serving[i].Store(true)
+		watchers.Go(func() { watchRouter(ctx, d.load.Routers[i], &serving[i]) })
+	}
+	watchers.Go(func() {
+		for ctx.Err() == nil {
+			count := int64(0)
+			for i := range serving {
+				if serving[i].Load() {
+					count++
 				}
-				up[i].Store(err == nil)
-				time.Sleep(serveLookEvery)
 			}
-			if c != nil {
+			d.minServing.Store(min(d.minServing.Load(), count))
+			time.Sleep(servingPollInterval)
+		}
+	})
+}
+
+// watchRouter stores, again and again, whether a router answers an empty query on a connection of the watcher's own.
+func watchRouter(ctx context.Context, address string, serving *atomic.Bool) {
+	var c *stand.Client
+	defer func() {
+		if c != nil {
+			_ = c.Close()
+		}
+	}()
+	for ctx.Err() == nil {
+		var err error
+		if c != nil {
+			if _, _, err = c.Ask("", queryTimeout); err != nil { // a router closes connections that are idle for long
 				_ = c.Close()
+				c = nil
 			}
-		}()
-	}
-	done.Add(1)
-	go func() {
-		defer done.Done()
-		for ctx.Err() == nil {
-			n := int64(0)
-			for i := range up {
-				if up[i].Load() {
-					n++
-				}
+		}
+		if c == nil {
+			if c, err = stand.Dial(address, dialTimeout); err == nil {
+				_, _, err = c.Ask("", queryTimeout)
 			}
-			s.least.Store(min(s.least.Load(), n))
-			time.Sleep(serveLookEvery)
 		}
-	}()
+		serving.Store(err == nil)
+		time.Sleep(servingPollInterval)
+	}
 }
 
-func (s *stage) count(c stand.Counts, slow []time.Duration) {
-	r := s.report
-	r.Asked, r.Answered, r.Throttled, r.Failed = c.Asked, c.Answered, c.Throttled, c.Failed
-	r.Lost, r.Late, r.Turned, r.Doubled, r.Least = c.Lost, c.Late, c.Turned, c.Doubled, int(s.least.Load())
-	sort.Slice(slow, func(i, j int) bool { return slow[i] < slow[j] })
-	if n := len(slow); n > 0 {
-		r.MedianMs = slow[n/2].Seconds() * 1000
-		r.P999Ms = slow[n*999/1000].Seconds() * 1000
-	}
-	sort.Float64s(s.steps)
-	if n := len(s.steps); n > 0 {
-		r.StepMedian, r.StepMost = s.steps[n/2], s.steps[n-1]
+// recordCounts takes what the load has counted, with the response times of answered commands, into the report.
+func (d *rolloutDrill) recordCounts(counts stand.Counts, responseTimes []time.Duration) {
+	r := d.report
+	r.CommandsSent = counts.Asked
+	r.Answered = counts.Answered
+	r.Rejected = counts.Throttled
+	r.Failed = counts.Failed
+	r.Lost = counts.Lost
+	r.Late = counts.Late
+	r.ConnectionsClosed = counts.Turned
+	r.RanTwice = counts.Doubled
+	r.MinServing = int(d.minServing.Load())
+	slices.Sort(responseTimes)
+	if n := len(responseTimes); n > 0 {
+		r.MedianMs = responseTimes[n/2].Seconds() * 1000
+		r.P999Ms = responseTimes[n*999/1000].Seconds() * 1000
+	}
+	slices.Sort(d.stepSeconds)
+	if n := len(d.stepSeconds); n > 0 {
+		r.StepMedianSeconds = d.stepSeconds[n/2]
+		r.StepMaxSeconds = d.stepSeconds[n-1]
 	}
 }
 
-// judge looks at the processes, files and answers that are there at the end, and at what the wire showed.
-func (s *stage) judge(ctx context.Context) error {
-	r := s.report
-	if s.Fault == "stray" {
-		if err := os.WriteFile(filepath.Join(s.folder(0), "config.json"), []byte("{}"), 0o600); err != nil {
+// check looks at the processes, files and answers that are there at the end, and at what the load counted.
+func (d *rolloutDrill) check(ctx context.Context) error {
+	if d.options.Fault == faultStray {
+		if err := os.WriteFile(filepath.Join(d.instanceFolder(0), configFile), []byte("{}"), 0o600); err != nil {
 			return err
 		}
 	}
-	if s.Hard {
+	if d.options.HardRestart {
 		return nil
 	}
-	running, err := agent.RunningRouters(s.dir)
-	if err != nil {
+	if err := d.checkInstances(ctx); err != nil {
 		return err
 	}
-	r.Consistent = true
-	wrong := func(format string, args ...any) {
-		r.Consistent = false
-		r.Fail(format, args...)
+	d.checkCounts()
+	return nil
+}
+
+// checkInstances checks that each instance runs the second revision in one process, but for one whose agent stays gone:
+// that agent may have told it to end.
+func (d *rolloutDrill) checkInstances(ctx context.Context) error {
+	running, err := agent.RunningRouters(d.folder)
+	if err != nil {
+		return err
 	}
-	content, err := s.tool.RevisionContent(ctx, s.second)
+	content, err := d.client.RevisionContent(ctx, d.secondRevision)
 	if err != nil {
 		return err
 	}
-	for i, x := range s.fleet.Instances {
-		n, alone := len(running[s.folder(i)]), s.Gone && i == s.killed
-		if n > 1 || n == 0 && !alone { // one whose agent is gone may have been told to end by it
-			wrong("instance %s has %d processes", x.Name, n)
+	d.report.Consistent = true
+	for i, instance := range d.fleet.Instances {
+		processes := len(running[d.instanceFolder(i)])
+		agentIsGone := d.options.AgentStaysGone && i == d.killedInstance
+		if processes > 1 || processes == 0 && !agentIsGone {
+			d.report.Consistent = false
+			d.report.Fail("instance %s has %d processes", instance.Name, processes)
 		}
-		if alone {
+		if agentIsGone {
 			continue
 		}
-		if err := s.runs(i, content); err != nil {
-			wrong("instance %s: %v", x.Name, err)
+		if err := d.checkInstance(i, content); err != nil {
+			d.report.Consistent = false
+			d.report.Fail("instance %s: %v", instance.Name, err)
 		}
 	}
-	wanted := s.Instances
-	if s.Gone {
-		wanted--
-	}
-	switch {
-	case r.Finished != wanted:
-		r.Fail("%d instances are done, and should be %d", r.Finished, wanted)
-	case r.Lost > 0:
-		r.Fail("%d commands were lost", r.Lost)
-	case r.Late > 0:
-		r.Fail("%d commands were answered after their client timeout", r.Late)
-	case r.Doubled > 0:
-		r.Fail("%d mutating commands ran more than once", r.Doubled)
-	case r.Least < s.Instances-s.away():
-		r.Fail("only %d routers served at one moment, and the floor is %d", r.Least, s.Instances-s.away())
-	case r.Asked < 10*s.Instances:
-		r.Fail("the load was no load: %d commands", r.Asked)
-	}
 	return nil
 }
 
-// runs sees that an instance's file is the revision's, and its process younger than the file.
-func (s *stage) runs(i int, content []byte) error {
-	raw, err := os.ReadFile(filepath.Join(s.folder(i), "config.json"))
+// checkInstance checks that an instance's configuration is the revision's but for the seed, which each start draws, and
+// that its router answers.
+func (d *rolloutDrill) checkInstance(i int, content []byte) error {
+	have, err := os.ReadFile(filepath.Join(d.instanceFolder(i), configFile))
 	if err != nil {
 		return err
 	}
-	want, err := revision.Render(content, s.fleet.Instances[i].RevisionInstance(), 0)
+	want, err := revision.Render(content, d.fleet.Instances[i].RevisionInstance(), 0)
 	if err != nil {
 		return err
 	}
-	changes, err := revision.Diff(want, raw)
+	changes, err := revision.Diff(want, have)
 	if err != nil {
 		return err
 	}
-	for _, c := range changes {
-		if c.Key != "seed" {
-			return fmt.Errorf("its file differs from the revision at %s", c.Key)
+	for _, change := range changes {
+		if change.Key != "seed" {
+			return fmt.Errorf("its file differs from the revision at %s", change.Key)
 		}
 	}
-	c, err := stand.Dial(s.load.Routers[i], time.Second)
+	return checkAnswers(d.load.Routers[i])
+}
+
+// checkAnswers checks that a router answers an empty query as one.
+func checkAnswers(address string) error {
+	c, err := stand.Dial(address, dialTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = c.Close() }()
-	said, _, err := c.Ask("", time.Second)
-	if err == nil && !said.Empty {
-		err = errors.New("it does not answer an empty query")
+	answer, _, err := c.Ask("", queryTimeout)
+	if err != nil {
+		return err
+	}
+	if !answer.Empty {
+		return errors.New("it does not answer an empty query")
+	}
+	return nil
+}
+
+// checkCounts checks what clients and database servers have seen.
+func (d *rolloutDrill) checkCounts() {
+	r := d.report
+	wanted := d.options.Instances
+	if d.options.AgentStaysGone {
+		wanted--
+	}
+	minAvailable := d.options.Instances - d.allowedUnavailable()
+	switch {
+	case r.Finished != wanted:
+		r.Fail("%d instances are done, and should be %d", r.Finished, wanted)
+	case r.Lost > 0:
+		r.Fail("%d commands were lost", r.Lost)
+	case r.Late > 0:
+		r.Fail("%d commands were answered after their client timeout", r.Late)
+	case r.RanTwice > 0:
+		r.Fail("%d mutating commands ran more than once", r.RanTwice)
+	case r.MinServing < minAvailable:
+		r.Fail("only %d routers served at one moment, and the floor is %d", r.MinServing, minAvailable)
+	case r.CommandsSent < minCommandsPerRouter*d.options.Instances:
+		r.Fail("the load was no load: %d commands", r.CommandsSent)
 	}
-	return err
 }
--- a/internal/drill/rollout_faults.go
+++ b/internal/drill/rollout_faults.go
@@ -3,80 +3,123 @@
 import (
 	"context"
 	"path/filepath"
+	"sync"
 	"time"
 
 	"stoatdale.example/stoatdale/internal/fleet/agent"
+	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/roll"
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
 
-func (s *stage) killAgent(ctx context.Context, i int, after time.Duration) {
-	time.Sleep(after)
-	s.mu.Lock()
-	cmd := s.agents[i]
-	s.mu.Unlock()
-	s.say("agent %s is killed %d ms into the step of %s", s.fleet.Agents[i].Name, after.Milliseconds(), s.fleet.Instances[i].Name)
-	s.note()
+const (
+	agentDowntime       = 2 * time.Second
+	maxKillDelayMs      = 900                    // of an agent: the seed decides whether before, while or after it acts
+	secondRouterDelay   = 600 * time.Millisecond // as the step's own router has ended
+	secondRouterStep    = 2                      // number of the step in which a second router is killed
+	restartDetectTime   = 100 * time.Millisecond
+	restartPollInterval = 10 * time.Millisecond
+	restartPause        = 300 * time.Millisecond
+	dialTimeout         = time.Second
+)
+
+// injectFaults does what the drill is for as a step begins.
+func (d *rolloutDrill) injectFaults(ctx context.Context, view roll.View, step plan.Step, faults *sync.WaitGroup) {
+	instance := step.Instance
+	killsAgent := d.options.KillAgent || d.options.AgentStaysGone
+	if killsAgent && d.killedInstance == noInstance && view.Finished >= d.killAfter {
+		d.killedInstance = instance
+		d.report.KilledAgent = d.fleet.Agents[instance].Name
+		delay := time.Duration(d.rng.IntN(maxKillDelayMs)) * time.Millisecond
+		faults.Go(func() { d.killAgent(ctx, instance, delay) })
+	}
+	if d.options.Fault == faultKillRouter {
+		d.killRouter(instance)
+	}
+	if d.options.Fault == faultTwoAtOnce && step.Number == secondRouterStep {
+		faults.Go(func() {
+			time.Sleep(secondRouterDelay)
+			d.killRouter((instance + 1) % d.options.Instances)
+		})
+	}
+}
+
+// killAgent kills an agent after a delay, and starts it again unless it is to stay gone.
+func (d *rolloutDrill) killAgent(ctx context.Context, i int, delay time.Duration) {
+	time.Sleep(delay)
+	d.mu.Lock()
+	cmd := d.agents[i]
+	d.mu.Unlock()
+	name := d.fleet.Agents[i].Name
+	d.logf("agent %s is killed %d ms into the step of %s", name, delay.Milliseconds(), d.fleet.Instances[i].Name)
+	d.noteRouters()
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
-	if s.Gone {
+	if d.options.AgentStaysGone {
 		return
 	}
 	select {
-	case <-time.After(awayFor):
+	case <-time.After(agentDowntime):
 	case <-ctx.Done():
 		return
 	}
-	s.say("agent %s comes back", s.fleet.Agents[i].Name)
-	if err := s.startAgent(i); err != nil {
-		s.say("%v", err)
+	d.logf("agent %s comes back", name)
+	if err := d.startAgent(i); err != nil {
+		d.logf("%v", err)
 	}
 }
 
-// note remembers the routers that run: those whose agent is killed are this process's to wait for.
-func (s *stage) note() {
-	running, err := agent.RunningRouters(s.dir)
+// noteRouters remembers the routers that run: tearDown waits for those whose agent was killed.
+func (d *rolloutDrill) noteRouters() {
+	running, err := agent.RunningRouters(d.folder)
 	if err != nil {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	for _, pids := range running {
-		s.orphans = append(s.orphans, pids...)
+		d.orphans = append(d.orphans, pids...)
 	}
 }
 
-func (s *stage) folder(i int) string {
-	return filepath.Join(s.fleet.Agents[i].Folder, s.fleet.Instances[i].Name)
+// instanceFolder is the folder of an instance's files, below its agent's.
+func (d *rolloutDrill) instanceFolder(i int) string {
+	return filepath.Join(d.fleet.Agents[i].Folder, d.fleet.Instances[i].Name)
 }
 
-// killRouter ends one router outright.
-func (s *stage) killRouter(i int) {
-	if _, err := agent.KillRouters(s.fleet.Agents[i].Folder); err != nil {
-		s.say("%v", err)
+func (d *rolloutDrill) killRouter(i int) {
+	if _, err := agent.KillRouters(d.fleet.Agents[i].Folder); err != nil {
+		d.logf("%v", err)
 	}
 }
 
-// hard is what a loop in a shell would do: kill, and wait until the agent has started it again. It changes no
-// revision; what counts is what it costs.
-func (s *stage) hard(ctx context.Context) error {
-	for i := range s.fleet.Instances {
+// restartHard is the baseline, as a loop in a shell would do it: kill each router, and wait until its agent has started it
+// again. It changes no revision; what counts is what it costs clients.
+func (d *rolloutDrill) restartHard(ctx context.Context) error {
+	for i := range d.fleet.Instances {
 		began := time.Now()
-		s.killRouter(i)
-		time.Sleep(100 * time.Millisecond)
-		for {
-			c, err := stand.Dial(s.load.Routers[i], time.Second)
-			if err == nil {
-				_ = c.Close()
-				break
-			}
-			if ctx.Err() != nil {
-				return ctx.Err()
-			}
-			time.Sleep(10 * time.Millisecond)
+		d.killRouter(i)
+		time.Sleep(restartDetectTime)
+		if err := awaitRouter(ctx, d.load.Routers[i]); err != nil {
+			return err
 		}
-		s.steps = append(s.steps, time.Since(began).Seconds())
-		time.Sleep(300 * time.Millisecond)
+		d.stepSeconds = append(d.stepSeconds, time.Since(began).Seconds())
+		time.Sleep(restartPause)
 	}
-	s.report.State = "baseline"
+	d.report.State = baseline
 	return nil
 }
+
+// awaitRouter waits until a router accepts a client.
+func awaitRouter(ctx context.Context, address string) error {
+	for {
+		if c, err := stand.Dial(address, dialTimeout); err == nil {
+			_ = c.Close()
+			return nil
+		}
+		if ctx.Err() != nil {
+			return ctx.Err()
+		}
+		time.Sleep(restartPollInterval)
+	}
+}
--- a/internal/drill/rollout_setup.go
+++ b/internal/drill/rollout_setup.go
@@ -21,192 +21,265 @@
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
 
-// setUp makes keys, fleet file, members and agents.
-func (s *stage) setUp(ctx context.Context) error {
-	// Routers whose agent is killed come to this process, which waits for them at the end.
+const (
+	authorityLasts   = 24 * time.Hour
+	certificateLasts = time.Hour
+
+	agentPort  = ":7400"
+	routerPort = ":5432"
+	maxZones   = 3
+
+	agentsPollInterval = 50 * time.Millisecond
+	killAttempts       = 100
+	killInterval       = 20 * time.Millisecond
+)
+
+// setUp makes the folder, keys and fleet file, and starts database servers, discovery and agents.
+func (d *rolloutDrill) setUp(ctx context.Context) error {
+	// Routers whose agent is killed become children of this process, which waits for them in tearDown.
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("subreaper: %w", err)
 	}
-	if s.dir = s.Keep; s.dir == "" {
-		dir, err := os.MkdirTemp("", "drill")
-		if err != nil {
-			return err
-		}
-		s.dir = dir
+	if err := d.makeFolder(); err != nil {
+		return err
 	}
-	var err error
-	if s.dir, err = filepath.Abs(s.dir); err != nil {
+	if err := d.startMembers(); err != nil {
 		return err
 	}
-	if err := os.MkdirAll(s.dir, 0o700); err != nil {
+	if err := d.writeFleet(); err != nil {
 		return err
 	}
-	s.load = &stand.Load{Clients: clientsEach * s.Instances, Think: 20 * time.Millisecond, Timeout: clientTimeout, Writes: 0.2}
-	for i := range s.member {
-		role := "on"
-		if i == 0 {
-			role = "off"
-		}
-		if s.member[i], err = stand.NewMember(func(q string) []byte {
-			s.load.Seen(q)
-			time.Sleep(memberTime)
-			return stand.Row("v", role)
-		}); err != nil {
+	folder := keys.Folder(filepath.Join(d.folder, "keys"))
+	if err := issueKeys(folder, d.fleet); err != nil {
+		return err
+	}
+	d.agents = make([]*exec.Cmd, len(d.fleet.Agents))
+	for i := range d.fleet.Agents {
+		if err := d.startAgent(i); err != nil {
 			return err
 		}
 	}
-	if s.list, err = stand.NewDiscovery(s.member[0].Entry("a", "ready", "off"), s.member[1].Entry("b", "ready", "on"),
-		s.member[2].Entry("c", "ready", "on")); err != nil {
+	var err error
+	if d.client, err = tool.New(d.fleet, folder, operatorName); err != nil {
 		return err
 	}
-	if err := s.layOut(); err != nil {
-		return err
+	return d.awaitAgents(ctx)
+}
+
+func (d *rolloutDrill) makeFolder() error {
+	d.folder = d.options.Folder
+	if d.folder == "" {
+		temporary, err := os.MkdirTemp("", "drill")
+		if err != nil {
+			return err
+		}
+		d.folder = temporary
 	}
-	folder := keys.Folder(filepath.Join(s.dir, "keys"))
-	if err := folder.MakeAuthority("drill", 24*time.Hour, time.Now()); err != nil {
+	absolute, err := filepath.Abs(d.folder)
+	if err != nil {
 		return err
 	}
-	if err := folder.Issue(keys.Operator, operatorName, time.Hour, time.Now()); err != nil {
-		return err
+	d.folder = absolute
+	return os.MkdirAll(d.folder, 0o700)
+}
+
+// startMembers starts the database servers and their discovery, and makes the load that counts what they are sent.
+func (d *rolloutDrill) startMembers() error {
+	d.load = &stand.Load{
+		Clients: clientsPerRouter * d.options.Instances, Think: clientThinkTime, Timeout: clientTimeout, Writes: writeShare,
 	}
-	s.agents = make([]*exec.Cmd, len(s.fleet.Agents))
-	for i, a := range s.fleet.Agents {
-		if err := folder.Issue(keys.Agent, a.Name, time.Hour, time.Now()); err != nil {
-			return err
+	for i := range d.members {
+		readOnly := "on"
+		if i == 0 {
+			readOnly = "off"
 		}
-		if err := s.startAgent(i); err != nil {
+		member, err := stand.NewMember(func(statement string) []byte {
+			d.load.Seen(statement)
+			time.Sleep(serviceTime)
+			return stand.Row("v", readOnly)
+		})
+		if err != nil {
 			return err
 		}
+		d.members[i] = member
 	}
-	if s.tool, err = tool.New(s.fleet, folder, operatorName); err != nil {
+	discovery, err := stand.NewDiscovery(d.members[0].Entry("a", "ready", "off"), d.members[1].Entry("b", "ready", "on"),
+		d.members[2].Entry("c", "ready", "on"))
+	if err != nil {
 		return err
 	}
-	return s.heard(ctx)
+	d.discovery = discovery
+	return nil
 }
 
-// layOut writes the fleet file: three halls, one agent an instance.
-func (s *stage) layOut() error {
-	away := s.away()
-	f := layout.Fleet{Name: "drill", MinAvailable: s.Instances - away, Times: layout.Times{
-		Soak: 0.3, FreshFor: 1, ContactTimeout: 6, StepTimeout: 60,
-		LeaseTerm: 4, PollInterval: 0.1, ReadyTimeout: 10, DrainGrace: 1,
-	}}
-	halls := min(3, s.Instances/2)
-	counts := make([]int, halls)
-	for i := range s.Instances {
-		hall, agent := i*halls/s.Instances, fmt.Sprint("a", i+1)
-		counts[hall]++
-		host := stand.Host()
-		f.Agents = append(f.Agents, layout.Agent{
-			Name: agent, Zone: fmt.Sprint("hall", hall+1),
-			Listen: netip.MustParseAddrPort(host + ":7400"), Folder: filepath.Join(s.dir, agent), Program: s.Router,
+// allowedUnavailable is how many instances the fleet's minimums allow not to serve: one in its step and, since what is not
+// known counts as not serving, one whose agent is gone.
+func (d *rolloutDrill) allowedUnavailable() int {
+	if d.options.AgentStaysGone {
+		return 2
+	}
+	return 1
+}
+
+// writeFleet writes and loads the fleet file: up to three zones, one agent an instance.
+func (d *rolloutDrill) writeFleet() error {
+	instances, unavailable := d.options.Instances, d.allowedUnavailable()
+	fleet := layout.Fleet{
+		Name: "drill", MinAvailable: instances - unavailable,
+		Times: layout.Times{
+			Soak: 0.3, FreshFor: 1, ContactTimeout: 6, StepTimeout: 60,
+			LeaseTerm: 4, PollInterval: 0.1, ReadyTimeout: 10, DrainGrace: 1,
+		},
+	}
+	zones := min(maxZones, instances/2)
+	zoneSizes := make([]int, zones)
+	for i := range instances {
+		zone, name, host := i*zones/instances, fmt.Sprint("a", i+1), stand.Host()
+		zoneSizes[zone]++
+		fleet.Agents = append(fleet.Agents, layout.Agent{
+			Name: name, Zone: zoneName(zone), Listen: netip.MustParseAddrPort(host + agentPort),
+			Folder: filepath.Join(d.folder, name), Program: d.options.RouterProgram,
 		})
-		f.Instances = append(f.Instances, layout.Instance{
-			Name: fmt.Sprint("n", i+1), Agent: agent,
-			Listen: netip.MustParseAddrPort(host + ":5432"),
+		fleet.Instances = append(fleet.Instances, layout.Instance{
+			Name: fmt.Sprint("n", i+1), Agent: name, Listen: netip.MustParseAddrPort(host + routerPort),
 		})
-		s.load.Routers = append(s.load.Routers, host+":5432")
+		d.load.Routers = append(d.load.Routers, host+routerPort)
 	}
-	for i, n := range counts {
-		f.Zones = append(f.Zones, layout.Zone{Name: fmt.Sprint("hall", i+1), MinAvailable: max(0, n-away)})
+	for zone, size := range zoneSizes {
+		fleet.Zones = append(fleet.Zones, layout.Zone{Name: zoneName(zone), MinAvailable: max(0, size-unavailable)})
 	}
-	path := filepath.Join(s.dir, "fleet.sexp")
-	if err := os.WriteFile(path, f.Text(), 0o600); err != nil {
+	if err := os.WriteFile(d.fleetFile(), fleet.Text(), 0o600); err != nil {
 		return err
 	}
-	var err error
-	s.fleet, err = layout.Load(path)
-	return err
+	loaded, err := layout.Load(d.fleetFile())
+	if err != nil {
+		return err
+	}
+	d.fleet = loaded
+	return nil
+}
+
+func (d *rolloutDrill) fleetFile() string { return filepath.Join(d.folder, "fleet.sexp") }
+
+func zoneName(zone int) string { return fmt.Sprint("hall", zone+1) }
+
+// issueKeys makes an authority, and certificates of the operator and all agents.
+func issueKeys(folder keys.Folder, fleet *layout.Fleet) error {
+	now := time.Now()
+	if err := folder.MakeAuthority("drill", authorityLasts, now); err != nil {
+		return err
+	}
+	if err := folder.Issue(keys.Operator, operatorName, certificateLasts, now); err != nil {
+		return err
+	}
+	for _, a := range fleet.Agents {
+		if err := folder.Issue(keys.Agent, a.Name, certificateLasts, now); err != nil {
+			return err
+		}
+	}
+	return nil
 }
 
-func (s *stage) startAgent(i int) error {
-	name := s.fleet.Agents[i].Name
-	log, err := os.OpenFile(filepath.Join(s.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (d *rolloutDrill) startAgent(i int) error {
+	name := d.fleet.Agents[i].Name
+	log, err := os.OpenFile(filepath.Join(d.folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Close() }()
-	cmd := exec.Command(s.Tool, "agent", "--fleet", filepath.Join(s.dir, "fleet.sexp"), "--name", name,
-		"--keys", filepath.Join(s.dir, "keys"))
+	cmd := exec.Command(d.options.ToolProgram, "agent", "--fleet", d.fleetFile(), "--name", name,
+		"--keys", filepath.Join(d.folder, "keys"))
 	cmd.Stderr = log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt of the drill is the drill's to hand on
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt from the terminal reaches the drill alone
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("agent %s: %w", name, err)
 	}
-	s.mu.Lock()
-	s.agents[i] = cmd
-	s.mu.Unlock()
+	d.mu.Lock()
+	d.agents[i] = cmd
+	d.mu.Unlock()
 	return nil
 }
 
-// heard waits until all agents answer and know their routers.
-func (s *stage) heard(ctx context.Context) error {
+// awaitAgents waits until all agents reply and know their routers.
+func (d *rolloutDrill) awaitAgents(ctx context.Context) error {
 	for {
-		st := s.tool.Status(ctx)
-		ok := true
-		for _, a := range st.Agents {
-			ok = ok && a.Reachable
-		}
-		for _, x := range st.Instances {
-			ok = ok && x.State != plan.ProcessUnknown.String()
-		}
-		if ok {
+		status := d.client.Status(ctx)
+		if agentsAreUp(&status) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("agents do not come up: %+v", st.Agents)
-		case <-time.After(50 * time.Millisecond):
+			return fmt.Errorf("agents do not come up: %+v", status.Agents)
+		case <-time.After(agentsPollInterval):
 		}
 	}
 }
 
-func (s *stage) push(ctx context.Context, sockets int, name string) (string, error) {
-	doc := stand.Deployment(s.list.At, clientTimeout.Seconds(), map[string]any{
+func agentsAreUp(status *tool.Status) bool {
+	for _, a := range status.Agents {
+		if !a.Reachable {
+			return false
+		}
+	}
+	for _, instance := range status.Instances {
+		if instance.State == plan.ProcessUnknown.String() {
+			return false
+		}
+	}
+	return true
+}
+
+// pushRevision has all agents store a revision, and returns its digest. Revisions differ in the limit of sockets.
+func (d *rolloutDrill) pushRevision(ctx context.Context, name string, sockets int) (digest string, err error) {
+	settings := stand.Deployment(d.discovery.At, clientTimeout.Seconds(), map[string]any{
 		"limits": map[string]any{"memory_mb": 48, "sockets": sockets},
 	})
-	content, err := revision.Canonical(name, stand.JSON(doc))
+	content, err := revision.Canonical(name, stand.JSON(settings))
 	if err != nil {
 		return "", err
 	}
-	if p := s.tool.PushRevision(ctx, content, name); len(p.Missing) > 0 {
-		return "", fmt.Errorf("pushing %s: %+v", name, p.Missing)
+	if pushed := d.client.PushRevision(ctx, content, name); len(pushed.Missing) > 0 {
+		return "", fmt.Errorf("pushing %s: %+v", name, pushed.Missing)
 	}
 	return revision.Digest(content), nil
 }
 
-// strike takes everything down again.
-func (s *stage) strike() {
-	if s.tool != nil {
-		s.tool.Close()
+// tearDown ends all processes and servers, also after a setUp that failed, and removes a temporary folder.
+func (d *rolloutDrill) tearDown() {
+	if d.client != nil {
+		d.client.Close()
 	}
-	s.note()
-	s.mu.Lock()
-	for _, cmd := range s.agents {
-		if cmd != nil && cmd.ProcessState == nil {
-			_ = cmd.Process.Kill()
-			_ = cmd.Wait()
-		}
-	}
-	s.mu.Unlock()
-	for range 100 { // until none is left
-		if n, err := agent.KillRouters(s.dir); err != nil || n == 0 {
+	d.noteRouters()
+	d.killAgents()
+	for range killAttempts {
+		if killed, err := agent.KillRouters(d.folder); err != nil || killed == 0 {
 			break
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(killInterval)
 	}
-	for _, pid := range s.orphans {
+	for _, pid := range d.orphans {
 		_, _ = unix.Wait4(pid, nil, unix.WNOHANG, nil)
 	}
-	if s.list != nil {
-		s.list.Close()
+	if d.discovery != nil {
+		d.discovery.Close()
 	}
-	for _, m := range s.member {
-		if m != nil {
-			m.Close()
+	for _, member := range d.members {
+		if member != nil {
+			member.Close()
 		}
 	}
-	if s.Keep == "" && s.dir != "" {
-		_ = os.RemoveAll(s.dir)
+	if d.options.Folder == "" && d.folder != "" {
+		_ = os.RemoveAll(d.folder)
+	}
+}
+
+func (d *rolloutDrill) killAgents() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, cmd := range d.agents {
+		if cmd != nil && cmd.ProcessState == nil {
+			_ = cmd.Process.Kill()
+			_ = cmd.Wait()
+		}
 	}
 }
