--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -150,7 +150,7 @@
 }
 
 func (a *app) drillSizesCommand() *cobra.Command {
-	var options drill.Sizes
+	var options drill.SizeOptions
 	c := &cobra.Command{
 		Use: "sizes", Short: "Measures how a plan step and fleet status grow with the fleet",
 		Long:    "Stand-in agents in this process answer over TLS. The largest fleet by default needs 2,000 descriptors.",
--- a/internal/drill/fleet_size.go
+++ b/internal/drill/fleet_size.go
@@ -9,7 +9,8 @@
 	"os"
 	"path/filepath"
 	"runtime"
-	"sort"
+	"slices"
+	"sync"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -23,167 +24,217 @@
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
-// Sizes is what the measurement of growth is played with: fleets of stand-in agents in this process, each
-// with so many instances, that answer over TLS like real ones.
-type Sizes struct {
-	Instances []int
-	PerAgent  int
-	Rounds    int
+const (
+	readySeconds = 100 // that simulated instances have been ready
+	microseconds = 1e6 // in a second
+	milliseconds = 1e3
+
+	sizeCertificateLasts = 30 * time.Minute
+	planDecisions        = 201 // that the median is of
+)
+
+// SizeOptions are the parameters of the size drill: fleets of simulated agents in this process, which answer over TLS like
+// real ones.
+type SizeOptions struct {
+	Instances []int // of one fleet each
+	PerAgent  int   // instances of one agent
+	Rounds    int   // status requests over established connections
 }
 
-// SizesReport is what it measured; one Size an entry of Instances.
+// SizesReport is how the cost of a planner's decision and of a status request grows with the fleet.
 type SizesReport struct {
 	Report
-	Cores    int     `json:"cores"`
-	PerAgent int     `json:"instances_an_agent"`
-	Sizes    []Size  `json:"sizes"`
-	Plan     float64 `json:"plan_exponent"`   // of the time by the instances, from the smallest to the largest
-	Status   float64 `json:"status_exponent"` // the same, over connections that stand
+	Cores          int     `json:"cores"`
+	PerAgent       int     `json:"instances_an_agent"`
+	Sizes          []Size  `json:"sizes"`           // one for each of SizeOptions.Instances
+	PlanExponent   float64 `json:"plan_exponent"`   // of time over instances, from the first size to the last
+	StatusExponent float64 `json:"status_exponent"` // the same, over established connections
 }
 
-// Size is one fleet's figures: medians.
+// Size holds the figures of one fleet.
 type Size struct {
-	Instances int     `json:"instances"`
-	Agents    int     `json:"agents"`
-	PlanUs    float64 `json:"plan_step_us"`
-	FirstMs   float64 `json:"status_first_ms"` // with a handshake each
-	StatusMs  float64 `json:"status_ms"`
-	StatusMax float64 `json:"status_most_ms"`
+	Instances        int     `json:"instances"`
+	Agents           int     `json:"agents"`
+	PlanMicroseconds float64 `json:"plan_step_us"`    // median
+	FirstStatusMs    float64 `json:"status_first_ms"` // with a TLS handshake for each agent
+	MedianStatusMs   float64 `json:"status_ms"`
+	MaxStatusMs      float64 `json:"status_most_ms"`
 }
 
-// canned is a stand-in agent: it tells of instances that serve.
-type canned struct {
-	name  string
-	names []string
+// staticAgent is a simulated agent that reports all its instances as serving.
+type staticAgent struct {
+	name          string
+	instanceNames []string
 }
 
 // Handle implements api.Handler.
-func (c *canned) Handle(_ context.Context, _ string, call form.Request) (form.Reply, error) {
-	if call.Verb != form.StatusVerb {
+func (a *staticAgent) Handle(_ context.Context, _ string, request form.Request) (form.Reply, error) {
+	if request.Verb != form.StatusVerb {
 		return form.Reply{Failure: "this agent only looks"}, nil
 	}
-	r := form.Reply{Agent: c.name, Program: "stand-in", LeaseState: claim.State{Epoch: 3}}
-	for _, n := range c.names {
-		r.Instances = append(r.Instances, form.InstanceStatus{Name: n, Listen: "127.0.0.1:5432", Observation: plan.Observation{
-			State:    plan.ProcessReady,
-			Revision: "0123456789abcdef0123456789abcdef", RecentCommands: plan.CommandCounts{Completed: 1000, Unanswered: 3}, ReadySeconds: 100,
-		}})
+	reply := form.Reply{Agent: a.name, Program: "stand-in", LeaseState: claim.State{Epoch: 3}}
+	for _, name := range a.instanceNames {
+		reply.Instances = append(reply.Instances, form.InstanceStatus{
+			Name: name, Listen: "127.0.0.1:5432",
+			Observation: plan.Observation{
+				State:          plan.ProcessReady,
+				Revision:       "0123456789abcdef0123456789abcdef",
+				RecentCommands: plan.CommandCounts{Completed: 1000, Unanswered: 3},
+				ReadySeconds:   readySeconds,
+			},
+		})
 	}
-	return r, nil
+	return reply, nil
 }
 
-// RunSizes measures.
-func RunSizes(ctx context.Context, s Sizes) (SizesReport, error) {
+// RunSizes runs the size drill. It returns an error if a fleet could not be set up, or ctx is canceled.
+func RunSizes(ctx context.Context, options SizeOptions) (SizesReport, error) {
 	began := time.Now()
-	r := SizesReport{Report: Report{Drill: "sizes", OK: true}, Cores: runtime.GOMAXPROCS(0), PerAgent: s.PerAgent}
-	for _, n := range s.Instances {
-		size, err := measure(ctx, s, n, &r)
+	report := SizesReport{Report: Report{Drill: "sizes", OK: true}, Cores: runtime.GOMAXPROCS(0), PerAgent: options.PerAgent}
+	for _, instances := range options.Instances {
+		size, err := measureSize(ctx, options, instances, &report)
 		if err != nil {
-			return r, fmt.Errorf("%d instances: %w", n, err)
+			return report, fmt.Errorf("%d instances: %w", instances, err)
 		}
-		r.Sizes = append(r.Sizes, size)
+		report.Sizes = append(report.Sizes, size)
 	}
-	if last := len(r.Sizes) - 1; last > 0 {
-		a, b := r.Sizes[0], r.Sizes[last]
-		grown := math.Log(float64(b.Instances) / float64(a.Instances))
-		r.Plan = math.Log(b.PlanUs/a.PlanUs) / grown
-		r.Status = math.Log(b.StatusMs/a.StatusMs) / grown
+	if last := len(report.Sizes) - 1; last > 0 {
+		smallest, largest := report.Sizes[0], report.Sizes[last]
+		growth := math.Log(float64(largest.Instances) / float64(smallest.Instances))
+		report.PlanExponent = math.Log(largest.PlanMicroseconds/smallest.PlanMicroseconds) / growth
+		report.StatusExponent = math.Log(largest.MedianStatusMs/smallest.MedianStatusMs) / growth
 	}
-	r.Seconds = time.Since(began).Seconds()
-	return r, ctx.Err()
+	report.Seconds = time.Since(began).Seconds()
+	return report, ctx.Err()
 }
 
-func measure(ctx context.Context, s Sizes, n int, r *SizesReport) (Size, error) {
-	dir, err := os.MkdirTemp("", "sizes")
+// measureSize measures one fleet. Wrong answers fail the report.
+func measureSize(ctx context.Context, options SizeOptions, instances int, report *SizesReport) (Size, error) {
+	fleet, err := startSimulatedFleet(instances, options.PerAgent)
+	defer fleet.close()
 	if err != nil {
 		return Size{}, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }()
-	folder := keys.Folder(filepath.Join(dir, "keys"))
-	if err := folder.MakeAuthority("sizes", time.Hour, time.Now()); err != nil {
+	client, err := tool.New(fleet.file, fleet.keys, operatorName)
+	if err != nil {
 		return Size{}, err
 	}
-	if err := folder.Issue(keys.Operator, operatorName, time.Minute*30, time.Now()); err != nil {
-		return Size{}, err
+	defer client.Close()
+	size := Size{Instances: instances, Agents: len(fleet.file.Agents), PlanMicroseconds: measurePlan(fleet.file.PlannerFleet())}
+	timeStatus := func() float64 {
+		began := time.Now()
+		status := client.Status(ctx)
+		elapsed := time.Since(began).Seconds() * milliseconds
+		if status.Serving != instances {
+			report.Fail("status with %d instances told of %d", instances, status.Serving)
+		}
+		return elapsed
 	}
-	f := &layout.Fleet{
-		Name: "sizes", MinAvailable: n - 1, Zones: []layout.Zone{{Name: "h", MinAvailable: n - 1}},
-		Times: layout.Times{Soak: 1, FreshFor: 10, ContactTimeout: 30, StepTimeout: 60, LeaseTerm: 60, PollInterval: 5, ReadyTimeout: 10},
+	size.FirstStatusMs = timeStatus()
+	var elapsed []float64
+	for range options.Rounds {
+		elapsed = append(elapsed, timeStatus())
 	}
-	var servers []*api.Server
-	defer func() {
-		for _, x := range servers {
-			x.Close()
-		}
-	}()
-	for first := 0; first < n; first += s.PerAgent {
-		a := &canned{name: fmt.Sprint("a", first/s.PerAgent)}
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			return Size{}, err
-		}
-		for i := first; i < min(n, first+s.PerAgent); i++ {
-			a.names = append(a.names, fmt.Sprint("n", i))
-			f.Instances = append(f.Instances, layout.Instance{
-				Name: fmt.Sprint("n", i), Agent: a.name,
-				Listen: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 5432),
-			})
-		}
-		if err := folder.Issue(keys.Agent, a.name, time.Minute*30, time.Now()); err != nil {
-			return Size{}, err
+	slices.Sort(elapsed)
+	size.MedianStatusMs = elapsed[len(elapsed)/2]
+	size.MaxStatusMs = elapsed[len(elapsed)-1]
+	return size, nil
+}
+
+// simulatedFleet is a fleet of static agents that serve on loopback.
+type simulatedFleet struct {
+	folder  string // temporary
+	keys    keys.Folder
+	file    *layout.Fleet
+	servers []*api.Server
+	serving sync.WaitGroup
+}
+
+// startSimulatedFleet starts as many agents as the instances need. The fleet must be closed, also if an error is returned.
+func startSimulatedFleet(instances, perAgent int) (*simulatedFleet, error) {
+	folder, err := os.MkdirTemp("", "sizes")
+	if err != nil {
+		return &simulatedFleet{}, err
+	}
+	f := &simulatedFleet{folder: folder, keys: keys.Folder(filepath.Join(folder, "keys"))}
+	if err := f.keys.MakeAuthority("sizes", time.Hour, time.Now()); err != nil {
+		return f, err
+	}
+	if err := f.keys.Issue(keys.Operator, operatorName, sizeCertificateLasts, time.Now()); err != nil {
+		return f, err
+	}
+	f.file = &layout.Fleet{
+		Name: "sizes", MinAvailable: instances - 1, Zones: []layout.Zone{{Name: "h", MinAvailable: instances - 1}},
+		Times: layout.Times{
+			Soak: 1, FreshFor: 10, ContactTimeout: 30, StepTimeout: 60, LeaseTerm: 60, PollInterval: 5, ReadyTimeout: 10,
+		},
+	}
+	for first := 0; first < instances; first += perAgent {
+		if err := f.startAgent(fmt.Sprint("a", first/perAgent), first, min(instances, first+perAgent)); err != nil {
+			return f, err
 		}
-		f.Agents = append(f.Agents, layout.Agent{
-			Name: a.name, Zone: "h", Folder: dir, Program: "none",
-			Listen: netip.MustParseAddrPort(l.Addr().String()),
+	}
+	f.file, err = layout.Parse("sizes", f.file.Text())
+	return f, err
+}
+
+// startAgent starts an agent that has the instances from first up to, not including, end.
+func (f *simulatedFleet) startAgent(name string, first, end int) error {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	handler := &staticAgent{name: name}
+	for i := first; i < end; i++ {
+		instance := fmt.Sprint("n", i)
+		handler.instanceNames = append(handler.instanceNames, instance)
+		f.file.Instances = append(f.file.Instances, layout.Instance{
+			Name: instance, Agent: name,
+			Listen: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 5432),
 		})
-		server := api.NewServer(l, a, folder.Source(keys.Agent, a.name), api.SupportedVersions, zerolog.Nop())
-		servers = append(servers, server)
-		go func() { _ = server.Serve() }()
 	}
-	if f, err = layout.Parse("sizes", f.Text()); err != nil {
-		return Size{}, err
+	if err := f.keys.Issue(keys.Agent, name, sizeCertificateLasts, time.Now()); err != nil {
+		_ = listener.Close()
+		return err
 	}
-	t, err := tool.New(f, folder, operatorName)
-	if err != nil {
-		return Size{}, err
+	f.file.Agents = append(f.file.Agents, layout.Agent{
+		Name: name, Zone: "h", Folder: f.folder, Program: "none",
+		Listen: netip.MustParseAddrPort(listener.Addr().String()),
+	})
+	server := api.NewServer(listener, handler, f.keys.Source(keys.Agent, name), api.SupportedVersions, zerolog.Nop())
+	f.servers = append(f.servers, server)
+	f.serving.Go(func() { _ = server.Serve() }) // ends when close closes the server
+	return nil
+}
+
+// close ends the agents and removes the folder.
+func (f *simulatedFleet) close() {
+	for _, server := range f.servers {
+		server.Close()
 	}
-	defer t.Close()
-	size := Size{Instances: n, Agents: len(f.Agents), PlanUs: planStep(f.PlannerFleet())}
-	var took []float64
-	for i := range s.Rounds + 1 {
-		from := time.Now()
-		st := t.Status(ctx)
-		ms := time.Since(from).Seconds() * 1000
-		if st.Serving != n {
-			r.Fail("status with %d instances told of %d", n, st.Serving)
-		}
-		if i == 0 {
-			size.FirstMs = ms
-		} else {
-			took = append(took, ms)
-		}
+	f.serving.Wait()
+	if f.folder != "" {
+		_ = os.RemoveAll(f.folder)
 	}
-	sort.Float64s(took)
-	size.StatusMs, size.StatusMax = took[len(took)/2], took[len(took)-1]
-	return size, nil
 }
 
-// planStep is the median time of a decision over a fleet of which half is done, in microseconds.
-func planStep(f *plan.Fleet) float64 {
-	sights := make([]plan.Observation, len(f.Instances))
-	for i := range sights {
-		sights[i] = plan.Observation{State: plan.ProcessReady, Revision: "a"}
-		if i < len(sights)/2 {
-			sights[i].LastStep, sights[i].LastResult = plan.Step{RolloutID: "r", Number: 1}, plan.StepSucceeded
+// measurePlan returns the median time in microseconds of a planner's decision over a fleet of which half is done.
+func measurePlan(fleet *plan.Fleet) float64 {
+	observations := make([]plan.Observation, len(fleet.Instances))
+	for i := range observations {
+		observations[i] = plan.Observation{State: plan.ProcessReady, Revision: "a"}
+		if i < len(observations)/2 {
+			observations[i].LastStep = plan.Step{RolloutID: "r", Number: 1}
+			observations[i].LastResult = plan.StepSucceeded
 		}
 	}
-	p := plan.NewPlanner(f, plan.Rollout{ID: "r", Revision: "b", State: plan.Running})
-	var took []float64
-	for range 201 {
-		from := time.Now()
-		p.Next(0, sights, plan.RequestNone)
-		took = append(took, time.Since(from).Seconds()*1e6)
+	planner := plan.NewPlanner(fleet, plan.Rollout{ID: "r", Revision: "b", State: plan.Running})
+	var elapsed []float64
+	for range planDecisions {
+		began := time.Now()
+		planner.Next(0, observations, plan.RequestNone)
+		elapsed = append(elapsed, time.Since(began).Seconds()*microseconds)
 	}
-	sort.Float64s(took)
-	return took[len(took)/2]
+	slices.Sort(elapsed)
+	return elapsed[len(elapsed)/2]
 }
