--- /dev/null
+++ b/internal/cli/fleet_drive.go
@@ -0,0 +1,179 @@
+package cli
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+
+	"github.com/spf13/cobra"
+
+	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/tool"
+)
+
+// driveFlags are the flags of commands that drive a rollout.
+type driveFlags struct {
+	takeOver  bool
+	leaveOut  []string // names of instances
+	traceFile string   // empty: no trace
+}
+
+func (f *driveFlags) register(c *cobra.Command) {
+	c.Flags().BoolVar(&f.takeOver, "take-over", false, "take the claim also from a tool that holds it; that one is fenced off")
+	c.Flags().StringSliceVar(&f.leaveOut, "leave-out", nil, "instances that this run goes on without, known or not")
+	c.Flags().StringVar(&f.traceFile, "trace", "", "file for OpenTelemetry spans of the rollout and its steps")
+}
+
+// excludedInstances returns the numbers of the instances that are left out.
+func (f *driveFlags) excludedInstances(names []string) ([]int, error) {
+	var excluded []int
+	for _, name := range f.leaveOut {
+		instance := slices.Index(names, name)
+		if instance < 0 {
+			return nil, exitErrorf(ExitUsage, "--leave-out: there is no instance %s", name)
+		}
+		excluded = append(excluded, instance)
+	}
+	return excluded, nil
+}
+
+// drive carries a task out, shows its progress, and returns its outcome as an exit error.
+func (a *app) drive(ctx context.Context, client *tool.Client, task roll.Task, flags *driveFlags) error {
+	names := client.Fleet.InstanceNames()
+	excluded, err := flags.excludedInstances(names)
+	if err != nil {
+		return err
+	}
+	task.Takeover = flags.takeOver
+	task.ExcludedInstances = append(task.ExcludedInstances, excluded...)
+	var trace *tool.Trace
+	if flags.traceFile != "" {
+		if trace, err = client.NewTrace(flags.traceFile); err != nil {
+			return exitError(ExitUsage, err)
+		}
+	}
+	bar := a.newProgressBar(len(names))
+	outcome := client.Drive(ctx, task, func(view roll.View, events []roll.Event) {
+		if trace != nil {
+			trace.Record(view, events)
+		}
+		for _, event := range events {
+			a.logEvent(client, event)
+		}
+		bar.update(view)
+	})
+	bar.stop()
+	if trace != nil {
+		if err := trace.Close(outcome); err != nil {
+			a.log.Error().Err(err).Str("file", flags.traceFile).Msg("trace not written")
+		}
+	}
+	return a.reportOutcome(client, outcome)
+}
+
+func (a *app) logEvent(client *tool.Client, event roll.Event) {
+	name := ""
+	if i := event.Step.Instance; event.Step.Number != 0 && i < len(client.Fleet.Instances) {
+		name = client.Fleet.Instances[i].Name
+	}
+	switch {
+	case event.AcquiredEpoch != 0:
+		a.log.Info().Uint64("epoch", event.AcquiredEpoch).Msg("lease acquired")
+	case event.StepRefusal != "":
+		a.log.Warn().Str("instance", name).Str("reason", event.StepRefusal).Msg("step rejected by the agent")
+	case event.Action == plan.ActionBeginStep:
+		a.log.Info().Str("instance", name).Uint64("step", event.Step.Number).Bool("rollback", event.Step.Rollback).Msg("step begun")
+	case event.Action == plan.ActionCompleteStep:
+		a.log.Info().Str("instance", name).Uint64("step", event.Step.Number).Msg("step ended")
+	case event.Action == plan.ActionStartRollback:
+		a.log.Warn().Str("reason", client.Explain(event.Reason)).Msg("rollback started")
+	}
+}
+
+// driveReport is what a command that drove a rollout prints.
+type driveReport struct {
+	Outcome string              `json:"outcome"`
+	Why     string              `json:"why,omitempty"`
+	Rollout *tool.RolloutStatus `json:"rollout,omitempty"`
+	Faults  []string            `json:"faults,omitempty"`
+}
+
+// reportOutcome shows how a rollout's driver ended, and returns the exit error that it stands for.
+func (a *app) reportOutcome(client *tool.Client, outcome roll.Outcome) error {
+	rollout := client.DescribeRollout(outcome.Rollout)
+	report := driveReport{Outcome: rollout.State, Why: rollout.Why, Rollout: rollout, Faults: outcome.Faults}
+	var exit error
+	if outcome.Kind == roll.OutcomeEnded {
+		exit = endedRolloutError(outcome, rollout)
+	} else if unfinished := describeUnfinished(client, outcome, rollout); unfinished.outcome != "" {
+		report.Outcome, report.Why = unfinished.outcome, unfinished.why
+		exit = exitError(unfinished.code, errors.New(unfinished.why))
+	}
+	if err := a.show(report, func(out io.Writer) {
+		printf(out, "rollout %s: %s\n", rollout.ID, report.Outcome)
+		for _, fault := range outcome.Faults {
+			printf(out, "%s\n", fault)
+		}
+	}); err != nil {
+		return err
+	}
+	return exit
+}
+
+// endedRolloutError is the exit error of a rollout that ended or paused, or nil if it ended as the operator asked.
+func endedRolloutError(outcome roll.Outcome, rollout *tool.RolloutStatus) error {
+	if outcome.Reason.Kind == plan.ReasonOperator {
+		return nil
+	}
+	switch outcome.Rollout.State {
+	case plan.Paused:
+		err := fmt.Errorf("the rollout is paused: %s", rollout.Why)
+		if rollout.RollingBack {
+			err = fmt.Errorf("%w; it was going back: %s", err, rollout.Cause)
+		}
+		return exitError(ExitPaused, err)
+	case plan.RolledBack:
+		return exitErrorf(ExitFailed, "the rollout went back: %s", rollout.Why)
+	case plan.None, plan.Running, plan.Complete, plan.Aborted:
+	}
+	return nil
+}
+
+// unfinishedDrive is how a driver ended that did not bring the rollout to its end.
+type unfinishedDrive struct {
+	outcome string
+	why     string
+	code    ExitCode
+}
+
+func rejectedDrive(format string, args ...any) unfinishedDrive {
+	return unfinishedDrive{outcome: "refused", why: fmt.Sprintf(format, args...), code: ExitRejected}
+}
+
+func describeUnfinished(client *tool.Client, outcome roll.Outcome, rollout *tool.RolloutStatus) unfinishedDrive {
+	holder := outcome.Holder
+	switch outcome.Kind {
+	case roll.OutcomeEnded: // reportOutcome looks at the rollout's state instead
+	case roll.OutcomeLeaseHeld:
+		return rejectedDrive("%s holds the claim since %.0f s, for %.0f s more unless renewed; --take-over fences it off",
+			holder.Holder, holder.HeldSeconds, holder.RemainingSeconds)
+	case roll.OutcomeFenced:
+		return unfinishedDrive{"fenced", "the claim was taken over by " + holder.Holder, ExitRejected}
+	case roll.OutcomeNoMajority:
+		return unfinishedDrive{"paused", "no majority of agents can be heard: nothing more was begun", ExitPaused}
+	case roll.OutcomeUnfinishedRollout:
+		return rejectedDrive("rollout %s by %s is %s: resume, abort or roll it back first", rollout.ID, rollout.StartedBy, rollout.State)
+	case roll.OutcomeInfeasible:
+		return rejectedDrive("no step is possible: %s", client.Explain(outcome.Reason))
+	case roll.OutcomeNoRollout:
+		return rejectedDrive("there is no rollout to go on with")
+	case roll.OutcomeOtherFleet:
+		return rejectedDrive("the rollout goes over another list of instances than this fleet file's")
+	case roll.OutcomeInterrupted:
+		return unfinishedDrive{"paused", "interrupted; the claim was given back, and fleet resume goes on", ExitPaused}
+	}
+	return unfinishedDrive{}
+}
--- /dev/null
+++ b/internal/cli/output.go
@@ -0,0 +1,45 @@
+package cli
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+
+	"github.com/jedib0t/go-pretty/v6/table"
+	"github.com/spf13/cobra"
+)
+
+// addJSONFlag gives a command the flag --json, which show looks at.
+func (a *app) addJSONFlag(cmd *cobra.Command) {
+	cmd.Flags().BoolVar(&a.asJSON, "json", false, "print one JSON object on standard output")
+}
+
+// show prints a value on standard output: as one line of JSON with --json, else as printText writes it for people.
+func (a *app) show(value any, printText func(out io.Writer)) error {
+	if !a.asJSON {
+		printText(a.stdout)
+		return nil
+	}
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		return fmt.Errorf("json: %w", err)
+	}
+	_, err = fmt.Fprintf(a.stdout, "%s\n", encoded)
+	return err
+}
+
+// printf writes text for people. A reader that has gone away, as in a pipe to head, is no failure of the command.
+func printf(out io.Writer, format string, args ...any) {
+	_, _ = fmt.Fprintf(out, format, args...)
+}
+
+// newTable returns a table for people that renders to out.
+func newTable(out io.Writer, columns ...any) table.Writer {
+	t := table.NewWriter()
+	t.SetOutputMirror(out)
+	style := table.StyleLight
+	style.Options = table.OptionsNoBordersAndSeparators
+	t.SetStyle(style)
+	t.AppendHeader(table.Row(columns))
+	return t
+}
--- /dev/null
+++ b/internal/drill/fleet_size.go
@@ -0,0 +1,240 @@
+package drill
+
+import (
+	"context"
+	"fmt"
+	"math"
+	"net"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"runtime"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"stoatdale.example/stoatdale/internal/fleet/api"
+	"stoatdale.example/stoatdale/internal/fleet/claim"
+	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/tool"
+	"stoatdale.example/stoatdale/internal/keys"
+)
+
+const (
+	readySeconds = 100 // that simulated instances have been ready
+	microseconds = 1e6 // in a second
+	milliseconds = 1e3
+
+	sizeCertificateLasts = 30 * time.Minute
+	planDecisions        = 201 // that the median is of
+)
+
+// SizeOptions are the parameters of the size drill: fleets of simulated agents in this process, which answer over TLS like
+// real ones.
+type SizeOptions struct {
+	Instances []int // of one fleet each
+	PerAgent  int   // instances of one agent
+	Rounds    int   // status requests over established connections
+}
+
+// SizesReport is how the cost of a planner's decision and of a status request grows with the fleet.
+type SizesReport struct {
+	Report
+	Cores          int     `json:"cores"`
+	PerAgent       int     `json:"instances_an_agent"`
+	Sizes          []Size  `json:"sizes"`           // one for each of SizeOptions.Instances
+	PlanExponent   float64 `json:"plan_exponent"`   // of time over instances, from the first size to the last
+	StatusExponent float64 `json:"status_exponent"` // the same, over established connections
+}
+
+// Size holds the figures of one fleet.
+type Size struct {
+	Instances        int     `json:"instances"`
+	Agents           int     `json:"agents"`
+	PlanMicroseconds float64 `json:"plan_step_us"`    // median
+	FirstStatusMs    float64 `json:"status_first_ms"` // with a TLS handshake for each agent
+	MedianStatusMs   float64 `json:"status_ms"`
+	MaxStatusMs      float64 `json:"status_most_ms"`
+}
+
+// staticAgent is a simulated agent that reports all its instances as serving.
+type staticAgent struct {
+	name          string
+	instanceNames []string
+}
+
+// Handle implements api.Handler.
+func (a *staticAgent) Handle(_ context.Context, _ string, request form.Request) (form.Reply, error) {
+	if request.Verb != form.StatusVerb {
+		return form.Reply{Failure: "this agent only looks"}, nil
+	}
+	reply := form.Reply{Agent: a.name, Program: "stand-in", LeaseState: claim.State{Epoch: 3}}
+	for _, name := range a.instanceNames {
+		reply.Instances = append(reply.Instances, form.InstanceStatus{
+			Name: name, Listen: "127.0.0.1:5432",
+			Observation: plan.Observation{
+				State:          plan.ProcessReady,
+				Revision:       "0123456789abcdef0123456789abcdef",
+				RecentCommands: plan.CommandCounts{Completed: 1000, Unanswered: 3},
+				ReadySeconds:   readySeconds,
+			},
+		})
+	}
+	return reply, nil
+}
+
+// RunSizes runs the size drill. It returns an error if a fleet could not be set up, or ctx is canceled.
+func RunSizes(ctx context.Context, options SizeOptions) (SizesReport, error) {
+	began := time.Now()
+	report := SizesReport{Report: Report{Drill: "sizes", OK: true}, Cores: runtime.GOMAXPROCS(0), PerAgent: options.PerAgent}
+	for _, instances := range options.Instances {
+		size, err := measureSize(ctx, options, instances, &report)
+		if err != nil {
+			return report, fmt.Errorf("%d instances: %w", instances, err)
+		}
+		report.Sizes = append(report.Sizes, size)
+	}
+	if last := len(report.Sizes) - 1; last > 0 {
+		smallest, largest := report.Sizes[0], report.Sizes[last]
+		growth := math.Log(float64(largest.Instances) / float64(smallest.Instances))
+		report.PlanExponent = math.Log(largest.PlanMicroseconds/smallest.PlanMicroseconds) / growth
+		report.StatusExponent = math.Log(largest.MedianStatusMs/smallest.MedianStatusMs) / growth
+	}
+	report.Seconds = time.Since(began).Seconds()
+	return report, ctx.Err()
+}
+
+// measureSize measures one fleet. Wrong answers fail the report.
+func measureSize(ctx context.Context, options SizeOptions, instances int, report *SizesReport) (Size, error) {
+	fleet, err := startSimulatedFleet(instances, options.PerAgent)
+	defer fleet.close()
+	if err != nil {
+		return Size{}, err
+	}
+	client, err := tool.New(fleet.file, fleet.keys, operatorName)
+	if err != nil {
+		return Size{}, err
+	}
+	defer client.Close()
+	size := Size{Instances: instances, Agents: len(fleet.file.Agents), PlanMicroseconds: measurePlan(fleet.file.PlannerFleet())}
+	timeStatus := func() float64 {
+		began := time.Now()
+		status := client.Status(ctx)
+		elapsed := time.Since(began).Seconds() * milliseconds
+		if status.Serving != instances {
+			report.Fail("status with %d instances told of %d", instances, status.Serving)
+		}
+		return elapsed
+	}
+	size.FirstStatusMs = timeStatus()
+	var elapsed []float64
+	for range options.Rounds {
+		elapsed = append(elapsed, timeStatus())
+	}
+	slices.Sort(elapsed)
+	size.MedianStatusMs = elapsed[len(elapsed)/2]
+	size.MaxStatusMs = elapsed[len(elapsed)-1]
+	return size, nil
+}
+
+// simulatedFleet is a fleet of static agents that serve on loopback.
+type simulatedFleet struct {
+	folder  string // temporary
+	keys    keys.Folder
+	file    *layout.Fleet
+	servers []*api.Server
+	serving sync.WaitGroup
+}
+
+// startSimulatedFleet starts as many agents as the instances need. The fleet must be closed, also if an error is returned.
+func startSimulatedFleet(instances, perAgent int) (*simulatedFleet, error) {
+	folder, err := os.MkdirTemp("", "sizes")
+	if err != nil {
+		return &simulatedFleet{}, err
+	}
+	f := &simulatedFleet{folder: folder, keys: keys.Folder(filepath.Join(folder, "keys"))}
+	if err := f.keys.MakeAuthority("sizes", time.Hour, time.Now()); err != nil {
+		return f, err
+	}
+	if err := f.keys.Issue(keys.Operator, operatorName, sizeCertificateLasts, time.Now()); err != nil {
+		return f, err
+	}
+	f.file = &layout.Fleet{
+		Name: "sizes", MinAvailable: instances - 1, Zones: []layout.Zone{{Name: "h", MinAvailable: instances - 1}},
+		Times: layout.Times{
+			Soak: 1, FreshFor: 10, ContactTimeout: 30, StepTimeout: 60, LeaseTerm: 60, PollInterval: 5, ReadyTimeout: 10,
+		},
+	}
+	for first := 0; first < instances; first += perAgent {
+		if err := f.startAgent(fmt.Sprint("a", first/perAgent), first, min(instances, first+perAgent)); err != nil {
+			return f, err
+		}
+	}
+	f.file, err = layout.Parse("sizes", f.file.Text())
+	return f, err
+}
+
+// startAgent starts an agent that has the instances from first up to, not including, end.
+func (f *simulatedFleet) startAgent(name string, first, end int) error {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	handler := &staticAgent{name: name}
+	for i := first; i < end; i++ {
+		instance := fmt.Sprint("n", i)
+		handler.instanceNames = append(handler.instanceNames, instance)
+		f.file.Instances = append(f.file.Instances, layout.Instance{
+			Name: instance, Agent: name,
+			Listen: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 5432),
+		})
+	}
+	if err := f.keys.Issue(keys.Agent, name, sizeCertificateLasts, time.Now()); err != nil {
+		_ = listener.Close()
+		return err
+	}
+	f.file.Agents = append(f.file.Agents, layout.Agent{
+		Name: name, Zone: "h", Folder: f.folder, Program: "none",
+		Listen: netip.MustParseAddrPort(listener.Addr().String()),
+	})
+	server := api.NewServer(listener, handler, f.keys.Source(keys.Agent, name), api.SupportedVersions, zerolog.Nop())
+	f.servers = append(f.servers, server)
+	f.serving.Go(func() { _ = server.Serve() }) // ends when close closes the server
+	return nil
+}
+
+// close ends the agents and removes the folder.
+func (f *simulatedFleet) close() {
+	for _, server := range f.servers {
+		server.Close()
+	}
+	f.serving.Wait()
+	if f.folder != "" {
+		_ = os.RemoveAll(f.folder)
+	}
+}
+
+// measurePlan returns the median time in microseconds of a planner's decision over a fleet of which half is done.
+func measurePlan(fleet *plan.Fleet) float64 {
+	observations := make([]plan.Observation, len(fleet.Instances))
+	for i := range observations {
+		observations[i] = plan.Observation{State: plan.ProcessReady, Revision: "a"}
+		if i < len(observations)/2 {
+			observations[i].LastStep = plan.Step{RolloutID: "r", Number: 1}
+			observations[i].LastResult = plan.StepSucceeded
+		}
+	}
+	planner := plan.NewPlanner(fleet, plan.Rollout{ID: "r", Revision: "b", State: plan.Running})
+	var elapsed []float64
+	for range planDecisions {
+		began := time.Now()
+		planner.Next(0, observations, plan.RequestNone)
+		elapsed = append(elapsed, time.Since(began).Seconds()*microseconds)
+	}
+	slices.Sort(elapsed)
+	return elapsed[len(elapsed)/2]
+}
--- /dev/null
+++ b/internal/drill/rollout_check.go
@@ -0,0 +1,208 @@
+package drill
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"stoatdale.example/stoatdale/internal/fleet/agent"
+	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/lab/stand"
+)
+
+const (
+	servingPollInterval = 25 * time.Millisecond
+	queryTimeout        = time.Second
+	configFile          = "config.json"
+
+	minCommandsPerRouter = 10 // fewer are no load to judge by
+)
+
+// watchServing follows which routers serve, and the least number of them at one moment, until ctx is canceled. Its
+// goroutines run in the group.
+func (d *rolloutDrill) watchServing(ctx context.Context, watchers *sync.WaitGroup) {
+	serving := make([]atomic.Bool, d.options.Instances)
+	for i := range serving {
+		serving[i].Store(true)
+		watchers.Go(func() { watchRouter(ctx, d.load.Routers[i], &serving[i]) })
+	}
+	watchers.Go(func() {
+		for ctx.Err() == nil {
+			count := int64(0)
+			for i := range serving {
+				if serving[i].Load() {
+					count++
+				}
+			}
+			d.minServing.Store(min(d.minServing.Load(), count))
+			time.Sleep(servingPollInterval)
+		}
+	})
+}
+
+// watchRouter stores, again and again, whether a router answers an empty query on a connection of the watcher's own.
+func watchRouter(ctx context.Context, address string, serving *atomic.Bool) {
+	var c *stand.Client
+	defer func() {
+		if c != nil {
+			_ = c.Close()
+		}
+	}()
+	for ctx.Err() == nil {
+		var err error
+		if c != nil {
+			if _, _, err = c.Ask("", queryTimeout); err != nil { // a router closes connections that are idle for long
+				_ = c.Close()
+				c = nil
+			}
+		}
+		if c == nil {
+			if c, err = stand.Dial(address, dialTimeout); err == nil {
+				_, _, err = c.Ask("", queryTimeout)
+			}
+		}
+		serving.Store(err == nil)
+		time.Sleep(servingPollInterval)
+	}
+}
+
+// recordCounts takes what the load has counted, with the response times of answered commands, into the report.
+func (d *rolloutDrill) recordCounts(counts stand.Counts, responseTimes []time.Duration) {
+	r := d.report
+	r.CommandsSent = counts.Asked
+	r.Answered = counts.Answered
+	r.Rejected = counts.Throttled
+	r.Failed = counts.Failed
+	r.Lost = counts.Lost
+	r.Late = counts.Late
+	r.ConnectionsClosed = counts.Turned
+	r.RanTwice = counts.Doubled
+	r.MinServing = int(d.minServing.Load())
+	slices.Sort(responseTimes)
+	if n := len(responseTimes); n > 0 {
+		r.MedianMs = responseTimes[n/2].Seconds() * 1000
+		r.P999Ms = responseTimes[n*999/1000].Seconds() * 1000
+	}
+	slices.Sort(d.stepSeconds)
+	if n := len(d.stepSeconds); n > 0 {
+		r.StepMedianSeconds = d.stepSeconds[n/2]
+		r.StepMaxSeconds = d.stepSeconds[n-1]
+	}
+}
+
+// check looks at the processes, files and answers that are there at the end, and at what the load counted.
+func (d *rolloutDrill) check(ctx context.Context) error {
+	if d.options.Fault == faultStray {
+		if err := os.WriteFile(filepath.Join(d.instanceFolder(0), configFile), []byte("{}"), 0o600); err != nil {
+			return err
+		}
+	}
+	if d.options.HardRestart {
+		return nil
+	}
+	if err := d.checkInstances(ctx); err != nil {
+		return err
+	}
+	d.checkCounts()
+	return nil
+}
+
+// checkInstances checks that each instance runs the second revision in one process, but for one whose agent stays gone:
+// that agent may have told it to end.
+func (d *rolloutDrill) checkInstances(ctx context.Context) error {
+	running, err := agent.RunningRouters(d.folder)
+	if err != nil {
+		return err
+	}
+	content, err := d.client.RevisionContent(ctx, d.secondRevision)
+	if err != nil {
+		return err
+	}
+	d.report.Consistent = true
+	for i, instance := range d.fleet.Instances {
+		processes := len(running[d.instanceFolder(i)])
+		agentIsGone := d.options.AgentStaysGone && i == d.killedInstance
+		if processes > 1 || processes == 0 && !agentIsGone {
+			d.report.Consistent = false
+			d.report.Fail("instance %s has %d processes", instance.Name, processes)
+		}
+		if agentIsGone {
+			continue
+		}
+		if err := d.checkInstance(i, content); err != nil {
+			d.report.Consistent = false
+			d.report.Fail("instance %s: %v", instance.Name, err)
+		}
+	}
+	return nil
+}
+
+// checkInstance checks that an instance's configuration is the revision's but for the seed, which each start draws, and
+// that its router answers.
+func (d *rolloutDrill) checkInstance(i int, content []byte) error {
+	have, err := os.ReadFile(filepath.Join(d.instanceFolder(i), configFile))
+	if err != nil {
+		return err
+	}
+	want, err := revision.Render(content, d.fleet.Instances[i].RevisionInstance(), 0)
+	if err != nil {
+		return err
+	}
+	changes, err := revision.Diff(want, have)
+	if err != nil {
+		return err
+	}
+	for _, change := range changes {
+		if change.Key != "seed" {
+			return fmt.Errorf("its file differs from the revision at %s", change.Key)
+		}
+	}
+	return checkAnswers(d.load.Routers[i])
+}
+
+// checkAnswers checks that a router answers an empty query as one.
+func checkAnswers(address string) error {
+	c, err := stand.Dial(address, dialTimeout)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = c.Close() }()
+	answer, _, err := c.Ask("", queryTimeout)
+	if err != nil {
+		return err
+	}
+	if !answer.Empty {
+		return errors.New("it does not answer an empty query")
+	}
+	return nil
+}
+
+// checkCounts checks what clients and database servers have seen.
+func (d *rolloutDrill) checkCounts() {
+	r := d.report
+	wanted := d.options.Instances
+	if d.options.AgentStaysGone {
+		wanted--
+	}
+	minAvailable := d.options.Instances - d.allowedUnavailable()
+	switch {
+	case r.Finished != wanted:
+		r.Fail("%d instances are done, and should be %d", r.Finished, wanted)
+	case r.Lost > 0:
+		r.Fail("%d commands were lost", r.Lost)
+	case r.Late > 0:
+		r.Fail("%d commands were answered after their client timeout", r.Late)
+	case r.RanTwice > 0:
+		r.Fail("%d mutating commands ran more than once", r.RanTwice)
+	case r.MinServing < minAvailable:
+		r.Fail("only %d routers served at one moment, and the floor is %d", r.MinServing, minAvailable)
+	case r.CommandsSent < minCommandsPerRouter*d.options.Instances:
+		r.Fail("the load was no load: %d commands", r.CommandsSent)
+	}
+}
