--- /dev/null
+++ b/cmd/stoatctl/lab_test.go
@@ -0,0 +1,51 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestLabFromTheCommandLine(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	text, err := os.ReadFile("../../deploy/lab/smoke.sexp")
+	require.NoError(t, err)
+	short := strings.Replace(strings.Replace(string(text), "(seconds 30s)", "(seconds 12s)", 1), "(policies ceiling module window least two-choices round-robin any primary)",
+		"(policies module any)", 1)
+	short = short[:strings.Index(short, "(fault crash")]
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "short.sexp"), []byte(short), 0o600))
+	s := run(t, dir, "lab", "run", "short.sexp", "--out", "one", "--json", "--workers", "1")
+	require.Zero(t, s.status, s.err)
+	assert.Contains(t, s.out, `"policy":"module"`)
+	s = run(t, dir, "lab", "run", "short.sexp", "--out", "two")
+	require.Zero(t, s.status, s.err)
+	assert.Contains(t, s.out, "older than its session's own writes", "a policy that reads anywhere is told to break a rule, and that is no failure")
+	one, err := os.ReadFile(filepath.Join(dir, "one", "runs.json"))
+	require.NoError(t, err)
+	two, err := os.ReadFile(filepath.Join(dir, "two", "runs.json"))
+	require.NoError(t, err)
+	assert.Equal(t, string(one), string(two), "the same seeds, the same bytes")
+	page, err := os.ReadFile(filepath.Join(dir, "one", "report.html"))
+	require.NoError(t, err)
+	require.NoError(t, os.Remove(filepath.Join(dir, "one", "report.html")))
+	require.Zero(t, run(t, dir, "lab", "report", "one").status)
+	anew, err := os.ReadFile(filepath.Join(dir, "one", "report.html"))
+	require.NoError(t, err)
+	assert.Equal(t, string(page), string(anew))
+	s = run(t, dir, "lab", "compare", "one", "two", "--json")
+	require.Zero(t, s.status, s.err)
+	assert.Contains(t, s.out, `"pairs":2`)
+	assert.Contains(t, s.out, `"difference":0,`)
+	kept, err := os.ReadFile(filepath.Join(dir, "one", "experiment.sexp"))
+	require.NoError(t, err)
+	assert.Equal(t, short, string(kept))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "bad.sexp"), []byte(strings.Replace(short, "(sets 2)", "(sets 0)", 1)), 0o600))
+	s = run(t, dir, "lab", "run", "bad.sexp")
+	assert.Equal(t, 2, s.status)
+	assert.Contains(t, s.err, "bad.sexp:6:1: sets is 0")
+}
