--- /dev/null
+++ b/internal/keys/pem.go
@@ -0,0 +1,59 @@
+package keys
+
+import (
+	"bytes"
+	"crypto"
+	"crypto/tls"
+	"crypto/x509"
+	"encoding/pem"
+	"fmt"
+	"os"
+)
+
+// Longest is the most that a file of certificates may have, in bytes.
+const Longest = 1 << 20
+
+func bundle(cert []byte, key crypto.PrivateKey) ([]byte, error) {
+	raw, err := x509.MarshalPKCS8PrivateKey(key)
+	if err != nil {
+		return nil, fmt.Errorf("keys: %w", err)
+	}
+	var b bytes.Buffer
+	b.Write(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: cert}))
+	b.Write(pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw}))
+	return b.Bytes(), nil
+}
+
+func certificates(file string, raw []byte) ([]*x509.Certificate, error) {
+	if len(raw) > Longest {
+		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(raw), Longest)
+	}
+	var out []*x509.Certificate
+	for len(raw) > 0 {
+		var b *pem.Block
+		if b, raw = pem.Decode(raw); b == nil {
+			break
+		}
+		if b.Type != "CERTIFICATE" {
+			continue
+		}
+		c, err := x509.ParseCertificate(b.Bytes)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", file, err)
+		}
+		out = append(out, c)
+	}
+	return out, nil
+}
+
+func load(file string) (tls.Certificate, error) {
+	raw, err := os.ReadFile(file)
+	if err != nil {
+		return tls.Certificate{}, err
+	}
+	c, err := tls.X509KeyPair(raw, raw)
+	if err != nil {
+		return c, fmt.Errorf("%s: %w", file, err)
+	}
+	return c, nil
+}
