--- a/cmd/stoatctl/main_test.go
+++ b/cmd/stoatctl/main_test.go
@@ -320,9 +320,16 @@
 	assert.Equal(t, 1, run(t, dir, "explore", "walk", "watch", "--bounds", "small.sexp", "--inject", "unclosed", "--walks", "500", "--seed", "1").status)
 	assert.Contains(t, run(t, dir, "explore", "list").out, "drain-overlooked")
 	write("broken", "no exploration")
-	for _, args := range [][]string{{"run", "moon"}, {"run", "command", "--bounds", "none"}, {"run", "command", "--bounds", "small.sexp", "--inject", "x"},
-		{"inject"}, {"inject", "nothing"}, {"show", "none"}, {"run", "command", "--bounds", "small.sexp", "--resume", "broken"},
-		{"run", "watch", "--bounds", "small.sexp", "--resume", "stopped"}} {
+	for _, args := range [][]string{
+		{"run", "moon"},
+		{"run", "command", "--bounds", "none"},
+		{"run", "command", "--bounds", "small.sexp", "--inject", "x"},
+		{"inject"},
+		{"inject", "nothing"},
+		{"show", "none"},
+		{"run", "command", "--bounds", "small.sexp", "--resume", "broken"},
+		{"run", "watch", "--bounds", "small.sexp", "--resume", "stopped"},
+	} {
 		s := run(t, dir, append([]string{"explore"}, args...)...)
 		assert.Equal(t, 2, s.status, "%v: %s", args, s.err)
 	}
