--- a/internal/cli/fleet_drive.go
+++ b/internal/cli/fleet_drive.go
@@ -124,19 +124,19 @@
 }
 
 // endedRolloutError is the exit error of a rollout that ended or paused, or nil if it ended as the operator asked.
-func endedRolloutError(outcome roll.Outcome, rollout *tool.RolloutStatus) error {
+func endedRolloutError(outcome roll.Outcome, state *tool.RolloutStatus) error {
 	if outcome.Reason.Kind == plan.ReasonOperator {
 		return nil
 	}
 	switch outcome.Rollout.State {
 	case plan.Paused:
-		err := fmt.Errorf("the rollout is paused: %s", rollout.Why)
-		if rollout.RollingBack {
-			err = fmt.Errorf("%w; it was going back: %s", err, rollout.Cause)
+		err := fmt.Errorf("the rollout is paused: %s", state.Why)
+		if state.RollingBack {
+			err = fmt.Errorf("%w; it was going back: %s", err, state.Cause)
 		}
 		return exitError(ExitPaused, err)
 	case plan.RolledBack:
-		return exitErrorf(ExitFailed, "the rollout went back: %s", rollout.Why)
+		return exitErrorf(ExitFailed, "the rollout went back: %s", state.Why)
 	case plan.None, plan.Running, plan.Complete, plan.Aborted:
 	}
 	return nil
--- a/internal/cli/fleet_rollout.go
+++ b/internal/cli/fleet_rollout.go
@@ -68,9 +68,9 @@
 				}
 				return a.drive(ctx, client, client.NewRollout(found, false), &drive)
 			}
-			rollout, driven, found := client.NewestRollout(ctx)
-			if found && driven && !rollout.State.Terminal() && !drive.takeOver {
-				return a.requestOfDriver(ctx, client, rollout, plan.RequestRollback)
+			newest, driven, found := client.NewestRollout(ctx)
+			if found && driven && !newest.State.Terminal() && !drive.takeOver {
+				return a.requestOfDriver(ctx, client, newest, plan.RequestRollback)
 			}
 			return a.drive(ctx, client, roll.Task{Operation: roll.OperationRollback, Operator: client.Operator}, &drive)
 		}),
@@ -95,9 +95,9 @@
 		Long: "If a tool drives the rollout it is asked, and does so once its step has ended. Else this tool does it.",
 		Args: cobra.NoArgs,
 		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
-			rollout, driven, found := client.NewestRollout(ctx)
-			if found && driven && rollout.State == plan.Running && !drive.takeOver {
-				return a.requestOfDriver(ctx, client, rollout, halt.request)
+			newest, driven, found := client.NewestRollout(ctx)
+			if found && driven && newest.State == plan.Running && !drive.takeOver {
+				return a.requestOfDriver(ctx, client, newest, halt.request)
 			}
 			return a.drive(ctx, client, roll.Task{Operation: halt.operation, Operator: client.Operator}, &drive)
 		}),
@@ -133,16 +133,16 @@
 }
 
 // requestDone tells whether the rollout is as the operator has requested.
-func requestDone(request plan.OperatorRequest, rollout form.Rollout) bool {
+func requestDone(request plan.OperatorRequest, current form.Rollout) bool {
 	switch request {
 	case plan.RequestNone:
 		return false
 	case plan.RequestPause:
-		return rollout.State == plan.Paused
+		return current.State == plan.Paused
 	case plan.RequestAbort:
-		return rollout.State == plan.Aborted
+		return current.State == plan.Aborted
 	case plan.RequestRollback:
-		return rollout.RollingBack
+		return current.RollingBack
 	}
 	return false
 }
--- a/internal/core/dispatcher_test.go
+++ b/internal/core/dispatcher_test.go
@@ -41,8 +41,8 @@
 	events, err := loop.New(16)
 	require.NoError(t, err)
 	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 1, ClientTimeout: 2, PriorityWeight: 1}
-	config := &site.Config{KnownList: testList()}
-	config.Settings.Config = router.Config{
+	startConfig := &site.Config{KnownList: testList()}
+	startConfig.Settings.Config = router.Config{
 		CommandGroups: []router.CommandGroup{group},
 		RouterCount:   1,
 		MaxAttempts:   4,
@@ -50,7 +50,7 @@
 		PollList:      true,
 		CanCancel:     true,
 	}
-	config.Limits = site.Limits{
+	startConfig.Limits = site.Limits{
 		Counts: site.Counts{
 			BackendConnections: 8,
 		},
@@ -59,9 +59,9 @@
 			LongPollHold: 1,
 		},
 	}
-	config.Discovery = config.KnownList.Endpoints[0].Address
+	startConfig.Discovery = startConfig.KnownList.Endpoints[0].Address
 	buffers := buffer.NewPool(64, 1000)
-	d := New(config, events, buffers, &count.Counters{ReceivedByGroup: make([]uint64, 1)}, zerolog.Nop())
+	d := New(startConfig, events, buffers, &count.Counters{ReceivedByGroup: make([]uint64, 1)}, zerolog.Nop())
 	d.deliver(0)
 	return d, buffers
 }
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -50,9 +50,9 @@
 func (d *Dispatcher) updateEndpoints(now float64, list roster.List, cached bool) {
 	infos := make([]router.EndpointInfo, 0, len(list.Endpoints))
 	for i := range list.Endpoints {
-		endpoint := &list.Endpoints[i]
-		info := d.endpointInfo(endpoint)
-		d.backends.SetAddress(info.Index, endpoint.Address, endpoint.State == roster.StateGone)
+		row := &list.Endpoints[i]
+		info := d.endpointInfo(row)
+		d.backends.SetAddress(info.Index, row.Address, row.State == roster.StateGone)
 		infos = append(infos, info)
 	}
 	d.tracker.UpdateEndpoints(now, infos, list.Complete || cached, cached)
--- a/internal/drill/lease_agent.go
+++ b/internal/drill/lease_agent.go
@@ -81,8 +81,8 @@
 		Agent: fmt.Sprint("a", a.index), InstanceNames: []string{r.instanceNames[a.index]},
 		Lease: claim.Restore(a.storedLease, leaseSeconds, 0),
 	}
-	supervisor, transition := tend.NewSupervisor(a.record, &r.limits)
-	a.handler.Supervisors = []tend.Supervisor{supervisor}
+	supervised, transition := tend.NewSupervisor(a.record, &r.limits)
+	a.handler.Supervisors = []tend.Supervisor{supervised}
 	a.perform(transition.Actions)
 	a.scheduleTick()
 }
--- a/internal/fleet/agent/config.go
+++ b/internal/fleet/agent/config.go
@@ -55,12 +55,12 @@
 }
 
 // runningConfig is the configuration of the revision that runs, if one does and the store still has it.
-func (r *router) runningConfig(digest string) (config site.Config, known bool) {
+func (r *router) runningConfig(digest string) (running site.Config, known bool) {
 	if digest == "" {
 		return site.Config{}, false
 	}
-	config, err := r.config(digest)
-	return config, err == nil
+	running, err := r.config(digest)
+	return running, err == nil
 }
 
 // config is the router's configuration under a revision, as the router itself would read it.
--- a/internal/fleet/agent/router.go
+++ b/internal/fleet/agent/router.go
@@ -73,13 +73,13 @@
 // with the supervisor as it was, if the state could not be stored.
 func (r *router) apply(ctx context.Context, e supervisorEvent) (stored bool) {
 	a := r.agent
-	supervisor := r.supervisor()
-	before := *supervisor
-	transition := e(supervisor)
+	supervised := r.supervisor()
+	before := *supervised
+	transition := e(supervised)
 	if transition.Store {
-		records := map[string]tend.Record{r.instance.Name: supervisor.Record}
+		records := map[string]tend.Record{r.instance.Name: supervised.Record}
 		if err := a.store.Save(store.Change{Instances: records}); err != nil {
-			*supervisor = before
+			*supervised = before
 			r.retryAt = a.now() + storeRetryDelay.Seconds()
 			a.log.Error().Err(err).Str("instance", r.instance.Name).Msg("state not stored: event postponed")
 			return false
--- a/internal/fleet/roll/environment_test.go
+++ b/internal/fleet/roll/environment_test.go
@@ -45,9 +45,9 @@
 		e.fleet.Instances = append(e.fleet.Instances, plan.Instance{Agent: i})
 		e.names = append(e.names, name)
 		record := tend.Record{ShouldRun: true, Revision: "old", Incarnation: 1}
-		supervisor, transition := tend.NewSupervisor(record, &e.limits)
+		supervised, transition := tend.NewSupervisor(record, &e.limits)
 		e.handlers = append(e.handlers, &tend.RequestHandler{
-			InstanceNames: []string{name}, Lease: claim.Lease{TermSeconds: 3}, Supervisors: []tend.Supervisor{supervisor},
+			InstanceNames: []string{name}, Lease: claim.Lease{TermSeconds: 3}, Supervisors: []tend.Supervisor{supervised},
 		})
 		e.carryOut(i, transition.Actions)
 	}
--- a/internal/systems/command.go
+++ b/internal/systems/command.go
@@ -110,7 +110,7 @@
 	router            *router.Router
 	tracker           *hand.Tracker
 	nextReviewAt      float64
-	endpoints         []endpoint
+	endpoints         []simulatedEndpoint
 	cmds              []*clientCommand
 	healthChecks      map[int]bool // that the module waits for
 	check             verdict.Commands
@@ -122,7 +122,7 @@
 	endedEarly        [][2]int // dispatches that a fault has ended before they have
 }
 
-type endpoint struct {
+type simulatedEndpoint struct {
 	verdict.Member
 	primary     bool
 	listedState router.EndpointState
@@ -155,7 +155,7 @@
 		readHighWaterMark: math.Inf(-1),
 	}
 	for range b.Members {
-		c.endpoints = append(c.endpoints, endpoint{listedState: router.Ready, Member: verdict.Member{Covers: 10}})
+		c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready, Member: verdict.Member{Covers: 10}})
 	}
 	c.endpoints[0].primary = true
 	for i, name := range b.Commands {
@@ -407,10 +407,10 @@
 	} else {
 		m.listedState, m.Away, m.AwaySince = router.Removed, true, c.now
 		if len(c.freeRows) > 0 {
-			c.endpoints[c.freeRows[0]] = endpoint{listedState: router.Ready}
+			c.endpoints[c.freeRows[0]] = simulatedEndpoint{listedState: router.Ready}
 			c.freeRows = c.freeRows[1:]
 		} else {
-			c.endpoints = append(c.endpoints, endpoint{listedState: router.Ready})
+			c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready})
 		}
 	}
 	c.sendList(false)
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -37,9 +37,9 @@
 	rollTerm = 2.5 // that a claim runs: it runs out after three steps without a sign
 )
 
-// rollout is the system. What tools look at comes at once; what changes anything is delivered, lost, answered
+// rolloutSystem is the system. What tools look at comes at once; what changes anything is delivered, lost, answered
 // into the void or late, as the adversary picks. Each act of an agent is a step, and it may die before it.
-type rollout struct {
+type rolloutSystem struct {
 	bounds       Bounds
 	fault        string
 	fleet        *plan.Fleet
@@ -83,8 +83,8 @@
 	Call  form.Request
 }
 
-func newRollout(b Bounds, fault string) *rollout {
-	r := &rollout{bounds: b, fault: fault, check: verdict.NewFleet(b.Agents - 1), limits: tend.Limits{
+func newRollout(b Bounds, fault string) *rolloutSystem {
+	r := &rolloutSystem{bounds: b, fault: fault, check: verdict.NewFleet(b.Agents - 1), limits: tend.Limits{
 		ReadyTimeoutSeconds: 100, TerminationGraceSeconds: 0.5,
 		HealthCheckSeconds: 1e9, CounterReadSeconds: 1e9, RecentSeconds: 1, MinBackoffSeconds: 0.5, MaxBackoffSeconds: 1, StableSeconds: 1e9, MaxCrashes: 9, MaxMissedHealthChecks: 9, KillRetrySeconds: 100,
 	}}
@@ -111,7 +111,7 @@
 }
 
 // start has a tool begin: the first a rollout, others another or the one there is.
-func (r *rollout) start(t int) {
+func (r *rolloutSystem) start(t int) {
 	x := r.tools[t]
 	x.holder = fmt.Sprint("t", t)
 	task := roll.Task{Operation: roll.OperationBegin, Takeover: t > 0, Rollout: form.Rollout{
@@ -129,7 +129,7 @@
 }
 
 // turn lets every tool go on as far as it can without anything being delivered that changes an agent.
-func (r *rollout) turn() {
+func (r *rolloutSystem) turn() {
 	for t, x := range r.tools {
 		for again := true; again && x.coordinator != nil; {
 			again = false
@@ -153,7 +153,7 @@
 }
 
 // deliver has a call arrive; its answer too, if heard.
-func (r *rollout) deliver(c rollCall, heard bool) {
+func (r *rolloutSystem) deliver(c rollCall, heard bool) {
 	a, d := r.agents[c.Agent], r.tools[c.Tool].coordinator
 	if !a.alive {
 		if d != nil { // no call is out for good
@@ -169,7 +169,7 @@
 	}
 }
 
-func (r *rollout) answer(c rollCall) form.Reply {
+func (r *rolloutSystem) answer(c rollCall) form.Reply {
 	a := r.agents[c.Agent]
 	if r.fault == "unkept" && c.Call.Verb == form.StoreRecordVerb {
 		return form.Reply{LeaseState: a.handler.Lease.State(r.now)}
@@ -204,7 +204,7 @@
 func stepName(s plan.Step) string { return fmt.Sprint(s.RolloutID, "/", s.Number) }
 
 // isKept tells whether a majority of agents keeps a record of an epoch or a later one.
-func (r *rollout) isKept(epoch uint64) bool {
+func (r *rolloutSystem) isKept(epoch uint64) bool {
 	kept := 0
 	for _, a := range r.agents {
 		if a.lease.Record.Version.Epoch >= epoch {
@@ -225,7 +225,7 @@
 }
 
 // stored keeps an instance's record, and sees steps begin and end.
-func (r *rollout) stored(i int) {
+func (r *rolloutSystem) stored(i int) {
 	a := r.agents[i]
 	a.record = a.handler.Supervisors[0].Record
 	open := a.record.Step.Number != 0 && a.record.Result == plan.StepPending
@@ -238,7 +238,7 @@
 	a.open = open
 }
 
-func (r *rollout) birth(i int) {
+func (r *rolloutSystem) birth(i int) {
 	a := r.agents[i]
 	a.alive, a.pendingActions = true, nil
 	a.lives++
@@ -254,7 +254,7 @@
 }
 
 // act carries out an agent's next act, and hands its outcome in.
-func (r *rollout) act(i int) {
+func (r *rolloutSystem) act(i int) {
 	a := r.agents[i]
 	x := &a.handler.Supervisors[0]
 	e := a.pendingActions[0]
@@ -282,7 +282,7 @@
 	a.pendingActions = append(a.pendingActions, out.Actions...)
 }
 
-func (r *rollout) startRouter(i int, incarnation uint64) tend.Transition {
+func (r *rolloutSystem) startRouter(i int, incarnation uint64) tend.Transition {
 	a := r.agents[i]
 	running := 0
 	if a.runs {
@@ -296,7 +296,7 @@
 	return a.handler.Supervisors[0].ProcessStarted(r.now, incarnation, nil)
 }
 
-func (r *rollout) terminateRouter(i int) tend.Transition {
+func (r *rolloutSystem) terminateRouter(i int) tend.Transition {
 	a := r.agents[i]
 	others := 0
 	for j, other := range r.agents {
@@ -312,7 +312,7 @@
 }
 
 // Steps implements explore.System.
-func (r *rollout) Steps() []string {
+func (r *rolloutSystem) Steps() []string {
 	may := func(kind string) bool { return r.bounds.may(kind, r.faults) }
 	var s stepList
 	for i, a := range r.agents {
@@ -334,7 +334,7 @@
 }
 
 // addToolSteps adds what may become of a tool and its calls.
-func (r *rollout) addToolSteps(s *stepList, t int, x *rollTool) {
+func (r *rolloutSystem) addToolSteps(s *stepList, t int, x *rollTool) {
 	may := func(kind string) bool { return r.bounds.may(kind, r.faults) }
 	s.addIf(may("die"), "die tool %d", t)
 	for k := range x.calls {
@@ -346,7 +346,7 @@
 }
 
 // Commute implements explore.Commuter: what one agent does by itself is nothing to another.
-func (r *rollout) Commute(a, b string) bool {
+func (r *rolloutSystem) Commute(a, b string) bool {
 	if explore.Kind(a) != "act" {
 		a, b = b, a
 	}
@@ -358,7 +358,7 @@
 
 // calm tells whether no step is open or on its way: a router that ends by itself between the plan's last look
 // and the step may take a hall under its floor, and nobody can help that.
-func (r *rollout) calm() bool {
+func (r *rolloutSystem) calm() bool {
 	for _, a := range r.agents {
 		if a.open || len(a.pendingActions) > 0 {
 			return false
@@ -375,7 +375,7 @@
 }
 
 // tick lets a step of time pass.
-func (r *rollout) tick() {
+func (r *rolloutSystem) tick() {
 	r.ticks++
 	r.now += rollTick
 	for i, a := range r.agents {
@@ -390,7 +390,7 @@
 }
 
 // Take implements explore.System.
-func (r *rollout) Take(step string) {
+func (r *rolloutSystem) Take(step string) {
 	kind, n, k := parseStep(step)
 	switch kind {
 	case "act":
@@ -414,7 +414,7 @@
 	r.turn()
 }
 
-func (r *rollout) dieOrComeBack(step string, n int) {
+func (r *rolloutSystem) dieOrComeBack(step string, n int) {
 	switch {
 	case strings.HasPrefix(step, "back"):
 		r.birth(n)
@@ -428,7 +428,7 @@
 }
 
 // crash has a router end by itself, and its agent see it before anything else happens.
-func (r *rollout) crash(n int) {
+func (r *rolloutSystem) crash(n int) {
 	r.faults++
 	a := r.agents[n]
 	a.runs, a.serves = false, false
@@ -440,7 +440,7 @@
 }
 
 // endCall is what becomes of a tool's call.
-func (r *rollout) endCall(kind string, n, k int) {
+func (r *rolloutSystem) endCall(kind string, n, k int) {
 	x := r.tools[n]
 	c := x.calls[k]
 	x.calls = slices.Delete(slices.Clone(x.calls), k, k+1)
@@ -485,7 +485,7 @@
 
 // Fingerprint implements explore.System. Left out are numbers of calls, which only tell them apart, and readings
 // that nothing here goes by.
-func (r *rollout) Fingerprint(h *explore.Hash) {
+func (r *rolloutSystem) Fingerprint(h *explore.Hash) {
 	h.Rules, h.TimeZero = rolloutRules, r.now
 	h.Uint(uint64(r.bounds.Faults - r.faults))
 	h.Uint(uint64(r.bounds.Ticks - r.ticks))
@@ -507,10 +507,10 @@
 }
 
 // Broken implements explore.System.
-func (r *rollout) Broken() (string, string) { return r.check.Broken() }
+func (r *rolloutSystem) Broken() (string, string) { return r.check.Broken() }
 
 // Ended implements explore.System: a tool has seen the rollout to its end.
-func (r *rollout) Ended() bool {
+func (r *rolloutSystem) Ended() bool {
 	for _, t := range r.tools {
 		if t.ended {
 			return true
--- a/internal/systems/settle.go
+++ b/internal/systems/settle.go
@@ -97,8 +97,8 @@
 	if c.tracker.Len() > 0 {
 		return verdict.ComesToEnd, fmt.Sprintf("%d commands stay in hand", c.tracker.Len())
 	}
-	primary := slices.ContainsFunc(c.endpoints, func(m endpoint) bool { return m.primary && m.listedState == router.Ready })
-	replica := slices.ContainsFunc(c.endpoints, func(m endpoint) bool { return !m.primary && m.listedState == router.Ready })
+	primary := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return m.primary && m.listedState == router.Ready })
+	replica := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return !m.primary && m.listedState == router.Ready })
 	for _, x := range []struct { // in one order always: the module's chance goes on from the first
 		group string
 		may   bool
@@ -149,7 +149,7 @@
 }
 
 // Settle implements explore.Settler: whatever happened, operators can bring the rollout to its end.
-func (r *rollout) Settle() (property, how string) {
+func (r *rolloutSystem) Settle() (property, how string) {
 	endless(&r.bounds, r.faults)
 	last := ""
 	for range calmRuns {
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -16,11 +16,11 @@
 // testConfig is the configuration of a router with one command group, and no discovery service to poll.
 func testConfig() Config {
 	nobody := netip.MustParseAddrPort("127.0.0.1:1")
-	config := Config{Name: "n1", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: nobody}
+	startConfig := Config{Name: "n1", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: nobody}
 	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 1, ClientTimeout: 2}
-	config.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{group}, BatchInterval: 0.005}
-	config.Settings.GroupNames = []string{"look"}
-	config.Limits = site.Limits{
+	startConfig.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{group}, BatchInterval: 0.005}
+	startConfig.Settings.GroupNames = []string{"look"}
+	startConfig.Limits = site.Limits{
 		Sizes: site.Sizes{BufferBlock: 64},
 		Counts: site.Counts{
 			BufferBlocks: 10, ListenBacklog: 5, EventsPerTurn: 16, AcceptsPerTurn: 5, ClientConnections: 5,
@@ -28,7 +28,7 @@
 		},
 		Durations: site.Durations{SilenceTimeout: 1, MinBackoff: 0.01, MaxBackoff: 1},
 	}
-	return config
+	return startConfig
 }
 
 func TestEmbeddedRouterCountsAndDrains(t *testing.T) {
