--- a/internal/member/health_check_test.go
+++ b/internal/member/health_check_test.go
@@ -77,9 +77,9 @@
 	f.pool.CheckHealth(0)
 	c := f.accept()
 	f.receive(c, 5)
-	whole := answer("x0=5,x1=1")
-	spoilt := append(bytes.Clone(whole[:len(whole)-6]), pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, "XX000", "", ""))...) // ahead of ReadyForQuery
-	_, _ = c.Write(spoilt)
+	complete := answer("x0=5,x1=1")
+	failed := append(bytes.Clone(complete[:len(complete)-6]), pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, "XX000", "", ""))...) // ahead of ReadyForQuery
+	_, _ = c.Write(failed)
 	f.run(func() bool { return len(f.checks) == 1 })
 	assert.Equal(t, []router.Result{router.Errored}, f.checks)
 	assert.Equal(t, []string{""}, f.reports)
--- a/internal/pg/statement_test.go
+++ b/internal/pg/statement_test.go
@@ -105,9 +105,9 @@
 	f.Add(`E'\''"" -- /* */;` + "\n$$")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := parse(text)
-		whole := buffer.NewPool(1<<16, 1).NewChain()
-		whole.Write([]byte(text + "\x00"))
-		again, err2 := ParseStatement(&whole, 0, len(text)+1, 1024)
+		unsplit := buffer.NewPool(1<<16, 1).NewChain()
+		unsplit.Write([]byte(text + "\x00"))
+		again, err2 := ParseStatement(&unsplit, 0, len(text)+1, 1024)
 		require.Equal(t, err, err2, "the same in whatever pieces the text lies")
 		require.Equal(t, s, again)
 		if err == nil && !s.Empty {
