--- a/cmd/stoatctl/fleet_test.go
+++ b/cmd/stoatctl/fleet_test.go
@@ -16,132 +16,148 @@
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
 
-// rig is a folder with keys, a fleet file of three agents and revisions, and the agents as processes.
-type rig struct {
+// testFleet is a folder with keys, a fleet file of three agents and two revisions, and the agents as processes.
+type testFleet struct {
 	t      *testing.T
 	dir    string
 	agents []*exec.Cmd
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{t: t, dir: t.TempDir()}
+func newTestFleet(t *testing.T) *testFleet {
+	f := &testFleet{t: t, dir: t.TempDir()}
 	text := "(name t) (floor 2) (hall h (floor 2)) (times (soak 200ms) (fresh 1s) (contact 2s) (claim 2s) (look 50ms) (ready 3s) (grace 100ms))\n"
 	for i := range 3 {
 		text += fmt.Sprintf("(agent a%d (listen %s) (hall h) (folder a%d) (program %q))\n(instance n%d (agent a%d) (listen %s))\n",
-			i, stand.Host()+":7400", i, filepath.Join(bin, "stoatdale"), i, i, stand.Host()+":5432")
+			i, stand.Host()+":7400", i, filepath.Join(programFolder, "stoatdale"), i, i, stand.Host()+":5432")
 	}
-	r.write("fleet.sexp", text)
-	r.ok("keys", "init", "t")
-	r.ok("keys", "issue", "operator", "ayla", "mehmet")
-	r.ok("keys", "issue", "agent", "--fleet", "fleet.sexp")
+	f.write("fleet.sexp", text)
+	f.must("keys", "init", "t")
+	f.must("keys", "issue", "operator", "ayla", "mehmet")
+	f.must("keys", "issue", "agent", "--fleet", "fleet.sexp")
 	for name, sockets := range map[string]int{"a": 100, "b": 101} {
-		r.write(name+".json", string(stand.JSON(stand.Deployment("127.0.0.1:9", 0.2,
+		f.write(name+".json", string(stand.JSON(stand.Deployment("127.0.0.1:9", 0.2,
 			map[string]any{"limits": map[string]any{"memory_mb": 32, "sockets": sockets}}))))
 	}
-	return r
+	return f
 }
 
-func (r *rig) write(name, text string) {
-	require.NoError(r.t, os.WriteFile(filepath.Join(r.dir, name), []byte(text), 0o600))
+func (f *testFleet) write(name, text string) {
+	require.NoError(f.t, os.WriteFile(filepath.Join(f.dir, name), []byte(text), 0o600))
 }
 
-func (r *rig) ok(args ...string) said {
-	r.t.Helper()
-	s := run(r.t, r.dir, args...)
-	require.Zero(r.t, s.status, "%v: %s", args, s.err)
-	return s
+// must runs a command that must exit with 0.
+func (f *testFleet) must(args ...string) {
+	f.t.Helper()
+	got := run(f.t, f.dir, args...)
+	require.Zero(f.t, got.exitCode, "%v: %s", args, got.stderr)
 }
 
-// fleet runs a fleet command as an operator.
-func (r *rig) fleet(as string, args ...string) said {
-	r.t.Helper()
-	return run(r.t, r.dir, append([]string{"fleet", "--fleet", "fleet.sexp", "--as", as}, args...)...)
+// as runs a fleet command as an operator.
+func (f *testFleet) as(operator string, args ...string) result {
+	f.t.Helper()
+	return run(f.t, f.dir, append([]string{"fleet", "--fleet", "fleet.sexp", "--as", operator}, args...)...)
 }
 
-func (r *rig) start() {
+// start starts the agents and waits until all reply. They and their routers are killed at the test's end.
+func (f *testFleet) start() {
 	for i := range 3 {
-		cmd := exec.Command(filepath.Join(bin, "stoatctl"), "agent", "--fleet", "fleet.sexp", "--name", fmt.Sprint("a", i))
-		cmd.Dir = r.dir
-		require.NoError(r.t, cmd.Start())
-		r.agents = append(r.agents, cmd)
+		cmd := exec.Command(stoatctl(), "agent", "--fleet", "fleet.sexp", "--name", fmt.Sprint("a", i))
+		cmd.Dir = f.dir
+		require.NoError(f.t, cmd.Start())
+		f.agents = append(f.agents, cmd)
 	}
-	r.t.Cleanup(func() {
-		for _, cmd := range r.agents {
+	f.t.Cleanup(func() {
+		for _, cmd := range f.agents {
 			_ = cmd.Process.Kill()
 			_ = cmd.Wait()
 		}
 		for n := 1; n > 0; time.Sleep(5 * time.Millisecond) {
-			n, _ = agent.KillRouters(r.dir)
+			n, _ = agent.KillRouters(f.dir)
 		}
 	})
-	for late := time.Now().Add(patience); r.fleet("ayla", "status").status != 0; time.Sleep(20 * time.Millisecond) {
-		require.True(r.t, time.Now().Before(late), "agents do not come up")
-	}
+	waitFor(f.t, 20*time.Millisecond, func() bool { return f.as("ayla", "status").exitCode == 0 }, "agents do not come up")
+}
+
+// expectOutcome checks the exit code and the outcome of a command that drove a rollout.
+func (f *testFleet) expectOutcome(got result, exitCode int, outcome string) {
+	f.t.Helper()
+	require.Equal(f.t, exitCode, got.exitCode, got.stderr)
+	assert.Equal(f.t, outcome, got.lastJSON(f.t)["outcome"])
 }
 
-func TestFleetFromTheCommandLine(t *testing.T) {
+func TestFleetCommandsOfTwoOperators(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	s := r.fleet("ayla", "status")
-	assert.Equal(t, 1, s.status, "no agent runs")
-	assert.Contains(t, s.err, "agent a0: it cannot be reached")
-	r.start()
-	s = r.fleet("ayla", "push", "a.json", "--name", "autumn", "--json")
-	require.Zero(t, s.status, s.err)
-	assert.EqualValues(t, 3, s.last(t)["kept"])
-	assert.Equal(t, 1, r.fleet("ayla", "roll", "winter").status)
-	s = r.fleet("ayla", "roll", "autumn", "--json")
-	require.Zero(t, s.status, s.err)
-	assert.Equal(t, "complete", s.last(t)["outcome"])
-	require.Zero(t, r.fleet("mehmet", "push", "b.json", "--name", "winter").status)
-	s = r.fleet("ayla", "diff", "b.json")
-	assert.Contains(t, s.out, "limits.sockets: 100 -> 101")
-	assert.Contains(t, s.out, "n0: restart limits")
-	s = r.fleet("ayla", "diff", "autumn", "winter", "--json")
-	assert.Contains(t, s.out, `"Key":"limits.sockets"`)
+	f := newTestFleet(t)
+	got := f.as("ayla", "status")
+	assert.Equal(t, 1, got.exitCode, "no agent runs")
+	assert.Contains(t, got.stderr, "agent a0: it cannot be reached")
+	f.start()
+	f.rollOutAndCompare()
+	f.pauseAndResumeFromAnotherOperator()
+	f.rollBackAndListHistory()
+	f.rollWithoutAnAgent()
+}
 
-	// One operator rolls; another is told, asks for a pause, and goes on with it.
-	rolling := make(chan said, 1)
-	go func() { rolling <- r.fleet("ayla", "roll", "winter", "--trace", "spans.json", "--json") }()
-	for late := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		require.True(t, time.Now().Before(late), "the rollout does not begin")
-		claim := r.fleet("mehmet", "claim", "--json").last(t)
-		if claim["held"] == true && strings.HasPrefix(claim["holder"].(string), "ayla/") {
-			break
-		}
-	}
-	s = r.fleet("mehmet", "roll", "autumn", "--json")
-	assert.Equal(t, 3, s.status, s.err)
-	assert.Contains(t, s.err, "ayla/")
-	assert.Contains(t, s.err, "holds the claim")
-	s = r.fleet("mehmet", "pause")
-	assert.Zero(t, s.status, s.err)
+// rollOutAndCompare rolls a revision out and compares a second one with it.
+func (f *testFleet) rollOutAndCompare() {
+	t := f.t
+	got := f.as("ayla", "push", "a.json", "--name", "autumn", "--json")
+	require.Zero(t, got.exitCode, got.stderr)
+	assert.EqualValues(t, 3, got.lastJSON(t)["kept"])
+	assert.Equal(t, 1, f.as("ayla", "roll", "winter").exitCode)
+	f.expectOutcome(f.as("ayla", "roll", "autumn", "--json"), 0, "complete")
+	require.Zero(t, f.as("mehmet", "push", "b.json", "--name", "winter").exitCode)
+	got = f.as("ayla", "diff", "b.json")
+	assert.Contains(t, got.stdout, "limits.sockets: 100 -> 101")
+	assert.Contains(t, got.stdout, "n0: restart limits")
+	got = f.as("ayla", "diff", "autumn", "winter", "--json")
+	assert.Contains(t, got.stdout, `"Key":"limits.sockets"`)
+}
+
+// pauseAndResumeFromAnotherOperator has one operator roll. Another one is rejected, asks for a pause, and resumes.
+func (f *testFleet) pauseAndResumeFromAnotherOperator() {
+	t := f.t
+	rolling := make(chan result, 1)
+	go func() { rolling <- f.as("ayla", "roll", "winter", "--trace", "spans.json", "--json") }()
+	waitFor(t, 10*time.Millisecond, func() bool {
+		lease := f.as("mehmet", "claim", "--json").lastJSON(t)
+		return lease["held"] == true && strings.HasPrefix(lease["holder"].(string), "ayla/")
+	}, "the rollout does not begin")
+	got := f.as("mehmet", "roll", "autumn", "--json")
+	assert.Equal(t, 3, got.exitCode, got.stderr)
+	assert.Contains(t, got.stderr, "ayla/")
+	assert.Contains(t, got.stderr, "holds the claim")
+	got = f.as("mehmet", "pause")
+	assert.Zero(t, got.exitCode, got.stderr)
 	first := <-rolling
-	assert.Zero(t, first.status, "it was asked to: %s", first.err)
-	assert.Equal(t, "paused", first.last(t)["outcome"])
-	s = r.fleet("mehmet", "roll", "autumn")
-	assert.Equal(t, 3, s.status)
-	assert.Contains(t, s.err, "resume, abort or roll it back first")
-	s = r.fleet("mehmet", "resume", "--json")
-	require.Zero(t, s.status, s.err)
-	assert.Equal(t, "complete", s.last(t)["outcome"])
-	s = r.fleet("mehmet", "rollback", "--json")
-	assert.Zero(t, s.status, s.err)
-	assert.Equal(t, "rolled back", s.last(t)["outcome"])
-	s = r.fleet("ayla", "history", "--json")
-	assert.Len(t, s.last(t)["revisions"], 2)
-	assert.Len(t, s.last(t)["rollouts"], 2)
-	spans, err := os.ReadFile(filepath.Join(r.dir, "spans.json"))
+	assert.Zero(t, first.exitCode, "it was asked to: %s", first.stderr)
+	assert.Equal(t, "paused", first.lastJSON(t)["outcome"])
+	got = f.as("mehmet", "roll", "autumn")
+	assert.Equal(t, 3, got.exitCode)
+	assert.Contains(t, got.stderr, "resume, abort or roll it back first")
+	f.expectOutcome(f.as("mehmet", "resume", "--json"), 0, "complete")
+}
+
+// rollBackAndListHistory takes the newest rollout back, and looks at what is kept of all of them.
+func (f *testFleet) rollBackAndListHistory() {
+	t := f.t
+	f.expectOutcome(f.as("mehmet", "rollback", "--json"), 0, "rolled back")
+	got := f.as("ayla", "history", "--json")
+	assert.Len(t, got.lastJSON(t)["revisions"], 2)
+	assert.Len(t, got.lastJSON(t)["rollouts"], 2)
+	spans, err := os.ReadFile(filepath.Join(f.dir, "spans.json"))
 	require.NoError(t, err)
 	assert.Contains(t, string(spans), `"Name":"step"`)
+}
 
-	// An agent that is gone pauses a rollout, and a script sees it.
-	_ = r.agents[1].Process.Kill()
-	s = r.fleet("ayla", "roll", "winter", "--json")
-	assert.Equal(t, 4, s.status)
-	assert.Equal(t, "paused", s.last(t)["outcome"])
-	assert.Contains(t, s.err, "agent a1 of instance n1 is not heard from")
-	assert.Zero(t, r.fleet("ayla", "abort").status)
-	assert.Equal(t, 3, r.fleet("ayla", "resume").status)
-	assert.Contains(t, r.fleet("ayla", "status").out, "aborted")
+// rollWithoutAnAgent kills an agent: the next rollout pauses, and a script sees it by the exit code.
+func (f *testFleet) rollWithoutAnAgent() {
+	t := f.t
+	_ = f.agents[1].Process.Kill()
+	got := f.as("ayla", "roll", "winter", "--json")
+	f.expectOutcome(got, 4, "paused")
+	assert.Contains(t, got.stderr, "agent a1 of instance n1 is not heard from")
+	assert.Zero(t, f.as("ayla", "abort").exitCode)
+	assert.Equal(t, 3, f.as("ayla", "resume").exitCode)
+	assert.Contains(t, f.as("ayla", "status").stdout, "aborted")
 }
--- a/cmd/stoatctl/main_test.go
+++ b/cmd/stoatctl/main_test.go
@@ -14,17 +14,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// patience ends a test that hangs; no test that passes waits for it.
-const patience = 60 * time.Second
+// hangTimeout ends a test that hangs; no test that passes waits for it.
+const hangTimeout = 60 * time.Second
 
-var bin string
+// programFolder holds stoatctl and stoatdale, which TestMain builds.
+var programFolder string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "stoatctl")
 	if err != nil {
 		panic(err)
 	}
-	bin = dir
+	programFolder = dir
 	if out, err := exec.Command("go", "build", "-o", dir+"/", ".", "../stoatdale").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
@@ -33,30 +34,41 @@
 	os.Exit(code)
 }
 
-// said is how a command ended.
-type said struct {
-	status   int
-	out, err string
+func stoatctl() string { return filepath.Join(programFolder, "stoatctl") }
+
+// result is how a command ended.
+type result struct {
+	exitCode       int
+	stdout, stderr string
 }
 
-func run(t *testing.T, dir string, args ...string) said {
+// run runs stoatctl in a folder to its end.
+func run(t *testing.T, dir string, args ...string) result {
 	t.Helper()
-	cmd := exec.Command(filepath.Join(bin, "stoatctl"), args...)
-	var out, errs bytes.Buffer
-	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, &out, &errs
+	cmd := exec.Command(stoatctl(), args...)
+	var stdout, stderr bytes.Buffer
+	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, &stdout, &stderr
 	err := cmd.Run()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
 		require.NoError(t, err)
 	}
-	return said{cmd.ProcessState.ExitCode(), out.String(), errs.String()}
+	return result{exitCode: cmd.ProcessState.ExitCode(), stdout: stdout.String(), stderr: stderr.String()}
 }
 
-// last is the last line of standard output as an object.
-func (s said) last(t *testing.T) map[string]any {
+// lastJSON decodes the last line of standard output as an object.
+func (r result) lastJSON(t *testing.T) map[string]any {
 	t.Helper()
-	lines := strings.Split(strings.TrimSpace(s.out), "\n")
-	var v map[string]any
-	require.NoError(t, json.Unmarshal([]byte(lines[len(lines)-1]), &v), "%s\n%s", s.out, s.err)
-	return v
+	lines := strings.Split(strings.TrimSpace(r.stdout), "\n")
+	var object map[string]any
+	require.NoError(t, json.Unmarshal([]byte(lines[len(lines)-1]), &object), "%s\n%s", r.stdout, r.stderr)
+	return object
+}
+
+// waitFor polls a condition until it holds.
+func waitFor(t *testing.T, interval time.Duration, condition func() bool, failure string) {
+	t.Helper()
+	for deadline := time.Now().Add(hangTimeout); !condition(); time.Sleep(interval) {
+		require.True(t, time.Now().Before(deadline), failure)
+	}
 }
--- a/cmd/stoatctl/usage_test.go
+++ b/cmd/stoatctl/usage_test.go
@@ -6,17 +6,17 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestWrongUseAndFilesAreToldApart(t *testing.T) {
+func TestExitCodesAndMessagesOfWrongUseAndWrongFiles(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	r.write("bad.sexp", "(name t)\n(florr 2)")
-	r.write("tight.sexp", `(name t) (floor 1) (hall h (floor 1)) (agent a (listen 127.0.0.1:1) (hall h) (folder a) (program p))
+	f := newTestFleet(t)
+	f.write("bad.sexp", "(name t)\n(florr 2)")
+	f.write("tight.sexp", `(name t) (floor 1) (hall h (floor 1)) (agent a (listen 127.0.0.1:1) (hall h) (folder a) (program p))
 		(instance n (agent a) (listen 127.0.0.1:2))`)
-	r.write("bad.json", `{"discovery":"x", "settings":{}}`)
+	f.write("bad.json", `{"discovery":"x", "settings":{}}`)
 	for _, x := range []struct {
-		args   []string
-		status int
-		says   string
+		args     []string
+		exitCode int
+		message  string
 	}{
 		{[]string{"fleet", "check", "fleet.sexp", "a.json"}, 0, ""},
 		{[]string{"fleet", "check", "bad.sexp"}, 2, `bad.sexp:2:2: the file has no key "florr"; did you mean floor?`},
@@ -39,8 +39,8 @@
 		{[]string{"--log", "loud", "version"}, 2, "--log"},
 		{[]string{"version", "--json"}, 0, ""},
 	} {
-		s := run(t, r.dir, x.args...)
-		assert.Equal(t, x.status, s.status, "%v: %s", x.args, s.err)
-		assert.Contains(t, s.err, x.says, "%v", x.args)
+		got := run(t, f.dir, x.args...)
+		assert.Equal(t, x.exitCode, got.exitCode, "%v: %s", x.args, got.stderr)
+		assert.Contains(t, got.stderr, x.message, "%v", x.args)
 	}
 }
