--- a/internal/adapter/instance.go
+++ b/internal/adapter/instance.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"math"
 
-	"stoatdale.example/stoatdale/internal/hand"
 	"stoatdale.example/stoatdale/internal/index"
+	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
 	"stoatdale.example/stoatdale/internal/wire"
@@ -24,7 +24,7 @@
 	startClock   uint64 // the simulator's clock at its start, in nanoseconds
 	now          float64
 	router       *router.Router
-	commands     *hand.Tracker
+	commands     *inflight.Tracker
 	reportFields []string // of a load report
 	groupCount   int      // command groups
 	fault        string   // why it cannot go on; empty: it can
@@ -53,7 +53,7 @@
 	i.reportFields = settings.ReportFields
 	i.groupCount = len(settings.CommandGroups)
 	i.router = router.New(settings.Config, seed)
-	i.commands = hand.New(i.router, i)
+	i.commands = inflight.New(i.router, i)
 	return i
 }
 
--- a/internal/core/dispatcher.go
+++ b/internal/core/dispatcher.go
@@ -12,8 +12,8 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/discovery"
-	"stoatdale.example/stoatdale/internal/hand"
 	"stoatdale.example/stoatdale/internal/index"
+	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/member"
 	"stoatdale.example/stoatdale/internal/router"
@@ -27,7 +27,7 @@
 	settings *site.Settings
 	seed     uint64
 	router   *router.Router // decides about new commands
-	tracker  *hand.Tracker
+	tracker  *inflight.Tracker
 	backends *member.Pool
 	watch    *discovery.Watch
 	counters *count.Counters
@@ -61,7 +61,7 @@
 		d.zones.Intern(zone)
 	}
 	d.router = d.newRouter()
-	d.tracker = hand.New(d.router, d)
+	d.tracker = inflight.New(d.router, d)
 	d.backends = member.New(l, &config.Limits, blocks, d, counters)
 	d.watch = discovery.New(l, &config.Limits, config.Discovery, config.Settings.PollList, blocks, d, log)
 	d.gathered.listUpdates = []listUpdate{{source: listFromConfig, list: config.KnownList}}
--- a/internal/explore/hash.go
+++ b/internal/explore/hash.go
@@ -11,7 +11,7 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Fields names fields of struct types: the type with its package, as reflect writes it ("hand.Hand"), to the names of
+// Fields names fields of struct types: the type with its package, as reflect writes it ("inflight.Hand"), to the names of
 // its fields.
 type Fields map[string][]string
 
--- a/internal/hand/simulation_fleet_test.go
+++ b/internal/inflight/simulation_fleet_test.go
@@ -1,4 +1,4 @@
-package hand_test
+package inflight_test
 
 import (
 	"math"
--- a/internal/hand/simulation_test.go
+++ b/internal/inflight/simulation_test.go
@@ -1,11 +1,11 @@
-package hand_test
+package inflight_test
 
 import (
 	"container/heap"
 	"fmt"
 	"math"
 
-	"stoatdale.example/stoatdale/internal/hand"
+	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -131,7 +131,7 @@
 	order   int
 	config  router.Config
 	router  *router.Router // the one in force
-	tracker *hand.Tracker
+	tracker *inflight.Tracker
 	// The time by which the module wants to be asked again. A flood asks no sooner, others after every event.
 	reviewAt float64
 	nextID   uint32
@@ -159,7 +159,7 @@
 		s.settleFlood()
 	}
 	s.router = router.New(s.config, s.next())
-	s.tracker = hand.New(s.router, s)
+	s.tracker = inflight.New(s.router, s)
 	s.publishAll(s.chance(0.5))
 	s.after(0, s.arrive)
 	s.after(s.exponential(s.turbulence), s.disturb)
--- a/internal/hand/tracker.go
+++ b/internal/inflight/tracker.go
@@ -1,6 +1,6 @@
 // Package hand keeps the commands in flight and the times at which the router wants to review them. It makes the
 // router's calls and decides nothing; what carries the decisions out, the simulator's wire or sockets, is an Executor.
-package hand
+package inflight
 
 import (
 	"slices"
--- a/internal/hand/tracker_test.go
+++ b/internal/inflight/tracker_test.go
@@ -1,4 +1,4 @@
-package hand
+package inflight
 
 import (
 	"math"
--- a/internal/lab/world/policy.go
+++ b/internal/lab/world/policy.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/hand"
+	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -41,14 +41,14 @@
 
 // module is the router's own decisions, the code that serves.
 type module struct {
-	*hand.Tracker
+	*inflight.Tracker
 	router *router.Router
 }
 
 func newModule(r *instance) Policy {
 	seed := rand.New(rand.NewPCG(r.w.seed, name("routers")+uint64(r.me)<<8+uint64(r.boots))).Uint64()
 	m := router.New(r.site(), seed)
-	return &module{hand.New(m, r), m}
+	return &module{inflight.New(m, r), m}
 }
 
 // ReviewDue implements Policy.
--- a/internal/systems/cold.go
+++ b/internal/systems/cold.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"stoatdale.example/stoatdale/internal/explore"
-	"stoatdale.example/stoatdale/internal/hand"
+	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -50,7 +50,7 @@
 	me     int
 	boots  int
 	module *router.Router
-	hand   *hand.Tracker
+	hand   *inflight.Tracker
 	out    []coldLeg
 	last   uint32 // command
 	burst  bool   // had one in this step of time
@@ -98,7 +98,7 @@
 	}
 	draws := uint64(r.me)<<8 + uint64(r.boots)
 	r.module = router.New(s, draws*0x9e3779b97f4a7c15) // far apart: small seeds draw alike
-	r.hand = hand.New(r.module, r)
+	r.hand = inflight.New(r.module, r)
 	r.list()
 }
 
--- a/internal/systems/command.go
+++ b/internal/systems/command.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"stoatdale.example/stoatdale/internal/explore"
-	"stoatdale.example/stoatdale/internal/hand"
+	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -108,7 +108,7 @@
 	ticks             int
 	faults            int
 	router            *router.Router
-	tracker           *hand.Tracker
+	tracker           *inflight.Tracker
 	nextReviewAt      float64
 	endpoints         []simulatedEndpoint
 	cmds              []*clientCommand
@@ -182,7 +182,7 @@
 	}
 	c.starts++
 	c.router = router.New(s, uint64(c.starts)<<48) // a new seed with each start, that draws otherwise
-	c.tracker = hand.New(c.router, c)
+	c.tracker = inflight.New(c.router, c)
 	c.sendList(true)
 	c.settle()
 }
@@ -574,9 +574,9 @@
 
 // commandRules leave out to whom the tracker reports, and the numbers that tell reviews of one time apart.
 var commandRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
-	"hand.Tracker":     {"executor"},
-	"hand.review":      {"order"},
-	"hand.reviewQueue": {"count"},
+	"inflight.Tracker":     {"executor"},
+	"inflight.review":      {"order"},
+	"inflight.reviewQueue": {"count"},
 }}
 
 // Fingerprint implements explore.System. Nothing of the module is left out, chance included; what the world
