--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -303,15 +303,15 @@
 
 func TestNameThatDoesNotExistIsAnError(t *testing.T) {
 	s := readSource(t)
-	page := "A `core.Dispatcher.RunTurn` in `internal/core`.\n\n```\n programs     stoatdale\n```\n"
+	page := "A `dispatcher.Dispatcher.RunTurn` in `internal/dispatcher`.\n\n```\n programs     stoatdale\n```\n"
 	_, errs := s.checkPage(page)
 	assert.Empty(t, errs)
 	for planted, says := range map[string]string{
-		"`core.Dispatcher.Planted`":         "declares no Dispatcher.Planted",
-		"`core.Planted`":                    "declares no Planted",
+		"`dispatcher.Dispatcher.Planted`":         "declares no Dispatcher.Planted",
+		"`dispatcher.Planted`":                    "declares no Planted",
 		"`planted.Core`":                    "there is no package planted",
 		"`internal/planted`":                "there is no such file or folder",
-		"`internal/core/planted.go`":        "there is no such file or folder",
+		"`internal/dispatcher/planted.go`":  "there is no such file or folder",
 		"`Planted`":                         "is not written as a package",
 		"```\n programs     planted\n```\n": "there is no package planted",
 	} {
--- a/internal/core/command.go
+++ b/internal/dispatcher/command.go
@@ -1,4 +1,4 @@
-package core
+package dispatcher
 
 import (
 	"stoatdale.example/stoatdale/internal/buffer"
--- a/internal/core/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -2,7 +2,7 @@
 // connections to backends and discovery have to tell, hands that to the router, and carries out the router's decisions.
 // It interns endpoints, shards and zones, gives commands their tracking ids, and decides nothing itself. All of it runs
 // on the event loop's goroutine.
-package core
+package dispatcher
 
 import (
 	"net/netip"
--- a/internal/core/report_test.go
+++ b/internal/dispatcher/report_test.go
@@ -1,4 +1,4 @@
-package core
+package dispatcher
 
 import (
 	"fmt"
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -4,7 +4,7 @@
 	"container/list"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/core"
+	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/loop"
 )
 
@@ -226,7 +226,7 @@
 
 // abandonReplies frees the replies that are owed and hands their commands back to the dispatcher.
 func (c *conn) abandonReplies() {
-	var abandoned []*core.Command
+	var abandoned []*dispatcher.Command
 	for _, r := range c.replies {
 		if r.command != nil && !r.complete {
 			abandoned = append(abandoned, r.command)
--- a/internal/front/harness_test.go
+++ b/internal/front/harness_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/core"
 	"stoatdale.example/stoatdale/internal/count"
+	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/roster"
@@ -37,7 +37,7 @@
 	t          *testing.T
 	server     *Server
 	loop       *loop.Loop
-	dispatcher *core.Dispatcher
+	dispatcher *dispatcher.Dispatcher
 	counters   count.Counters
 	buffers    *buffer.Pool
 
@@ -65,7 +65,7 @@
 	h.loop, err = loop.New(16)
 	require.NoError(t, err)
 	h.buffers = buffer.NewPool(testBlockSize, config.Limits.Counts.BufferBlocks)
-	h.dispatcher = core.New(config, h.loop, h.buffers, &h.counters, zerolog.Nop())
+	h.dispatcher = dispatcher.New(config, h.loop, h.buffers, &h.counters, zerolog.Nop())
 	h.dispatcher.RunTurn(0)
 	h.server, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), h.loop, Options{
 		Limits:     &config.Limits,
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 
-	"stoatdale.example/stoatdale/internal/core"
+	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -45,7 +45,7 @@
 }
 
 // newCommand makes a command of a statement, all but its text and its deadline.
-func (s *Server) newCommand(statement *pg.Statement) (*core.Command, *rejection) {
+func (s *Server) newCommand(statement *pg.Statement) (*dispatcher.Command, *rejection) {
 	group, ok := s.groups[statement.Group]
 	if !ok {
 		return nil, invalidValue("c=%.40q: unknown command group", statement.Group)
@@ -57,7 +57,7 @@
 	if rejected := s.checkStatement(statement, group); rejected != nil {
 		return nil, rejected
 	}
-	command := &core.Command{
+	command := &dispatcher.Command{
 		ID:          statement.ID,
 		Group:       group,
 		Shard:       shard,
@@ -91,7 +91,7 @@
 }
 
 // forward hands a command to the dispatcher and keeps its place among the replies.
-func (c *conn) forward(command *core.Command) {
+func (c *conn) forward(command *dispatcher.Command) {
 	r := &reply{command: command, data: c.server.buffers.NewChain()}
 	c.replies = append(c.replies, r)
 	command.Owner = owner{conn: c, reply: r}
--- a/internal/front/reply.go
+++ b/internal/front/reply.go
@@ -5,13 +5,13 @@
 	"strconv"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/core"
+	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
 // reply is one that a connection owes to its client.
 type reply struct {
-	command  *core.Command // nil: the reply to a message that is no command
+	command  *dispatcher.Command // nil: the reply to a message that is no command
 	data     buffer.Chain
 	complete bool
 }
@@ -55,7 +55,7 @@
 }
 
 // Answer implements core.Responder: it sends a row and frees it.
-func (s *Server) Answer(command *core.Command, row *buffer.Chain) {
+func (s *Server) Answer(command *dispatcher.Command, row *buffer.Chain) {
 	if to := command.Owner.(owner); to.conn.state != stateClosed {
 		row.MoveTo(&to.reply.data)
 	}
@@ -65,7 +65,7 @@
 
 // Reject implements core.Responder: it sends an error upon which the client may retry, after so many seconds if it is
 // above 0.
-func (s *Server) Reject(command *core.Command, retryAfter float64) {
+func (s *Server) Reject(command *dispatcher.Command, retryAfter float64) {
 	const millisecondsPerSecond = 1000
 	detail := ""
 	if retryAfter > 0 {
@@ -76,13 +76,13 @@
 }
 
 // Fail implements core.Responder: it sends an error upon which the client cannot know whether the command ran.
-func (s *Server) Fail(command *core.Command) {
+func (s *Server) Fail(command *dispatcher.Command) {
 	message := pg.AppendErrorResponse(nil, false, pg.CodeSystemError, "failed: it is not known whether the command ran", "")
 	s.complete(command, pg.AppendReadyForQuery(message))
 }
 
 // complete appends the last part of a command's reply, and sends the replies that are due by now.
-func (s *Server) complete(command *core.Command, last []byte) {
+func (s *Server) complete(command *dispatcher.Command, last []byte) {
 	to := command.Owner.(owner)
 	if to.conn.state == stateClosed {
 		return
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -11,8 +11,8 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/core"
 	"stoatdale.example/stoatdale/internal/count"
+	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/site"
 )
@@ -24,9 +24,9 @@
 	// IsInFlight reports whether a command of this name is in flight.
 	IsInFlight(name string) bool
 	// Submit takes a command over. It gives the command one result by way of the command's Responder.
-	Submit(command *core.Command)
+	Submit(command *dispatcher.Command)
 	// ClientGone notifies the dispatcher that the client of these commands has gone: no result is expected any more.
-	ClientGone(commands []*core.Command)
+	ClientGone(commands []*dispatcher.Command)
 	// CloseIdleBackend closes an idle connection to a backend, and reports whether there was one to spare.
 	CloseIdleBackend() bool
 	// SecondsSince returns how many seconds ago a Unix time in seconds was; negative if it lies in the future.
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -13,8 +13,8 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/core"
 	"stoatdale.example/stoatdale/internal/count"
+	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/front"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
@@ -73,7 +73,7 @@
 
 // receivedCommand is a command that the front took.
 type receivedCommand struct {
-	c    *core.Command
+	c    *dispatcher.Command
 	name string
 	open bool
 }
@@ -152,11 +152,11 @@
 	return false
 }
 
-func (s clientCore) Submit(c *core.Command) {
+func (s clientCore) Submit(c *dispatcher.Command) {
 	s.received = append(s.received, &receivedCommand{c: c, name: c.ID, open: true})
 }
 
-func (s clientCore) ClientGone(cs []*core.Command) {
+func (s clientCore) ClientGone(cs []*dispatcher.Command) {
 	for _, t := range s.received {
 		if slices.Contains(cs, t.c) && s.fault != "unheard" {
 			s.check.Ended(t.name)
@@ -455,11 +455,11 @@
 // clientRules leave out the lists of those that may make room, for there is room for all, and what is the same in all
 // states or stands for the same thing elsewhere.
 var clientRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
-	"buffer.Chain":    {"pool"},
-	"core.Command":    {"Owner", "Responder"},
-	"front.conn":      {"fd", "server", "shedElement", "shedQueue", "timer"},
-	"systems.clients": {"blocks", "bounds", "fault", "front", "wire"},
-	"systems.sock":    {"handler"},
+	"buffer.Chain":       {"pool"},
+	"dispatcher.Command": {"Owner", "Responder"},
+	"front.conn":         {"fd", "server", "shedElement", "shedQueue", "timer"},
+	"systems.clients":    {"blocks", "bounds", "fault", "front", "wire"},
+	"systems.sock":       {"handler"},
 }}
 
 // Fingerprint implements explore.System.
--- a/service/service.go
+++ b/service/service.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/core"
+	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/front"
 	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/site"
@@ -32,7 +32,7 @@
 	config   Config
 	loop     *loop.Loop
 	buffers  *buffer.Pool
-	core     *core.Dispatcher
+	core     *dispatcher.Dispatcher
 	front    *front.Server
 	counters Counters
 	log      zerolog.Logger
@@ -54,7 +54,7 @@
 		stopped: make(chan struct{}),
 	}
 	r.counters.SetGroups(config.Settings.GroupNames)
-	r.core = core.New(&r.config, events, r.buffers, &r.counters, log)
+	r.core = dispatcher.New(&r.config, events, r.buffers, &r.counters, log)
 	r.front, err = front.Listen(config.Listen, events, front.Options{
 		Limits:     &r.config.Limits,
 		Settings:   &r.config.Settings,
