--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -79,6 +79,6 @@
 	}
 	assert.GreaterOrEqual(t, all, fewestDottedNamesRead)
 
-	unknown, _ := s.unknownNames("`internal/planted`, `internal/dispatcher`, `core.Planted`, `buffer.Chain.Planted`, `buffer.Chain`, `main.run`")
+	unknown, _ := s.unknownNames("`internal/planted`, `internal/dispatcher`, `dispatcher.Planted`, `buffer.Chain.Planted`, `buffer.Chain`, `main.run`")
 	assert.Equal(t, []string{"internal/planted", "dispatcher.Planted", "buffer.Chain.Planted"}, unknown)
 }
