--- a/internal/front/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"testing"
--- a/internal/front/server.go
+++ b/internal/frontend/server.go
@@ -2,7 +2,7 @@
 // results back in the order of the commands; it decides nothing about routing.
 //
 // Everything in it belongs to the goroutine of the event loop. Times are seconds on the event loop's clock.
-package front
+package frontend
 
 import (
 	"container/list"
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -16,7 +16,7 @@
 	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/explore"
-	"stoatdale.example/stoatdale/internal/front"
+	"stoatdale.example/stoatdale/internal/frontend"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
 	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/pg"
@@ -43,7 +43,7 @@
 	bounds   Bounds
 	fault    string
 	wire     *listening
-	front    *front.Server
+	front    *frontend.Server
 	blocks   *buffer.Pool
 	check    verdict.Clients
 	clients  []*scriptedClient
@@ -98,7 +98,7 @@
 	told := &site.Settings{GroupNames: []string{"look"}}
 	told.CommandGroups = []router.CommandGroup{{ClientTimeout: 1, LatencyObjective: 0.5}}
 	var err error
-	s.front, err = front.Listen(netip.MustParseAddrPort("127.0.0.1:5432"), s.wire, front.Options{
+	s.front, err = frontend.Listen(netip.MustParseAddrPort("127.0.0.1:5432"), s.wire, frontend.Options{
 		Limits:     limits,
 		Settings:   told,
 		Buffers:    s.blocks,
@@ -457,7 +457,7 @@
 var clientRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
 	"buffer.Chain":       {"pool"},
 	"dispatcher.Command": {"Owner", "Responder"},
-	"front.conn":         {"fd", "server", "shedElement", "shedQueue", "timer"},
+	"frontend.conn":      {"fd", "server", "shedElement", "shedQueue", "timer"},
 	"systems.clients":    {"blocks", "bounds", "fault", "front", "wire"},
 	"systems.sock":       {"handler"},
 }}
--- a/service/service.go
+++ b/service/service.go
@@ -9,7 +9,7 @@
 
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/dispatcher"
-	"stoatdale.example/stoatdale/internal/front"
+	"stoatdale.example/stoatdale/internal/frontend"
 	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/site"
 )
@@ -33,7 +33,7 @@
 	loop     *loop.Loop
 	buffers  *buffer.Pool
 	core     *dispatcher.Dispatcher
-	front    *front.Server
+	front    *frontend.Server
 	counters Counters
 	log      zerolog.Logger
 	draining bool
@@ -55,7 +55,7 @@
 	}
 	r.counters.SetGroups(config.Settings.GroupNames)
 	r.core = dispatcher.New(&r.config, events, r.buffers, &r.counters, log)
-	r.front, err = front.Listen(config.Listen, events, front.Options{
+	r.front, err = frontend.Listen(config.Listen, events, frontend.Options{
 		Limits:     &r.config.Limits,
 		Settings:   &r.config.Settings,
 		Buffers:    r.buffers,
