--- a/internal/member/health_check_test.go
+++ b/internal/backend/health_check_test.go
@@ -1,4 +1,4 @@
-package member
+package backend
 
 import (
 	"bytes"
--- a/internal/member/pool.go
+++ b/internal/backend/pool.go
@@ -2,7 +2,7 @@
 // them and reports how each ended. It never sends anything twice and takes no routing decision.
 //
 // A Pool belongs to one event loop; none of its methods may be called from another goroutine.
-package member
+package backend
 
 import (
 	"net/netip"
--- a/internal/dispatcher/attempt.go
+++ b/internal/dispatcher/attempt.go
@@ -1,22 +1,22 @@
 package dispatcher
 
 import (
-	"stoatdale.example/stoatdale/internal/member"
+	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
 // decisions is what the router has decided and is not yet carried out.
 type decisions struct {
-	cancels []*member.Attempt
-	sends   []*member.Attempt
+	cancels []*backend.Attempt
+	sends   []*backend.Attempt
 }
 
 // rolesByRecovery gives the role of a backend by what its answer says of its recovery.
 var rolesByRecovery = map[string]router.Role{"off": router.RolePrimary, "on": router.RoleReplica}
 
 // AttemptEnded implements member.ResultHandler.
-func (d *Dispatcher) AttemptEnded(attempt *member.Attempt, result router.Result, elapsed float64, answer *pg.Answer) {
+func (d *Dispatcher) AttemptEnded(attempt *backend.Attempt, result router.Result, elapsed float64, answer *pg.Answer) {
 	ended := endedAttempt{attempt: attempt, result: result, elapsed: elapsed}
 	if answer != nil {
 		ended.answer = *answer
@@ -116,7 +116,7 @@
 // Forward implements hand.Executor.
 func (d *Dispatcher) Forward(trackingID uint32, attemptIndex, endpoint int, deadline float64) {
 	command := d.commands.get(trackingID)
-	command.attempt = &member.Attempt{
+	command.attempt = &backend.Attempt{
 		CommandID: trackingID,
 		Index:     attemptIndex,
 		Endpoint:  endpoint,
--- a/internal/dispatcher/command.go
+++ b/internal/dispatcher/command.go
@@ -1,8 +1,8 @@
 package dispatcher
 
 import (
+	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/member"
 )
 
 // Command is a command that a client sent. The frontend fills the exported fields, and leaves the value to the
@@ -22,8 +22,8 @@
 	Owner          any // for the frontend; the dispatcher does not look at it
 
 	trackingID uint32
-	attempt    *member.Attempt // the last one that was begun and has not ended
-	done       bool            // has had its final answer, or needs none
+	attempt    *backend.Attempt // the last one that was begun and has not ended
+	done       bool             // has had its final answer, or needs none
 }
 
 // Responder gives a command its final answer: one call a command, and none once its client has gone. It may call
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -9,13 +9,13 @@
 
 	"github.com/rs/zerolog"
 
+	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/discovery"
 	"stoatdale.example/stoatdale/internal/index"
 	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/loop"
-	"stoatdale.example/stoatdale/internal/member"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
 )
@@ -28,7 +28,7 @@
 	seed     uint64
 	router   *router.Router // decides about new commands
 	tracker  *inflight.Tracker
-	backends *member.Pool
+	backends *backend.Pool
 	watch    *discovery.Watch
 	counters *count.Counters
 	log      zerolog.Logger
@@ -62,7 +62,7 @@
 	}
 	d.router = d.newRouter()
 	d.tracker = inflight.New(d.router, d)
-	d.backends = member.New(l, &config.Limits, blocks, d, counters)
+	d.backends = backend.New(l, &config.Limits, blocks, d, counters)
 	d.watch = discovery.New(l, &config.Limits, config.Discovery, config.Settings.PollList, blocks, d, log)
 	d.gathered.listUpdates = []listUpdate{{source: listFromConfig, list: config.KnownList}}
 	if !config.Settings.PollList {
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/loop"
-	"stoatdale.example/stoatdale/internal/member"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/roster"
 	"stoatdale.example/stoatdale/internal/router"
@@ -127,7 +127,7 @@
 	d.RunTurn(0.2)
 	assert.Equal(t, recorder{"answered"}, answers)
 	assert.Zero(t, buffers.BlocksInUse(), "every block is given back")
-	d.AttemptEnded(&member.Attempt{CommandID: 99}, router.ConnectionLost, 0, nil)
+	d.AttemptEnded(&backend.Attempt{CommandID: 99}, router.ConnectionLost, 0, nil)
 	d.RunTurn(0.3)
 }
 
--- a/internal/dispatcher/turn.go
+++ b/internal/dispatcher/turn.go
@@ -1,7 +1,7 @@
 package dispatcher
 
 import (
-	"stoatdale.example/stoatdale/internal/member"
+	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -30,7 +30,7 @@
 
 // endedAttempt is the end of an attempt.
 type endedAttempt struct {
-	attempt *member.Attempt
+	attempt *backend.Attempt
 	result  router.Result
 	elapsed float64 // seconds
 	answer  pg.Answer
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -7,11 +7,11 @@
 	"net/netip"
 	"strings"
 
+	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
-	"stoatdale.example/stoatdale/internal/member"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
@@ -51,7 +51,7 @@
 	bounds Bounds
 	fault  string
 	wire   *wire
-	m      *member.Pool
+	m      *backend.Pool
 	blocks *buffer.Pool
 	sends  []*sending
 	faults int
@@ -64,7 +64,7 @@
 
 // sending is one command's dispatch.
 type sending struct {
-	d     *member.Attempt
+	d     *backend.Attempt
 	text  buffer.Chain
 	state int // 0: not yet sent, 1: out, 2: ended
 }
@@ -95,14 +95,14 @@
 	}
 	s.wire.deafQuiet, s.wire.earlyByte = fault == "previous-reply", fault == "early-write"
 	s.wire.lateByte, s.wire.keepOpen = fault == "late-write", fault == "kept"
-	s.m = member.New(s.wire, limits, s.blocks, memberSink{s}, &count.Counters{})
+	s.m = backend.New(s.wire, limits, s.blocks, memberSink{s}, &count.Counters{})
 	s.m.SetAddress(0, netip.MustParseAddrPort("127.0.0.1:5432"), false)
 	for i := range b.Commands {
 		x := &sending{text: s.blocks.NewChain()}
 		text := fmt.Sprintf(memberStatement, 'a'+i, i+1)
 		x.text.Write([]byte(text))
 		from := strings.Index(text, "d=900") + 2
-		x.d = &member.Attempt{CommandID: uint32(i), Statement: &x.text, WaitStart: from, WaitEnd: from + 3}
+		x.d = &backend.Attempt{CommandID: uint32(i), Statement: &x.text, WaitStart: from, WaitEnd: from + 3}
 		s.sends = append(s.sends, x)
 	}
 	return s
@@ -112,7 +112,7 @@
 type memberSink struct{ *members }
 
 // AttemptEnded implements member.ResultHandler.
-func (s memberSink) AttemptEnded(d *member.Attempt, e router.Result, _ float64, a *pg.Answer) {
+func (s memberSink) AttemptEnded(d *backend.Attempt, e router.Result, _ float64, a *pg.Answer) {
 	x := s.sends[d.CommandID]
 	x.state = 2
 	never := e == router.ConnectFailed || e == router.NeverSent
@@ -413,9 +413,9 @@
 // memberRules leave out what is the same in all states or stands for the same thing elsewhere.
 var memberRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
 	"buffer.Chain":    {"pool"},
-	"member.Attempt":  {"conn"},
-	"member.Pool":     {"blocks", "counters", "limits", "loop", "results"},
-	"member.conn":     {"pool", "timer"},
+	"backend.Attempt": {"conn"},
+	"backend.Pool":    {"blocks", "counters", "limits", "loop", "results"},
+	"backend.conn":    {"pool", "timer"},
 	"systems.members": {"blocks", "bounds", "fault"},
 	"systems.sock":    {"handler"},
 	"systems.wire":    {"timers"},
