--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -4,9 +4,9 @@
 	"errors"
 	"strconv"
 
+	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/http1"
 	"stoatdale.example/stoatdale/internal/loop"
-	"stoatdale.example/stoatdale/internal/roster"
 )
 
 // listPath is the path at which discovery serves the list.
@@ -153,17 +153,17 @@
 
 // parseReply returns the list in a reply if it is complete or follows from the last one. A complete list may go back to
 // an earlier generation.
-func (w *Watch) parseReply(reply *http1.Response) (roster.List, error) {
+func (w *Watch) parseReply(reply *http1.Response) (endpoint.List, error) {
 	if reply.Status != statusOK {
-		return roster.List{}, &StatusError{Status: reply.Status}
+		return endpoint.List{}, &StatusError{Status: reply.Status}
 	}
-	list, err := roster.Parse(reply.Body)
+	list, err := endpoint.Parse(reply.Body)
 	if err != nil {
-		return roster.List{}, err
+		return endpoint.List{}, err
 	}
 	follows := w.hasList() && list.Generation >= w.generation
 	if !list.Complete && !follows {
-		return roster.List{}, &GenerationError{Got: list.Generation, Have: w.generation}
+		return endpoint.List{}, &GenerationError{Got: list.Generation, Have: w.generation}
 	}
 	return list, nil
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -9,16 +9,16 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/http1"
 	"stoatdale.example/stoatdale/internal/loop"
-	"stoatdale.example/stoatdale/internal/roster"
 	"stoatdale.example/stoatdale/internal/site"
 )
 
 // ListHandler takes what a watch brings. Its methods are called on the event loop's goroutine.
 type ListHandler interface {
 	// HandleList takes a complete list, or the changes since the list before.
-	HandleList(list roster.List)
+	HandleList(list endpoint.List)
 	// HandleCallFailure is called once for each call that failed, which the watch has logged.
 	HandleCallFailure()
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,9 +17,9 @@
 	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/http1"
 	"stoatdale.example/stoatdale/internal/loop"
-	"stoatdale.example/stoatdale/internal/roster"
 	"stoatdale.example/stoatdale/internal/site"
 )
 
@@ -54,8 +54,8 @@
 	}
 }
 
-func (h *harness) HandleList(l roster.List) { h.note(fmt.Sprint(l.Generation, " ", l.Complete)) }
-func (h *harness) HandleCallFailure()       { h.note(callFailed) }
+func (h *harness) HandleList(l endpoint.List) { h.note(fmt.Sprint(l.Generation, " ", l.Complete)) }
+func (h *harness) HandleCallFailure()         { h.note(callFailed) }
 
 // newHarness starts a stand-in that gives the scripted replies one after the other, and then holds all calls.
 func newHarness(t *testing.T, onDemand bool, replies ...string) *harness {
@@ -279,7 +279,7 @@
 	assert.Equal(t, 503, statusError.Status)
 
 	_, err = watch.parseReply(&http1.Response{Status: 200, Body: []byte(`{}`)})
-	var parseError *roster.ParseError
+	var parseError *endpoint.ParseError
 	require.ErrorAs(t, err, &parseError)
 
 	_, err = watch.parseReply(&http1.Response{Status: 200, Body: []byte(`{"generation":3}`)})
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -12,9 +12,9 @@
 	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/count"
+	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/pg"
-	"stoatdale.example/stoatdale/internal/roster"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
 )
@@ -31,8 +31,8 @@
 func (r *recorder) Reject(*Command, float64) { *r = append(*r, "rejected") }
 func (r *recorder) Fail(*Command)            { *r = append(*r, "failed") }
 
-func testList() roster.List {
-	return roster.List{Complete: true, Endpoints: []roster.Endpoint{{ID: "a", Shard: testCluster, State: roster.StateReady}}}
+func testList() endpoint.List {
+	return endpoint.List{Complete: true, Endpoints: []endpoint.Endpoint{{ID: "a", Shard: testCluster, State: endpoint.StateReady}}}
 }
 
 // newTestDispatcher returns a dispatcher that knows one endpoint, which has no address, and its buffers.
@@ -135,9 +135,9 @@
 	d, _ := newTestDispatcher(t)
 	mostKnown := 0
 	for i := range 500 {
-		d.HandleList(roster.List{Endpoints: []roster.Endpoint{
-			{ID: fmt.Sprint("m", i), Shard: testCluster, State: roster.StateReady},
-			{ID: fmt.Sprint("m", i-1), Shard: testCluster, State: roster.StateGone},
+		d.HandleList(endpoint.List{Endpoints: []endpoint.Endpoint{
+			{ID: fmt.Sprint("m", i), Shard: testCluster, State: endpoint.StateReady},
+			{ID: fmt.Sprint("m", i-1), Shard: testCluster, State: endpoint.StateGone},
 		}})
 		d.RunTurn(float64(i))
 		known, _ := d.EndpointRows()
--- a/internal/dispatcher/list.go
+++ b/internal/dispatcher/list.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"stoatdale.example/stoatdale/internal/roster"
+	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -19,11 +19,11 @@
 // listUpdate is what happened to the endpoint list.
 type listUpdate struct {
 	source listSource
-	list   roster.List
+	list   endpoint.List
 }
 
 // HandleList implements discovery.ListHandler.
-func (d *Dispatcher) HandleList(list roster.List) {
+func (d *Dispatcher) HandleList(list endpoint.List) {
 	d.gathered.listUpdates = append(d.gathered.listUpdates, listUpdate{source: listFromDiscovery, list: list})
 }
 
@@ -47,12 +47,12 @@
 }
 
 // updateEndpoints takes a list over. One that is cached counts as complete, whatever it says.
-func (d *Dispatcher) updateEndpoints(now float64, list roster.List, cached bool) {
+func (d *Dispatcher) updateEndpoints(now float64, list endpoint.List, cached bool) {
 	infos := make([]router.EndpointInfo, 0, len(list.Endpoints))
 	for i := range list.Endpoints {
 		row := &list.Endpoints[i]
 		info := d.endpointInfo(row)
-		d.backends.SetAddress(info.Index, row.Address, row.State == roster.StateGone)
+		d.backends.SetAddress(info.Index, row.Address, row.State == endpoint.StateGone)
 		infos = append(infos, info)
 	}
 	d.tracker.UpdateEndpoints(now, infos, list.Complete || cached, cached)
@@ -69,7 +69,7 @@
 
 // endpointInfo converts a row of the list to the router's terms. It gives ids to an endpoint, shard and zone that have
 // none.
-func (d *Dispatcher) endpointInfo(endpoint *roster.Endpoint) router.EndpointInfo {
+func (d *Dispatcher) endpointInfo(endpoint *endpoint.Endpoint) router.EndpointInfo {
 	startedAt := math.Inf(-1)
 	if endpoint.StartedUnixMs > 0 {
 		startedAt = d.clock.loopTime(float64(endpoint.StartedUnixMs))
@@ -85,13 +85,13 @@
 }
 
 // endpointState converts a list's state to the router's.
-func endpointState(state roster.State) router.EndpointState {
+func endpointState(state endpoint.State) router.EndpointState {
 	switch state {
-	case roster.StateReady:
+	case endpoint.StateReady:
 		return router.Ready
-	case roster.StateDraining:
+	case endpoint.StateDraining:
 		return router.Draining
-	case roster.StateGone:
+	case endpoint.StateGone:
 	}
 	return router.Removed
 }
--- a/internal/roster/roster.go
+++ b/internal/endpoint/roster.go
@@ -1,5 +1,5 @@
 // Package roster defines the endpoint list that discovery serves and reads it from JSON.
-package roster
+package endpoint
 
 import (
 	"encoding/json"
--- a/internal/frontend/client_gone_test.go
+++ b/internal/frontend/client_gone_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/pg"
-	"stoatdale.example/stoatdale/internal/roster"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
 )
@@ -87,7 +87,7 @@
 }
 
 func commandHeld(h *harness, _ *fakeBackend) net.Conn {
-	h.publishState(roster.StateDraining)
+	h.publishState(endpoint.StateDraining)
 	conn, _ := h.client(startupThen(patientQuery("a1")))
 	h.runUntil(h.acceptedCommands(1))
 	return conn
@@ -96,7 +96,7 @@
 func commandBetweenAttempts(h *harness, backend *fakeBackend) net.Conn {
 	conn, _ := h.client(startupThen(patientQuery("a1")))
 	h.runUntil(backend.hasStarted(1))
-	h.publishState(roster.StateDraining)
+	h.publishState(endpoint.StateDraining)
 	close(backend.accepting)
 	h.runUntil(func() bool { return h.counters.AttemptResults[router.Overloaded] == 1 })
 	return conn
@@ -116,14 +116,14 @@
 }
 
 func pipelineFull(h *harness, _ *fakeBackend) net.Conn {
-	h.publishState(roster.StateDraining)
+	h.publishState(endpoint.StateDraining)
 	conn, _ := h.client(startupThen(patientQuery("a1"), patientQuery("a2"), patientQuery("a3"), patientQuery("a4")))
 	h.runUntil(h.acceptedCommands(2))
 	return conn
 }
 
 func commandsUnread(h *harness, _ *fakeBackend) net.Conn {
-	h.publishState(roster.StateDraining)
+	h.publishState(endpoint.StateDraining)
 	var queries []byte
 	for i := range 40 {
 		queries = append(queries, longQuery(fmt.Sprintf("a%x", i))...)
@@ -134,7 +134,7 @@
 }
 
 func lastAnswerOwed(h *harness, _ *fakeBackend) net.Conn {
-	h.publishState(roster.StateDraining)
+	h.publishState(endpoint.StateDraining)
 	unknownMessage := []byte("?\x00\x00\x00\x04")
 	conn, _ := h.client(startupThen(patientQuery("a1"), unknownMessage))
 	h.runUntil(func() bool { return h.counters.InvalidQueries == 1 })
@@ -142,7 +142,7 @@
 }
 
 func answersNotTaken(h *harness, _ *fakeBackend) net.Conn {
-	h.publishState(roster.StateDraining)
+	h.publishState(endpoint.StateDraining)
 	conn := h.dial()
 	invalid := []byte(strings.Repeat(string(pg.AppendQuery(nil, "SELECT 1")), 100_000))
 	go func() { _, _ = conn.Write(startupThen(invalid, patientQuery("a1"))) }()
@@ -156,7 +156,7 @@
 }
 
 func buffersScarce(h *harness, backend *fakeBackend) net.Conn {
-	h.publishState(roster.StateDraining)
+	h.publishState(endpoint.StateDraining)
 	conn, _ := h.client(startupThen(patientQuery("a1")))
 	h.runUntil(h.acceptedCommands(1))
 	hoard := h.buffers.NewChain()
@@ -172,7 +172,7 @@
 }
 
 func routerDrains(h *harness, _ *fakeBackend) net.Conn {
-	h.publishState(roster.StateDraining)
+	h.publishState(endpoint.StateDraining)
 	conn, _ := h.client(startupThen(patientQuery("a1")))
 	other := h.dial() // for the command that comes after, taken before the shutdown
 	_, err := other.Write(startupThen(patientQuery("b1")))
@@ -210,7 +210,7 @@
 
 	// The command that comes after it arrives, and nothing else.
 	backend.resume()
-	h.publishState(roster.StateReady)
+	h.publishState(endpoint.StateReady)
 	if !h.server.ListenerClosed() {
 		h.client(startupThen(patientQuery("b1")))
 	}
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -16,9 +16,9 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/dispatcher"
+	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/pg"
-	"stoatdale.example/stoatdale/internal/roster"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
 )
@@ -41,7 +41,7 @@
 	counters   count.Counters
 	buffers    *buffer.Pool
 
-	endpoint        roster.Endpoint
+	endpoint        endpoint.Endpoint
 	backendListener net.Listener // the endpoint's; it says nothing before startBackend
 }
 
@@ -50,15 +50,15 @@
 	t.Helper()
 	h := &harness{t: t, counters: count.Counters{ReceivedByGroup: make([]uint64, 2)}, backendListener: newSilentListener(t)}
 	limitReceiveBuffer(t, h.backendListener, testBlockSize)
-	h.endpoint = roster.Endpoint{
+	h.endpoint = endpoint.Endpoint{
 		ID:      "a",
 		Address: netip.MustParseAddrPort(h.backendListener.Addr().String()),
 		Shard:   testShard,
-		State:   roster.StateReady,
+		State:   endpoint.StateReady,
 		Primary: true,
 	}
 	config := testConfig()
-	config.KnownList = roster.List{Complete: true, Endpoints: []roster.Endpoint{h.endpoint}}
+	config.KnownList = endpoint.List{Complete: true, Endpoints: []endpoint.Endpoint{h.endpoint}}
 	config.Discovery = netip.MustParseAddrPort(newSilentListener(t).Addr().String())
 	change(&config.Limits)
 	var err error
@@ -206,9 +206,9 @@
 }
 
 // publishState publishes an endpoint list in which the endpoint has a state.
-func (h *harness) publishState(state roster.State) {
+func (h *harness) publishState(state endpoint.State) {
 	h.endpoint.State = state
-	h.dispatcher.HandleList(roster.List{Generation: 9, Endpoints: []roster.Endpoint{h.endpoint}})
+	h.dispatcher.HandleList(endpoint.List{Generation: 9, Endpoints: []endpoint.Endpoint{h.endpoint}})
 	h.dispatcher.RunTurn(h.loop.Now())
 }
 
--- a/internal/site/config.go
+++ b/internal/site/config.go
@@ -9,7 +9,7 @@
 	"os"
 	"strconv"
 
-	"stoatdale.example/stoatdale/internal/roster"
+	"stoatdale.example/stoatdale/internal/endpoint"
 )
 
 // Config is what a router on sockets is started with. Every value in it has been checked.
@@ -18,7 +18,7 @@
 	Listen    netip.AddrPort // where clients connect
 	Discovery netip.AddrPort // the discovery service
 	Seed      uint64         // of the router's random choices
-	KnownList roster.List    // the endpoint list as this router had it last
+	KnownList endpoint.List  // the endpoint list as this router had it last
 	Settings  Settings
 	Migrate   bool // a running router shall take changed settings over without a restart
 	Limits    Limits
@@ -161,7 +161,7 @@
 	if len(d.Known) == 0 {
 		return Config{}, &Error{Key: knownKey, Reason: missing}
 	}
-	if config.KnownList, err = roster.Parse(d.Known); err != nil {
+	if config.KnownList, err = endpoint.Parse(d.Known); err != nil {
 		return Config{}, &Error{Key: knownKey, Err: err}
 	}
 	return config, nil
--- a/internal/systems/watch.go
+++ b/internal/systems/watch.go
@@ -12,9 +12,9 @@
 
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/discovery"
+	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
-	"stoatdale.example/stoatdale/internal/roster"
 	"stoatdale.example/stoatdale/internal/site"
 )
 
@@ -78,7 +78,7 @@
 }
 
 // Listed implements discovery.ListHandler.
-func (s *watching) HandleList(l roster.List) {
+func (s *watching) HandleList(l endpoint.List) {
 	s.lists++
 	from := ""
 	if len(l.Endpoints) > 0 {
