--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -287,7 +287,7 @@
 	errs := s.checkLayers(upsideDown)
 	require.NotEmpty(t, errs, "a drawing that is wrong is told")
 	require.ErrorContains(t, errors.Join(errs...), "internal/pg imports internal/buffer, which stands above it")
-	missing := strings.Replace(string(page), "buffer  index", "index", 1)
+	missing := strings.Replace(string(page), "buffer  idtable", "idtable", 1)
 	require.ErrorContains(t, errors.Join(s.checkLayers(missing)...), "buffer is not in the drawing of layers")
 }
 
--- a/internal/adapter/instance.go
+++ b/internal/adapter/instance.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"stoatdale.example/stoatdale/internal/index"
+	"stoatdale.example/stoatdale/internal/idtable"
 	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
@@ -32,8 +32,8 @@
 	active       bool    // named in the present batch
 	timerAt      float64 // when the timer that counts fires; infinite: none does
 	timerNumber  uint32  // of that timer
-	addresses    *index.Table[wire.Address]
-	shards       *index.Table[int]
+	addresses    *idtable.Table[wire.Address]
+	shards       *idtable.Table[int]
 	actions      wire.Reply // of the present batch
 }
 
@@ -41,7 +41,7 @@
 func newInstance(id uint32, clock, seed uint64, rawSettings []byte) *instance {
 	i := &instance{
 		id: id, startClock: clock, timerAt: math.Inf(1),
-		addresses: index.New[wire.Address](), shards: index.New[int](),
+		addresses: idtable.New[wire.Address](), shards: idtable.New[int](),
 	}
 	i.actions.Reset()
 	settings, err := site.ParseSettings(rawSettings)
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -13,7 +13,7 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/discovery"
-	"stoatdale.example/stoatdale/internal/index"
+	"stoatdale.example/stoatdale/internal/idtable"
 	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/router"
@@ -33,9 +33,9 @@
 	counters *count.Counters
 	log      zerolog.Logger
 
-	endpoints *index.Table[string] // an id is released when the router lets the endpoint go
-	shards    *index.Table[int]    // as many as the deployment has, so that none is ever released
-	zones     *index.Table[string] // the same
+	endpoints *idtable.Table[string] // an id is released when the router lets the endpoint go
+	shards    *idtable.Table[int]    // as many as the deployment has, so that none is ever released
+	zones     *idtable.Table[string] // the same
 	commands  commandTable
 
 	gathered events
@@ -52,9 +52,9 @@
 		seed:      config.Seed,
 		counters:  counters,
 		log:       log,
-		endpoints: index.New[string](),
-		shards:    index.New[int](),
-		zones:     index.New[string](),
+		endpoints: idtable.New[string](),
+		shards:    idtable.New[int](),
+		zones:     idtable.New[string](),
 		commands:  newCommandTable(),
 	}
 	for _, zone := range config.Settings.Zones {
--- a/internal/index/index.go
+++ b/internal/idtable/index.go
@@ -1,6 +1,6 @@
 // Package index interns keys: it maps names and addresses to the small, dense ids by which package router knows
 // endpoints, shards and zones. Ids that were released are used again, so that tables indexed by them stay small.
-package index
+package idtable
 
 // Table maps keys to ids from 0 up. It has as many rows as keys were held at once. It is not safe for concurrent use.
 type Table[K comparable] struct {
--- a/internal/index/index_test.go
+++ b/internal/idtable/index_test.go
@@ -1,4 +1,4 @@
-package index
+package idtable
 
 import (
 	"testing"
