--- a/docs/oncall_test.go
+++ b/docs/oncall_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/count"
+	"stoatdale.example/stoatdale/internal/metrics"
 )
 
 const (
@@ -30,7 +30,7 @@
 	t.Helper()
 	var line bytes.Buffer
 	log := zerolog.New(&line)
-	log.Log().Object("counters", &count.Counters{}).Send()
+	log.Log().Object("counters", &metrics.Counters{}).Send()
 	var logged struct {
 		Counters map[string]any `json:"counters"`
 	}
--- a/internal/backend/helper_test.go
+++ b/internal/backend/helper_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/stretchr/testify/require"
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
@@ -23,7 +23,7 @@
 	pool     *Pool
 	loop     *loop.Loop
 	blocks   *buffer.Pool
-	counters count.Counters
+	counters metrics.Counters
 	backend  net.Listener
 	results  []router.Result // of attempts
 	values   []string        // of answers to attempts
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -9,8 +9,8 @@
 	"slices"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
@@ -32,7 +32,7 @@
 	limits      *site.Limits
 	blocks      *buffer.Pool
 	results     ResultHandler
-	counters    *count.Counters
+	counters    *metrics.Counters
 	endpoints   []endpoint // by index
 	connections int
 }
@@ -45,7 +45,7 @@
 }
 
 // New returns an empty Pool that reports to results.
-func New(l loop.Network, limits *site.Limits, blocks *buffer.Pool, results ResultHandler, counters *count.Counters) *Pool {
+func New(l loop.Network, limits *site.Limits, blocks *buffer.Pool, results ResultHandler, counters *metrics.Counters) *Pool {
 	return &Pool{loop: l, limits: limits, blocks: blocks, results: results, counters: counters}
 }
 
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -11,11 +11,11 @@
 
 	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/discovery"
 	"stoatdale.example/stoatdale/internal/idtable"
 	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
 )
@@ -30,7 +30,7 @@
 	tracker  *inflight.Tracker
 	backends *backend.Pool
 	watch    *discovery.Watch
-	counters *count.Counters
+	counters *metrics.Counters
 	log      zerolog.Logger
 
 	endpoints *idtable.Table[string] // an id is released when the router lets the endpoint go
@@ -44,7 +44,7 @@
 
 // New returns a dispatcher that knows the endpoint list of the configuration, which must outlive it, and begins to watch
 // the list unless the settings have it polled on demand.
-func New(config *site.Config, l *loop.Loop, blocks *buffer.Pool, counters *count.Counters, log zerolog.Logger) *Dispatcher {
+func New(config *site.Config, l *loop.Loop, blocks *buffer.Pool, counters *metrics.Counters, log zerolog.Logger) *Dispatcher {
 	d := &Dispatcher{
 		loop:      l,
 		clock:     newClock(l, &config.Limits.Durations),
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -11,9 +11,9 @@
 
 	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
@@ -61,7 +61,7 @@
 	}
 	startConfig.Discovery = startConfig.KnownList.Endpoints[0].Address
 	buffers := buffer.NewPool(64, 1000)
-	d := New(startConfig, events, buffers, &count.Counters{ReceivedByGroup: make([]uint64, 1)}, zerolog.Nop())
+	d := New(startConfig, events, buffers, &metrics.Counters{ReceivedByGroup: make([]uint64, 1)}, zerolog.Nop())
 	d.deliver(0)
 	return d, buffers
 }
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
@@ -38,7 +38,7 @@
 	server     *Server
 	loop       *loop.Loop
 	dispatcher *dispatcher.Dispatcher
-	counters   count.Counters
+	counters   metrics.Counters
 	buffers    *buffer.Pool
 
 	endpoint        endpoint.Endpoint
@@ -48,7 +48,7 @@
 // newHarness returns a harness with limits that no test reaches, changed by the test.
 func newHarness(t *testing.T, change func(*site.Limits)) *harness {
 	t.Helper()
-	h := &harness{t: t, counters: count.Counters{ReceivedByGroup: make([]uint64, 2)}, backendListener: newSilentListener(t)}
+	h := &harness{t: t, counters: metrics.Counters{ReceivedByGroup: make([]uint64, 2)}, backendListener: newSilentListener(t)}
 	limitReceiveBuffer(t, h.backendListener, testBlockSize)
 	h.endpoint = endpoint.Endpoint{
 		ID:      "a",
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -11,9 +11,9 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/site"
 )
 
@@ -39,7 +39,7 @@
 	Settings   *site.Settings // names and properties of the command groups; see Server.ReloadGroups
 	Buffers    *buffer.Pool
 	Dispatcher Dispatcher
-	Counters   *count.Counters
+	Counters   *metrics.Counters
 	Log        zerolog.Logger
 }
 
@@ -52,7 +52,7 @@
 	settings   *site.Settings
 	buffers    *buffer.Pool
 	dispatcher Dispatcher
-	counters   *count.Counters
+	counters   *metrics.Counters
 	log        zerolog.Logger
 
 	groups      map[string]int // indices of the command groups by name
--- a/internal/count/count.go
+++ b/internal/metrics/count.go
@@ -1,5 +1,5 @@
 // Package count holds the router's counters and writes them to its log.
-package count
+package metrics
 
 import "slices"
 
--- a/internal/count/count_test.go
+++ b/internal/metrics/count_test.go
@@ -1,4 +1,4 @@
-package count
+package metrics
 
 import (
 	"bytes"
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -13,12 +13,12 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/frontend"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
 	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
@@ -103,7 +103,7 @@
 		Settings:   told,
 		Buffers:    s.blocks,
 		Dispatcher: clientCore{s},
-		Counters:   &count.Counters{},
+		Counters:   &metrics.Counters{},
 		Log:        zerolog.New(io.Discard),
 	})
 	if err != nil {
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -9,9 +9,9 @@
 
 	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/count"
 	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 	"stoatdale.example/stoatdale/internal/site"
@@ -95,7 +95,7 @@
 	}
 	s.wire.deafQuiet, s.wire.earlyByte = fault == "previous-reply", fault == "early-write"
 	s.wire.lateByte, s.wire.keepOpen = fault == "late-write", fault == "kept"
-	s.m = backend.New(s.wire, limits, s.blocks, memberSink{s}, &count.Counters{})
+	s.m = backend.New(s.wire, limits, s.blocks, memberSink{s}, &metrics.Counters{})
 	s.m.SetAddress(0, netip.MustParseAddrPort("127.0.0.1:5432"), false)
 	for i := range b.Commands {
 		x := &sending{text: s.blocks.NewChain()}
--- a/service/counters.go
+++ b/service/counters.go
@@ -1,9 +1,9 @@
 package service
 
-import "stoatdale.example/stoatdale/internal/count"
+import "stoatdale.example/stoatdale/internal/metrics"
 
 // Counters is what a router has accepted, forwarded and answered since its start, and what it holds now.
-type Counters = count.Counters
+type Counters = metrics.Counters
 
 // Counters returns the counters while Run serves, and the last ones after it has returned; before Run it waits. It may
 // be called from any goroutine.
