--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -4,7 +4,7 @@
 	"net/netip"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -35,7 +35,7 @@
 	checking       bool      // it carries a health check
 	checkStartedAt float64
 	idleSince      float64
-	timer          *loop.Timer
+	timer          *eventloop.Timer
 }
 
 // newConn returns a connection to an endpoint over a descriptor that is being connected.
@@ -51,7 +51,7 @@
 		output:     p.blocks.NewChain(),
 		answer:     pg.Answer{Row: p.blocks.NewChain()},
 	}
-	c.timer = loop.NewTimer(c.timerExpired)
+	c.timer = eventloop.NewTimer(c.timerExpired)
 	return c
 }
 
--- a/internal/backend/helper_test.go
+++ b/internal/backend/helper_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/require"
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
@@ -21,7 +21,7 @@
 type fixture struct {
 	t        *testing.T
 	pool     *Pool
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	blocks   *buffer.Pool
 	counters metrics.Counters
 	backend  net.Listener
@@ -64,7 +64,7 @@
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{t: t, blocks: buffer.NewPool(4096, 1<<20), backend: listen(t)}
 	var err error
-	f.loop, err = loop.New(16)
+	f.loop, err = eventloop.New(16)
 	require.NoError(t, err)
 	limits := &site.Limits{
 		Sizes: site.Sizes{
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -9,7 +9,7 @@
 	"slices"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
@@ -28,7 +28,7 @@
 
 // Pool holds all connections to backends. Endpoints are named by the router's small indices.
 type Pool struct {
-	loop        loop.Network
+	loop        eventloop.Network
 	limits      *site.Limits
 	blocks      *buffer.Pool
 	results     ResultHandler
@@ -45,7 +45,7 @@
 }
 
 // New returns an empty Pool that reports to results.
-func New(l loop.Network, limits *site.Limits, blocks *buffer.Pool, results ResultHandler, counters *metrics.Counters) *Pool {
+func New(l eventloop.Network, limits *site.Limits, blocks *buffer.Pool, results ResultHandler, counters *metrics.Counters) *Pool {
 	return &Pool{loop: l, limits: limits, blocks: blocks, results: results, counters: counters}
 }
 
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -5,8 +5,8 @@
 	"strconv"
 
 	"stoatdale.example/stoatdale/internal/endpoint"
+	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/http1"
-	"stoatdale.example/stoatdale/internal/loop"
 )
 
 // listPath is the path at which discovery serves the list.
@@ -109,7 +109,7 @@
 		w.fail(err)
 		return
 	}
-	if errors.Is(readErr, loop.ErrPeerClosed) { // and not a reset, before which bytes may be missing
+	if errors.Is(readErr, eventloop.ErrPeerClosed) { // and not a reset, before which bytes may be missing
 		complete = w.reply.ConnectionEnded() || complete
 	}
 	switch {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -10,8 +10,8 @@
 
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/endpoint"
+	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/http1"
-	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/site"
 )
 
@@ -32,7 +32,7 @@
 // Watch is a watch of the endpoint list. By default it polls for good and repeats failed calls with backoff. A watch on
 // demand stops at a failed call until Poll is called again.
 type Watch struct {
-	loop     loop.Network
+	loop     eventloop.Network
 	limits   *site.Limits
 	address  netip.AddrPort
 	handler  ListHandler
@@ -43,16 +43,16 @@
 	connected     bool
 	in, out       buffer.Chain
 	reply         http1.Response
-	replyDeadline float64     // loop time at which the reply must be complete; 0: none has begun
-	generation    int64       // of the last list, or NoGeneration
-	backoff       float64     // seconds before the next call if the present one fails
-	timer         *loop.Timer // ends the call that is out, or the backoff
+	replyDeadline float64          // loop time at which the reply must be complete; 0: none has begun
+	generation    int64            // of the last list, or NoGeneration
+	backoff       float64          // seconds before the next call if the present one fails
+	timer         *eventloop.Timer // ends the call that is out, or the backoff
 	closed        bool
 }
 
 // New returns a watch of the list at an address, which does nothing until Poll is called.
 func New(
-	l loop.Network, limits *site.Limits, address netip.AddrPort, onDemand bool, blocks *buffer.Pool, handler ListHandler, log zerolog.Logger,
+	l eventloop.Network, limits *site.Limits, address netip.AddrPort, onDemand bool, blocks *buffer.Pool, handler ListHandler, log zerolog.Logger,
 ) *Watch {
 	w := &Watch{
 		loop:       l,
@@ -67,7 +67,7 @@
 		generation: NoGeneration,
 		backoff:    limits.Durations.MinBackoff,
 	}
-	w.timer = loop.NewTimer(w.timerFired)
+	w.timer = eventloop.NewTimer(w.timerFired)
 	return w
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -18,8 +18,8 @@
 
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/endpoint"
+	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/http1"
-	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/site"
 )
 
@@ -39,7 +39,7 @@
 // harness runs one watch against a stand-in of discovery, and notes what the watch hands on.
 type harness struct {
 	watch     *Watch
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	requests  chan string   // paths that discovery was asked for
 	replyRead chan struct{} // gets one when the reply before a reset was read
 	log       bytes.Buffer
@@ -64,7 +64,7 @@
 	t.Cleanup(func() { _ = listener.Close() })
 	h := &harness{requests: make(chan string, 100), replyRead: make(chan struct{}, 1)}
 	go h.serve(listener, replies)
-	h.loop, err = loop.New(16)
+	h.loop, err = eventloop.New(16)
 	require.NoError(t, err)
 	limits := &site.Limits{
 		Sizes: site.Sizes{ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10},
--- a/internal/dispatcher/clock.go
+++ b/internal/dispatcher/clock.go
@@ -1,7 +1,7 @@
 package dispatcher
 
 import (
-	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/site"
 )
 
@@ -15,7 +15,7 @@
 // clock converts Unix times, in which backends and clients speak, to the event loop's time, in seconds since its start,
 // and to log positions, in seconds since the position epoch.
 type clock struct {
-	loop                *loop.Loop
+	loop                *eventloop.Loop
 	positionEpochUnixMs float64
 	maxSkewSeconds      float64 // by which a backend's clock may be ahead
 }
@@ -23,7 +23,7 @@
 // newClock puts the position epoch some time before the start. The router takes a negative position as not told, and
 // rounds positions by a share of theirs: the epoch is far enough back for any replica worth reading, and near enough
 // that the rounding stays under a millisecond.
-func newClock(l *loop.Loop, durations *site.Durations) clock {
+func newClock(l *eventloop.Loop, durations *site.Durations) clock {
 	return clock{
 		loop:                l,
 		positionEpochUnixMs: float64(l.StartedAt().UnixMilli()) - durations.PositionEpoch*millisecondsPerSecond,
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -12,7 +12,7 @@
 	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/endpoint"
-	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
@@ -38,7 +38,7 @@
 // newTestDispatcher returns a dispatcher that knows one endpoint, which has no address, and its buffers.
 func newTestDispatcher(t *testing.T) (*Dispatcher, *buffer.Pool) {
 	t.Helper()
-	events, err := loop.New(16)
+	events, err := eventloop.New(16)
 	require.NoError(t, err)
 	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 1, ClientTimeout: 2, PriorityWeight: 1}
 	startConfig := &site.Config{KnownList: testList()}
--- a/internal/loop/log.go
+++ b/internal/eventloop/log.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import "golang.org/x/sys/unix"
 
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -2,7 +2,7 @@
 // handles the ready descriptors and the due timers, and then calls once for what they add up to.
 //
 // Times are seconds on the loop's clock, which reads 0 when the loop is made.
-package loop
+package eventloop
 
 import (
 	"errors"
--- a/internal/loop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"testing"
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -5,7 +5,7 @@
 
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/dispatcher"
-	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/eventloop"
 )
 
 // connState is what a connection does with what its client sends.
@@ -25,7 +25,7 @@
 	fd     int
 	state  connState
 	phase  phase
-	timer  *loop.Timer // ends the phase; internal/systems finds it by this name
+	timer  *eventloop.Timer // ends the phase; internal/systems finds it by this name
 
 	input   buffer.Chain // read, and not yet processed
 	output  buffer.Chain // to be written
@@ -49,7 +49,7 @@
 	queuedAt    float64       // when it entered shedQueue
 }
 
-var _ loop.HangupHandler = (*conn)(nil)
+var _ eventloop.HangupHandler = (*conn)(nil)
 
 // newConn returns the state of a connection that has just been accepted.
 func newConn(s *Server, fd int) *conn {
@@ -60,7 +60,7 @@
 		output:     s.buffers.NewChain(),
 		acceptedAt: s.loop.Now(),
 	}
-	c.timer = loop.NewTimer(c.timerExpired)
+	c.timer = eventloop.NewTimer(c.timerExpired)
 	return c
 }
 
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -16,7 +16,7 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/endpoint"
-	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
@@ -36,7 +36,7 @@
 type harness struct {
 	t          *testing.T
 	server     *Server
-	loop       *loop.Loop
+	loop       *eventloop.Loop
 	dispatcher *dispatcher.Dispatcher
 	counters   metrics.Counters
 	buffers    *buffer.Pool
@@ -62,7 +62,7 @@
 	config.Discovery = netip.MustParseAddrPort(newSilentListener(t).Addr().String())
 	change(&config.Limits)
 	var err error
-	h.loop, err = loop.New(16)
+	h.loop, err = eventloop.New(16)
 	require.NoError(t, err)
 	h.buffers = buffer.NewPool(testBlockSize, config.Limits.Counts.BufferBlocks)
 	h.dispatcher = dispatcher.New(config, h.loop, h.buffers, &h.counters, zerolog.Nop())
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -12,7 +12,7 @@
 
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/dispatcher"
-	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/site"
 )
@@ -47,7 +47,7 @@
 type Server struct {
 	Address netip.AddrPort // where it listens, with the port that the kernel chose if none was given
 
-	loop       loop.ServerNetwork
+	loop       eventloop.ServerNetwork
 	limits     *site.Limits
 	settings   *site.Settings
 	buffers    *buffer.Pool
@@ -55,9 +55,9 @@
 	counters   *metrics.Counters
 	log        zerolog.Logger
 
-	groups      map[string]int // indices of the command groups by name
-	listener    int            // descriptor; noDescriptor once it is closed
-	resumeTimer *loop.Timer    // ends a pause in accepting
+	groups      map[string]int   // indices of the command groups by name
+	listener    int              // descriptor; noDescriptor once it is closed
+	resumeTimer *eventloop.Timer // ends a pause in accepting
 	conns       map[*conn]bool
 
 	// Connections that may be closed to free a descriptor, in the order in which the queues are tried. Each holds
@@ -72,12 +72,12 @@
 	// The graceful shutdown: the listener is closed first, and after the deadline clients are no longer read.
 	listenerClosed bool
 	deadlinePassed bool
-	drainDeadline  float64     // 0: Shutdown has not been called
-	drainTimer     *loop.Timer // goes on with the shutdown
+	drainDeadline  float64          // 0: Shutdown has not been called
+	drainTimer     *eventloop.Timer // goes on with the shutdown
 }
 
 // Listen opens a server on one address and watches it by the event loop. It fails if the address cannot be listened on.
-func Listen(address netip.AddrPort, events loop.ServerNetwork, options Options) (*Server, error) {
+func Listen(address netip.AddrPort, events eventloop.ServerNetwork, options Options) (*Server, error) {
 	s := &Server{
 		loop:       events,
 		limits:     options.Limits,
@@ -90,8 +90,8 @@
 		conns:      map[*conn]bool{},
 	}
 	s.ReloadGroups()
-	s.resumeTimer = loop.NewTimer(func() { s.setAccepting(true) })
-	s.drainTimer = loop.NewTimer(s.continueDrain)
+	s.resumeTimer = eventloop.NewTimer(func() { s.setAccepting(true) })
+	s.drainTimer = eventloop.NewTimer(s.continueDrain)
 	var err error
 	if s.listener, err = events.Listen(address, s.limits.Counts.ListenBacklog); err != nil {
 		return nil, err
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -14,10 +14,10 @@
 
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/dispatcher"
+	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/frontend"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
-	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
@@ -366,7 +366,7 @@
 func (s *clients) onConnection(kind string, k *sock) {
 	switch kind {
 	case "see":
-		if handler, ok := k.handler.(loop.HangupHandler); ok && k.ended {
+		if handler, ok := k.handler.(eventloop.HangupHandler); ok && k.ended {
 			handler.HungUp()
 			return
 		}
--- a/internal/systems/wire.go
+++ b/internal/systems/wire.go
@@ -8,7 +8,7 @@
 	"sort"
 
 	"stoatdale.example/stoatdale/internal/buffer"
-	"stoatdale.example/stoatdale/internal/loop"
+	"stoatdale.example/stoatdale/internal/eventloop"
 )
 
 // wire is a loop.Network without sockets: what arrives, and when it is seen, is the adversary's to pick.
@@ -16,7 +16,7 @@
 	now    float64
 	last   int
 	socks  map[int]*sock
-	timers map[*loop.Timer]float64
+	timers map[*eventloop.Timer]float64
 	// Faults at this seam.
 	deafQuiet bool // a connection always looks quiet
 	loseByte  bool // the last byte of a write that went out whole did not arrive
@@ -28,7 +28,7 @@
 
 // sock is one connection, as the wire sees it.
 type sock struct {
-	handler   loop.Handler
+	handler   eventloop.Handler
 	up        bool
 	refused   bool
 	ended     bool   // by the other side
@@ -44,14 +44,14 @@
 	errGone    = errors.New("connection reset")
 )
 
-func newWire() *wire { return &wire{socks: map[int]*sock{}, timers: map[*loop.Timer]float64{}} }
+func newWire() *wire { return &wire{socks: map[int]*sock{}, timers: map[*eventloop.Timer]float64{}} }
 
-func (w *wire) Now() float64                       { return w.now }
-func (w *wire) OpenDescriptors() int               { return len(w.socks) }
-func (w *wire) SetTimer(t *loop.Timer, at float64) { w.timers[t] = at }
-func (w *wire) StopTimer(t *loop.Timer)            { delete(w.timers, t) }
-func (w *wire) Dial(netip.AddrPort) (int, error)   { w.last++; return w.last, nil }
-func (w *wire) CloseUnwatched(int)                 {}
+func (w *wire) Now() float64                            { return w.now }
+func (w *wire) OpenDescriptors() int                    { return len(w.socks) }
+func (w *wire) SetTimer(t *eventloop.Timer, at float64) { w.timers[t] = at }
+func (w *wire) StopTimer(t *eventloop.Timer)            { delete(w.timers, t) }
+func (w *wire) Dial(netip.AddrPort) (int, error)        { w.last++; return w.last, nil }
+func (w *wire) CloseUnwatched(int)                      {}
 func (w *wire) Close(fd int) {
 	if k := w.socks[fd]; w.keepOpen && k != nil {
 		k.handler = nil
@@ -71,7 +71,7 @@
 	}
 }
 
-func (w *wire) Add(fd int, h loop.Handler, read, write bool) error {
+func (w *wire) Add(fd int, h eventloop.Handler, read, write bool) error {
 	w.socks[fd] = &sock{handler: h, wantRead: read, wantWrite: write}
 	return nil
 }
@@ -89,7 +89,7 @@
 	into.Write(s.in[:n])
 	s.in = s.in[n:]
 	if len(s.in) == 0 && s.ended {
-		return n, loop.ErrPeerClosed
+		return n, eventloop.ErrPeerClosed
 	}
 	return n, nil
 }
@@ -146,7 +146,7 @@
 }
 
 // timer is a connection's, or nil. It is found by where it lies, since the connection keeps it to itself.
-func (w *wire) timer(fd int) *loop.Timer {
+func (w *wire) timer(fd int) *eventloop.Timer {
 	k := w.socks[fd]
 	if k == nil || k.handler == nil {
 		return nil
@@ -168,11 +168,11 @@
 		return
 	}
 	w.now = max(w.now, first)
-	due := func(t *loop.Timer) bool {
+	due := func(t *eventloop.Timer) bool {
 		at, set := w.timers[t]
 		return set && at <= w.now
 	}
-	var all []*loop.Timer
+	var all []*eventloop.Timer
 	for _, fd := range order {
 		if t := w.timer(fd); t != nil && due(t) {
 			all = append(all, t)
--- a/service/service.go
+++ b/service/service.go
@@ -9,8 +9,8 @@
 
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/dispatcher"
+	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/frontend"
-	"stoatdale.example/stoatdale/internal/loop"
 	"stoatdale.example/stoatdale/internal/site"
 )
 
@@ -24,13 +24,13 @@
 func Load(env func(string) string) (Config, error) { return site.Load(env) }
 
 // LogWriter returns a writer for logs that drops lines rather than wait for a slow reader of the descriptor.
-func LogWriter(descriptor uintptr) io.Writer { return loop.DroppingWriter(descriptor) }
+func LogWriter(descriptor uintptr) io.Writer { return eventloop.DroppingWriter(descriptor) }
 
 // Router is one router on sockets. Everything but stopped belongs to the goroutine that runs Run; the exported methods
 // hand their work over to it.
 type Router struct {
 	config   Config
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	buffers  *buffer.Pool
 	core     *dispatcher.Dispatcher
 	front    *frontend.Server
@@ -42,7 +42,7 @@
 
 // New opens a router's listener; Run serves. It fails if the address cannot be listened on.
 func New(config Config, log zerolog.Logger) (*Router, error) {
-	events, err := loop.New(config.Limits.Counts.EventsPerTurn)
+	events, err := eventloop.New(config.Limits.Counts.EventsPerTurn)
 	if err != nil {
 		return nil, err
 	}
@@ -108,6 +108,6 @@
 		r.draining = true
 		r.log.Info().Int("in_flight", r.core.InFlight()).Msg("draining")
 		stopAccepting := r.loop.Now() + r.config.Limits.Durations.AcceptLinger
-		r.loop.SetTimer(loop.NewTimer(r.front.Shutdown), stopAccepting)
+		r.loop.SetTimer(eventloop.NewTimer(r.front.Shutdown), stopAccepting)
 	})
 }
