--- a/internal/adapter/instance.go
+++ b/internal/adapter/instance.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"math"
 
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/idtable"
 	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/router"
-	"stoatdale.example/stoatdale/internal/site"
 	"stoatdale.example/stoatdale/internal/wire"
 )
 
@@ -44,7 +44,7 @@
 		addresses: idtable.New[wire.Address](), shards: idtable.New[int](),
 	}
 	i.actions.Reset()
-	settings, err := site.ParseSettings(rawSettings)
+	settings, err := config.ParseSettings(rawSettings)
 	if err != nil {
 		i.fault = err.Error()
 		return i
@@ -152,9 +152,9 @@
 	position = -1
 	for n, value := range report[:min(len(report), len(i.reportFields))] {
 		switch i.reportFields[n] {
-		case site.PositionReportField:
+		case config.PositionReportField:
 			position = float64(value)
-		case site.PrimaryReportField:
+		case config.PrimaryReportField:
 			primary = value == 1
 		}
 	}
--- a/internal/backend/helper_test.go
+++ b/internal/backend/helper_test.go
@@ -10,11 +10,11 @@
 
 	"github.com/stretchr/testify/require"
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 // fixture is a Pool with one endpoint, whose listener the test serves itself, and the results that the Pool reported.
@@ -66,14 +66,14 @@
 	var err error
 	f.loop, err = eventloop.New(16)
 	require.NoError(t, err)
-	limits := &site.Limits{
-		Sizes: site.Sizes{
+	limits := &config.Limits{
+		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, BackendMessage: 1 << 17, InspectedMessage: 1 << 10,
 		},
-		Counts: site.Counts{
+		Counts: config.Counts{
 			BackendConnections: 4,
 		},
-		Durations: site.Durations{
+		Durations: config.Durations{
 			ConnectTimeout: 30, HealthCheckTimeout: 30, BackendIdleTimeout: 60,
 		},
 	}
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -9,11 +9,11 @@
 	"slices"
 
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 // ResultHandler receives the results of attempts and health checks, each exactly once. Its methods must not call the
@@ -29,7 +29,7 @@
 // Pool holds all connections to backends. Endpoints are named by the router's small indices.
 type Pool struct {
 	loop        eventloop.Network
-	limits      *site.Limits
+	limits      *config.Limits
 	blocks      *buffer.Pool
 	results     ResultHandler
 	counters    *metrics.Counters
@@ -45,7 +45,7 @@
 }
 
 // New returns an empty Pool that reports to results.
-func New(l eventloop.Network, limits *site.Limits, blocks *buffer.Pool, results ResultHandler, counters *metrics.Counters) *Pool {
+func New(l eventloop.Network, limits *config.Limits, blocks *buffer.Pool, results ResultHandler, counters *metrics.Counters) *Pool {
 	return &Pool{loop: l, limits: limits, blocks: blocks, results: results, counters: counters}
 }
 
--- a/internal/site/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package site reads a router's configuration, checks it and completes it: the settings of the deployment, which a
 // document or the simulator hands over, the environment variables, and the limits that follow from them.
-package site
+package config
 
 import (
 	"encoding/json"
--- a/internal/site/errors_test.go
+++ b/internal/config/errors_test.go
@@ -1,4 +1,4 @@
-package site
+package config
 
 import (
 	"io/fs"
--- a/internal/site/limits.go
+++ b/internal/config/limits.go
@@ -1,4 +1,4 @@
-package site
+package config
 
 // Limits holds every size, count and duration that a router keeps to. It is computed once from the settings and the
 // process limits; packages of the data plane read it and never change it.
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -9,10 +9,10 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/http1"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 // ListHandler takes what a watch brings. Its methods are called on the event loop's goroutine.
@@ -33,7 +33,7 @@
 // demand stops at a failed call until Poll is called again.
 type Watch struct {
 	loop     eventloop.Network
-	limits   *site.Limits
+	limits   *config.Limits
 	address  netip.AddrPort
 	handler  ListHandler
 	log      zerolog.Logger
@@ -52,7 +52,7 @@
 
 // New returns a watch of the list at an address, which does nothing until Poll is called.
 func New(
-	l eventloop.Network, limits *site.Limits, address netip.AddrPort, onDemand bool, blocks *buffer.Pool, handler ListHandler, log zerolog.Logger,
+	l eventloop.Network, limits *config.Limits, address netip.AddrPort, onDemand bool, blocks *buffer.Pool, handler ListHandler, log zerolog.Logger,
 ) *Watch {
 	w := &Watch{
 		loop:       l,
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,10 +17,10 @@
 	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/http1"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 const (
@@ -66,9 +66,9 @@
 	go h.serve(listener, replies)
 	h.loop, err = eventloop.New(16)
 	require.NoError(t, err)
-	limits := &site.Limits{
-		Sizes: site.Sizes{ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10},
-		Durations: site.Durations{
+	limits := &config.Limits{
+		Sizes: config.Sizes{ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10},
+		Durations: config.Durations{
 			LongPollHold: 60, SilenceTimeout: 0.2, ReplyTimeout: 60, MinBackoff: 0.01, MaxBackoff: 0.02,
 		},
 	}
--- a/internal/dispatcher/clock.go
+++ b/internal/dispatcher/clock.go
@@ -1,8 +1,8 @@
 package dispatcher
 
 import (
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/eventloop"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 const (
@@ -23,7 +23,7 @@
 // newClock puts the position epoch some time before the start. The router takes a negative position as not told, and
 // rounds positions by a share of theirs: the epoch is far enough back for any replica worth reading, and near enough
 // that the rounding stays under a millisecond.
-func newClock(l *eventloop.Loop, durations *site.Durations) clock {
+func newClock(l *eventloop.Loop, durations *config.Durations) clock {
 	return clock{
 		loop:                l,
 		positionEpochUnixMs: float64(l.StartedAt().UnixMilli()) - durations.PositionEpoch*millisecondsPerSecond,
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -11,20 +11,20 @@
 
 	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/discovery"
 	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/idtable"
 	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/router"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 // Dispatcher takes commands from the frontend and gives each one final answer.
 type Dispatcher struct {
 	loop     *eventloop.Loop
 	clock    clock
-	settings *site.Settings
+	settings *config.Settings
 	seed     uint64
 	router   *router.Router // decides about new commands
 	tracker  *inflight.Tracker
@@ -44,7 +44,7 @@
 
 // New returns a dispatcher that knows the endpoint list of the configuration, which must outlive it, and begins to watch
 // the list unless the settings have it polled on demand.
-func New(config *site.Config, l *eventloop.Loop, blocks *buffer.Pool, counters *metrics.Counters, log zerolog.Logger) *Dispatcher {
+func New(config *config.Config, l *eventloop.Loop, blocks *buffer.Pool, counters *metrics.Counters, log zerolog.Logger) *Dispatcher {
 	d := &Dispatcher{
 		loop:      l,
 		clock:     newClock(l, &config.Limits.Durations),
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -11,12 +11,12 @@
 
 	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 const testCluster = 7
@@ -41,7 +41,7 @@
 	events, err := eventloop.New(16)
 	require.NoError(t, err)
 	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 1, ClientTimeout: 2, PriorityWeight: 1}
-	startConfig := &site.Config{KnownList: testList()}
+	startConfig := &config.Config{KnownList: testList()}
 	startConfig.Settings.Config = router.Config{
 		CommandGroups: []router.CommandGroup{group},
 		RouterCount:   1,
@@ -50,11 +50,11 @@
 		PollList:      true,
 		CanCancel:     true,
 	}
-	startConfig.Limits = site.Limits{
-		Counts: site.Counts{
+	startConfig.Limits = config.Limits{
+		Counts: config.Counts{
 			BackendConnections: 8,
 		},
-		Durations: site.Durations{
+		Durations: config.Durations{
 			PositionEpoch: 3600, ConnectTimeout: 1, HealthCheckTimeout: 1, SilenceTimeout: 1, MinBackoff: 1, MaxBackoff: 1,
 			LongPollHold: 1,
 		},
--- a/internal/fleet/agent/config.go
+++ b/internal/fleet/agent/config.go
@@ -8,11 +8,11 @@
 
 	"github.com/google/renameio/v2"
 
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/store"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 // RevisionMissingError is the error of a step whose revision the agent does not have.
@@ -55,19 +55,19 @@
 }
 
 // runningConfig is the configuration of the revision that runs, if one does and the store still has it.
-func (r *router) runningConfig(digest string) (running site.Config, known bool) {
+func (r *router) runningConfig(digest string) (running config.Config, known bool) {
 	if digest == "" {
-		return site.Config{}, false
+		return config.Config{}, false
 	}
 	running, err := r.config(digest)
 	return running, err == nil
 }
 
 // config is the router's configuration under a revision, as the router itself would read it.
-func (r *router) config(digest string) (site.Config, error) {
+func (r *router) config(digest string) (config.Config, error) {
 	content, err := r.agent.revisionContent(digest)
 	if err != nil {
-		return site.Config{}, err
+		return config.Config{}, err
 	}
 	return revision.Check(content, r.instance.RevisionInstance())
 }
--- a/internal/fleet/revision/revision.go
+++ b/internal/fleet/revision/revision.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"strings"
 
-	"stoatdale.example/stoatdale/internal/site"
+	"stoatdale.example/stoatdale/internal/config"
 )
 
 // MaxBytes is the most that a revision may have.
@@ -109,13 +109,13 @@
 
 // Check has the router's own reader check what one instance would be given, and returns what it reads. Errors name the
 // instance, and match *site.Error where the reader refuses a key.
-func Check(canonical []byte, instance Instance) (site.Config, error) {
+func Check(canonical []byte, instance Instance) (config.Config, error) {
 	const anySeed = 1
 	raw, err := Render(canonical, instance, anySeed)
 	if err != nil {
-		return site.Config{}, err
+		return config.Config{}, err
 	}
-	config, err := site.Parse(raw)
+	config, err := config.Parse(raw)
 	if err != nil {
 		return config, fmt.Errorf("instance %s: %w", instance.Name, err)
 	}
@@ -124,11 +124,11 @@
 
 // RestartKeys names the keys for which an instance must be restarted to go from one configuration to another; none: a
 // reload is enough.
-func RestartKeys(from, to *site.Config) []string { return from.RestartKeys(to) }
+func RestartKeys(from, to *config.Config) []string { return from.RestartKeys(to) }
 
 // DrainSeconds is how long a router may take to end once it is told to: the longest that a command may wait, the time in
 // which clients are still accepted, and a grace, in seconds.
-func DrainSeconds(config *site.Config, graceSeconds float64) float64 {
+func DrainSeconds(config *config.Config, graceSeconds float64) float64 {
 	durations := &config.Limits.Durations
 	return durations.MaxClientTimeout + durations.AcceptLinger + graceSeconds
 }
--- a/internal/fleet/revision/revision_test.go
+++ b/internal/fleet/revision/revision_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/site"
+	"stoatdale.example/stoatdale/internal/config"
 )
 
 // sample is a revision that the router's reader takes.
@@ -98,7 +98,7 @@
 	require.ErrorAs(t, err, &tooLong)
 	assert.Equal(t, TooLongError{File: "f", Bytes: MaxBytes + 1}, *tooLong)
 	_, err = Check(canonical(t, strings.Replace(sample, `"targetNs"`, `"xtargetNs"`, 1)), here)
-	var config *site.Error
+	var config *config.Error
 	require.ErrorAs(t, err, &config)
 }
 
--- a/internal/frontend/client_gone_test.go
+++ b/internal/frontend/client_gone_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 // The tests of this package make two events cross on real connections in the worse order, every time: the backend holds
@@ -20,14 +20,14 @@
 
 // goneClient is a client that leaves while its command waits.
 type goneClient struct {
-	limits     func(*site.Limits)
+	limits     func(*config.Limits)
 	backend    func(*fakeBackend)
 	arrange    func(*harness, *fakeBackend) net.Conn // returns once the command waits
 	sentBefore []string                              // ids that came to the backend before
 	commands   int                                   // commands that were taken
 }
 
-func noChange(*site.Limits)        {}
+func noChange(*config.Limits)      {}
 func noAnswers(*fakeBackend)       {}
 func holdGreeting(b *fakeBackend)  { b.greeting = make(chan struct{}) }
 func holdAccepting(b *fakeBackend) { b.accepting = make(chan struct{}) }
@@ -49,18 +49,18 @@
 		limits: noChange, backend: holdGreeting, arrange: commandWhileConnecting, commands: 1,
 	},
 	"with half of its statement written": {
-		limits: func(l *site.Limits) {
+		limits: func(l *config.Limits) {
 			l.Sizes.ClientMessage = 64 << 20
 			l.Sizes.ReadPerTurn = 64 << 20
 		},
 		backend: holdAccepting, arrange: commandHalfWritten, commands: 1,
 	},
 	"behind a full pipeline": {
-		limits:  func(l *site.Limits) { l.Counts.PipelinedCommands = 2 },
+		limits:  func(l *config.Limits) { l.Counts.PipelinedCommands = 2 },
 		backend: noAnswers, arrange: pipelineFull, commands: 2,
 	},
 	"unread with bytes before its end": {
-		limits: func(l *site.Limits) {
+		limits: func(l *config.Limits) {
 			l.Counts.PipelinedCommands = 1
 			l.Sizes.ReadPerTurn = 4096
 		},
@@ -70,18 +70,18 @@
 		limits: noChange, backend: noAnswers, arrange: lastAnswerOwed, commands: 1,
 	},
 	"with answers that it does not take": {
-		limits: func(l *site.Limits) {
+		limits: func(l *config.Limits) {
 			l.Sizes.UnsentAnswers = 4096
 			l.Counts.InvalidQueries = 1 << 30
 		},
 		backend: noAnswers, arrange: answersNotTaken, commands: 0,
 	},
 	"unread for want of buffers": {
-		limits:  func(l *site.Limits) { l.Counts.BufferBlocks = 1 << 10 },
+		limits:  func(l *config.Limits) { l.Counts.BufferBlocks = 1 << 10 },
 		backend: noAnswers, arrange: buffersScarce, commands: 1,
 	},
 	"while the router drains": {
-		limits:  func(l *site.Limits) { l.Durations.DrainDeadline = 0 },
+		limits:  func(l *config.Limits) { l.Durations.DrainDeadline = 0 },
 		backend: noAnswers, arrange: routerDrains, commands: 1,
 	},
 }
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/pg"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 // A client whose connection was accepted just before the shutdown has not sent its query yet: it has until the drain
@@ -49,7 +49,7 @@
 		"half of the query":    startupThen(patientQuery("a1")[:20]),
 		"half of the next":     startupThen(pg.AppendQuery(nil, ""), patientQuery("a1")[:20]),
 	} {
-		h := newHarness(t, func(l *site.Limits) { l.Durations.DrainDeadline = 0.05 })
+		h := newHarness(t, func(l *config.Limits) { l.Durations.DrainDeadline = 0.05 })
 		_, received := h.client(first)
 		h.runUntil(func() bool { return h.counters.ClientsAccepted == 1 })
 		h.server.Shutdown()
@@ -61,7 +61,7 @@
 // All descriptors are taken by clients in their grace period, and one more waits to be accepted: closing the listener
 // then would reset it.
 func TestClientInTheBacklogAtShutdownIsServed(t *testing.T) {
-	h := newDrainHarness(t, func(l *site.Limits) {
+	h := newDrainHarness(t, func(l *config.Limits) {
 		l.Counts.ClientConnections = 2
 		l.Durations.ShedGrace = 0.05
 	})
@@ -78,7 +78,7 @@
 
 // Where no connection can be shed the listener is closed at the drain deadline all the same.
 func TestShutdownEndsWithoutAFreeDescriptor(t *testing.T) {
-	h := newHarness(t, func(l *site.Limits) {
+	h := newHarness(t, func(l *config.Limits) {
 		l.Counts.ClientConnections = 1
 		l.Durations.ShedGrace = 0.01
 		l.Durations.DrainDeadline = 0.05
@@ -135,7 +135,7 @@
 // A client that goes on sending queries before it is answered is not read after the drain deadline: what was taken is
 // answered and the connection ends, so that the client may send its later queries elsewhere.
 func TestPipeliningClientIsNotReadAfterTheDrainDeadline(t *testing.T) {
-	h := newHarness(t, func(l *site.Limits) {
+	h := newHarness(t, func(l *config.Limits) {
 		l.Durations.DrainDeadline = 0.05
 		l.Durations.CloseLinger = 0.05
 	})
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -14,13 +14,13 @@
 	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 const (
@@ -46,7 +46,7 @@
 }
 
 // newHarness returns a harness with limits that no test reaches, changed by the test.
-func newHarness(t *testing.T, change func(*site.Limits)) *harness {
+func newHarness(t *testing.T, change func(*config.Limits)) *harness {
 	t.Helper()
 	h := &harness{t: t, counters: metrics.Counters{ReceivedByGroup: make([]uint64, 2)}, backendListener: newSilentListener(t)}
 	limitReceiveBuffer(t, h.backendListener, testBlockSize)
@@ -80,17 +80,17 @@
 }
 
 // newDrainHarness returns a harness whose drain deadline does not pass within a test.
-func newDrainHarness(t *testing.T, change func(*site.Limits)) *harness {
+func newDrainHarness(t *testing.T, change func(*config.Limits)) *harness {
 	t.Helper()
-	return newHarness(t, func(l *site.Limits) {
+	return newHarness(t, func(l *config.Limits) {
 		l.Durations.DrainDeadline = never
 		change(l)
 	})
 }
 
 // testConfig returns a configuration with two command groups: look may be repeated, order bears idempotency keys.
-func testConfig() *site.Config {
-	config := &site.Config{Limits: testLimits()}
+func testConfig() *config.Config {
+	config := &config.Config{Limits: testLimits()}
 	config.Settings.GroupNames = []string{"look", "order"}
 	config.Settings.Config = router.Config{
 		CommandGroups: []router.CommandGroup{
@@ -105,18 +105,18 @@
 	return config
 }
 
-func testLimits() site.Limits {
-	return site.Limits{
-		Sizes: site.Sizes{
+func testLimits() config.Limits {
+	return config.Limits{
+		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, BufferBlock: testBlockSize, BackendMessage: 1 << 17, InspectedMessage: 1 << 10,
 			ClientMessage: 1 << 16, StartupPacket: 1000, StatementComment: 1 << 10, DiscardedInput: 1 << 20,
 			UnsentAnswers: 1 << 20,
 		},
-		Counts: site.Counts{
+		Counts: config.Counts{
 			BackendConnections: 8, ClientConnections: 8, SharedDescriptors: 64, AcceptsPerTurn: 8, ListenBacklog: 64,
 			MessagesPerTurn: 100, PipelinedCommands: 8, InvalidQueries: 100, IdleClients: 100, BufferBlocks: 1 << 20,
 		},
-		Durations: site.Durations{
+		Durations: config.Durations{
 			PositionEpoch: 3600, ConnectTimeout: never, HealthCheckTimeout: never, SilenceTimeout: never, LongPollHold: 1,
 			MinBackoff: never, MaxBackoff: never, MaxClientTimeout: 1000, FirstQueryTimeout: never, MessageTimeout: never,
 			WriteStallTimeout: never, IdleTimeout: never, CloseLinger: never, BackendIdleTimeout: never,
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -5,12 +5,12 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/pg"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 func TestSilentClientIsShedBeforeAnIdleOne(t *testing.T) {
-	h := newHarness(t, func(l *site.Limits) { l.Counts.ClientConnections = 2 })
+	h := newHarness(t, func(l *config.Limits) { l.Counts.ClientConnections = 2 })
 	_, idle := h.client(pg.AppendStartupMessage(nil), pg.AppendQuery(nil, ""))
 	h.runUntil(func() bool { return h.server.idle.Len() == 1 })
 	_, silent := h.client()
@@ -22,7 +22,7 @@
 }
 
 func TestOldestIdleClientIsShedAboveTheLimit(t *testing.T) {
-	h := newHarness(t, func(l *site.Limits) { l.Counts.IdleClients = 2 })
+	h := newHarness(t, func(l *config.Limits) { l.Counts.IdleClients = 2 })
 	_, first := h.client(pg.AppendStartupMessage(nil), pg.AppendQuery(nil, ""))
 	h.runUntil(func() bool { return h.server.idle.Len() == 1 })
 	for range 2 {
--- a/internal/frontend/message_test.go
+++ b/internal/frontend/message_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/pg"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 func TestInvalidQueryIsRejectedAndNotForwarded(t *testing.T) {
@@ -33,7 +33,7 @@
 }
 
 func TestClientRepeatingInvalidQueriesIsClosed(t *testing.T) {
-	h := newHarness(t, func(l *site.Limits) { l.Counts.InvalidQueries = 3 })
+	h := newHarness(t, func(l *config.Limits) { l.Counts.InvalidQueries = 3 })
 	invalid := query("b", "c=gaze,d=300")
 	conn, received := h.client(pg.AppendStartupMessage(nil), invalid, invalid, invalid, invalid)
 	h.runUntil(func() bool { return h.server.closing.Len() == 1 })
@@ -43,7 +43,7 @@
 }
 
 func TestMessagesOfOneClientPerTurnAreLimited(t *testing.T) {
-	h := newHarness(t, func(l *site.Limits) { l.Counts.MessagesPerTurn = 4 })
+	h := newHarness(t, func(l *config.Limits) { l.Counts.MessagesPerTurn = 4 })
 	h.client(append(pg.AppendStartupMessage(nil), strings.Repeat(string(pg.AppendQuery(nil, "")), 50)...))
 	h.runUntil(func() bool { return len(h.server.pending) > 0 })
 	turns := 0
--- a/internal/frontend/phase_test.go
+++ b/internal/frontend/phase_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/pg"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 func TestIncompleteMessageTimesOutWithAnError(t *testing.T) {
@@ -16,12 +16,12 @@
 		"start-up": pg.AppendStartupMessage(nil)[:20],
 		"query":    append(pg.AppendStartupMessage(nil), query("1", "c=look,d=300")[:30]...),
 	} {
-		h := newHarness(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
+		h := newHarness(t, func(l *config.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
 		_, received := h.client(half)
 		assert.Contains(t, h.readAll(received), pg.CodeProtocolViolation, message)
 		assert.EqualValues(t, 1, h.counters.MessageTimeouts, message)
 	}
-	h := newHarness(t, func(l *site.Limits) { l.Durations.MessageTimeout = 0.05 })
+	h := newHarness(t, func(l *config.Limits) { l.Durations.MessageTimeout = 0.05 })
 	conn, received := h.client(pg.AppendStartupMessage(nil), pg.AppendQuery(nil, ""))
 	go func() { // sends byte by byte, which does not renew the timeout
 		for _, b := range query("1", "c=look,d=300") {
@@ -36,7 +36,7 @@
 }
 
 func TestClientWithoutQueryTimesOut(t *testing.T) {
-	h := newHarness(t, func(l *site.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
+	h := newHarness(t, func(l *config.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
 	_, nothing := h.client()
 	_, hello := h.client(pg.AppendStartupMessage(nil))
 	assert.Empty(t, h.readAll(nothing))
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -11,10 +11,10 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/metrics"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 // Dispatcher carries out the commands that clients send.
@@ -35,8 +35,8 @@
 
 // Options are what a server works with. All of it must outlive the server.
 type Options struct {
-	Limits     *site.Limits
-	Settings   *site.Settings // names and properties of the command groups; see Server.ReloadGroups
+	Limits     *config.Limits
+	Settings   *config.Settings // names and properties of the command groups; see Server.ReloadGroups
 	Buffers    *buffer.Pool
 	Dispatcher Dispatcher
 	Counters   *metrics.Counters
@@ -48,8 +48,8 @@
 	Address netip.AddrPort // where it listens, with the port that the kernel chose if none was given
 
 	loop       eventloop.ServerNetwork
-	limits     *site.Limits
-	settings   *site.Settings
+	limits     *config.Limits
+	settings   *config.Settings
 	buffers    *buffer.Pool
 	dispatcher Dispatcher
 	counters   *metrics.Counters
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -13,6 +13,7 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/explore"
@@ -21,7 +22,6 @@
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 var clientKind = Kind{
@@ -81,21 +81,21 @@
 func newClient(b Bounds, fault string) *clients {
 	s := &clients{bounds: b, fault: fault, wire: &listening{wire: newWire(), fds: map[int]int{}}, blocks: buffer.NewPool(512, 1<<16)}
 	s.wire.keepOpen, s.wire.loseByte = fault == "unclosed", fault == "lost-byte"
-	limits := &site.Limits{
-		Sizes: site.Sizes{
+	limits := &config.Limits{
+		Sizes: config.Sizes{
 			BufferBlock: 512, ClientMessage: 4096, StartupPacket: 1000, StatementComment: 512, ReadPerTurn: 1 << 16,
 			DiscardedInput: 1 << 16, UnsentAnswers: 1 << 16,
 		},
-		Counts: site.Counts{
+		Counts: config.Counts{
 			AcceptsPerTurn: 4, ListenBacklog: 4, MessagesPerTurn: 8, PipelinedCommands: 4, InvalidQueries: 3,
 			SharedDescriptors: 99, ClientConnections: 9, IdleClients: 9,
 		},
-		Durations: site.Durations{
+		Durations: config.Durations{
 			MaxClientTimeout: 10, AnswerMargin: 0.005, FirstQueryTimeout: 2, MessageTimeout: 2, WriteStallTimeout: 3,
 			IdleTimeout: 5, ShedGrace: 0.01, CloseLinger: 1, MinBackoff: 0.5, DrainDeadline: 0.15,
 		},
 	}
-	told := &site.Settings{GroupNames: []string{"look"}}
+	told := &config.Settings{GroupNames: []string{"look"}}
 	told.CommandGroups = []router.CommandGroup{{ClientTimeout: 1, LatencyObjective: 0.5}}
 	var err error
 	s.front, err = frontend.Listen(netip.MustParseAddrPort("127.0.0.1:5432"), s.wire, frontend.Options{
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -9,12 +9,12 @@
 
 	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 var memberKind = Kind{
@@ -82,14 +82,14 @@
 
 func newMember(b Bounds, fault string) *members {
 	s := &members{bounds: b, fault: fault, wire: newWire(), blocks: buffer.NewPool(512, 1<<16), pg: map[int]*peer{}}
-	limits := &site.Limits{
-		Sizes: site.Sizes{
+	limits := &config.Limits{
+		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, BackendMessage: 1 << 16, InspectedMessage: 1 << 10,
 		},
-		Counts: site.Counts{
+		Counts: config.Counts{
 			BackendConnections: 4, SharedDescriptors: 9,
 		},
-		Durations: site.Durations{
+		Durations: config.Durations{
 			ConnectTimeout: 1, HealthCheckTimeout: 1, BackendIdleTimeout: 3, ReuseDelay: 0,
 		},
 	}
--- a/internal/systems/watch.go
+++ b/internal/systems/watch.go
@@ -11,11 +11,11 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/discovery"
 	"stoatdale.example/stoatdale/internal/endpoint"
 	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 var watchKind = Kind{
@@ -62,11 +62,11 @@
 
 func newWatch(b Bounds, fault string) *watching {
 	s := &watching{bounds: b, fault: fault, wire: newWire(), check: verdict.Lists{Members: 2}, generation: 5, calls: map[int]*call{}}
-	limits := &site.Limits{
-		Sizes: site.Sizes{
+	limits := &config.Limits{
+		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10,
 		},
-		Durations: site.Durations{
+		Durations: config.Durations{
 			SilenceTimeout: 1, ReplyTimeout: 1, LongPollHold: 5, MinBackoff: 0.5, MaxBackoff: 1,
 		},
 	}
--- a/service/reload.go
+++ b/service/reload.go
@@ -1,6 +1,6 @@
 package service
 
-import "stoatdale.example/stoatdale/internal/site"
+import "stoatdale.example/stoatdale/internal/config"
 
 // Reload reads the configuration again, by way of env as Load did, and moves the watch of the endpoint list to the
 // discovery address that it names. Where the document asks for it by its key move, changed settings hold for every
@@ -8,7 +8,7 @@
 // logged and wait for a restart. A configuration that cannot be read or is wrong is refused as a whole and logged. It
 // may be called from any goroutine.
 func (r *Router) Reload(env func(string) string) {
-	config, err := site.Reload(env)
+	config, err := config.Reload(env)
 	r.loop.Post(func() {
 		if err != nil {
 			r.counters.ReloadsRejected++
--- a/service/service.go
+++ b/service/service.go
@@ -8,20 +8,20 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/buffer"
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/frontend"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 // Config is what a router is started with; Load reads it.
-type Config = site.Config
+type Config = config.Config
 
 // ConfigError is a fault in the configuration, with the file and the key. Load returns it, matched by errors.As.
-type ConfigError = site.Error
+type ConfigError = config.Error
 
 // Load reads the environment and the document that it names. Its errors are of type *ConfigError.
-func Load(env func(string) string) (Config, error) { return site.Load(env) }
+func Load(env func(string) string) (Config, error) { return config.Load(env) }
 
 // LogWriter returns a writer for logs that drops lines rather than wait for a slow reader of the descriptor.
 func LogWriter(descriptor uintptr) io.Writer { return eventloop.DroppingWriter(descriptor) }
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/router"
-	"stoatdale.example/stoatdale/internal/site"
 )
 
 // testConfig is the configuration of a router with one command group, and no discovery service to poll.
@@ -20,13 +20,13 @@
 	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 1, ClientTimeout: 2}
 	startConfig.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{group}, BatchInterval: 0.005}
 	startConfig.Settings.GroupNames = []string{"look"}
-	startConfig.Limits = site.Limits{
-		Sizes: site.Sizes{BufferBlock: 64},
-		Counts: site.Counts{
+	startConfig.Limits = config.Limits{
+		Sizes: config.Sizes{BufferBlock: 64},
+		Counts: config.Counts{
 			BufferBlocks: 10, ListenBacklog: 5, EventsPerTurn: 16, AcceptsPerTurn: 5, ClientConnections: 5,
 			BackendConnections: 5,
 		},
-		Durations: site.Durations{SilenceTimeout: 1, MinBackoff: 0.01, MaxBackoff: 1},
+		Durations: config.Durations{SilenceTimeout: 1, MinBackoff: 0.01, MaxBackoff: 1},
 	}
 	return startConfig
 }
