--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"io"
 
-	"stoatdale.example/stoatdale/internal/wire"
+	"stoatdale.example/stoatdale/internal/simproto"
 )
 
 // Serve answers each batch from in with one reply on out, until the input ends. Its errors name the frame, counted
@@ -16,7 +16,7 @@
 	h := newHost()
 	var buffer []byte
 	for frame := 0; ; frame++ {
-		batch, err := wire.ReadBatch(in, buffer)
+		batch, err := simproto.ReadBatch(in, buffer)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/wire"
+	"stoatdale.example/stoatdale/internal/simproto"
 )
 
 const settings = `{"balancers": 1, "classes": [{"effect": "pure", "keyScope": "cell", "targetNs": 500000000,
@@ -107,10 +107,10 @@
 
 func TestRepeatedEndpointsKeepTheirIndex(t *testing.T) {
 	h := newHost()
-	b, err := wire.ReadBatch(bytes.NewReader(frame(1e9, 5, startRecord(settings), listRecords(), listRecords()[35:])), nil)
+	b, err := simproto.ReadBatch(bytes.NewReader(frame(1e9, 5, startRecord(settings), listRecords(), listRecords()[35:])), nil)
 	require.NoError(t, err)
 	require.NoError(t, b.Decode(h))
 	assert.Equal(t, 1, h.instances[0].addresses.Len())
-	_, err = wire.ReadBatch(bytes.NewReader(nil), nil)
+	_, err = simproto.ReadBatch(bytes.NewReader(nil), nil)
 	assert.ErrorIs(t, err, io.EOF)
 }
--- a/internal/adapter/host.go
+++ b/internal/adapter/host.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"stoatdale.example/stoatdale/internal/router"
-	"stoatdale.example/stoatdale/internal/wire"
+	"stoatdale.example/stoatdale/internal/simproto"
 )
 
 var (
@@ -17,20 +17,20 @@
 type host struct {
 	clock     uint64 // of the batch, in nanoseconds
 	instances map[uint32]*instance
-	lists     map[int][]wire.Endpoint // endpoint lists by their number
-	active    []*instance             // those named in this batch, in order
-	selected  bool                    // the batch has named an instance
-	currentID uint32                  // the one named last
-	current   *instance               // nil where it does not run
-	reply     wire.Reply
+	lists     map[int][]simproto.Endpoint // endpoint lists by their number
+	active    []*instance                 // those named in this batch, in order
+	selected  bool                        // the batch has named an instance
+	currentID uint32                      // the one named last
+	current   *instance                   // nil where it does not run
+	reply     simproto.Reply
 }
 
 func newHost() *host {
-	return &host{instances: map[uint32]*instance{}, lists: map[int][]wire.Endpoint{}}
+	return &host{instances: map[uint32]*instance{}, lists: map[int][]simproto.Endpoint{}}
 }
 
 // answer returns the reply to a batch. It belongs to the host, up to the next call.
-func (h *host) answer(batch wire.Batch) ([]byte, error) {
+func (h *host) answer(batch simproto.Batch) ([]byte, error) {
 	h.clock = batch.Clock
 	h.active = h.active[:0]
 	h.selected = false
@@ -119,21 +119,21 @@
 }
 
 // DefineList implements wire.Handler.
-func (h *host) DefineList(id int, endpoints []wire.Endpoint) error {
+func (h *host) DefineList(id int, endpoints []simproto.Endpoint) error {
 	h.lists[id] = endpoints
 	return nil
 }
 
 // UpdateList implements wire.Handler.
-func (h *host) UpdateList(mode wire.UpdateMode, id int) error {
+func (h *host) UpdateList(mode simproto.UpdateMode, id int) error {
 	i, err := h.instance()
 	if err != nil {
 		return err
 	}
-	if mode > wire.ListFailed {
+	if mode > simproto.ListFailed {
 		return fmt.Errorf("unknown list mode %d", mode)
 	}
-	if mode == wire.ListFailed {
+	if mode == simproto.ListFailed {
 		i.guard(func() { i.router.EndpointListFailed(i.now) })
 		return nil
 	}
@@ -146,7 +146,7 @@
 }
 
 // Command implements wire.Handler.
-func (h *host) Command(command wire.Command) error {
+func (h *host) Command(command simproto.Command) error {
 	i, err := h.instance()
 	if err != nil {
 		return err
@@ -186,7 +186,7 @@
 }
 
 // AttemptEnded implements wire.Handler.
-func (h *host) AttemptEnded(ended wire.AttemptEnded) error {
+func (h *host) AttemptEnded(ended simproto.AttemptEnded) error {
 	i, err := h.instance()
 	if err != nil {
 		return err
@@ -199,7 +199,7 @@
 }
 
 // HealthChecked implements wire.Handler.
-func (h *host) HealthChecked(address wire.Address, result int, elapsed uint64, report []float32) error {
+func (h *host) HealthChecked(address simproto.Address, result int, elapsed uint64, report []float32) error {
 	i, err := h.instance()
 	if err != nil {
 		return err
--- a/internal/adapter/instance.go
+++ b/internal/adapter/instance.go
@@ -8,7 +8,7 @@
 	"stoatdale.example/stoatdale/internal/idtable"
 	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/router"
-	"stoatdale.example/stoatdale/internal/wire"
+	"stoatdale.example/stoatdale/internal/simproto"
 )
 
 const (
@@ -32,16 +32,16 @@
 	active       bool    // named in the present batch
 	timerAt      float64 // when the timer that counts fires; infinite: none does
 	timerNumber  uint32  // of that timer
-	addresses    *idtable.Table[wire.Address]
+	addresses    *idtable.Table[simproto.Address]
 	shards       *idtable.Table[int]
-	actions      wire.Reply // of the present batch
+	actions      simproto.Reply // of the present batch
 }
 
 // newInstance starts a router. Faulty settings are its fault, and reported in reply to the batch.
 func newInstance(id uint32, clock, seed uint64, rawSettings []byte) *instance {
 	i := &instance{
 		id: id, startClock: clock, timerAt: math.Inf(1),
-		addresses: idtable.New[wire.Address](), shards: idtable.New[int](),
+		addresses: idtable.New[simproto.Address](), shards: idtable.New[int](),
 	}
 	i.actions.Reset()
 	settings, err := config.ParseSettings(rawSettings)
@@ -80,7 +80,7 @@
 }
 
 // updateList hands an endpoint list, or changes of it, to the router.
-func (i *instance) updateList(list []wire.Endpoint, mode wire.UpdateMode) {
+func (i *instance) updateList(list []simproto.Endpoint, mode simproto.UpdateMode) {
 	endpoints := make([]router.EndpointInfo, len(list))
 	for n, endpoint := range list {
 		endpoints[n] = router.EndpointInfo{
@@ -92,12 +92,12 @@
 			Primary:   endpoint.Primary,
 		}
 	}
-	complete := mode != wire.ListChanges
-	i.router.UpdateEndpoints(i.now, endpoints, complete, mode == wire.ListCached)
+	complete := mode != simproto.ListChanges
+	i.router.UpdateEndpoints(i.now, endpoints, complete, mode == simproto.ListCached)
 }
 
 // startedAt is when an endpoint started; long ago where the list does not say.
-func (i *instance) startedAt(endpoint wire.Endpoint) float64 {
+func (i *instance) startedAt(endpoint simproto.Endpoint) float64 {
 	if endpoint.StartedAt == 0 {
 		return math.Inf(-1)
 	}
@@ -105,7 +105,7 @@
 }
 
 // addCommand hands a command to the router. A shard that no list has named is -1.
-func (i *instance) addCommand(command wire.Command) {
+func (i *instance) addCommand(command simproto.Command) {
 	shard, known := i.shards.Lookup(command.Shard)
 	if !known {
 		shard = -1
@@ -117,12 +117,12 @@
 		ArrivedAt:      i.now,
 		ClientDeadline: i.time(command.Deadline),
 		LastWriteAge:   command.LastWriteAgeMs / 1000,
-		ClientRetry:    command.Flags&wire.FlagClientRetry != 0,
+		ClientRetry:    command.Flags&simproto.FlagClientRetry != 0,
 	})
 }
 
 // attemptEnded hands an attempt's result to the router.
-func (i *instance) attemptEnded(ended wire.AttemptEnded) {
+func (i *instance) attemptEnded(ended simproto.AttemptEnded) {
 	result := router.AttemptResult{
 		Attempt:  ended.Attempt,
 		Result:   results[ended.Result],
@@ -138,7 +138,7 @@
 }
 
 // healthChecked hands a health check's result to the router, unless the endpoint is no longer known.
-func (i *instance) healthChecked(address wire.Address, result router.Result, elapsed uint64, report []float32) {
+func (i *instance) healthChecked(address simproto.Address, result router.Result, elapsed uint64, report []float32) {
 	endpoint, known := i.addresses.Lookup(address)
 	if !known {
 		return
@@ -185,7 +185,7 @@
 func (i *instance) Fail(command uint32) { i.actions.Fail(command) }
 
 // finish ends a batch: it reviews what is due and adds the instance's actions to the reply.
-func (i *instance) finish(reply *wire.Reply) {
+func (i *instance) finish(reply *simproto.Reply) {
 	i.active = false
 	if i.crashed {
 		return
--- a/internal/wire/batch.go
+++ b/internal/simproto/batch.go
@@ -1,6 +1,6 @@
 // Package wire is the codec of the simulator's frames: little-endian, packed, records one after another. It knows
 // layouts and makes no decisions.
-package wire
+package simproto
 
 import (
 	"encoding/binary"
--- a/internal/wire/cursor.go
+++ b/internal/simproto/cursor.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"encoding/binary"
--- a/internal/wire/records.go
+++ b/internal/simproto/records.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 // Address is an endpoint's IPv4 address and port, as the frames carry them.
 type Address [6]byte
