--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -7,14 +7,14 @@
 	"fmt"
 	"os"
 
-	"stoatdale.example/stoatdale/internal/adapter"
+	"stoatdale.example/stoatdale/internal/simadapter"
 )
 
 const inputBufferSize = 1 << 20
 
 func main() {
 	in := bufio.NewReaderSize(os.Stdin, inputBufferSize)
-	if err := adapter.Serve(in, os.Stdout); err != nil {
+	if err := simadapter.Serve(in, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
--- a/internal/adapter/host.go
+++ b/internal/simadapter/host.go
@@ -1,4 +1,4 @@
-package adapter
+package simadapter
 
 import (
 	"errors"
