--- a/internal/drill/fleet_size.go
+++ b/internal/drill/fleet_size.go
@@ -16,9 +16,9 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/fleet/api"
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/keys"
@@ -72,7 +72,7 @@
 	if request.Verb != form.StatusVerb {
 		return form.Reply{Failure: "this agent only looks"}, nil
 	}
-	reply := form.Reply{Agent: a.name, Program: "stand-in", LeaseState: claim.State{Epoch: 3}}
+	reply := form.Reply{Agent: a.name, Program: "stand-in", LeaseState: lease.State{Epoch: 3}}
 	for _, name := range a.instanceNames {
 		reply.Instances = append(reply.Instances, form.InstanceStatus{
 			Name: name, Listen: "127.0.0.1:5432",
--- a/internal/drill/lease.go
+++ b/internal/drill/lease.go
@@ -9,7 +9,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
@@ -106,7 +106,7 @@
 	agents        []*simulatedAgent
 	operators     []*simulatedOperator
 	toolsStarted  int           // by all operators
-	newestStored  claim.Version // newest record that a majority confirmed to store
+	newestStored  lease.Version // newest record that a majority confirmed to store
 	history       []porcupine.Operation
 	stepStored    map[stepKey]int64 // when the record of a step was first sent to be stored
 }
--- a/internal/drill/lease_agent.go
+++ b/internal/drill/lease_agent.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
 
@@ -27,7 +27,7 @@
 	round       *leaseRound
 	index       int
 	handler     tend.RequestHandler
-	storedLease claim.PersistentState
+	storedLease lease.PersistentState
 	record      tend.Record // as it is stored
 	alive       bool
 	incarnation int     // events of an earlier one are dropped
@@ -75,11 +75,11 @@
 	a.clockOffset = 0
 	a.incarnation++
 	if r.options.Fault == faultForget {
-		a.storedLease = claim.PersistentState{}
+		a.storedLease = lease.PersistentState{}
 	}
 	a.handler = tend.RequestHandler{
 		Agent: fmt.Sprint("a", a.index), InstanceNames: []string{r.instanceNames[a.index]},
-		Lease: claim.Restore(a.storedLease, leaseSeconds, 0),
+		Lease: lease.Restore(a.storedLease, leaseSeconds, 0),
 	}
 	supervised, transition := tend.NewSupervisor(a.record, &r.limits)
 	a.handler.Supervisors = []tend.Supervisor{supervised}
@@ -198,13 +198,13 @@
 	if fault == faultUnfenced && request.Verb == form.BeginStepVerb {
 		request.Epoch = a.handler.Lease.Epoch
 		request.Holder = a.handler.Lease.Holder
-		a.handler.Lease.Acquire(a.now(), claim.Request{Epoch: request.Epoch, Holder: request.Holder})
+		a.handler.Lease.Acquire(a.now(), lease.Request{Epoch: request.Epoch, Holder: request.Holder})
 	}
 	if fault == faultUnkept && request.Verb == form.StoreRecordVerb {
 		return form.Reply{LeaseState: a.handler.Lease.State(a.now())}, true
 	}
 	reply, changes := a.handler.Handle(a.now(), request)
-	if request.Verb == form.BeginStepVerb && (reply.Denial == claim.StaleEpoch || reply.Denial == claim.Expired) {
+	if request.Verb == form.BeginStepVerb && (reply.Denial == lease.StaleEpoch || reply.Denial == lease.Expired) {
 		a.round.report.StaleSteps++
 	}
 	if changes.Lease {
--- a/internal/drill/lease_operator.go
+++ b/internal/drill/lease_operator.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/roll"
 )
@@ -38,7 +38,7 @@
 	holder        string            // name of the tool's lease; each tool has its own
 	run           int               // of the tool; events of an earlier run are dropped
 	startedAt     int64             // timestamp of the history
-	versionBefore claim.Version     // stored by a majority when the tool started
+	versionBefore lease.Version     // stored by a majority when the tool started
 	lastRollout   form.Rollout      // as the last tool left it
 	nextTick      float64           // virtual seconds; an earlier scheduled tick is dropped
 }
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -17,9 +17,9 @@
 
 	"github.com/rs/zerolog"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/store"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
@@ -94,7 +94,7 @@
 		events: make(chan event, eventQueueLength), startedAt: time.Now(),
 		handler: tend.RequestHandler{
 			Agent: name, Program: program, AgentsDigest: f.AgentsDigest(), OperatorRequest: state.OperatorRequest,
-			Lease: claim.Restore(state.Lease, float64(f.Times.LeaseTerm), 0),
+			Lease: lease.Restore(state.Lease, float64(f.Times.LeaseTerm), 0),
 		},
 	}
 	for i, instance := range f.InstancesOf(name) {
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -18,9 +18,9 @@
 	"go.uber.org/goleak"
 	"golang.org/x/sys/unix"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/store"
@@ -75,7 +75,7 @@
 		r.stop()
 		killRouters(t, dir)
 	})
-	r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 1, Holder: "h", Takeover: true}})
+	r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 1, Holder: "h", Takeover: true}})
 	r.waitFor("it knows its router", func(t form.InstanceStatus) bool { return t.State != plan.ProcessUnknown })
 	return r
 }
@@ -175,7 +175,7 @@
 		Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n",
 		Step: plan.Step{RolloutID: "r", Number: r.stepNumber, Revision: digest},
 	})
-	if reply.Denial != claim.Granted {
+	if reply.Denial != lease.Granted {
 		return reply.Denial.String() + " " + reply.Failure
 	}
 	return reply.Failure
@@ -255,7 +255,7 @@
 	require.NoError(t, p.signal(unix.SIGKILL))
 	after := r.waitFor("a new one", func(t form.InstanceStatus) bool { return ready(t) && t.ProcessID != status.ProcessID })
 	assert.Equal(t, 1, after.Crashes)
-	assert.NotEqual(t, claim.Granted, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 1, Holder: "other"}}).Denial,
+	assert.NotEqual(t, lease.Granted, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 1, Holder: "other"}}).Denial,
 		"promises outlive the agent")
 }
 
@@ -305,7 +305,7 @@
 	b := r.push(stand.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}})
 	r.store.full.Store(true)
 	assert.Contains(t, r.beginStep(b), "no space left")
-	assert.Contains(t, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 9, Holder: "h"}}).Failure, "no space left")
+	assert.Contains(t, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 9, Holder: "h"}}).Failure, "no space left")
 	assert.Equal(t, status.ProcessID, r.status().ProcessID)
 	assert.EqualValues(t, 1, r.call(form.Request{Verb: form.StatusVerb}).LeaseState.Epoch, "nothing is promised that is not kept")
 	r.store.full.Store(false)
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/lab/stand"
@@ -49,16 +49,16 @@
 	assert.EqualValues(t, 7, now.LeaseState.Epoch)
 	assert.Equal(t, recordedHolder, now.LeaseState.Holder)
 	assert.True(t, now.LeaseState.Held)
-	assert.Equal(t, claim.Version{Epoch: 7, Number: 6}, now.Record.Version)
+	assert.Equal(t, lease.Version{Epoch: 7, Number: 6}, now.Record.Version)
 	assert.Equal(t, form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: plan.RequestPause, Operator: "op"}, now.OperatorRequest)
 
-	refused := r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 7, Holder: "other"}})
-	assert.Equal(t, claim.StaleEpoch, refused.Denial, "what was promised stays promised")
+	refused := r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 7, Holder: "other"}})
+	assert.Equal(t, lease.StaleEpoch, refused.Denial, "what was promised stays promised")
 	reply := r.call(form.Request{
 		Verb: form.BeginStepVerb, Epoch: 7, Holder: recordedHolder, InstanceName: "open",
 		Step: plan.Step{RolloutID: "r-running", Number: 12, Revision: recordedFirst, Rollback: true},
 	})
-	require.Equal(t, claim.Granted, reply.Denial)
+	require.Equal(t, lease.Granted, reply.Denial)
 	require.Empty(t, reply.Failure)
 	status = r.waitFor("the next step", func(x form.InstanceStatus) bool { return x.LastStep.Number == 12 && x.LastResult != plan.StepPending })
 	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
--- a/internal/fleet/agent/requests.go
+++ b/internal/fleet/agent/requests.go
@@ -5,8 +5,8 @@
 	"errors"
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/store"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
@@ -63,7 +63,7 @@
 			a.handler = before
 			a.log.Error().Err(err).Str("verb", string(request.Verb)).Msg("state not stored: request denied")
 			return form.Reply{
-				Agent: reply.Agent, Program: reply.Program, Denial: claim.NotHolder, Failure: err.Error(),
+				Agent: reply.Agent, Program: reply.Program, Denial: lease.NotHolder, Failure: err.Error(),
 				LeaseState: a.handler.Lease.State(a.now()),
 			}
 		}
@@ -106,7 +106,7 @@
 
 // logRequest logs a request, but for those that a rollout makes all the time.
 func (a *Agent) logRequest(operator string, request form.Request, reply form.Reply) {
-	granted := reply.Denial == claim.Granted
+	granted := reply.Denial == lease.Granted
 	if request.Verb == form.StatusVerb || request.Verb == form.StoreRecordVerb && granted {
 		return
 	}
--- a/internal/fleet/api/api_test.go
+++ b/internal/fleet/api/api_test.go
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
@@ -82,9 +82,9 @@
 		assert.Equal(t, "ayla", got.Agent, "known by the certificate")
 		assert.Equal(t, "look", got.Failure)
 	}
-	_, err := c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Holder: "ayla/1"}})
+	_, err := c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Holder: "ayla/1"}})
 	require.NoError(t, err)
-	_, err = c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: claim.Request{Holder: "mehmet/1"}})
+	_, err = c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Holder: "mehmet/1"}})
 	require.ErrorContains(t, err, "agent a1: 400 Bad Request: call: operator ayla cannot speak as mehmet/1")
 	big := make([]byte, 4<<20)
 	_, err = c.Call(context.Background(), form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Content: big}})
--- a/internal/fleet/form/messages.go
+++ b/internal/fleet/form/messages.go
@@ -8,7 +8,7 @@
 import (
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
@@ -53,10 +53,10 @@
 type Request struct {
 	Verb            Verb            `cbor:"verb"`
 	AgentsDigest    string          `cbor:"agents,omitempty"`  // of the caller's list of agents, which must be the agent's own; empty: any
-	LeaseRequest    claim.Request   `cbor:"bid,omitzero"`      // for RequestLeaseVerb
+	LeaseRequest    lease.Request   `cbor:"bid,omitzero"`      // for RequestLeaseVerb
 	Epoch           uint64          `cbor:"epoch,omitempty"`   // of the caller's lease
 	Holder          string          `cbor:"holder,omitempty"`  // of that lease: the caller
-	Record          claim.Record    `cbor:"record,omitzero"`   // for StoreRecordVerb; its body is an encoded Rollout
+	Record          lease.Record    `cbor:"record,omitzero"`   // for StoreRecordVerb; its body is an encoded Rollout
 	InstanceName    string          `cbor:"name,omitempty"`    // for BeginStepVerb: of the step's instance
 	Step            plan.Step       `cbor:"step,omitzero"`     // for BeginStepVerb
 	OperatorRequest OperatorRequest `cbor:"wish,omitzero"`     // for RequestActionVerb
@@ -106,10 +106,10 @@
 type Reply struct {
 	Agent           string           `cbor:"agent"`
 	Program         string           `cbor:"program"`         // of the agent, with its version
-	Denial          claim.Denial     `cbor:"refusal"`         // why the lease does not allow the request
+	Denial          lease.Denial     `cbor:"refusal"`         // why the lease does not allow the request
 	Failure         string           `cbor:"fault,omitempty"` // why it was not done otherwise, for people
-	LeaseState      claim.State      `cbor:"standing"`
-	Record          claim.Record     `cbor:"record,omitzero"`
+	LeaseState      lease.State      `cbor:"standing"`
+	Record          lease.Record     `cbor:"record,omitzero"`
 	OperatorRequest OperatorRequest  `cbor:"wish,omitzero"`
 	Instances       []InstanceStatus `cbor:"instances,omitempty"`
 	Revisions       []Revision       `cbor:"revisions,omitempty"`
--- a/internal/fleet/form/messages_test.go
+++ b/internal/fleet/form/messages_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
@@ -17,7 +17,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, c, got)
 	r := Reply{
-		Agent: "a", Denial: claim.Expired, Record: claim.Record{Version: claim.Version{Epoch: 1, Number: 2}, Body: []byte("b")},
+		Agent: "a", Denial: lease.Expired, Record: lease.Record{Version: lease.Version{Epoch: 1, Number: 2}, Body: []byte("b")},
 		Instances: []InstanceStatus{{Name: "n", Observation: plan.Observation{SeenAt: math.Inf(-1), State: plan.ProcessReady, LastStep: plan.Step{Number: 9}}}},
 	}
 	var back Reply
@@ -53,7 +53,7 @@
 }
 
 func FuzzDecodeRequest(f *testing.F) {
-	f.Add(Encode(Request{Verb: RequestLeaseVerb, LeaseRequest: claim.Request{Epoch: 1, Holder: "x"}}))
+	f.Add(Encode(Request{Verb: RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 1, Holder: "x"}}))
 	f.Add(Encode(Request{Verb: PutRevisionVerb, Revision: Revision{Digest: "d", Content: []byte("{}")}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := DecodeRequest(raw)
--- a/internal/fleet/form/record_names_test.go
+++ b/internal/fleet/form/record_names_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
@@ -24,11 +24,11 @@
 func TestStoredRecordsKeepTheirNames(t *testing.T) {
 	step := plan.Step{RolloutID: "r", Number: 7, Instance: 3, Revision: "b", Rollback: true, Restart: true, OnlyIfNotServing: true}
 	reason := plan.Reason{Kind: plan.ReasonZoneMinimum, Instance: 3, Zone: 2, Have: 4, Need: 5, Detail: "detail"}
-	record := claim.Record{Version: claim.Version{Epoch: 4, Number: 9}, Body: []byte("body")}
-	holdsNames(t, "bid", claim.Request{Epoch: 4, Holder: "ayla/host", Takeover: true})
+	record := lease.Record{Version: lease.Version{Epoch: 4, Number: 9}, Body: []byte("body")}
+	holdsNames(t, "bid", lease.Request{Epoch: 4, Holder: "ayla/host", Takeover: true})
 	holdsNames(t, "record", record)
-	holdsNames(t, "standing", claim.State{Epoch: 4, Holder: "ayla/host", Held: true, HeldSeconds: 1.5, RemainingSeconds: 2.5})
-	holdsNames(t, "durable", claim.PersistentState{Epoch: 4, Holder: "ayla/host", Held: true, Record: record})
+	holdsNames(t, "standing", lease.State{Epoch: 4, Holder: "ayla/host", Held: true, HeldSeconds: 1.5, RemainingSeconds: 2.5})
+	holdsNames(t, "durable", lease.PersistentState{Epoch: 4, Holder: "ayla/host", Held: true, Record: record})
 	holdsNames(t, "step", step)
 	holdsNames(t, "tally", plan.CommandCounts{Completed: 90, Unanswered: 4})
 	holdsNames(t, "reason", reason)
--- a/internal/fleet/form/recorded_test.go
+++ b/internal/fleet/form/recorded_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
@@ -22,11 +22,11 @@
 		StatusVerb: {Verb: StatusVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 41, Holder: "ayla/host-1/00ff"},
 		RequestLeaseVerb: {
 			Verb: RequestLeaseVerb, AgentsDigest: "a1b2c3d4e5f60718",
-			LeaseRequest: claim.Request{Epoch: 42, Holder: "ayla/host-1/00ff", Takeover: true},
+			LeaseRequest: lease.Request{Epoch: 42, Holder: "ayla/host-1/00ff", Takeover: true},
 		},
 		StoreRecordVerb: {
 			Verb: StoreRecordVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 43, Holder: "ayla/host-1/00ff",
-			Record: claim.Record{Version: claim.Version{Epoch: 43, Number: 7}, Body: []byte{0x01, 0x02, 0xff}},
+			Record: lease.Record{Version: lease.Version{Epoch: 43, Number: 7}, Body: []byte{0x01, 0x02, 0xff}},
 		},
 		BeginStepVerb: {
 			Verb: BeginStepVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 44, Holder: "ayla/host-1/00ff", InstanceName: "n1",
@@ -67,8 +67,8 @@
 	return map[Verb]Reply{
 		StatusVerb: {
 			Agent: "a1", Program: "stoatctl 1",
-			LeaseState:      claim.State{Epoch: 41, Holder: "ayla/host-1/00ff", Held: true, HeldSeconds: 12.5, RemainingSeconds: 2.25},
-			Record:          claim.Record{Version: claim.Version{Epoch: 41, Number: 6}, Body: []byte{0xa0}},
+			LeaseState:      lease.State{Epoch: 41, Holder: "ayla/host-1/00ff", Held: true, HeldSeconds: 12.5, RemainingSeconds: 2.25},
+			Record:          lease.Record{Version: lease.Version{Epoch: 41, Number: 6}, Body: []byte{0xa0}},
 			OperatorRequest: OperatorRequest{RolloutID: "0123456789ab", Run: 2, Action: plan.RequestPause, Operator: "mehmet"},
 			Instances: []InstanceStatus{
 				{
@@ -84,31 +84,31 @@
 			},
 		},
 		RequestLeaseVerb: {
-			Agent: "a1", Program: "stoatctl 1", Denial: claim.HeldByOther,
-			LeaseState: claim.State{Epoch: 41, Holder: "mehmet/host-2/11ee", Held: true, HeldSeconds: 1, RemainingSeconds: 14},
+			Agent: "a1", Program: "stoatctl 1", Denial: lease.HeldByOther,
+			LeaseState: lease.State{Epoch: 41, Holder: "mehmet/host-2/11ee", Held: true, HeldSeconds: 1, RemainingSeconds: 14},
 		},
 		StoreRecordVerb: {
-			Agent: "a1", Program: "stoatctl 1", Denial: claim.StaleRecord,
-			LeaseState: claim.State{Epoch: 43, Holder: "ayla/host-1/00ff", Held: true, HeldSeconds: 2, RemainingSeconds: 13},
+			Agent: "a1", Program: "stoatctl 1", Denial: lease.StaleRecord,
+			LeaseState: lease.State{Epoch: 43, Holder: "ayla/host-1/00ff", Held: true, HeldSeconds: 2, RemainingSeconds: 13},
 		},
 		BeginStepVerb: {
 			Agent: "a1", Program: "stoatctl 1", Failure: "there is no instance n1 here",
-			LeaseState: claim.State{Epoch: 44, Holder: "ayla/host-1/00ff", Held: true, HeldSeconds: 3, RemainingSeconds: 15},
+			LeaseState: lease.State{Epoch: 44, Holder: "ayla/host-1/00ff", Held: true, HeldSeconds: 3, RemainingSeconds: 15},
 		},
 		ReleaseLeaseVerb: {
-			Agent: "a1", Program: "stoatctl 1", Denial: claim.StaleEpoch,
-			LeaseState: claim.State{Epoch: 46, Holder: "mehmet/host-2/11ee", HeldSeconds: 4},
+			Agent: "a1", Program: "stoatctl 1", Denial: lease.StaleEpoch,
+			LeaseState: lease.State{Epoch: 46, Holder: "mehmet/host-2/11ee", HeldSeconds: 4},
 		},
 		RequestActionVerb: {
 			Agent: "a1", Program: "stoatctl 1",
-			Denial: claim.NotHolder, Failure: "it goes by another list of agents: bring the fleet file of the agent and the tool together",
+			Denial: lease.NotHolder, Failure: "it goes by another list of agents: bring the fleet file of the agent and the tool together",
 		},
 		PutRevisionVerb: {Agent: "a1", Program: "stoatctl 1", Failure: "instance n1: discovery: not an address"},
 		GetRevisionVerb: {Agent: "a1", Program: "stoatctl 1", Revisions: []Revision{{
 			Digest: "feedbeef", Name: "bigger pool", PushedBy: "ayla", PushedAt: 1767323045, Content: []byte(`{"discovery":"127.0.0.1:9"}`),
 		}}},
 		HistoryVerb: {
-			Agent: "a1", Program: "stoatctl 1", Denial: claim.Expired,
+			Agent: "a1", Program: "stoatctl 1", Denial: lease.Expired,
 			Revisions: []Revision{{Digest: "feedbeef", Name: "bigger pool", PushedBy: "ayla", PushedAt: 1767323045}, {Digest: "0ddba11", PushedAt: 1767323044}},
 			Rollouts: []Rollout{
 				recordedRollout("r-none", plan.None), recordedRollout("r-running", plan.Running),
--- a/internal/fleet/claim/campaign.go
+++ b/internal/fleet/lease/campaign.go
@@ -1,4 +1,4 @@
-package claim
+package lease
 
 // Majority returns how many of so many agents form a majority: any two majorities share an agent.
 func Majority(agents int) int { return agents/2 + 1 }
--- a/internal/fleet/claim/doc.go
+++ b/internal/fleet/lease/doc.go
@@ -7,4 +7,4 @@
 // token. What a holder is doing is kept in a Record that it has a majority store before it acts. The next holder
 // reads the record from the majority that grants its lease and so learns of every step that may have begun. An
 // agent that cannot be reached may still be carrying out a step; package plan begins nothing while that is so.
-package claim
+package lease
--- a/internal/fleet/claim/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -1,4 +1,4 @@
-package claim
+package lease
 
 // Request asks an agent for a lease under an epoch.
 type Request struct {
--- a/internal/fleet/claim/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -1,4 +1,4 @@
-package claim
+package lease
 
 import (
 	"testing"
--- a/internal/fleet/claim/record.go
+++ b/internal/fleet/lease/record.go
@@ -1,4 +1,4 @@
-package claim
+package lease
 
 // Version orders records: by the epoch under which they were written, then by number.
 type Version struct {
--- a/internal/fleet/roll/calls.go
+++ b/internal/fleet/roll/calls.go
@@ -1,8 +1,8 @@
 package roll
 
 import (
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
@@ -15,7 +15,7 @@
 	verb          form.Verb
 	sentAt        float64
 	epoch         uint64
-	recordVersion claim.Version // for StoreRecordVerb
+	recordVersion lease.Version // for StoreRecordVerb
 	stepNumber    uint64        // for BeginStepVerb
 }
 
@@ -159,7 +159,7 @@
 		a.record = r.Record
 	case phaseRequestingLease:
 		a.replied = true
-		a.granted = r.Denial == claim.Granted
+		a.granted = r.Denial == lease.Granted
 		c.campaign.AddReply(call.agent, r.Denial, r.LeaseState, r.Record)
 	case phaseReleasing:
 		a.released = true
@@ -173,7 +173,7 @@
 
 // handleRunningReply takes in the reply to a call under the current epoch.
 func (c *Coordinator) handleRunningReply(now float64, call pendingCall, a *agent, r form.Reply) {
-	if r.Denial != claim.Granted || r.LeaseState.Epoch > call.epoch {
+	if r.Denial != lease.Granted || r.LeaseState.Epoch > call.epoch {
 		c.handleDenial(now, call.epoch, a, r)
 		return
 	}
@@ -200,14 +200,14 @@
 // handleDenial reacts to a reply that denies the epoch or tells of a higher one.
 func (c *Coordinator) handleDenial(now float64, epoch uint64, a *agent, r form.Reply) {
 	a.granted = false
-	if r.LeaseState.Epoch > epoch || r.Denial == claim.StaleEpoch {
+	if r.LeaseState.Epoch > epoch || r.Denial == lease.StaleEpoch {
 		// Either another holder has the lease, or its campaign failed and this coordinator must request a higher epoch.
 		c.requestLease(now, max(r.LeaseState.Epoch, epoch)+1, false)
 		return
 	}
 	// The lease has expired there or was never granted: it is requested there again.
 	a.nextCommand = now + c.config.Timing.PollSeconds
-	if r.Denial == claim.Expired {
+	if r.Denial == lease.Expired {
 		c.requestLease(now, epoch+1, false)
 	}
 }
@@ -225,7 +225,7 @@
 // has granted the epoch. It is taken to be as old as the call.
 func (c *Coordinator) takeObservations(call pendingCall, r form.Reply) {
 	if c.phase == phaseRunning {
-		underEpoch := r.Denial == claim.Granted && call.epoch == c.campaign.Request.Epoch
+		underEpoch := r.Denial == lease.Granted && call.epoch == c.campaign.Request.Epoch
 		if !underEpoch {
 			return
 		}
--- a/internal/fleet/roll/coordinator.go
+++ b/internal/fleet/roll/coordinator.go
@@ -4,8 +4,8 @@
 	"math"
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
@@ -26,8 +26,8 @@
 type agent struct {
 	replied         bool // in this phase, or its call has failed
 	granted         bool // it has granted the campaign's epoch
-	leaseState      claim.State
-	record          claim.Record
+	leaseState      lease.State
+	record          lease.Record
 	operatorRequest form.OperatorRequest
 	failure         string // of its last call
 	pendingQuery    uint64 // id, or 0
@@ -52,7 +52,7 @@
 	pendingCalls map[uint64]pendingCall
 	lastCallID   uint64
 
-	campaign      *claim.Campaign
+	campaign      *lease.Campaign
 	lostCampaigns int     // in a row, lost to nobody
 	lastMajority  float64 // when a majority was last known to follow
 
--- a/internal/fleet/roll/coordinator_test.go
+++ b/internal/fleet/roll/coordinator_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
@@ -219,7 +219,7 @@
 	sends, _ := a.Tick(e.now)
 	for _, s := range sends {
 		if s.Agent == 0 && s.Request.Verb == form.StatusVerb {
-			a.HandleReply(e.now, s.ID, form.Reply{Denial: claim.NotHolder, Instances: []form.InstanceStatus{{Name: "n0", Observation: plan.Observation{State: plan.ProcessCrashLooping}}}})
+			a.HandleReply(e.now, s.ID, form.Reply{Denial: lease.NotHolder, Instances: []form.InstanceStatus{{Name: "n0", Observation: plan.Observation{State: plan.ProcessCrashLooping}}}})
 			assert.NotEqual(t, plan.ProcessCrashLooping, a.observations[0].State)
 			assert.False(t, a.agents[0].granted, "and is asked for its grant anew")
 			return
--- a/internal/fleet/roll/environment_test.go
+++ b/internal/fleet/roll/environment_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
@@ -47,7 +47,7 @@
 		record := tend.Record{ShouldRun: true, Revision: "old", Incarnation: 1}
 		supervised, transition := tend.NewSupervisor(record, &e.limits)
 		e.handlers = append(e.handlers, &tend.RequestHandler{
-			InstanceNames: []string{name}, Lease: claim.Lease{TermSeconds: 3}, Supervisors: []tend.Supervisor{supervised},
+			InstanceNames: []string{name}, Lease: lease.Lease{TermSeconds: 3}, Supervisors: []tend.Supervisor{supervised},
 		})
 		e.carryOut(i, transition.Actions)
 	}
--- a/internal/fleet/roll/lease.go
+++ b/internal/fleet/roll/lease.go
@@ -4,8 +4,8 @@
 	"math"
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
@@ -36,7 +36,7 @@
 	if settled < len(c.agents) {
 		return
 	}
-	if replied < claim.Majority(len(c.agents)) {
+	if replied < lease.Majority(len(c.agents)) {
 		c.finish(Outcome{Kind: OutcomeNoMajority})
 		return
 	}
@@ -56,8 +56,8 @@
 
 // requestLease starts a campaign.
 func (c *Coordinator) requestLease(now float64, epoch uint64, takeover bool) {
-	r := claim.Request{Epoch: epoch, Holder: c.config.Holder, Takeover: takeover}
-	c.campaign = claim.NewCampaign(r, len(c.agents))
+	r := lease.Request{Epoch: epoch, Holder: c.config.Holder, Takeover: takeover}
+	c.campaign = lease.NewCampaign(r, len(c.agents))
 	c.storing = nil
 	c.stepToSend = plan.Step{}
 	for i := range c.observations {
@@ -72,17 +72,17 @@
 		return
 	}
 	switch c.campaign.Result() {
-	case claim.Pending:
-	case claim.Won:
+	case lease.Pending:
+	case lease.Won:
 		c.campaignWon(now)
-	case claim.Lost:
+	case lease.Lost:
 		c.campaignLost(now)
 	}
 }
 
 // otherHolder returns the highest epoch that agents report, and another holder's lease; held is set if a majority
 // reports it.
-func (c *Coordinator) otherHolder() (highestEpoch uint64, holder claim.State, held bool) {
+func (c *Coordinator) otherHolder() (highestEpoch uint64, holder lease.State, held bool) {
 	reports := map[string]int{}
 	for i := range c.agents {
 		s := c.agents[i].leaseState
@@ -94,7 +94,7 @@
 		if s.RemainingSeconds > holder.RemainingSeconds || holder.Holder == "" {
 			holder = s
 		}
-		if reports[s.Holder] >= claim.Majority(len(c.agents)) {
+		if reports[s.Holder] >= lease.Majority(len(c.agents)) {
 			held = true
 		}
 	}
@@ -104,7 +104,7 @@
 // newestKnownRollout returns the rollout of the newest record that any agent reports, for people: a majority need not
 // have stored it. A record that cannot be read is shown as none.
 func (c *Coordinator) newestKnownRollout() form.Rollout {
-	var newest claim.Record
+	var newest lease.Record
 	for i := range c.agents {
 		if newest.Version.Before(c.agents[i].record.Version) {
 			newest = c.agents[i].record
--- a/internal/fleet/roll/record.go
+++ b/internal/fleet/roll/record.go
@@ -1,14 +1,14 @@
 package roll
 
 import (
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
 // pendingRecord is a record that a majority has yet to store, and what led to it.
 type pendingRecord struct {
-	record  claim.Record
+	record  lease.Record
 	rollout form.Rollout // the record's body
 	action  plan.Action
 	reason  plan.Reason
@@ -16,7 +16,7 @@
 }
 
 // decodeRollout reads a record's body. A record without one holds no rollout.
-func decodeRollout(record claim.Record) (form.Rollout, error) {
+func decodeRollout(record lease.Record) (form.Rollout, error) {
 	var r form.Rollout
 	if record.Body == nil {
 		return r, nil
@@ -38,9 +38,9 @@
 // storeRollout has the agents store a rollout. commitIfStored continues once a majority has.
 func (c *Coordinator) storeRollout(now float64, r form.Rollout, action plan.Action, reason plan.Reason) {
 	c.recordNumber++
-	version := claim.Version{Epoch: c.campaign.Request.Epoch, Number: c.recordNumber}
+	version := lease.Version{Epoch: c.campaign.Request.Epoch, Number: c.recordNumber}
 	c.storing = &pendingRecord{
-		record:  claim.Record{Version: version, Body: form.Encode(r)},
+		record:  lease.Record{Version: version, Body: form.Encode(r)},
 		rollout: r,
 		action:  action,
 		reason:  reason,
@@ -60,7 +60,7 @@
 			stored++
 		}
 	}
-	if stored < claim.Majority(len(c.agents)) {
+	if stored < lease.Majority(len(c.agents)) {
 		return
 	}
 	committed := c.storing
--- a/internal/fleet/roll/task.go
+++ b/internal/fleet/roll/task.go
@@ -1,8 +1,8 @@
 package roll
 
 import (
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
@@ -73,7 +73,7 @@
 type Outcome struct {
 	Kind    OutcomeKind
 	Rollout form.Rollout // as it was last known
-	Holder  claim.State  // another holder's lease
+	Holder  lease.State  // another holder's lease
 	Reason  plan.Reason
 	Faults  []string // what agents gave as reasons of failed calls, for people; sorted
 }
@@ -87,7 +87,7 @@
 	Reason        plan.Reason
 	Step          plan.Step     // begun, completed or refused
 	AcquiredEpoch uint64        // of the lease that was granted; 0: none
-	RecordVersion claim.Version // of the record that was found with the lease, or that a majority stores now
+	RecordVersion lease.Version // of the record that was found with the lease, or that a majority stores now
 	StepRefusal   string        // why the agent refuses the step, for people
 }
 
--- a/internal/fleet/store/recorded_test.go
+++ b/internal/fleet/store/recorded_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/bbolt"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
@@ -85,9 +85,9 @@
 
 func recordedState() State {
 	return State{
-		Lease: claim.PersistentState{
+		Lease: lease.PersistentState{
 			Epoch: 7, Holder: "ayla/host-1/00ff", Held: true,
-			Record: claim.Record{Version: claim.Version{Epoch: 7, Number: 6}, Body: form.Encode(recordedRollouts()[0])},
+			Record: lease.Record{Version: lease.Version{Epoch: 7, Number: 6}, Body: form.Encode(recordedRollouts()[0])},
 		},
 		OperatorRequest: form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: plan.RequestPause, Operator: "op"},
 		Instances: map[string]tend.Record{
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -15,8 +15,8 @@
 	"go.etcd.io/bbolt"
 	bbolterrors "go.etcd.io/bbolt/errors"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
 
@@ -46,14 +46,14 @@
 
 // State is what an agent needs to start: its lease, the pending request of an operator and its instances by name.
 type State struct {
-	Lease           claim.PersistentState
+	Lease           lease.PersistentState
 	OperatorRequest form.OperatorRequest
 	Instances       map[string]tend.Record
 }
 
 // Change is what one call of Save writes. What is nil, and instances that are not named, stay as they are.
 type Change struct {
-	Lease           *claim.PersistentState
+	Lease           *lease.PersistentState
 	OperatorRequest *form.OperatorRequest
 	Instances       map[string]tend.Record // by name
 	Revision        *form.Revision         // added, or replaced if its digest is known
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/bbolt"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
@@ -51,7 +51,7 @@
 // change is one whose lease and instance bear the same number.
 func change(n uint64) Change {
 	return Change{
-		Lease:     &claim.PersistentState{Epoch: n, Holder: strings.Repeat("h", int(n%50)*100)},
+		Lease:     &lease.PersistentState{Epoch: n, Holder: strings.Repeat("h", int(n%50)*100)},
 		Instances: map[string]tend.Record{"n1": {Incarnation: n, Step: plan.Step{Number: n}}},
 	}
 }
--- a/internal/fleet/tend/request_handler.go
+++ b/internal/fleet/tend/request_handler.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
@@ -14,7 +14,7 @@
 	Agent           string // name
 	Program         string // that answers, with its version
 	AgentsDigest    string // of the list of agents that this one goes by
-	Lease           claim.Lease
+	Lease           lease.Lease
 	OperatorRequest form.OperatorRequest // the newest that was left
 	InstanceNames   []string
 	Supervisors     []Supervisor
@@ -39,7 +39,7 @@
 	changes := Changes{ChangedInstance: noInstance}
 	otherList := r.AgentsDigest != "" && r.AgentsDigest != h.AgentsDigest
 	if otherList && r.Verb != form.StatusVerb {
-		reply.Denial = claim.NotHolder
+		reply.Denial = lease.NotHolder
 		reply.Failure = "it goes by another list of agents: bring the fleet file of the agent and the tool together"
 		reply.LeaseState = h.Lease.State(now)
 		return reply, changes
@@ -50,19 +50,19 @@
 	case form.RequestLeaseVerb:
 		reply.Denial = h.Lease.Acquire(now, r.LeaseRequest)
 		reply.Record = h.Lease.Record
-		changes.Lease = reply.Denial == claim.Granted
+		changes.Lease = reply.Denial == lease.Granted
 	case form.StoreRecordVerb:
 		reply.Denial = h.Lease.StoreRecord(now, r.Epoch, r.Holder, r.Record)
-		changes.Lease = reply.Denial == claim.Granted
+		changes.Lease = reply.Denial == lease.Granted
 	case form.ReleaseLeaseVerb:
 		reply.Denial = h.Lease.Release(now, r.Epoch, r.Holder)
-		changes.Lease = reply.Denial == claim.Granted
+		changes.Lease = reply.Denial == lease.Granted
 	case form.RequestActionVerb:
 		h.OperatorRequest = r.OperatorRequest
 		changes.OperatorRequest = true
 	case form.BeginStepVerb:
 		reply.Denial = h.Lease.Renew(now, r.Epoch, r.Holder)
-		if reply.Denial == claim.Granted {
+		if reply.Denial == lease.Granted {
 			reply.Failure = h.beginStep(r.InstanceName, r.Step, &changes)
 		}
 	default:
--- a/internal/fleet/tend/request_handler_test.go
+++ b/internal/fleet/tend/request_handler_test.go
@@ -6,26 +6,26 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 )
 
 func TestRequestHandlerAnswersEachVerb(t *testing.T) {
 	e := newServing(t)
-	h := &RequestHandler{Agent: "a1", AgentsDigest: "list", Lease: claim.Lease{TermSeconds: 10}, InstanceNames: []string{"n1"}, Supervisors: []Supervisor{e.supervisor}}
+	h := &RequestHandler{Agent: "a1", AgentsDigest: "list", Lease: lease.Lease{TermSeconds: 10}, InstanceNames: []string{"n1"}, Supervisors: []Supervisor{e.supervisor}}
 	now := e.now
 	call := func(c form.Request) (form.Reply, Changes) { return h.Handle(now, c) }
-	r, s := call(form.Request{Verb: form.RequestLeaseVerb, AgentsDigest: "other", LeaseRequest: claim.Request{Epoch: 1, Holder: "h"}})
-	assert.NotEqual(t, claim.Granted, r.Denial)
+	r, s := call(form.Request{Verb: form.RequestLeaseVerb, AgentsDigest: "other", LeaseRequest: lease.Request{Epoch: 1, Holder: "h"}})
+	assert.NotEqual(t, lease.Granted, r.Denial)
 	assert.Contains(t, r.Failure, "another list of agents")
 	assert.False(t, s.Lease)
-	r, s = call(form.Request{Verb: form.RequestLeaseVerb, AgentsDigest: "list", LeaseRequest: claim.Request{Epoch: 1, Holder: "h"}})
-	assert.Equal(t, claim.Granted, r.Denial)
+	r, s = call(form.Request{Verb: form.RequestLeaseVerb, AgentsDigest: "list", LeaseRequest: lease.Request{Epoch: 1, Holder: "h"}})
+	assert.Equal(t, lease.Granted, r.Denial)
 	assert.True(t, s.Lease)
 	step := plan.Step{RolloutID: "r", Number: 1, Revision: "b"}
 	r, s = call(form.Request{Verb: form.BeginStepVerb, Epoch: 1, Holder: "x", InstanceName: "n1", Step: step})
-	assert.Equal(t, claim.NotHolder, r.Denial)
+	assert.Equal(t, lease.NotHolder, r.Denial)
 	assert.Equal(t, -1, s.ChangedInstance)
 	r, _ = call(form.Request{Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n9", Step: step})
 	assert.Contains(t, r.Failure, "no instance n9")
@@ -41,7 +41,7 @@
 	assert.Equal(t, "a", r.Instances[0].Revision)
 	now += 20
 	r, _ = call(form.Request{Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n1", Step: step})
-	assert.Equal(t, claim.Expired, r.Denial)
+	assert.Equal(t, lease.Expired, r.Denial)
 	r, _ = call(form.Request{Verb: form.PutRevisionVerb})
 	assert.NotEmpty(t, r.Failure)
 }
--- a/internal/fleet/tool/status.go
+++ b/internal/fleet/tool/status.go
@@ -4,9 +4,9 @@
 	"context"
 	"fmt"
 
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 )
@@ -151,13 +151,13 @@
 		status.SinceSeconds = max(status.SinceSeconds, lease.HeldSeconds)
 		status.LeftSeconds = max(status.LeftSeconds, lease.RemainingSeconds)
 	}
-	status.Held = status.Grants >= claim.Majority(len(answers))
+	status.Held = status.Grants >= lease.Majority(len(answers))
 	return status
 }
 
 // newestRecord is the rollout in the newest record that an agent has, which a majority need not have stored.
 func newestRecord(answers []Answer) (rollout form.Rollout, found bool) {
-	var newest claim.Record
+	var newest lease.Record
 	for _, answer := range answers {
 		if answer.Err == nil && newest.Version.Before(answer.Reply.Record.Version) {
 			newest = answer.Reply.Record
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -7,8 +7,8 @@
 	"strings"
 
 	"stoatdale.example/stoatdale/internal/explore"
-	"stoatdale.example/stoatdale/internal/fleet/claim"
 	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/roll"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
@@ -56,7 +56,7 @@
 
 type rollAgent struct {
 	handler        tend.RequestHandler
-	lease          claim.PersistentState
+	lease          lease.PersistentState
 	record         tend.Record
 	alive          bool
 	pendingActions []tend.Action // acts that are still to be carried out
@@ -187,7 +187,7 @@
 		hidePendingSteps(&reply)
 	}
 	isChange := c.Call.Verb == form.BeginStepVerb || c.Call.Verb == form.StoreRecordVerb
-	if reply.Denial == claim.Granted && isChange {
+	if reply.Denial == lease.Granted && isChange {
 		r.check.Acted(c.Call.Epoch, c.Call.Holder)
 	}
 	if saves.Lease {
@@ -211,7 +211,7 @@
 			kept++
 		}
 	}
-	return kept >= claim.Majority(len(r.agents))
+	return kept >= lease.Majority(len(r.agents))
 }
 
 // hidePendingSteps has a reply say that no instance is in a step.
@@ -243,11 +243,11 @@
 	a.alive, a.pendingActions = true, nil
 	a.lives++
 	if r.fault == "forgetful" {
-		a.lease = claim.PersistentState{}
+		a.lease = lease.PersistentState{}
 	}
 	x, out := tend.NewSupervisor(a.record, &r.limits)
 	a.handler = tend.RequestHandler{
-		Agent: fmt.Sprint("a", i), InstanceNames: []string{r.names[i]}, Lease: claim.Restore(a.lease, rollTerm, r.now),
+		Agent: fmt.Sprint("a", i), InstanceNames: []string{r.names[i]}, Lease: lease.Restore(a.lease, rollTerm, r.now),
 		Supervisors: []tend.Supervisor{x},
 	}
 	a.pendingActions = append(a.pendingActions, out.Actions...)
@@ -464,7 +464,7 @@
 var rolloutRules = &explore.Rules{
 	FloatGrain: 1e-6,
 	Ignored: explore.Fields{
-		"claim.State":      {"HeldSeconds", "RemainingSeconds"},
+		"lease.State":      {"HeldSeconds", "RemainingSeconds"},
 		"plan.Planner":     {"Fleet"},
 		"plan.Observation": {"ReadySeconds"},
 		"roll.Config":      {"Fleet", "Random", "Timing"},
@@ -474,7 +474,7 @@
 		"tend.Supervisor":  {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
 	},
 	Times: explore.Fields{
-		"claim.Lease":      {"expiresAt", "heldSince", "now"},
+		"lease.Lease":      {"expiresAt", "heldSince", "now"},
 		"plan.Planner":     {"waitingSince"},
 		"plan.Observation": {"SeenAt"},
 		"roll.Coordinator": {"lastMajority", "nextStepSend", "phaseTime"},
