--- a/internal/cli/fleet_check.go
+++ b/internal/cli/fleet_check.go
@@ -6,8 +6,8 @@
 	"github.com/spf13/cobra"
 
 	"stoatdale.example/stoatdale/internal/fleet/layout"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
 
@@ -48,7 +48,7 @@
 			if err := a.show(report, report.print); err != nil {
 				return err
 			}
-			if reason := plan.CheckFeasible(fleet.PlannerFleet(), nil); reason.Kind != plan.ReasonNone {
+			if reason := rollout.CheckFeasible(fleet.PlannerFleet(), nil); reason.Kind != rollout.ReasonNone {
 				return exitErrorf(ExitRejected, "no rollout is possible with these floors: %s", client.Explain(reason))
 			}
 			return nil
--- a/internal/cli/fleet_drive.go
+++ b/internal/cli/fleet_drive.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
 
@@ -84,11 +84,11 @@
 		a.log.Info().Uint64("epoch", event.AcquiredEpoch).Msg("lease acquired")
 	case event.StepRefusal != "":
 		a.log.Warn().Str("instance", name).Str("reason", event.StepRefusal).Msg("step rejected by the agent")
-	case event.Action == plan.ActionBeginStep:
+	case event.Action == rollout.ActionBeginStep:
 		a.log.Info().Str("instance", name).Uint64("step", event.Step.Number).Bool("rollback", event.Step.Rollback).Msg("step begun")
-	case event.Action == plan.ActionCompleteStep:
+	case event.Action == rollout.ActionCompleteStep:
 		a.log.Info().Str("instance", name).Uint64("step", event.Step.Number).Msg("step ended")
-	case event.Action == plan.ActionStartRollback:
+	case event.Action == rollout.ActionStartRollback:
 		a.log.Warn().Str("reason", client.Explain(event.Reason)).Msg("rollback started")
 	}
 }
@@ -125,19 +125,19 @@
 
 // endedRolloutError is the exit error of a rollout that ended or paused, or nil if it ended as the operator asked.
 func endedRolloutError(outcome roll.Outcome, state *tool.RolloutStatus) error {
-	if outcome.Reason.Kind == plan.ReasonOperator {
+	if outcome.Reason.Kind == rollout.ReasonOperator {
 		return nil
 	}
 	switch outcome.Rollout.State {
-	case plan.Paused:
+	case rollout.Paused:
 		err := fmt.Errorf("the rollout is paused: %s", state.Why)
 		if state.RollingBack {
 			err = fmt.Errorf("%w; it was going back: %s", err, state.Cause)
 		}
 		return exitError(ExitPaused, err)
-	case plan.RolledBack:
+	case rollout.RolledBack:
 		return exitErrorf(ExitFailed, "the rollout went back: %s", state.Why)
-	case plan.None, plan.Running, plan.Complete, plan.Aborted:
+	case rollout.None, rollout.Running, rollout.Complete, rollout.Aborted:
 	}
 	return nil
 }
--- a/internal/cli/fleet_rollout.go
+++ b/internal/cli/fleet_rollout.go
@@ -9,8 +9,8 @@
 	"github.com/spf13/cobra"
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
 
@@ -70,7 +70,7 @@
 			}
 			newest, driven, found := client.NewestRollout(ctx)
 			if found && driven && !newest.State.Terminal() && !drive.takeOver {
-				return a.requestOfDriver(ctx, client, newest, plan.RequestRollback)
+				return a.requestOfDriver(ctx, client, newest, rollout.RequestRollback)
 			}
 			return a.drive(ctx, client, roll.Task{Operation: roll.OperationRollback, Operator: client.Operator}, &drive)
 		}),
@@ -84,8 +84,8 @@
 type haltRequest struct {
 	verb      string
 	summary   string
-	request   plan.OperatorRequest // if another tool drives
-	operation roll.Operation       // if none does
+	request   rollout.OperatorRequest // if another tool drives
+	operation roll.Operation          // if none does
 }
 
 func (a *app) fleetHaltCommand(flags *fleetFlags, halt haltRequest) *cobra.Command {
@@ -96,7 +96,7 @@
 		Args: cobra.NoArgs,
 		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
 			newest, driven, found := client.NewestRollout(ctx)
-			if found && driven && newest.State == plan.Running && !drive.takeOver {
+			if found && driven && newest.State == rollout.Running && !drive.takeOver {
 				return a.requestOfDriver(ctx, client, newest, halt.request)
 			}
 			return a.drive(ctx, client, roll.Task{Operation: halt.operation, Operator: client.Operator}, &drive)
@@ -108,7 +108,7 @@
 }
 
 // requestOfDriver stores a request for the tool that drives the rollout, and polls until it is done or cannot be.
-func (a *app) requestOfDriver(ctx context.Context, client *tool.Client, rollout form.Rollout, request plan.OperatorRequest) error {
+func (a *app) requestOfDriver(ctx context.Context, client *tool.Client, rollout form.Rollout, request rollout.OperatorRequest) error {
 	if agents := client.RequestAction(ctx, rollout, request); agents == 0 {
 		return exitError(ExitFailed, errors.New("no agent took the wish"))
 	}
@@ -133,15 +133,15 @@
 }
 
 // requestDone tells whether the rollout is as the operator has requested.
-func requestDone(request plan.OperatorRequest, current form.Rollout) bool {
+func requestDone(request rollout.OperatorRequest, current form.Rollout) bool {
 	switch request {
-	case plan.RequestNone:
+	case rollout.RequestNone:
 		return false
-	case plan.RequestPause:
-		return current.State == plan.Paused
-	case plan.RequestAbort:
-		return current.State == plan.Aborted
-	case plan.RequestRollback:
+	case rollout.RequestPause:
+		return current.State == rollout.Paused
+	case rollout.RequestAbort:
+		return current.State == rollout.Aborted
+	case rollout.RequestRollback:
 		return current.RollingBack
 	}
 	return false
--- a/internal/drill/fleet_size.go
+++ b/internal/drill/fleet_size.go
@@ -19,7 +19,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/keys"
 )
@@ -76,10 +76,10 @@
 	for _, name := range a.instanceNames {
 		reply.Instances = append(reply.Instances, form.InstanceStatus{
 			Name: name, Listen: "127.0.0.1:5432",
-			Observation: plan.Observation{
-				State:          plan.ProcessReady,
+			Observation: rollout.Observation{
+				State:          rollout.ProcessReady,
 				Revision:       "0123456789abcdef0123456789abcdef",
-				RecentCommands: plan.CommandCounts{Completed: 1000, Unanswered: 3},
+				RecentCommands: rollout.CommandCounts{Completed: 1000, Unanswered: 3},
 				ReadySeconds:   readySeconds,
 			},
 		})
@@ -219,20 +219,20 @@
 }
 
 // measurePlan returns the median time in microseconds of a planner's decision over a fleet of which half is done.
-func measurePlan(fleet *plan.Fleet) float64 {
-	observations := make([]plan.Observation, len(fleet.Instances))
+func measurePlan(fleet *rollout.Fleet) float64 {
+	observations := make([]rollout.Observation, len(fleet.Instances))
 	for i := range observations {
-		observations[i] = plan.Observation{State: plan.ProcessReady, Revision: "a"}
+		observations[i] = rollout.Observation{State: rollout.ProcessReady, Revision: "a"}
 		if i < len(observations)/2 {
-			observations[i].LastStep = plan.Step{RolloutID: "r", Number: 1}
-			observations[i].LastResult = plan.StepSucceeded
+			observations[i].LastStep = rollout.Step{RolloutID: "r", Number: 1}
+			observations[i].LastResult = rollout.StepSucceeded
 		}
 	}
-	planner := plan.NewPlanner(fleet, plan.Rollout{ID: "r", Revision: "b", State: plan.Running})
+	planner := rollout.NewPlanner(fleet, rollout.Rollout{ID: "r", Revision: "b", State: rollout.Running})
 	var elapsed []float64
 	for range planDecisions {
 		began := time.Now()
-		planner.Next(0, observations, plan.RequestNone)
+		planner.Next(0, observations, rollout.RequestNone)
 		elapsed = append(elapsed, time.Since(began).Seconds()*microseconds)
 	}
 	slices.Sort(elapsed)
--- a/internal/drill/lease.go
+++ b/internal/drill/lease.go
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
 
@@ -100,7 +100,7 @@
 	now           float64    // virtual seconds
 	events        eventQueue
 	sequence      uint64 // of events and of the history: all that happens is in one order
-	fleet         *plan.Fleet
+	fleet         *rollout.Fleet
 	instanceNames []string // one instance an agent
 	limits        tend.Limits
 	agents        []*simulatedAgent
@@ -117,9 +117,9 @@
 		rng:        rand.New(rand.NewPCG(options.Seed, uint64(number))),
 		stepStored: map[stepKey]int64{},
 		limits:     tend.DefaultLimits(),
-		fleet: &plan.Fleet{
+		fleet: &rollout.Fleet{
 			ZoneMinAvailable: []int{0}, MinAvailable: 1,
-			Timing: plan.Timing{SoakSeconds: 0.3, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 6, StepTimeoutSeconds: 20},
+			Timing: rollout.Timing{SoakSeconds: 0.3, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 6, StepTimeoutSeconds: 20},
 		},
 	}
 	r.limits.HealthCheckSeconds = 0.2
@@ -127,7 +127,7 @@
 	r.limits.TerminationGraceSeconds = 1
 	agents := minAgents + r.rng.IntN(agentsSpread)
 	for i := range agents {
-		r.fleet.Instances = append(r.fleet.Instances, plan.Instance{Agent: i})
+		r.fleet.Instances = append(r.fleet.Instances, rollout.Instance{Agent: i})
 		r.instanceNames = append(r.instanceNames, fmt.Sprint("n", i))
 		agent := newSimulatedAgent(r, i)
 		r.agents = append(r.agents, agent)
--- a/internal/drill/lease_history.go
+++ b/internal/drill/lease_history.go
@@ -6,7 +6,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 const historyCheckTimeout = 5 * time.Second
@@ -81,7 +81,7 @@
 // recordStepChange adds a step that has begun or ended to the history, and checks that no other is open.
 func (a *simulatedAgent) recordStepChange() {
 	step := ""
-	if a.record.Step.Number != 0 && a.record.Result == plan.StepPending {
+	if a.record.Step.Number != 0 && a.record.Result == rollout.StepPending {
 		step = fmt.Sprint(a.record.Step.RolloutID, "/", a.record.Step.Number, "/", a.index)
 	}
 	if step == a.openStep {
@@ -100,7 +100,7 @@
 	r := a.round
 	call := r.timestamp()
 	r.recordOperation(firstAgentClient+a.index, leaseOperation{kind: endStep, step: a.openStep}, call, r.timestamp())
-	if a.record.Result == plan.StepNotApplied {
+	if a.record.Result == rollout.StepNotApplied {
 		r.report.StepsNotApplied++
 	}
 }
--- a/internal/drill/lease_operator.go
+++ b/internal/drill/lease_operator.go
@@ -5,8 +5,8 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // The simulated network.
@@ -51,7 +51,7 @@
 	o.holder = fmt.Sprint("operator ", o.index, ".", r.toolsStarted)
 	task := roll.Task{
 		Operation: roll.OperationBegin, Operator: o.holder, Takeover: r.rng.IntN(4) == 0,
-		Rollout: form.Rollout{Rollout: plan.Rollout{ID: o.holder, Revision: fmt.Sprint("r", r.toolsStarted)}},
+		Rollout: form.Rollout{Rollout: rollout.Rollout{ID: o.holder, Revision: fmt.Sprint("r", r.toolsStarted)}},
 	}
 	if o.lastRollout.ID != "" && !o.lastRollout.State.Terminal() {
 		operations := []roll.Operation{roll.OperationResume, roll.OperationResume, roll.OperationRollback, roll.OperationAbort}
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -13,8 +13,8 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
@@ -193,7 +193,7 @@
 	}
 	d.logf("agents are up; the first revision goes out")
 	o := d.client.Drive(ctx, d.client.NewRollout(form.Revision{Digest: d.firstRevision, Name: "first"}, false), nil)
-	if o.Kind != roll.OutcomeEnded || o.Rollout.State != plan.Complete {
+	if o.Kind != roll.OutcomeEnded || o.Rollout.State != rollout.Complete {
 		return fmt.Errorf("the first rollout: %d %s %s %v", o.Kind, o.Rollout.State, d.client.Explain(o.Reason), o.Faults)
 	}
 	return nil
@@ -234,7 +234,7 @@
 // that instance, as an operator would.
 func (d *rolloutDrill) driveSecond(ctx context.Context, watch func(roll.View, []roll.Event)) roll.Outcome {
 	outcome := d.client.Drive(ctx, d.client.NewRollout(form.Revision{Digest: d.secondRevision, Name: "second"}, false), watch)
-	paused := outcome.Kind == roll.OutcomeEnded && outcome.Rollout.State == plan.Paused
+	paused := outcome.Kind == roll.OutcomeEnded && outcome.Rollout.State == rollout.Paused
 	agentIsGone := d.options.AgentStaysGone && d.killedInstance != noInstance
 	if !paused || !agentIsGone {
 		return outcome
@@ -251,13 +251,13 @@
 	state := outcome.Rollout.State
 	r.State = state.String()
 	r.Reason = d.client.Explain(outcome.Reason)
-	r.Paused = state == plan.Paused
+	r.Paused = state == rollout.Paused
 	switch {
 	case outcome.Kind != roll.OutcomeEnded:
 		r.Fail("the rollout ended as no rollout ends: %d, held by %s, %v", outcome.Kind, outcome.Holder.Holder, outcome.Faults)
-	case d.options.AgentStaysGone && (!r.Paused || outcome.Reason.Kind != plan.ReasonInstancesExcluded):
+	case d.options.AgentStaysGone && (!r.Paused || outcome.Reason.Kind != rollout.ReasonInstancesExcluded):
 		r.Fail("with an agent gone the rollout ended %s: %s", r.State, r.Reason)
-	case !d.options.AgentStaysGone && state != plan.Complete:
+	case !d.options.AgentStaysGone && state != rollout.Complete:
 		r.Fail("the rollout ended %s: %s", r.State, r.Reason)
 	}
 }
@@ -265,14 +265,14 @@
 // handleEvent measures steps and injects faults as they begin. Faults that take a while run in the group.
 func (d *rolloutDrill) handleEvent(ctx context.Context, view roll.View, e roll.Event, faults *sync.WaitGroup) {
 	switch e.Action {
-	case plan.ActionBeginStep:
+	case rollout.ActionBeginStep:
 		d.stepBegan[e.Step.Number] = time.Now()
 		d.injectFaults(ctx, view, e.Step, faults)
-	case plan.ActionCompleteStep, plan.ActionStartRollback, plan.ActionFinish:
+	case rollout.ActionCompleteStep, rollout.ActionStartRollback, rollout.ActionFinish:
 		if began, known := d.stepBegan[e.Step.Number]; known && e.Step.Number != 0 {
 			d.stepSeconds = append(d.stepSeconds, time.Since(began).Seconds())
 			delete(d.stepBegan, e.Step.Number)
 		}
-	case plan.ActionWait, plan.ActionResendStep:
+	case rollout.ActionWait, rollout.ActionResendStep:
 	}
 }
--- a/internal/drill/rollout_setup.go
+++ b/internal/drill/rollout_setup.go
@@ -14,8 +14,8 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/agent"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/keys"
 	"stoatdale.example/stoatdale/internal/lab/stand"
@@ -222,7 +222,7 @@
 		}
 	}
 	for _, instance := range status.Instances {
-		if instance.State == plan.ProcessUnknown.String() {
+		if instance.State == rollout.ProcessUnknown.String() {
 			return false
 		}
 	}
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -21,8 +21,8 @@
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/store"
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
@@ -76,7 +76,7 @@
 		killRouters(t, dir)
 	})
 	r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 1, Holder: "h", Takeover: true}})
-	r.waitFor("it knows its router", func(t form.InstanceStatus) bool { return t.State != plan.ProcessUnknown })
+	r.waitFor("it knows its router", func(t form.InstanceStatus) bool { return t.State != rollout.ProcessUnknown })
 	return r
 }
 
@@ -164,7 +164,7 @@
 	failure := r.beginStep(digest)
 	require.Empty(r.t, failure)
 	return r.waitFor("its end", func(t form.InstanceStatus) bool {
-		return t.LastStep.Number == r.stepNumber && t.LastResult != plan.StepPending
+		return t.LastStep.Number == r.stepNumber && t.LastResult != rollout.StepPending
 	})
 }
 
@@ -173,7 +173,7 @@
 	r.stepNumber++
 	reply := r.call(form.Request{
 		Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n",
-		Step: plan.Step{RolloutID: "r", Number: r.stepNumber, Revision: digest},
+		Step: rollout.Step{RolloutID: "r", Number: r.stepNumber, Revision: digest},
 	})
 	if reply.Denial != lease.Granted {
 		return reply.Denial.String() + " " + reply.Failure
@@ -181,24 +181,24 @@
 	return reply.Failure
 }
 
-func ready(t form.InstanceStatus) bool { return t.State == plan.ProcessReady }
+func ready(t form.InstanceStatus) bool { return t.State == rollout.ProcessReady }
 
 func TestStepsStartRestartAndReloadRouters(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	a := r.push(stand.Conduct{}, nil)
 	status := r.completeStep(a)
-	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
+	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	first := status.ProcessID
 	assert.NotZero(t, first)
 	r.waitFor("counters", func(t form.InstanceStatus) bool { return t.CommandsSinceStep.Completed >= 200 })
 	b := r.push(stand.Conduct{}, map[string]any{"discovery": "127.0.0.1:10"})
 	status = r.completeStep(b)
-	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
+	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.Equal(t, first, status.ProcessID, "another address of discovery moves by SIGHUP")
 	c := r.push(stand.Conduct{Ready: 0.3}, map[string]any{"limits": map[string]any{"sockets": 300}})
 	status = r.completeStep(c)
-	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
+	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.NotEqual(t, first, status.ProcessID)
 	raw, err := os.ReadFile(filepath.Join(r.folder, "n", configName))
 	require.NoError(t, err)
@@ -215,11 +215,11 @@
 		"it was not ready within 2 s":                   {Silent: true},
 	} {
 		status := r.completeStep(r.push(conduct, map[string]any{"limits": map[string]any{"sockets": 300}}))
-		assert.Equal(t, plan.StepFailed, status.LastResult)
+		assert.Equal(t, rollout.StepFailed, status.LastResult)
 		assert.Contains(t, status.LastFailure, says)
 		status = r.completeStep(good)
-		assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
-		assert.Equal(t, plan.ProcessReady, status.State)
+		assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
+		assert.Equal(t, rollout.ProcessReady, status.State)
 	}
 	assert.Contains(t, r.completeStep(strings.Repeat("0", 32)).LastFailure, "is not at agent a: push it")
 	reply := r.call(form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Digest: "x", Content: []byte(`{"discovery":"x"}`)}})
@@ -235,12 +235,12 @@
 	r.completeStep(r.push(stand.Conduct{Deaf: true}, nil))
 	began := time.Now()
 	status := r.completeStep(r.push(stand.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}}))
-	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
+	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.GreaterOrEqual(t, time.Since(began), 1500*time.Millisecond, "ten client timeouts, half a second, the grace")
 	r.completeStep(r.push(stand.Conduct{Drain: 0.7}, map[string]any{"limits": map[string]any{"sockets": 301}}))
 	p := r.process()
 	status = r.completeStep(r.push(stand.Conduct{}, nil))
-	assert.Equal(t, plan.StepSucceeded, status.LastResult)
+	assert.Equal(t, rollout.StepSucceeded, status.LastResult)
 	assert.NotEqual(t, p.pid, status.ProcessID)
 }
 
@@ -290,9 +290,9 @@
 		require.Empty(t, r.beginStep(b), name)
 		time.Sleep(after)
 		r.restart()
-		status := r.waitFor("an end", func(t form.InstanceStatus) bool { return t.LastResult != plan.StepPending && ready(t) })
-		assert.NotEqual(t, plan.StepFailed, status.LastResult, "%s: %s", name, status.LastFailure)
-		if status.LastResult == plan.StepSucceeded {
+		status := r.waitFor("an end", func(t form.InstanceStatus) bool { return t.LastResult != rollout.StepPending && ready(t) })
+		assert.NotEqual(t, rollout.StepFailed, status.LastResult, "%s: %s", name, status.LastFailure)
+		if status.LastResult == rollout.StepSucceeded {
 			assert.Equal(t, b, status.Revision, name)
 		}
 	}
@@ -309,7 +309,7 @@
 	assert.Equal(t, status.ProcessID, r.status().ProcessID)
 	assert.EqualValues(t, 1, r.call(form.Request{Verb: form.StatusVerb}).LeaseState.Epoch, "nothing is promised that is not kept")
 	r.store.full.Store(false)
-	assert.Equal(t, plan.StepSucceeded, r.completeStep(b).LastResult)
+	assert.Equal(t, rollout.StepSucceeded, r.completeStep(b).LastResult)
 }
 
 func TestCrashLoopIsReported(t *testing.T) {
@@ -317,8 +317,8 @@
 	r := newRig(t)
 	r.inEventLoop(func() { r.agent.limits.MinBackoffSeconds, r.agent.limits.MaxCrashes = 0.01, 3 })
 	status := r.completeStep(r.push(stand.Conduct{LiveFor: 0.3}, nil))
-	assert.Equal(t, plan.StepSucceeded, status.LastResult)
-	status = r.waitFor("broken", func(t form.InstanceStatus) bool { return t.State == plan.ProcessCrashLooping })
+	assert.Equal(t, rollout.StepSucceeded, status.LastResult)
+	status = r.waitFor("broken", func(t form.InstanceStatus) bool { return t.State == rollout.ProcessCrashLooping })
 	assert.Equal(t, 4, status.Crashes)
 }
 
@@ -339,7 +339,7 @@
 	assert.Empty(t, got)
 	read(`ottled":2,"bad_input":1}}` + "\n" + `{"message":"reloaded"}` + "\n" + `{"message":"reload refused","error":"no"}` + "\n")
 	require.Len(t, got, 3)
-	assert.Equal(t, plan.CommandCounts{Completed: 9, Unanswered: 4}, *got[0].counts)
+	assert.Equal(t, rollout.CommandCounts{Completed: 9, Unanswered: 4}, *got[0].counts)
 	assert.Empty(t, *got[1].reloadFailure)
 	assert.Equal(t, "no", *got[2].reloadFailure)
 	read("panic: something\n")
--- a/internal/fleet/agent/logtail.go
+++ b/internal/fleet/agent/logtail.go
@@ -8,7 +8,7 @@
 	"os"
 	"strings"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 const (
@@ -25,7 +25,7 @@
 
 // logEvent is what a line of a router's log tells its agent: one of the two is set.
 type logEvent struct {
-	counts        *plan.CommandCounts
+	counts        *rollout.CommandCounts
 	reloadFailure *string // why a reload was refused; empty: it was not
 }
 
@@ -105,9 +105,9 @@
 	Failed    uint64 `json:"failed"`
 }
 
-func (c *logCounters) commandCounts() plan.CommandCounts {
+func (c *logCounters) commandCounts() rollout.CommandCounts {
 	unanswered := c.Throttled + c.Failed + c.BadInput
-	return plan.CommandCounts{Completed: c.Answered + unanswered, Unanswered: unanswered}
+	return rollout.CommandCounts{Completed: c.Answered + unanswered, Unanswered: unanswered}
 }
 
 func (t *logTail) parseLine(raw []byte, emit func(logEvent)) {
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -12,8 +12,8 @@
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
 
@@ -30,10 +30,10 @@
 func TestAgentContinuesFromRecordedStore(t *testing.T) {
 	t.Parallel()
 	r, names := startOnRecordedStore(t)
-	status := r.waitFor("the open step is done", func(x form.InstanceStatus) bool { return x.LastResult != plan.StepPending })
-	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
+	status := r.waitFor("the open step is done", func(x form.InstanceStatus) bool { return x.LastResult != rollout.StepPending })
+	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.Equal(t, recordedSecond, status.Revision)
-	assert.Equal(t, plan.Step{RolloutID: "r-running", Number: 11, Revision: recordedSecond, Restart: true}, status.LastStep)
+	assert.Equal(t, rollout.Step{RolloutID: "r-running", Number: 11, Revision: recordedSecond, Restart: true}, status.LastStep)
 	for i, name := range names {
 		if name == "failed" {
 			continue // its revision ends at once, again and again
@@ -43,25 +43,27 @@
 		})
 	}
 	now := r.call(form.Request{Verb: form.StatusVerb})
-	assert.Equal(t, plan.StepFailed, now.Instances[1].LastResult)
+	assert.Equal(t, rollout.StepFailed, now.Instances[1].LastResult)
 	assert.Equal(t, "6fea0983c1f16ffcf364e43900f86fcb", now.Instances[2].Revision)
 	assert.Equal(t, recordedFirst, now.Instances[3].Revision)
 	assert.EqualValues(t, 7, now.LeaseState.Epoch)
 	assert.Equal(t, recordedHolder, now.LeaseState.Holder)
 	assert.True(t, now.LeaseState.Held)
 	assert.Equal(t, lease.Version{Epoch: 7, Number: 6}, now.Record.Version)
-	assert.Equal(t, form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: plan.RequestPause, Operator: "op"}, now.OperatorRequest)
+	assert.Equal(t, form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: rollout.RequestPause, Operator: "op"}, now.OperatorRequest)
 
 	refused := r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 7, Holder: "other"}})
 	assert.Equal(t, lease.StaleEpoch, refused.Denial, "what was promised stays promised")
 	reply := r.call(form.Request{
 		Verb: form.BeginStepVerb, Epoch: 7, Holder: recordedHolder, InstanceName: "open",
-		Step: plan.Step{RolloutID: "r-running", Number: 12, Revision: recordedFirst, Rollback: true},
+		Step: rollout.Step{RolloutID: "r-running", Number: 12, Revision: recordedFirst, Rollback: true},
 	})
 	require.Equal(t, lease.Granted, reply.Denial)
 	require.Empty(t, reply.Failure)
-	status = r.waitFor("the next step", func(x form.InstanceStatus) bool { return x.LastStep.Number == 12 && x.LastResult != plan.StepPending })
-	assert.Equal(t, plan.StepSucceeded, status.LastResult, status.LastFailure)
+	status = r.waitFor("the next step", func(x form.InstanceStatus) bool {
+		return x.LastStep.Number == 12 && x.LastResult != rollout.StepPending
+	})
+	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.Equal(t, recordedFirst, status.Revision)
 }
 
--- a/internal/fleet/agent/router.go
+++ b/internal/fleet/agent/router.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 
 	"stoatdale.example/stoatdale/internal/fleet/layout"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/store"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
@@ -106,7 +106,7 @@
 func (r *router) logStep() {
 	record := &r.supervisor().Record
 	entry := r.agent.log.Info()
-	if record.Result == plan.StepFailed {
+	if record.Result == rollout.StepFailed {
 		entry = r.agent.log.Error()
 	}
 	entry.Str("instance", r.instance.Name).Str("rollout", record.Step.RolloutID).Uint64("step", record.Step.Number).
--- a/internal/fleet/form/messages.go
+++ b/internal/fleet/form/messages.go
@@ -9,7 +9,7 @@
 	"slices"
 
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // Versions of the protocol that this program speaks, from the lowest to the highest.
@@ -58,17 +58,17 @@
 	Holder          string          `cbor:"holder,omitempty"`  // of that lease: the caller
 	Record          lease.Record    `cbor:"record,omitzero"`   // for StoreRecordVerb; its body is an encoded Rollout
 	InstanceName    string          `cbor:"name,omitempty"`    // for BeginStepVerb: of the step's instance
-	Step            plan.Step       `cbor:"step,omitzero"`     // for BeginStepVerb
+	Step            rollout.Step    `cbor:"step,omitzero"`     // for BeginStepVerb
 	OperatorRequest OperatorRequest `cbor:"wish,omitzero"`     // for RequestActionVerb
 	Revision        Revision        `cbor:"revision,omitzero"` // for PutRevisionVerb; for GetRevisionVerb its digest alone
 }
 
 // OperatorRequest is what an operator asks of a rollout that another tool drives.
 type OperatorRequest struct {
-	RolloutID string               `cbor:"rollout"`
-	Run       uint64               `cbor:"run"` // of the rollout: the request counts for this run only
-	Action    plan.OperatorRequest `cbor:"wish"`
-	Operator  string               `cbor:"by"` // set by the agent from the certificate
+	RolloutID string                  `cbor:"rollout"`
+	Run       uint64                  `cbor:"run"` // of the rollout: the request counts for this run only
+	Action    rollout.OperatorRequest `cbor:"wish"`
+	Operator  string                  `cbor:"by"` // set by the agent from the certificate
 }
 
 // Revision is a version of the configuration that all routers of a fleet share.
@@ -82,7 +82,7 @@
 
 // Rollout is the body of the record that the lease holder has the agents store: the planner's state, and who began it.
 type Rollout struct {
-	plan.Rollout
+	rollout.Rollout
 	Run             uint64 `cbor:"run"`   // grows each time the rollout is begun or resumed
 	RevisionName    string `cbor:"name"`  // of the revision that is rolled out
 	StartedBy       string `cbor:"by"`    // operator
@@ -98,7 +98,7 @@
 	Listen     string  `cbor:"listen"`  // address and port
 	ProcessID  int     `cbor:"process"` // 0: none runs
 	Crashes    int     `cbor:"crashes"` // since the router last ran without one for a while
-	plan.Observation
+	rollout.Observation
 	TargetRevision string `cbor:"wants"` // digest of the revision that it is to run
 }
 
--- a/internal/fleet/form/messages_test.go
+++ b/internal/fleet/form/messages_test.go
@@ -8,17 +8,17 @@
 	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 func TestMessagesRoundTrip(t *testing.T) {
-	c := Request{Verb: BeginStepVerb, Epoch: 3, Holder: "h", InstanceName: "n1", Step: plan.Step{RolloutID: "r", Number: 2, Instance: 4}}
+	c := Request{Verb: BeginStepVerb, Epoch: 3, Holder: "h", InstanceName: "n1", Step: rollout.Step{RolloutID: "r", Number: 2, Instance: 4}}
 	got, err := DecodeRequest(Encode(c))
 	require.NoError(t, err)
 	assert.Equal(t, c, got)
 	r := Reply{
 		Agent: "a", Denial: lease.Expired, Record: lease.Record{Version: lease.Version{Epoch: 1, Number: 2}, Body: []byte("b")},
-		Instances: []InstanceStatus{{Name: "n", Observation: plan.Observation{SeenAt: math.Inf(-1), State: plan.ProcessReady, LastStep: plan.Step{Number: 9}}}},
+		Instances: []InstanceStatus{{Name: "n", Observation: rollout.Observation{SeenAt: math.Inf(-1), State: rollout.ProcessReady, LastStep: rollout.Step{Number: 9}}}},
 	}
 	var back Reply
 	require.NoError(t, Decode("reply", Encode(r), &back))
--- a/internal/fleet/form/record_names_test.go
+++ b/internal/fleet/form/record_names_test.go
@@ -12,7 +12,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
 
@@ -22,26 +22,26 @@
 // claim, plan and tend: each value must encode to the bytes that the program wrote before its fields had tags,
 // and those bytes must be read back as the value.
 func TestStoredRecordsKeepTheirNames(t *testing.T) {
-	step := plan.Step{RolloutID: "r", Number: 7, Instance: 3, Revision: "b", Rollback: true, Restart: true, OnlyIfNotServing: true}
-	reason := plan.Reason{Kind: plan.ReasonZoneMinimum, Instance: 3, Zone: 2, Have: 4, Need: 5, Detail: "detail"}
+	step := rollout.Step{RolloutID: "r", Number: 7, Instance: 3, Revision: "b", Rollback: true, Restart: true, OnlyIfNotServing: true}
+	reason := rollout.Reason{Kind: rollout.ReasonZoneMinimum, Instance: 3, Zone: 2, Have: 4, Need: 5, Detail: "detail"}
 	record := lease.Record{Version: lease.Version{Epoch: 4, Number: 9}, Body: []byte("body")}
 	holdsNames(t, "bid", lease.Request{Epoch: 4, Holder: "ayla/host", Takeover: true})
 	holdsNames(t, "record", record)
 	holdsNames(t, "standing", lease.State{Epoch: 4, Holder: "ayla/host", Held: true, HeldSeconds: 1.5, RemainingSeconds: 2.5})
 	holdsNames(t, "durable", lease.PersistentState{Epoch: 4, Holder: "ayla/host", Held: true, Record: record})
 	holdsNames(t, "step", step)
-	holdsNames(t, "tally", plan.CommandCounts{Completed: 90, Unanswered: 4})
+	holdsNames(t, "tally", rollout.CommandCounts{Completed: 90, Unanswered: 4})
 	holdsNames(t, "reason", reason)
-	holdsNames(t, "sight", plan.Observation{
-		SeenAt: 1.5, State: plan.ProcessReady, Revision: "b", LastStep: step, LastResult: plan.StepFailed, LastFailure: "why", PreviousRevision: "a",
-		RecentCommands: plan.CommandCounts{Completed: 90, Unanswered: 4}, CommandsSinceStep: plan.CommandCounts{Completed: 80, Unanswered: 3}, ReadySeconds: 2.5,
+	holdsNames(t, "sight", rollout.Observation{
+		SeenAt: 1.5, State: rollout.ProcessReady, Revision: "b", LastStep: step, LastResult: rollout.StepFailed, LastFailure: "why", PreviousRevision: "a",
+		RecentCommands: rollout.CommandCounts{Completed: 90, Unanswered: 4}, CommandsSinceStep: rollout.CommandCounts{Completed: 80, Unanswered: 3}, ReadySeconds: 2.5,
 	})
-	holdsNames(t, "rollout", plan.Rollout{
-		ID: "r", Revision: "b", Restart: true, RollingBack: true, State: plan.Paused, Reason: reason, RollbackCause: reason,
-		ExcludedInstances: []int{1, 4}, CurrentStep: step, CommandsBeforeStep: plan.CommandCounts{Completed: 70, Unanswered: 2}, StepsBegun: 7, StepsNotApplied: 2,
+	holdsNames(t, "rollout", rollout.Rollout{
+		ID: "r", Revision: "b", Restart: true, RollingBack: true, State: rollout.Paused, Reason: reason, RollbackCause: reason,
+		ExcludedInstances: []int{1, 4}, CurrentStep: step, CommandsBeforeStep: rollout.CommandCounts{Completed: 70, Unanswered: 2}, StepsBegun: 7, StepsNotApplied: 2,
 	})
 	holdsNames(t, "instance", tend.Record{
-		ShouldRun: true, Revision: "b", Incarnation: 11, Step: step, Result: plan.StepNotApplied, Failure: "why", PreviousRevision: "a",
+		ShouldRun: true, Revision: "b", Incarnation: 11, Step: step, Result: rollout.StepNotApplied, Failure: "why", PreviousRevision: "a",
 		MayHaveChanged: true, Reload: true, Replaced: true, DrainSeconds: 3.5,
 	})
 }
--- a/internal/fleet/form/recorded_test.go
+++ b/internal/fleet/form/recorded_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // The files under testdata hold one call of each verb and one reply to each as version 1 of the protocol writes
@@ -30,12 +30,12 @@
 		},
 		BeginStepVerb: {
 			Verb: BeginStepVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 44, Holder: "ayla/host-1/00ff", InstanceName: "n1",
-			Step: plan.Step{RolloutID: "0123456789ab", Number: 8, Instance: 3, Revision: "feedbeef", Rollback: true, Restart: true, OnlyIfNotServing: true},
+			Step: rollout.Step{RolloutID: "0123456789ab", Number: 8, Instance: 3, Revision: "feedbeef", Rollback: true, Restart: true, OnlyIfNotServing: true},
 		},
 		ReleaseLeaseVerb: {Verb: ReleaseLeaseVerb, AgentsDigest: "a1b2c3d4e5f60718", Epoch: 45, Holder: "ayla/host-1/00ff"},
 		RequestActionVerb: {
 			Verb: RequestActionVerb, AgentsDigest: "a1b2c3d4e5f60718",
-			OperatorRequest: OperatorRequest{RolloutID: "0123456789ab", Run: 2, Action: plan.RequestRollback, Operator: "mehmet"},
+			OperatorRequest: OperatorRequest{RolloutID: "0123456789ab", Run: 2, Action: rollout.RequestRollback, Operator: "mehmet"},
 		},
 		PutRevisionVerb: {Verb: PutRevisionVerb, Revision: Revision{
 			Digest: "feedbeef", Name: "bigger pool", PushedBy: "ayla", PushedAt: 1767323045,
@@ -46,18 +46,18 @@
 	}
 }
 
-func recordedRollout(id string, state plan.State) Rollout {
+func recordedRollout(id string, state rollout.State) Rollout {
 	return Rollout{
-		Rollout: plan.Rollout{
+		Rollout: rollout.Rollout{
 			ID: id, Revision: "feedbeef", Restart: true, RollingBack: true, State: state,
-			Reason:            plan.Reason{Kind: plan.ReasonZoneMinimum, Instance: 2, Zone: 1, Have: 3, Need: 4, Detail: "detail of why"},
-			RollbackCause:     plan.Reason{Kind: plan.ReasonStepFailed, Instance: 5, Zone: 6, Have: 7, Need: 8, Detail: "detail of cause"},
+			Reason:            rollout.Reason{Kind: rollout.ReasonZoneMinimum, Instance: 2, Zone: 1, Have: 3, Need: 4, Detail: "detail of why"},
+			RollbackCause:     rollout.Reason{Kind: rollout.ReasonStepFailed, Instance: 5, Zone: 6, Have: 7, Need: 8, Detail: "detail of cause"},
 			ExcludedInstances: []int{1, 4},
-			CurrentStep: plan.Step{
+			CurrentStep: rollout.Step{
 				RolloutID: id, Number: 9, Instance: 2, Revision: "0ddba11", Rollback: true, Restart: true,
 				OnlyIfNotServing: true,
 			},
-			CommandsBeforeStep: plan.CommandCounts{Completed: 1000, Unanswered: 10}, StepsBegun: 9, StepsNotApplied: 2,
+			CommandsBeforeStep: rollout.CommandCounts{Completed: 1000, Unanswered: 10}, StepsBegun: 9, StepsNotApplied: 2,
 		},
 		Run: 3, RevisionName: "bigger pool", StartedBy: "ayla", StartedAt: 1767323046, RequestedBy: "mehmet", InstancesDigest: "1122334455667788",
 	}
@@ -69,18 +69,18 @@
 			Agent: "a1", Program: "stoatctl 1",
 			LeaseState:      lease.State{Epoch: 41, Holder: "ayla/host-1/00ff", Held: true, HeldSeconds: 12.5, RemainingSeconds: 2.25},
 			Record:          lease.Record{Version: lease.Version{Epoch: 41, Number: 6}, Body: []byte{0xa0}},
-			OperatorRequest: OperatorRequest{RolloutID: "0123456789ab", Run: 2, Action: plan.RequestPause, Operator: "mehmet"},
+			OperatorRequest: OperatorRequest{RolloutID: "0123456789ab", Run: 2, Action: rollout.RequestPause, Operator: "mehmet"},
 			Instances: []InstanceStatus{
 				{
 					Name: "n1", AgeSeconds: 0.5, Listen: "127.0.0.1:5432", ProcessID: 4711, Crashes: 2, TargetRevision: "feedbeef",
-					Observation: plan.Observation{
-						SeenAt: 17.5, State: plan.ProcessDraining, Revision: "0ddba11",
-						LastStep:   plan.Step{RolloutID: "0123456789ab", Number: 8, Instance: 3, Revision: "feedbeef", Rollback: true, Restart: true, OnlyIfNotServing: true},
-						LastResult: plan.StepFailed, LastFailure: "it ended with status 3", PreviousRevision: "0ddba11",
-						RecentCommands: plan.CommandCounts{Completed: 500, Unanswered: 5}, CommandsSinceStep: plan.CommandCounts{Completed: 70, Unanswered: 6}, ReadySeconds: 3.75,
+					Observation: rollout.Observation{
+						SeenAt: 17.5, State: rollout.ProcessDraining, Revision: "0ddba11",
+						LastStep:   rollout.Step{RolloutID: "0123456789ab", Number: 8, Instance: 3, Revision: "feedbeef", Rollback: true, Restart: true, OnlyIfNotServing: true},
+						LastResult: rollout.StepFailed, LastFailure: "it ended with status 3", PreviousRevision: "0ddba11",
+						RecentCommands: rollout.CommandCounts{Completed: 500, Unanswered: 5}, CommandsSinceStep: rollout.CommandCounts{Completed: 70, Unanswered: 6}, ReadySeconds: 3.75,
 					},
 				},
-				{Name: "n2", Observation: plan.Observation{SeenAt: math.Inf(-1)}},
+				{Name: "n2", Observation: rollout.Observation{SeenAt: math.Inf(-1)}},
 			},
 		},
 		RequestLeaseVerb: {
@@ -111,9 +111,9 @@
 			Agent: "a1", Program: "stoatctl 1", Denial: lease.Expired,
 			Revisions: []Revision{{Digest: "feedbeef", Name: "bigger pool", PushedBy: "ayla", PushedAt: 1767323045}, {Digest: "0ddba11", PushedAt: 1767323044}},
 			Rollouts: []Rollout{
-				recordedRollout("r-none", plan.None), recordedRollout("r-running", plan.Running),
-				recordedRollout("r-paused", plan.Paused), recordedRollout("r-complete", plan.Complete),
-				recordedRollout("r-rolled-back", plan.RolledBack), recordedRollout("r-aborted", plan.Aborted),
+				recordedRollout("r-none", rollout.None), recordedRollout("r-running", rollout.Running),
+				recordedRollout("r-paused", rollout.Paused), recordedRollout("r-complete", rollout.Complete),
+				recordedRollout("r-rolled-back", rollout.RolledBack), recordedRollout("r-aborted", rollout.Aborted),
 			},
 		},
 	}
--- a/internal/fleet/layout/inventory_test.go
+++ b/internal/fleet/layout/inventory_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 const sample = `(name haulage) (floor 1)
@@ -23,7 +23,7 @@
 	f, err := Parse("f", []byte(sample))
 	require.NoError(t, err)
 	p := f.PlannerFleet()
-	assert.Equal(t, []plan.Instance{{Zone: 0, Agent: 0}, {Zone: 1, Agent: 1}}, p.Instances)
+	assert.Equal(t, []rollout.Instance{{Zone: 0, Agent: 0}, {Zone: 1, Agent: 1}}, p.Instances)
 	assert.Equal(t, []int{1, 0}, p.ZoneMinAvailable)
 	assert.InDelta(t, 2, p.Timing.SoakSeconds, 0)
 	assert.InDelta(t, 30, p.Timing.ContactTimeoutSeconds, 0, "what is not given has a default")
@@ -71,6 +71,6 @@
 func TestExampleFileIsValid(t *testing.T) {
 	f, err := Load("../../../deploy/fleet.sexp")
 	require.NoError(t, err)
-	assert.Equal(t, plan.ReasonNone, plan.CheckFeasible(f.PlannerFleet(), nil).Kind)
+	assert.Equal(t, rollout.ReasonNone, rollout.CheckFeasible(f.PlannerFleet(), nil).Kind)
 	assert.Len(t, f.Instances, 6)
 }
--- a/internal/fleet/layout/lookup.go
+++ b/internal/fleet/layout/lookup.go
@@ -6,18 +6,18 @@
 	"fmt"
 	"strings"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // digestBytes is how much of a hash a digest of a list keeps.
 const digestBytes = 8
 
 // PlannerFleet is the fleet as the planner sees it: instances, zones and agents are indices in the file's order.
-func (f *Fleet) PlannerFleet() *plan.Fleet {
-	p := &plan.Fleet{
+func (f *Fleet) PlannerFleet() *rollout.Fleet {
+	p := &rollout.Fleet{
 		MinAvailable: f.MinAvailable,
-		Timing: plan.Timing{
+		Timing: rollout.Timing{
 			SoakSeconds:           float64(f.Times.Soak),
 			StaleAfterSeconds:     float64(f.Times.FreshFor),
 			ContactTimeoutSeconds: float64(f.Times.ContactTimeout),
@@ -30,7 +30,7 @@
 	for _, x := range f.Instances {
 		agent := f.agentIndex[x.Agent]
 		zone := f.zoneIndex[f.Agents[agent].Zone]
-		p.Instances = append(p.Instances, plan.Instance{Zone: zone, Agent: agent})
+		p.Instances = append(p.Instances, rollout.Instance{Zone: zone, Agent: agent})
 	}
 	return p
 }
--- a/internal/fleet/roll/calls.go
+++ b/internal/fleet/roll/calls.go
@@ -3,7 +3,7 @@
 import (
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // maxRefusals is how often in a row an agent may refuse a step before the rollout pauses.
@@ -82,7 +82,7 @@
 	if step.Number == 0 || c.config.Fleet.Instances[step.Instance].Agent != agent || now < c.nextStepSend {
 		return form.Request{}, false
 	}
-	c.stepToSend = plan.Step{}
+	c.stepToSend = rollout.Step{}
 	c.nextStepSend = now + c.config.Timing.PollSeconds
 	r := c.holderRequest(form.BeginStepVerb)
 	r.InstanceName = c.config.InstanceNames[step.Instance]
--- a/internal/fleet/roll/coordinator.go
+++ b/internal/fleet/roll/coordinator.go
@@ -6,7 +6,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // phase is what a coordinator is doing.
@@ -56,13 +56,13 @@
 	lostCampaigns int     // in a row, lost to nobody
 	lastMajority  float64 // when a majority was last known to follow
 
-	planner      *plan.Planner // set with the first lease
-	rollout      form.Rollout  // as a majority stores it
-	observations []plan.Observation
+	planner      *rollout.Planner // set with the first lease
+	rollout      form.Rollout     // as a majority stores it
+	observations []rollout.Observation
 	statuses     []form.InstanceStatus
 	storing      *pendingRecord // nil: none
 	recordNumber uint64         // of the newest record under this epoch
-	stepToSend   plan.Step      // Number 0: none
+	stepToSend   rollout.Step   // Number 0: none
 	nextStepSend float64
 	refusals     int // of the current step by its agent, in a row
 }
@@ -74,7 +74,7 @@
 		instancesByAgent: make([][]int, config.Agents),
 		agents:           make([]agent, config.Agents),
 		pendingCalls:     map[uint64]pendingCall{},
-		observations:     make([]plan.Observation, len(config.InstanceNames)),
+		observations:     make([]rollout.Observation, len(config.InstanceNames)),
 		statuses:         make([]form.InstanceStatus, len(config.InstanceNames)),
 	}
 	slices.Sort(c.config.Task.ExcludedInstances)
@@ -183,8 +183,8 @@
 	c.lastMajority = now
 	decision := c.planner.Next(now, c.observations, c.operatorRequest().Action)
 	switch decision.Action {
-	case plan.ActionWait:
-	case plan.ActionResendStep:
+	case rollout.ActionWait:
+	case rollout.ActionResendStep:
 		if now >= c.nextStepSend {
 			c.stepToSend = decision.Step
 		}
--- a/internal/fleet/roll/coordinator_test.go
+++ b/internal/fleet/roll/coordinator_test.go
@@ -8,20 +8,20 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 func TestRolloutChangesEveryInstanceAndRollsBack(t *testing.T) {
 	e := newEnvironment(t, 3)
 	o := e.finish(e.newCoordinator("h1", beginTask("r1", "new")))
 	assert.Equal(t, OutcomeEnded, o.Kind)
-	assert.Equal(t, plan.Complete, o.Rollout.State)
+	assert.Equal(t, rollout.Complete, o.Rollout.State)
 	assert.Equal(t, []string{"n0 new", "n1 new", "n2 new"}, e.steps)
 	for _, d := range e.handlers {
 		assert.False(t, d.Lease.State(e.now).Held, "the lease was released")
 	}
 	o = e.finish(e.newCoordinator("h2", Task{Operation: OperationRollback, Operator: "ayla"}))
-	assert.Equal(t, plan.RolledBack, o.Rollout.State)
+	assert.Equal(t, rollout.RolledBack, o.Rollout.State)
 	assert.Equal(t, []string{"old", "old", "old"}, e.revisions())
 	assert.Equal(t, "ayla", o.Rollout.RequestedBy)
 }
@@ -30,8 +30,8 @@
 	e := newEnvironment(t, 3)
 	e.exiting["new"] = true
 	o := e.finish(e.newCoordinator("h1", beginTask("r1", "new")))
-	assert.Equal(t, plan.RolledBack, o.Rollout.State)
-	assert.Equal(t, plan.ReasonStepFailed, o.Reason.Kind)
+	assert.Equal(t, rollout.RolledBack, o.Rollout.State)
+	assert.Equal(t, rollout.ReasonStepFailed, o.Reason.Kind)
 	assert.Equal(t, []string{"n0 new", "n0 old"}, e.steps, "no other instance was changed")
 	assert.Equal(t, []string{"old", "old", "old"}, e.revisions())
 }
@@ -44,7 +44,7 @@
 	assert.Equal(t, OutcomeLeaseHeld, o.Kind)
 	assert.Equal(t, "a", o.Holder.Holder)
 	assert.Equal(t, "r1", o.Rollout.ID)
-	assert.Equal(t, plan.Complete, e.finish(a).Rollout.State, "and the winner goes on")
+	assert.Equal(t, rollout.Complete, e.finish(a).Rollout.State, "and the winner goes on")
 }
 
 func TestOfTwoCoordinatorsAtOnceOneWins(t *testing.T) {
@@ -60,7 +60,7 @@
 	for _, o := range []Outcome{oa, ob} {
 		if o.Kind == OutcomeEnded {
 			won++
-			assert.Equal(t, plan.Complete, o.Rollout.State)
+			assert.Equal(t, rollout.Complete, o.Rollout.State)
 		}
 	}
 	assert.Equal(t, 1, won, "%v %v", oa.Kind, ob.Kind)
@@ -76,7 +76,7 @@
 	o := e.finish(a)
 	assert.Equal(t, OutcomeFenced, o.Kind)
 	assert.Equal(t, "b", o.Holder.Holder)
-	assert.Equal(t, plan.Complete, e.finish(b).Rollout.State)
+	assert.Equal(t, rollout.Complete, e.finish(b).Rollout.State)
 	assert.Equal(t, []string{"n0 new", "n1 new", "n2 new", "n3 new"}, e.steps, "each once")
 }
 
@@ -90,7 +90,7 @@
 	e.fleet.Instances[0].Zone = 0
 	assert.Equal(t, OutcomeOtherFleet, e.finish(e.newCoordinator("d", Task{Operation: OperationResume, FleetDigest: "another"})).Kind)
 	o := e.finish(e.newCoordinator("e", Task{Operation: OperationResume}))
-	assert.Equal(t, plan.Complete, o.Rollout.State)
+	assert.Equal(t, rollout.Complete, o.Rollout.State)
 	assert.EqualValues(t, 2, o.Rollout.Run)
 	assert.Equal(t, OutcomeNoRollout, e.finish(e.newCoordinator("g", Task{Operation: OperationResume})).Kind, "it is over")
 }
@@ -102,14 +102,14 @@
 	e.pass(0.6, a)
 	e.unreachable[3] = true
 	o := e.finish(a)
-	assert.Equal(t, plan.Paused, o.Rollout.State)
-	assert.Equal(t, plan.Reason{Kind: plan.ReasonAgentUnreachable, Instance: 3}, o.Reason)
+	assert.Equal(t, rollout.Paused, o.Rollout.State)
+	assert.Equal(t, rollout.Reason{Kind: rollout.ReasonAgentUnreachable, Instance: 3}, o.Reason)
 	o = e.finish(e.newCoordinator("b", Task{Operation: OperationResume, ExcludedInstances: []int{3}}))
-	assert.Equal(t, plan.Paused, o.Rollout.State)
-	assert.Equal(t, plan.Reason{Kind: plan.ReasonInstancesExcluded, Have: 1}, o.Reason)
+	assert.Equal(t, rollout.Paused, o.Rollout.State)
+	assert.Equal(t, rollout.Reason{Kind: rollout.ReasonInstancesExcluded, Have: 1}, o.Reason)
 	assert.Equal(t, []string{"new", "new", "new", "old", "new"}, e.revisions())
 	e.unreachable[3] = false
-	assert.Equal(t, plan.Complete, e.finish(e.newCoordinator("c", Task{Operation: OperationResume})).Rollout.State)
+	assert.Equal(t, rollout.Complete, e.finish(e.newCoordinator("c", Task{Operation: OperationResume})).Rollout.State)
 	assert.Equal(t, "new", e.revisions()[3])
 }
 
@@ -132,7 +132,7 @@
 	e.fleet.MinAvailable = 3
 	o := e.finish(e.newCoordinator("a", beginTask("r1", "new")))
 	assert.Equal(t, OutcomeInfeasible, o.Kind)
-	assert.Equal(t, plan.Reason{Kind: plan.ReasonFleetMinimum, Have: 2, Need: 3}, o.Reason)
+	assert.Equal(t, rollout.Reason{Kind: rollout.ReasonFleetMinimum, Have: 2, Need: 3}, o.Reason)
 	assert.Empty(t, e.steps)
 }
 
@@ -153,12 +153,12 @@
 	a.observations[2].SeenAt = e.now
 	a.agents[2].nextQuery = e.now + 1e9
 	o := e.finish(a)
-	assert.Equal(t, plan.Paused, o.Rollout.State)
+	assert.Equal(t, rollout.Paused, o.Rollout.State)
 	assert.Empty(t, e.steps)
 }
 
 func TestOperatorRequestsAreFollowed(t *testing.T) {
-	for request, state := range map[plan.OperatorRequest]plan.State{plan.RequestPause: plan.Paused, plan.RequestAbort: plan.Aborted, plan.RequestRollback: plan.RolledBack} {
+	for request, state := range map[rollout.OperatorRequest]rollout.State{rollout.RequestPause: rollout.Paused, rollout.RequestAbort: rollout.Aborted, rollout.RequestRollback: rollout.RolledBack} {
 		e := newEnvironment(t, 3)
 		a := e.newCoordinator("a", beginTask("r1", "new"))
 		e.pass(0.9, a)
@@ -178,18 +178,18 @@
 	e.pass(0.9, e.newCoordinator("a", beginTask("r1", "new")))
 	e.pass(5) // its tool is gone: another does it
 	o := e.finish(e.newCoordinator("b", Task{Operation: OperationAbort, Operator: "ayla"}))
-	assert.Equal(t, plan.Aborted, o.Rollout.State)
-	assert.Equal(t, plan.Complete, e.finish(e.newCoordinator("c", beginTask("r2", "other"))).Rollout.State)
+	assert.Equal(t, rollout.Aborted, o.Rollout.State)
+	assert.Equal(t, rollout.Complete, e.finish(e.newCoordinator("c", beginTask("r2", "other"))).Rollout.State)
 }
 
 func TestRefusedStepPausesTheRollout(t *testing.T) {
 	e := newEnvironment(t, 3)
 	e.refusing[1] = true
 	o := e.finish(e.newCoordinator("a", beginTask("r1", "new")))
-	assert.Equal(t, plan.Paused, o.Rollout.State)
-	assert.Equal(t, plan.Reason{Kind: plan.ReasonStepRefused, Instance: 1, Detail: "disk full"}, o.Reason)
+	assert.Equal(t, rollout.Paused, o.Rollout.State)
+	assert.Equal(t, rollout.Reason{Kind: rollout.ReasonStepRefused, Instance: 1, Detail: "disk full"}, o.Reason)
 	e.refusing[1] = false
-	assert.Equal(t, plan.Complete, e.finish(e.newCoordinator("b", Task{Operation: OperationResume})).Rollout.State)
+	assert.Equal(t, rollout.Complete, e.finish(e.newCoordinator("b", Task{Operation: OperationResume})).Rollout.State)
 }
 
 func TestQuitReleasesTheLease(t *testing.T) {
@@ -198,7 +198,7 @@
 	e.pass(0.9, a)
 	a.Quit(e.now)
 	assert.Equal(t, OutcomeInterrupted, e.finish(a).Kind)
-	assert.Equal(t, plan.Complete, e.finish(e.newCoordinator("b", Task{Operation: OperationResume})).Rollout.State, "at once")
+	assert.Equal(t, rollout.Complete, e.finish(e.newCoordinator("b", Task{Operation: OperationResume})).Rollout.State, "at once")
 }
 
 func TestAgentClockThatLeapsDoesNotEndTheRollout(t *testing.T) {
@@ -206,7 +206,7 @@
 	a := e.newCoordinator("a", beginTask("r1", "new"))
 	e.pass(0.9, a)
 	e.handlers[1].Lease.Renew(e.now+100, 1, "a") // its clock leapt: the lease has expired there
-	assert.Equal(t, plan.Complete, e.finish(a).Rollout.State, "the holder requests a higher epoch and goes on")
+	assert.Equal(t, rollout.Complete, e.finish(a).Rollout.State, "the holder requests a higher epoch and goes on")
 	assert.Len(t, e.steps, 3)
 }
 
@@ -219,8 +219,8 @@
 	sends, _ := a.Tick(e.now)
 	for _, s := range sends {
 		if s.Agent == 0 && s.Request.Verb == form.StatusVerb {
-			a.HandleReply(e.now, s.ID, form.Reply{Denial: lease.NotHolder, Instances: []form.InstanceStatus{{Name: "n0", Observation: plan.Observation{State: plan.ProcessCrashLooping}}}})
-			assert.NotEqual(t, plan.ProcessCrashLooping, a.observations[0].State)
+			a.HandleReply(e.now, s.ID, form.Reply{Denial: lease.NotHolder, Instances: []form.InstanceStatus{{Name: "n0", Observation: rollout.Observation{State: rollout.ProcessCrashLooping}}}})
+			assert.NotEqual(t, rollout.ProcessCrashLooping, a.observations[0].State)
 			assert.False(t, a.agents[0].granted, "and is asked for its grant anew")
 			return
 		}
--- a/internal/fleet/roll/environment_test.go
+++ b/internal/fleet/roll/environment_test.go
@@ -8,7 +8,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
 
@@ -21,7 +21,7 @@
 type environment struct {
 	t           *testing.T
 	now         float64
-	fleet       *plan.Fleet
+	fleet       *rollout.Fleet
 	names       []string // of the instances
 	limits      tend.Limits
 	handlers    []*tend.RequestHandler // of the agents
@@ -36,13 +36,13 @@
 	e := &environment{
 		t: t, limits: tend.DefaultLimits(),
 		unreachable: map[int]bool{}, refusing: map[int]bool{}, exiting: map[string]bool{},
-		fleet: &plan.Fleet{ZoneMinAvailable: []int{0}, MinAvailable: agents - 1, Timing: plan.Timing{
+		fleet: &rollout.Fleet{ZoneMinAvailable: []int{0}, MinAvailable: agents - 1, Timing: rollout.Timing{
 			SoakSeconds: 0.3, StaleAfterSeconds: 1, ContactTimeoutSeconds: 3, StepTimeoutSeconds: 20,
 		}},
 	}
 	for i := range agents {
 		name := fmt.Sprint("n", i)
-		e.fleet.Instances = append(e.fleet.Instances, plan.Instance{Agent: i})
+		e.fleet.Instances = append(e.fleet.Instances, rollout.Instance{Agent: i})
 		e.names = append(e.names, name)
 		record := tend.Record{ShouldRun: true, Revision: "old", Incarnation: 1}
 		supervised, transition := tend.NewSupervisor(record, &e.limits)
@@ -96,7 +96,7 @@
 }
 
 func beginTask(id, revision string) Task {
-	return Task{Operation: OperationBegin, Rollout: form.Rollout{Rollout: plan.Rollout{ID: id, Revision: revision}}}
+	return Task{Operation: OperationBegin, Rollout: form.Rollout{Rollout: rollout.Rollout{ID: id, Revision: revision}}}
 }
 
 // turn lets a coordinator make its calls, and hands it what comes of them.
--- a/internal/fleet/roll/lease.go
+++ b/internal/fleet/roll/lease.go
@@ -6,7 +6,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // maxLostCampaigns is how many campaigns in a row a coordinator may lose to nobody before it gives up.
@@ -59,7 +59,7 @@
 	r := lease.Request{Epoch: epoch, Holder: c.config.Holder, Takeover: takeover}
 	c.campaign = lease.NewCampaign(r, len(c.agents))
 	c.storing = nil
-	c.stepToSend = plan.Step{}
+	c.stepToSend = rollout.Step{}
 	for i := range c.observations {
 		c.observations[i].SeenAt = math.Inf(-1) // an observation under another epoch says nothing of this one
 	}
@@ -137,7 +137,7 @@
 	c.events = append(c.events, Event{At: now, AcquiredEpoch: c.campaign.Request.Epoch, RecordVersion: newest.Version})
 	r, err := decodeRollout(newest)
 	if err != nil {
-		c.release(now, Outcome{Kind: OutcomeNoRollout, Reason: plan.Reason{Detail: err.Error()}})
+		c.release(now, Outcome{Kind: OutcomeNoRollout, Reason: rollout.Reason{Detail: err.Error()}})
 		return
 	}
 	if c.planner == nil {
@@ -150,11 +150,11 @@
 		c.release(now, Outcome{Kind: OutcomeFenced, Rollout: r})
 		return
 	}
-	c.planner = plan.NewPlanner(c.config.Fleet, r.Rollout)
+	c.planner = rollout.NewPlanner(c.config.Fleet, r.Rollout)
 	c.rollout = r
 	c.recordNumber = 0
 	c.enter(now, phaseRunning)
-	c.storeRollout(now, r, plan.ActionWait, plan.Reason{})
+	c.storeRollout(now, r, rollout.ActionWait, rollout.Reason{})
 }
 
 // release gives the lease back where it was granted. Then the coordinator ends, or begins anew after a backoff.
--- a/internal/fleet/roll/record.go
+++ b/internal/fleet/roll/record.go
@@ -3,16 +3,16 @@
 import (
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // pendingRecord is a record that a majority has yet to store, and what led to it.
 type pendingRecord struct {
 	record  lease.Record
 	rollout form.Rollout // the record's body
-	action  plan.Action
-	reason  plan.Reason
-	step    plan.Step // the current step before
+	action  rollout.Action
+	reason  rollout.Reason
+	step    rollout.Step // the current step before
 }
 
 // decodeRollout reads a record's body. A record without one holds no rollout.
@@ -26,17 +26,17 @@
 }
 
 // storeDecision has a decision stored by a majority.
-func (c *Coordinator) storeDecision(now float64, decision plan.Decision) {
+func (c *Coordinator) storeDecision(now float64, decision rollout.Decision) {
 	r := c.rollout
 	r.Rollout = decision.Rollout
-	if operator := c.operatorRequest().Operator; operator != "" && decision.Reason.Kind == plan.ReasonOperator {
+	if operator := c.operatorRequest().Operator; operator != "" && decision.Reason.Kind == rollout.ReasonOperator {
 		r.RequestedBy = operator
 	}
 	c.storeRollout(now, r, decision.Action, decision.Reason)
 }
 
 // storeRollout has the agents store a rollout. commitIfStored continues once a majority has.
-func (c *Coordinator) storeRollout(now float64, r form.Rollout, action plan.Action, reason plan.Reason) {
+func (c *Coordinator) storeRollout(now float64, r form.Rollout, action rollout.Action, reason rollout.Reason) {
 	c.recordNumber++
 	version := lease.Version{Epoch: c.campaign.Request.Epoch, Number: c.recordNumber}
 	c.storing = &pendingRecord{
@@ -69,7 +69,7 @@
 	c.planner.Rollout = committed.rollout.Rollout
 	c.lastMajority = now
 	step := committed.step
-	if committed.action == plan.ActionBeginStep {
+	if committed.action == rollout.ActionBeginStep {
 		step = committed.rollout.CurrentStep
 		c.nextStepSend = now // the planner has it sent if it is still allowed
 		c.refusals = 0
@@ -78,7 +78,7 @@
 		At: now, Action: committed.action, Rollout: c.rollout, Reason: committed.reason, Step: step,
 		RecordVersion: committed.record.Version,
 	})
-	if c.rollout.State != plan.Running {
+	if c.rollout.State != rollout.Running {
 		c.release(now, Outcome{Kind: OutcomeEnded, Rollout: c.rollout, Reason: c.rollout.Reason})
 	}
 }
--- a/internal/fleet/roll/run.go
+++ b/internal/fleet/roll/run.go
@@ -2,7 +2,7 @@
 
 import (
 	"stoatdale.example/stoatdale/internal/fleet/form"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // startRun returns the rollout that a run of the task begins with, given the stored one, or the outcome for which
@@ -18,11 +18,11 @@
 	if stored.ID != "" && !stored.State.Terminal() {
 		return stored, &Outcome{Kind: OutcomeUnfinishedRollout, Rollout: stored}
 	}
-	if reason := plan.CheckFeasible(c.Fleet, c.Task.ExcludedInstances); reason.Kind != plan.ReasonNone {
+	if reason := rollout.CheckFeasible(c.Fleet, c.Task.ExcludedInstances); reason.Kind != rollout.ReasonNone {
 		return stored, &Outcome{Kind: OutcomeInfeasible, Reason: reason}
 	}
 	r := c.Task.Rollout
-	r.State = plan.Running
+	r.State = rollout.Running
 	r.Run = 1
 	r.ExcludedInstances = c.Task.ExcludedInstances
 	return r, nil
@@ -38,13 +38,13 @@
 	}
 	r.Run++
 	r.StepsNotApplied = 0
-	byOperator := plan.Reason{Kind: plan.ReasonOperator}
+	byOperator := rollout.Reason{Kind: rollout.ReasonOperator}
 	switch c.Task.Operation {
 	case OperationPause:
-		r.State, r.Reason, r.RequestedBy = plan.Paused, byOperator, c.Task.Operator
+		r.State, r.Reason, r.RequestedBy = rollout.Paused, byOperator, c.Task.Operator
 		return r, nil
 	case OperationAbort:
-		r.State, r.Reason, r.RequestedBy = plan.Aborted, byOperator, c.Task.Operator
+		r.State, r.Reason, r.RequestedBy = rollout.Aborted, byOperator, c.Task.Operator
 		return r, nil
 	case OperationRollback:
 		if !r.RollingBack {
@@ -53,10 +53,10 @@
 		r.RequestedBy = c.Task.Operator
 	case OperationBegin, OperationResume:
 	}
-	if reason := plan.CheckFeasible(c.Fleet, c.Task.ExcludedInstances); reason.Kind != plan.ReasonNone {
+	if reason := rollout.CheckFeasible(c.Fleet, c.Task.ExcludedInstances); reason.Kind != rollout.ReasonNone {
 		return r, &Outcome{Kind: OutcomeInfeasible, Reason: reason, Rollout: r}
 	}
-	r.State = plan.Running
+	r.State = rollout.Running
 	r.ExcludedInstances = c.Task.ExcludedInstances
 	return r, nil
 }
--- a/internal/fleet/roll/task.go
+++ b/internal/fleet/roll/task.go
@@ -3,7 +3,7 @@
 import (
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // Operation is what an operator wants of a rollout.
@@ -36,7 +36,7 @@
 
 // Config is what a coordinator needs.
 type Config struct {
-	Fleet         *plan.Fleet
+	Fleet         *rollout.Fleet
 	InstanceNames []string // of Fleet.Instances
 	Agents        int      // how many there are; they are numbered from 0
 	AgentsDigest  string   // of the list of agents
@@ -74,7 +74,7 @@
 	Kind    OutcomeKind
 	Rollout form.Rollout // as it was last known
 	Holder  lease.State  // another holder's lease
-	Reason  plan.Reason
+	Reason  rollout.Reason
 	Faults  []string // what agents gave as reasons of failed calls, for people; sorted
 }
 
@@ -82,10 +82,10 @@
 // and RecordVersion for a lease; StepRefusal, Step and Rollout for a refused step; all others for a stored decision.
 type Event struct {
 	At            float64 // seconds on the coordinator's clock
-	Action        plan.Action
+	Action        rollout.Action
 	Rollout       form.Rollout
-	Reason        plan.Reason
-	Step          plan.Step     // begun, completed or refused
+	Reason        rollout.Reason
+	Step          rollout.Step  // begun, completed or refused
 	AcquiredEpoch uint64        // of the lease that was granted; 0: none
 	RecordVersion lease.Version // of the record that was found with the lease, or that a majority stores now
 	StepRefusal   string        // why the agent refuses the step, for people
--- a/internal/fleet/plan/decision.go
+++ b/internal/fleet/rollout/decision.go
@@ -1,4 +1,4 @@
-package plan
+package rollout
 
 // Action is what is to be done next in a rollout.
 type Action int
--- a/internal/fleet/plan/doc.go
+++ b/internal/fleet/rollout/doc.go
@@ -7,4 +7,4 @@
 // serving instances are checked, and as possibly busy for everything else: nothing begins while an instance is
 // unknown, unless an operator has excluded it. A step whose result is not known is resolved before another
 // instance is touched.
-package plan
+package rollout
--- a/internal/fleet/plan/model_test.go
+++ b/internal/fleet/rollout/model_test.go
@@ -1,4 +1,4 @@
-package plan
+package rollout
 
 import (
 	"testing"
--- a/internal/fleet/plan/observation.go
+++ b/internal/fleet/rollout/observation.go
@@ -1,4 +1,4 @@
-package plan
+package rollout
 
 // ProcessState is what an agent knows of an instance's process.
 type ProcessState int
--- a/internal/fleet/plan/reason.go
+++ b/internal/fleet/rollout/reason.go
@@ -1,4 +1,4 @@
-package plan
+package rollout
 
 // ReasonKind tells reasons apart.
 type ReasonKind int
--- a/internal/fleet/plan/rollout.go
+++ b/internal/fleet/rollout/rollout.go
@@ -1,4 +1,4 @@
-package plan
+package rollout
 
 // State of a rollout.
 type State int
--- a/internal/fleet/store/recorded_test.go
+++ b/internal/fleet/store/recorded_test.go
@@ -13,7 +13,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
 
@@ -57,25 +57,25 @@
 	var out []form.Rollout
 	for i, x := range []struct {
 		id    string
-		state plan.State
+		state rollout.State
 		back  bool
 	}{
-		{"r-running", plan.Running, false},
-		{"r-aborted", plan.Aborted, false},
-		{"r-rolled-back", plan.RolledBack, true},
-		{"r-paused", plan.Paused, false},
-		{"r-complete", plan.Complete, false},
-		{"r-none", plan.None, false},
+		{"r-running", rollout.Running, false},
+		{"r-aborted", rollout.Aborted, false},
+		{"r-rolled-back", rollout.RolledBack, true},
+		{"r-paused", rollout.Paused, false},
+		{"r-complete", rollout.Complete, false},
+		{"r-none", rollout.None, false},
 	} {
 		run := uint64(6 - i)
 		out = append(out, form.Rollout{
-			Rollout: plan.Rollout{
+			Rollout: rollout.Rollout{
 				ID: x.id, Revision: secondRevision, Restart: true, RollingBack: x.back, State: x.state,
-				Reason:             plan.Reason{Kind: plan.ReasonZoneMinimum, Instance: 2, Zone: 1, Have: 3, Need: 4, Detail: "detail of why"},
-				RollbackCause:      plan.Reason{Kind: plan.ReasonStepFailed, Instance: 1, Zone: 6, Have: 7, Need: 8, Detail: "detail of cause"},
+				Reason:             rollout.Reason{Kind: rollout.ReasonZoneMinimum, Instance: 2, Zone: 1, Have: 3, Need: 4, Detail: "detail of why"},
+				RollbackCause:      rollout.Reason{Kind: rollout.ReasonStepFailed, Instance: 1, Zone: 6, Have: 7, Need: 8, Detail: "detail of cause"},
 				ExcludedInstances:  []int{1, 3},
-				CurrentStep:        plan.Step{RolloutID: x.id, Number: 11, Revision: secondRevision, Restart: true},
-				CommandsBeforeStep: plan.CommandCounts{Completed: 1000, Unanswered: 10}, StepsBegun: 11, StepsNotApplied: 2,
+				CurrentStep:        rollout.Step{RolloutID: x.id, Number: 11, Revision: secondRevision, Restart: true},
+				CommandsBeforeStep: rollout.CommandCounts{Completed: 1000, Unanswered: 10}, StepsBegun: 11, StepsNotApplied: 2,
 			},
 			Run: run, RevisionName: "name of " + x.id, StartedBy: "ayla", StartedAt: 1767323050 + int64(run), RequestedBy: "mehmet", InstancesDigest: "b279a452f0494508",
 		})
@@ -89,27 +89,27 @@
 			Epoch: 7, Holder: "ayla/host-1/00ff", Held: true,
 			Record: lease.Record{Version: lease.Version{Epoch: 7, Number: 6}, Body: form.Encode(recordedRollouts()[0])},
 		},
-		OperatorRequest: form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: plan.RequestPause, Operator: "op"},
+		OperatorRequest: form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: rollout.RequestPause, Operator: "op"},
 		Instances: map[string]tend.Record{
 			"open": {
 				ShouldRun: true, Revision: firstRevision, Incarnation: 1, PreviousRevision: firstRevision, MayHaveChanged: true, DrainSeconds: 1.7,
-				Step:   plan.Step{RolloutID: "r-running", Number: 11, Revision: secondRevision, Restart: true},
-				Result: plan.StepPending,
+				Step:   rollout.Step{RolloutID: "r-running", Number: 11, Revision: secondRevision, Restart: true},
+				Result: rollout.StepPending,
 			},
 			"failed": {
 				ShouldRun: true, Revision: exitsRevision, Incarnation: 2, PreviousRevision: firstRevision, MayHaveChanged: true, Replaced: true, DrainSeconds: 1.7,
-				Step:   plan.Step{RolloutID: "r-aborted", Number: 8, Instance: 1, Revision: exitsRevision, Restart: true},
-				Result: plan.StepFailed, Failure: "it ended before it was ready: it ended with status 3: stand-in: told to end",
+				Step:   rollout.Step{RolloutID: "r-aborted", Number: 8, Instance: 1, Revision: exitsRevision, Restart: true},
+				Result: rollout.StepFailed, Failure: "it ended before it was ready: it ended with status 3: stand-in: told to end",
 			},
 			"reloaded": {
 				ShouldRun: true, Revision: movedRevision, Incarnation: 1, PreviousRevision: firstRevision, MayHaveChanged: true, Reload: true, DrainSeconds: 1.7,
-				Step:   plan.Step{RolloutID: "r-paused", Number: 5, Instance: 2, Revision: movedRevision},
-				Result: plan.StepSucceeded,
+				Step:   rollout.Step{RolloutID: "r-paused", Number: 5, Instance: 2, Revision: movedRevision},
+				Result: rollout.StepSucceeded,
 			},
 			"rolled-back": {
 				ShouldRun: true, Revision: firstRevision, Incarnation: 3, PreviousRevision: firstRevision, MayHaveChanged: true, Replaced: true, DrainSeconds: 1.7,
-				Step:   plan.Step{RolloutID: "r-rolled-back", Number: 7, Instance: 3, Revision: firstRevision, Rollback: true, Restart: true},
-				Result: plan.StepSucceeded,
+				Step:   rollout.Step{RolloutID: "r-rolled-back", Number: 7, Instance: 3, Revision: firstRevision, Rollback: true, Restart: true},
+				Result: rollout.StepSucceeded,
 			},
 		},
 	}
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -16,7 +16,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 )
 
@@ -52,7 +52,7 @@
 func change(n uint64) Change {
 	return Change{
 		Lease:     &lease.PersistentState{Epoch: n, Holder: strings.Repeat("h", int(n%50)*100)},
-		Instances: map[string]tend.Record{"n1": {Incarnation: n, Step: plan.Step{Number: n}}},
+		Instances: map[string]tend.Record{"n1": {Incarnation: n, Step: rollout.Step{Number: n}}},
 	}
 }
 
@@ -61,7 +61,7 @@
 	s, err := Open(path)
 	require.NoError(t, err)
 	require.NoError(t, s.Save(change(7)))
-	require.NoError(t, s.Save(Change{OperatorRequest: &form.OperatorRequest{RolloutID: "r", Action: plan.RequestPause}}))
+	require.NoError(t, s.Save(Change{OperatorRequest: &form.OperatorRequest{RolloutID: "r", Action: rollout.RequestPause}}))
 	_, err = Open(path)
 	require.ErrorIs(t, err, ErrInUse)
 	require.ErrorContains(t, err, path+" is open in another agent")
@@ -72,7 +72,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, *change(7).Lease, state.Lease)
 	assert.Equal(t, change(7).Instances, state.Instances)
-	assert.Equal(t, plan.RequestPause, state.OperatorRequest.Action)
+	assert.Equal(t, rollout.RequestPause, state.OperatorRequest.Action)
 	require.NoError(t, s.Close())
 }
 
@@ -84,7 +84,7 @@
 	for i := range MaxHistory + 20 {
 		require.NoError(t, s.Save(Change{
 			Revision: &form.Revision{Digest: fmt.Sprint("d", i), PushedAt: int64(i), Content: []byte("x")},
-			Rollout:  &form.Rollout{Rollout: plan.Rollout{ID: fmt.Sprint("r", i)}, StartedAt: int64(i)},
+			Rollout:  &form.Rollout{Rollout: rollout.Rollout{ID: fmt.Sprint("r", i)}, StartedAt: int64(i)},
 		}))
 	}
 	for digest, kept := range map[string]bool{"d0": true, "d1": true, "d2": false, "d119": true} {
--- a/internal/fleet/tend/environment_test.go
+++ b/internal/fleet/tend/environment_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // How a revision that is not right behaves.
@@ -54,8 +54,8 @@
 	e.run(1)
 	e.beginStep(1, "a")
 	e.run(3)
-	require.Equal(t, plan.StepSucceeded, e.supervisor.Result, e.supervisor.Failure)
-	require.Equal(t, plan.ProcessReady, e.supervisor.state)
+	require.Equal(t, rollout.StepSucceeded, e.supervisor.Result, e.supervisor.Failure)
+	require.Equal(t, rollout.ProcessReady, e.supervisor.state)
 	e.actions = nil
 	return e
 }
@@ -182,7 +182,7 @@
 // beginStep begins a step and returns why it was not begun.
 func (e *environment) beginStep(number uint64, revision string) string {
 	before := e.supervisor
-	t, err := e.supervisor.BeginStep(plan.Step{RolloutID: "roll", Number: number, Revision: revision})
+	t, err := e.supervisor.BeginStep(rollout.Step{RolloutID: "roll", Number: number, Revision: revision})
 	if t.Store && e.storeFails {
 		e.supervisor = before
 		return "not stored"
--- a/internal/fleet/tend/model_test.go
+++ b/internal/fleet/tend/model_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	_ "stoatdale.example/stoatdale/internal/lab/fixed"
 )
 
@@ -38,11 +38,11 @@
 		if e.supervisor.Step.Number == 0 {
 			return
 		}
-		assert.NotEqual(t, plan.StepPending, e.supervisor.Result)
-		if e.supervisor.Result == plan.StepSucceeded && e.supervisor.state == plan.ProcessReady {
+		assert.NotEqual(t, rollout.StepPending, e.supervisor.Result)
+		if e.supervisor.Result == rollout.StepSucceeded && e.supervisor.state == rollout.ProcessReady {
 			assert.Equal(t, e.supervisor.Revision, e.process.file)
 		}
-		if e.supervisor.state == plan.ProcessReady {
+		if e.supervisor.state == rollout.ProcessReady {
 			assert.True(t, e.process.running)
 			assert.Equal(t, e.supervisor.Incarnation, e.process.incarnation)
 		}
--- a/internal/fleet/tend/process.go
+++ b/internal/fleet/tend/process.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // ProcessFound takes in the outcome of ActionFindProcess: whether the process of the record's incarnation runs. It
@@ -14,7 +14,7 @@
 	}
 	var t Transition
 	if s.stepPending() && !s.MayHaveChanged {
-		s.endStep(plan.StepNotApplied, "the agent ended before it had done anything")
+		s.endStep(rollout.StepNotApplied, "the agent ended before it had done anything")
 		t.Store = true
 	}
 	switch {
@@ -23,7 +23,7 @@
 	case running:
 		// The process may serve. ProcessStarting would say that it does not, and a rollout would change the router
 		// without a check of the minimums, although it may be the last that serves.
-		s.state = plan.ProcessUnknown
+		s.state = rollout.ProcessUnknown
 		s.awaitReady(now, &t)
 	default:
 		s.startIfWanted(&t)
@@ -35,17 +35,17 @@
 func (s *Supervisor) resumeStep(now float64, running bool, t *Transition) {
 	switch {
 	case s.Reload && running:
-		s.state = plan.ProcessStarting
+		s.state = rollout.ProcessStarting
 		s.install(t)
 	case !s.Replaced && running:
-		s.state = plan.ProcessStarting
+		s.state = rollout.ProcessStarting
 		s.enter(phaseConfirming, now+s.limits.TerminationGraceSeconds)
 	case !s.Replaced:
-		s.state = plan.ProcessDown
+		s.state = rollout.ProcessDown
 		s.Reload = false
 		s.install(t)
 	case running:
-		s.state = plan.ProcessStarting
+		s.state = rollout.ProcessStarting
 		s.awaitReady(now, t)
 	default:
 		s.startIfWanted(t)
@@ -57,13 +57,13 @@
 		s.start(t)
 		return
 	}
-	s.state = plan.ProcessDown
+	s.state = rollout.ProcessDown
 	s.enter(phaseIdle, never)
 }
 
 // terminate has the process told to end, and killed once its drain is over.
 func (s *Supervisor) terminate(now float64, t *Transition) {
-	s.state = plan.ProcessDraining
+	s.state = rollout.ProcessDraining
 	s.enter(phaseTerminating, now+s.DrainSeconds)
 	t.add(ActionTerminate)
 }
@@ -71,9 +71,9 @@
 // start has a process started under a new incarnation.
 func (s *Supervisor) start(t *Transition) {
 	s.Incarnation++
-	s.state = plan.ProcessStarting
-	s.commands = plan.CommandCounts{}
-	s.commandsAtStepEnd = plan.CommandCounts{}
+	s.state = rollout.ProcessStarting
+	s.commands = rollout.CommandCounts{}
+	s.commandsAtStepEnd = rollout.CommandCounts{}
 	s.readings = readings{}
 	s.enter(phaseStarting, never)
 	t.Store = true
@@ -125,8 +125,8 @@
 func (s *Supervisor) checkedAwaitingReady(now float64, answered bool) Transition {
 	if !answered {
 		s.missedHealthChecks++
-		if s.state == plan.ProcessUnknown && s.missedHealthChecks >= s.limits.MaxMissedHealthChecks {
-			s.state = plan.ProcessStarting // it was found running, but does not answer
+		if s.state == rollout.ProcessUnknown && s.missedHealthChecks >= s.limits.MaxMissedHealthChecks {
+			s.state = rollout.ProcessStarting // it was found running, but does not answer
 		}
 		return Transition{}
 	}
@@ -134,49 +134,49 @@
 	if !s.stepPending() {
 		return Transition{}
 	}
-	s.endStep(plan.StepSucceeded, "")
+	s.endStep(rollout.StepSucceeded, "")
 	return Transition{Store: true}
 }
 
 // checkedPreparing takes in a check that was under way when a step was begun.
 func (s *Supervisor) checkedPreparing(now float64, answered bool) Transition {
-	cameUp := answered && s.state == plan.ProcessStarting
+	cameUp := answered && s.state == rollout.ProcessStarting
 	if !cameUp || !s.Step.OnlyIfNotServing {
 		return Transition{}
 	}
 	s.becomeReady(now)
-	s.endStep(plan.StepNotApplied, failureServes)
+	s.endStep(rollout.StepNotApplied, failureServes)
 	return Transition{Store: true}
 }
 
 // checkedConfirming tells a process that was told to end, which no longer accepts connections, from one that was not.
 func (s *Supervisor) checkedConfirming(now float64, answered bool) Transition {
 	if !answered {
-		s.state = plan.ProcessDraining
+		s.state = rollout.ProcessDraining
 		s.enter(phaseTerminating, now+s.DrainSeconds)
 		return Transition{}
 	}
 	s.becomeReady(now)
-	s.endStep(plan.StepNotApplied, "the agent ended before the router was told to end")
+	s.endStep(rollout.StepNotApplied, "the agent ended before the router was told to end")
 	return Transition{Store: true}
 }
 
 func (s *Supervisor) checkedIdle(now float64, answered bool) {
 	if answered {
 		s.missedHealthChecks = 0
-		if s.state == plan.ProcessStarting {
+		if s.state == rollout.ProcessStarting {
 			s.becomeReady(now)
 		}
 		return
 	}
 	s.missedHealthChecks++
-	if s.state == plan.ProcessReady && s.missedHealthChecks >= s.limits.MaxMissedHealthChecks {
-		s.state = plan.ProcessStarting // it runs, but does not answer
+	if s.state == rollout.ProcessReady && s.missedHealthChecks >= s.limits.MaxMissedHealthChecks {
+		s.state = rollout.ProcessStarting // it runs, but does not answer
 	}
 }
 
 func (s *Supervisor) becomeReady(now float64) {
-	s.state = plan.ProcessReady
+	s.state = rollout.ProcessReady
 	s.readySince = now
 	s.nextCounterRead = now
 	s.missedHealthChecks = 0
@@ -185,8 +185,8 @@
 
 // ProcessExited tells that the process has ended, and how, for people.
 func (s *Supervisor) ProcessExited(now float64, how string) Transition {
-	wasStable := s.state == plan.ProcessReady && now-s.readySince >= s.limits.StableSeconds
-	s.state = plan.ProcessDown
+	wasStable := s.state == rollout.ProcessReady && now-s.readySince >= s.limits.StableSeconds
+	s.state = rollout.ProcessDown
 	var t Transition
 	switch s.phase {
 	case phaseFinding, phaseBackoff, phaseInstalling:
@@ -199,7 +199,7 @@
 	default: // it exited by itself
 	}
 	if s.stepPending() {
-		s.endStep(plan.StepFailed, "it ended before it was ready: "+how)
+		s.endStep(rollout.StepFailed, "it ended before it was ready: "+how)
 		t.Store = true
 	}
 	if wasStable {
@@ -207,7 +207,7 @@
 	}
 	s.crashes++
 	if s.crashes > s.limits.MaxCrashes {
-		s.state = plan.ProcessCrashLooping
+		s.state = rollout.ProcessCrashLooping
 		s.enter(phaseIdle, never)
 		return t
 	}
--- a/internal/fleet/tend/process_test.go
+++ b/internal/fleet/tend/process_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // An agent that starts again finds its router running and does not know yet whether it serves.
@@ -15,20 +15,20 @@
 	e := newServing(t)
 	e.restartAgent()
 	e.handle(e.queue[0]) // ProcessFound
-	assert.Equal(t, plan.ProcessUnknown, e.supervisor.Observe(e.now).State, "it may serve")
+	assert.Equal(t, rollout.ProcessUnknown, e.supervisor.Observe(e.now).State, "it may serve")
 	assert.Contains(t, e.beginStep(2, "b"), "does not know its routers yet")
 	e.queue = e.queue[1:]
 	e.run(1)
-	assert.Equal(t, plan.ProcessReady, e.supervisor.Observe(e.now).State)
+	assert.Equal(t, rollout.ProcessReady, e.supervisor.Observe(e.now).State)
 	assert.Empty(t, e.beginStep(2, "b"))
 
 	e = newServing(t)
 	e.bad["a"] = silent
 	e.restartAgent()
 	e.run(float64(e.limits.MaxMissedHealthChecks-2) * e.limits.HealthCheckSeconds)
-	assert.Equal(t, plan.ProcessUnknown, e.supervisor.Observe(e.now).State, "an answer may be late")
+	assert.Equal(t, rollout.ProcessUnknown, e.supervisor.Observe(e.now).State, "an answer may be late")
 	e.run(3 * e.limits.HealthCheckSeconds)
-	assert.Equal(t, plan.ProcessStarting, e.supervisor.Observe(e.now).State, "and one that does not answer does not serve")
+	assert.Equal(t, rollout.ProcessStarting, e.supervisor.Observe(e.now).State, "and one that does not answer does not serve")
 	assert.Empty(t, e.beginStep(2, "b"))
 }
 
@@ -44,12 +44,12 @@
 		}
 	}
 	assert.Equal(t, e.limits.MaxCrashes, starts)
-	assert.Equal(t, plan.ProcessCrashLooping, e.supervisor.state)
+	assert.Equal(t, rollout.ProcessCrashLooping, e.supervisor.state)
 	assert.True(t, math.IsInf(e.supervisor.NextTick(), 1))
 	e.bad["a"] = ""
 	assert.Empty(t, e.beginStep(2, "b"), "a step begins anew")
 	e.run(3)
-	assert.Equal(t, plan.ProcessReady, e.supervisor.state)
+	assert.Equal(t, rollout.ProcessReady, e.supervisor.state)
 }
 
 func TestStableRouterIsRestartedWithoutGrowingBackoff(t *testing.T) {
@@ -58,7 +58,7 @@
 		e.run(e.limits.StableSeconds + 1)
 		e.exit()
 		e.run(2)
-		require.Equal(t, plan.ProcessReady, e.supervisor.state)
+		require.Equal(t, rollout.ProcessReady, e.supervisor.state)
 		assert.LessOrEqual(t, e.supervisor.Crashes(), 1)
 	}
 }
@@ -72,16 +72,16 @@
 	e.run(2)
 	assert.Contains(t, e.actions, ActionKill)
 	e.run(3)
-	assert.Equal(t, plan.StepSucceeded, e.supervisor.Result)
+	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result)
 }
 
 func TestSilentRouterNoLongerCountsAsReady(t *testing.T) {
 	e := newServing(t)
 	e.bad["a"] = silent
 	e.run(15)
-	assert.Equal(t, plan.ProcessStarting, e.supervisor.state)
+	assert.Equal(t, rollout.ProcessStarting, e.supervisor.state)
 	assert.True(t, e.process.running, "it is left to the operator")
 	e.bad["a"] = ""
 	e.run(2)
-	assert.Equal(t, plan.ProcessReady, e.supervisor.state)
+	assert.Equal(t, rollout.ProcessReady, e.supervisor.state)
 }
--- a/internal/fleet/tend/request_handler.go
+++ b/internal/fleet/tend/request_handler.go
@@ -5,7 +5,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // RequestHandler answers the operators' tools for one agent: about its lease and its record, the operator's request
@@ -89,7 +89,7 @@
 }
 
 // beginStep begins a step and returns why it was not begun, if so.
-func (h *RequestHandler) beginStep(name string, step plan.Step, changes *Changes) (failure string) {
+func (h *RequestHandler) beginStep(name string, step rollout.Step, changes *Changes) (failure string) {
 	for i, instance := range h.InstanceNames {
 		if instance != name {
 			continue
--- a/internal/fleet/tend/request_handler_test.go
+++ b/internal/fleet/tend/request_handler_test.go
@@ -8,7 +8,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 func TestRequestHandlerAnswersEachVerb(t *testing.T) {
@@ -23,7 +23,7 @@
 	r, s = call(form.Request{Verb: form.RequestLeaseVerb, AgentsDigest: "list", LeaseRequest: lease.Request{Epoch: 1, Holder: "h"}})
 	assert.Equal(t, lease.Granted, r.Denial)
 	assert.True(t, s.Lease)
-	step := plan.Step{RolloutID: "r", Number: 1, Revision: "b"}
+	step := rollout.Step{RolloutID: "r", Number: 1, Revision: "b"}
 	r, s = call(form.Request{Verb: form.BeginStepVerb, Epoch: 1, Holder: "x", InstanceName: "n1", Step: step})
 	assert.Equal(t, lease.NotHolder, r.Denial)
 	assert.Equal(t, -1, s.ChangedInstance)
@@ -32,10 +32,10 @@
 	_, s = call(form.Request{Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n1", Step: step})
 	assert.Equal(t, 0, s.ChangedInstance)
 	assert.Equal(t, ActionPrepareRevision, s.Actions[0].Kind)
-	_, s = call(form.Request{Verb: form.RequestActionVerb, OperatorRequest: form.OperatorRequest{RolloutID: "r", Action: plan.RequestPause}})
+	_, s = call(form.Request{Verb: form.RequestActionVerb, OperatorRequest: form.OperatorRequest{RolloutID: "r", Action: rollout.RequestPause}})
 	assert.True(t, s.OperatorRequest)
 	r, _ = call(form.Request{Verb: form.StatusVerb, Epoch: 1, Holder: "h"})
-	assert.Equal(t, plan.RequestPause, r.OperatorRequest.Action)
+	assert.Equal(t, rollout.RequestPause, r.OperatorRequest.Action)
 	require.Len(t, r.Instances, 1)
 	assert.Equal(t, "b", r.Instances[0].TargetRevision)
 	assert.Equal(t, "a", r.Instances[0].Revision)
--- a/internal/fleet/tend/restart_test.go
+++ b/internal/fleet/tend/restart_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // TestAgentThatEndsAfterAnyActionResolvesItsStep ends the agent after each action of a step, before the action's outcome
@@ -47,7 +47,7 @@
 		if reached {
 			return true
 		}
-		if e.supervisor.Result != plan.StepPending {
+		if e.supervisor.Result != rollout.StepPending {
 			return false
 		}
 	}
@@ -65,11 +65,11 @@
 	e.actions = nil
 	e.restartAgent()
 	e.run(20)
-	assert.NotEqual(t, plan.StepPending, e.supervisor.Result, name)
-	assert.NotEqual(t, plan.StepFailed, e.supervisor.Result, name)
-	assert.Equal(t, plan.ProcessReady, e.supervisor.state, name)
+	assert.NotEqual(t, rollout.StepPending, e.supervisor.Result, name)
+	assert.NotEqual(t, rollout.StepFailed, e.supervisor.Result, name)
+	assert.Equal(t, rollout.ProcessReady, e.supervisor.state, name)
 	want := "a"
-	if e.supervisor.Result == plan.StepSucceeded {
+	if e.supervisor.Result == rollout.StepSucceeded {
 		want = revision
 	}
 	assert.Equal(t, want, e.process.file, name)
@@ -86,7 +86,7 @@
 	e.stored = e.supervisor.Record
 	e.restartAgent()
 	e.run(10)
-	assert.Equal(t, plan.StepNotApplied, e.supervisor.Result)
+	assert.Equal(t, rollout.StepNotApplied, e.supervisor.Result)
 	assert.Equal(t, "a", e.process.file)
 	assert.EqualValues(t, 1, e.process.incarnation, "the same process")
 }
@@ -95,16 +95,16 @@
 	e := newServing(t)
 	e.storeFails = true
 	assert.Equal(t, "not stored", e.beginStep(2, "b"))
-	assert.Equal(t, plan.StepSucceeded, e.supervisor.Result)
+	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result)
 	e.storeFails = false
 	e.beginStep(2, "b")
 	e.storeFails = true
 	e.run(5)
-	assert.Equal(t, plan.StepPending, e.supervisor.Result)
+	assert.Equal(t, rollout.StepPending, e.supervisor.Result)
 	assert.Equal(t, "a", e.process.file, "nothing is changed that was not stored")
 	e.storeFails = false
 	e.run(5)
-	assert.Equal(t, plan.StepSucceeded, e.supervisor.Result)
+	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result)
 }
 
 func TestStepThatChangedNothingIsNotAppliedAlsoIfTheRouterIsGone(t *testing.T) {
@@ -113,7 +113,7 @@
 	e.process.running = false
 	e.restartAgent()
 	e.run(5)
-	assert.Equal(t, plan.StepNotApplied, e.supervisor.Result)
+	assert.Equal(t, rollout.StepNotApplied, e.supervisor.Result)
 	assert.Equal(t, "a", e.process.file)
-	assert.Equal(t, plan.ProcessReady, e.supervisor.state)
+	assert.Equal(t, rollout.ProcessReady, e.supervisor.state)
 }
--- a/internal/fleet/tend/step.go
+++ b/internal/fleet/tend/step.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // failureServes is the failure of a step that is not applied because its router serves. The router came up by itself
@@ -19,14 +19,14 @@
 )
 
 // BeginStep begins a step, or returns why it does not. A repeat of the step that was begun last changes nothing.
-func (s *Supervisor) BeginStep(step plan.Step) (Transition, error) {
+func (s *Supervisor) BeginStep(step rollout.Step) (Transition, error) {
 	sameRollout := s.Step.RolloutID == step.RolloutID
 	switch {
 	case sameRollout && s.Step.Number == step.Number:
 		return Transition{}, nil
 	case sameRollout && step.Number < s.Step.Number:
 		return Transition{}, fmt.Errorf("step %d comes after step %d", step.Number, s.Step.Number)
-	case s.state == plan.ProcessUnknown:
+	case s.state == rollout.ProcessUnknown:
 		return Transition{}, errProcessUnknown
 	case s.stepPending():
 		return Transition{}, fmt.Errorf("step %d of rollout %s is under way", s.Step.Number, s.Step.RolloutID)
@@ -37,13 +37,13 @@
 		s.PreviousRevision = s.Revision
 	}
 	s.setStep(step)
-	if s.state == plan.ProcessReady {
+	if s.state == rollout.ProcessReady {
 		if s.Revision == step.Revision && !step.Restart {
-			s.endStep(plan.StepSucceeded, "")
+			s.endStep(rollout.StepSucceeded, "")
 			return Transition{Store: true}, nil
 		}
 		if step.OnlyIfNotServing {
-			s.endStep(plan.StepNotApplied, failureServes)
+			s.endStep(rollout.StepNotApplied, failureServes)
 			return Transition{Store: true}, nil
 		}
 	}
@@ -54,9 +54,9 @@
 }
 
 // setStep records a step that has changed nothing yet.
-func (s *Supervisor) setStep(step plan.Step) {
+func (s *Supervisor) setStep(step rollout.Step) {
 	s.Step = step
-	s.Result = plan.StepPending
+	s.Result = rollout.StepPending
 	s.Failure = ""
 	s.MayHaveChanged = false
 	s.Reload = false
@@ -64,7 +64,7 @@
 }
 
 // endStep ends the pending step.
-func (s *Supervisor) endStep(result plan.StepResult, failure string) {
+func (s *Supervisor) endStep(result rollout.StepResult, failure string) {
 	s.Result = result
 	s.Failure = failure
 	s.commandsAtStepEnd = s.commands
@@ -83,16 +83,16 @@
 		return Transition{}
 	}
 	if err != nil {
-		s.endStep(plan.StepFailed, err.Error())
+		s.endStep(rollout.StepFailed, err.Error())
 		s.leaveUnchanged(now)
 		return Transition{Store: true}
 	}
 	s.MayHaveChanged = true
 	s.ShouldRun = true
-	s.Reload = p.ReloadSuffices && s.state == plan.ProcessReady && !s.Step.Restart
+	s.Reload = p.ReloadSuffices && s.state == rollout.ProcessReady && !s.Step.Restart
 	s.DrainSeconds = p.DrainSeconds
 	t := Transition{Store: true}
-	if s.Reload || s.state == plan.ProcessDown || s.state == plan.ProcessCrashLooping {
+	if s.Reload || s.state == rollout.ProcessDown || s.state == rollout.ProcessCrashLooping {
 		s.install(&t)
 	} else {
 		s.terminate(now, &t)
@@ -103,9 +103,9 @@
 // leaveUnchanged returns to the phase before a step that has changed nothing.
 func (s *Supervisor) leaveUnchanged(now float64) {
 	switch {
-	case s.state == plan.ProcessDown && s.ShouldRun:
+	case s.state == rollout.ProcessDown && s.ShouldRun:
 		s.enter(phaseBackoff, now+s.limits.MinBackoffSeconds)
-	case s.state == plan.ProcessStarting:
+	case s.state == rollout.ProcessStarting:
 		s.enter(phaseAwaitingReady, never)
 	default:
 		s.enter(phaseIdle, never)
@@ -124,7 +124,7 @@
 		return Transition{}
 	}
 	if err != nil {
-		s.endStep(plan.StepFailed, err.Error())
+		s.endStep(rollout.StepFailed, err.Error())
 		if s.Reload {
 			s.enter(phaseIdle, never)
 		} else {
@@ -134,7 +134,7 @@
 	}
 	s.Revision = s.Step.Revision
 	t := Transition{Store: true}
-	if s.Reload && s.state != plan.ProcessDown {
+	if s.Reload && s.state != rollout.ProcessDown {
 		s.enter(phaseReloading, now+s.limits.ReadyTimeoutSeconds)
 		t.add(ActionReload)
 		return t
@@ -153,9 +153,9 @@
 	}
 	s.becomeReady(now)
 	if failure == "" {
-		s.endStep(plan.StepSucceeded, "")
+		s.endStep(rollout.StepSucceeded, "")
 	} else {
-		s.endStep(plan.StepFailed, failure)
+		s.endStep(rollout.StepFailed, failure)
 	}
 	return Transition{Store: true}
 }
--- a/internal/fleet/tend/step_test.go
+++ b/internal/fleet/tend/step_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 func TestStepRestartsAndReloadReloads(t *testing.T) {
@@ -16,18 +16,18 @@
 	assert.Contains(t, e.beginStep(1, "a"), "comes after")
 	assert.Contains(t, e.beginStep(3, "c"), "under way")
 	e.run(3)
-	assert.Equal(t, plan.StepSucceeded, e.supervisor.Result)
+	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result)
 	assert.Equal(t, "b", e.process.file)
 	assert.Contains(t, e.actions, ActionTerminate)
 	e.actions = nil
 	assert.Empty(t, e.beginStep(3, "reloaded"))
 	e.run(3)
-	assert.Equal(t, plan.StepSucceeded, e.supervisor.Result)
+	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result)
 	assert.Equal(t, "reloaded", e.process.file)
 	assert.NotContains(t, e.actions, ActionTerminate)
 	e.actions = nil
 	assert.Empty(t, e.beginStep(4, "reloaded"))
-	assert.Equal(t, plan.StepSucceeded, e.supervisor.Result, "it runs that already")
+	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result, "it runs that already")
 	assert.NotContains(t, e.actions, ActionPrepareRevision)
 	assert.Empty(t, e.supervisor.Observe(e.now).PreviousRevision)
 }
@@ -35,18 +35,18 @@
 func TestStepOnlyIfNotServingLeavesAServingRouterAlone(t *testing.T) {
 	e := newServing(t)
 	begin := func(number uint64) {
-		step := plan.Step{RolloutID: "roll", Number: number, Revision: "b", OnlyIfNotServing: true}
+		step := rollout.Step{RolloutID: "roll", Number: number, Revision: "b", OnlyIfNotServing: true}
 		transition, err := e.supervisor.BeginStep(step)
 		require.NoError(t, err)
 		e.carryOut(transition, nil)
 	}
 	begin(2)
 	e.run(3)
-	assert.Equal(t, plan.StepNotApplied, e.supervisor.Result)
+	assert.Equal(t, rollout.StepNotApplied, e.supervisor.Result)
 	assert.Equal(t, failureServes, e.supervisor.Failure)
 	assert.NotContains(t, e.actions, ActionTerminate)
 	assert.Equal(t, "a", e.supervisor.Revision)
-	assert.Equal(t, plan.ProcessReady, e.supervisor.state)
+	assert.Equal(t, rollout.ProcessReady, e.supervisor.state)
 
 	e.exit()       // and it is started again: the step comes while the first health check is under way
 	e.handleNext() // ProcessExited
@@ -57,17 +57,17 @@
 	e.actions = nil
 	begin(3)
 	e.run(3)
-	assert.Equal(t, plan.StepNotApplied, e.supervisor.Result)
+	assert.Equal(t, rollout.StepNotApplied, e.supervisor.Result)
 	assert.NotContains(t, e.actions, ActionTerminate)
 
 	e.exit()
 	for len(e.queue) > 0 {
 		e.handleNext()
 	}
-	require.Equal(t, plan.ProcessDown, e.supervisor.state)
+	require.Equal(t, rollout.ProcessDown, e.supervisor.state)
 	begin(4)
 	e.run(3)
-	assert.Equal(t, plan.StepSucceeded, e.supervisor.Result, "one that does not serve is changed")
+	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result, "one that does not serve is changed")
 	assert.Equal(t, "b", e.process.file)
 }
 
@@ -80,12 +80,12 @@
 		e.bad["b"] = behaviour
 		e.beginStep(2, "b")
 		e.run(15)
-		assert.Equal(t, plan.StepFailed, e.supervisor.Result, behaviour)
+		assert.Equal(t, rollout.StepFailed, e.supervisor.Result, behaviour)
 		assert.Contains(t, e.supervisor.Failure, failure)
-		assert.Equal(t, behaviour == refused, e.supervisor.state == plan.ProcessReady, behaviour)
+		assert.Equal(t, behaviour == refused, e.supervisor.state == rollout.ProcessReady, behaviour)
 		assert.Empty(t, e.beginStep(3, "a"), "the way back")
 		e.run(10)
-		assert.Equal(t, plan.StepSucceeded, e.supervisor.Result, behaviour)
+		assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result, behaviour)
 		assert.Equal(t, "a", e.process.file)
 	}
 }
--- a/internal/fleet/tend/supervisor.go
+++ b/internal/fleet/tend/supervisor.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // phase is what a supervisor waits for.
@@ -37,7 +37,7 @@
 
 	phase    phase
 	deadline float64 // of the phase
-	state    plan.ProcessState
+	state    rollout.ProcessState
 
 	nextHealthCheck    float64
 	missedHealthChecks int     // in a row
@@ -45,15 +45,15 @@
 	crashes            int     // exits by itself since it last ran for Limits.StableSeconds
 
 	nextCounterRead   float64
-	commands          plan.CommandCounts // of the process
-	commandsAtStepEnd plan.CommandCounts // commands as the last step ended
+	commands          rollout.CommandCounts // of the process
+	commandsAtStepEnd rollout.CommandCounts // commands as the last step ended
 	readings          readings
 }
 
 // NewSupervisor returns the supervisor of an agent that starts, given the instance's stored record. The transition
 // looks for a process that already runs.
 func NewSupervisor(r Record, l *Limits) (Supervisor, Transition) {
-	s := Supervisor{Record: r, limits: l, state: plan.ProcessUnknown, deadline: never}
+	s := Supervisor{Record: r, limits: l, state: rollout.ProcessUnknown, deadline: never}
 	return s, Transition{Actions: []Action{{Kind: ActionFindProcess, Incarnation: r.Incarnation}}}
 }
 
@@ -66,8 +66,8 @@
 func (s *Supervisor) Crashes() int { return s.crashes }
 
 // Observe returns what the agent reports of the instance. SeenAt is left to the observer.
-func (s *Supervisor) Observe(now float64) plan.Observation {
-	o := plan.Observation{
+func (s *Supervisor) Observe(now float64) rollout.Observation {
+	o := rollout.Observation{
 		State:             s.state,
 		Revision:          s.Revision,
 		LastStep:          s.Step,
@@ -77,7 +77,7 @@
 		RecentCommands:    s.recentCommands(now),
 		CommandsSinceStep: countsSince(s.commands, s.commandsAtStepEnd),
 	}
-	if s.state == plan.ProcessReady {
+	if s.state == rollout.ProcessReady {
 		o.ReadySeconds = now - s.readySince
 	}
 	return o
@@ -100,11 +100,13 @@
 	if s.phase == phaseAwaitingReady {
 		return true
 	}
-	running := s.state == plan.ProcessReady || s.state == plan.ProcessStarting
+	running := s.state == rollout.ProcessReady || s.state == rollout.ProcessStarting
 	return s.phase == phaseIdle && running
 }
 
-func (s *Supervisor) idleAndReady() bool { return s.phase == phaseIdle && s.state == plan.ProcessReady }
+func (s *Supervisor) idleAndReady() bool {
+	return s.phase == phaseIdle && s.state == rollout.ProcessReady
+}
 
 // Tick does what is due: the end of the phase, a health check, a reading of the counters.
 func (s *Supervisor) Tick(now float64) Transition {
@@ -139,11 +141,11 @@
 		s.deadline = now + s.limits.KillRetrySeconds
 		t.add(ActionKill)
 	case phaseAwaitingReady:
-		s.endStep(plan.StepFailed, fmt.Sprintf("it was not ready within %g s", s.limits.ReadyTimeoutSeconds))
+		s.endStep(rollout.StepFailed, fmt.Sprintf("it was not ready within %g s", s.limits.ReadyTimeoutSeconds))
 		t.Store = true
 	case phaseReloading:
 		failure := fmt.Sprintf("it did not say within %g s that it had read its file", s.limits.ReadyTimeoutSeconds)
-		s.endStep(plan.StepFailed, failure)
+		s.endStep(rollout.StepFailed, failure)
 		s.becomeReady(now)
 		t.Store = true
 	default: // the other phases have no deadline
--- a/internal/fleet/tool/client_test.go
+++ b/internal/fleet/tool/client_test.go
@@ -21,9 +21,9 @@
 	"stoatdale.example/stoatdale/internal/fleet/api"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/keys"
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
@@ -133,7 +133,7 @@
 func (r *rig) requireComplete(o roll.Outcome) {
 	r.t.Helper()
 	require.Equal(r.t, roll.OutcomeEnded, o.Kind, "%v", o)
-	require.Equal(r.t, plan.Complete, o.Rollout.State, "%v", o)
+	require.Equal(r.t, rollout.Complete, o.Rollout.State, "%v", o)
 }
 
 // assertAllRun asserts that all instances run a revision and serve.
@@ -165,7 +165,7 @@
 			r.fleet.Times.Soak = 2 // long enough for a reading of the counters
 		}
 		o := r.drive(ayla, ayla.NewRollout(r.push(ayla, name, c.conduct, 100), true), nil)
-		assert.Equal(t, plan.RolledBack, o.Rollout.State, name)
+		assert.Equal(t, rollout.RolledBack, o.Rollout.State, name)
 		assert.Contains(t, ayla.Explain(o.Reason), c.says)
 		assert.Contains(t, ayla.Explain(o.Reason), "instance n0")
 		r.assertAllRun(ayla, good.Digest)
@@ -188,7 +188,7 @@
 	began := 0
 	o := ayla.Drive(ctx, ayla.NewRollout(b, false), func(_ roll.View, events []roll.Event) {
 		for _, e := range events {
-			if e.Action == plan.ActionBeginStep {
+			if e.Action == rollout.ActionBeginStep {
 				if began++; began == 2 {
 					kill()
 				}
@@ -204,7 +204,7 @@
 	steps := 0
 	o = r.drive(mehmet, roll.Task{Operation: roll.OperationResume, Operator: "mehmet"}, func(_ roll.View, events []roll.Event) {
 		for _, e := range events {
-			if e.Action == plan.ActionBeginStep {
+			if e.Action == rollout.ActionBeginStep {
 				steps++
 			}
 		}
@@ -213,7 +213,7 @@
 	assert.LessOrEqual(t, steps, 3, "it goes on where the other was")
 	r.assertAllRun(mehmet, b.Digest)
 	o = r.drive(mehmet, roll.Task{Operation: roll.OperationRollback, Operator: "mehmet"}, nil)
-	assert.Equal(t, plan.RolledBack, o.Rollout.State)
+	assert.Equal(t, rollout.RolledBack, o.Rollout.State)
 	r.assertAllRun(mehmet, a.Digest)
 	h, err := ayla.History(context.Background())
 	require.NoError(t, err)
@@ -238,7 +238,7 @@
 	both.Wait()
 	won := -1
 	for i, o := range got {
-		if o.Kind == roll.OutcomeEnded && o.Rollout.State == plan.Complete {
+		if o.Kind == roll.OutcomeEnded && o.Rollout.State == rollout.Complete {
 			assert.Equal(t, -1, won, "both cannot have it")
 			won = i
 		}
@@ -262,14 +262,14 @@
 	o := r.drive(ayla, ayla.NewRollout(b, false), func(v roll.View, _ []roll.Event) {
 		if !asked && v.Rollout.CurrentStep.Number == 1 {
 			asked = true
-			assert.Equal(t, 4, mehmet.RequestAction(context.Background(), v.Rollout, plan.RequestPause))
+			assert.Equal(t, 4, mehmet.RequestAction(context.Background(), v.Rollout, rollout.RequestPause))
 		}
 	})
-	assert.Equal(t, plan.Paused, o.Rollout.State)
+	assert.Equal(t, rollout.Paused, o.Rollout.State)
 	assert.Equal(t, "mehmet", o.Rollout.RequestedBy)
 	r.stopAgent(3)
 	o = r.drive(mehmet, roll.Task{Operation: roll.OperationResume, Operator: "mehmet"}, nil)
-	assert.Equal(t, plan.Paused, o.Rollout.State)
+	assert.Equal(t, rollout.Paused, o.Rollout.State)
 	assert.Contains(t, mehmet.Explain(o.Reason), "agent a3 of instance n3 is not heard from")
 	o = r.drive(mehmet, roll.Task{Operation: roll.OperationResume, Operator: "mehmet", ExcludedInstances: []int{3}}, nil)
 	assert.Equal(t, "1 instances were left out and are not done", mehmet.Explain(o.Reason))
--- a/internal/fleet/tool/drive.go
+++ b/internal/fleet/tool/drive.go
@@ -11,8 +11,8 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/api"
 	"stoatdale.example/stoatdale/internal/fleet/form"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 const (
@@ -36,7 +36,7 @@
 		Operator:    c.Operator,
 		FleetDigest: digest,
 		Rollout: form.Rollout{
-			Rollout:         plan.Rollout{ID: NewID(), Revision: r.Digest, Restart: restart},
+			Rollout:         rollout.Rollout{ID: NewID(), Revision: r.Digest, Restart: restart},
 			RevisionName:    r.Name,
 			StartedBy:       c.Operator,
 			StartedAt:       time.Now().Unix(),
@@ -46,7 +46,7 @@
 }
 
 // RequestAction leaves a request with the agents for whoever drives a rollout, and returns how many took it.
-func (c *Client) RequestAction(ctx context.Context, r form.Rollout, action plan.OperatorRequest) int {
+func (c *Client) RequestAction(ctx context.Context, r form.Rollout, action rollout.OperatorRequest) int {
 	request := form.Request{
 		Verb:            form.RequestActionVerb,
 		AgentsDigest:    c.Fleet.AgentsDigest(),
--- a/internal/fleet/tool/explain.go
+++ b/internal/fleet/tool/explain.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // RolloutStatus is a rollout for people.
@@ -51,19 +51,19 @@
 }
 
 // Explain is a reason for people, with the names of the fleet file; empty for none.
-func (c *Client) Explain(r plan.Reason) string {
+func (c *Client) Explain(r rollout.Reason) string {
 	switch r.Kind {
-	case plan.ReasonNone:
+	case rollout.ReasonNone:
 		return r.Detail
-	case plan.ReasonOperator:
+	case rollout.ReasonOperator:
 		return "by an operator's word"
-	case plan.ReasonZoneMinimum:
+	case rollout.ReasonZoneMinimum:
 		return fmt.Sprintf("hall %s would be left with %d serving, and its floor is %d", c.zoneName(r.Zone), r.Have, r.Need)
-	case plan.ReasonFleetMinimum:
+	case rollout.ReasonFleetMinimum:
 		return fmt.Sprintf("the fleet would be left with %d serving, and its floor is %d", r.Have, r.Need)
-	case plan.ReasonInstancesExcluded:
+	case rollout.ReasonInstancesExcluded:
 		return fmt.Sprintf("%d instances were left out and are not done", r.Have)
-	case plan.ReasonNothingToDo:
+	case rollout.ReasonNothingToDo:
 		return "there is nothing to do"
 	default:
 		return c.explainInstance(r)
@@ -71,32 +71,32 @@
 }
 
 // explainInstance is a reason that concerns one instance or its agent.
-func (c *Client) explainInstance(r plan.Reason) string {
+func (c *Client) explainInstance(r rollout.Reason) string {
 	instance := c.instanceName(r.Instance)
 	agent := c.agentName(r.Instance)
 	switch r.Kind {
-	case plan.ReasonAgentUnreachable:
+	case rollout.ReasonAgentUnreachable:
 		return fmt.Sprintf("agent %s of instance %s is not heard from: bring it back and resume, or resume with --leave-out %s",
 			agent, instance, instance)
-	case plan.ReasonProcessUnknown:
+	case rollout.ReasonProcessUnknown:
 		return fmt.Sprintf("agent %s does not know instance %s yet", agent, instance)
-	case plan.ReasonInstanceBusy:
+	case rollout.ReasonInstanceBusy:
 		return fmt.Sprintf("instance %s is in a step of another rollout", instance)
-	case plan.ReasonStepUnresolved:
+	case rollout.ReasonStepUnresolved:
 		return fmt.Sprintf("the step of instance %s has no end", instance)
-	case plan.ReasonStepFailed:
+	case rollout.ReasonStepFailed:
 		return fmt.Sprintf("instance %s did not come up with the revision: %s", instance, r.Detail)
-	case plan.ReasonSoakFailed:
+	case rollout.ReasonSoakFailed:
 		return fmt.Sprintf("instance %s was %s in its soak", instance, r.Detail)
-	case plan.ReasonMoreUnanswered:
+	case rollout.ReasonMoreUnanswered:
 		return fmt.Sprintf("instance %s left %d of %d commands unanswered in its soak, a larger share than before", instance,
 			r.Have, r.Need)
-	case plan.ReasonCannotRollBack:
+	case rollout.ReasonCannotRollBack:
 		return fmt.Sprintf("instance %s cannot go back: %s", instance, r.Detail)
-	case plan.ReasonStepNeverApplied:
+	case rollout.ReasonStepNeverApplied:
 		return fmt.Sprintf("the step of %s came to nothing %d times in a row: its agent %s ended before it did anything, or the "+
 			"router came up by itself", instance, r.Have, agent)
-	case plan.ReasonStepRefused:
+	case rollout.ReasonStepRefused:
 		return fmt.Sprintf("agent %s refuses the step of %s: %s", agent, instance, r.Detail)
 	default:
 		return "for a reason that this tool does not know"
--- a/internal/fleet/tool/status.go
+++ b/internal/fleet/tool/status.go
@@ -7,8 +7,8 @@
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // Status is how a fleet stands, as far as its agents can be reached.
@@ -77,7 +77,7 @@
 		instance := &c.Fleet.Instances[i]
 		report, known := reported[instance.Name]
 		row := c.instanceStatus(instance, report, known)
-		if known && report.State == plan.ProcessReady {
+		if known && report.State == rollout.ProcessReady {
 			status.Serving++
 		}
 		status.Instances = append(status.Instances, row)
@@ -103,7 +103,7 @@
 		Name:  instance.Name,
 		Agent: instance.Agent,
 		Zone:  c.Fleet.Agent(instance.Agent).Zone,
-		State: plan.ProcessUnknown.String(),
+		State: rollout.ProcessUnknown.String(),
 	}
 	if !known {
 		return status
@@ -120,9 +120,9 @@
 	status.EndedCommands = report.RecentCommands.Completed
 	status.UnansweredCommands = report.RecentCommands.Unanswered
 	switch {
-	case report.LastStep.Number != 0 && report.LastResult == plan.StepPending:
+	case report.LastStep.Number != 0 && report.LastResult == rollout.StepPending:
 		status.Step = fmt.Sprintf("step %d of %s is open", report.LastStep.Number, report.LastStep.RolloutID)
-	case report.LastResult == plan.StepFailed:
+	case report.LastResult == rollout.StepFailed:
 		status.Step = "failed: " + report.LastFailure
 	}
 	return status
--- a/internal/fleet/tool/trace.go
+++ b/internal/fleet/tool/trace.go
@@ -11,9 +11,9 @@
 	sdk "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // Trace writes a rollout and its steps to a file as spans of OpenTelemetry.
@@ -50,16 +50,16 @@
 			t.rollout.AddEvent("claimed", trace.WithAttributes(attribute.Int64("epoch", int64(e.AcquiredEpoch))))
 		}
 		switch e.Action {
-		case plan.ActionBeginStep:
+		case rollout.ActionBeginStep:
 			t.beginStep(e.Step)
-		case plan.ActionCompleteStep, plan.ActionStartRollback, plan.ActionFinish:
+		case rollout.ActionCompleteStep, rollout.ActionStartRollback, rollout.ActionFinish:
 			t.endStep(e)
 		default: // nothing has begun or ended
 		}
 	}
 }
 
-func (t *Trace) beginStep(step plan.Step) {
+func (t *Trace) beginStep(step rollout.Step) {
 	inRollout := trace.ContextWithSpan(context.Background(), t.rollout)
 	_, t.step = t.tracer.Start(inRollout, "step", trace.WithAttributes(
 		attribute.String("instance", t.client.instanceName(step.Instance)),
@@ -73,7 +73,7 @@
 	if t.step == nil {
 		return
 	}
-	if e.Action != plan.ActionCompleteStep {
+	if e.Action != rollout.ActionCompleteStep {
 		t.step.SetStatus(codes.Error, t.client.Explain(e.Reason))
 	}
 	t.step.End()
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -9,8 +9,8 @@
 	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/plan"
 	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
 )
@@ -42,7 +42,7 @@
 type rolloutSystem struct {
 	bounds       Bounds
 	fault        string
-	fleet        *plan.Fleet
+	fleet        *rollout.Fleet
 	names        []string
 	limits       tend.Limits
 	now          float64
@@ -88,12 +88,12 @@
 		ReadyTimeoutSeconds: 100, TerminationGraceSeconds: 0.5,
 		HealthCheckSeconds: 1e9, CounterReadSeconds: 1e9, RecentSeconds: 1, MinBackoffSeconds: 0.5, MaxBackoffSeconds: 1, StableSeconds: 1e9, MaxCrashes: 9, MaxMissedHealthChecks: 9, KillRetrySeconds: 100,
 	}}
-	r.fleet = &plan.Fleet{ZoneMinAvailable: []int{0}, MinAvailable: b.Agents - 1, Timing: plan.Timing{SoakSeconds: 0, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 100, StepTimeoutSeconds: 100}}
+	r.fleet = &rollout.Fleet{ZoneMinAvailable: []int{0}, MinAvailable: b.Agents - 1, Timing: rollout.Timing{SoakSeconds: 0, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 100, StepTimeoutSeconds: 100}}
 	if fault == "floorless" {
 		r.fleet.MinAvailable--
 	}
 	for i := range b.Agents {
-		r.fleet.Instances = append(r.fleet.Instances, plan.Instance{Agent: i})
+		r.fleet.Instances = append(r.fleet.Instances, rollout.Instance{Agent: i})
 		r.names = append(r.names, fmt.Sprint("n", i))
 		a := &rollAgent{runs: true, serves: true, incarnation: 1, record: tend.Record{ShouldRun: true, Revision: "old", Incarnation: 1}}
 		r.agents = append(r.agents, a)
@@ -115,7 +115,7 @@
 	x := r.tools[t]
 	x.holder = fmt.Sprint("t", t)
 	task := roll.Task{Operation: roll.OperationBegin, Takeover: t > 0, Rollout: form.Rollout{
-		Rollout: plan.Rollout{ID: x.holder, Revision: fmt.Sprint("new", t)},
+		Rollout: rollout.Rollout{ID: x.holder, Revision: fmt.Sprint("new", t)},
 	}}
 	if t > 0 {
 		task.Operation = roll.OperationResume
@@ -201,7 +201,7 @@
 }
 
 // stepName is a step's name in the checker.
-func stepName(s plan.Step) string { return fmt.Sprint(s.RolloutID, "/", s.Number) }
+func stepName(s rollout.Step) string { return fmt.Sprint(s.RolloutID, "/", s.Number) }
 
 // isKept tells whether a majority of agents keeps a record of an epoch or a later one.
 func (r *rolloutSystem) isKept(epoch uint64) bool {
@@ -218,8 +218,8 @@
 func hidePendingSteps(reply *form.Reply) {
 	for i := range reply.Instances {
 		x := &reply.Instances[i]
-		if x.LastStep.Number != 0 && x.LastResult == plan.StepPending {
-			x.LastResult, x.State, x.Revision = plan.StepSucceeded, plan.ProcessReady, x.LastStep.Revision
+		if x.LastStep.Number != 0 && x.LastResult == rollout.StepPending {
+			x.LastResult, x.State, x.Revision = rollout.StepSucceeded, rollout.ProcessReady, x.LastStep.Revision
 		}
 	}
 }
@@ -228,7 +228,7 @@
 func (r *rolloutSystem) stored(i int) {
 	a := r.agents[i]
 	a.record = a.handler.Supervisors[0].Record
-	open := a.record.Step.Number != 0 && a.record.Result == plan.StepPending
+	open := a.record.Step.Number != 0 && a.record.Result == rollout.StepPending
 	switch {
 	case open && !a.open:
 		r.check.Begun(i, fmt.Sprint(a.record.Step.RolloutID, "/", a.record.Step.Number))
@@ -464,22 +464,22 @@
 var rolloutRules = &explore.Rules{
 	FloatGrain: 1e-6,
 	Ignored: explore.Fields{
-		"lease.State":      {"HeldSeconds", "RemainingSeconds"},
-		"plan.Planner":     {"Fleet"},
-		"plan.Observation": {"ReadySeconds"},
-		"roll.Config":      {"Fleet", "Random", "Timing"},
-		"roll.Coordinator": {"events", "lastCallID", "pendingCalls", "statuses"},
-		"roll.agent":       {"leaseState", "pendingCommand", "pendingQuery"},
-		"systems.rollCall": {"ID"},
-		"tend.Supervisor":  {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
+		"lease.State":         {"HeldSeconds", "RemainingSeconds"},
+		"rollout.Planner":     {"Fleet"},
+		"rollout.Observation": {"ReadySeconds"},
+		"roll.Config":         {"Fleet", "Random", "Timing"},
+		"roll.Coordinator":    {"events", "lastCallID", "pendingCalls", "statuses"},
+		"roll.agent":          {"leaseState", "pendingCommand", "pendingQuery"},
+		"systems.rollCall":    {"ID"},
+		"tend.Supervisor":     {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
 	},
 	Times: explore.Fields{
-		"lease.Lease":      {"expiresAt", "heldSince", "now"},
-		"plan.Planner":     {"waitingSince"},
-		"plan.Observation": {"SeenAt"},
-		"roll.Coordinator": {"lastMajority", "nextStepSend", "phaseTime"},
-		"roll.agent":       {"nextCommand", "nextQuery"},
-		"tend.Supervisor":  {"deadline"},
+		"lease.Lease":         {"expiresAt", "heldSince", "now"},
+		"rollout.Planner":     {"waitingSince"},
+		"rollout.Observation": {"SeenAt"},
+		"roll.Coordinator":    {"lastMajority", "nextStepSend", "phaseTime"},
+		"roll.agent":          {"nextCommand", "nextQuery"},
+		"tend.Supervisor":     {"deadline"},
 	},
 }
 
