--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
+	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
-	"stoatdale.example/stoatdale/internal/fleet/roll"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/keys"
@@ -60,11 +60,11 @@
 	c.PersistentFlags().StringVar(&flags.operator, "as", os.Getenv("USER"), "operator whose certificate is shown")
 	pause := haltRequest{
 		verb: "pause", summary: "Pauses the rollout before its next step",
-		request: rollout.RequestPause, operation: roll.OperationPause,
+		request: rollout.RequestPause, operation: coordinator.OperationPause,
 	}
 	abort := haltRequest{
 		verb: "abort", summary: "Gives the rollout up: instances stay as they are",
-		request: rollout.RequestAbort, operation: roll.OperationAbort,
+		request: rollout.RequestAbort, operation: coordinator.OperationAbort,
 	}
 	c.AddCommand(a.fleetCheckCommand(), a.fleetStatusCommand(&flags), a.fleetDiffCommand(&flags), a.fleetPushCommand(&flags),
 		a.fleetRollCommand(&flags), a.fleetResumeCommand(&flags), a.fleetRollbackCommand(&flags),
--- a/internal/cli/fleet_drive.go
+++ b/internal/cli/fleet_drive.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
@@ -41,7 +41,7 @@
 }
 
 // drive carries a task out, shows its progress, and returns its outcome as an exit error.
-func (a *app) drive(ctx context.Context, client *tool.Client, task roll.Task, flags *driveFlags) error {
+func (a *app) drive(ctx context.Context, client *tool.Client, task coordinator.Task, flags *driveFlags) error {
 	names := client.Fleet.InstanceNames()
 	excluded, err := flags.excludedInstances(names)
 	if err != nil {
@@ -56,7 +56,7 @@
 		}
 	}
 	bar := a.newProgressBar(len(names))
-	outcome := client.Drive(ctx, task, func(view roll.View, events []roll.Event) {
+	outcome := client.Drive(ctx, task, func(view coordinator.View, events []coordinator.Event) {
 		if trace != nil {
 			trace.Record(view, events)
 		}
@@ -74,7 +74,7 @@
 	return a.reportOutcome(client, outcome)
 }
 
-func (a *app) logEvent(client *tool.Client, event roll.Event) {
+func (a *app) logEvent(client *tool.Client, event coordinator.Event) {
 	name := ""
 	if i := event.Step.Instance; event.Step.Number != 0 && i < len(client.Fleet.Instances) {
 		name = client.Fleet.Instances[i].Name
@@ -102,11 +102,11 @@
 }
 
 // reportOutcome shows how a rollout's driver ended, and returns the exit error that it stands for.
-func (a *app) reportOutcome(client *tool.Client, outcome roll.Outcome) error {
+func (a *app) reportOutcome(client *tool.Client, outcome coordinator.Outcome) error {
 	rollout := client.DescribeRollout(outcome.Rollout)
 	report := driveReport{Outcome: rollout.State, Why: rollout.Why, Rollout: rollout, Faults: outcome.Faults}
 	var exit error
-	if outcome.Kind == roll.OutcomeEnded {
+	if outcome.Kind == coordinator.OutcomeEnded {
 		exit = endedRolloutError(outcome, rollout)
 	} else if unfinished := describeUnfinished(client, outcome, rollout); unfinished.outcome != "" {
 		report.Outcome, report.Why = unfinished.outcome, unfinished.why
@@ -124,7 +124,7 @@
 }
 
 // endedRolloutError is the exit error of a rollout that ended or paused, or nil if it ended as the operator asked.
-func endedRolloutError(outcome roll.Outcome, state *tool.RolloutStatus) error {
+func endedRolloutError(outcome coordinator.Outcome, state *tool.RolloutStatus) error {
 	if outcome.Reason.Kind == rollout.ReasonOperator {
 		return nil
 	}
@@ -153,26 +153,26 @@
 	return unfinishedDrive{outcome: "refused", why: fmt.Sprintf(format, args...), code: ExitRejected}
 }
 
-func describeUnfinished(client *tool.Client, outcome roll.Outcome, rollout *tool.RolloutStatus) unfinishedDrive {
+func describeUnfinished(client *tool.Client, outcome coordinator.Outcome, rollout *tool.RolloutStatus) unfinishedDrive {
 	holder := outcome.Holder
 	switch outcome.Kind {
-	case roll.OutcomeEnded: // reportOutcome looks at the rollout's state instead
-	case roll.OutcomeLeaseHeld:
+	case coordinator.OutcomeEnded: // reportOutcome looks at the rollout's state instead
+	case coordinator.OutcomeLeaseHeld:
 		return rejectedDrive("%s holds the claim since %.0f s, for %.0f s more unless renewed; --take-over fences it off",
 			holder.Holder, holder.HeldSeconds, holder.RemainingSeconds)
-	case roll.OutcomeFenced:
+	case coordinator.OutcomeFenced:
 		return unfinishedDrive{"fenced", "the claim was taken over by " + holder.Holder, ExitRejected}
-	case roll.OutcomeNoMajority:
+	case coordinator.OutcomeNoMajority:
 		return unfinishedDrive{"paused", "no majority of agents can be heard: nothing more was begun", ExitPaused}
-	case roll.OutcomeUnfinishedRollout:
+	case coordinator.OutcomeUnfinishedRollout:
 		return rejectedDrive("rollout %s by %s is %s: resume, abort or roll it back first", rollout.ID, rollout.StartedBy, rollout.State)
-	case roll.OutcomeInfeasible:
+	case coordinator.OutcomeInfeasible:
 		return rejectedDrive("no step is possible: %s", client.Explain(outcome.Reason))
-	case roll.OutcomeNoRollout:
+	case coordinator.OutcomeNoRollout:
 		return rejectedDrive("there is no rollout to go on with")
-	case roll.OutcomeOtherFleet:
+	case coordinator.OutcomeOtherFleet:
 		return rejectedDrive("the rollout goes over another list of instances than this fleet file's")
-	case roll.OutcomeInterrupted:
+	case coordinator.OutcomeInterrupted:
 		return unfinishedDrive{"paused", "interrupted; the claim was given back, and fleet resume goes on", ExitPaused}
 	}
 	return unfinishedDrive{}
--- a/internal/cli/fleet_rollout.go
+++ b/internal/cli/fleet_rollout.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
+	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/form"
-	"stoatdale.example/stoatdale/internal/fleet/roll"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
@@ -46,7 +46,7 @@
 		Use: "resume", Short: "Goes on with the rollout that paused, or whose tool is gone",
 		Example: "  stoatctl fleet resume --leave-out n7", Args: cobra.NoArgs,
 		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
-			return a.drive(ctx, client, roll.Task{Operation: roll.OperationResume, Operator: client.Operator}, &drive)
+			return a.drive(ctx, client, coordinator.Task{Operation: coordinator.OperationResume, Operator: client.Operator}, &drive)
 		}),
 	}
 	drive.register(c)
@@ -72,7 +72,7 @@
 			if found && driven && !newest.State.Terminal() && !drive.takeOver {
 				return a.requestOfDriver(ctx, client, newest, rollout.RequestRollback)
 			}
-			return a.drive(ctx, client, roll.Task{Operation: roll.OperationRollback, Operator: client.Operator}, &drive)
+			return a.drive(ctx, client, coordinator.Task{Operation: coordinator.OperationRollback, Operator: client.Operator}, &drive)
 		}),
 	}
 	drive.register(c)
@@ -85,7 +85,7 @@
 	verb      string
 	summary   string
 	request   rollout.OperatorRequest // if another tool drives
-	operation roll.Operation          // if none does
+	operation coordinator.Operation   // if none does
 }
 
 func (a *app) fleetHaltCommand(flags *fleetFlags, halt haltRequest) *cobra.Command {
@@ -99,7 +99,7 @@
 			if found && driven && newest.State == rollout.Running && !drive.takeOver {
 				return a.requestOfDriver(ctx, client, newest, halt.request)
 			}
-			return a.drive(ctx, client, roll.Task{Operation: halt.operation, Operator: client.Operator}, &drive)
+			return a.drive(ctx, client, coordinator.Task{Operation: halt.operation, Operator: client.Operator}, &drive)
 		}),
 	}
 	c.Flags().BoolVar(&drive.takeOver, "take-over", false, "do not ask the tool that drives: take the claim from it")
--- a/internal/cli/progress.go
+++ b/internal/cli/progress.go
@@ -7,7 +7,7 @@
 	"github.com/jedib0t/go-pretty/v6/progress"
 	"golang.org/x/term"
 
-	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 )
 
 // progressBar shows a rollout on a terminal. Without a terminal its methods do nothing.
@@ -32,7 +32,7 @@
 	return b
 }
 
-func (b *progressBar) update(view roll.View) {
+func (b *progressBar) update(view coordinator.View) {
 	if b.writer == nil || view.Epoch == 0 {
 		return
 	}
--- a/internal/drill/lease_operator.go
+++ b/internal/drill/lease_operator.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
+	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/roll"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
@@ -34,13 +34,13 @@
 type simulatedOperator struct {
 	round         *leaseRound
 	index         int
-	coordinator   *roll.Coordinator // nil: no tool runs
-	holder        string            // name of the tool's lease; each tool has its own
-	run           int               // of the tool; events of an earlier run are dropped
-	startedAt     int64             // timestamp of the history
-	versionBefore lease.Version     // stored by a majority when the tool started
-	lastRollout   form.Rollout      // as the last tool left it
-	nextTick      float64           // virtual seconds; an earlier scheduled tick is dropped
+	coordinator   *coordinator.Coordinator // nil: no tool runs
+	holder        string                   // name of the tool's lease; each tool has its own
+	run           int                      // of the tool; events of an earlier run are dropped
+	startedAt     int64                    // timestamp of the history
+	versionBefore lease.Version            // stored by a majority when the tool started
+	lastRollout   form.Rollout             // as the last tool left it
+	nextTick      float64                  // virtual seconds; an earlier scheduled tick is dropped
 }
 
 // start has the operator's tool start: it begins a rollout, or goes on with the one there is.
@@ -49,17 +49,17 @@
 	o.run++
 	r.toolsStarted++
 	o.holder = fmt.Sprint("operator ", o.index, ".", r.toolsStarted)
-	task := roll.Task{
-		Operation: roll.OperationBegin, Operator: o.holder, Takeover: r.rng.IntN(4) == 0,
+	task := coordinator.Task{
+		Operation: coordinator.OperationBegin, Operator: o.holder, Takeover: r.rng.IntN(4) == 0,
 		Rollout: form.Rollout{Rollout: rollout.Rollout{ID: o.holder, Revision: fmt.Sprint("r", r.toolsStarted)}},
 	}
 	if o.lastRollout.ID != "" && !o.lastRollout.State.Terminal() {
-		operations := []roll.Operation{roll.OperationResume, roll.OperationResume, roll.OperationRollback, roll.OperationAbort}
+		operations := []coordinator.Operation{coordinator.OperationResume, coordinator.OperationResume, coordinator.OperationRollback, coordinator.OperationAbort}
 		task.Operation = operations[r.rng.IntN(len(operations))]
 	}
-	o.coordinator = roll.New(roll.Config{
+	o.coordinator = coordinator.New(coordinator.Config{
 		Fleet: r.fleet, InstanceNames: r.instanceNames, Agents: len(r.agents), Holder: o.holder,
-		Timing: roll.Timing{PollSeconds: 0.3, MajorityTimeoutSeconds: 4}, Task: task, Random: r.rng.Float64,
+		Timing: coordinator.Timing{PollSeconds: 0.3, MajorityTimeoutSeconds: 4}, Task: task, Random: r.rng.Float64,
 	})
 	o.startedAt = r.timestamp()
 	o.versionBefore = r.newestStored
@@ -115,7 +115,7 @@
 
 // handleEvent follows the versions that a majority stores, and checks that a new holder finds none older than was stored
 // before it asked for the lease.
-func (o *simulatedOperator) handleEvent(e roll.Event) {
+func (o *simulatedOperator) handleEvent(e coordinator.Event) {
 	r := o.round
 	if e.AcquiredEpoch == 0 {
 		if r.newestStored.Before(e.RecordVersion) {
@@ -131,16 +131,16 @@
 	r.recordOperation(o.index, acquire, o.startedAt, r.timestamp())
 }
 
-func (o *simulatedOperator) finish(outcome roll.Outcome) {
+func (o *simulatedOperator) finish(outcome coordinator.Outcome) {
 	r := o.round
 	o.lastRollout = outcome.Rollout
 	switch outcome.Kind {
-	case roll.OutcomeEnded:
+	case coordinator.OutcomeEnded:
 		r.report.RolloutsEnded++
-	case roll.OutcomeLeaseHeld, roll.OutcomeFenced:
+	case coordinator.OutcomeLeaseHeld, coordinator.OutcomeFenced:
 		r.report.Denied++
-	case roll.OutcomeNoMajority, roll.OutcomeUnfinishedRollout, roll.OutcomeInfeasible, roll.OutcomeNoRollout,
-		roll.OutcomeOtherFleet, roll.OutcomeInterrupted:
+	case coordinator.OutcomeNoMajority, coordinator.OutcomeUnfinishedRollout, coordinator.OutcomeInfeasible, coordinator.OutcomeNoRollout,
+		coordinator.OutcomeOtherFleet, coordinator.OutcomeInterrupted:
 	}
 	o.stop(r.rng.ExpFloat64() * meanOutcomePauseSeconds)
 }
@@ -179,7 +179,7 @@
 }
 
 // end tells the coordinator how the call ended, unless it was told already or its tool is gone.
-func (c *pendingCall) end(tell func(coordinator *roll.Coordinator)) {
+func (c *pendingCall) end(tell func(coordinator *coordinator.Coordinator)) {
 	if c.operator.run != c.run || c.over {
 		return
 	}
@@ -189,7 +189,7 @@
 }
 
 // send sends a call. Its reply counts until the timeout; the request may arrive later than that, and more than once.
-func (o *simulatedOperator) send(call roll.OutgoingCall) {
+func (o *simulatedOperator) send(call coordinator.OutgoingCall) {
 	r := o.round
 	pending := &pendingCall{operator: o, run: o.run, id: call.ID}
 	copies := 1
@@ -203,18 +203,18 @@
 		}
 	}
 	r.after(callTimeoutSeconds, func() {
-		pending.end(func(c *roll.Coordinator) { c.HandleFailure(r.now, pending.id, "no answer") })
+		pending.end(func(c *coordinator.Coordinator) { c.HandleFailure(r.now, pending.id, "no answer") })
 	})
 }
 
 // deliver has the agent handle a request, and sends its reply back.
-func (r *leaseRound) deliver(call roll.OutgoingCall, pending *pendingCall) {
+func (r *leaseRound) deliver(call coordinator.OutgoingCall, pending *pendingCall) {
 	reply, replied := r.agents[call.Agent].answer(call.Request)
 	seconds, delivered := r.messageDelay()
 	if !replied || !delivered {
 		return
 	}
 	r.after(seconds, func() {
-		pending.end(func(c *roll.Coordinator) { c.HandleReply(r.now, pending.id, reply) })
+		pending.end(func(c *coordinator.Coordinator) { c.HandleReply(r.now, pending.id, reply) })
 	})
 }
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
+	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
-	"stoatdale.example/stoatdale/internal/fleet/roll"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/lab/stand"
@@ -193,7 +193,7 @@
 	}
 	d.logf("agents are up; the first revision goes out")
 	o := d.client.Drive(ctx, d.client.NewRollout(form.Revision{Digest: d.firstRevision, Name: "first"}, false), nil)
-	if o.Kind != roll.OutcomeEnded || o.Rollout.State != rollout.Complete {
+	if o.Kind != coordinator.OutcomeEnded || o.Rollout.State != rollout.Complete {
 		return fmt.Errorf("the first rollout: %d %s %s %v", o.Kind, o.Rollout.State, d.client.Explain(o.Reason), o.Faults)
 	}
 	return nil
@@ -211,7 +211,7 @@
 	}
 	var faults sync.WaitGroup
 	defer faults.Wait()
-	watch := func(view roll.View, events []roll.Event) {
+	watch := func(view coordinator.View, events []coordinator.Event) {
 		if trace != nil {
 			trace.Record(view, events)
 		}
@@ -232,28 +232,28 @@
 
 // driveSecond drives the second revision's rollout. If it pauses since an agent stays gone, the drill resumes it without
 // that instance, as an operator would.
-func (d *rolloutDrill) driveSecond(ctx context.Context, watch func(roll.View, []roll.Event)) roll.Outcome {
+func (d *rolloutDrill) driveSecond(ctx context.Context, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
 	outcome := d.client.Drive(ctx, d.client.NewRollout(form.Revision{Digest: d.secondRevision, Name: "second"}, false), watch)
-	paused := outcome.Kind == roll.OutcomeEnded && outcome.Rollout.State == rollout.Paused
+	paused := outcome.Kind == coordinator.OutcomeEnded && outcome.Rollout.State == rollout.Paused
 	agentIsGone := d.options.AgentStaysGone && d.killedInstance != noInstance
 	if !paused || !agentIsGone {
 		return outcome
 	}
 	d.report.PausedOn = d.client.Explain(outcome.Reason)
 	d.logf("paused: %s; it is left out by word", d.report.PausedOn)
-	task := roll.Task{Operation: roll.OperationResume, Operator: operatorName, ExcludedInstances: []int{d.killedInstance}}
+	task := coordinator.Task{Operation: coordinator.OperationResume, Operator: operatorName, ExcludedInstances: []int{d.killedInstance}}
 	return d.client.Drive(ctx, task, watch)
 }
 
 // recordOutcome checks that the rollout ended as it must.
-func (d *rolloutDrill) recordOutcome(outcome roll.Outcome) {
+func (d *rolloutDrill) recordOutcome(outcome coordinator.Outcome) {
 	r := d.report
 	state := outcome.Rollout.State
 	r.State = state.String()
 	r.Reason = d.client.Explain(outcome.Reason)
 	r.Paused = state == rollout.Paused
 	switch {
-	case outcome.Kind != roll.OutcomeEnded:
+	case outcome.Kind != coordinator.OutcomeEnded:
 		r.Fail("the rollout ended as no rollout ends: %d, held by %s, %v", outcome.Kind, outcome.Holder.Holder, outcome.Faults)
 	case d.options.AgentStaysGone && (!r.Paused || outcome.Reason.Kind != rollout.ReasonInstancesExcluded):
 		r.Fail("with an agent gone the rollout ended %s: %s", r.State, r.Reason)
@@ -263,7 +263,7 @@
 }
 
 // handleEvent measures steps and injects faults as they begin. Faults that take a while run in the group.
-func (d *rolloutDrill) handleEvent(ctx context.Context, view roll.View, e roll.Event, faults *sync.WaitGroup) {
+func (d *rolloutDrill) handleEvent(ctx context.Context, view coordinator.View, e coordinator.Event, faults *sync.WaitGroup) {
 	switch e.Action {
 	case rollout.ActionBeginStep:
 		d.stepBegan[e.Step.Number] = time.Now()
--- a/internal/drill/rollout_faults.go
+++ b/internal/drill/rollout_faults.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"stoatdale.example/stoatdale/internal/fleet/agent"
-	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
@@ -24,7 +24,7 @@
 )
 
 // injectFaults does what the drill is for as a step begins.
-func (d *rolloutDrill) injectFaults(ctx context.Context, view roll.View, step rollout.Step, faults *sync.WaitGroup) {
+func (d *rolloutDrill) injectFaults(ctx context.Context, view coordinator.View, step rollout.Step, faults *sync.WaitGroup) {
 	instance := step.Instance
 	killsAgent := d.options.KillAgent || d.options.AgentStaysGone
 	if killsAgent && d.killedInstance == noInstance && view.Finished >= d.killAfter {
--- a/internal/fleet/roll/calls.go
+++ b/internal/fleet/coordinator/calls.go
@@ -1,4 +1,4 @@
-package roll
+package coordinator
 
 import (
 	"stoatdale.example/stoatdale/internal/fleet/form"
--- a/internal/fleet/roll/doc.go
+++ b/internal/fleet/coordinator/doc.go
@@ -5,4 +5,4 @@
 // A coordinator may stop at any point. What it was doing is in the record that a majority of agents stores, and another
 // coordinator continues from there. What an agent reports counts only once the agent has granted the coordinator's
 // epoch: only then is it certain that no earlier holder can begin anything there.
-package roll
+package coordinator
--- a/internal/fleet/tool/client_test.go
+++ b/internal/fleet/tool/client_test.go
@@ -19,10 +19,10 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/agent"
 	"stoatdale.example/stoatdale/internal/fleet/api"
+	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
-	"stoatdale.example/stoatdale/internal/fleet/roll"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/keys"
 	"stoatdale.example/stoatdale/internal/lab/stand"
@@ -123,16 +123,16 @@
 }
 
 // drive carries a task out to its end.
-func (r *rig) drive(t *Client, task roll.Task, watch func(roll.View, []roll.Event)) roll.Outcome {
+func (r *rig) drive(t *Client, task coordinator.Task, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return t.Drive(ctx, task, watch)
 }
 
 // requireComplete requires that a rollout has brought its revision to all instances.
-func (r *rig) requireComplete(o roll.Outcome) {
+func (r *rig) requireComplete(o coordinator.Outcome) {
 	r.t.Helper()
-	require.Equal(r.t, roll.OutcomeEnded, o.Kind, "%v", o)
+	require.Equal(r.t, coordinator.OutcomeEnded, o.Kind, "%v", o)
 	require.Equal(r.t, rollout.Complete, o.Rollout.State, "%v", o)
 }
 
@@ -186,7 +186,7 @@
 	b := r.push(ayla, "b", stand.Conduct{Ready: 0.2}, 101)
 	ctx, kill := context.WithCancel(context.Background())
 	began := 0
-	o := ayla.Drive(ctx, ayla.NewRollout(b, false), func(_ roll.View, events []roll.Event) {
+	o := ayla.Drive(ctx, ayla.NewRollout(b, false), func(_ coordinator.View, events []coordinator.Event) {
 		for _, e := range events {
 			if e.Action == rollout.ActionBeginStep {
 				if began++; began == 2 {
@@ -195,14 +195,14 @@
 			}
 		}
 	})
-	require.Equal(t, roll.OutcomeInterrupted, o.Kind)
+	require.Equal(t, coordinator.OutcomeInterrupted, o.Kind)
 	s := mehmet.Status(context.Background())
 	require.NotNil(t, s.Rollout)
 	assert.Equal(t, "running", s.Rollout.State)
 	assert.Equal(t, "ayla", s.Rollout.StartedBy)
-	assert.Equal(t, roll.OutcomeUnfinishedRollout, r.drive(mehmet, mehmet.NewRollout(a, false), nil).Kind)
+	assert.Equal(t, coordinator.OutcomeUnfinishedRollout, r.drive(mehmet, mehmet.NewRollout(a, false), nil).Kind)
 	steps := 0
-	o = r.drive(mehmet, roll.Task{Operation: roll.OperationResume, Operator: "mehmet"}, func(_ roll.View, events []roll.Event) {
+	o = r.drive(mehmet, coordinator.Task{Operation: coordinator.OperationResume, Operator: "mehmet"}, func(_ coordinator.View, events []coordinator.Event) {
 		for _, e := range events {
 			if e.Action == rollout.ActionBeginStep {
 				steps++
@@ -212,7 +212,7 @@
 	r.requireComplete(o)
 	assert.LessOrEqual(t, steps, 3, "it goes on where the other was")
 	r.assertAllRun(mehmet, b.Digest)
-	o = r.drive(mehmet, roll.Task{Operation: roll.OperationRollback, Operator: "mehmet"}, nil)
+	o = r.drive(mehmet, coordinator.Task{Operation: coordinator.OperationRollback, Operator: "mehmet"}, nil)
 	assert.Equal(t, rollout.RolledBack, o.Rollout.State)
 	r.assertAllRun(mehmet, a.Digest)
 	h, err := ayla.History(context.Background())
@@ -226,7 +226,7 @@
 	r := newRig(t, 4)
 	ayla, mehmet := r.client("ayla"), r.client("mehmet")
 	a, b := r.push(ayla, "a", stand.Conduct{}, 100), r.push(mehmet, "b", stand.Conduct{}, 101)
-	var got [2]roll.Outcome
+	var got [2]coordinator.Outcome
 	var both sync.WaitGroup
 	for i, x := range []struct {
 		t *Client
@@ -238,14 +238,14 @@
 	both.Wait()
 	won := -1
 	for i, o := range got {
-		if o.Kind == roll.OutcomeEnded && o.Rollout.State == rollout.Complete {
+		if o.Kind == coordinator.OutcomeEnded && o.Rollout.State == rollout.Complete {
 			assert.Equal(t, -1, won, "both cannot have it")
 			won = i
 		}
 	}
 	require.NotEqual(t, -1, won, "%v", got)
 	loser := got[1-won]
-	assert.Equal(t, roll.OutcomeLeaseHeld, loser.Kind)
+	assert.Equal(t, coordinator.OutcomeLeaseHeld, loser.Kind)
 	assert.True(t, strings.HasPrefix(loser.Holder.Holder, []string{"ayla/", "mehmet/"}[won]), loser.Holder.Holder)
 	r.assertAllRun(ayla, []form.Revision{a, b}[won].Digest)
 }
@@ -259,7 +259,7 @@
 	r.requireComplete(r.drive(ayla, ayla.NewRollout(a, false), nil))
 	b := r.push(ayla, "b", stand.Conduct{Ready: 0.3}, 101)
 	asked := false
-	o := r.drive(ayla, ayla.NewRollout(b, false), func(v roll.View, _ []roll.Event) {
+	o := r.drive(ayla, ayla.NewRollout(b, false), func(v coordinator.View, _ []coordinator.Event) {
 		if !asked && v.Rollout.CurrentStep.Number == 1 {
 			asked = true
 			assert.Equal(t, 4, mehmet.RequestAction(context.Background(), v.Rollout, rollout.RequestPause))
@@ -268,13 +268,13 @@
 	assert.Equal(t, rollout.Paused, o.Rollout.State)
 	assert.Equal(t, "mehmet", o.Rollout.RequestedBy)
 	r.stopAgent(3)
-	o = r.drive(mehmet, roll.Task{Operation: roll.OperationResume, Operator: "mehmet"}, nil)
+	o = r.drive(mehmet, coordinator.Task{Operation: coordinator.OperationResume, Operator: "mehmet"}, nil)
 	assert.Equal(t, rollout.Paused, o.Rollout.State)
 	assert.Contains(t, mehmet.Explain(o.Reason), "agent a3 of instance n3 is not heard from")
-	o = r.drive(mehmet, roll.Task{Operation: roll.OperationResume, Operator: "mehmet", ExcludedInstances: []int{3}}, nil)
+	o = r.drive(mehmet, coordinator.Task{Operation: coordinator.OperationResume, Operator: "mehmet", ExcludedInstances: []int{3}}, nil)
 	assert.Equal(t, "1 instances were left out and are not done", mehmet.Explain(o.Reason))
 	r.startAgent(3)
-	r.requireComplete(r.drive(ayla, roll.Task{Operation: roll.OperationResume, Operator: "ayla"}, nil))
+	r.requireComplete(r.drive(ayla, coordinator.Task{Operation: coordinator.OperationResume, Operator: "ayla"}, nil))
 	r.assertAllRun(ayla, b.Digest)
 }
 
--- a/internal/fleet/tool/drive.go
+++ b/internal/fleet/tool/drive.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"stoatdale.example/stoatdale/internal/fleet/api"
+	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/form"
-	"stoatdale.example/stoatdale/internal/fleet/roll"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
@@ -29,10 +29,10 @@
 }
 
 // NewRollout is the task of rolling a revision out. With restart, instances are restarted also where a reload would do.
-func (c *Client) NewRollout(r form.Revision, restart bool) roll.Task {
+func (c *Client) NewRollout(r form.Revision, restart bool) coordinator.Task {
 	digest := c.Fleet.InstancesDigest()
-	return roll.Task{
-		Operation:   roll.OperationBegin,
+	return coordinator.Task{
+		Operation:   coordinator.OperationBegin,
 		Operator:    c.Operator,
 		FleetDigest: digest,
 		Rollout: form.Rollout{
@@ -70,7 +70,7 @@
 
 // Drive carries a task out and returns its outcome. Once ctx ends the lease is given back, and the rollout waits to be
 // resumed. watch, if it is not nil, is called in turn with what has come about.
-func (c *Client) Drive(ctx context.Context, task roll.Task, watch func(roll.View, []roll.Event)) roll.Outcome {
+func (c *Client) Drive(ctx context.Context, task coordinator.Task, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
 	d := c.newDriver(task, watch)
 	calls, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the lease is still to be given back
 	defer d.calling.Wait()
@@ -97,8 +97,8 @@
 // driver joins a coordinator, which decides, to the agents.
 type driver struct {
 	client      *Client
-	coordinator *roll.Coordinator
-	watch       func(roll.View, []roll.Event)
+	coordinator *coordinator.Coordinator
+	watch       func(coordinator.View, []coordinator.Event)
 	startedAt   time.Time
 	answers     chan callAnswer
 	slots       chan struct{} // one for each call at the same time
@@ -112,16 +112,16 @@
 	err   error
 }
 
-func (c *Client) newDriver(task roll.Task, watch func(roll.View, []roll.Event)) *driver {
+func (c *Client) newDriver(task coordinator.Task, watch func(coordinator.View, []coordinator.Event)) *driver {
 	task.FleetDigest = c.Fleet.InstancesDigest()
 	host, _ := os.Hostname() // for people only
-	coordinator := roll.New(roll.Config{
+	coordinator := coordinator.New(coordinator.Config{
 		Fleet:         c.Fleet.PlannerFleet(),
 		InstanceNames: c.Fleet.InstanceNames(),
 		Agents:        len(c.agents),
 		AgentsDigest:  c.Fleet.AgentsDigest(),
 		Holder:        api.HolderName(c.Operator, host+"/"+NewID()),
-		Timing: roll.Timing{
+		Timing: coordinator.Timing{
 			PollSeconds:            float64(c.Fleet.Times.PollInterval),
 			MajorityTimeoutSeconds: float64(c.Fleet.Times.ContactTimeout),
 		},
@@ -155,7 +155,7 @@
 	return time.Duration(max(0, wake-d.now()) * float64(time.Second))
 }
 
-func (d *driver) makeCall(ctx context.Context, call roll.OutgoingCall) {
+func (d *driver) makeCall(ctx context.Context, call coordinator.OutgoingCall) {
 	d.slots <- struct{}{}
 	reply, err := d.client.call(ctx, call.Agent, call.Request)
 	<-d.slots
--- a/internal/fleet/tool/trace.go
+++ b/internal/fleet/tool/trace.go
@@ -11,8 +11,8 @@
 	sdk "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
+	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
-	"stoatdale.example/stoatdale/internal/fleet/roll"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
@@ -44,7 +44,7 @@
 }
 
 // Record takes in what has come about in a rollout. It is made to be called by Drive.
-func (t *Trace) Record(_ roll.View, events []roll.Event) {
+func (t *Trace) Record(_ coordinator.View, events []coordinator.Event) {
 	for _, e := range events {
 		if e.AcquiredEpoch != 0 {
 			t.rollout.AddEvent("claimed", trace.WithAttributes(attribute.Int64("epoch", int64(e.AcquiredEpoch))))
@@ -69,7 +69,7 @@
 	))
 }
 
-func (t *Trace) endStep(e roll.Event) {
+func (t *Trace) endStep(e coordinator.Event) {
 	if t.step == nil {
 		return
 	}
@@ -81,7 +81,7 @@
 }
 
 // Close ends the spans with the rollout's outcome and writes them.
-func (t *Trace) Close(o roll.Outcome) error {
+func (t *Trace) Close(o coordinator.Outcome) error {
 	if t.step != nil {
 		t.step.SetStatus(codes.Error, "the tool ended")
 		t.step.End()
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -7,9 +7,9 @@
 	"strings"
 
 	"stoatdale.example/stoatdale/internal/explore"
+	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/roll"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tend"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
@@ -68,12 +68,12 @@
 }
 
 type rollTool struct {
-	coordinator *roll.Coordinator
+	coordinator *coordinator.Coordinator
 	holder      string
 	calls       []rollCall
 	ended       bool
 	// outcome of its last run
-	outcome roll.Outcome
+	outcome coordinator.Outcome
 }
 
 type rollCall struct {
@@ -114,15 +114,15 @@
 func (r *rolloutSystem) start(t int) {
 	x := r.tools[t]
 	x.holder = fmt.Sprint("t", t)
-	task := roll.Task{Operation: roll.OperationBegin, Takeover: t > 0, Rollout: form.Rollout{
+	task := coordinator.Task{Operation: coordinator.OperationBegin, Takeover: t > 0, Rollout: form.Rollout{
 		Rollout: rollout.Rollout{ID: x.holder, Revision: fmt.Sprint("new", t)},
 	}}
 	if t > 0 {
-		task.Operation = roll.OperationResume
+		task.Operation = coordinator.OperationResume
 	}
-	x.coordinator = roll.New(roll.Config{
+	x.coordinator = coordinator.New(coordinator.Config{
 		Fleet: r.fleet, InstanceNames: r.names, Agents: len(r.agents), Holder: x.holder,
-		Timing: roll.Timing{PollSeconds: rollTick, MajorityTimeoutSeconds: 50}, Task: task,
+		Timing: coordinator.Timing{PollSeconds: rollTick, MajorityTimeoutSeconds: 50}, Task: task,
 		Random: func() float64 { return 0.5 },
 	})
 	x.calls, x.ended = nil, false
@@ -146,7 +146,7 @@
 			}
 			if o, over := x.coordinator.Outcome(); over {
 				x.coordinator, x.calls, x.outcome = nil, nil, o
-				x.ended = o.Kind == roll.OutcomeEnded && o.Rollout.State.Terminal()
+				x.ended = o.Kind == coordinator.OutcomeEnded && o.Rollout.State.Terminal()
 			}
 		}
 	}
@@ -464,22 +464,22 @@
 var rolloutRules = &explore.Rules{
 	FloatGrain: 1e-6,
 	Ignored: explore.Fields{
-		"lease.State":         {"HeldSeconds", "RemainingSeconds"},
-		"rollout.Planner":     {"Fleet"},
-		"rollout.Observation": {"ReadySeconds"},
-		"roll.Config":         {"Fleet", "Random", "Timing"},
-		"roll.Coordinator":    {"events", "lastCallID", "pendingCalls", "statuses"},
-		"roll.agent":          {"leaseState", "pendingCommand", "pendingQuery"},
-		"systems.rollCall":    {"ID"},
-		"tend.Supervisor":     {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
+		"lease.State":             {"HeldSeconds", "RemainingSeconds"},
+		"rollout.Planner":         {"Fleet"},
+		"rollout.Observation":     {"ReadySeconds"},
+		"coordinator.Config":      {"Fleet", "Random", "Timing"},
+		"coordinator.Coordinator": {"events", "lastCallID", "pendingCalls", "statuses"},
+		"coordinator.agent":       {"leaseState", "pendingCommand", "pendingQuery"},
+		"systems.rollCall":        {"ID"},
+		"tend.Supervisor":         {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
 	},
 	Times: explore.Fields{
-		"lease.Lease":         {"expiresAt", "heldSince", "now"},
-		"rollout.Planner":     {"waitingSince"},
-		"rollout.Observation": {"SeenAt"},
-		"roll.Coordinator":    {"lastMajority", "nextStepSend", "phaseTime"},
-		"roll.agent":          {"nextCommand", "nextQuery"},
-		"tend.Supervisor":     {"deadline"},
+		"lease.Lease":             {"expiresAt", "heldSince", "now"},
+		"rollout.Planner":         {"waitingSince"},
+		"rollout.Observation":     {"SeenAt"},
+		"coordinator.Coordinator": {"lastMajority", "nextStepSend", "phaseTime"},
+		"coordinator.agent":       {"nextCommand", "nextQuery"},
+		"tend.Supervisor":         {"deadline"},
 	},
 }
 
--- a/internal/systems/settle.go
+++ b/internal/systems/settle.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"stoatdale.example/stoatdale/internal/explore"
-	"stoatdale.example/stoatdale/internal/fleet/roll"
+	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -162,7 +162,7 @@
 			return verdict.ComesToEnd, "a tool neither goes on nor ends"
 		}
 		o := r.tools[len(r.tools)-1].outcome
-		if last = fmt.Sprintf("outcome %d, %+v", o.Kind, o.Reason); r.Ended() || o.Kind == roll.OutcomeNoRollout {
+		if last = fmt.Sprintf("outcome %d, %+v", o.Kind, o.Reason); r.Ended() || o.Kind == coordinator.OutcomeNoRollout {
 			return r.Broken()
 		}
 		for range calmTicks { // an agent that started again grants nothing for a term
