--- a/internal/drill/lease.go
+++ b/internal/drill/lease.go
@@ -11,7 +11,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 // LeaseOptions are the parameters of the lease drill. Each round is a simulation of its own in virtual time: a few agents,
@@ -102,7 +102,7 @@
 	sequence      uint64 // of events and of the history: all that happens is in one order
 	fleet         *rollout.Fleet
 	instanceNames []string // one instance an agent
-	limits        tend.Limits
+	limits        supervisor.Limits
 	agents        []*simulatedAgent
 	operators     []*simulatedOperator
 	toolsStarted  int           // by all operators
@@ -116,7 +116,7 @@
 		options: options, number: number, report: report,
 		rng:        rand.New(rand.NewPCG(options.Seed, uint64(number))),
 		stepStored: map[stepKey]int64{},
-		limits:     tend.DefaultLimits(),
+		limits:     supervisor.DefaultLimits(),
 		fleet: &rollout.Fleet{
 			ZoneMinAvailable: []int{0}, MinAvailable: 1,
 			Timing: rollout.Timing{SoakSeconds: 0.3, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 6, StepTimeoutSeconds: 20},
--- a/internal/drill/lease_agent.go
+++ b/internal/drill/lease_agent.go
@@ -5,7 +5,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 // Virtual seconds that an agent's actions take.
@@ -26,9 +26,9 @@
 type simulatedAgent struct {
 	round       *leaseRound
 	index       int
-	handler     tend.RequestHandler
+	handler     supervisor.RequestHandler
 	storedLease lease.PersistentState
-	record      tend.Record // as it is stored
+	record      supervisor.Record // as it is stored
 	alive       bool
 	incarnation int     // events of an earlier one are dropped
 	startedAt   float64 // virtual seconds
@@ -48,7 +48,7 @@
 	return &simulatedAgent{
 		round: r, index: index,
 		clockRate: slowestClock + clockRateSpread*r.rng.Float64(),
-		record:    tend.Record{ShouldRun: true, Revision: "a", Incarnation: 1},
+		record:    supervisor.Record{ShouldRun: true, Revision: "a", Incarnation: 1},
 		router:    simulatedRouter{running: true, incarnation: 1},
 	}
 }
@@ -77,20 +77,20 @@
 	if r.options.Fault == faultForget {
 		a.storedLease = lease.PersistentState{}
 	}
-	a.handler = tend.RequestHandler{
+	a.handler = supervisor.RequestHandler{
 		Agent: fmt.Sprint("a", a.index), InstanceNames: []string{r.instanceNames[a.index]},
 		Lease: lease.Restore(a.storedLease, leaseSeconds, 0),
 	}
-	supervised, transition := tend.NewSupervisor(a.record, &r.limits)
-	a.handler.Supervisors = []tend.Supervisor{supervised}
+	supervised, transition := supervisor.NewSupervisor(a.record, &r.limits)
+	a.handler.Supervisors = []supervisor.Supervisor{supervised}
 	a.perform(transition.Actions)
 	a.scheduleTick()
 }
 
-func (a *simulatedAgent) supervisor() *tend.Supervisor { return &a.handler.Supervisors[0] }
+func (a *simulatedAgent) supervisor() *supervisor.Supervisor { return &a.handler.Supervisors[0] }
 
 // supervisorEvent is a call of the agent's supervisor.
-type supervisorEvent func(s *tend.Supervisor) tend.Transition
+type supervisorEvent func(s *supervisor.Supervisor) supervisor.Transition
 
 // after schedules an event in so many virtual seconds, unless the agent crashes before.
 func (a *simulatedAgent) after(seconds float64, e supervisorEvent) {
@@ -121,7 +121,7 @@
 	}
 }
 
-func (a *simulatedAgent) perform(actions []tend.Action) {
+func (a *simulatedAgent) perform(actions []supervisor.Action) {
 	for _, action := range actions {
 		if !a.alive {
 			return
@@ -130,26 +130,28 @@
 	}
 }
 
-func (a *simulatedAgent) performOne(action tend.Action) {
+func (a *simulatedAgent) performOne(action supervisor.Action) {
 	switch action.Kind {
-	case tend.ActionFindProcess:
+	case supervisor.ActionFindProcess:
 		running := a.router.running && a.router.incarnation == action.Incarnation
-		a.after(findProcessSeconds, func(s *tend.Supervisor) tend.Transition { return s.ProcessFound(a.now(), running) })
-	case tend.ActionPrepareRevision:
-		preparation := tend.Preparation{ReloadSuffices: a.round.rng.IntN(3) == 0, DrainSeconds: drainSeconds}
-		a.after(actionSeconds, func(s *tend.Supervisor) tend.Transition { return s.RevisionPrepared(a.now(), preparation, nil) })
-	case tend.ActionInstallRevision:
-		a.after(actionSeconds, func(s *tend.Supervisor) tend.Transition { return s.RevisionInstalled(a.now(), nil) })
-	case tend.ActionStart:
+		a.after(findProcessSeconds, func(s *supervisor.Supervisor) supervisor.Transition { return s.ProcessFound(a.now(), running) })
+	case supervisor.ActionPrepareRevision:
+		preparation := supervisor.Preparation{ReloadSuffices: a.round.rng.IntN(3) == 0, DrainSeconds: drainSeconds}
+		a.after(actionSeconds, func(s *supervisor.Supervisor) supervisor.Transition {
+			return s.RevisionPrepared(a.now(), preparation, nil)
+		})
+	case supervisor.ActionInstallRevision:
+		a.after(actionSeconds, func(s *supervisor.Supervisor) supervisor.Transition { return s.RevisionInstalled(a.now(), nil) })
+	case supervisor.ActionStart:
 		a.startRouter(action.Incarnation)
-	case tend.ActionHealthCheck:
+	case supervisor.ActionHealthCheck:
 		healthy := a.router.running
-		a.after(actionSeconds, func(s *tend.Supervisor) tend.Transition { return s.HealthChecked(a.now(), healthy) })
-	case tend.ActionTerminate, tend.ActionKill:
+		a.after(actionSeconds, func(s *supervisor.Supervisor) supervisor.Transition { return s.HealthChecked(a.now(), healthy) })
+	case supervisor.ActionTerminate, supervisor.ActionKill:
 		a.endRouter()
-	case tend.ActionReload:
-		a.after(reloadSeconds, func(s *tend.Supervisor) tend.Transition { return s.ReloadReported(a.now(), "") })
-	case tend.ActionReadCounters: // simulated routers serve no commands
+	case supervisor.ActionReload:
+		a.after(reloadSeconds, func(s *supervisor.Supervisor) supervisor.Transition { return s.ReloadReported(a.now(), "") })
+	case supervisor.ActionReadCounters: // simulated routers serve no commands
 	}
 }
 
@@ -158,7 +160,9 @@
 		a.round.violation("a second router was started by agent %d at %.3f", a.index, a.round.now)
 	}
 	a.router = simulatedRouter{running: true, incarnation: incarnation}
-	a.after(actionSeconds, func(s *tend.Supervisor) tend.Transition { return s.ProcessStarted(a.now(), incarnation, nil) })
+	a.after(actionSeconds, func(s *supervisor.Supervisor) supervisor.Transition {
+		return s.ProcessStarted(a.now(), incarnation, nil)
+	})
 }
 
 // endRouter has the router exit after a while, also if the agent crashes meanwhile.
@@ -169,7 +173,7 @@
 			return
 		}
 		a.router.running = false
-		a.after(0, func(s *tend.Supervisor) tend.Transition { return s.ProcessExited(a.now(), "ended") })
+		a.after(0, func(s *supervisor.Supervisor) supervisor.Transition { return s.ProcessExited(a.now(), "ended") })
 	})
 }
 
@@ -184,7 +188,7 @@
 	incarnation := a.incarnation
 	a.round.after(seconds, func() {
 		if a.incarnation == incarnation && a.nextTick == tick {
-			a.handle(func(s *tend.Supervisor) tend.Transition { return s.Tick(a.now()) })
+			a.handle(func(s *supervisor.Supervisor) supervisor.Transition { return s.Tick(a.now()) })
 		}
 	})
 }
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -21,7 +21,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/layout"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/store"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 // Files in an agent's folder and in those of its instances.
@@ -62,8 +62,8 @@
 	self      *layout.Agent
 	store     Store
 	log       zerolog.Logger
-	handler   tend.RequestHandler // its supervisors are in the order of routers
-	limits    tend.Limits
+	handler   supervisor.RequestHandler // its supervisors are in the order of routers
+	limits    supervisor.Limits
 	routers   []router
 	events    chan event
 	startedAt time.Time // its monotonic reading is the origin of the agent's clock
@@ -86,13 +86,13 @@
 	if err != nil {
 		return nil, err
 	}
-	limits := tend.DefaultLimits()
+	limits := supervisor.DefaultLimits()
 	limits.ReadyTimeoutSeconds = float64(f.Times.ReadyTimeout)
 	limits.RecentSeconds = max(float64(f.Times.Soak), minRecentSeconds)
 	a := &Agent{
 		fleet: f, self: self, store: s, log: log, limits: limits,
 		events: make(chan event, eventQueueLength), startedAt: time.Now(),
-		handler: tend.RequestHandler{
+		handler: supervisor.RequestHandler{
 			Agent: name, Program: program, AgentsDigest: f.AgentsDigest(), OperatorRequest: state.OperatorRequest,
 			Lease: lease.Restore(state.Lease, float64(f.Times.LeaseTerm), 0),
 		},
@@ -105,7 +105,7 @@
 		a.routers = append(a.routers, r)
 		a.handler.InstanceNames = append(a.handler.InstanceNames, instance.Name)
 		a.handler.ListenAddresses = append(a.handler.ListenAddresses, instance.Listen.String())
-		supervisor, _ := tend.NewSupervisor(state.Instances[instance.Name], &a.limits) // Run carries out its first actions
+		supervisor, _ := supervisor.NewSupervisor(state.Instances[instance.Name], &a.limits) // Run carries out its first actions
 		a.handler.Supervisors = append(a.handler.Supervisors, supervisor)
 	}
 	return a, nil
@@ -115,7 +115,7 @@
 func (a *Agent) Run(ctx context.Context) {
 	defer a.work.Wait()
 	for i := range a.routers {
-		supervisor, first := tend.NewSupervisor(a.handler.Supervisors[i].Record, &a.limits)
+		supervisor, first := supervisor.NewSupervisor(a.handler.Supervisors[i].Record, &a.limits)
 		a.handler.Supervisors[i] = supervisor
 		a.routers[i].carryOut(ctx, first)
 	}
--- a/internal/fleet/agent/config.go
+++ b/internal/fleet/agent/config.go
@@ -12,7 +12,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/store"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 // RevisionMissingError is the error of a step whose revision the agent does not have.
@@ -35,20 +35,20 @@
 
 // prepare sees that a revision can be installed: it is here, it is right for this instance, and there is room for its
 // file. running is the digest of the revision that the router runs; empty: none.
-func (r *router) prepare(running, next string) (tend.Preparation, error) {
+func (r *router) prepare(running, next string) (supervisor.Preparation, error) {
 	nextConfig, err := r.config(next)
 	if err != nil {
-		return tend.Preparation{}, err
+		return supervisor.Preparation{}, err
 	}
 	if err := r.writeConfig(next, nextConfigName); err != nil {
-		return tend.Preparation{}, err
+		return supervisor.Preparation{}, err
 	}
 	grace := float64(r.agent.fleet.Times.DrainGrace)
 	runningConfig, known := r.runningConfig(running)
 	if !known { // take the times of the next one, and restart
-		return tend.Preparation{DrainSeconds: revision.DrainSeconds(&nextConfig, grace)}, nil
+		return supervisor.Preparation{DrainSeconds: revision.DrainSeconds(&nextConfig, grace)}, nil
 	}
-	return tend.Preparation{
+	return supervisor.Preparation{
 		ReloadSuffices: len(revision.RestartKeys(&runningConfig, &nextConfig)) == 0,
 		DrainSeconds:   revision.DrainSeconds(&runningConfig, grace),
 	}, nil
--- a/internal/fleet/agent/requests.go
+++ b/internal/fleet/agent/requests.go
@@ -8,7 +8,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/store"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 // Handle handles a request of an operator. It implements api.Handler, and may be called from any goroutine while Run
@@ -77,13 +77,13 @@
 	if changes.ChangedInstance >= 0 {
 		r := &a.routers[changes.ChangedInstance]
 		r.logStep()
-		r.carryOut(ctx, tend.Transition{Actions: changes.Actions})
+		r.carryOut(ctx, supervisor.Transition{Actions: changes.Actions})
 	}
 	return reply
 }
 
 // storeChange is what a request has changed that must be stored, and whether there is any.
-func (a *Agent) storeChange(request form.Request, changes tend.Changes) (change store.Change, dirty bool) {
+func (a *Agent) storeChange(request form.Request, changes supervisor.Changes) (change store.Change, dirty bool) {
 	if changes.Lease {
 		lease := a.handler.Lease.PersistentState
 		change.Lease = &lease
@@ -99,7 +99,7 @@
 		change.OperatorRequest = &a.handler.OperatorRequest
 	}
 	if i := changes.ChangedInstance; i >= 0 {
-		change.Instances = map[string]tend.Record{a.handler.InstanceNames[i]: a.handler.Supervisors[i].Record}
+		change.Instances = map[string]supervisor.Record{a.handler.InstanceNames[i]: a.handler.Supervisors[i].Record}
 	}
 	return change, changes.Lease || changes.OperatorRequest || changes.ChangedInstance >= 0
 }
--- a/internal/fleet/agent/router.go
+++ b/internal/fleet/agent/router.go
@@ -14,7 +14,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/store"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 // router is one instance of the agent's: it connects the instance's supervisor, which decides, to the process.
@@ -29,7 +29,7 @@
 }
 
 // supervisorEvent hands something that has happened to a supervisor.
-type supervisorEvent func(s *tend.Supervisor) tend.Transition
+type supervisorEvent func(s *supervisor.Supervisor) supervisor.Transition
 
 func newRouter(a *Agent, index int, instance layout.Instance) (router, error) {
 	folder, err := filepath.Abs(filepath.Join(a.self.Folder, instance.Name))
@@ -42,7 +42,7 @@
 	return router{agent: a, index: index, instance: instance, folder: folder}, nil
 }
 
-func (r *router) supervisor() *tend.Supervisor { return &r.agent.handler.Supervisors[r.index] }
+func (r *router) supervisor() *supervisor.Supervisor { return &r.agent.handler.Supervisors[r.index] }
 
 // incarnation identifies one start of the router among all processes of the machine.
 func (r *router) incarnation(number uint64) string { return fmt.Sprintf("%s/%d", r.folder, number) }
@@ -55,7 +55,7 @@
 		return
 	}
 	// A tick that could not be stored comes again by itself.
-	_ = r.apply(ctx, func(s *tend.Supervisor) tend.Transition { return s.Tick(a.now()) })
+	_ = r.apply(ctx, func(s *supervisor.Supervisor) supervisor.Transition { return s.Tick(a.now()) })
 }
 
 // handle applies an event. One that could not be stored has not happened, and is handed in again later.
@@ -77,7 +77,7 @@
 	before := *supervised
 	transition := e(supervised)
 	if transition.Store {
-		records := map[string]tend.Record{r.instance.Name: supervised.Record}
+		records := map[string]supervisor.Record{r.instance.Name: supervised.Record}
 		if err := a.store.Save(store.Change{Instances: records}); err != nil {
 			*supervised = before
 			r.retryAt = a.now() + storeRetryDelay.Seconds()
@@ -91,7 +91,7 @@
 }
 
 // logChanges logs how the supervisor's step and state differ from before.
-func (r *router) logChanges(before *tend.Supervisor) {
+func (r *router) logChanges(before *supervisor.Supervisor) {
 	supervisor := r.supervisor()
 	if supervisor.Result != before.Result || supervisor.Step.Number != before.Step.Number {
 		r.logStep()
@@ -114,32 +114,32 @@
 		Str("why", record.Failure).Msg("step")
 }
 
-func (r *router) carryOut(ctx context.Context, t tend.Transition) {
+func (r *router) carryOut(ctx context.Context, t supervisor.Transition) {
 	for _, action := range t.Actions {
 		r.carryOutAction(ctx, action)
 	}
 }
 
-func (r *router) carryOutAction(ctx context.Context, action tend.Action) {
+func (r *router) carryOutAction(ctx context.Context, action supervisor.Action) {
 	switch action.Kind {
-	case tend.ActionFindProcess:
+	case supervisor.ActionFindProcess:
 		r.findProcess(ctx, action.Incarnation)
-	case tend.ActionPrepareRevision:
+	case supervisor.ActionPrepareRevision:
 		r.prepareRevision(ctx, action.Revision)
-	case tend.ActionInstallRevision:
+	case supervisor.ActionInstallRevision:
 		r.installRevision(ctx, action.Revision)
-	case tend.ActionStart:
+	case supervisor.ActionStart:
 		r.start(ctx, action.Incarnation)
-	case tend.ActionHealthCheck:
+	case supervisor.ActionHealthCheck:
 		r.checkHealth(ctx)
-	case tend.ActionReadCounters:
+	case supervisor.ActionReadCounters:
 		r.signal(ctx, unix.SIGUSR1)
-	case tend.ActionTerminate:
+	case supervisor.ActionTerminate:
 		r.signal(ctx, unix.SIGTERM)
-	case tend.ActionKill:
+	case supervisor.ActionKill:
 		r.agent.log.Warn().Str("instance", r.instance.Name).Msg("killed: it did not end within its time")
 		r.signal(ctx, unix.SIGKILL)
-	case tend.ActionReload:
+	case supervisor.ActionReload:
 		r.signal(ctx, unix.SIGHUP)
 	}
 }
@@ -163,7 +163,7 @@
 		}
 		return func(ctx context.Context) {
 			r.adopt(ctx, process)
-			r.handle(ctx, func(s *tend.Supervisor) tend.Transition { return s.ProcessFound(a.now(), process != nil) })
+			r.handle(ctx, func(s *supervisor.Supervisor) supervisor.Transition { return s.ProcessFound(a.now(), process != nil) })
 		}
 	})
 }
@@ -174,7 +174,7 @@
 	r.runAsync(ctx, func() event {
 		p, err := r.prepare(running, digest)
 		return func(ctx context.Context) {
-			r.handle(ctx, func(s *tend.Supervisor) tend.Transition {
+			r.handle(ctx, func(s *supervisor.Supervisor) supervisor.Transition {
 				return s.RevisionPrepared(a.now(), p, err)
 			})
 		}
@@ -186,7 +186,7 @@
 	r.runAsync(ctx, func() event {
 		err := r.writeConfig(digest, configName)
 		return func(ctx context.Context) {
-			r.handle(ctx, func(s *tend.Supervisor) tend.Transition { return s.RevisionInstalled(a.now(), err) })
+			r.handle(ctx, func(s *supervisor.Supervisor) supervisor.Transition { return s.RevisionInstalled(a.now(), err) })
 		}
 	})
 }
@@ -197,7 +197,7 @@
 		process, err := launch(a.self.Program, r.folder, r.incarnation(number))
 		return func(ctx context.Context) {
 			r.adopt(ctx, process)
-			r.handle(ctx, func(s *tend.Supervisor) tend.Transition {
+			r.handle(ctx, func(s *supervisor.Supervisor) supervisor.Transition {
 				return s.ProcessStarted(a.now(), number, err)
 			})
 		}
@@ -215,7 +215,7 @@
 		err := healthCheck(ctx, r.instance.Listen.String())
 		return func(ctx context.Context) {
 			r.healthChecking = false
-			r.handle(ctx, func(s *tend.Supervisor) tend.Transition { return s.HealthChecked(a.now(), err == nil) })
+			r.handle(ctx, func(s *supervisor.Supervisor) supervisor.Transition { return s.HealthChecked(a.now(), err == nil) })
 		}
 	})
 }
@@ -223,7 +223,9 @@
 func (r *router) signal(ctx context.Context, signal unix.Signal) {
 	a := r.agent
 	if r.process == nil {
-		r.handle(ctx, func(s *tend.Supervisor) tend.Transition { return s.ProcessExited(a.now(), "there is no process") })
+		r.handle(ctx, func(s *supervisor.Supervisor) supervisor.Transition {
+			return s.ProcessExited(a.now(), "there is no process")
+		})
 		return
 	}
 	err := r.process.signal(signal)
--- a/internal/fleet/agent/watch.go
+++ b/internal/fleet/agent/watch.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"time"
 
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 // watchInterval is how often a process's end and its log are looked at.
@@ -71,10 +71,10 @@
 		return
 	}
 	a := r.agent
-	r.handle(ctx, func(s *tend.Supervisor) tend.Transition {
+	r.handle(ctx, func(s *supervisor.Supervisor) supervisor.Transition {
 		if e.counts != nil {
 			s.CountersRead(a.now(), *e.counts)
-			return tend.Transition{}
+			return supervisor.Transition{}
 		}
 		return s.ReloadReported(a.now(), *e.reloadFailure)
 	})
@@ -88,5 +88,5 @@
 	r.process = nil
 	a := r.agent
 	a.log.Warn().Str("instance", r.instance.Name).Str("how", how).Msg("router exited")
-	r.handle(ctx, func(s *tend.Supervisor) tend.Transition { return s.ProcessExited(a.now(), how) })
+	r.handle(ctx, func(s *supervisor.Supervisor) supervisor.Transition { return s.ProcessExited(a.now(), how) })
 }
--- a/internal/fleet/coordinator/environment_test.go
+++ b/internal/fleet/coordinator/environment_test.go
@@ -9,7 +9,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 const (
@@ -23,18 +23,18 @@
 	now         float64
 	fleet       *rollout.Fleet
 	names       []string // of the instances
-	limits      tend.Limits
-	handlers    []*tend.RequestHandler // of the agents
-	unreachable map[int]bool           // agents
-	refusing    map[int]bool           // agents that refuse steps
-	exiting     map[string]bool        // revisions whose process exits at once
-	steps       []string               // that were begun, in order
+	limits      supervisor.Limits
+	handlers    []*supervisor.RequestHandler // of the agents
+	unreachable map[int]bool                 // agents
+	refusing    map[int]bool                 // agents that refuse steps
+	exiting     map[string]bool              // revisions whose process exits at once
+	steps       []string                     // that were begun, in order
 }
 
 func newEnvironment(t *testing.T, agents int) *environment {
 	t.Helper()
 	e := &environment{
-		t: t, limits: tend.DefaultLimits(),
+		t: t, limits: supervisor.DefaultLimits(),
 		unreachable: map[int]bool{}, refusing: map[int]bool{}, exiting: map[string]bool{},
 		fleet: &rollout.Fleet{ZoneMinAvailable: []int{0}, MinAvailable: agents - 1, Timing: rollout.Timing{
 			SoakSeconds: 0.3, StaleAfterSeconds: 1, ContactTimeoutSeconds: 3, StepTimeoutSeconds: 20,
@@ -44,47 +44,47 @@
 		name := fmt.Sprint("n", i)
 		e.fleet.Instances = append(e.fleet.Instances, rollout.Instance{Agent: i})
 		e.names = append(e.names, name)
-		record := tend.Record{ShouldRun: true, Revision: "old", Incarnation: 1}
-		supervised, transition := tend.NewSupervisor(record, &e.limits)
-		e.handlers = append(e.handlers, &tend.RequestHandler{
-			InstanceNames: []string{name}, Lease: lease.Lease{TermSeconds: 3}, Supervisors: []tend.Supervisor{supervised},
+		record := supervisor.Record{ShouldRun: true, Revision: "old", Incarnation: 1}
+		supervised, transition := supervisor.NewSupervisor(record, &e.limits)
+		e.handlers = append(e.handlers, &supervisor.RequestHandler{
+			InstanceNames: []string{name}, Lease: lease.Lease{TermSeconds: 3}, Supervisors: []supervisor.Supervisor{supervised},
 		})
 		e.carryOut(i, transition.Actions)
 	}
 	return e
 }
 
-func (e *environment) supervisor(agent int) *tend.Supervisor {
+func (e *environment) supervisor(agent int) *supervisor.Supervisor {
 	return &e.handlers[agent].Supervisors[0]
 }
 
-func (e *environment) carryOut(agent int, actions []tend.Action) {
+func (e *environment) carryOut(agent int, actions []supervisor.Action) {
 	for _, a := range actions {
 		e.carryOut(agent, e.do(e.supervisor(agent), a).Actions)
 	}
 }
 
-func (e *environment) do(s *tend.Supervisor, a tend.Action) tend.Transition {
+func (e *environment) do(s *supervisor.Supervisor, a supervisor.Action) supervisor.Transition {
 	switch a.Kind {
-	case tend.ActionFindProcess:
+	case supervisor.ActionFindProcess:
 		return s.ProcessFound(e.now, true)
-	case tend.ActionPrepareRevision:
-		return s.RevisionPrepared(e.now, tend.Preparation{DrainSeconds: 1}, nil)
-	case tend.ActionInstallRevision:
+	case supervisor.ActionPrepareRevision:
+		return s.RevisionPrepared(e.now, supervisor.Preparation{DrainSeconds: 1}, nil)
+	case supervisor.ActionInstallRevision:
 		return s.RevisionInstalled(e.now, nil)
-	case tend.ActionStart:
+	case supervisor.ActionStart:
 		started := s.ProcessStarted(e.now, a.Incarnation, nil)
 		if e.exiting[s.Revision] {
 			return s.ProcessExited(e.now, "status 1")
 		}
 		return started
-	case tend.ActionHealthCheck:
+	case supervisor.ActionHealthCheck:
 		return s.HealthChecked(e.now, true)
-	case tend.ActionTerminate:
+	case supervisor.ActionTerminate:
 		return s.ProcessExited(e.now, "ended")
-	case tend.ActionReadCounters, tend.ActionKill, tend.ActionReload:
+	case supervisor.ActionReadCounters, supervisor.ActionKill, supervisor.ActionReload:
 	}
-	return tend.Transition{}
+	return supervisor.Transition{}
 }
 
 func (e *environment) newCoordinator(holder string, task Task) *Coordinator {
--- a/internal/fleet/form/record_names_test.go
+++ b/internal/fleet/form/record_names_test.go
@@ -13,7 +13,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 var recordEncodings = flag.Bool("record-encodings", false, "write testdata/*.cbor from the values of this test")
@@ -40,7 +40,7 @@
 		ID: "r", Revision: "b", Restart: true, RollingBack: true, State: rollout.Paused, Reason: reason, RollbackCause: reason,
 		ExcludedInstances: []int{1, 4}, CurrentStep: step, CommandsBeforeStep: rollout.CommandCounts{Completed: 70, Unanswered: 2}, StepsBegun: 7, StepsNotApplied: 2,
 	})
-	holdsNames(t, "instance", tend.Record{
+	holdsNames(t, "instance", supervisor.Record{
 		ShouldRun: true, Revision: "b", Incarnation: 11, Step: step, Result: rollout.StepNotApplied, Failure: "why", PreviousRevision: "a",
 		MayHaveChanged: true, Reload: true, Replaced: true, DrainSeconds: 3.5,
 	})
--- a/internal/fleet/store/history.go
+++ b/internal/fleet/store/history.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/bbolt"
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 // MaxHistory is how many revisions and how many rollouts a store keeps. Revisions that an instance runs, ran before or is
@@ -80,7 +80,7 @@
 // revisionsInUse are the digests of the revisions that an instance runs, ran before its rollout or is to run.
 func revisionsInUse(tx *bbolt.Tx) (map[string]bool, error) {
 	inUse := map[string]bool{}
-	err := forEachRecord(tx, instancesBucket, func(_ string, r tend.Record) {
+	err := forEachRecord(tx, instancesBucket, func(_ string, r supervisor.Record) {
 		inUse[r.Revision] = true
 		inUse[r.PreviousRevision] = true
 		inUse[r.Step.Revision] = true
--- a/internal/fleet/store/recorded_test.go
+++ b/internal/fleet/store/recorded_test.go
@@ -14,7 +14,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 // testdata/agent.db was written by an agent of format 1 that ran stand-in routers and was ended while one of them
@@ -90,7 +90,7 @@
 			Record: lease.Record{Version: lease.Version{Epoch: 7, Number: 6}, Body: form.Encode(recordedRollouts()[0])},
 		},
 		OperatorRequest: form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: rollout.RequestPause, Operator: "op"},
-		Instances: map[string]tend.Record{
+		Instances: map[string]supervisor.Record{
 			"open": {
 				ShouldRun: true, Revision: firstRevision, Incarnation: 1, PreviousRevision: firstRevision, MayHaveChanged: true, DrainSeconds: 1.7,
 				Step:   rollout.Step{RolloutID: "r-running", Number: 11, Revision: secondRevision, Restart: true},
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -17,7 +17,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 // FormatVersion is the version of the records that this program reads and writes. Open refuses a store of another one.
@@ -48,16 +48,16 @@
 type State struct {
 	Lease           lease.PersistentState
 	OperatorRequest form.OperatorRequest
-	Instances       map[string]tend.Record
+	Instances       map[string]supervisor.Record
 }
 
 // Change is what one call of Save writes. What is nil, and instances that are not named, stay as they are.
 type Change struct {
 	Lease           *lease.PersistentState
 	OperatorRequest *form.OperatorRequest
-	Instances       map[string]tend.Record // by name
-	Revision        *form.Revision         // added, or replaced if its digest is known
-	Rollout         *form.Rollout          // added, or replaced if its ID is known
+	Instances       map[string]supervisor.Record // by name
+	Revision        *form.Revision               // added, or replaced if its digest is known
+	Rollout         *form.Rollout                // added, or replaced if its ID is known
 }
 
 // Open opens the store at path and creates it if there is none, with its folder. Its errors name the path; they match
@@ -105,7 +105,7 @@
 
 // Load reads the state. Its errors match *CorruptRecordError if a record is damaged.
 func (s *Store) Load() (State, error) {
-	state := State{Instances: map[string]tend.Record{}}
+	state := State{Instances: map[string]supervisor.Record{}}
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		if _, err := getRecord(tx, metaBucket, leaseKey, &state.Lease); err != nil {
 			return err
@@ -113,7 +113,7 @@
 		if _, err := getRecord(tx, metaBucket, operatorRequestKey, &state.OperatorRequest); err != nil {
 			return err
 		}
-		return forEachRecord(tx, instancesBucket, func(name string, r tend.Record) {
+		return forEachRecord(tx, instancesBucket, func(name string, r supervisor.Record) {
 			state.Instances[name] = r
 		})
 	})
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -17,7 +17,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 // writerVariable makes the test binary a program that writes to the store at its value until it is killed.
@@ -52,7 +52,7 @@
 func change(n uint64) Change {
 	return Change{
 		Lease:     &lease.PersistentState{Epoch: n, Holder: strings.Repeat("h", int(n%50)*100)},
-		Instances: map[string]tend.Record{"n1": {Incarnation: n, Step: rollout.Step{Number: n}}},
+		Instances: map[string]supervisor.Record{"n1": {Incarnation: n, Step: rollout.Step{Number: n}}},
 	}
 }
 
@@ -80,7 +80,7 @@
 	s, err := Open(filepath.Join(t.TempDir(), "store.db"))
 	require.NoError(t, err)
 	defer func() { _ = s.Close() }()
-	require.NoError(t, s.Save(Change{Instances: map[string]tend.Record{"n1": {Revision: "d0", PreviousRevision: "d1"}}}))
+	require.NoError(t, s.Save(Change{Instances: map[string]supervisor.Record{"n1": {Revision: "d0", PreviousRevision: "d1"}}}))
 	for i := range MaxHistory + 20 {
 		require.NoError(t, s.Save(Change{
 			Revision: &form.Revision{Digest: fmt.Sprint("d", i), PushedAt: int64(i), Content: []byte("x")},
--- a/internal/fleet/tend/action.go
+++ b/internal/fleet/supervisor/action.go
@@ -1,4 +1,4 @@
-package tend
+package supervisor
 
 // ActionKind is what an agent is to do with a router.
 type ActionKind int
--- a/internal/fleet/tend/doc.go
+++ b/internal/fleet/supervisor/doc.go
@@ -6,4 +6,4 @@
 // A router is taken out of service only by a step that was stored before. An agent that starts again resolves the
 // step that it had begun: a step that had changed nothing is not applied, one that may have is continued, and a
 // router that turns out to serve is left alone.
-package tend
+package supervisor
--- a/internal/fleet/tend/limits.go
+++ b/internal/fleet/supervisor/limits.go
@@ -1,4 +1,4 @@
-package tend
+package supervisor
 
 // Limits are the timeouts, intervals and counts of a supervisor.
 type Limits struct {
--- a/internal/fleet/tend/process_test.go
+++ b/internal/fleet/supervisor/process_test.go
@@ -1,4 +1,4 @@
-package tend
+package supervisor
 
 import (
 	"math"
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -11,7 +11,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tend"
+	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
 )
 
@@ -44,7 +44,7 @@
 	fault        string
 	fleet        *rollout.Fleet
 	names        []string
-	limits       tend.Limits
+	limits       supervisor.Limits
 	now          float64
 	ticks        int
 	faults       int
@@ -55,11 +55,11 @@
 }
 
 type rollAgent struct {
-	handler        tend.RequestHandler
+	handler        supervisor.RequestHandler
 	lease          lease.PersistentState
-	record         tend.Record
+	record         supervisor.Record
 	alive          bool
-	pendingActions []tend.Action // acts that are still to be carried out
+	pendingActions []supervisor.Action // acts that are still to be carried out
 	runs           bool
 	serves         bool // it has answered since it started, whichever life of the agent asked
 	incarnation    uint64
@@ -84,7 +84,7 @@
 }
 
 func newRollout(b Bounds, fault string) *rolloutSystem {
-	r := &rolloutSystem{bounds: b, fault: fault, check: verdict.NewFleet(b.Agents - 1), limits: tend.Limits{
+	r := &rolloutSystem{bounds: b, fault: fault, check: verdict.NewFleet(b.Agents - 1), limits: supervisor.Limits{
 		ReadyTimeoutSeconds: 100, TerminationGraceSeconds: 0.5,
 		HealthCheckSeconds: 1e9, CounterReadSeconds: 1e9, RecentSeconds: 1, MinBackoffSeconds: 0.5, MaxBackoffSeconds: 1, StableSeconds: 1e9, MaxCrashes: 9, MaxMissedHealthChecks: 9, KillRetrySeconds: 100,
 	}}
@@ -95,7 +95,7 @@
 	for i := range b.Agents {
 		r.fleet.Instances = append(r.fleet.Instances, rollout.Instance{Agent: i})
 		r.names = append(r.names, fmt.Sprint("n", i))
-		a := &rollAgent{runs: true, serves: true, incarnation: 1, record: tend.Record{ShouldRun: true, Revision: "old", Incarnation: 1}}
+		a := &rollAgent{runs: true, serves: true, incarnation: 1, record: supervisor.Record{ShouldRun: true, Revision: "old", Incarnation: 1}}
 		r.agents = append(r.agents, a)
 		r.birth(i)
 		for len(a.pendingActions) > 0 {
@@ -245,10 +245,10 @@
 	if r.fault == "forgetful" {
 		a.lease = lease.PersistentState{}
 	}
-	x, out := tend.NewSupervisor(a.record, &r.limits)
-	a.handler = tend.RequestHandler{
+	x, out := supervisor.NewSupervisor(a.record, &r.limits)
+	a.handler = supervisor.RequestHandler{
 		Agent: fmt.Sprint("a", i), InstanceNames: []string{r.names[i]}, Lease: lease.Restore(a.lease, rollTerm, r.now),
-		Supervisors: []tend.Supervisor{x},
+		Supervisors: []supervisor.Supervisor{x},
 	}
 	a.pendingActions = append(a.pendingActions, out.Actions...)
 }
@@ -259,22 +259,22 @@
 	x := &a.handler.Supervisors[0]
 	e := a.pendingActions[0]
 	a.pendingActions = a.pendingActions[1:]
-	var out tend.Transition
+	var out supervisor.Transition
 	switch e.Kind {
-	case tend.ActionFindProcess:
+	case supervisor.ActionFindProcess:
 		out = x.ProcessFound(r.now, a.runs && a.incarnation == e.Incarnation && (r.fault != "twin" || a.lives == 1))
-	case tend.ActionPrepareRevision:
-		out = x.RevisionPrepared(r.now, tend.Preparation{DrainSeconds: 100}, nil)
-	case tend.ActionInstallRevision:
+	case supervisor.ActionPrepareRevision:
+		out = x.RevisionPrepared(r.now, supervisor.Preparation{DrainSeconds: 100}, nil)
+	case supervisor.ActionInstallRevision:
 		out = x.RevisionInstalled(r.now, nil)
-	case tend.ActionStart:
+	case supervisor.ActionStart:
 		out = r.startRouter(i, e.Incarnation)
-	case tend.ActionHealthCheck:
+	case supervisor.ActionHealthCheck:
 		a.serves = a.runs
 		out = x.HealthChecked(r.now, a.runs)
-	case tend.ActionTerminate:
+	case supervisor.ActionTerminate:
 		out = r.terminateRouter(i)
-	case tend.ActionReadCounters, tend.ActionKill, tend.ActionReload: // nothing comes of them here
+	case supervisor.ActionReadCounters, supervisor.ActionKill, supervisor.ActionReload: // nothing comes of them here
 	}
 	if out.Store {
 		r.stored(i)
@@ -282,7 +282,7 @@
 	a.pendingActions = append(a.pendingActions, out.Actions...)
 }
 
-func (r *rolloutSystem) startRouter(i int, incarnation uint64) tend.Transition {
+func (r *rolloutSystem) startRouter(i int, incarnation uint64) supervisor.Transition {
 	a := r.agents[i]
 	running := 0
 	if a.runs {
@@ -291,12 +291,12 @@
 	r.check.Started(i, running)
 	a.runs, a.serves, a.incarnation = true, false, incarnation
 	if r.fault == "untold-start" {
-		return tend.Transition{}
+		return supervisor.Transition{}
 	}
 	return a.handler.Supervisors[0].ProcessStarted(r.now, incarnation, nil)
 }
 
-func (r *rolloutSystem) terminateRouter(i int) tend.Transition {
+func (r *rolloutSystem) terminateRouter(i int) supervisor.Transition {
 	a := r.agents[i]
 	others := 0
 	for j, other := range r.agents {
@@ -471,7 +471,7 @@
 		"coordinator.Coordinator": {"events", "lastCallID", "pendingCalls", "statuses"},
 		"coordinator.agent":       {"leaseState", "pendingCommand", "pendingQuery"},
 		"systems.rollCall":        {"ID"},
-		"tend.Supervisor":         {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
+		"supervisor.Supervisor":   {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
 	},
 	Times: explore.Fields{
 		"lease.Lease":             {"expiresAt", "heldSince", "now"},
@@ -479,7 +479,7 @@
 		"rollout.Observation":     {"SeenAt"},
 		"coordinator.Coordinator": {"lastMajority", "nextStepSend", "phaseTime"},
 		"coordinator.agent":       {"nextCommand", "nextQuery"},
-		"tend.Supervisor":         {"deadline"},
+		"supervisor.Supervisor":   {"deadline"},
 	},
 }
 
