--- a/internal/cli/fleet_rollout.go
+++ b/internal/cli/fleet_rollout.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
@@ -108,7 +108,7 @@
 }
 
 // requestOfDriver stores a request for the tool that drives the rollout, and polls until it is done or cannot be.
-func (a *app) requestOfDriver(ctx context.Context, client *tool.Client, rollout form.Rollout, request rollout.OperatorRequest) error {
+func (a *app) requestOfDriver(ctx context.Context, client *tool.Client, rollout protocol.Rollout, request rollout.OperatorRequest) error {
 	if agents := client.RequestAction(ctx, rollout, request); agents == 0 {
 		return exitError(ExitFailed, errors.New("no agent took the wish"))
 	}
@@ -133,7 +133,7 @@
 }
 
 // requestDone tells whether the rollout is as the operator has requested.
-func requestDone(request rollout.OperatorRequest, current form.Rollout) bool {
+func requestDone(request rollout.OperatorRequest, current protocol.Rollout) bool {
 	switch request {
 	case rollout.RequestNone:
 		return false
@@ -147,7 +147,7 @@
 	return false
 }
 
-func (a *app) showRolloutState(rollout form.Rollout) error {
+func (a *app) showRolloutState(rollout protocol.Rollout) error {
 	state := struct {
 		ID    string `json:"rollout"`
 		State string `json:"state"`
--- a/internal/drill/fleet_size.go
+++ b/internal/drill/fleet_size.go
@@ -16,9 +16,9 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/fleet/api"
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/keys"
@@ -68,13 +68,13 @@
 }
 
 // Handle implements api.Handler.
-func (a *staticAgent) Handle(_ context.Context, _ string, request form.Request) (form.Reply, error) {
-	if request.Verb != form.StatusVerb {
-		return form.Reply{Failure: "this agent only looks"}, nil
+func (a *staticAgent) Handle(_ context.Context, _ string, request protocol.Request) (protocol.Reply, error) {
+	if request.Verb != protocol.StatusVerb {
+		return protocol.Reply{Failure: "this agent only looks"}, nil
 	}
-	reply := form.Reply{Agent: a.name, Program: "stand-in", LeaseState: lease.State{Epoch: 3}}
+	reply := protocol.Reply{Agent: a.name, Program: "stand-in", LeaseState: lease.State{Epoch: 3}}
 	for _, name := range a.instanceNames {
-		reply.Instances = append(reply.Instances, form.InstanceStatus{
+		reply.Instances = append(reply.Instances, protocol.InstanceStatus{
 			Name: name, Listen: "127.0.0.1:5432",
 			Observation: rollout.Observation{
 				State:          rollout.ProcessReady,
--- a/internal/drill/lease_agent.go
+++ b/internal/drill/lease_agent.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
@@ -194,21 +194,21 @@
 }
 
 // answer handles a request. It returns false if the agent is down, or crashes before it replies.
-func (a *simulatedAgent) answer(request form.Request) (form.Reply, bool) {
+func (a *simulatedAgent) answer(request protocol.Request) (protocol.Reply, bool) {
 	if !a.alive {
-		return form.Reply{}, false
+		return protocol.Reply{}, false
 	}
 	fault := a.round.options.Fault
-	if fault == faultUnfenced && request.Verb == form.BeginStepVerb {
+	if fault == faultUnfenced && request.Verb == protocol.BeginStepVerb {
 		request.Epoch = a.handler.Lease.Epoch
 		request.Holder = a.handler.Lease.Holder
 		a.handler.Lease.Acquire(a.now(), lease.Request{Epoch: request.Epoch, Holder: request.Holder})
 	}
-	if fault == faultUnkept && request.Verb == form.StoreRecordVerb {
-		return form.Reply{LeaseState: a.handler.Lease.State(a.now())}, true
+	if fault == faultUnkept && request.Verb == protocol.StoreRecordVerb {
+		return protocol.Reply{LeaseState: a.handler.Lease.State(a.now())}, true
 	}
 	reply, changes := a.handler.Handle(a.now(), request)
-	if request.Verb == form.BeginStepVerb && (reply.Denial == lease.StaleEpoch || reply.Denial == lease.Expired) {
+	if request.Verb == protocol.BeginStepVerb && (reply.Denial == lease.StaleEpoch || reply.Denial == lease.Expired) {
 		a.round.report.StaleSteps++
 	}
 	if changes.Lease {
@@ -217,7 +217,7 @@
 	if changes.ChangedInstance >= 0 {
 		a.store()
 		if !a.alive { // it crashed between the store and the reply
-			return form.Reply{}, false
+			return protocol.Reply{}, false
 		}
 	}
 	a.perform(changes.Actions)
--- a/internal/drill/lease_operator.go
+++ b/internal/drill/lease_operator.go
@@ -4,8 +4,8 @@
 	"fmt"
 
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
@@ -39,7 +39,7 @@
 	run           int                      // of the tool; events of an earlier run are dropped
 	startedAt     int64                    // timestamp of the history
 	versionBefore lease.Version            // stored by a majority when the tool started
-	lastRollout   form.Rollout             // as the last tool left it
+	lastRollout   protocol.Rollout         // as the last tool left it
 	nextTick      float64                  // virtual seconds; an earlier scheduled tick is dropped
 }
 
@@ -51,7 +51,7 @@
 	o.holder = fmt.Sprint("operator ", o.index, ".", r.toolsStarted)
 	task := coordinator.Task{
 		Operation: coordinator.OperationBegin, Operator: o.holder, Takeover: r.rng.IntN(4) == 0,
-		Rollout: form.Rollout{Rollout: rollout.Rollout{ID: o.holder, Revision: fmt.Sprint("r", r.toolsStarted)}},
+		Rollout: protocol.Rollout{Rollout: rollout.Rollout{ID: o.holder, Revision: fmt.Sprint("r", r.toolsStarted)}},
 	}
 	if o.lastRollout.ID != "" && !o.lastRollout.State.Terminal() {
 		operations := []coordinator.Operation{coordinator.OperationResume, coordinator.OperationResume, coordinator.OperationRollback, coordinator.OperationAbort}
@@ -95,7 +95,7 @@
 		o.handleEvent(e)
 	}
 	for _, call := range calls {
-		if call.Request.Verb == form.StoreRecordVerb {
+		if call.Request.Verb == protocol.StoreRecordVerb {
 			o.noteStoredStep(call.Request)
 		}
 		o.send(call)
@@ -146,9 +146,9 @@
 }
 
 // noteStoredStep remembers when the record of a step was first sent to be stored: from then on agents may begin it.
-func (o *simulatedOperator) noteStoredStep(request form.Request) {
-	var rollout form.Rollout
-	if form.Decode("record", request.Record.Body, &rollout) != nil || rollout.CurrentStep.Number == 0 {
+func (o *simulatedOperator) noteStoredStep(request protocol.Request) {
+	var rollout protocol.Rollout
+	if protocol.Decode("record", request.Record.Body, &rollout) != nil || rollout.CurrentStep.Number == 0 {
 		return
 	}
 	key := stepKey{epoch: request.Epoch, rolloutID: rollout.ID, number: rollout.CurrentStep.Number}
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/lab/stand"
@@ -192,7 +192,7 @@
 		return err
 	}
 	d.logf("agents are up; the first revision goes out")
-	o := d.client.Drive(ctx, d.client.NewRollout(form.Revision{Digest: d.firstRevision, Name: "first"}, false), nil)
+	o := d.client.Drive(ctx, d.client.NewRollout(protocol.Revision{Digest: d.firstRevision, Name: "first"}, false), nil)
 	if o.Kind != coordinator.OutcomeEnded || o.Rollout.State != rollout.Complete {
 		return fmt.Errorf("the first rollout: %d %s %s %v", o.Kind, o.Rollout.State, d.client.Explain(o.Reason), o.Faults)
 	}
@@ -233,7 +233,7 @@
 // driveSecond drives the second revision's rollout. If it pauses since an agent stays gone, the drill resumes it without
 // that instance, as an operator would.
 func (d *rolloutDrill) driveSecond(ctx context.Context, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
-	outcome := d.client.Drive(ctx, d.client.NewRollout(form.Revision{Digest: d.secondRevision, Name: "second"}, false), watch)
+	outcome := d.client.Drive(ctx, d.client.NewRollout(protocol.Revision{Digest: d.secondRevision, Name: "second"}, false), watch)
 	paused := outcome.Kind == coordinator.OutcomeEnded && outcome.Rollout.State == rollout.Paused
 	agentIsGone := d.options.AgentStaysGone && d.killedInstance != noInstance
 	if !paused || !agentIsGone {
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -17,9 +17,9 @@
 
 	"github.com/rs/zerolog"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/store"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
@@ -46,11 +46,11 @@
 	// Save writes a change, which is durable when it returns nil and has not happened otherwise.
 	Save(store.Change) error
 	// Revision returns a revision with its content, and whether there is one of the digest.
-	Revision(digest string) (form.Revision, bool, error)
+	Revision(digest string) (protocol.Revision, bool, error)
 	// Revisions lists the revisions without their contents, newest first.
-	Revisions() ([]form.Revision, error)
+	Revisions() ([]protocol.Revision, error)
 	// Rollouts lists the rollouts, newest first.
-	Rollouts() ([]form.Rollout, error)
+	Rollouts() ([]protocol.Rollout, error)
 }
 
 // event is something that Run does in its goroutine, between others. ctx is that of Run.
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -18,9 +18,9 @@
 	"go.uber.org/goleak"
 	"golang.org/x/sys/unix"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/store"
@@ -75,8 +75,8 @@
 		r.stop()
 		killRouters(t, dir)
 	})
-	r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 1, Holder: "h", Takeover: true}})
-	r.waitFor("it knows its router", func(t form.InstanceStatus) bool { return t.State != rollout.ProcessUnknown })
+	r.call(protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 1, Holder: "h", Takeover: true}})
+	r.waitFor("it knows its router", func(t protocol.InstanceStatus) bool { return t.State != rollout.ProcessUnknown })
 	return r
 }
 
@@ -101,7 +101,7 @@
 }
 
 // call sends a request to the agent as operator op.
-func (r *rig) call(c form.Request) form.Reply {
+func (r *rig) call(c protocol.Request) protocol.Reply {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -111,8 +111,8 @@
 }
 
 // status is the agent's report of the instance.
-func (r *rig) status() form.InstanceStatus {
-	return r.call(form.Request{Verb: form.StatusVerb}).Instances[0]
+func (r *rig) status() protocol.InstanceStatus {
+	return r.call(protocol.Request{Verb: protocol.StatusVerb}).Instances[0]
 }
 
 // inEventLoop runs something in the agent's goroutine, between its events.
@@ -130,7 +130,7 @@
 }
 
 // waitFor polls the instance's status until a condition holds, which what names.
-func (r *rig) waitFor(what string, condition func(t form.InstanceStatus) bool) form.InstanceStatus {
+func (r *rig) waitFor(what string, condition func(t protocol.InstanceStatus) bool) protocol.InstanceStatus {
 	r.t.Helper()
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		status := r.status()
@@ -153,17 +153,17 @@
 	raw, err := revision.Canonical("f", stand.JSON(stand.Deployment("127.0.0.1:9", 0.1, more)))
 	require.NoError(r.t, err)
 	digest := revision.Digest(raw)
-	reply := r.call(form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Digest: digest, Content: raw}})
+	reply := r.call(protocol.Request{Verb: protocol.PutRevisionVerb, Revision: protocol.Revision{Digest: digest, Content: raw}})
 	require.Empty(r.t, reply.Failure)
 	return digest
 }
 
 // completeStep begins the next step and waits until it is over.
-func (r *rig) completeStep(digest string) form.InstanceStatus {
+func (r *rig) completeStep(digest string) protocol.InstanceStatus {
 	r.t.Helper()
 	failure := r.beginStep(digest)
 	require.Empty(r.t, failure)
-	return r.waitFor("its end", func(t form.InstanceStatus) bool {
+	return r.waitFor("its end", func(t protocol.InstanceStatus) bool {
 		return t.LastStep.Number == r.stepNumber && t.LastResult != rollout.StepPending
 	})
 }
@@ -171,8 +171,8 @@
 // beginStep begins the next step and returns why it was not begun.
 func (r *rig) beginStep(digest string) string {
 	r.stepNumber++
-	reply := r.call(form.Request{
-		Verb: form.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n",
+	reply := r.call(protocol.Request{
+		Verb: protocol.BeginStepVerb, Epoch: 1, Holder: "h", InstanceName: "n",
 		Step: rollout.Step{RolloutID: "r", Number: r.stepNumber, Revision: digest},
 	})
 	if reply.Denial != lease.Granted {
@@ -181,7 +181,7 @@
 	return reply.Failure
 }
 
-func ready(t form.InstanceStatus) bool { return t.State == rollout.ProcessReady }
+func ready(t protocol.InstanceStatus) bool { return t.State == rollout.ProcessReady }
 
 func TestStepsStartRestartAndReloadRouters(t *testing.T) {
 	t.Parallel()
@@ -191,7 +191,7 @@
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	first := status.ProcessID
 	assert.NotZero(t, first)
-	r.waitFor("counters", func(t form.InstanceStatus) bool { return t.CommandsSinceStep.Completed >= 200 })
+	r.waitFor("counters", func(t protocol.InstanceStatus) bool { return t.CommandsSinceStep.Completed >= 200 })
 	b := r.push(stand.Conduct{}, map[string]any{"discovery": "127.0.0.1:10"})
 	status = r.completeStep(b)
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
@@ -222,10 +222,10 @@
 		assert.Equal(t, rollout.ProcessReady, status.State)
 	}
 	assert.Contains(t, r.completeStep(strings.Repeat("0", 32)).LastFailure, "is not at agent a: push it")
-	reply := r.call(form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Digest: "x", Content: []byte(`{"discovery":"x"}`)}})
+	reply := r.call(protocol.Request{Verb: protocol.PutRevisionVerb, Revision: protocol.Revision{Digest: "x", Content: []byte(`{"discovery":"x"}`)}})
 	assert.Contains(t, reply.Failure, "and it is called x")
 	raw := []byte(`{"discovery":"x"}`)
-	reply = r.call(form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Digest: revision.Digest(raw), Content: raw}})
+	reply = r.call(protocol.Request{Verb: protocol.PutRevisionVerb, Revision: protocol.Revision{Digest: revision.Digest(raw), Content: raw}})
 	assert.Contains(t, reply.Failure, "instance n: discovery:", "the router's own reader refuses it")
 }
 
@@ -253,9 +253,9 @@
 	assert.Equal(t, status.ProcessID, again.ProcessID)
 	p := r.process()
 	require.NoError(t, p.signal(unix.SIGKILL))
-	after := r.waitFor("a new one", func(t form.InstanceStatus) bool { return ready(t) && t.ProcessID != status.ProcessID })
+	after := r.waitFor("a new one", func(t protocol.InstanceStatus) bool { return ready(t) && t.ProcessID != status.ProcessID })
 	assert.Equal(t, 1, after.Crashes)
-	assert.NotEqual(t, lease.Granted, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 1, Holder: "other"}}).Denial,
+	assert.NotEqual(t, lease.Granted, r.call(protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 1, Holder: "other"}}).Denial,
 		"promises outlive the agent")
 }
 
@@ -290,7 +290,7 @@
 		require.Empty(t, r.beginStep(b), name)
 		time.Sleep(after)
 		r.restart()
-		status := r.waitFor("an end", func(t form.InstanceStatus) bool { return t.LastResult != rollout.StepPending && ready(t) })
+		status := r.waitFor("an end", func(t protocol.InstanceStatus) bool { return t.LastResult != rollout.StepPending && ready(t) })
 		assert.NotEqual(t, rollout.StepFailed, status.LastResult, "%s: %s", name, status.LastFailure)
 		if status.LastResult == rollout.StepSucceeded {
 			assert.Equal(t, b, status.Revision, name)
@@ -305,9 +305,9 @@
 	b := r.push(stand.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}})
 	r.store.full.Store(true)
 	assert.Contains(t, r.beginStep(b), "no space left")
-	assert.Contains(t, r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 9, Holder: "h"}}).Failure, "no space left")
+	assert.Contains(t, r.call(protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 9, Holder: "h"}}).Failure, "no space left")
 	assert.Equal(t, status.ProcessID, r.status().ProcessID)
-	assert.EqualValues(t, 1, r.call(form.Request{Verb: form.StatusVerb}).LeaseState.Epoch, "nothing is promised that is not kept")
+	assert.EqualValues(t, 1, r.call(protocol.Request{Verb: protocol.StatusVerb}).LeaseState.Epoch, "nothing is promised that is not kept")
 	r.store.full.Store(false)
 	assert.Equal(t, rollout.StepSucceeded, r.completeStep(b).LastResult)
 }
@@ -318,7 +318,7 @@
 	r.inEventLoop(func() { r.agent.limits.MinBackoffSeconds, r.agent.limits.MaxCrashes = 0.01, 3 })
 	status := r.completeStep(r.push(stand.Conduct{LiveFor: 0.3}, nil))
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult)
-	status = r.waitFor("broken", func(t form.InstanceStatus) bool { return t.State == rollout.ProcessCrashLooping })
+	status = r.waitFor("broken", func(t protocol.InstanceStatus) bool { return t.State == rollout.ProcessCrashLooping })
 	assert.Equal(t, 4, status.Crashes)
 }
 
--- a/internal/fleet/agent/config.go
+++ b/internal/fleet/agent/config.go
@@ -9,7 +9,7 @@
 	"github.com/google/renameio/v2"
 
 	"stoatdale.example/stoatdale/internal/config"
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/store"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
@@ -103,7 +103,7 @@
 }
 
 // putRevision stores a revision that is right for every instance here.
-func (a *Agent) putRevision(operator string, rev form.Revision) error {
+func (a *Agent) putRevision(operator string, rev protocol.Revision) error {
 	canonical, err := revision.Canonical("revision", rev.Content)
 	if err != nil {
 		return err
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/lab/stand"
@@ -30,7 +30,7 @@
 func TestAgentContinuesFromRecordedStore(t *testing.T) {
 	t.Parallel()
 	r, names := startOnRecordedStore(t)
-	status := r.waitFor("the open step is done", func(x form.InstanceStatus) bool { return x.LastResult != rollout.StepPending })
+	status := r.waitFor("the open step is done", func(x protocol.InstanceStatus) bool { return x.LastResult != rollout.StepPending })
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.Equal(t, recordedSecond, status.Revision)
 	assert.Equal(t, rollout.Step{RolloutID: "r-running", Number: 11, Revision: recordedSecond, Restart: true}, status.LastStep)
@@ -38,11 +38,11 @@
 		if name == "failed" {
 			continue // its revision ends at once, again and again
 		}
-		r.waitFor(name+" is ready", func(form.InstanceStatus) bool {
-			return ready(r.call(form.Request{Verb: form.StatusVerb}).Instances[i])
+		r.waitFor(name+" is ready", func(protocol.InstanceStatus) bool {
+			return ready(r.call(protocol.Request{Verb: protocol.StatusVerb}).Instances[i])
 		})
 	}
-	now := r.call(form.Request{Verb: form.StatusVerb})
+	now := r.call(protocol.Request{Verb: protocol.StatusVerb})
 	assert.Equal(t, rollout.StepFailed, now.Instances[1].LastResult)
 	assert.Equal(t, "6fea0983c1f16ffcf364e43900f86fcb", now.Instances[2].Revision)
 	assert.Equal(t, recordedFirst, now.Instances[3].Revision)
@@ -50,17 +50,17 @@
 	assert.Equal(t, recordedHolder, now.LeaseState.Holder)
 	assert.True(t, now.LeaseState.Held)
 	assert.Equal(t, lease.Version{Epoch: 7, Number: 6}, now.Record.Version)
-	assert.Equal(t, form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: rollout.RequestPause, Operator: "op"}, now.OperatorRequest)
+	assert.Equal(t, protocol.OperatorRequest{RolloutID: "r-running", Run: 6, Action: rollout.RequestPause, Operator: "op"}, now.OperatorRequest)
 
-	refused := r.call(form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 7, Holder: "other"}})
+	refused := r.call(protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 7, Holder: "other"}})
 	assert.Equal(t, lease.StaleEpoch, refused.Denial, "what was promised stays promised")
-	reply := r.call(form.Request{
-		Verb: form.BeginStepVerb, Epoch: 7, Holder: recordedHolder, InstanceName: "open",
+	reply := r.call(protocol.Request{
+		Verb: protocol.BeginStepVerb, Epoch: 7, Holder: recordedHolder, InstanceName: "open",
 		Step: rollout.Step{RolloutID: "r-running", Number: 12, Revision: recordedFirst, Rollback: true},
 	})
 	require.Equal(t, lease.Granted, reply.Denial)
 	require.Empty(t, reply.Failure)
-	status = r.waitFor("the next step", func(x form.InstanceStatus) bool {
+	status = r.waitFor("the next step", func(x protocol.InstanceStatus) bool {
 		return x.LastStep.Number == 12 && x.LastResult != rollout.StepPending
 	})
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
--- a/internal/fleet/agent/requests.go
+++ b/internal/fleet/agent/requests.go
@@ -5,42 +5,42 @@
 	"errors"
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/store"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
 // Handle handles a request of an operator. It implements api.Handler, and may be called from any goroutine while Run
 // runs; it fails if ctx ends before the reply is there.
-func (a *Agent) Handle(ctx context.Context, operator string, request form.Request) (form.Reply, error) {
-	replies := make(chan form.Reply, 1)
+func (a *Agent) Handle(ctx context.Context, operator string, request protocol.Request) (protocol.Reply, error) {
+	replies := make(chan protocol.Reply, 1)
 	handle := func(runContext context.Context) { replies <- a.handleRequest(runContext, operator, request) }
 	select {
 	case a.events <- handle:
 	case <-ctx.Done():
-		return form.Reply{}, ctx.Err()
+		return protocol.Reply{}, ctx.Err()
 	}
 	select {
 	case reply := <-replies:
 		return reply, nil
 	case <-ctx.Done():
-		return form.Reply{}, ctx.Err()
+		return protocol.Reply{}, ctx.Err()
 	}
 }
 
-func (a *Agent) handleRequest(ctx context.Context, operator string, request form.Request) form.Reply {
-	reply := form.Reply{Agent: a.handler.Agent, Program: a.handler.Program}
+func (a *Agent) handleRequest(ctx context.Context, operator string, request protocol.Request) protocol.Reply {
+	reply := protocol.Reply{Agent: a.handler.Agent, Program: a.handler.Program}
 	switch request.Verb {
-	case form.PutRevisionVerb:
+	case protocol.PutRevisionVerb:
 		reply.Failure = errorText(a.putRevision(operator, request.Revision))
-	case form.GetRevisionVerb:
+	case protocol.GetRevisionVerb:
 		rev, found, err := a.store.Revision(request.Revision.Digest)
 		if err == nil && found {
-			reply.Revisions = []form.Revision{rev}
+			reply.Revisions = []protocol.Revision{rev}
 		}
 		reply.Failure = errorText(err)
-	case form.HistoryVerb:
+	case protocol.HistoryVerb:
 		var revisionsErr, rolloutsErr error
 		reply.Revisions, revisionsErr = a.store.Revisions()
 		reply.Rollouts, rolloutsErr = a.store.Rollouts()
@@ -53,7 +53,7 @@
 
 // handleDecision handles a request that package tend decides on. What it changes is stored before the reply; if that
 // fails the request has not happened and is denied.
-func (a *Agent) handleDecision(ctx context.Context, operator string, request form.Request) form.Reply {
+func (a *Agent) handleDecision(ctx context.Context, operator string, request protocol.Request) protocol.Reply {
 	request.OperatorRequest.Operator = operator
 	before := a.handler
 	before.Supervisors = slices.Clone(a.handler.Supervisors)
@@ -62,7 +62,7 @@
 		if err := a.store.Save(change); err != nil {
 			a.handler = before
 			a.log.Error().Err(err).Str("verb", string(request.Verb)).Msg("state not stored: request denied")
-			return form.Reply{
+			return protocol.Reply{
 				Agent: reply.Agent, Program: reply.Program, Denial: lease.NotHolder, Failure: err.Error(),
 				LeaseState: a.handler.Lease.State(a.now()),
 			}
@@ -83,15 +83,15 @@
 }
 
 // storeChange is what a request has changed that must be stored, and whether there is any.
-func (a *Agent) storeChange(request form.Request, changes supervisor.Changes) (change store.Change, dirty bool) {
+func (a *Agent) storeChange(request protocol.Request, changes supervisor.Changes) (change store.Change, dirty bool) {
 	if changes.Lease {
 		lease := a.handler.Lease.PersistentState
 		change.Lease = &lease
 	}
-	if changes.Lease && request.Verb == form.StoreRecordVerb {
+	if changes.Lease && request.Verb == protocol.StoreRecordVerb {
 		// A record of a later version may not be readable here. It is stored all the same, but not in the history.
-		var rollout form.Rollout
-		if err := form.Decode("record", request.Record.Body, &rollout); err == nil && rollout.ID != "" {
+		var rollout protocol.Rollout
+		if err := protocol.Decode("record", request.Record.Body, &rollout); err == nil && rollout.ID != "" {
 			change.Rollout = &rollout
 		}
 	}
@@ -105,9 +105,9 @@
 }
 
 // logRequest logs a request, but for those that a rollout makes all the time.
-func (a *Agent) logRequest(operator string, request form.Request, reply form.Reply) {
+func (a *Agent) logRequest(operator string, request protocol.Request, reply protocol.Reply) {
 	granted := reply.Denial == lease.Granted
-	if request.Verb == form.StatusVerb || request.Verb == form.StoreRecordVerb && granted {
+	if request.Verb == protocol.StatusVerb || request.Verb == protocol.StoreRecordVerb && granted {
 		return
 	}
 	epoch := max(request.Epoch, request.LeaseRequest.Epoch)
--- a/internal/fleet/api/api.go
+++ b/internal/fleet/api/api.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 )
 
 // Bounds of an agent's listener and of the client's connections.
@@ -32,7 +32,7 @@
 type Versions struct{ Min, Max int }
 
 // SupportedVersions are those that this program speaks.
-var SupportedVersions = Versions{Min: form.MinVersion, Max: form.MaxVersion}
+var SupportedVersions = Versions{Min: protocol.MinVersion, Max: protocol.MaxVersion}
 
 // contains tells whether a version is among them.
 func (v Versions) contains(version int) bool { return v.Min <= version && version <= v.Max }
--- a/internal/fleet/api/api_test.go
+++ b/internal/fleet/api/api_test.go
@@ -17,16 +17,16 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
 // echo answers with what it was asked, as far as an answer can hold it.
 type echo struct{ fail error }
 
-func (e echo) Handle(_ context.Context, operator string, c form.Request) (form.Reply, error) {
-	return form.Reply{Agent: operator, Failure: string(c.Verb), Revisions: []form.Revision{c.Revision}}, e.fail
+func (e echo) Handle(_ context.Context, operator string, c protocol.Request) (protocol.Reply, error) {
+	return protocol.Reply{Agent: operator, Failure: string(c.Verb), Revisions: []protocol.Revision{c.Revision}}, e.fail
 }
 
 // rig is an agent's server on loopback, with the keys of an agent and an operator. It takes the server's log.
@@ -77,19 +77,19 @@
 	r := newRig(t, SupportedVersions, echo{})
 	c := r.client(SupportedVersions)
 	for range 3 {
-		got, err := c.Call(context.Background(), form.Request{Verb: form.StatusVerb})
+		got, err := c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 		require.NoError(t, err)
 		assert.Equal(t, "ayla", got.Agent, "known by the certificate")
 		assert.Equal(t, "look", got.Failure)
 	}
-	_, err := c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Holder: "ayla/1"}})
+	_, err := c.Call(context.Background(), protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Holder: "ayla/1"}})
 	require.NoError(t, err)
-	_, err = c.Call(context.Background(), form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: lease.Request{Holder: "mehmet/1"}})
+	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Holder: "mehmet/1"}})
 	require.ErrorContains(t, err, "agent a1: 400 Bad Request: call: operator ayla cannot speak as mehmet/1")
 	big := make([]byte, 4<<20)
-	_, err = c.Call(context.Background(), form.Request{Verb: form.PutRevisionVerb, Revision: form.Revision{Content: big}})
+	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.PutRevisionVerb, Revision: protocol.Revision{Content: big}})
 	require.NoError(t, err)
-	_, err = c.Call(context.Background(), form.Request{Verb: form.StatusVerb, Revision: form.Revision{Content: big}})
+	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb, Revision: protocol.Revision{Content: big}})
 	assert.ErrorContains(t, err, "at most for look")
 }
 
@@ -105,7 +105,7 @@
 		{Versions{1, 1}, Versions{2, 3}, "it speaks versions 1 to 1, and this tool 2 to 3"},
 	} {
 		c := newRig(t, x.agent, echo{}).client(x.tool)
-		_, err := c.Call(context.Background(), form.Request{Verb: form.StatusVerb})
+		_, err := c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 		if x.says == "" {
 			assert.NoError(t, err, "%v", x)
 		} else {
@@ -157,7 +157,7 @@
 		{requestPath, "", bytes.NewReader(nil), 505, "versions 1 to 1"},
 		{requestPath, "1", bytes.NewReader(nil), 400, "call: "},
 		{requestPath, "1", bytes.NewReader([]byte("{}")), 400, "call: "},
-		{requestPath, "1", bytes.NewReader(form.Encode(map[string]any{"verb": "dance"})), 400, "unknown verb"},
+		{requestPath, "1", bytes.NewReader(protocol.Encode(map[string]any{"verb": "dance"})), 400, "unknown verb"},
 		{requestPath, "1", io.LimitReader(zeros{}, 100<<20), 413, "too large"},
 	} {
 		status, says := post(x.path, x.version, x.body)
@@ -167,7 +167,7 @@
 		assert.Equal(t, x.status, status, says)
 		assert.Contains(t, says, x.says)
 	}
-	_, err = r.client(SupportedVersions).Call(context.Background(), form.Request{Verb: form.StatusVerb})
+	_, err = r.client(SupportedVersions).Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	assert.NoError(t, err)
 }
 
@@ -193,7 +193,7 @@
 		raw, _ := io.ReadAll(long)
 		assert.Contains(t, string(raw), "431")
 	}
-	_, err = r.client(SupportedVersions).Call(context.Background(), form.Request{Verb: form.StatusVerb})
+	_, err = r.client(SupportedVersions).Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	assert.NoError(t, err)
 }
 
@@ -204,7 +204,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	_, err := r.client(SupportedVersions).Call(ctx, form.Request{Verb: form.StatusVerb})
+	_, err := r.client(SupportedVersions).Call(ctx, protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorIs(t, err, ErrNoAnswer)
 	assert.ErrorContains(t, err, "no answer in time")
 }
@@ -216,33 +216,33 @@
 	require.NoError(t, other.Issue(keys.Operator, "ayla", time.Minute, time.Now()))
 	stranger := NewClient("a1", r.address, keys.Source{Own: other.File(keys.Operator, "ayla"), Trusted: r.keys.Trusted(), Now: time.Now}, SupportedVersions)
 	defer stranger.Close()
-	_, err := stranger.Call(context.Background(), form.Request{Verb: form.StatusVerb})
+	_, err := stranger.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorIs(t, err, ErrCertificateRefused)
 	require.ErrorContains(t, err, "it refuses this operator's certificate")
 	assert.Contains(t, r.logged(), "operator ayla is from an authority that is not trusted here")
 	misled := NewClient("a2", r.address, r.keys.Source(keys.Operator, "ayla"), SupportedVersions)
 	defer misled.Close()
-	_, err = misled.Call(context.Background(), form.Request{Verb: form.StatusVerb})
+	_, err = misled.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorContains(t, err, "agent a1's, and should be agent a2's")
 	// Renewed in place: the next connection uses it.
 	c := r.client(SupportedVersions)
-	_, err = c.Call(context.Background(), form.Request{Verb: form.StatusVerb})
+	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.NoError(t, err)
 	require.NoError(t, r.keys.Issue(keys.Agent, "a1", 30*time.Second, time.Now()))
 	c.Close()
-	_, err = c.Call(context.Background(), form.Request{Verb: form.StatusVerb})
+	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	assert.NoError(t, err)
 }
 
 func TestTransportErrorsAreExplained(t *testing.T) {
 	r := newRig(t, SupportedVersions, echo{fail: errors.New("busy")})
-	_, err := r.client(SupportedVersions).Call(context.Background(), form.Request{Verb: form.StatusVerb})
+	_, err := r.client(SupportedVersions).Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorContains(t, err, "agent a1: 503 Service Unavailable: busy")
 	var status *StatusError
 	require.ErrorAs(t, err, &status)
 	assert.Equal(t, StatusError{Status: "503 Service Unavailable", Text: "busy"}, *status)
 	c := NewClient("a1", "127.0.0.1:1", r.keys.Source(keys.Operator, "ayla"), SupportedVersions)
-	_, err = c.Call(context.Background(), form.Request{Verb: form.StatusVerb})
+	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	var unreachable *UnreachableError
 	require.ErrorAs(t, err, &unreachable)
 	assert.ErrorContains(t, err, "it cannot be reached")
--- a/internal/fleet/api/client.go
+++ b/internal/fleet/api/client.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"strings"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
@@ -55,7 +55,7 @@
 // Call sends a request and returns the reply. If the agent speaks other versions, the highest common one is taken and
 // kept. Errors are of type *AgentError and say what can be done about them where that is known; they match
 // *VersionsError, *StatusError, *UnreachableError, ErrCertificateRefused and ErrNoAnswer.
-func (c *Client) Call(ctx context.Context, request form.Request) (form.Reply, error) {
+func (c *Client) Call(ctx context.Context, request protocol.Request) (protocol.Reply, error) {
 	reply, err := c.call(ctx, request)
 	var other *VersionsError
 	if errors.As(err, &other) {
@@ -72,9 +72,9 @@
 }
 
 // call sends a request once, in the version that is spoken. It fails with *VersionsError if the agent does not speak it.
-func (c *Client) call(ctx context.Context, request form.Request) (form.Reply, error) {
-	var reply form.Reply
-	body := bytes.NewReader(form.Encode(request))
+func (c *Client) call(ctx context.Context, request protocol.Request) (protocol.Reply, error) {
+	var reply protocol.Reply
+	body := bytes.NewReader(protocol.Encode(request))
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+c.address+requestPath, body)
 	if err != nil {
 		return reply, err
@@ -86,19 +86,19 @@
 		return reply, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, form.MaxReplyBytes+1))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, protocol.MaxReplyBytes+1))
 	switch {
 	case err != nil:
 		return reply, err
-	case len(raw) > form.MaxReplyBytes:
-		return reply, fmt.Errorf("its answer is over %d bytes", form.MaxReplyBytes)
+	case len(raw) > protocol.MaxReplyBytes:
+		return reply, fmt.Errorf("its answer is over %d bytes", protocol.MaxReplyBytes)
 	case response.StatusCode == http.StatusHTTPVersionNotSupported:
 		return reply, c.versionsError(response.Header)
 	case response.StatusCode != http.StatusOK:
 		text := raw[:min(len(raw), maxErrorTextBytes)]
 		return reply, &StatusError{Status: response.Status, Text: strings.TrimSpace(string(text))}
 	}
-	return reply, form.Decode("its answer", raw, &reply)
+	return reply, protocol.Decode("its answer", raw, &reply)
 }
 
 // versionsError reads the versions that an agent speaks from a response's header.
--- a/internal/fleet/api/recorded_test.go
+++ b/internal/fleet/api/recorded_test.go
@@ -13,18 +13,18 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
 // replayer answers each verb with the recorded reply and keeps the calls.
 type replayer struct {
-	replies map[form.Verb]form.Reply
+	replies map[protocol.Verb]protocol.Reply
 	mu      sync.Mutex
-	calls   map[form.Verb]form.Request
+	calls   map[protocol.Verb]protocol.Request
 }
 
-func (p *replayer) Handle(_ context.Context, _ string, c form.Request) (form.Reply, error) {
+func (p *replayer) Handle(_ context.Context, _ string, c protocol.Request) (protocol.Reply, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls[c.Verb] = c
@@ -34,19 +34,19 @@
 // TestRecordedExchangesPassUnchanged posts the recorded call of each verb as bytes and compares the reply's bytes,
 // then has the client make the same calls.
 func TestRecordedExchangesPassUnchanged(t *testing.T) {
-	files, err := filepath.Glob("../form/testdata/calls/*.cbor")
+	files, err := filepath.Glob("../protocol/testdata/calls/*.cbor")
 	require.NoError(t, err)
 	require.Len(t, files, 9, "one of each verb")
-	h := &replayer{replies: map[form.Verb]form.Reply{}, calls: map[form.Verb]form.Request{}}
-	calls, replies := map[form.Verb][]byte{}, map[form.Verb][]byte{}
+	h := &replayer{replies: map[protocol.Verb]protocol.Reply{}, calls: map[protocol.Verb]protocol.Request{}}
+	calls, replies := map[protocol.Verb][]byte{}, map[protocol.Verb][]byte{}
 	for _, file := range files {
-		v := form.Verb(filepath.Base(file[:len(file)-len(".cbor")]))
+		v := protocol.Verb(filepath.Base(file[:len(file)-len(".cbor")]))
 		calls[v], err = os.ReadFile(file)
 		require.NoError(t, err)
-		replies[v], err = os.ReadFile(filepath.Join("../form/testdata/replies", filepath.Base(file)))
+		replies[v], err = os.ReadFile(filepath.Join("../protocol/testdata/replies", filepath.Base(file)))
 		require.NoError(t, err)
-		var reply form.Reply
-		require.NoError(t, form.Decode("reply", replies[v], &reply))
+		var reply protocol.Reply
+		require.NoError(t, protocol.Decode("reply", replies[v], &reply))
 		h.replies[v] = reply
 	}
 	r := newRig(t, SupportedVersions, h)
@@ -69,7 +69,7 @@
 		assert.Equal(t, "1", a.Header.Get("Fleet-Least"), v)
 		assert.Equal(t, "1", a.Header.Get("Fleet-Most"), v)
 		assert.Equal(t, replies[v], body, v)
-		assert.Equal(t, raw, form.Encode(h.calls[v]), v)
+		assert.Equal(t, raw, protocol.Encode(h.calls[v]), v)
 		got, err := c.Call(context.Background(), h.calls[v])
 		require.NoError(t, err)
 		assert.Equal(t, h.replies[v], got, v)
--- a/internal/fleet/api/server.go
+++ b/internal/fleet/api/server.go
@@ -14,14 +14,14 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/net/netutil"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
 // Handler handles the requests to an agent. It is called from several goroutines. The operator is the name in the
 // caller's certificate. An error is reported to the caller as status 503.
 type Handler interface {
-	Handle(ctx context.Context, operator string, request form.Request) (form.Reply, error)
+	Handle(ctx context.Context, operator string, request protocol.Request) (protocol.Reply, error)
 }
 
 // Server serves an agent's requests on a listener.
@@ -86,27 +86,27 @@
 		return
 	}
 	w.Header().Set("Content-Type", contentType)
-	_, _ = w.Write(form.Encode(reply))
+	_, _ = w.Write(protocol.Encode(reply))
 }
 
-func (h *requestHandler) serve(w http.ResponseWriter, r *http.Request) (form.Reply, *httpError) {
+func (h *requestHandler) serve(w http.ResponseWriter, r *http.Request) (protocol.Reply, *httpError) {
 	if err := h.checkHeader(r); err != nil {
-		return form.Reply{}, err
+		return protocol.Reply{}, err
 	}
 	_, operator := keys.Who(r.TLS.PeerCertificates[0])
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, form.MaxContentBytes))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxContentBytes))
 	if err != nil {
 		h.log.Warn().Err(err).Str("operator", operator).Msg("request not read")
-		return form.Reply{}, &httpError{status: readErrorStatus(err), err: err}
+		return protocol.Reply{}, &httpError{status: readErrorStatus(err), err: err}
 	}
 	request, err := decodeRequest(operator, raw)
 	if err != nil {
 		h.log.Warn().Err(err).Str("operator", operator).Msg("request rejected")
-		return form.Reply{}, &httpError{status: http.StatusBadRequest, err: err}
+		return protocol.Reply{}, &httpError{status: http.StatusBadRequest, err: err}
 	}
 	reply, err := h.handler.Handle(r.Context(), operator, request)
 	if err != nil {
-		return form.Reply{}, &httpError{status: http.StatusServiceUnavailable, err: err}
+		return protocol.Reply{}, &httpError{status: http.StatusServiceUnavailable, err: err}
 	}
 	return reply, nil
 }
@@ -136,19 +136,19 @@
 }
 
 // decodeRequest reads a request and checks its size and its holder.
-func decodeRequest(operator string, raw []byte) (form.Request, error) {
-	request, err := form.DecodeRequest(raw)
+func decodeRequest(operator string, raw []byte) (protocol.Request, error) {
+	request, err := protocol.DecodeRequest(raw)
 	if err != nil {
 		return request, err
 	}
-	if request.Verb != form.PutRevisionVerb && len(raw) > form.MaxRequestBytes {
-		return request, fmt.Errorf("call: %d bytes, %d at most for %s", len(raw), form.MaxRequestBytes, request.Verb)
+	if request.Verb != protocol.PutRevisionVerb && len(raw) > protocol.MaxRequestBytes {
+		return request, fmt.Errorf("call: %d bytes, %d at most for %s", len(raw), protocol.MaxRequestBytes, request.Verb)
 	}
 	return request, checkHolder(operator, request)
 }
 
 // checkHolder rejects a request under the holder's name of another operator.
-func checkHolder(operator string, request form.Request) error {
+func checkHolder(operator string, request protocol.Request) error {
 	for _, holder := range []string{request.Holder, request.LeaseRequest.Holder} {
 		if holder != "" && !strings.HasPrefix(holder, operator+holderSeparator) {
 			return fmt.Errorf("call: operator %s cannot speak as %s", operator, holder)
--- a/internal/fleet/coordinator/calls.go
+++ b/internal/fleet/coordinator/calls.go
@@ -1,8 +1,8 @@
 package coordinator
 
 import (
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
@@ -12,7 +12,7 @@
 // pendingCall is a call whose outcome is awaited.
 type pendingCall struct {
 	agent         int
-	verb          form.Verb
+	verb          protocol.Verb
 	sentAt        float64
 	epoch         uint64
 	recordVersion lease.Version // for StoreRecordVerb
@@ -20,17 +20,17 @@
 }
 
 // send makes a call out of a request and notes it as pending.
-func (c *Coordinator) send(now float64, agent int, r form.Request) OutgoingCall {
+func (c *Coordinator) send(now float64, agent int, r protocol.Request) OutgoingCall {
 	c.lastCallID++
 	call := pendingCall{
 		agent: agent, verb: r.Verb, sentAt: now, epoch: r.Epoch,
 		recordVersion: r.Record.Version, stepNumber: r.Step.Number,
 	}
 	switch r.Verb {
-	case form.RequestLeaseVerb:
+	case protocol.RequestLeaseVerb:
 		call.epoch = r.LeaseRequest.Epoch
 		c.agents[agent].pendingQuery = c.lastCallID
-	case form.StatusVerb:
+	case protocol.StatusVerb:
 		c.agents[agent].pendingQuery = c.lastCallID
 	default:
 		c.agents[agent].pendingCommand = c.lastCallID
@@ -41,62 +41,62 @@
 }
 
 // dueQuery returns the request that asks an agent for its status or its grant, if one is due.
-func (c *Coordinator) dueQuery(now float64, agent int) (form.Request, bool) {
+func (c *Coordinator) dueQuery(now float64, agent int) (protocol.Request, bool) {
 	a := &c.agents[agent]
 	if a.pendingQuery != 0 || now < a.nextQuery {
-		return form.Request{}, false
+		return protocol.Request{}, false
 	}
 	switch c.phase {
 	case phasePolling:
-		return form.Request{Verb: form.StatusVerb}, !a.replied
+		return protocol.Request{Verb: protocol.StatusVerb}, !a.replied
 	case phaseRequestingLease:
 		return c.leaseRequest(), !a.replied
 	case phaseRunning:
 		if !a.granted {
 			return c.leaseRequest(), true
 		}
-		return c.holderRequest(form.StatusVerb), true
+		return c.holderRequest(protocol.StatusVerb), true
 	default:
-		return form.Request{}, false
+		return protocol.Request{}, false
 	}
 }
 
 // dueCommand returns the request that changes something at an agent, if one is due.
-func (c *Coordinator) dueCommand(now float64, agent int) (form.Request, bool) {
+func (c *Coordinator) dueCommand(now float64, agent int) (protocol.Request, bool) {
 	a := &c.agents[agent]
 	if a.pendingCommand != 0 || now < a.nextCommand {
-		return form.Request{}, false
+		return protocol.Request{}, false
 	}
 	if c.phase == phaseReleasing && !a.released {
-		return c.holderRequest(form.ReleaseLeaseVerb), true
+		return c.holderRequest(protocol.ReleaseLeaseVerb), true
 	}
 	if c.phase != phaseRunning || !a.granted {
-		return form.Request{}, false
+		return protocol.Request{}, false
 	}
 	if c.storing != nil && !a.stored {
-		r := c.holderRequest(form.StoreRecordVerb)
+		r := c.holderRequest(protocol.StoreRecordVerb)
 		r.Record = c.storing.record
 		return r, true
 	}
 	step := c.stepToSend
 	if step.Number == 0 || c.config.Fleet.Instances[step.Instance].Agent != agent || now < c.nextStepSend {
-		return form.Request{}, false
+		return protocol.Request{}, false
 	}
 	c.stepToSend = rollout.Step{}
 	c.nextStepSend = now + c.config.Timing.PollSeconds
-	r := c.holderRequest(form.BeginStepVerb)
+	r := c.holderRequest(protocol.BeginStepVerb)
 	r.InstanceName = c.config.InstanceNames[step.Instance]
 	r.Step = step
 	return r, true
 }
 
-func (c *Coordinator) leaseRequest() form.Request {
-	return form.Request{Verb: form.RequestLeaseVerb, LeaseRequest: c.campaign.Request}
+func (c *Coordinator) leaseRequest() protocol.Request {
+	return protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: c.campaign.Request}
 }
 
 // holderRequest returns a request under the coordinator's lease.
-func (c *Coordinator) holderRequest(verb form.Verb) form.Request {
-	r := form.Request{Verb: verb, Holder: c.config.Holder}
+func (c *Coordinator) holderRequest(verb protocol.Verb) protocol.Request {
+	r := protocol.Request{Verb: verb, Holder: c.config.Holder}
 	if c.campaign != nil {
 		r.Epoch = c.campaign.Request.Epoch
 	}
@@ -142,14 +142,14 @@
 }
 
 // HandleReply takes in the reply to a call.
-func (c *Coordinator) HandleReply(now float64, id uint64, r form.Reply) {
+func (c *Coordinator) HandleReply(now float64, id uint64, r protocol.Reply) {
 	call, a, awaited := c.takePending(now, id)
 	if !awaited {
 		return
 	}
 	a.leaseState = r.LeaseState
 	a.failure = r.Failure
-	if call.verb == form.StatusVerb {
+	if call.verb == protocol.StatusVerb {
 		a.operatorRequest = r.OperatorRequest
 		c.takeObservations(call, r)
 	}
@@ -172,21 +172,21 @@
 }
 
 // handleRunningReply takes in the reply to a call under the current epoch.
-func (c *Coordinator) handleRunningReply(now float64, call pendingCall, a *agent, r form.Reply) {
+func (c *Coordinator) handleRunningReply(now float64, call pendingCall, a *agent, r protocol.Reply) {
 	if r.Denial != lease.Granted || r.LeaseState.Epoch > call.epoch {
 		c.handleDenial(now, call.epoch, a, r)
 		return
 	}
 	switch call.verb {
-	case form.RequestLeaseVerb:
+	case protocol.RequestLeaseVerb:
 		a.granted = true
 		a.nextQuery = now
-	case form.StoreRecordVerb:
+	case protocol.StoreRecordVerb:
 		if c.storing != nil && call.recordVersion == c.storing.record.Version {
 			a.stored = true
 			c.commitIfStored(now)
 		}
-	case form.BeginStepVerb:
+	case protocol.BeginStepVerb:
 		if r.Failure == "" {
 			c.refusals = 0
 			a.nextQuery = now
@@ -198,7 +198,7 @@
 }
 
 // handleDenial reacts to a reply that denies the epoch or tells of a higher one.
-func (c *Coordinator) handleDenial(now float64, epoch uint64, a *agent, r form.Reply) {
+func (c *Coordinator) handleDenial(now float64, epoch uint64, a *agent, r protocol.Reply) {
 	a.granted = false
 	if r.LeaseState.Epoch > epoch || r.Denial == lease.StaleEpoch {
 		// Either another holder has the lease, or its campaign failed and this coordinator must request a higher epoch.
@@ -223,7 +223,7 @@
 
 // takeObservations takes in what an agent reports of its instances. In phaseRunning it counts only from an agent that
 // has granted the epoch. It is taken to be as old as the call.
-func (c *Coordinator) takeObservations(call pendingCall, r form.Reply) {
+func (c *Coordinator) takeObservations(call pendingCall, r protocol.Reply) {
 	if c.phase == phaseRunning {
 		underEpoch := r.Denial == lease.Granted && call.epoch == c.campaign.Request.Epoch
 		if !underEpoch {
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -4,8 +4,8 @@
 	"math"
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
@@ -28,7 +28,7 @@
 	granted         bool // it has granted the campaign's epoch
 	leaseState      lease.State
 	record          lease.Record
-	operatorRequest form.OperatorRequest
+	operatorRequest protocol.OperatorRequest
 	failure         string // of its last call
 	pendingQuery    uint64 // id, or 0
 	pendingCommand  uint64 // id, or 0
@@ -57,9 +57,9 @@
 	lastMajority  float64 // when a majority was last known to follow
 
 	planner      *rollout.Planner // set with the first lease
-	rollout      form.Rollout     // as a majority stores it
+	rollout      protocol.Rollout // as a majority stores it
 	observations []rollout.Observation
-	statuses     []form.InstanceStatus
+	statuses     []protocol.InstanceStatus
 	storing      *pendingRecord // nil: none
 	recordNumber uint64         // of the newest record under this epoch
 	stepToSend   rollout.Step   // Number 0: none
@@ -75,7 +75,7 @@
 		agents:           make([]agent, config.Agents),
 		pendingCalls:     map[uint64]pendingCall{},
 		observations:     make([]rollout.Observation, len(config.InstanceNames)),
-		statuses:         make([]form.InstanceStatus, len(config.InstanceNames)),
+		statuses:         make([]protocol.InstanceStatus, len(config.InstanceNames)),
 	}
 	slices.Sort(c.config.Task.ExcludedInstances)
 	for i, instance := range config.Fleet.Instances {
@@ -194,8 +194,8 @@
 }
 
 // operatorRequest returns what an operator has requested of this run of the rollout with one of the agents.
-func (c *Coordinator) operatorRequest() form.OperatorRequest {
-	var strongest form.OperatorRequest
+func (c *Coordinator) operatorRequest() protocol.OperatorRequest {
+	var strongest protocol.OperatorRequest
 	for i := range c.agents {
 		r := c.agents[i].operatorRequest
 		ofThisRun := r.RolloutID == c.rollout.ID && r.Run == c.rollout.Run
--- a/internal/fleet/coordinator/coordinator_test.go
+++ b/internal/fleet/coordinator/coordinator_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
@@ -164,11 +164,11 @@
 		e.pass(0.9, a)
 		require.NotEmpty(t, e.steps)
 		for i, d := range e.handlers {
-			left := form.OperatorRequest{RolloutID: "r1", Run: 1, Action: request, Operator: "ayla"}
+			left := protocol.OperatorRequest{RolloutID: "r1", Run: 1, Action: request, Operator: "ayla"}
 			if i == 0 {
 				left.Run = 9 // of another run: passed over
 			}
-			d.Handle(e.now, form.Request{Verb: form.RequestActionVerb, OperatorRequest: left})
+			d.Handle(e.now, protocol.Request{Verb: protocol.RequestActionVerb, OperatorRequest: left})
 		}
 		o := e.finish(a)
 		assert.Equal(t, state, o.Rollout.State)
@@ -218,8 +218,8 @@
 	a.agents[0].nextQuery = 0
 	sends, _ := a.Tick(e.now)
 	for _, s := range sends {
-		if s.Agent == 0 && s.Request.Verb == form.StatusVerb {
-			a.HandleReply(e.now, s.ID, form.Reply{Denial: lease.NotHolder, Instances: []form.InstanceStatus{{Name: "n0", Observation: rollout.Observation{State: rollout.ProcessCrashLooping}}}})
+		if s.Agent == 0 && s.Request.Verb == protocol.StatusVerb {
+			a.HandleReply(e.now, s.ID, protocol.Reply{Denial: lease.NotHolder, Instances: []protocol.InstanceStatus{{Name: "n0", Observation: rollout.Observation{State: rollout.ProcessCrashLooping}}}})
 			assert.NotEqual(t, rollout.ProcessCrashLooping, a.observations[0].State)
 			assert.False(t, a.agents[0].granted, "and is asked for its grant anew")
 			return
--- a/internal/fleet/coordinator/environment_test.go
+++ b/internal/fleet/coordinator/environment_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
@@ -96,7 +96,7 @@
 }
 
 func beginTask(id, revision string) Task {
-	return Task{Operation: OperationBegin, Rollout: form.Rollout{Rollout: rollout.Rollout{ID: id, Revision: revision}}}
+	return Task{Operation: OperationBegin, Rollout: protocol.Rollout{Rollout: rollout.Rollout{ID: id, Revision: revision}}}
 }
 
 // turn lets a coordinator make its calls, and hands it what comes of them.
@@ -113,8 +113,8 @@
 	case e.unreachable[c.Agent]:
 		d.HandleFailure(e.now, c.ID, "unreachable")
 		return
-	case c.Request.Verb == form.BeginStepVerb && e.refusing[c.Agent]:
-		d.HandleReply(e.now, c.ID, form.Reply{Failure: "disk full", LeaseState: handler.Lease.State(e.now)})
+	case c.Request.Verb == protocol.BeginStepVerb && e.refusing[c.Agent]:
+		d.HandleReply(e.now, c.ID, protocol.Reply{Failure: "disk full", LeaseState: handler.Lease.State(e.now)})
 		return
 	}
 	reply, changes := handler.Handle(e.now, c.Request)
--- a/internal/fleet/coordinator/lease.go
+++ b/internal/fleet/coordinator/lease.go
@@ -4,8 +4,8 @@
 	"math"
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
@@ -103,7 +103,7 @@
 
 // newestKnownRollout returns the rollout of the newest record that any agent reports, for people: a majority need not
 // have stored it. A record that cannot be read is shown as none.
-func (c *Coordinator) newestKnownRollout() form.Rollout {
+func (c *Coordinator) newestKnownRollout() protocol.Rollout {
 	var newest lease.Record
 	for i := range c.agents {
 		if newest.Version.Before(c.agents[i].record.Version) {
--- a/internal/fleet/coordinator/record.go
+++ b/internal/fleet/coordinator/record.go
@@ -1,27 +1,27 @@
 package coordinator
 
 import (
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // pendingRecord is a record that a majority has yet to store, and what led to it.
 type pendingRecord struct {
 	record  lease.Record
-	rollout form.Rollout // the record's body
+	rollout protocol.Rollout // the record's body
 	action  rollout.Action
 	reason  rollout.Reason
 	step    rollout.Step // the current step before
 }
 
 // decodeRollout reads a record's body. A record without one holds no rollout.
-func decodeRollout(record lease.Record) (form.Rollout, error) {
-	var r form.Rollout
+func decodeRollout(record lease.Record) (protocol.Rollout, error) {
+	var r protocol.Rollout
 	if record.Body == nil {
 		return r, nil
 	}
-	err := form.Decode("record", record.Body, &r)
+	err := protocol.Decode("record", record.Body, &r)
 	return r, err
 }
 
@@ -36,11 +36,11 @@
 }
 
 // storeRollout has the agents store a rollout. commitIfStored continues once a majority has.
-func (c *Coordinator) storeRollout(now float64, r form.Rollout, action rollout.Action, reason rollout.Reason) {
+func (c *Coordinator) storeRollout(now float64, r protocol.Rollout, action rollout.Action, reason rollout.Reason) {
 	c.recordNumber++
 	version := lease.Version{Epoch: c.campaign.Request.Epoch, Number: c.recordNumber}
 	c.storing = &pendingRecord{
-		record:  lease.Record{Version: version, Body: form.Encode(r)},
+		record:  lease.Record{Version: version, Body: protocol.Encode(r)},
 		rollout: r,
 		action:  action,
 		reason:  reason,
--- a/internal/fleet/coordinator/run.go
+++ b/internal/fleet/coordinator/run.go
@@ -1,20 +1,20 @@
 package coordinator
 
 import (
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
 // startRun returns the rollout that a run of the task begins with, given the stored one, or the outcome for which
 // there is none.
-func (c *Config) startRun(r form.Rollout) (form.Rollout, *Outcome) {
+func (c *Config) startRun(r protocol.Rollout) (protocol.Rollout, *Outcome) {
 	if c.Task.Operation == OperationBegin {
 		return c.beginRollout(r)
 	}
 	return c.continueRollout(r)
 }
 
-func (c *Config) beginRollout(stored form.Rollout) (form.Rollout, *Outcome) {
+func (c *Config) beginRollout(stored protocol.Rollout) (protocol.Rollout, *Outcome) {
 	if stored.ID != "" && !stored.State.Terminal() {
 		return stored, &Outcome{Kind: OutcomeUnfinishedRollout, Rollout: stored}
 	}
@@ -28,7 +28,7 @@
 	return r, nil
 }
 
-func (c *Config) continueRollout(r form.Rollout) (form.Rollout, *Outcome) {
+func (c *Config) continueRollout(r protocol.Rollout) (protocol.Rollout, *Outcome) {
 	over := r.State.Terminal() && c.Task.Operation != OperationRollback
 	if r.ID == "" || over {
 		return r, &Outcome{Kind: OutcomeNoRollout, Rollout: r}
--- a/internal/fleet/coordinator/task.go
+++ b/internal/fleet/coordinator/task.go
@@ -1,8 +1,8 @@
 package coordinator
 
 import (
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
@@ -21,11 +21,11 @@
 // Task is what a coordinator is to do.
 type Task struct {
 	Operation         Operation
-	Rollout           form.Rollout // for OperationBegin; State, Run and ExcludedInstances are set by the coordinator
-	Operator          string       // name
-	FleetDigest       string       // of the list of instances; a rollout over another list is not continued
-	Takeover          bool         // take the lease also from a holder whose lease has not expired
-	ExcludedInstances []int        // that this run leaves out
+	Rollout           protocol.Rollout // for OperationBegin; State, Run and ExcludedInstances are set by the coordinator
+	Operator          string           // name
+	FleetDigest       string           // of the list of instances; a rollout over another list is not continued
+	Takeover          bool             // take the lease also from a holder whose lease has not expired
+	ExcludedInstances []int            // that this run leaves out
 }
 
 // Timing is how often a coordinator calls and how long it tries.
@@ -50,7 +50,7 @@
 type OutgoingCall struct {
 	ID      uint64
 	Agent   int
-	Request form.Request
+	Request protocol.Request
 }
 
 // OutcomeKind tells outcomes apart.
@@ -72,8 +72,8 @@
 // Outcome is how a coordinator ended.
 type Outcome struct {
 	Kind    OutcomeKind
-	Rollout form.Rollout // as it was last known
-	Holder  lease.State  // another holder's lease
+	Rollout protocol.Rollout // as it was last known
+	Holder  lease.State      // another holder's lease
 	Reason  rollout.Reason
 	Faults  []string // what agents gave as reasons of failed calls, for people; sorted
 }
@@ -83,7 +83,7 @@
 type Event struct {
 	At            float64 // seconds on the coordinator's clock
 	Action        rollout.Action
-	Rollout       form.Rollout
+	Rollout       protocol.Rollout
 	Reason        rollout.Reason
 	Step          rollout.Step  // begun, completed or refused
 	AcquiredEpoch uint64        // of the lease that was granted; 0: none
@@ -93,9 +93,9 @@
 
 // View is how a rollout stands, for people.
 type View struct {
-	Rollout   form.Rollout
+	Rollout   protocol.Rollout
 	Finished  int // instances that are where the rollout wants them
 	Serving   int // instances
-	Instances []form.InstanceStatus
+	Instances []protocol.InstanceStatus
 	Epoch     uint64 // of the lease; 0: none yet
 }
--- a/internal/fleet/form/encoding.go
+++ b/internal/fleet/protocol/encoding.go
@@ -1,4 +1,4 @@
-package form
+package protocol
 
 import (
 	"fmt"
--- a/internal/fleet/form/messages.go
+++ b/internal/fleet/protocol/messages.go
@@ -3,7 +3,7 @@
 // Messages are CBOR maps with their fields by name, so that a later version may add some: a decoder passes over fields
 // that it does not know. Sizes and nesting are bounded. The names under which fields are sent stand in their tags and
 // never change within a version. Package store keeps some of the messages under the same names.
-package form
+package protocol
 
 import (
 	"slices"
--- a/internal/fleet/form/record_names_test.go
+++ b/internal/fleet/protocol/record_names_test.go
@@ -1,4 +1,4 @@
-package form_test
+package protocol_test
 
 import (
 	"flag"
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
@@ -54,12 +54,12 @@
 	}
 	path := filepath.Join("testdata", name+".cbor")
 	if *recordEncodings {
-		require.NoError(t, os.WriteFile(path, form.Encode(value), 0o600))
+		require.NoError(t, os.WriteFile(path, protocol.Encode(value), 0o600))
 	}
 	recorded, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, recorded, form.Encode(value), name)
+	assert.Equal(t, recorded, protocol.Encode(value), name)
 	var back T
-	require.NoError(t, form.Decode(name, recorded, &back))
+	require.NoError(t, protocol.Decode(name, recorded, &back))
 	assert.Equal(t, value, back, name)
 }
--- a/internal/fleet/store/history.go
+++ b/internal/fleet/store/history.go
@@ -6,7 +6,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
@@ -15,8 +15,8 @@
 const MaxHistory = 100
 
 // Revision returns the revision of a digest with its content, and whether the store has it.
-func (s *Store) Revision(digest string) (form.Revision, bool, error) {
-	var revision form.Revision
+func (s *Store) Revision(digest string) (protocol.Revision, bool, error) {
+	var revision protocol.Revision
 	var found bool
 	err := s.db.View(func(tx *bbolt.Tx) (err error) {
 		found, err = getRecord(tx, revisionsBucket, digest, &revision)
@@ -29,8 +29,8 @@
 }
 
 // Revisions lists the revisions without their contents, newest first.
-func (s *Store) Revisions() ([]form.Revision, error) {
-	revisions, err := allRecords[form.Revision](s, revisionsBucket)
+func (s *Store) Revisions() ([]protocol.Revision, error) {
+	revisions, err := allRecords[protocol.Revision](s, revisionsBucket)
 	for i := range revisions {
 		revisions[i].Content = nil
 	}
@@ -39,8 +39,8 @@
 }
 
 // Rollouts lists the rollouts, newest first.
-func (s *Store) Rollouts() ([]form.Rollout, error) {
-	rollouts, err := allRecords[form.Rollout](s, rolloutsBucket)
+func (s *Store) Rollouts() ([]protocol.Rollout, error) {
+	rollouts, err := allRecords[protocol.Rollout](s, rolloutsBucket)
 	sort.SliceStable(rollouts, func(i, j int) bool { return rollouts[i].StartedAt > rollouts[j].StartedAt })
 	return rollouts, err
 }
@@ -56,15 +56,15 @@
 	return values, nil
 }
 
-func saveRollout(tx *bbolt.Tx, rollout form.Rollout) error {
+func saveRollout(tx *bbolt.Tx, rollout protocol.Rollout) error {
 	if err := putRecord(tx, rolloutsBucket, rollout.ID, rollout); err != nil {
 		return err
 	}
-	startedAt := func(r form.Rollout) int64 { return r.StartedAt }
+	startedAt := func(r protocol.Rollout) int64 { return r.StartedAt }
 	return pruneRecords(tx, rolloutsBucket, startedAt, nil)
 }
 
-func saveRevision(tx *bbolt.Tx, revision form.Revision) error {
+func saveRevision(tx *bbolt.Tx, revision protocol.Revision) error {
 	if err := putRecord(tx, revisionsBucket, revision.Digest, revision); err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 		return err
 	}
 	inUse[revision.Digest] = true
-	pushedAt := func(r form.Revision) int64 { return r.PushedAt }
+	pushedAt := func(r protocol.Revision) int64 { return r.PushedAt }
 	return pruneRecords(tx, revisionsBucket, pushedAt, inUse)
 }
 
--- a/internal/fleet/store/record.go
+++ b/internal/fleet/store/record.go
@@ -7,7 +7,7 @@
 	"github.com/zeebo/xxh3"
 	"go.etcd.io/bbolt"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 )
 
 // checksumBytes is the length of the checksum before each record: xxh3 of its content, big-endian.
@@ -15,7 +15,7 @@
 
 // putRecord writes a value with its checksum.
 func putRecord(tx *bbolt.Tx, bucket []byte, key string, value any) error {
-	content := form.Encode(value)
+	content := protocol.Encode(value)
 	record := make([]byte, 0, checksumBytes+len(content))
 	record = binary.BigEndian.AppendUint64(record, xxh3.Hash(content))
 	record = append(record, content...)
@@ -36,7 +36,7 @@
 	if len(record) < checksumBytes || binary.BigEndian.Uint64(record) != xxh3.Hash(record[checksumBytes:]) {
 		return &CorruptRecordError{Bucket: string(bucket), Key: key}
 	}
-	return form.Decode(fmt.Sprintf("record %s/%s", bucket, key), record[checksumBytes:], value)
+	return protocol.Decode(fmt.Sprintf("record %s/%s", bucket, key), record[checksumBytes:], value)
 }
 
 // forEachRecord reads all records of a bucket, in the order of their keys.
--- a/internal/fleet/store/recorded_test.go
+++ b/internal/fleet/store/recorded_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/bbolt"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
@@ -43,8 +43,8 @@
 }
 
 // recordedRevisions are those of the recorded store, newest first.
-func recordedRevisions() []form.Revision {
-	return []form.Revision{
+func recordedRevisions() []protocol.Revision {
+	return []protocol.Revision{
 		{Digest: movedRevision, Name: "moved", PushedBy: "op", PushedAt: 1767323044, Content: content("127.0.0.1:10", 256, 3, 0)},
 		{Digest: exitsRevision, Name: "exits", PushedBy: "op", PushedAt: 1767323043, Content: content("127.0.0.1:9", 256, 0, 3)},
 		{Digest: secondRevision, Name: "second", PushedBy: "op", PushedAt: 1767323042, Content: content("127.0.0.1:9", 300, 3, 0)},
@@ -53,8 +53,8 @@
 }
 
 // recordedRollouts are those of the recorded store, newest first: one in each state.
-func recordedRollouts() []form.Rollout {
-	var out []form.Rollout
+func recordedRollouts() []protocol.Rollout {
+	var out []protocol.Rollout
 	for i, x := range []struct {
 		id    string
 		state rollout.State
@@ -68,7 +68,7 @@
 		{"r-none", rollout.None, false},
 	} {
 		run := uint64(6 - i)
-		out = append(out, form.Rollout{
+		out = append(out, protocol.Rollout{
 			Rollout: rollout.Rollout{
 				ID: x.id, Revision: secondRevision, Restart: true, RollingBack: x.back, State: x.state,
 				Reason:             rollout.Reason{Kind: rollout.ReasonZoneMinimum, Instance: 2, Zone: 1, Have: 3, Need: 4, Detail: "detail of why"},
@@ -87,9 +87,9 @@
 	return State{
 		Lease: lease.PersistentState{
 			Epoch: 7, Holder: "ayla/host-1/00ff", Held: true,
-			Record: lease.Record{Version: lease.Version{Epoch: 7, Number: 6}, Body: form.Encode(recordedRollouts()[0])},
+			Record: lease.Record{Version: lease.Version{Epoch: 7, Number: 6}, Body: protocol.Encode(recordedRollouts()[0])},
 		},
-		OperatorRequest: form.OperatorRequest{RolloutID: "r-running", Run: 6, Action: rollout.RequestPause, Operator: "op"},
+		OperatorRequest: protocol.OperatorRequest{RolloutID: "r-running", Run: 6, Action: rollout.RequestPause, Operator: "op"},
 		Instances: map[string]supervisor.Record{
 			"open": {
 				ShouldRun: true, Revision: firstRevision, Incarnation: 1, PreviousRevision: firstRevision, MayHaveChanged: true, DrainSeconds: 1.7,
@@ -147,8 +147,8 @@
 	rollouts, err := s.Rollouts()
 	require.NoError(t, err)
 	assert.Equal(t, recordedRollouts(), rollouts)
-	var body form.Rollout
-	require.NoError(t, form.Decode("record", state.Lease.Record.Body, &body))
+	var body protocol.Rollout
+	require.NoError(t, protocol.Decode("record", state.Lease.Record.Body, &body))
 	assert.Equal(t, recordedRollouts()[0], body)
 }
 
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -15,8 +15,8 @@
 	"go.etcd.io/bbolt"
 	bbolterrors "go.etcd.io/bbolt/errors"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
@@ -47,17 +47,17 @@
 // State is what an agent needs to start: its lease, the pending request of an operator and its instances by name.
 type State struct {
 	Lease           lease.PersistentState
-	OperatorRequest form.OperatorRequest
+	OperatorRequest protocol.OperatorRequest
 	Instances       map[string]supervisor.Record
 }
 
 // Change is what one call of Save writes. What is nil, and instances that are not named, stay as they are.
 type Change struct {
 	Lease           *lease.PersistentState
-	OperatorRequest *form.OperatorRequest
+	OperatorRequest *protocol.OperatorRequest
 	Instances       map[string]supervisor.Record // by name
-	Revision        *form.Revision               // added, or replaced if its digest is known
-	Rollout         *form.Rollout                // added, or replaced if its ID is known
+	Revision        *protocol.Revision           // added, or replaced if its digest is known
+	Rollout         *protocol.Rollout            // added, or replaced if its ID is known
 }
 
 // Open opens the store at path and creates it if there is none, with its folder. Its errors name the path; they match
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/bbolt"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
@@ -61,7 +61,7 @@
 	s, err := Open(path)
 	require.NoError(t, err)
 	require.NoError(t, s.Save(change(7)))
-	require.NoError(t, s.Save(Change{OperatorRequest: &form.OperatorRequest{RolloutID: "r", Action: rollout.RequestPause}}))
+	require.NoError(t, s.Save(Change{OperatorRequest: &protocol.OperatorRequest{RolloutID: "r", Action: rollout.RequestPause}}))
 	_, err = Open(path)
 	require.ErrorIs(t, err, ErrInUse)
 	require.ErrorContains(t, err, path+" is open in another agent")
@@ -83,8 +83,8 @@
 	require.NoError(t, s.Save(Change{Instances: map[string]supervisor.Record{"n1": {Revision: "d0", PreviousRevision: "d1"}}}))
 	for i := range MaxHistory + 20 {
 		require.NoError(t, s.Save(Change{
-			Revision: &form.Revision{Digest: fmt.Sprint("d", i), PushedAt: int64(i), Content: []byte("x")},
-			Rollout:  &form.Rollout{Rollout: rollout.Rollout{ID: fmt.Sprint("r", i)}, StartedAt: int64(i)},
+			Revision: &protocol.Revision{Digest: fmt.Sprint("d", i), PushedAt: int64(i), Content: []byte("x")},
+			Rollout:  &protocol.Rollout{Rollout: rollout.Rollout{ID: fmt.Sprint("r", i)}, StartedAt: int64(i)},
 		}))
 	}
 	for digest, kept := range map[string]bool{"d0": true, "d1": true, "d2": false, "d119": true} {
--- a/internal/fleet/supervisor/request_handler.go
+++ b/internal/fleet/supervisor/request_handler.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
@@ -15,7 +15,7 @@
 	Program         string // that answers, with its version
 	AgentsDigest    string // of the list of agents that this one goes by
 	Lease           lease.Lease
-	OperatorRequest form.OperatorRequest // the newest that was left
+	OperatorRequest protocol.OperatorRequest // the newest that was left
 	InstanceNames   []string
 	Supervisors     []Supervisor
 	ListenAddresses []string // of the instances, for people; may be shorter
@@ -34,33 +34,33 @@
 }
 
 // Handle answers a request. Requests about revisions and the history are answered by the agent itself.
-func (h *RequestHandler) Handle(now float64, r form.Request) (form.Reply, Changes) {
-	reply := form.Reply{Agent: h.Agent, Program: h.Program}
+func (h *RequestHandler) Handle(now float64, r protocol.Request) (protocol.Reply, Changes) {
+	reply := protocol.Reply{Agent: h.Agent, Program: h.Program}
 	changes := Changes{ChangedInstance: noInstance}
 	otherList := r.AgentsDigest != "" && r.AgentsDigest != h.AgentsDigest
-	if otherList && r.Verb != form.StatusVerb {
+	if otherList && r.Verb != protocol.StatusVerb {
 		reply.Denial = lease.NotHolder
 		reply.Failure = "it goes by another list of agents: bring the fleet file of the agent and the tool together"
 		reply.LeaseState = h.Lease.State(now)
 		return reply, changes
 	}
 	switch r.Verb {
-	case form.StatusVerb:
+	case protocol.StatusVerb:
 		h.reportStatus(now, r, &reply)
-	case form.RequestLeaseVerb:
+	case protocol.RequestLeaseVerb:
 		reply.Denial = h.Lease.Acquire(now, r.LeaseRequest)
 		reply.Record = h.Lease.Record
 		changes.Lease = reply.Denial == lease.Granted
-	case form.StoreRecordVerb:
+	case protocol.StoreRecordVerb:
 		reply.Denial = h.Lease.StoreRecord(now, r.Epoch, r.Holder, r.Record)
 		changes.Lease = reply.Denial == lease.Granted
-	case form.ReleaseLeaseVerb:
+	case protocol.ReleaseLeaseVerb:
 		reply.Denial = h.Lease.Release(now, r.Epoch, r.Holder)
 		changes.Lease = reply.Denial == lease.Granted
-	case form.RequestActionVerb:
+	case protocol.RequestActionVerb:
 		h.OperatorRequest = r.OperatorRequest
 		changes.OperatorRequest = true
-	case form.BeginStepVerb:
+	case protocol.BeginStepVerb:
 		reply.Denial = h.Lease.Renew(now, r.Epoch, r.Holder)
 		if reply.Denial == lease.Granted {
 			reply.Failure = h.beginStep(r.InstanceName, r.Step, &changes)
@@ -73,7 +73,7 @@
 }
 
 // reportStatus fills in the reply to a status request. One with an epoch also renews the caller's lease.
-func (h *RequestHandler) reportStatus(now float64, r form.Request, reply *form.Reply) {
+func (h *RequestHandler) reportStatus(now float64, r protocol.Request, reply *protocol.Reply) {
 	byHolder := r.Epoch != 0
 	if byHolder {
 		reply.Denial = h.Lease.Renew(now, r.Epoch, r.Holder)
@@ -107,9 +107,9 @@
 	return fmt.Sprintf("there is no instance %s here", name)
 }
 
-func (h *RequestHandler) instanceStatus(now float64, instance int) form.InstanceStatus {
+func (h *RequestHandler) instanceStatus(now float64, instance int) protocol.InstanceStatus {
 	s := &h.Supervisors[instance]
-	status := form.InstanceStatus{
+	status := protocol.InstanceStatus{
 		Name:           h.InstanceNames[instance],
 		Crashes:        s.Crashes(),
 		Observation:    s.Observe(now),
--- a/internal/fleet/tool/client.go
+++ b/internal/fleet/tool/client.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"stoatdale.example/stoatdale/internal/fleet/api"
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
@@ -56,12 +56,12 @@
 // Answer is what one agent answered to a request.
 type Answer struct {
 	Agent string
-	Reply form.Reply
+	Reply protocol.Reply
 	Err   error // the agent could not be asked, or reports a failure; of type *api.AgentError
 }
 
 // Broadcast sends a request to every agent. The answers are in the order of the fleet file.
-func (c *Client) Broadcast(ctx context.Context, request form.Request) []Answer {
+func (c *Client) Broadcast(ctx context.Context, request protocol.Request) []Answer {
 	answers := make([]Answer, len(c.agents))
 	var calls errgroup.Group
 	calls.SetLimit(maxConcurrentCalls)
@@ -80,15 +80,15 @@
 }
 
 // call sends a request to one agent, by its index.
-func (c *Client) call(ctx context.Context, agent int, request form.Request) (form.Reply, error) {
+func (c *Client) call(ctx context.Context, agent int, request protocol.Request) (protocol.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout(request.Verb))
 	defer cancel()
 	return c.agents[agent].Call(ctx, request)
 }
 
-func (c *Client) timeout(verb form.Verb) time.Duration {
+func (c *Client) timeout(verb protocol.Verb) time.Duration {
 	switch verb {
-	case form.PutRevisionVerb, form.GetRevisionVerb, form.HistoryVerb:
+	case protocol.PutRevisionVerb, protocol.GetRevisionVerb, protocol.HistoryVerb:
 		return largeCallFactor * c.callTimeout
 	default:
 		return c.callTimeout
--- a/internal/fleet/tool/client_test.go
+++ b/internal/fleet/tool/client_test.go
@@ -20,8 +20,8 @@
 	"stoatdale.example/stoatdale/internal/fleet/agent"
 	"stoatdale.example/stoatdale/internal/fleet/api"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/keys"
@@ -110,7 +110,7 @@
 }
 
 // push pushes a revision whose routers conduct themselves so; sockets make it another one.
-func (r *rig) push(t *Client, name string, conduct stand.Conduct, sockets int) form.Revision {
+func (r *rig) push(t *Client, name string, conduct stand.Conduct, sockets int) protocol.Revision {
 	r.t.Helper()
 	doc := stand.Deployment("127.0.0.1:9", 0.1, map[string]any{"stand": conduct, "limits": map[string]any{"sockets": sockets}})
 	file := filepath.Join(r.t.TempDir(), name+".json")
@@ -119,7 +119,7 @@
 	require.NoError(r.t, err)
 	p := t.PushRevision(context.Background(), content, name)
 	require.Empty(r.t, p.Missing)
-	return form.Revision{Digest: p.Digest, Name: name}
+	return protocol.Revision{Digest: p.Digest, Name: name}
 }
 
 // drive carries a task out to its end.
@@ -230,7 +230,7 @@
 	var both sync.WaitGroup
 	for i, x := range []struct {
 		t *Client
-		r form.Revision
+		r protocol.Revision
 	}{{ayla, a}, {mehmet, b}} {
 		both.Add(1)
 		go func() { defer both.Done(); got[i] = r.drive(x.t, x.t.NewRollout(x.r, false), nil) }()
@@ -247,7 +247,7 @@
 	loser := got[1-won]
 	assert.Equal(t, coordinator.OutcomeLeaseHeld, loser.Kind)
 	assert.True(t, strings.HasPrefix(loser.Holder.Holder, []string{"ayla/", "mehmet/"}[won]), loser.Holder.Holder)
-	r.assertAllRun(ayla, []form.Revision{a, b}[won].Digest)
+	r.assertAllRun(ayla, []protocol.Revision{a, b}[won].Digest)
 }
 
 func TestRequestedPauseIsFollowedAndUnreachableAgentIsLeftOut(t *testing.T) {
--- a/internal/fleet/tool/drive.go
+++ b/internal/fleet/tool/drive.go
@@ -11,7 +11,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/api"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
@@ -29,13 +29,13 @@
 }
 
 // NewRollout is the task of rolling a revision out. With restart, instances are restarted also where a reload would do.
-func (c *Client) NewRollout(r form.Revision, restart bool) coordinator.Task {
+func (c *Client) NewRollout(r protocol.Revision, restart bool) coordinator.Task {
 	digest := c.Fleet.InstancesDigest()
 	return coordinator.Task{
 		Operation:   coordinator.OperationBegin,
 		Operator:    c.Operator,
 		FleetDigest: digest,
-		Rollout: form.Rollout{
+		Rollout: protocol.Rollout{
 			Rollout:         rollout.Rollout{ID: NewID(), Revision: r.Digest, Restart: restart},
 			RevisionName:    r.Name,
 			StartedBy:       c.Operator,
@@ -46,11 +46,11 @@
 }
 
 // RequestAction leaves a request with the agents for whoever drives a rollout, and returns how many took it.
-func (c *Client) RequestAction(ctx context.Context, r form.Rollout, action rollout.OperatorRequest) int {
-	request := form.Request{
-		Verb:            form.RequestActionVerb,
+func (c *Client) RequestAction(ctx context.Context, r protocol.Rollout, action rollout.OperatorRequest) int {
+	request := protocol.Request{
+		Verb:            protocol.RequestActionVerb,
 		AgentsDigest:    c.Fleet.AgentsDigest(),
-		OperatorRequest: form.OperatorRequest{RolloutID: r.ID, Run: r.Run, Action: action, Operator: c.Operator},
+		OperatorRequest: protocol.OperatorRequest{RolloutID: r.ID, Run: r.Run, Action: action, Operator: c.Operator},
 	}
 	accepted := 0
 	for _, answer := range c.Broadcast(ctx, request) {
@@ -62,8 +62,8 @@
 }
 
 // NewestRollout is the newest rollout that an agent knows, and whether a tool holds the lease to drive it now.
-func (c *Client) NewestRollout(ctx context.Context) (rollout form.Rollout, driven, found bool) {
-	answers := c.Broadcast(ctx, form.Request{Verb: form.StatusVerb})
+func (c *Client) NewestRollout(ctx context.Context) (rollout protocol.Rollout, driven, found bool) {
+	answers := c.Broadcast(ctx, protocol.Request{Verb: protocol.StatusVerb})
 	rollout, found = newestRecord(answers)
 	return rollout, leaseStatus(answers).Held, found
 }
@@ -108,7 +108,7 @@
 // callAnswer is what came of a call of the coordinator's.
 type callAnswer struct {
 	id    uint64
-	reply form.Reply
+	reply protocol.Reply
 	err   error
 }
 
--- a/internal/fleet/tool/explain.go
+++ b/internal/fleet/tool/explain.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
@@ -27,7 +27,7 @@
 }
 
 // DescribeRollout is a rollout for people, with the names of the fleet file.
-func (c *Client) DescribeRollout(r form.Rollout) *RolloutStatus {
+func (c *Client) DescribeRollout(r protocol.Rollout) *RolloutStatus {
 	status := &RolloutStatus{
 		ID:           r.ID,
 		Revision:     revision.ShortDigest(r.Revision),
--- a/internal/fleet/tool/history.go
+++ b/internal/fleet/tool/history.go
@@ -7,21 +7,21 @@
 	"maps"
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 )
 
 // History is what the agents keep of revisions and rollouts, each newest first. Revisions are without their contents.
 type History struct {
-	Revisions []form.Revision
-	Rollouts  []form.Rollout
+	Revisions []protocol.Revision
+	Rollouts  []protocol.Rollout
 }
 
 // History gathers the history of all agents. It fails if none can be reached, with the errors of all.
 func (c *Client) History(ctx context.Context) (History, error) {
-	revisions := map[string]form.Revision{} // by digest
-	rollouts := map[string]form.Rollout{}   // by ID
+	revisions := map[string]protocol.Revision{} // by digest
+	rollouts := map[string]protocol.Rollout{}   // by ID
 	var failures []error
-	answers := c.Broadcast(ctx, form.Request{Verb: form.HistoryVerb})
+	answers := c.Broadcast(ctx, protocol.Request{Verb: protocol.HistoryVerb})
 	for _, answer := range answers {
 		if answer.Err != nil {
 			failures = append(failures, answer.Err)
@@ -48,17 +48,17 @@
 }
 
 // isLater tells whether a record of the rollout was written after the known one.
-func isLater(known, other form.Rollout) bool {
+func isLater(known, other protocol.Rollout) bool {
 	if known.Run != other.Run {
 		return known.Run < other.Run
 	}
 	return known.StepsBegun < other.StepsBegun || other.State.Terminal()
 }
 
-func newerRevisionFirst(a, b form.Revision) int {
+func newerRevisionFirst(a, b protocol.Revision) int {
 	return cmp.Or(cmp.Compare(b.PushedAt, a.PushedAt), cmp.Compare(a.Digest, b.Digest))
 }
 
-func newerRolloutFirst(a, b form.Rollout) int {
+func newerRolloutFirst(a, b protocol.Rollout) int {
 	return cmp.Or(cmp.Compare(b.StartedAt, a.StartedAt), cmp.Compare(a.ID, b.ID))
 }
--- a/internal/fleet/tool/preview.go
+++ b/internal/fleet/tool/preview.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 )
 
@@ -30,7 +30,7 @@
 // PreviewEffects tells what a revision would mean for each instance, in the order of the fleet file.
 func (c *Client) PreviewEffects(ctx context.Context, content []byte) ([]RevisionEffect, error) {
 	running := map[string]string{} // digests by instance
-	for _, answer := range c.Broadcast(ctx, form.Request{Verb: form.StatusVerb}) {
+	for _, answer := range c.Broadcast(ctx, protocol.Request{Verb: protocol.StatusVerb}) {
 		for _, instance := range answer.Reply.Instances {
 			running[instance.Name] = instance.Revision
 		}
--- a/internal/fleet/tool/revisions.go
+++ b/internal/fleet/tool/revisions.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 )
 
@@ -64,7 +64,7 @@
 
 // PushRevision has every agent store a revision. content is canonical; name is for people and may be empty.
 func (c *Client) PushRevision(ctx context.Context, content []byte, name string) PushResult {
-	pushed := form.Revision{
+	pushed := protocol.Revision{
 		Digest:   revision.Digest(content),
 		Name:     name,
 		PushedBy: c.Operator,
@@ -72,7 +72,7 @@
 		Content:  content,
 	}
 	result := PushResult{Digest: pushed.Digest, Name: name, Agents: len(c.agents)}
-	for _, answer := range c.Broadcast(ctx, form.Request{Verb: form.PutRevisionVerb, Revision: pushed}) {
+	for _, answer := range c.Broadcast(ctx, protocol.Request{Verb: protocol.PutRevisionVerb, Revision: pushed}) {
 		if answer.Err != nil {
 			result.Missing = append(result.Missing, AgentStatus{Name: answer.Agent, Failure: answer.Err.Error()})
 			continue
@@ -84,12 +84,12 @@
 
 // FindRevision finds a revision by its name, the newest if several have it, or by the beginning of its digest. Its errors
 // are *RevisionNotFoundError, *AmbiguousRevisionError and those of History.
-func (c *Client) FindRevision(ctx context.Context, called string) (form.Revision, error) {
+func (c *Client) FindRevision(ctx context.Context, called string) (protocol.Revision, error) {
 	history, err := c.History(ctx)
 	if err != nil {
-		return form.Revision{}, err
+		return protocol.Revision{}, err
 	}
-	var matches []form.Revision
+	var matches []protocol.Revision
 	for _, r := range history.Revisions {
 		if r.Name == called {
 			return r, nil
@@ -100,17 +100,17 @@
 	}
 	switch len(matches) {
 	case 0:
-		return form.Revision{}, &RevisionNotFoundError{Called: called}
+		return protocol.Revision{}, &RevisionNotFoundError{Called: called}
 	case 1:
 		return matches[0], nil
 	default:
-		return form.Revision{}, &AmbiguousRevisionError{Prefix: called, Matches: len(matches)}
+		return protocol.Revision{}, &AmbiguousRevisionError{Prefix: called, Matches: len(matches)}
 	}
 }
 
 // RevisionContent fetches a revision's content from the first agent that has it.
 func (c *Client) RevisionContent(ctx context.Context, digest string) ([]byte, error) {
-	request := form.Request{Verb: form.GetRevisionVerb, Revision: form.Revision{Digest: digest}}
+	request := protocol.Request{Verb: protocol.GetRevisionVerb, Revision: protocol.Revision{Digest: digest}}
 	var failures []error
 	for i := range c.agents {
 		reply, err := c.call(ctx, i, request)
--- a/internal/fleet/tool/status.go
+++ b/internal/fleet/tool/status.go
@@ -4,9 +4,9 @@
 	"context"
 	"fmt"
 
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/layout"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
@@ -61,12 +61,12 @@
 
 // Status asks all agents how the fleet stands.
 func (c *Client) Status(ctx context.Context) Status {
-	return c.summarize(c.Broadcast(ctx, form.Request{Verb: form.StatusVerb}))
+	return c.summarize(c.Broadcast(ctx, protocol.Request{Verb: protocol.StatusVerb}))
 }
 
 func (c *Client) summarize(answers []Answer) Status {
 	status := Status{Fleet: c.Fleet.Name, Total: len(c.Fleet.Instances)}
-	reported := map[string]form.InstanceStatus{}
+	reported := map[string]protocol.InstanceStatus{}
 	for _, answer := range answers {
 		status.Agents = append(status.Agents, agentStatus(answer))
 		for _, instance := range answer.Reply.Instances {
@@ -98,7 +98,7 @@
 }
 
 // instanceStatus is the status of an instance by its agent's report, if there is one.
-func (c *Client) instanceStatus(instance *layout.Instance, report form.InstanceStatus, known bool) InstanceStatus {
+func (c *Client) instanceStatus(instance *layout.Instance, report protocol.InstanceStatus, known bool) InstanceStatus {
 	status := InstanceStatus{
 		Name:  instance.Name,
 		Agent: instance.Agent,
@@ -156,7 +156,7 @@
 }
 
 // newestRecord is the rollout in the newest record that an agent has, which a majority need not have stored.
-func newestRecord(answers []Answer) (rollout form.Rollout, found bool) {
+func newestRecord(answers []Answer) (rollout protocol.Rollout, found bool) {
 	var newest lease.Record
 	for _, answer := range answers {
 		if answer.Err == nil && newest.Version.Before(answer.Reply.Record.Version) {
@@ -166,6 +166,6 @@
 	if newest.Body == nil {
 		return rollout, false
 	}
-	err := form.Decode("record", newest.Body, &rollout)
+	err := protocol.Decode("record", newest.Body, &rollout)
 	return rollout, err == nil && rollout.ID != ""
 }
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -8,8 +8,8 @@
 
 	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
-	"stoatdale.example/stoatdale/internal/fleet/form"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
+	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
@@ -80,7 +80,7 @@
 	Tool  int
 	ID    uint64
 	Agent int
-	Call  form.Request
+	Call  protocol.Request
 }
 
 func newRollout(b Bounds, fault string) *rolloutSystem {
@@ -114,7 +114,7 @@
 func (r *rolloutSystem) start(t int) {
 	x := r.tools[t]
 	x.holder = fmt.Sprint("t", t)
-	task := coordinator.Task{Operation: coordinator.OperationBegin, Takeover: t > 0, Rollout: form.Rollout{
+	task := coordinator.Task{Operation: coordinator.OperationBegin, Takeover: t > 0, Rollout: protocol.Rollout{
 		Rollout: rollout.Rollout{ID: x.holder, Revision: fmt.Sprint("new", t)},
 	}}
 	if t > 0 {
@@ -137,7 +137,7 @@
 			x.coordinator.TakeEvents()
 			for _, s := range sends {
 				c := rollCall{Tool: t, ID: s.ID, Agent: s.Agent, Call: s.Request}
-				if s.Request.Verb != form.StatusVerb {
+				if s.Request.Verb != protocol.StatusVerb {
 					x.calls = append(x.calls, c)
 					continue
 				}
@@ -169,16 +169,16 @@
 	}
 }
 
-func (r *rolloutSystem) answer(c rollCall) form.Reply {
+func (r *rolloutSystem) answer(c rollCall) protocol.Reply {
 	a := r.agents[c.Agent]
-	if r.fault == "unkept" && c.Call.Verb == form.StoreRecordVerb {
-		return form.Reply{LeaseState: a.handler.Lease.State(r.now)}
+	if r.fault == "unkept" && c.Call.Verb == protocol.StoreRecordVerb {
+		return protocol.Reply{LeaseState: a.handler.Lease.State(r.now)}
 	}
-	if r.fault == "epoch-twice" && c.Call.Verb == form.RequestLeaseVerb && c.Call.LeaseRequest.Epoch == a.handler.Lease.Epoch {
+	if r.fault == "epoch-twice" && c.Call.Verb == protocol.RequestLeaseVerb && c.Call.LeaseRequest.Epoch == a.handler.Lease.Epoch {
 		a.handler.Lease.Epoch--
 		a.handler.Lease.Held = false
 	}
-	if c.Call.Verb == form.BeginStepVerb {
+	if c.Call.Verb == protocol.BeginStepVerb {
 		c.Call.Step.OnlyIfNotServing = c.Call.Step.OnlyIfNotServing && r.fault != "rash"
 		r.check.Sent(stepName(c.Call.Step), r.isKept(c.Call.Epoch))
 	}
@@ -186,7 +186,7 @@
 	if r.fault == "two-begin" {
 		hidePendingSteps(&reply)
 	}
-	isChange := c.Call.Verb == form.BeginStepVerb || c.Call.Verb == form.StoreRecordVerb
+	isChange := c.Call.Verb == protocol.BeginStepVerb || c.Call.Verb == protocol.StoreRecordVerb
 	if reply.Denial == lease.Granted && isChange {
 		r.check.Acted(c.Call.Epoch, c.Call.Holder)
 	}
@@ -215,7 +215,7 @@
 }
 
 // hidePendingSteps has a reply say that no instance is in a step.
-func hidePendingSteps(reply *form.Reply) {
+func hidePendingSteps(reply *protocol.Reply) {
 	for i := range reply.Instances {
 		x := &reply.Instances[i]
 		if x.LastStep.Number != 0 && x.LastResult == rollout.StepPending {
@@ -366,7 +366,7 @@
 	}
 	for _, t := range r.tools {
 		for _, c := range t.calls {
-			if c.Call.Verb == form.BeginStepVerb {
+			if c.Call.Verb == protocol.BeginStepVerb {
 				return false
 			}
 		}
