--- a/internal/cli/agent.go
+++ b/internal/cli/agent.go
@@ -11,7 +11,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/agent"
 	"stoatdale.example/stoatdale/internal/fleet/api"
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
@@ -24,7 +24,7 @@
 		Example: "  stoatctl agent --fleet deploy/fleet.sexp --name a1 --keys /etc/stoatdale/keys --log info",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			fleet, err := layout.Load(fleetFile)
+			fleet, err := inventory.Load(fleetFile)
 			if err != nil {
 				return exitError(ExitUsage, err)
 			}
@@ -46,7 +46,7 @@
 }
 
 // runAgent serves the agent's API and runs its supervisors until ctx is canceled or the API fails. Its routers go on.
-func (a *app) runAgent(ctx context.Context, fleet *layout.Fleet, self *layout.Agent, folder keys.Folder) error {
+func (a *app) runAgent(ctx context.Context, fleet *inventory.Fleet, self *inventory.Agent, folder keys.Folder) error {
 	source := folder.Source(keys.Agent, self.Name)
 	if err := source.Check(); err != nil {
 		return fmt.Errorf("agent %s: %w", self.Name, err)
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/keys"
@@ -22,7 +22,7 @@
 
 // openClient reads the fleet file and returns a client for its agents.
 func (f *fleetFlags) openClient() (*tool.Client, error) {
-	fleet, err := layout.Load(f.file)
+	fleet, err := inventory.Load(f.file)
 	if err != nil {
 		return nil, exitError(ExitUsage, err)
 	}
--- a/internal/cli/fleet_check.go
+++ b/internal/cli/fleet_check.go
@@ -5,7 +5,7 @@
 
 	"github.com/spf13/cobra"
 
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
@@ -32,7 +32,7 @@
 		Use: "check FILE [REVISION.json]", Short: "Checks a fleet file, and a revision for its instances",
 		Example: "  stoatctl fleet check deploy/fleet.sexp winter.json", Args: cobra.RangeArgs(1, 2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			fleet, err := layout.Load(args[0])
+			fleet, err := inventory.Load(args[0])
 			if err != nil {
 				return exitError(ExitUsage, err)
 			}
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -8,7 +8,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
@@ -87,7 +87,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			role, names := keys.Role(args[0]), args[1:]
 			if fleetFile != "" {
-				fleet, err := layout.Load(fleetFile)
+				fleet, err := inventory.Load(fleetFile)
 				if err != nil {
 					return exitError(ExitUsage, err)
 				}
--- a/internal/drill/fleet_size.go
+++ b/internal/drill/fleet_size.go
@@ -16,7 +16,7 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/fleet/api"
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
@@ -145,7 +145,7 @@
 type simulatedFleet struct {
 	folder  string // temporary
 	keys    keys.Folder
-	file    *layout.Fleet
+	file    *inventory.Fleet
 	servers []*api.Server
 	serving sync.WaitGroup
 }
@@ -163,9 +163,9 @@
 	if err := f.keys.Issue(keys.Operator, operatorName, sizeCertificateLasts, time.Now()); err != nil {
 		return f, err
 	}
-	f.file = &layout.Fleet{
-		Name: "sizes", MinAvailable: instances - 1, Zones: []layout.Zone{{Name: "h", MinAvailable: instances - 1}},
-		Times: layout.Times{
+	f.file = &inventory.Fleet{
+		Name: "sizes", MinAvailable: instances - 1, Zones: []inventory.Zone{{Name: "h", MinAvailable: instances - 1}},
+		Times: inventory.Times{
 			Soak: 1, FreshFor: 10, ContactTimeout: 30, StepTimeout: 60, LeaseTerm: 60, PollInterval: 5, ReadyTimeout: 10,
 		},
 	}
@@ -174,7 +174,7 @@
 			return f, err
 		}
 	}
-	f.file, err = layout.Parse("sizes", f.file.Text())
+	f.file, err = inventory.Parse("sizes", f.file.Text())
 	return f, err
 }
 
@@ -188,7 +188,7 @@
 	for i := first; i < end; i++ {
 		instance := fmt.Sprint("n", i)
 		handler.instanceNames = append(handler.instanceNames, instance)
-		f.file.Instances = append(f.file.Instances, layout.Instance{
+		f.file.Instances = append(f.file.Instances, inventory.Instance{
 			Name: instance, Agent: name,
 			Listen: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 5432),
 		})
@@ -197,7 +197,7 @@
 		_ = listener.Close()
 		return err
 	}
-	f.file.Agents = append(f.file.Agents, layout.Agent{
+	f.file.Agents = append(f.file.Agents, inventory.Agent{
 		Name: name, Zone: "h", Folder: f.folder, Program: "none",
 		Listen: netip.MustParseAddrPort(listener.Addr().String()),
 	})
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
@@ -101,7 +101,7 @@
 	report         *RolloutReport
 	rng            *rand.Rand
 	folder         string // absolute
-	fleet          *layout.Fleet
+	fleet          *inventory.Fleet
 	client         *tool.Client
 	members        [3]*stand.Member // the primary and two replicas
 	discovery      *stand.Discovery
--- a/internal/drill/rollout_setup.go
+++ b/internal/drill/rollout_setup.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"stoatdale.example/stoatdale/internal/fleet/agent"
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/tool"
@@ -124,9 +124,9 @@
 // writeFleet writes and loads the fleet file: up to three zones, one agent an instance.
 func (d *rolloutDrill) writeFleet() error {
 	instances, unavailable := d.options.Instances, d.allowedUnavailable()
-	fleet := layout.Fleet{
+	fleet := inventory.Fleet{
 		Name: "drill", MinAvailable: instances - unavailable,
-		Times: layout.Times{
+		Times: inventory.Times{
 			Soak: 0.3, FreshFor: 1, ContactTimeout: 6, StepTimeout: 60,
 			LeaseTerm: 4, PollInterval: 0.1, ReadyTimeout: 10, DrainGrace: 1,
 		},
@@ -136,22 +136,22 @@
 	for i := range instances {
 		zone, name, host := i*zones/instances, fmt.Sprint("a", i+1), stand.Host()
 		zoneSizes[zone]++
-		fleet.Agents = append(fleet.Agents, layout.Agent{
+		fleet.Agents = append(fleet.Agents, inventory.Agent{
 			Name: name, Zone: zoneName(zone), Listen: netip.MustParseAddrPort(host + agentPort),
 			Folder: filepath.Join(d.folder, name), Program: d.options.RouterProgram,
 		})
-		fleet.Instances = append(fleet.Instances, layout.Instance{
+		fleet.Instances = append(fleet.Instances, inventory.Instance{
 			Name: fmt.Sprint("n", i+1), Agent: name, Listen: netip.MustParseAddrPort(host + routerPort),
 		})
 		d.load.Routers = append(d.load.Routers, host+routerPort)
 	}
 	for zone, size := range zoneSizes {
-		fleet.Zones = append(fleet.Zones, layout.Zone{Name: zoneName(zone), MinAvailable: max(0, size-unavailable)})
+		fleet.Zones = append(fleet.Zones, inventory.Zone{Name: zoneName(zone), MinAvailable: max(0, size-unavailable)})
 	}
 	if err := os.WriteFile(d.fleetFile(), fleet.Text(), 0o600); err != nil {
 		return err
 	}
-	loaded, err := layout.Load(d.fleetFile())
+	loaded, err := inventory.Load(d.fleetFile())
 	if err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 func zoneName(zone int) string { return fmt.Sprint("hall", zone+1) }
 
 // issueKeys makes an authority, and certificates of the operator and all agents.
-func issueKeys(folder keys.Folder, fleet *layout.Fleet) error {
+func issueKeys(folder keys.Folder, fleet *inventory.Fleet) error {
 	now := time.Now()
 	if err := folder.MakeAuthority("drill", authorityLasts, now); err != nil {
 		return err
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -17,7 +17,7 @@
 
 	"github.com/rs/zerolog"
 
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/store"
@@ -58,8 +58,8 @@
 
 // Agent is the agent of one machine.
 type Agent struct {
-	fleet     *layout.Fleet
-	self      *layout.Agent
+	fleet     *inventory.Fleet
+	self      *inventory.Agent
 	store     Store
 	log       zerolog.Logger
 	handler   supervisor.RequestHandler // its supervisors are in the order of routers
@@ -71,13 +71,13 @@
 }
 
 // OpenStore opens the store in an agent's folder.
-func OpenStore(self *layout.Agent) (*store.Store, error) {
+func OpenStore(self *inventory.Agent) (*store.Store, error) {
 	return store.Open(filepath.Join(self.Folder, storeName))
 }
 
 // New returns an agent that has loaded its state from the store. name is the agent's in the fleet file; program names
 // this program and its version, for people. It creates the folders of the agent's instances.
-func New(f *layout.Fleet, name, program string, s Store, log zerolog.Logger) (*Agent, error) {
+func New(f *inventory.Fleet, name, program string, s Store, log zerolog.Logger) (*Agent, error) {
 	self := f.Agent(name)
 	if self == nil {
 		return nil, fmt.Errorf("the fleet file has no agent %s", name)
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/goleak"
 	"golang.org/x/sys/unix"
 
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
@@ -54,7 +54,7 @@
 // rig is one agent with one instance, in this process; it can be killed and started again.
 type rig struct {
 	t          *testing.T
-	fleet      *layout.Fleet
+	fleet      *inventory.Fleet
 	folder     string
 	agent      *Agent
 	store      *faultyStore
@@ -67,7 +67,7 @@
 	dir := t.TempDir()
 	text := fmt.Sprintf(`(name t) (floor 0) (times (ready 2s) (grace 200ms)) (hall h (floor 0))
 		(agent a (listen 127.0.0.1:1) (hall h) (folder %q) (program %q)) (instance n (agent a) (listen %s))`, dir, os.Args[0], stand.Host()+":5432")
-	f, err := layout.Parse("f", []byte(text))
+	f, err := inventory.Parse("f", []byte(text))
 	require.NoError(t, err)
 	r := &rig{t: t, fleet: f, folder: dir}
 	r.start()
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
@@ -77,7 +77,7 @@
 	for _, name := range names {
 		text += fmt.Sprintf("(instance %s (agent a) (listen %s))", name, stand.Host()+":5432")
 	}
-	f, err := layout.Parse("f", []byte(text))
+	f, err := inventory.Parse("f", []byte(text))
 	require.NoError(t, err)
 	raw, err := os.ReadFile(filepath.Join("..", "store", "testdata", "agent.db"))
 	require.NoError(t, err)
@@ -91,7 +91,7 @@
 }
 
 // placeRecordedFiles puts in place the files of the routers as the store says: they lie beside it.
-func placeRecordedFiles(t *testing.T, f *layout.Fleet) {
+func placeRecordedFiles(t *testing.T, f *inventory.Fleet) {
 	t.Helper()
 	s, err := OpenStore(f.Agent("a"))
 	require.NoError(t, err)
--- a/internal/fleet/agent/router.go
+++ b/internal/fleet/agent/router.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/store"
@@ -21,7 +21,7 @@
 type router struct {
 	agent          *Agent
 	index          int // among the agent's routers
-	instance       layout.Instance
+	instance       inventory.Instance
 	folder         string // absolute
 	process        *processHandle
 	healthChecking bool    // a health check is under way
@@ -31,7 +31,7 @@
 // supervisorEvent hands something that has happened to a supervisor.
 type supervisorEvent func(s *supervisor.Supervisor) supervisor.Transition
 
-func newRouter(a *Agent, index int, instance layout.Instance) (router, error) {
+func newRouter(a *Agent, index int, instance inventory.Instance) (router, error) {
 	folder, err := filepath.Abs(filepath.Join(a.self.Folder, instance.Name))
 	if err != nil {
 		return router{}, fmt.Errorf("instance %s: %w", instance.Name, err)
--- a/internal/fleet/layout/check.go
+++ b/internal/fleet/inventory/check.go
@@ -1,4 +1,4 @@
-package layout
+package inventory
 
 import (
 	"fmt"
--- a/internal/fleet/layout/inventory.go
+++ b/internal/fleet/inventory/inventory.go
@@ -1,6 +1,6 @@
 // Package layout reads the fleet file, an inventory as S-expressions: the agents, zones and instances of a fleet, how many
 // instances must stay available, and times.
-package layout
+package inventory
 
 import (
 	"fmt"
--- a/internal/fleet/tool/client.go
+++ b/internal/fleet/tool/client.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"stoatdale.example/stoatdale/internal/fleet/api"
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/keys"
 )
@@ -25,7 +25,7 @@
 
 // Client speaks to the agents of a fleet for one operator. Its methods may be called from several goroutines.
 type Client struct {
-	Fleet       *layout.Fleet
+	Fleet       *inventory.Fleet
 	Operator    string
 	agents      []*api.Client // in the order of the fleet file
 	callTimeout time.Duration
@@ -33,7 +33,7 @@
 
 // New returns a client that has not connected to any agent. It fails if the operator's certificate in the folder cannot be
 // used now.
-func New(f *layout.Fleet, folder keys.Folder, operator string) (*Client, error) {
+func New(f *inventory.Fleet, folder keys.Folder, operator string) (*Client, error) {
 	source := folder.Source(keys.Operator, operator)
 	if err := source.Check(); err != nil {
 		return nil, fmt.Errorf("operator %s: %w", operator, err)
--- a/internal/fleet/tool/client_test.go
+++ b/internal/fleet/tool/client_test.go
@@ -20,7 +20,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/agent"
 	"stoatdale.example/stoatdale/internal/fleet/api"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
@@ -42,7 +42,7 @@
 // rig is a fleet of agents in this process, with stand-in routers, spoken to over TLS.
 type rig struct {
 	t      *testing.T
-	fleet  *layout.Fleet
+	fleet  *inventory.Fleet
 	keys   keys.Folder
 	agents []func() // that stop them; nil for those that are stopped
 }
@@ -55,7 +55,7 @@
 		text += fmt.Sprintf("(agent a%d (listen %s) (hall h) (folder %q) (program %q))\n(instance n%d (agent a%d) (listen %s))\n",
 			i, stand.Host()+":7400", filepath.Join(dir, fmt.Sprint("a", i)), os.Args[0], i, i, stand.Host()+":5432")
 	}
-	f, err := layout.Parse("f", []byte(text))
+	f, err := inventory.Parse("f", []byte(text))
 	require.NoError(t, err)
 	r := &rig{t: t, fleet: f, keys: keys.Folder(filepath.Join(dir, "keys")), agents: make([]func(), n)}
 	require.NoError(t, r.keys.MakeAuthority("t", time.Hour, time.Now()))
--- a/internal/fleet/tool/preview.go
+++ b/internal/fleet/tool/preview.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 )
@@ -76,7 +76,7 @@
 }
 
 // replaceEffect is what it means for an instance to go from one revision to another.
-func replaceEffect(instance *layout.Instance, from, to []byte) (RevisionEffect, error) {
+func replaceEffect(instance *inventory.Instance, from, to []byte) (RevisionEffect, error) {
 	effect := RevisionEffect{Instance: instance.Name, Change: ChangeReload}
 	before, err := revision.Check(from, instance.RevisionInstance())
 	if err != nil {
--- a/internal/fleet/tool/status.go
+++ b/internal/fleet/tool/status.go
@@ -4,7 +4,7 @@
 	"context"
 	"fmt"
 
-	"stoatdale.example/stoatdale/internal/fleet/layout"
+	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
@@ -98,7 +98,7 @@
 }
 
 // instanceStatus is the status of an instance by its agent's report, if there is one.
-func (c *Client) instanceStatus(instance *layout.Instance, report protocol.InstanceStatus, known bool) InstanceStatus {
+func (c *Client) instanceStatus(instance *inventory.Instance, report protocol.InstanceStatus, known bool) InstanceStatus {
 	status := InstanceStatus{
 		Name:  instance.Name,
 		Agent: instance.Agent,
