--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -6,10 +6,10 @@
 
 	"github.com/spf13/cobra"
 
+	"stoatdale.example/stoatdale/internal/fleet/control"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
@@ -21,12 +21,12 @@
 }
 
 // openClient reads the fleet file and returns a client for its agents.
-func (f *fleetFlags) openClient() (*tool.Client, error) {
+func (f *fleetFlags) openClient() (*control.Client, error) {
 	fleet, err := inventory.Load(f.file)
 	if err != nil {
 		return nil, exitError(ExitUsage, err)
 	}
-	client, err := tool.New(fleet, keys.Folder(f.keysFolder), f.operator)
+	client, err := control.New(fleet, keys.Folder(f.keysFolder), f.operator)
 	if err != nil {
 		return nil, exitError(ExitUsage, err)
 	}
@@ -35,7 +35,7 @@
 
 // withClient makes a command's function of one that needs a client, which is closed when it returns.
 func (f *fleetFlags) withClient(
-	run func(ctx context.Context, client *tool.Client, args []string) error,
+	run func(ctx context.Context, client *control.Client, args []string) error,
 ) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		client, err := f.openClient()
--- a/internal/cli/fleet_check.go
+++ b/internal/cli/fleet_check.go
@@ -5,10 +5,10 @@
 
 	"github.com/spf13/cobra"
 
+	"stoatdale.example/stoatdale/internal/fleet/control"
 	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
 
 // checkReport is what fleet check found in files without faults.
@@ -36,7 +36,7 @@
 			if err != nil {
 				return exitError(ExitUsage, err)
 			}
-			client := &tool.Client{Fleet: fleet} // without agents: it reads files and explains reasons
+			client := &control.Client{Fleet: fleet} // without agents: it reads files and explains reasons
 			report := checkReport{Fleet: fleet.Name, Zones: len(fleet.Zones), Agents: len(fleet.Agents), Instances: len(fleet.Instances)}
 			if len(args) == 2 {
 				content, err := client.ReadRevision(args[1])
--- a/internal/cli/fleet_drive.go
+++ b/internal/cli/fleet_drive.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
+	"stoatdale.example/stoatdale/internal/fleet/control"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
 
 // driveFlags are the flags of commands that drive a rollout.
@@ -41,7 +41,7 @@
 }
 
 // drive carries a task out, shows its progress, and returns its outcome as an exit error.
-func (a *app) drive(ctx context.Context, client *tool.Client, task coordinator.Task, flags *driveFlags) error {
+func (a *app) drive(ctx context.Context, client *control.Client, task coordinator.Task, flags *driveFlags) error {
 	names := client.Fleet.InstanceNames()
 	excluded, err := flags.excludedInstances(names)
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 	task.Takeover = flags.takeOver
 	task.ExcludedInstances = append(task.ExcludedInstances, excluded...)
-	var trace *tool.Trace
+	var trace *control.Trace
 	if flags.traceFile != "" {
 		if trace, err = client.NewTrace(flags.traceFile); err != nil {
 			return exitError(ExitUsage, err)
@@ -74,7 +74,7 @@
 	return a.reportOutcome(client, outcome)
 }
 
-func (a *app) logEvent(client *tool.Client, event coordinator.Event) {
+func (a *app) logEvent(client *control.Client, event coordinator.Event) {
 	name := ""
 	if i := event.Step.Instance; event.Step.Number != 0 && i < len(client.Fleet.Instances) {
 		name = client.Fleet.Instances[i].Name
@@ -95,14 +95,14 @@
 
 // driveReport is what a command that drove a rollout prints.
 type driveReport struct {
-	Outcome string              `json:"outcome"`
-	Why     string              `json:"why,omitempty"`
-	Rollout *tool.RolloutStatus `json:"rollout,omitempty"`
-	Faults  []string            `json:"faults,omitempty"`
+	Outcome string                 `json:"outcome"`
+	Why     string                 `json:"why,omitempty"`
+	Rollout *control.RolloutStatus `json:"rollout,omitempty"`
+	Faults  []string               `json:"faults,omitempty"`
 }
 
 // reportOutcome shows how a rollout's driver ended, and returns the exit error that it stands for.
-func (a *app) reportOutcome(client *tool.Client, outcome coordinator.Outcome) error {
+func (a *app) reportOutcome(client *control.Client, outcome coordinator.Outcome) error {
 	rollout := client.DescribeRollout(outcome.Rollout)
 	report := driveReport{Outcome: rollout.State, Why: rollout.Why, Rollout: rollout, Faults: outcome.Faults}
 	var exit error
@@ -124,7 +124,7 @@
 }
 
 // endedRolloutError is the exit error of a rollout that ended or paused, or nil if it ended as the operator asked.
-func endedRolloutError(outcome coordinator.Outcome, state *tool.RolloutStatus) error {
+func endedRolloutError(outcome coordinator.Outcome, state *control.RolloutStatus) error {
 	if outcome.Reason.Kind == rollout.ReasonOperator {
 		return nil
 	}
@@ -153,7 +153,7 @@
 	return unfinishedDrive{outcome: "refused", why: fmt.Sprintf(format, args...), code: ExitRejected}
 }
 
-func describeUnfinished(client *tool.Client, outcome coordinator.Outcome, rollout *tool.RolloutStatus) unfinishedDrive {
+func describeUnfinished(client *control.Client, outcome coordinator.Outcome, rollout *control.RolloutStatus) unfinishedDrive {
 	holder := outcome.Holder
 	switch outcome.Kind {
 	case coordinator.OutcomeEnded: // reportOutcome looks at the rollout's state instead
--- a/internal/cli/fleet_history.go
+++ b/internal/cli/fleet_history.go
@@ -8,8 +8,8 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
+	"stoatdale.example/stoatdale/internal/fleet/control"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
-	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
 
 type pushedRevision struct {
@@ -21,11 +21,11 @@
 
 // historyReport is what fleet history prints: newest first.
 type historyReport struct {
-	Revisions []pushedRevision     `json:"revisions"`
-	Rollouts  []tool.RolloutStatus `json:"rollouts"`
+	Revisions []pushedRevision        `json:"revisions"`
+	Rollouts  []control.RolloutStatus `json:"rollouts"`
 }
 
-func newHistoryReport(client *tool.Client, history tool.History) *historyReport {
+func newHistoryReport(client *control.Client, history control.History) *historyReport {
 	var report historyReport
 	for _, x := range history.Revisions {
 		report.Revisions = append(report.Revisions, pushedRevision{
@@ -55,7 +55,7 @@
 func (a *app) fleetHistoryCommand(flags *fleetFlags) *cobra.Command {
 	c := &cobra.Command{
 		Use: "history", Short: "Lists revisions and rollouts, newest first", Args: cobra.NoArgs,
-		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
+		RunE: flags.withClient(func(ctx context.Context, client *control.Client, _ []string) error {
 			history, err := client.History(ctx)
 			if err != nil {
 				return exitError(ExitFailed, err)
--- a/internal/cli/fleet_revisions.go
+++ b/internal/cli/fleet_revisions.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
+	"stoatdale.example/stoatdale/internal/fleet/control"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
-	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
 
 func (a *app) fleetPushCommand(flags *fleetFlags) *cobra.Command {
@@ -21,7 +21,7 @@
 			"router's own reader for every instance before any agent is asked, and again at the agents. Exit status 4 if some\n" +
 			"agents could not take it: push again once they can be heard.",
 		Example: "  stoatctl fleet push winter.json --name winter", Args: cobra.ExactArgs(1),
-		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, args []string) error {
+		RunE: flags.withClient(func(ctx context.Context, client *control.Client, args []string) error {
 			content, err := client.ReadRevision(args[0])
 			if err != nil {
 				return exitError(ExitUsage, err)
@@ -54,7 +54,7 @@
 		Use: "diff REVISION [REVISION]", Short: "Shows what a revision changes, and how each instance would take it",
 		Long:    "REVISION is a file, the name of a pushed revision or the beginning of its digest. With one, it is held against what runs.",
 		Example: "  stoatctl fleet diff winter.json\n  stoatctl fleet diff autumn winter", Args: cobra.RangeArgs(1, 2),
-		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, args []string) error {
+		RunE: flags.withClient(func(ctx context.Context, client *control.Client, args []string) error {
 			if len(args) == 2 {
 				return a.showDiff(ctx, client, args[0], args[1])
 			}
@@ -67,8 +67,8 @@
 
 // diffReport is what a revision changes.
 type diffReport struct {
-	Changes []revision.Change     `json:"changes"`
-	Effects []tool.RevisionEffect `json:"instances,omitempty"` // on each instance, if compared with what runs
+	Changes []revision.Change        `json:"changes"`
+	Effects []control.RevisionEffect `json:"instances,omitempty"` // on each instance, if compared with what runs
 }
 
 func (r *diffReport) print(out io.Writer) {
@@ -88,7 +88,7 @@
 }
 
 // showDiff shows the changes between two revisions.
-func (a *app) showDiff(ctx context.Context, client *tool.Client, fromName, toName string) error {
+func (a *app) showDiff(ctx context.Context, client *control.Client, fromName, toName string) error {
 	to, err := revisionContent(ctx, client, toName)
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 
 // showPreview shows what a revision would change in the fleet as it runs. Keys are compared with the revision of the first
 // instance that has one: in a fleet between rollouts all run the same.
-func (a *app) showPreview(ctx context.Context, client *tool.Client, name string) error {
+func (a *app) showPreview(ctx context.Context, client *control.Client, name string) error {
 	to, err := revisionContent(ctx, client, name)
 	if err != nil {
 		return err
@@ -136,7 +136,7 @@
 }
 
 // revisionContent reads a revision from the file of that name, if there is one, else from the agents.
-func revisionContent(ctx context.Context, client *tool.Client, name string) ([]byte, error) {
+func revisionContent(ctx context.Context, client *control.Client, name string) ([]byte, error) {
 	if _, err := os.Stat(name); err == nil {
 		content, err := client.ReadRevision(name)
 		return content, exitError(ExitUsage, err)
--- a/internal/cli/fleet_rollout.go
+++ b/internal/cli/fleet_rollout.go
@@ -8,10 +8,10 @@
 
 	"github.com/spf13/cobra"
 
+	"stoatdale.example/stoatdale/internal/fleet/control"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tool"
 )
 
 func (a *app) fleetRollCommand(flags *fleetFlags) *cobra.Command {
@@ -22,7 +22,7 @@
 		Long: "Each instance is drained, changed, seen ready and watched for the soak before the next is touched. If it does not come\n" +
 			"up, or leaves a larger share of commands unanswered than before, all that were touched go back by themselves.",
 		Example: "  stoatctl fleet roll winter\n  stoatctl fleet roll winter --dry-run", Args: cobra.ExactArgs(1),
-		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, args []string) error {
+		RunE: flags.withClient(func(ctx context.Context, client *control.Client, args []string) error {
 			found, err := client.FindRevision(ctx, args[0])
 			if err != nil {
 				return exitError(ExitFailed, err)
@@ -45,7 +45,7 @@
 	c := &cobra.Command{
 		Use: "resume", Short: "Goes on with the rollout that paused, or whose tool is gone",
 		Example: "  stoatctl fleet resume --leave-out n7", Args: cobra.NoArgs,
-		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
+		RunE: flags.withClient(func(ctx context.Context, client *control.Client, _ []string) error {
 			return a.drive(ctx, client, coordinator.Task{Operation: coordinator.OperationResume, Operator: client.Operator}, &drive)
 		}),
 	}
@@ -60,7 +60,7 @@
 		Use: "rollback [REVISION]", Short: "Takes the newest rollout back, or rolls an earlier revision out",
 		Long:    "Without a name, each instance that the newest rollout touched goes back to what it ran before.",
 		Example: "  stoatctl fleet rollback\n  stoatctl fleet rollback autumn", Args: cobra.MaximumNArgs(1),
-		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, args []string) error {
+		RunE: flags.withClient(func(ctx context.Context, client *control.Client, args []string) error {
 			if len(args) == 1 {
 				found, err := client.FindRevision(ctx, args[0])
 				if err != nil {
@@ -94,7 +94,7 @@
 		Use: halt.verb, Short: halt.summary,
 		Long: "If a tool drives the rollout it is asked, and does so once its step has ended. Else this tool does it.",
 		Args: cobra.NoArgs,
-		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
+		RunE: flags.withClient(func(ctx context.Context, client *control.Client, _ []string) error {
 			newest, driven, found := client.NewestRollout(ctx)
 			if found && driven && newest.State == rollout.Running && !drive.takeOver {
 				return a.requestOfDriver(ctx, client, newest, halt.request)
@@ -108,7 +108,7 @@
 }
 
 // requestOfDriver stores a request for the tool that drives the rollout, and polls until it is done or cannot be.
-func (a *app) requestOfDriver(ctx context.Context, client *tool.Client, rollout protocol.Rollout, request rollout.OperatorRequest) error {
+func (a *app) requestOfDriver(ctx context.Context, client *control.Client, rollout protocol.Rollout, request rollout.OperatorRequest) error {
 	if agents := client.RequestAction(ctx, rollout, request); agents == 0 {
 		return exitError(ExitFailed, errors.New("no agent took the wish"))
 	}
--- a/internal/cli/fleet_status.go
+++ b/internal/cli/fleet_status.go
@@ -10,7 +10,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
-	"stoatdale.example/stoatdale/internal/fleet/tool"
+	"stoatdale.example/stoatdale/internal/fleet/control"
 )
 
 func (a *app) fleetStatusCommand(flags *fleetFlags) *cobra.Command {
@@ -18,7 +18,7 @@
 	c := &cobra.Command{
 		Use: "status", Short: "Shows agents, instances, the rollout and who holds the claim",
 		Long: "Exit status 1 if an agent cannot be heard.", Example: "  stoatctl fleet status --watch 2s", Args: cobra.NoArgs,
-		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
+		RunE: flags.withClient(func(ctx context.Context, client *control.Client, _ []string) error {
 			if interval > 0 {
 				return a.watchStatus(ctx, client, interval)
 			}
@@ -39,13 +39,13 @@
 	return c
 }
 
-func (a *app) showStatus(ctx context.Context, client *tool.Client) (tool.Status, error) {
+func (a *app) showStatus(ctx context.Context, client *control.Client) (control.Status, error) {
 	status := client.Status(ctx)
 	return status, a.show(status, func(out io.Writer) { printStatus(out, &status) })
 }
 
 // watchStatus shows the status again and again until ctx is canceled.
-func (a *app) watchStatus(ctx context.Context, client *tool.Client, interval time.Duration) error {
+func (a *app) watchStatus(ctx context.Context, client *control.Client, interval time.Duration) error {
 	for {
 		if _, err := a.showStatus(ctx, client); err != nil {
 			return err
@@ -58,7 +58,7 @@
 	}
 }
 
-func printStatus(out io.Writer, status *tool.Status) {
+func printStatus(out io.Writer, status *control.Status) {
 	printf(out, "%s: %d of %d serve\n\n", status.Fleet, status.Serving, status.Total)
 	t := newTable(out, "instance", "hall", "agent", "life", "revision", "process", "crashes", "unanswered", "")
 	for _, x := range status.Instances {
@@ -82,7 +82,7 @@
 	printLease(out, status.Lease)
 }
 
-func printRollout(out io.Writer, rollout *tool.RolloutStatus) {
+func printRollout(out io.Writer, rollout *control.RolloutStatus) {
 	printf(out, "rollout %s of revision %s by %s, begun %s: %s", rollout.ID, rollout.Revision, rollout.StartedBy, rollout.StartedAt,
 		rollout.State)
 	if rollout.RollingBack {
@@ -97,7 +97,7 @@
 	printf(out, "\n")
 }
 
-func printLease(out io.Writer, lease *tool.LeaseStatus) {
+func printLease(out io.Writer, lease *control.LeaseStatus) {
 	if !lease.Held {
 		printf(out, "nobody holds the claim (epoch %d, %d of %d agents heard)\n", lease.Epoch, lease.ReachableAgents, lease.Agents)
 		return
@@ -109,7 +109,7 @@
 func (a *app) fleetLeaseCommand(flags *fleetFlags) *cobra.Command {
 	c := &cobra.Command{
 		Use: "claim", Short: "Tells who may change the fleet, since when and until when", Args: cobra.NoArgs,
-		RunE: flags.withClient(func(ctx context.Context, client *tool.Client, _ []string) error {
+		RunE: flags.withClient(func(ctx context.Context, client *control.Client, _ []string) error {
 			lease := client.Status(ctx).Lease
 			return a.show(lease, func(out io.Writer) { printLease(out, lease) })
 		}),
--- a/internal/drill/fleet_size.go
+++ b/internal/drill/fleet_size.go
@@ -16,11 +16,11 @@
 	"github.com/rs/zerolog"
 
 	"stoatdale.example/stoatdale/internal/fleet/api"
+	"stoatdale.example/stoatdale/internal/fleet/control"
 	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/keys"
 )
 
@@ -115,7 +115,7 @@
 	if err != nil {
 		return Size{}, err
 	}
-	client, err := tool.New(fleet.file, fleet.keys, operatorName)
+	client, err := control.New(fleet.file, fleet.keys, operatorName)
 	if err != nil {
 		return Size{}, err
 	}
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -11,11 +11,11 @@
 	"sync/atomic"
 	"time"
 
+	"stoatdale.example/stoatdale/internal/fleet/control"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
 
@@ -102,7 +102,7 @@
 	rng            *rand.Rand
 	folder         string // absolute
 	fleet          *inventory.Fleet
-	client         *tool.Client
+	client         *control.Client
 	members        [3]*stand.Member // the primary and two replicas
 	discovery      *stand.Discovery
 	load           *stand.Load
@@ -202,7 +202,7 @@
 // rollOutSecond drives the rollout that the drill is about.
 func (d *rolloutDrill) rollOutSecond(ctx context.Context) error {
 	d.logf("the second revision goes out")
-	var trace *tool.Trace
+	var trace *control.Trace
 	if d.options.Folder != "" {
 		var err error
 		if trace, err = d.client.NewTrace(filepath.Join(d.folder, "spans.json")); err != nil {
--- a/internal/drill/rollout_setup.go
+++ b/internal/drill/rollout_setup.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sys/unix"
 
 	"stoatdale.example/stoatdale/internal/fleet/agent"
+	"stoatdale.example/stoatdale/internal/fleet/control"
 	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/fleet/tool"
 	"stoatdale.example/stoatdale/internal/keys"
 	"stoatdale.example/stoatdale/internal/lab/stand"
 )
@@ -60,7 +60,7 @@
 		}
 	}
 	var err error
-	if d.client, err = tool.New(d.fleet, folder, operatorName); err != nil {
+	if d.client, err = control.New(d.fleet, folder, operatorName); err != nil {
 		return err
 	}
 	return d.awaitAgents(ctx)
@@ -215,7 +215,7 @@
 	}
 }
 
-func agentsAreUp(status *tool.Status) bool {
+func agentsAreUp(status *control.Status) bool {
 	for _, a := range status.Agents {
 		if !a.Reachable {
 			return false
--- a/internal/fleet/tool/client.go
+++ b/internal/fleet/control/client.go
@@ -1,6 +1,6 @@
 // Package tool is the operator's side of a fleet: it asks all agents, shows how the fleet stands, stores revisions at the
 // agents and drives rollouts.
-package tool
+package control
 
 import (
 	"context"
--- a/internal/fleet/tool/drive.go
+++ b/internal/fleet/control/drive.go
@@ -1,4 +1,4 @@
-package tool
+package control
 
 import (
 	"context"
