--- a/internal/router/consistency.go
+++ b/internal/router/consistency.go
@@ -79,18 +79,16 @@
 	return i != primary && r.eligible(e) && !e.ejected && e.mayCatchUp(now, position)
 }
 
-// collectCandidates gathers the endpoints that may take a read of a position. It returns the ejected one that
-// is due for a recovery attempt first, or none, and the number of healthy replicas that may cover the read.
-func (r *Router) collectCandidates(
-	now float64, c *Command, g *group, position float64,
-) (recovering, healthy int) {
-	primary := r.primary(c.Shard)
-	recovering, r.candidates = none, r.candidates[:0]
+// collectCandidates gathers the endpoints that may take a read of a position. It returns the ejected endpoint
+// that is due for a recovery attempt first, or none; that may be the primary, whose data are always fresh.
+func (r *Router) collectCandidates(now float64, c *Command, g *group, position float64) int {
+	primary, recovering := r.primary(c.Shard), none
+	r.candidates, r.healthyReplicas = r.candidates[:0], 0
 	for _, i := range r.shards[c.Shard].endpoints {
 		e := &r.endpoints[i]
 		suspected := r.suspected(now, i)
 		if r.mayCover(now, position, i, primary) {
-			healthy++
+			r.healthyReplicas++
 		}
 		covers := i == primary || e.position >= position
 		if i == primary && !suspected || !r.eligible(e) || !covers || !r.slowStartAdmits(now, i) {
@@ -103,7 +101,7 @@
 			recovering = i
 		}
 	}
-	return recovering, healthy
+	return recovering
 }
 
 // checkPosition says whether a replica may cover a read in time, and has one checked, this router's own:
--- a/internal/router/consistency_test.go
+++ b/internal/router/consistency_test.go
@@ -197,8 +197,7 @@
 		s := testConfig()
 		s.ReplicasCheckReads = guarded
 		r := testRouter(t, s)
-		count(&r.reads, 10.2, 1)
-		count(&r.fallbacks, 10.2, 1)
+		count(&r.reads, 10.2, 1, true)
 		r.Route(10.2, uncoveredRead(r))
 		assert.Equal(t, guarded, len(r.pendingChecks) == 0)
 	}
@@ -208,7 +207,7 @@
 func TestReadThatFallsBackAtOnceChecksNoPosition(t *testing.T) {
 	r := testRouter(t, testConfig())
 	c := uncoveredRead(r)
-	count(&r.reads, 10, 10)
+	count(&r.reads, 10, 10, false)
 	a := r.Route(10.2, c)
 	require.Equal(t, Forward, a.Action)
 	assert.Equal(t, 0, a.Endpoint)
--- a/internal/router/health.go
+++ b/internal/router/health.go
@@ -90,14 +90,14 @@
 
 // recoveryDue says whether an ejected endpoint gets a recovery attempt. Where all are ejected one fails open,
 // or there would be nobody to learn from; an unreachable one is left to health checks.
-func (r *Router) recoveryDue(now float64, c *Command, g *group, i, healthy int) bool {
+func (r *Router) recoveryDue(now float64, c *Command, g *group, i int) bool {
 	e := &r.endpoints[i]
 	reachable := math.IsInf(e.unreachableSince, 1) || !r.config.HealthChecks
 	timely := now-c.ArrivedAt < latencySlack*g.LatencyObjective
 	if reachable && timely && now >= e.recoveryAt && now-r.recoveryAt >= r.recoveryInterval {
 		return true
 	}
-	return healthy == 0 && r.mayFailOpen(now, e)
+	return r.healthyReplicas == 0 && r.mayFailOpen(now, e)
 }
 
 // mayFailOpen says that an ejected endpoint may be used for want of a better one.
--- a/internal/router/helper_test.go
+++ b/internal/router/helper_test.go
@@ -66,9 +66,9 @@
 // seedOf is the seed of one of many routers. Small seeds leave the generator's half that draw reads the same.
 func seedOf(i int) uint64 { return uint64(i+1) * 0x9e3779b97f4a7c15 }
 
-// count adds so many events at a time.
-func count(c *rolling.Counter, now float64, events int) {
-	for range events {
-		c.Add(now)
+// count adds so many reads at a time, which fell back to a primary or did not.
+func count(c *rolling.Counter, now float64, reads int, fallbacks bool) {
+	for range reads {
+		c.Add(now, fallbacks)
 	}
 }
--- a/internal/router/primary.go
+++ b/internal/router/primary.go
@@ -80,7 +80,8 @@
 
 // mayFallBack keeps reads at primaries to their share of the last second's.
 func (r *Router) mayFallBack(now float64) bool {
-	return r.fallbacks.Sum(now)+1 <= fallbackShare*(r.reads.Sum(now)+1)
+	reads, fallbacks := r.reads.Sums(now)
+	return fallbacks+1 <= fallbackShare*(reads+1)
 }
 
 // admitPrimary returns a primary if it admits the command, else none.
--- a/internal/router/primary_test.go
+++ b/internal/router/primary_test.go
@@ -10,9 +10,9 @@
 
 func TestFallbacksAreOneReadInFive(t *testing.T) {
 	r := testRouter(t, testConfig())
-	count(&r.reads, 10, 9)
+	count(&r.reads, 10, 9, false)
 	assert.True(t, r.mayFallBack(10))
-	count(&r.fallbacks, 10, 2)
+	count(&r.reads, 10, 2, true)
 	assert.False(t, r.mayFallBack(10))
 	assert.False(t, r.mayFallBack(11.5), "the last second only")
 }
@@ -81,7 +81,7 @@
 		r.endpoints[i].latencySum, r.endpoints[i].answerSum, r.endpoints[i].decayedAt = 0.2, 10, 10.2
 	}
 	r.latency = 0.02
-	count(&r.reads, 10.2, 10)
+	count(&r.reads, 10.2, 10, false)
 	r.endpoints[0].latencySum = 2
 	c := uncoveredRead(r)
 	assert.Equal(t, Wait, r.Route(10.2, c).Action)
--- a/internal/router/rolling/rolling_test.go
+++ b/internal/router/rolling/rolling_test.go
@@ -8,13 +8,17 @@
 
 func TestCounterForgetsAfterASecond(t *testing.T) {
 	c := New(10)
-	c.Add(5.01)
-	c.Add(5.45)
-	c.Add(5.45)
-	assert.InDelta(t, 3.0, c.Sum(5.99), 0)
-	assert.InDelta(t, 2.0, c.Sum(6.05), 0, "the slot of 5.01 is over")
-	c.Add(6.05)
-	assert.InDelta(t, 3.0, c.Sum(5.5), 0, "a clock that goes back counts nothing twice")
-	assert.InDelta(t, 1.0, c.Sum(6.55), 0)
-	assert.Zero(t, c.Sum(100))
+	sums := func(now float64) []float64 {
+		all, marked := c.Sums(now)
+		return []float64{all, marked}
+	}
+	c.Add(5.01, true)
+	c.Add(5.45, false)
+	c.Add(5.45, true)
+	assert.Equal(t, []float64{3, 2}, sums(5.99))
+	assert.Equal(t, []float64{2, 1}, sums(6.05), "the slot of 5.01 is over")
+	c.Add(6.05, false)
+	assert.Equal(t, []float64{3, 1}, sums(5.5), "a clock that goes back counts nothing twice")
+	assert.Equal(t, []float64{1, 0}, sums(6.55))
+	assert.Equal(t, []float64{0, 0}, sums(100))
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -20,7 +20,7 @@
 func New(config Config, seed uint64) *Router {
 	r := &Router{
 		config: config, random: mwc.New(seed), sessions: generational.New[uint64, session](),
-		reads: rolling.New(fallbackSlots), fallbacks: rolling.New(fallbackSlots), maintainedAt: math.Inf(-1),
+		reads: rolling.New(fallbackSlots), maintainedAt: math.Inf(-1),
 	}
 	interval := math.Inf(1)
 	for _, g := range config.CommandGroups {
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -53,8 +53,7 @@
 
 // pickReplica spreads reads evenly over the replicas that cover them, answer, and are not crowded.
 func (r *Router) pickReplica(now float64, c *Command, g *group, position float64) int {
-	i, healthy := r.collectCandidates(now, c, g, position)
-	if i >= 0 && r.recoveryDue(now, c, g, i, healthy) {
+	if i := r.collectCandidates(now, c, g, position); i >= 0 && r.recoveryDue(now, c, g, i) {
 		r.endpoints[i].recoveryAt, r.recoveryAt = now+r.longestObjective, now
 		return i
 	}
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -128,13 +128,14 @@
 
 	sessions         generational.Map[uint64, session]
 	sessionsTurnedAt float64
-	reads, fallbacks rolling.Counter // first attempts of reads, and those of them at a primary
+	reads            rolling.Counter // first attempts of reads; marked are those that fell back to a primary
 
 	subscribed   bool    // changes of the endpoint list come by themselves
 	pollAt       float64 // when the list may be polled again
 	pollFailures float64 // in a row
 
-	candidates []int // endpoints for the command that is being decided on
+	candidates      []int // endpoints for the command that is being decided on
+	healthyReplicas int   // replicas that are not ejected and may cover the read that was looked at last
 }
 
 // unknownEndpoint is an endpoint of which nothing is known.
@@ -319,10 +320,7 @@
 	if g.Consistency == PrimaryOnly || len(c.Attempts) != 1 {
 		return
 	}
-	r.reads.Add(now)
-	if fallback {
-		r.fallbacks.Add(now)
-	}
+	r.reads.Add(now, fallback)
 }
 
 // median is the lower median of at least one value. It sorts them.
