--- a/internal/cli/agent.go
+++ b/internal/cli/agent.go
@@ -47,7 +47,7 @@
 
 // runAgent serves the agent's API and runs its supervisors until ctx is canceled or the API fails. Its routers go on.
 func (a *app) runAgent(ctx context.Context, fleet *inventory.Fleet, self *inventory.Agent, folder keys.Folder) error {
-	source := folder.Source(keys.Agent, self.Name)
+	source := folder.Credentials(keys.Agent, self.Name)
 	if err := source.Check(); err != nil {
 		return fmt.Errorf("agent %s: %w", self.Name, err)
 	}
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -45,7 +45,7 @@
 		Use: "init FLEET", Short: "Makes the fleet's authority", Args: cobra.ExactArgs(1),
 		Example: "  stoatctl keys init haulage --days 3650",
 		RunE: func(_ *cobra.Command, args []string) error {
-			if certificates, err := flags.keys().Show(); err == nil && len(certificates) > 0 {
+			if certificates, err := flags.keys().List(); err == nil && len(certificates) > 0 {
 				return exitErrorf(ExitRejected, "%s holds certificates already: stoatctl keys renew-authority keeps the old ones trusted",
 					flags.folder)
 			}
@@ -74,7 +74,7 @@
 }
 
 func makeAuthority(flags *keysFlags, fleet string, days int) error {
-	return exitError(ExitFailed, flags.keys().MakeAuthority(fleet, time.Duration(days)*day, time.Now()))
+	return exitError(ExitFailed, flags.keys().CreateAuthority(fleet, time.Duration(days)*day, time.Now()))
 }
 
 func keysIssueCommand(flags *keysFlags) *cobra.Command {
@@ -117,22 +117,22 @@
 		Use: "show", Short: "Lists the certificates and until when they count",
 		Long: "Exit status 1 if one has run out or runs out within --warn days.", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			certificates, err := flags.keys().Show()
+			certificates, err := flags.keys().List()
 			if err != nil {
 				return exitError(ExitFailed, err)
 			}
 			if err := a.show(certificates, func(out io.Writer) {
 				t := newTable(out, "file", "who", "until", "days left")
 				for _, x := range certificates {
-					t.AppendRow(table.Row{x.File, x.Who, x.Until.Format(time.DateOnly), int(time.Until(x.Until) / day)})
+					t.AppendRow(table.Row{x.File, x.Subject, x.NotAfter.Format(time.DateOnly), int(time.Until(x.NotAfter) / day)})
 				}
 				t.Render()
 			}); err != nil {
 				return err
 			}
 			for _, x := range certificates {
-				if time.Until(x.Until) < time.Duration(warnDays)*day {
-					return exitErrorf(ExitFailed, "%s: the certificate of %s runs out on %s", x.File, x.Who, x.Until.Format(time.DateOnly))
+				if time.Until(x.NotAfter) < time.Duration(warnDays)*day {
+					return exitErrorf(ExitFailed, "%s: the certificate of %s runs out on %s", x.File, x.Subject, x.NotAfter.Format(time.DateOnly))
 				}
 			}
 			return nil
--- a/internal/drill/fleet_size.go
+++ b/internal/drill/fleet_size.go
@@ -157,7 +157,7 @@
 		return &simulatedFleet{}, err
 	}
 	f := &simulatedFleet{folder: folder, keys: keys.Folder(filepath.Join(folder, "keys"))}
-	if err := f.keys.MakeAuthority("sizes", time.Hour, time.Now()); err != nil {
+	if err := f.keys.CreateAuthority("sizes", time.Hour, time.Now()); err != nil {
 		return f, err
 	}
 	if err := f.keys.Issue(keys.Operator, operatorName, sizeCertificateLasts, time.Now()); err != nil {
@@ -201,7 +201,7 @@
 		Name: name, Zone: "h", Folder: f.folder, Program: "none",
 		Listen: netip.MustParseAddrPort(listener.Addr().String()),
 	})
-	server := api.NewServer(listener, handler, f.keys.Source(keys.Agent, name), api.SupportedVersions, zerolog.Nop())
+	server := api.NewServer(listener, handler, f.keys.Credentials(keys.Agent, name), api.SupportedVersions, zerolog.Nop())
 	f.servers = append(f.servers, server)
 	f.serving.Go(func() { _ = server.Serve() }) // ends when close closes the server
 	return nil
--- a/internal/drill/rollout_setup.go
+++ b/internal/drill/rollout_setup.go
@@ -166,7 +166,7 @@
 // issueKeys makes an authority, and certificates of the operator and all agents.
 func issueKeys(folder keys.Folder, fleet *inventory.Fleet) error {
 	now := time.Now()
-	if err := folder.MakeAuthority("drill", authorityLasts, now); err != nil {
+	if err := folder.CreateAuthority("drill", authorityLasts, now); err != nil {
 		return err
 	}
 	if err := folder.Issue(keys.Operator, operatorName, certificateLasts, now); err != nil {
--- a/internal/fleet/api/client.go
+++ b/internal/fleet/api/client.go
@@ -32,9 +32,9 @@
 
 // NewClient returns a client that has not connected yet. address is the agent's listener, as host and port. The
 // certificate is read from source anew for each connection.
-func NewClient(agent, address string, source keys.Source, v Versions) *Client {
+func NewClient(agent, address string, source keys.Credentials, v Versions) *Client {
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
-		conf, err := source.Client(agent)
+		conf, err := source.ClientConfig(agent)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/fleet/api/recorded_test.go
+++ b/internal/fleet/api/recorded_test.go
@@ -50,7 +50,7 @@
 		h.replies[v] = reply
 	}
 	r := newRig(t, SupportedVersions, h)
-	conf, err := r.keys.Source(keys.Operator, "ayla").Client("a1")
+	conf, err := r.keys.Credentials(keys.Operator, "ayla").ClientConfig("a1")
 	require.NoError(t, err)
 	plainHTTP := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
 	t.Cleanup(plainHTTP.CloseIdleConnections)
--- a/internal/fleet/api/server.go
+++ b/internal/fleet/api/server.go
@@ -32,8 +32,8 @@
 
 // NewServer returns a server for a listener, which it takes over. The certificate and the trusted authorities are read
 // from source anew for each connection. Refused connections and requests are logged.
-func NewServer(l net.Listener, h Handler, source keys.Source, v Versions, log zerolog.Logger) *Server {
-	tlsConfig := source.Server(func(err error) { log.Warn().Err(err).Msg("connection refused") })
+func NewServer(l net.Listener, h Handler, source keys.Credentials, v Versions, log zerolog.Logger) *Server {
+	tlsConfig := source.ServerConfig(func(err error) { log.Warn().Err(err).Msg("connection refused") })
 	return &Server{
 		http: &http.Server{
 			Handler:           &requestHandler{handler: h, versions: v, log: log},
--- a/internal/fleet/control/client.go
+++ b/internal/fleet/control/client.go
@@ -34,7 +34,7 @@
 // New returns a client that has not connected to any agent. It fails if the operator's certificate in the folder cannot be
 // used now.
 func New(f *inventory.Fleet, folder keys.Folder, operator string) (*Client, error) {
-	source := folder.Source(keys.Operator, operator)
+	source := folder.Credentials(keys.Operator, operator)
 	if err := source.Check(); err != nil {
 		return nil, fmt.Errorf("operator %s: %w", operator, err)
 	}
--- a/internal/fleet/control/client_test.go
+++ b/internal/fleet/control/client_test.go
@@ -58,7 +58,7 @@
 	f, err := inventory.Parse("f", []byte(text))
 	require.NoError(t, err)
 	r := &rig{t: t, fleet: f, keys: keys.Folder(filepath.Join(dir, "keys")), agents: make([]func(), n)}
-	require.NoError(t, r.keys.MakeAuthority("t", time.Hour, time.Now()))
+	require.NoError(t, r.keys.CreateAuthority("t", time.Hour, time.Now()))
 	for _, o := range []string{"ayla", "mehmet"} {
 		require.NoError(t, r.keys.Issue(keys.Operator, o, time.Minute, time.Now()))
 	}
@@ -90,7 +90,7 @@
 	require.NoError(r.t, err)
 	l, err := net.Listen("tcp", me.Listen.String())
 	require.NoError(r.t, err)
-	server := api.NewServer(l, a, r.keys.Source(keys.Agent, me.Name), api.SupportedVersions, zerolog.New(io.Discard))
+	server := api.NewServer(l, a, r.keys.Credentials(keys.Agent, me.Name), api.SupportedVersions, zerolog.New(io.Discard))
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Add(2)
--- a/internal/keys/source.go
+++ b/internal/keys/credentials.go
@@ -10,34 +10,34 @@
 	"time"
 )
 
-// Source is the files that one program speaks with.
-type Source struct {
-	Own     string // certificate and key
-	Trusted string // of the authority
-	Now     func() time.Time
+// Credentials is the files that one program speaks with.
+type Credentials struct {
+	CertificateFile string // certificate and key
+	TrustedFile     string // of the authority
+	Now             func() time.Time
 }
 
-// Source is a folder's for one agent or operator.
-func (f Folder) Source(r Role, name string) Source {
-	return Source{Own: f.File(r, name), Trusted: f.Trusted(), Now: time.Now}
+// Credentials is a folder's for one agent or operator.
+func (f Folder) Credentials(r Role, name string) Credentials {
+	return Credentials{CertificateFile: f.CertificateFile(r, name), TrustedFile: f.TrustedFile(), Now: time.Now}
 }
 
 // read takes the files as they are now.
-func (s Source) read() (tls.Certificate, *x509.CertPool, error) {
-	own, err := load(s.Own)
+func (s Credentials) read() (tls.Certificate, *x509.CertPool, error) {
+	own, err := loadKeyPair(s.CertificateFile)
 	if err != nil {
 		return own, nil, fmt.Errorf("own certificate: %w", err)
 	}
-	raw, err := os.ReadFile(s.Trusted)
+	raw, err := os.ReadFile(s.TrustedFile)
 	if err != nil {
 		return own, nil, fmt.Errorf("the authority's certificates: %w", err)
 	}
-	certs, err := certificates(s.Trusted, raw)
+	certs, err := parseCertificates(s.TrustedFile, raw)
 	if err != nil {
 		return own, nil, err
 	}
 	if len(certs) == 0 {
-		return own, nil, fmt.Errorf("%s: no certificate in it", s.Trusted)
+		return own, nil, fmt.Errorf("%s: no certificate in it", s.TrustedFile)
 	}
 	pool := x509.NewCertPool()
 	for _, c := range certs {
@@ -47,7 +47,7 @@
 }
 
 // Check tells whether the files can be used now.
-func (s Source) Check() error {
+func (s Credentials) Check() error {
 	own, pool, err := s.read()
 	if err != nil {
 		return err
@@ -56,9 +56,9 @@
 	return err
 }
 
-// Server is for a listener: each connection is served with the files as they are then, and must show an
+// ServerConfig is for a listener: each connection is served with the files as they are then, and must show an
 // operator's certificate. Refusals are handed to told, if it is not nil.
-func (s Source) Server(told func(error)) *tls.Config {
+func (s Credentials) ServerConfig(told func(error)) *tls.Config {
 	refuse := func(err error) error {
 		if told != nil {
 			told(err)
@@ -84,8 +84,8 @@
 	}}
 }
 
-// Client is for one connection to an agent.
-func (s Source) Client(agent string) (*tls.Config, error) {
+// ClientConfig is for one connection to an agent.
+func (s Credentials) ClientConfig(agent string) (*tls.Config, error) {
 	own, pool, err := s.read()
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 }
 
 // verify tells who shows a certificate, or why it is not taken. An empty role or name stands for any.
-func (s Source) verify(pool *x509.CertPool, shown []*x509.Certificate, role Role, name string) (string, error) {
+func (s Credentials) verify(pool *x509.CertPool, shown []*x509.Certificate, role Role, name string) (string, error) {
 	if len(shown) == 0 {
 		return "", errors.New("no certificate was shown")
 	}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -21,32 +21,32 @@
 )
 
 const (
-	trusted   = "authority.pem"     // certificates of the authority: the present one and those before it
-	authority = "authority.key.pem" // its present certificate and key; only whoever issues needs it
-	scheme    = "stoatdale"
-	skew      = 5 * time.Minute // that clocks may differ
+	trustedFileName      = "authority.pem"     // certificates of the authority: the present one and those before it
+	authorityKeyFileName = "authority.key.pem" // its present certificate and key; only whoever issues needs it
+	identityScheme       = "stoatdale"
+	clockSkew            = 5 * time.Minute // that clocks may differ
 )
 
 // Folder holds a fleet's keys.
 type Folder string
 
-// File is where the certificate and key of one agent or operator lie, in one file, so that they are replaced
+// CertificateFile is where the certificate and key of one agent or operator lie, in one file, so that they are replaced
 // together.
-func (f Folder) File(r Role, name string) string {
+func (f Folder) CertificateFile(r Role, name string) string {
 	return filepath.Join(string(f), fmt.Sprintf("%s-%s.pem", r, name))
 }
 
-// Trusted is the file of the authority's certificates.
-func (f Folder) Trusted() string { return filepath.Join(string(f), trusted) }
+// TrustedFile is the file of the authority's certificates.
+func (f Folder) TrustedFile() string { return filepath.Join(string(f), trustedFileName) }
 
-func id(r Role, name string) *url.URL {
-	return &url.URL{Scheme: scheme, Host: "fleet", Path: "/" + string(r) + "/" + name}
+func identityURI(r Role, name string) *url.URL {
+	return &url.URL{Scheme: identityScheme, Host: "fleet", Path: "/" + string(r) + "/" + name}
 }
 
 // Who tells whose a certificate is.
 func Who(c *x509.Certificate) (Role, string) {
 	for _, u := range c.URIs {
-		if parts := strings.Split(u.Path, "/"); u.Scheme == scheme && len(parts) == 3 {
+		if parts := strings.Split(u.Path, "/"); u.Scheme == identityScheme && len(parts) == 3 {
 			return Role(parts[1]), parts[2]
 		}
 	}
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -17,7 +17,7 @@
 
 func folder(t *testing.T) Folder {
 	f := Folder(t.TempDir())
-	require.NoError(t, f.MakeAuthority("haulage", 365*day, time.Now()))
+	require.NoError(t, f.CreateAuthority("haulage", 365*day, time.Now()))
 	for r, n := range map[Role]string{Agent: "a1", Operator: "ayla"} {
 		require.NoError(t, f.Issue(r, n, 30*day, time.Now()))
 	}
@@ -25,7 +25,7 @@
 }
 
 // talk has a client connect to a server; what each of them thinks of it comes back.
-func talk(t *testing.T, server, client Source, agent string) (atServer, atClient error) {
+func talk(t *testing.T, server, client Credentials, agent string) (atServer, atClient error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
@@ -37,14 +37,14 @@
 			return
 		}
 		defer func() { _ = c.Close() }()
-		s := tls.Server(c, server.Server(nil))
+		s := tls.Server(c, server.ServerConfig(nil))
 		err = s.Handshake()
 		if err == nil {
 			_, err = s.Write([]byte("x"))
 		}
 		told <- err
 	}()
-	conf, err := client.Client(agent)
+	conf, err := client.ClientConfig(agent)
 	if err != nil {
 		_ = l.Close()
 		<-told
@@ -60,57 +60,57 @@
 
 func TestBothSidesAreKnown(t *testing.T) {
 	f := folder(t)
-	server, client := f.Source(Agent, "a1"), f.Source(Operator, "ayla")
+	server, client := f.Credentials(Agent, "a1"), f.Credentials(Operator, "ayla")
 	s, c := talk(t, server, client, "a1")
 	assert.NoError(t, s)
 	assert.NoError(t, c)
 	_, c = talk(t, server, client, "a2")
 	assert.ErrorContains(t, c, "the certificate is agent a1's, and should be agent a2's")
-	s, c = talk(t, server, f.Source(Agent, "a1"), "a1")
+	s, c = talk(t, server, f.Credentials(Agent, "a1"), "a1")
 	assert.ErrorContains(t, s, "should be operator")
 	assert.Error(t, c, "an agent is no operator")
-	_, c = talk(t, f.Source(Operator, "ayla"), client, "a1")
+	_, c = talk(t, f.Credentials(Operator, "ayla"), client, "a1")
 	assert.ErrorContains(t, c, "operator ayla's, and should be agent a1's")
 }
 
 func TestForeignAndExpiredCertificatesAreRefusedAndTold(t *testing.T) {
 	f, other := folder(t), folder(t)
-	stranger := Source{Own: other.File(Operator, "ayla"), Trusted: f.Trusted(), Now: time.Now}
-	s, c := talk(t, f.Source(Agent, "a1"), stranger, "a1")
+	stranger := Credentials{CertificateFile: other.CertificateFile(Operator, "ayla"), TrustedFile: f.TrustedFile(), Now: time.Now}
+	s, c := talk(t, f.Credentials(Agent, "a1"), stranger, "a1")
 	assert.ErrorContains(t, s, "operator ayla is from an authority that is not trusted here")
 	assert.Error(t, c)
-	server := f.Source(Agent, "a1")
+	server := f.Credentials(Agent, "a1")
 	server.Now = func() time.Time { return time.Now().Add(31 * day) }
-	s, _ = talk(t, server, f.Source(Operator, "ayla"), "a1")
+	s, _ = talk(t, server, f.Credentials(Operator, "ayla"), "a1")
 	assert.ErrorContains(t, s, "the certificate of operator ayla ran out on")
 	server.Now = func() time.Time { return time.Now().Add(-day) }
-	s, _ = talk(t, server, f.Source(Operator, "ayla"), "a1")
+	s, _ = talk(t, server, f.Credentials(Operator, "ayla"), "a1")
 	assert.ErrorContains(t, s, "counts only from")
 	assert.ErrorContains(t, server.Check(), "counts only from")
 }
 
 func TestReplacedFilesCountFromTheNextConnection(t *testing.T) {
 	f := folder(t)
-	server, client := f.Source(Agent, "a1"), f.Source(Operator, "ayla")
-	conf, err := client.Client("a1")
+	server, client := f.Credentials(Agent, "a1"), f.Credentials(Operator, "ayla")
+	conf, err := client.ClientConfig("a1")
 	require.NoError(t, err)
 	before := conf.Certificates[0].Leaf.SerialNumber
-	require.NoError(t, f.MakeAuthority("haulage", 365*day, time.Now()))
+	require.NoError(t, f.CreateAuthority("haulage", 365*day, time.Now()))
 	s, c := talk(t, server, client, "a1")
 	assert.NoError(t, s, "certificates of the old authority are still good")
 	assert.NoError(t, c)
 	require.NoError(t, f.Issue(Operator, "ayla", 30*day, time.Now()))
-	conf, err = client.Client("a1")
+	conf, err = client.ClientConfig("a1")
 	require.NoError(t, err)
 	assert.NotEqual(t, before, conf.Certificates[0].Leaf.SerialNumber)
 	s, c = talk(t, server, client, "a1")
 	assert.NoError(t, s, "one side of each")
 	assert.NoError(t, c)
-	shown, err := f.Show()
+	shown, err := f.List()
 	require.NoError(t, err)
 	assert.Len(t, shown, 5, "two of the authority, its key's, an agent's and an operator's")
-	require.NoError(t, f.MakeAuthority("haulage", 9000*day, time.Now().Add(400*day)))
-	shown, err = f.Show()
+	require.NoError(t, f.CreateAuthority("haulage", 9000*day, time.Now().Add(400*day)))
+	shown, err = f.List()
 	require.NoError(t, err)
 	assert.Len(t, shown, 4, "those that ran out are no longer trusted")
 }
@@ -121,12 +121,12 @@
 	assert.ErrorContains(t, f.Issue("king", "x", day, time.Now()), "the role is")
 	assert.ErrorContains(t, f.Issue(Agent, "x", 999*day, time.Now()), "renew it first")
 	assert.ErrorContains(t, Folder(t.TempDir()).Issue(Agent, "x", day, time.Now()), "the authority")
-	own := f.File(Operator, "ayla")
+	own := f.CertificateFile(Operator, "ayla")
 	info, err := os.Stat(own)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
 	require.NoError(t, os.WriteFile(own, []byte("-----BEGIN CERTIFICATE-----\nhalf"), 0o600))
-	assert.ErrorContains(t, f.Source(Operator, "ayla").Check(), filepath.Base(own))
-	require.NoError(t, os.WriteFile(f.Trusted(), nil, 0o600))
-	assert.ErrorContains(t, f.Source(Agent, "a1").Check(), "no certificate in it")
+	assert.ErrorContains(t, f.Credentials(Operator, "ayla").Check(), filepath.Base(own))
+	require.NoError(t, os.WriteFile(f.TrustedFile(), nil, 0o600))
+	assert.ErrorContains(t, f.Credentials(Agent, "a1").Check(), "no certificate in it")
 }
--- a/internal/keys/list.go
+++ b/internal/keys/list.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// Certificate is one for people.
-type Certificate struct {
-	File  string    `json:"file"`
-	Who   string    `json:"who"`
-	Until time.Time `json:"until"`
+// CertificateInfo is one for people.
+type CertificateInfo struct {
+	File     string    `json:"file"`
+	Subject  string    `json:"who"`
+	NotAfter time.Time `json:"until"`
 }
 
-// Show lists the certificates of a folder; expired ones too.
-func (f Folder) Show() ([]Certificate, error) {
+// List lists the certificates of a folder; expired ones too.
+func (f Folder) List() ([]CertificateInfo, error) {
 	files, err := filepath.Glob(filepath.Join(string(f), "*.pem"))
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	var out []Certificate
+	var out []CertificateInfo
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
 		if err != nil {
 			return nil, fmt.Errorf("keys: %w", err)
 		}
-		certs, err := certificates(file, raw)
+		certs, err := parseCertificates(file, raw)
 		if err != nil {
 			return nil, err
 		}
 		for _, c := range certs {
-			out = append(out, Certificate{File: filepath.Base(file), Who: c.Subject.CommonName, Until: c.NotAfter})
+			out = append(out, CertificateInfo{File: filepath.Base(file), Subject: c.Subject.CommonName, NotAfter: c.NotAfter})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Certificate) int { return strings.Compare(a.File, b.File) })
+	slices.SortStableFunc(out, func(a, b CertificateInfo) int { return strings.Compare(a.File, b.File) })
 	return out, nil
 }
--- a/internal/keys/pem.go
+++ b/internal/keys/pem.go
@@ -10,10 +10,10 @@
 	"os"
 )
 
-// Longest is the most that a file of certificates may have, in bytes.
-const Longest = 1 << 20
+// MaxFileBytes is the most that a file of certificates may have, in bytes.
+const MaxFileBytes = 1 << 20
 
-func bundle(cert []byte, key crypto.PrivateKey) ([]byte, error) {
+func encodeKeyPair(cert []byte, key crypto.PrivateKey) ([]byte, error) {
 	raw, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
@@ -24,9 +24,9 @@
 	return b.Bytes(), nil
 }
 
-func certificates(file string, raw []byte) ([]*x509.Certificate, error) {
-	if len(raw) > Longest {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(raw), Longest)
+func parseCertificates(file string, raw []byte) ([]*x509.Certificate, error) {
+	if len(raw) > MaxFileBytes {
+		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(raw), MaxFileBytes)
 	}
 	var out []*x509.Certificate
 	for len(raw) > 0 {
@@ -46,7 +46,7 @@
 	return out, nil
 }
 
-func load(file string) (tls.Certificate, error) {
+func loadKeyPair(file string) (tls.Certificate, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return tls.Certificate{}, err
--- a/internal/keys/recorded_test.go
+++ b/internal/keys/recorded_test.go
@@ -20,23 +20,23 @@
 	recordedSecond = recordedFirst.Add(30 * day)
 )
 
-func recordedSource(r Role, name string, now time.Time) Source {
-	s := recordedFolder.Source(r, name)
+func recordedSource(r Role, name string, now time.Time) Credentials {
+	s := recordedFolder.Credentials(r, name)
 	s.Now = func() time.Time { return now }
 	return s
 }
 
 func TestRecordedFolderIsShown(t *testing.T) {
-	shown, err := recordedFolder.Show()
+	shown, err := recordedFolder.List()
 	require.NoError(t, err)
 	authorityEnd := recordedSecond.Add(3650 * day)
-	assert.Equal(t, []Certificate{
-		{File: "agent-a1.pem", Who: "agent a1", Until: recordedSecond.Add(90 * day)},
-		{File: "authority.key.pem", Who: "fleet haulage", Until: authorityEnd},
-		{File: "authority.pem", Who: "fleet haulage", Until: authorityEnd},
-		{File: "authority.pem", Who: "fleet haulage", Until: recordedFirst.Add(365 * day)},
-		{File: "operator-ayla.pem", Who: "operator ayla", Until: recordedSecond.Add(90 * day)},
-		{File: "operator-mehmet.pem", Who: "operator mehmet", Until: recordedFirst.Add(100 * day)},
+	assert.Equal(t, []CertificateInfo{
+		{File: "agent-a1.pem", Subject: "agent a1", NotAfter: recordedSecond.Add(90 * day)},
+		{File: "authority.key.pem", Subject: "fleet haulage", NotAfter: authorityEnd},
+		{File: "authority.pem", Subject: "fleet haulage", NotAfter: authorityEnd},
+		{File: "authority.pem", Subject: "fleet haulage", NotAfter: recordedFirst.Add(365 * day)},
+		{File: "operator-ayla.pem", Subject: "operator ayla", NotAfter: recordedSecond.Add(90 * day)},
+		{File: "operator-mehmet.pem", Subject: "operator mehmet", NotAfter: recordedFirst.Add(100 * day)},
 	}, shown)
 }
 
@@ -72,7 +72,7 @@
 	require.NoError(t, os.CopyFS(string(f), os.DirFS(string(recordedFolder))))
 	now := recordedSecond.Add(80 * day)
 	require.NoError(t, f.Issue(Agent, "a1", 90*day, now))
-	renewed := f.Source(Agent, "a1")
+	renewed := f.Credentials(Agent, "a1")
 	renewed.Now = func() time.Time { return now }
 	atServer, atClient := talk(t, renewed, recordedSource(Operator, "ayla", now), "a1")
 	assert.NoError(t, atServer)
