--- a/internal/fleet/api/server.go
+++ b/internal/fleet/api/server.go
@@ -93,7 +93,7 @@
 	if err := h.checkHeader(r); err != nil {
 		return protocol.Reply{}, err
 	}
-	_, operator := keys.Who(r.TLS.PeerCertificates[0])
+	operator := keys.IdentityOf(r.TLS.PeerCertificates[0]).Name
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxContentBytes))
 	if err != nil {
 		h.log.Warn().Err(err).Str("operator", operator).Msg("request not read")
--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -3,125 +3,112 @@
 import (
 	"crypto/tls"
 	"crypto/x509"
-	"errors"
 	"fmt"
 	"os"
-	"strings"
 	"time"
 )
 
-// Credentials is the files that one program speaks with.
+// Credentials are the files with which one agent or operator makes and accepts connections.
 type Credentials struct {
-	CertificateFile string // certificate and key
-	TrustedFile     string // of the authority
-	Now             func() time.Time
+	CertificateFile string           // its own certificate and key
+	TrustedFile     string           // the authority's certificates
+	Now             func() time.Time // the clock by which certificates are valid
 }
 
-// Credentials is a folder's for one agent or operator.
-func (f Folder) Credentials(r Role, name string) Credentials {
-	return Credentials{CertificateFile: f.CertificateFile(r, name), TrustedFile: f.TrustedFile(), Now: time.Now}
+// Credentials are those of one agent or operator whose files lie in the folder. The files need not exist yet.
+func (f Folder) Credentials(role Role, name string) Credentials {
+	return Credentials{CertificateFile: f.CertificateFile(role, name), TrustedFile: f.TrustedFile(), Now: time.Now}
 }
 
-// read takes the files as they are now.
-func (s Credentials) read() (tls.Certificate, *x509.CertPool, error) {
-	own, err := loadKeyPair(s.CertificateFile)
+// loadedCredentials are the files' content at one moment.
+type loadedCredentials struct {
+	own     tls.Certificate
+	trusted *x509.CertPool
+}
+
+func (c Credentials) load() (loadedCredentials, error) {
+	own, err := loadKeyPair(c.CertificateFile)
 	if err != nil {
-		return own, nil, fmt.Errorf("own certificate: %w", err)
+		return loadedCredentials{}, fmt.Errorf("own certificate: %w", err)
 	}
-	raw, err := os.ReadFile(s.TrustedFile)
+	content, err := os.ReadFile(c.TrustedFile)
 	if err != nil {
-		return own, nil, fmt.Errorf("the authority's certificates: %w", err)
+		return loadedCredentials{}, fmt.Errorf("the authority's certificates: %w", err)
 	}
-	certs, err := parseCertificates(s.TrustedFile, raw)
+	certificates, err := parseCertificates(c.TrustedFile, content)
 	if err != nil {
-		return own, nil, err
+		return loadedCredentials{}, err
 	}
-	if len(certs) == 0 {
-		return own, nil, fmt.Errorf("%s: no certificate in it", s.TrustedFile)
+	if len(certificates) == 0 {
+		return loadedCredentials{}, fmt.Errorf("%s: no certificate in it", c.TrustedFile)
 	}
-	pool := x509.NewCertPool()
-	for _, c := range certs {
-		pool.AddCert(c)
+	trusted := x509.NewCertPool()
+	for _, certificate := range certificates {
+		trusted.AddCert(certificate)
 	}
-	return own, pool, nil
+	return loadedCredentials{own: own, trusted: trusted}, nil
 }
 
-// Check tells whether the files can be used now.
-func (s Credentials) Check() error {
-	own, pool, err := s.read()
+// Check tells whether the files can be used now: they can be read, and the own certificate is valid and of a trusted
+// authority. A certificate that is not is reported as a *CertificateError.
+func (c Credentials) Check() error {
+	loaded, err := c.load()
 	if err != nil {
 		return err
 	}
-	_, err = s.verify(pool, []*x509.Certificate{own.Leaf}, "", "")
-	return err
+	anybody := Identity{}
+	return verify(loaded.trusted, []*x509.Certificate{loaded.own.Leaf}, anybody, c.Now())
 }
 
-// ServerConfig is for a listener: each connection is served with the files as they are then, and must show an
-// operator's certificate. Refusals are handed to told, if it is not nil.
-func (s Credentials) ServerConfig(told func(error)) *tls.Config {
-	refuse := func(err error) error {
-		if told != nil {
-			told(err)
+// ServerConfig is the TLS configuration of an agent's listener. Each connection is served with the files as they are
+// then, and its client must present a valid operator's certificate. onReject, if not nil, is called with the error of each
+// rejected connection, from that connection's goroutine.
+func (c Credentials) ServerConfig(onReject func(error)) *tls.Config {
+	reject := func(err error) error {
+		if onReject != nil {
+			onReject(err)
 		}
 		return err
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		own, pool, err := s.read()
+	configForClient := func(*tls.ClientHelloInfo) (*tls.Config, error) {
+		loaded, err := c.load()
 		if err != nil {
-			return nil, refuse(err)
+			return nil, reject(err)
+		}
+		verifyConnection := func(connection tls.ConnectionState) error {
+			anyOperator := Identity{Role: Operator}
+			if err := verify(loaded.trusted, connection.PeerCertificates, anyOperator, c.Now()); err != nil {
+				return reject(err)
+			}
+			return nil
 		}
 		return &tls.Config{
-			MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{own}, SessionTicketsDisabled: true,
-			ClientAuth: tls.RequireAnyClientCert, NextProtos: []string{"http/1.1"},
-			VerifyConnection: func(c tls.ConnectionState) error {
-				_, err := s.verify(pool, c.PeerCertificates, Operator, "")
-				if err != nil {
-					return refuse(err)
-				}
-				return nil
-			},
+			MinVersion:             tls.VersionTLS13,
+			Certificates:           []tls.Certificate{loaded.own},
+			SessionTicketsDisabled: true,
+			ClientAuth:             tls.RequireAnyClientCert,
+			NextProtos:             []string{"http/1.1"},
+			VerifyConnection:       verifyConnection,
 		}, nil
-	}}
+	}
+	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: configForClient}
 }
 
-// ClientConfig is for one connection to an agent.
-func (s Credentials) ClientConfig(agent string) (*tls.Config, error) {
-	own, pool, err := s.read()
+// ClientConfig is the TLS configuration for one connection of an operator to the named agent, with the files as they are
+// now. The connection fails with a *CertificateError if somebody else answers.
+func (c Credentials) ClientConfig(agent string) (*tls.Config, error) {
+	loaded, err := c.load()
 	if err != nil {
 		return nil, err
 	}
-	// The names of hosts play no part: what counts is who the agent is.
+	verifyConnection := func(connection tls.ConnectionState) error {
+		return verify(loaded.trusted, connection.PeerCertificates, Identity{Role: Agent, Name: agent}, c.Now())
+	}
 	return &tls.Config{
-		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{own}, InsecureSkipVerify: true,
-		VerifyConnection: func(c tls.ConnectionState) error {
-			_, err := s.verify(pool, c.PeerCertificates, Agent, agent)
-			return err
-		},
+		MinVersion:   tls.VersionTLS13,
+		Certificates: []tls.Certificate{loaded.own},
+		// Host names play no part: verifyConnection checks the chain and the agent's identity.
+		InsecureSkipVerify: true,
+		VerifyConnection:   verifyConnection,
 	}, nil
 }
-
-// verify tells who shows a certificate, or why it is not taken. An empty role or name stands for any.
-func (s Credentials) verify(pool *x509.CertPool, shown []*x509.Certificate, role Role, name string) (string, error) {
-	if len(shown) == 0 {
-		return "", errors.New("no certificate was shown")
-	}
-	c := shown[0]
-	who := c.Subject.CommonName
-	_, err := c.Verify(x509.VerifyOptions{Roots: pool, CurrentTime: s.Now(), KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
-	var foreign x509.UnknownAuthorityError
-	switch {
-	case s.Now().After(c.NotAfter):
-		return "", fmt.Errorf("the certificate of %s ran out on %s", who, c.NotAfter.Format(time.RFC3339))
-	case s.Now().Before(c.NotBefore):
-		return "", fmt.Errorf("the certificate of %s counts only from %s", who, c.NotBefore.Format(time.RFC3339))
-	case errors.As(err, &foreign):
-		return "", fmt.Errorf("the certificate of %s is from an authority that is not trusted here", who)
-	case err != nil:
-		return "", fmt.Errorf("the certificate of %s: %w", who, err)
-	}
-	isRole, isName := Who(c)
-	if role != "" && isRole != role || name != "" && isName != name {
-		return "", fmt.Errorf("the certificate is %s's, and should be %s", who, strings.TrimSpace(string(role)+" "+name+"'s"))
-	}
-	return isName, nil
-}
--- a/internal/keys/issue.go
+++ b/internal/keys/issue.go
@@ -4,131 +4,156 @@
 	"crypto/ecdsa"
 	"crypto/elliptic"
 	"crypto/rand"
+	"crypto/tls"
 	"crypto/x509"
 	"crypto/x509/pkix"
-	"encoding/pem"
 	"errors"
 	"fmt"
 	"math/big"
 	"net/url"
 	"os"
-	"path/filepath"
 	"regexp"
 	"time"
 
 	"github.com/google/renameio/v2"
 )
 
-// CreateAuthority makes a fleet's authority, or a new one beside the old, which stays trusted until it runs
-// out: certificates of both are taken while agents and operators are given new ones.
-func (f Folder) CreateAuthority(fleet string, lasts time.Duration, now time.Time) error {
-	if err := os.MkdirAll(string(f), 0o700); err != nil {
+// Modes of the files: keys are for their owner alone.
+const (
+	folderMode  = 0o700
+	keyMode     = 0o600
+	trustedMode = 0o644
+)
+
+// serialNumberBits is the length of the random serial numbers.
+const serialNumberBits = 127
+
+// validName is the form of agents' and operators' names. They become parts of file names and URIs.
+var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+
+// CreateAuthority creates a fleet's authority, or a new one beside the old. The old one's certificate stays trusted until
+// it expires, so that certificates of both are accepted while agents and operators get new ones. now is the time of issue.
+func (f Folder) CreateAuthority(fleet string, lifetime time.Duration, now time.Time) error {
+	if err := os.MkdirAll(string(f), folderMode); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	old, err := os.ReadFile(f.TrustedFile())
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("keys: %w", err)
 	}
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		return fmt.Errorf("keys: %w", err)
-	}
-	serial, err := newSerialNumber()
-	if err != nil {
-		return err
-	}
-	t := &x509.Certificate{
-		SerialNumber: serial, Subject: pkix.Name{CommonName: "fleet " + fleet},
-		NotBefore: now.Add(-clockSkew), NotAfter: now.Add(lasts), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
+	template := &x509.Certificate{
+		Subject:   pkix.Name{CommonName: "fleet " + fleet},
+		NotBefore: now.Add(-clockSkew), NotAfter: now.Add(lifetime),
+		IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature,
 	}
-	raw, err := x509.CreateCertificate(rand.Reader, t, t, key.Public(), key)
+	issued, err := issue(template, nil)
 	if err != nil {
-		return fmt.Errorf("keys: %w", err)
+		return err
 	}
-	both, err := encodeKeyPair(raw, key)
+	keyFile, err := issued.encode()
 	if err != nil {
 		return err
 	}
-	bundled := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: raw})
 	kept, err := unexpired(f.TrustedFile(), old, now)
 	if err != nil {
 		return err
 	}
 	// Trust comes first: a key whose certificate nobody trusts would be of no use.
-	if err := renameio.WriteFile(f.TrustedFile(), append(bundled, kept...), 0o644); err != nil {
+	trusted := append(encodeCertificate(issued.certificate), kept...)
+	if err := renameio.WriteFile(f.TrustedFile(), trusted, trustedMode); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	if err := renameio.WriteFile(filepath.Join(string(f), authorityKeyFileName), both, 0o600); err != nil {
+	if err := renameio.WriteFile(f.authorityKeyFile(), keyFile, keyMode); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	return nil
 }
 
-// unexpired drops certificates that have run out.
-func unexpired(file string, old []byte, now time.Time) ([]byte, error) {
-	certs, err := parseCertificates(file, old)
+// unexpired is the PEM text of those certificates of a file's content that have not expired by now.
+func unexpired(file string, content []byte, now time.Time) ([]byte, error) {
+	certificates, err := parseCertificates(file, content)
 	if err != nil {
 		return nil, err
 	}
-	var out []byte
-	for _, c := range certs {
-		if now.Before(c.NotAfter) {
-			out = append(out, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})...)
+	var kept []byte
+	for _, certificate := range certificates {
+		if now.Before(certificate.NotAfter) {
+			kept = append(kept, encodeCertificate(certificate.Raw)...)
 		}
 	}
-	return out, nil
+	return kept, nil
 }
 
-var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
-
-// Issue makes or renews the certificate of one agent or operator, with a new key.
-func (f Folder) Issue(r Role, name string, lasts time.Duration, now time.Time) error {
-	if r != Agent && r != Operator {
-		return fmt.Errorf("keys: the role is agent or operator, not %q", r)
+// Issue creates or renews the certificate of one agent or operator, with a new key. now is the time of issue. It fails if
+// the authority's certificate would expire first.
+func (f Folder) Issue(role Role, name string, lifetime time.Duration, now time.Time) error {
+	if role != Agent && role != Operator {
+		return fmt.Errorf("keys: the role is agent or operator, not %q", role)
 	}
 	if !validName.MatchString(name) {
 		return fmt.Errorf("keys: %q is no name: letters, digits, dot, dash and underscore, 63 at most", name)
 	}
-	ca, err := loadKeyPair(filepath.Join(string(f), authorityKeyFileName))
+	authority, err := loadKeyPair(f.authorityKeyFile())
 	if err != nil {
 		return fmt.Errorf("keys: the authority: %w", err)
 	}
-	if now.Add(lasts).After(ca.Leaf.NotAfter) {
+	notAfter := now.Add(lifetime)
+	if authorityEnd := authority.Leaf.NotAfter; notAfter.After(authorityEnd) {
 		return fmt.Errorf("keys: the authority runs out on %s, before the certificate would: renew it first",
-			ca.Leaf.NotAfter.Format(time.DateOnly))
+			authorityEnd.Format(time.DateOnly))
 	}
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	identity := Identity{Role: role, Name: name}
+	template := &x509.Certificate{
+		Subject:   pkix.Name{CommonName: identity.String()},
+		NotBefore: now.Add(-clockSkew), NotAfter: notAfter,
+		KeyUsage:    x509.KeyUsageDigitalSignature,
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
+		URIs:        []*url.URL{identity.uri()},
+	}
+	issued, err := issue(template, &authority)
 	if err != nil {
-		return fmt.Errorf("keys: %w", err)
+		return err
 	}
-	serial, err := newSerialNumber()
+	keyFile, err := issued.encode()
 	if err != nil {
 		return err
 	}
-	t := &x509.Certificate{
-		SerialNumber: serial, Subject: pkix.Name{CommonName: string(r) + " " + name},
-		NotBefore: now.Add(-clockSkew), NotAfter: now.Add(lasts), KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}, URIs: []*url.URL{identityURI(r, name)},
+	if err := renameio.WriteFile(f.CertificateFile(role, name), keyFile, keyMode); err != nil {
+		return fmt.Errorf("keys: %w", err)
 	}
-	raw, err := x509.CreateCertificate(rand.Reader, t, ca.Leaf, key.Public(), ca.PrivateKey)
+	return nil
+}
+
+// issue creates a key and its certificate, signed by the authority or, without one, by the new key itself. The serial
+// number is set in the template.
+func issue(template *x509.Certificate, authority *tls.Certificate) (keyPair, error) {
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return fmt.Errorf("keys: %w", err)
+		return keyPair{}, fmt.Errorf("keys: %w", err)
 	}
-	both, err := encodeKeyPair(raw, key)
+	template.SerialNumber, err = newSerialNumber()
 	if err != nil {
-		return err
+		return keyPair{}, err
 	}
-	if err := renameio.WriteFile(f.CertificateFile(r, name), both, 0o600); err != nil {
-		return fmt.Errorf("keys: %w", err)
+	issuer := template
+	var issuerKey any = key
+	if authority != nil {
+		issuer = authority.Leaf
+		issuerKey = authority.PrivateKey
 	}
-	return nil
+	certificate, err := x509.CreateCertificate(rand.Reader, template, issuer, key.Public(), issuerKey)
+	if err != nil {
+		return keyPair{}, fmt.Errorf("keys: %w", err)
+	}
+	return keyPair{certificate: certificate, key: key}, nil
 }
 
 func newSerialNumber() (*big.Int, error) {
-	n, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 127))
+	limit := new(big.Int).Lsh(big.NewInt(1), serialNumberBits)
+	number, err := rand.Int(rand.Reader, limit)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	return n, nil
+	return number, nil
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -15,7 +15,7 @@
 
 const day = 24 * time.Hour
 
-func folder(t *testing.T) Folder {
+func newFolder(t *testing.T) Folder {
 	f := Folder(t.TempDir())
 	require.NoError(t, f.CreateAuthority("haulage", 365*day, time.Now()))
 	for r, n := range map[Role]string{Agent: "a1", Operator: "ayla"} {
@@ -24,16 +24,16 @@
 	return f
 }
 
-// talk has a client connect to a server; what each of them thinks of it comes back.
+// talk has a client connect to a server, and returns what each of them reports.
 func talk(t *testing.T, server, client Credentials, agent string) (atServer, atClient error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
-	told := make(chan error, 1)
+	serverResult := make(chan error, 1)
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
-			told <- err
+			serverResult <- err
 			return
 		}
 		defer func() { _ = c.Close() }()
@@ -42,70 +42,76 @@
 		if err == nil {
 			_, err = s.Write([]byte("x"))
 		}
-		told <- err
+		serverResult <- err
 	}()
 	conf, err := client.ClientConfig(agent)
 	if err != nil {
 		_ = l.Close()
-		<-told
-		return nil, err
+		return <-serverResult, err
 	}
 	c, err := tls.Dial("tcp", l.Addr().String(), conf)
 	if err == nil {
 		_, err = io.ReadFull(c, make([]byte, 1))
 		_ = c.Close()
 	}
-	return <-told, err
+	return <-serverResult, err
 }
 
-func TestBothSidesAreKnown(t *testing.T) {
-	f := folder(t)
+func TestBothSidesVerifyTheOthersIdentity(t *testing.T) {
+	f := newFolder(t)
 	server, client := f.Credentials(Agent, "a1"), f.Credentials(Operator, "ayla")
 	s, c := talk(t, server, client, "a1")
-	assert.NoError(t, s)
-	assert.NoError(t, c)
+	require.NoError(t, s)
+	require.NoError(t, c)
 	_, c = talk(t, server, client, "a2")
-	assert.ErrorContains(t, c, "the certificate is agent a1's, and should be agent a2's")
+	require.ErrorContains(t, c, "the certificate is agent a1's, and should be agent a2's")
+	require.ErrorIs(t, c, ErrWrongIdentity)
 	s, c = talk(t, server, f.Credentials(Agent, "a1"), "a1")
-	assert.ErrorContains(t, s, "should be operator")
-	assert.Error(t, c, "an agent is no operator")
+	require.ErrorContains(t, s, "should be operator")
+	require.Error(t, c, "an agent is no operator")
 	_, c = talk(t, f.Credentials(Operator, "ayla"), client, "a1")
-	assert.ErrorContains(t, c, "operator ayla's, and should be agent a1's")
+	require.ErrorContains(t, c, "operator ayla's, and should be agent a1's")
 }
 
-func TestForeignAndExpiredCertificatesAreRefusedAndTold(t *testing.T) {
-	f, other := folder(t), folder(t)
+func TestUntrustedAndExpiredCertificatesAreRejected(t *testing.T) {
+	f, other := newFolder(t), newFolder(t)
 	stranger := Credentials{CertificateFile: other.CertificateFile(Operator, "ayla"), TrustedFile: f.TrustedFile(), Now: time.Now}
 	s, c := talk(t, f.Credentials(Agent, "a1"), stranger, "a1")
-	assert.ErrorContains(t, s, "operator ayla is from an authority that is not trusted here")
-	assert.Error(t, c)
+	require.ErrorContains(t, s, "operator ayla is from an authority that is not trusted here")
+	require.ErrorIs(t, s, ErrUntrustedAuthority)
+	var rejected *CertificateError
+	require.ErrorAs(t, s, &rejected)
+	assert.Equal(t, "operator ayla", rejected.Subject)
+	require.Error(t, c)
 	server := f.Credentials(Agent, "a1")
 	server.Now = func() time.Time { return time.Now().Add(31 * day) }
 	s, _ = talk(t, server, f.Credentials(Operator, "ayla"), "a1")
-	assert.ErrorContains(t, s, "the certificate of operator ayla ran out on")
+	require.ErrorContains(t, s, "the certificate of operator ayla ran out on")
+	require.ErrorIs(t, s, ErrExpired)
 	server.Now = func() time.Time { return time.Now().Add(-day) }
 	s, _ = talk(t, server, f.Credentials(Operator, "ayla"), "a1")
-	assert.ErrorContains(t, s, "counts only from")
-	assert.ErrorContains(t, server.Check(), "counts only from")
+	require.ErrorContains(t, s, "counts only from")
+	require.ErrorIs(t, s, ErrNotYetValid)
+	require.ErrorContains(t, server.Check(), "counts only from")
 }
 
-func TestReplacedFilesCountFromTheNextConnection(t *testing.T) {
-	f := folder(t)
+func TestReplacedFilesAreUsedFromTheNextConnection(t *testing.T) {
+	f := newFolder(t)
 	server, client := f.Credentials(Agent, "a1"), f.Credentials(Operator, "ayla")
 	conf, err := client.ClientConfig("a1")
 	require.NoError(t, err)
 	before := conf.Certificates[0].Leaf.SerialNumber
 	require.NoError(t, f.CreateAuthority("haulage", 365*day, time.Now()))
 	s, c := talk(t, server, client, "a1")
-	assert.NoError(t, s, "certificates of the old authority are still good")
-	assert.NoError(t, c)
+	require.NoError(t, s, "certificates of the old authority are still good")
+	require.NoError(t, c)
 	require.NoError(t, f.Issue(Operator, "ayla", 30*day, time.Now()))
 	conf, err = client.ClientConfig("a1")
 	require.NoError(t, err)
 	assert.NotEqual(t, before, conf.Certificates[0].Leaf.SerialNumber)
 	s, c = talk(t, server, client, "a1")
-	assert.NoError(t, s, "one side of each")
-	assert.NoError(t, c)
+	require.NoError(t, s, "one side of each")
+	require.NoError(t, c)
 	shown, err := f.List()
 	require.NoError(t, err)
 	assert.Len(t, shown, 5, "two of the authority, its key's, an agent's and an operator's")
@@ -115,18 +121,18 @@
 	assert.Len(t, shown, 4, "those that ran out are no longer trusted")
 }
 
-func TestFaults(t *testing.T) {
-	f := folder(t)
-	assert.ErrorContains(t, f.Issue(Agent, "../x", day, time.Now()), "is no name")
-	assert.ErrorContains(t, f.Issue("king", "x", day, time.Now()), "the role is")
-	assert.ErrorContains(t, f.Issue(Agent, "x", 999*day, time.Now()), "renew it first")
-	assert.ErrorContains(t, Folder(t.TempDir()).Issue(Agent, "x", day, time.Now()), "the authority")
+func TestInvalidNamesRolesLifetimesAndFilesAreReported(t *testing.T) {
+	f := newFolder(t)
+	require.ErrorContains(t, f.Issue(Agent, "../x", day, time.Now()), "is no name")
+	require.ErrorContains(t, f.Issue("king", "x", day, time.Now()), "the role is")
+	require.ErrorContains(t, f.Issue(Agent, "x", 999*day, time.Now()), "renew it first")
+	require.ErrorContains(t, Folder(t.TempDir()).Issue(Agent, "x", day, time.Now()), "the authority")
 	own := f.CertificateFile(Operator, "ayla")
 	info, err := os.Stat(own)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
 	require.NoError(t, os.WriteFile(own, []byte("-----BEGIN CERTIFICATE-----\nhalf"), 0o600))
-	assert.ErrorContains(t, f.Credentials(Operator, "ayla").Check(), filepath.Base(own))
+	require.ErrorContains(t, f.Credentials(Operator, "ayla").Check(), filepath.Base(own))
 	require.NoError(t, os.WriteFile(f.TrustedFile(), nil, 0o600))
-	assert.ErrorContains(t, f.Credentials(Agent, "a1").Check(), "no certificate in it")
+	require.ErrorContains(t, f.Credentials(Agent, "a1").Check(), "no certificate in it")
 }
--- a/internal/keys/list.go
+++ b/internal/keys/list.go
@@ -9,33 +9,38 @@
 	"time"
 )
 
-// CertificateInfo is one for people.
+// CertificateInfo describes a certificate of a folder. Its JSON form is output of the command line.
 type CertificateInfo struct {
-	File     string    `json:"file"`
-	Subject  string    `json:"who"`
-	NotAfter time.Time `json:"until"`
+	File     string    `json:"file"`  // without the folder
+	Subject  string    `json:"who"`   // such as "agent a1" or "fleet haulage"
+	NotAfter time.Time `json:"until"` // when it expires
 }
 
-// List lists the certificates of a folder; expired ones too.
+// List describes all certificates of the folder, also expired ones, in the order of their files' names. A folder that
+// does not exist has none.
 func (f Folder) List() ([]CertificateInfo, error) {
 	files, err := filepath.Glob(filepath.Join(string(f), "*.pem"))
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	var out []CertificateInfo
+	var list []CertificateInfo
 	for _, file := range files {
-		raw, err := os.ReadFile(file)
+		content, err := os.ReadFile(file)
 		if err != nil {
 			return nil, fmt.Errorf("keys: %w", err)
 		}
-		certs, err := parseCertificates(file, raw)
+		certificates, err := parseCertificates(file, content)
 		if err != nil {
 			return nil, err
 		}
-		for _, c := range certs {
-			out = append(out, CertificateInfo{File: filepath.Base(file), Subject: c.Subject.CommonName, NotAfter: c.NotAfter})
+		for _, certificate := range certificates {
+			list = append(list, CertificateInfo{
+				File:     filepath.Base(file),
+				Subject:  certificate.Subject.CommonName,
+				NotAfter: certificate.NotAfter,
+			})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b CertificateInfo) int { return strings.Compare(a.File, b.File) })
-	return out, nil
+	slices.SortStableFunc(list, func(a, b CertificateInfo) int { return strings.Compare(a.File, b.File) })
+	return list, nil
 }
--- a/internal/keys/recorded_test.go
+++ b/internal/keys/recorded_test.go
@@ -26,7 +26,7 @@
 	return s
 }
 
-func TestRecordedFolderIsShown(t *testing.T) {
+func TestRecordedFolderIsListed(t *testing.T) {
 	shown, err := recordedFolder.List()
 	require.NoError(t, err)
 	authorityEnd := recordedSecond.Add(3650 * day)
@@ -40,7 +40,7 @@
 	}, shown)
 }
 
-func TestRecordedCertificatesAreTakenAndRefusedByTheTime(t *testing.T) {
+func TestRecordedCertificatesAreAcceptedOrRejectedByTime(t *testing.T) {
 	for now, says := range map[time.Time]map[string]string{
 		recordedFirst.Add(10 * day):   {"ayla": "the certificate of operator ayla counts only from 2026-02-01T02:59:05Z", "mehmet": ""},
 		recordedSecond.Add(time.Hour): {"ayla": "", "mehmet": ""},
@@ -50,20 +50,20 @@
 		for operator, want := range says {
 			err := recordedSource(Operator, operator, now).Check()
 			if want == "" {
-				assert.NoError(t, err, "%s at %s", operator, now)
+				require.NoError(t, err, "%s at %s", operator, now)
 			} else {
-				assert.EqualError(t, err, want)
+				require.EqualError(t, err, want)
 			}
 		}
 	}
 	now := recordedSecond.Add(time.Hour)
 	for _, operator := range []string{"ayla", "mehmet"} {
 		atServer, atClient := talk(t, recordedSource(Agent, "a1", now), recordedSource(Operator, operator, now), "a1")
-		assert.NoError(t, atServer, operator)
-		assert.NoError(t, atClient, operator)
+		require.NoError(t, atServer, operator)
+		require.NoError(t, atClient, operator)
 	}
 	_, atClient := talk(t, recordedSource(Agent, "a1", now), recordedSource(Operator, "ayla", now), "a2")
-	assert.ErrorContains(t, atClient, "the certificate is agent a1's, and should be agent a2's")
+	require.ErrorContains(t, atClient, "the certificate is agent a1's, and should be agent a2's")
 }
 
 // TestRecordedAuthorityIssues renews a certificate from a copy of the recorded folder; the recorded ones stay good.
@@ -75,9 +75,9 @@
 	renewed := f.Credentials(Agent, "a1")
 	renewed.Now = func() time.Time { return now }
 	atServer, atClient := talk(t, renewed, recordedSource(Operator, "ayla", now), "a1")
-	assert.NoError(t, atServer)
-	assert.NoError(t, atClient)
+	require.NoError(t, atServer)
+	require.NoError(t, atClient)
 	err := f.Issue(Agent, "a1", 90*day, recordedSecond.Add(3600*day))
-	assert.EqualError(t, err, "keys: the authority runs out on 2036-01-30, before the certificate would: renew it first")
+	require.EqualError(t, err, "keys: the authority runs out on 2036-01-30, before the certificate would: renew it first")
 	assert.FileExists(t, filepath.Join(string(f), "operator-mehmet.pem"))
 }
