--- /dev/null
+++ b/internal/lab/world/client.go
@@ -0,0 +1,103 @@
+package world
+
+import (
+	"cmp"
+	"math"
+
+	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/router"
+)
+
+// command is one, and each time that its client comes again is another.
+type command struct {
+	verdict.Command
+	id      uint32
+	router  *instance
+	group   int
+	session uint64
+	set     int
+	arrived float64
+	first   float64 // when its client asked first
+	tries   int     // that its client has made
+	over    bool
+	legs    []*leg
+}
+
+// session is a client's: where its last write and its furthest read were.
+type session struct{ wrote, seen float64 }
+
+// frontMargin is how much before its client's timeout a router gives a command up, so that the answer still gets there.
+const frontMargin = 0.005
+
+// clientTries is how often a client asks in all.
+const clientTries = 3
+
+// nextArrival has a client ask: load does not wait for answers.
+func (w *World) nextArrival(group int) {
+	g := &w.spec.Groups[group]
+	if g.Rate == 0 {
+		return
+	}
+	at := w.now + w.arrive[group].ExpFloat64()/g.Rate
+	if at >= float64(w.spec.Seconds) {
+		return
+	}
+	w.at(at, func() {
+		n := w.who.IntN(w.spec.Fleet.Sessions)
+		w.tally.Asked++
+		w.tally.Benefit += g.Benefit
+		for len(w.tally.Series) <= int(w.now) {
+			w.tally.Series = append(w.tally.Series, Second{})
+		}
+		w.tally.Series[int(w.now)].Benefit += g.Benefit
+		w.ask(group, uint64(n)+1, w.now, 1)
+		w.nextArrival(group)
+	})
+}
+
+// ask has a client send a command to the router that its session uses.
+func (w *World) ask(group int, id uint64, first float64, tries int) {
+	r := w.routers[id%uint64(len(w.routers))]
+	g := &w.spec.Groups[group]
+	s := r.sessions[id]
+	if s == nil {
+		s = &session{wrote: math.Inf(-1), seen: math.Inf(-1)}
+		r.sessions[id] = s
+	}
+	r.last++
+	c := &command{id: r.last, router: r, group: group, session: id, set: int(id % uint64(len(w.sets))), arrived: w.now, first: first, tries: tries}
+	c.Effect, c.GiveUp, c.Memory = verdict.Effect(effects[g.Effect]), w.now+float64(g.Timeout), float64(g.Memory)
+	c.Needs, c.Seen = math.Inf(-1), math.Inf(-1)
+	in := router.Command{Group: group, Session: id, Shard: c.set, ArrivedAt: w.now, ClientDeadline: c.GiveUp - frontMargin, ClientRetry: tries > 1}
+	switch needs[g.Need] {
+	case router.SessionConsistent:
+		c.Needs, c.Seen = s.wrote, s.seen
+		if !math.IsInf(s.wrote, -1) {
+			in.LastWriteAge = cmp.Or(w.now-s.wrote, -math.SmallestNonzeroFloat64)
+		}
+	case router.Linearizable:
+		c.Needs = w.lastCommit(c.set)
+	case router.BoundedStaleness:
+		c.Needs = w.now - float64(g.Bound)
+	}
+	r.commands[c.id] = c
+	w.at(c.GiveUp, func() {
+		if !c.over {
+			w.check.Overdue(w.now+1e-9, "a command of "+g.Name, &c.Command)
+			c.over = true
+			w.check.Ended(&c.Command)
+			r.policy.ClientGone(w.now, c.id)
+			r.wake()
+			r.release(c)
+		}
+	})
+	r.policy.Add(w.now, c.id, in)
+	r.wake()
+}
+
+// again has a client that was turned away come back.
+func (w *World) again(c *command, after float64) {
+	if c.tries < clientTries && w.now+after < float64(w.spec.Seconds)+1 {
+		w.after(after, func() { w.ask(c.group, c.session, c.first, c.tries+1) })
+	}
+}
--- /dev/null
+++ b/internal/lab/world/events.go
@@ -0,0 +1,33 @@
+package world
+
+import "container/heap"
+
+// event is something at a time; what comes at one time comes in the order in which it was asked for.
+type event struct {
+	at  float64
+	seq uint64
+	do  func()
+}
+
+type events []event
+
+func (e events) Len() int { return len(e) }
+func (e events) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+}
+func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *events) Pop() any {
+	old := *e
+	x := old[len(old)-1]
+	old[len(old)-1] = event{}
+	*e = old[:len(old)-1]
+	return x
+}
+
+func (w *World) at(t float64, do func()) {
+	w.seq++
+	heap.Push(&w.events, event{t, w.seq, do})
+}
+
+func (w *World) after(d float64, do func()) { w.at(w.now+d, do) }
--- a/internal/lab/world/instance.go
+++ b/internal/lab/world/instance.go
@@ -8,6 +8,18 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
+// instance is one router: its policy and the sessions whose clients use it.
+type instance struct {
+	w        *World
+	me       int
+	policy   Policy
+	boots    int
+	commands map[uint32]*command
+	last     uint32
+	sessions map[uint64]*session
+	due      float64 // when it is to settle
+}
+
 // logBefore is how long before the run the log began, in seconds: positions count from there.
 const logBefore = 1000
 
@@ -19,24 +31,6 @@
 	r.wake()
 }
 
-// restart has a router end and come back at once, knowing nothing but the list. Its clients ask again.
-func (r *instance) restart(policy string) {
-	for id := uint32(1); id <= r.last; id++ {
-		c := r.commands[id]
-		if c == nil || c.over {
-			continue
-		}
-		c.over = true
-		r.w.check.Ended(&c.Command)
-		r.w.again(c, r.w.way())
-	}
-	r.commands = map[uint32]*command{}
-	for _, s := range r.sessions {
-		s.seen = math.Inf(-1) // what it has shown is promised by one router
-	}
-	r.boot(policy)
-}
-
 // site is what the module is told of the world.
 func (r *instance) site() router.Config {
 	f := &r.w.spec.Fleet
@@ -180,13 +174,6 @@
 	}
 }
 
-// again has a client that was turned away come back.
-func (w *World) again(c *command, after float64) {
-	if c.tries < clientTries && w.now+after < float64(w.spec.Seconds)+1 {
-		w.after(after, func() { w.ask(c.group, c.session, c.first, c.tries+1) })
-	}
-}
-
 // ended has a dispatch's outcome come to its router; the first one counts.
 func (r *instance) ended(l *leg, e router.Result, primary bool, position float64) {
 	c, w := l.cmd, r.w
--- a/internal/lab/world/member.go
+++ b/internal/lab/world/member.go
@@ -33,8 +33,6 @@
 	Served, Turned int
 }
 
-type record struct{ commit, done float64 }
-
 // leg is one dispatch.
 type leg struct {
 	cmd      *command
@@ -46,31 +44,6 @@
 	position float64 // of the data that it read
 }
 
-// position is the commit time up to which its data goes. A replica with nothing to apply is as old as the way.
-func (m *member) position(now float64) float64 {
-	if m.primary {
-		return now
-	}
-	n := 0
-	for n < len(m.log) && m.log[n].done <= now {
-		m.applied = math.Max(m.applied, m.log[n].commit)
-		n++
-	}
-	if m.log = m.log[n:]; len(m.log) > 0 {
-		return m.applied
-	}
-	if !m.down {
-		m.applied = math.Max(m.applied, now-float64(m.w.spec.Fleet.Ship)-float64(m.w.spec.Fleet.Apply))
-	}
-	return m.applied
-}
-
-// ship takes a record of the primary's log in: one thread applies them one after another.
-func (m *member) ship(commit, apply float64) {
-	m.until = math.Max(m.until, commit+float64(m.w.spec.Fleet.Ship)) + apply
-	m.log = append(m.log, record{commit, m.until})
-}
-
 // share of its capacity that it has: less while it is cold.
 func (m *member) share(now float64) float64 {
 	f := &m.w.spec.Fleet
