--- a/internal/lab/world/baseline.go
+++ b/internal/lab/world/baseline.go
@@ -24,12 +24,11 @@
 
 // standing is a command of a simple policy.
 type standing struct {
-	id      uint32
-	cmd     router.Command
-	ran     bool
-	tried   []int
-	at      int
-	covered float64
+	id    uint32
+	cmd   router.Command
+	ran   bool
+	tried []int
+	at    int
 }
 
 const (
@@ -160,6 +159,9 @@
 	}
 }
 
+// primaryOnly sends reads to the primary too.
+func primaryOnly(*simple, *standing) []int { return nil }
+
 func anyReplica(b *simple, s *standing) []int { return b.replicas(s) }
 
 func primaryForAWindow(b *simple, s *standing) []int {
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -58,41 +58,74 @@
 // ask has a client send a command to the router that its session uses.
 func (w *World) ask(group int, id uint64, first float64, tries int) {
 	r := w.routers[id%uint64(len(w.routers))]
-	g := &w.spec.Groups[group]
+	s := r.session(id)
+	r.last++
+	c := &command{
+		id: r.last, router: r, group: group, session: id, set: int(id % uint64(len(w.sets))),
+		arrived: w.now, first: first, tries: tries,
+	}
+	w.expect(c, s)
+	r.commands[c.id] = c
+	w.at(c.GiveUp, func() { w.giveUp(c) })
+	r.policy.Add(w.now, c.id, w.routerCommand(c, s))
+	r.wake()
+}
+
+// session is the client's session at this router; its first command begins it.
+func (r *instance) session(id uint64) *session {
 	s := r.sessions[id]
 	if s == nil {
 		s = &session{wrote: math.Inf(-1), seen: math.Inf(-1)}
 		r.sessions[id] = s
 	}
-	r.last++
-	c := &command{id: r.last, router: r, group: group, session: id, set: int(id % uint64(len(w.sets))), arrived: w.now, first: first, tries: tries}
-	c.Effect, c.GiveUp, c.Memory = verdict.Effect(effects[g.Effect]), w.now+float64(g.Timeout), float64(g.Memory)
-	c.Needs, c.Seen = math.Inf(-1), math.Inf(-1)
-	in := router.Command{Group: group, Session: id, Shard: c.set, ArrivedAt: w.now, ClientDeadline: c.GiveUp - frontMargin, ClientRetry: tries > 1}
+	return s
+}
+
+// expect tells the checkers what must hold for the command.
+func (w *World) expect(c *command, s *session) {
+	g := &w.spec.Groups[c.group]
+	c.Effect = verdict.Effect(effects[g.Effect])
+	c.GiveUp = w.now + float64(g.Timeout)
+	c.Memory = float64(g.Memory)
+	c.Needs = math.Inf(-1)
+	c.Seen = math.Inf(-1)
 	switch needs[g.Need] {
 	case router.SessionConsistent:
-		c.Needs, c.Seen = s.wrote, s.seen
-		if !math.IsInf(s.wrote, -1) {
-			in.LastWriteAge = cmp.Or(w.now-s.wrote, -math.SmallestNonzeroFloat64)
-		}
+		c.Needs = s.wrote
+		c.Seen = s.seen
 	case router.Linearizable:
 		c.Needs = w.lastCommit(c.set)
 	case router.BoundedStaleness:
 		c.Needs = w.now - float64(g.Bound)
+	case router.PrimaryOnly, router.Eventual: // no position to cover
 	}
-	r.commands[c.id] = c
-	w.at(c.GiveUp, func() {
-		if !c.over {
-			w.check.Overdue(w.now+1e-9, "a command of "+g.Name, &c.Command)
-			c.over = true
-			w.check.Ended(&c.Command)
-			r.policy.ClientGone(w.now, c.id)
-			r.wake()
-			r.release(c)
-		}
-	})
-	r.policy.Add(w.now, c.id, in)
-	r.wake()
+}
+
+// routerCommand is the command as the router's policy sees it.
+func (w *World) routerCommand(c *command, s *session) router.Command {
+	seen := router.Command{
+		Group: c.group, Session: c.session, Shard: c.set, ArrivedAt: w.now,
+		ClientDeadline: c.GiveUp - frontMargin, ClientRetry: c.tries > 1,
+	}
+	needsOwnWrites := needs[w.spec.Groups[c.group].Need] == router.SessionConsistent
+	if needsOwnWrites && !math.IsInf(s.wrote, -1) {
+		// Zero would say that the session has not written: a write of this moment is given as the smallest negative age.
+		seen.LastWriteAge = cmp.Or(w.now-s.wrote, -math.SmallestNonzeroFloat64)
+	}
+	return seen
+}
+
+// giveUp ends a command whose client's timeout has passed without an answer.
+func (w *World) giveUp(c *command) {
+	if c.over {
+		return
+	}
+	w.check.Overdue(w.now+1e-9, "a command of "+w.spec.Groups[c.group].Name, &c.Command)
+	c.over = true
+	w.check.Ended(&c.Command)
+	c.router.policy.ClientGone(w.now, c.id)
+	c.router.wake()
+	c.router.release(c)
 }
 
 // again has a client that was turned away come back.
--- a/internal/lab/world/policy.go
+++ b/internal/lab/world/policy.go
@@ -24,7 +24,7 @@
 func init() {
 	policies = map[string]func(r *instance) Policy{
 		"module":      newModule,
-		"primary":     baseline(func(b *simple, s *standing) []int { return nil }),
+		"primary":     baseline(primaryOnly),
 		"any":         baseline(anyReplica),
 		"window":      baseline(primaryForAWindow),
 		"round-robin": baseline(roundRobin),
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -65,7 +65,7 @@
 		policies["reckless"] = func(r *instance) Policy {
 			choose := anyReplica
 			if how == "drains" {
-				choose = func(b *simple, s *standing) []int { return []int{1} }
+				choose = func(*simple, *standing) []int { return []int{1} }
 			}
 			return &reckless{baseline(choose)(r).(*simple), how}
 		}
