--- a/internal/lab/world/check.go
+++ b/internal/lab/world/check.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	for _, policy := range s.Policies {
-		if _, known := policies[policy]; !known {
+		if _, known := policyConstructors[policy]; !known {
 			return specError(top, "policies: there is no policy %q", policy)
 		}
 	}
@@ -108,10 +108,10 @@
 }
 
 func (g *Group) check() error {
-	if _, known := needs[g.Need]; !known {
+	if _, known := consistencies[g.Need]; !known {
 		return specError(g.Place, "need: %q is none of write, current, session, bound and any", g.Need)
 	}
-	if _, known := effects[g.Effect]; !known {
+	if _, known := idempotencies[g.Effect]; !known {
 		return specError(g.Place, "effect: %q is none of replayable, keyed and mutating", g.Effect)
 	}
 	if err := g.checkNumbers(); err != nil {
@@ -163,7 +163,7 @@
 // checkFault checks one fault by itself and beside the others.
 func (s *Spec) checkFault(index int) error {
 	fault := &s.Faults[index]
-	lasts, known := lasting[fault.Kind]
+	lasts, known := faultLasts[fault.Kind]
 	if !known {
 		return specError(fault.Place, "there is no fault %q", fault.Kind)
 	}
@@ -184,7 +184,7 @@
 	return s.checkOverlap(index)
 }
 
-// checkFaultTarget tells whether there is the router or member that the fault befalls.
+// checkFaultTarget tells whether there is the router or backend that the fault befalls.
 func (s *Spec) checkFaultTarget(fault *Fault) error {
 	fleet := &s.Fleet
 	if fault.Kind == "restart" {
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// replacedBefore tells whether another member is elected before the election, so that the first primary is none by then.
+// replacedBefore tells whether another backend is elected before the election, so that the first primary is none by then.
 func (s *Spec) replacedBefore(election *Fault) bool {
 	return slices.ContainsFunc(s.Faults, func(other Fault) bool {
 		sameSet := other.Kind == "elect" && other.Set == election.Set
@@ -209,7 +209,7 @@
 	})
 }
 
-// checkOverlap tells whether the fault can happen beside the others of its member.
+// checkOverlap tells whether the fault can happen beside the others of its backend.
 func (s *Spec) checkOverlap(index int) error {
 	fault := &s.Faults[index]
 	for i := range s.Faults {
@@ -219,7 +219,7 @@
 		}
 		startsDuring := fault.startsDuring(other)
 		overlaps := startsDuring || other.startsDuring(fault)
-		sameBefore := i < index && lasting[fault.Kind] && fault.Kind == other.Kind
+		sameBefore := i < index && faultLasts[fault.Kind] && fault.Kind == other.Kind
 		if sameBefore && overlaps {
 			return specError(fault.Place, "the same member has this fault at %s already", other.Place)
 		}
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -11,26 +11,26 @@
 // command is one, and each time that its client comes again is another.
 type command struct {
 	verdict.Command
-	id      uint32
-	router  *instance
-	group   int
-	session uint64
-	set     int
-	arrived float64
-	first   float64 // when its client asked first
-	tries   int     // that its client has made
-	over    bool
-	legs    []*leg
+	id            uint32
+	router        *instance
+	group         int
+	session       uint64
+	shard         int
+	arrived       float64
+	first         float64 // when its client asked first
+	attemptNumber int     // that its client has made
+	done          bool
+	attempts      []*attempt
 }
 
 // session is a client's: where its last write and its furthest read were.
 type session struct{ wrote, seen float64 }
 
 // frontMargin is how much before its client's timeout a router gives a command up, so that the answer still gets there.
-const frontMargin = 0.005
+const answerMargin = 0.005
 
 // clientTries is how often a client asks in all.
-const clientTries = 3
+const maxClientAttempts = 3
 
 // nextArrival has a client ask: load does not wait for answers.
 func (w *World) nextArrival(group int) {
@@ -43,7 +43,7 @@
 		return
 	}
 	w.at(at, func() {
-		n := w.who.IntN(w.spec.Fleet.Sessions)
+		n := w.sessionStream.IntN(w.spec.Fleet.Sessions)
 		w.tally.Asked++
 		w.tally.Benefit += g.Benefit
 		for len(w.tally.Series) <= int(w.now) {
@@ -56,13 +56,13 @@
 }
 
 // ask has a client send a command to the router that its session uses.
-func (w *World) ask(group int, id uint64, first float64, tries int) {
+func (w *World) ask(group int, id uint64, first float64, attemptNumber int) {
 	r := w.routers[id%uint64(len(w.routers))]
 	s := r.session(id)
 	r.last++
 	c := &command{
-		id: r.last, router: r, group: group, session: id, set: int(id % uint64(len(w.sets))),
-		arrived: w.now, first: first, tries: tries,
+		id: r.last, router: r, group: group, session: id, shard: int(id % uint64(len(w.shards))),
+		arrived: w.now, first: first, attemptNumber: attemptNumber,
 	}
 	w.expect(c, s)
 	r.commands[c.id] = c
@@ -84,17 +84,17 @@
 // expect tells the checkers what must hold for the command.
 func (w *World) expect(c *command, s *session) {
 	g := &w.spec.Groups[c.group]
-	c.Effect = verdict.Effect(effects[g.Effect])
+	c.Effect = verdict.Effect(idempotencies[g.Effect])
 	c.GiveUp = w.now + float64(g.Timeout)
 	c.Memory = float64(g.Memory)
 	c.Needs = math.Inf(-1)
 	c.Seen = math.Inf(-1)
-	switch needs[g.Need] {
+	switch consistencies[g.Need] {
 	case router.SessionConsistent:
 		c.Needs = s.wrote
 		c.Seen = s.seen
 	case router.Linearizable:
-		c.Needs = w.lastCommit(c.set)
+		c.Needs = w.lastCommit(c.shard)
 	case router.BoundedStaleness:
 		c.Needs = w.now - float64(g.Bound)
 	case router.PrimaryOnly, router.Eventual: // no position to cover
@@ -104,10 +104,10 @@
 // routerCommand is the command as the router's policy sees it.
 func (w *World) routerCommand(c *command, s *session) router.Command {
 	seen := router.Command{
-		Group: c.group, Session: c.session, Shard: c.set, ArrivedAt: w.now,
-		ClientDeadline: c.GiveUp - frontMargin, ClientRetry: c.tries > 1,
+		Group: c.group, Session: c.session, Shard: c.shard, ArrivedAt: w.now,
+		ClientDeadline: c.GiveUp - answerMargin, ClientRetry: c.attemptNumber > 1,
 	}
-	needsOwnWrites := needs[w.spec.Groups[c.group].Need] == router.SessionConsistent
+	needsOwnWrites := consistencies[w.spec.Groups[c.group].Need] == router.SessionConsistent
 	if needsOwnWrites && !math.IsInf(s.wrote, -1) {
 		// Zero would say that the session has not written: a write of this moment is given as the smallest negative age.
 		seen.LastWriteAge = cmp.Or(w.now-s.wrote, -math.SmallestNonzeroFloat64)
@@ -117,20 +117,20 @@
 
 // giveUp ends a command whose client's timeout has passed without an answer.
 func (w *World) giveUp(c *command) {
-	if c.over {
+	if c.done {
 		return
 	}
 	w.check.Overdue(w.now+1e-9, "a command of "+w.spec.Groups[c.group].Name, &c.Command)
-	c.over = true
+	c.done = true
 	w.check.Ended(&c.Command)
 	c.router.policy.ClientGone(w.now, c.id)
 	c.router.wake()
 	c.router.release(c)
 }
 
-// again has a client that was turned away come back.
-func (w *World) again(c *command, after float64) {
-	if c.tries < clientTries && w.now+after < float64(w.spec.Seconds)+1 {
-		w.after(after, func() { w.ask(c.group, c.session, c.first, c.tries+1) })
+// retryLater has a client that was rejected come back.
+func (w *World) retryLater(c *command, after float64) {
+	if c.attemptNumber < maxClientAttempts && w.now+after < float64(w.spec.Seconds)+1 {
+		w.after(after, func() { w.ask(c.group, c.session, c.first, c.attemptNumber+1) })
 	}
 }
--- a/internal/lab/world/fault.go
+++ b/internal/lab/world/fault.go
@@ -25,14 +25,14 @@
 		r := w.routers[x.Router]
 		begin = func() { r.restart(policy) }
 	} else {
-		m := w.sets[x.Set][x.Member]
+		m := w.shards[x.Set][x.Member]
 		switch x.Kind {
 		case "crash":
 			begin, end = m.crash, m.start
 		case "hang":
-			begin, end = func() { m.hung = true; w.befell(m) }, m.wake
+			begin, end = func() { m.hung = true; w.backendStalled(m) }, m.wake
 		case "cut":
-			begin, end = func() { m.cut = true; w.befell(m) }, func() { m.cut = false }
+			begin, end = func() { m.cut = true; w.backendStalled(m) }, func() { m.cut = false }
 		case "slow":
 			begin, end = func() { m.slow *= x.Times }, func() { m.slow /= x.Times }
 		case "drain":
@@ -43,49 +43,49 @@
 		}
 	}
 	w.at(float64(x.At), begin)
-	if lasting[x.Kind] {
+	if faultLasts[x.Kind] {
 		w.at(float64(x.At+x.For), end)
 	}
 }
 
-func (w *World) befell(m *member) {
+func (w *World) backendStalled(m *backend) {
 	for _, r := range w.routers {
-		if b, simple := r.policy.(*simple); simple {
-			b.befell(m.node)
+		if b, baselinePolicy := r.policy.(*baselinePolicy); baselinePolicy {
+			b.backendStalled(m.node)
 		}
 	}
 }
 
-func (w *World) drain(m *member, drains bool) {
+func (w *World) drain(m *backend, drains bool) {
 	m.drains = drains
-	w.listed()
+	w.publishEndpoints()
 }
 
 // elect makes a replica the primary. What it has not applied yet it applies first, so that no commit is lost.
-func (w *World) elect(m *member) {
+func (w *World) elect(m *backend) {
 	if m.primary || m.down {
 		return
 	}
-	for _, x := range w.sets[m.set] {
+	for _, x := range w.shards[m.shard] {
 		if x.primary {
 			m.applied = math.Max(m.applied, x.applied)
 			x.primary = false
 		}
 	}
 	m.primary, m.log = true, nil
-	w.listed()
+	w.publishEndpoints()
 }
 
 // restart has a router end and come back at once, knowing nothing but the list. Its clients ask again.
 func (r *instance) restart(policy string) {
 	for id := uint32(1); id <= r.last; id++ {
 		c := r.commands[id]
-		if c == nil || c.over {
+		if c == nil || c.done {
 			continue
 		}
-		c.over = true
-		r.w.check.Ended(&c.Command)
-		r.w.again(c, r.w.way())
+		c.done = true
+		r.world.check.Ended(&c.Command)
+		r.world.retryLater(c, r.world.networkDelay())
 	}
 	r.commands = map[uint32]*command{}
 	for _, s := range r.sessions {
--- a/internal/lab/world/instance.go
+++ b/internal/lab/world/instance.go
@@ -10,8 +10,8 @@
 
 // instance is one router: its policy and the sessions whose clients use it.
 type instance struct {
-	w        *World
-	me       int
+	world    *World
+	index    int
 	policy   Policy
 	boots    int
 	commands map[uint32]*command
@@ -21,27 +21,27 @@
 }
 
 // logBefore is how long before the run the log began, in seconds: positions count from there.
-const logBefore = 1000
+const logStartBeforeRun = 1000
 
 // boot starts a router, for the first time or anew.
 func (r *instance) boot(policy string) {
 	r.boots++
-	r.policy = policies[policy](r)
-	r.policy.UpdateEndpoints(r.w.now, r.w.told)
+	r.policy = policyConstructors[policy](r)
+	r.policy.UpdateEndpoints(r.world.now, r.world.knownEndpoints)
 	r.wake()
 }
 
-// site is what the module is told of the world.
-func (r *instance) site() router.Config {
-	f := &r.w.spec.Fleet
+// config is what the module is told of the world.
+func (r *instance) config() router.Config {
+	f := &r.world.spec.Fleet
 	s := router.Config{
-		RouterCount: f.Routers, Instance: r.me, TotalWeight: 1, BatchInterval: 0.005, PositionEpoch: -logBefore, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
+		RouterCount: f.Routers, Instance: r.index, TotalWeight: 1, BatchInterval: 0.005, PositionEpoch: -logStartBeforeRun, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
 		MaxAttempts: 4, ConnectTimeout: float64(f.Dial), SlowStartFloor: f.ColdShare, SlowStart: float64(f.WarmIn), OverloadFactor: f.Overload, OverloadWindow: float64(f.FallSpan),
 	}
-	for i := range r.w.spec.Groups {
-		g := &r.w.spec.Groups[i]
+	for i := range r.world.spec.Groups {
+		g := &r.world.spec.Groups[i]
 		s.CommandGroups = append(s.CommandGroups, router.CommandGroup{
-			Consistency: needs[g.Need], Idempotency: effects[g.Effect], KeyScope: router.ShardScope, LatencyObjective: float64(g.Target),
+			Consistency: consistencies[g.Need], Idempotency: idempotencies[g.Effect], KeyScope: router.ShardScope, LatencyObjective: float64(g.Target),
 			ClientTimeout: float64(g.Timeout), PriorityWeight: g.Benefit, LateValue: g.Late, MaxStaleness: float64(g.Bound), IdempotencyWindow: float64(g.Memory),
 		})
 	}
@@ -50,10 +50,10 @@
 
 // wake has the policy go on, and asks to be woken again when it wants to be.
 func (r *instance) wake() {
-	w := r.w
+	w := r.world
 	next, probes := r.policy.ReviewDue(w.now)
 	for _, n := range probes {
-		r.probe(n)
+		r.checkHealth(n)
 	}
 	if next = math.Max(next, w.now+1e-4); next < r.due || r.due <= w.now {
 		r.due = next
@@ -66,9 +66,9 @@
 	}
 }
 
-// probe asks a member how it stands.
-func (r *instance) probe(node int) {
-	w, m, p, sent := r.w, r.w.members[node], r.policy, r.w.now
+// checkHealth asks a backend how it stands.
+func (r *instance) checkHealth(node int) {
+	w, m, p, sent := r.world, r.world.backends[node], r.policy, r.world.now
 	w.tally.Probes++
 	back := func(ok bool, position float64) func() {
 		return func() {
@@ -78,41 +78,41 @@
 			}
 		}
 	}
-	w.after(w.way(), func() {
+	w.after(w.networkDelay(), func() {
 		switch {
 		case m.cut || m.hung:
-			w.after(float64(w.spec.Fleet.Dial)-w.way(), back(false, -1))
+			w.after(float64(w.spec.Fleet.Dial)-w.networkDelay(), back(false, -1))
 		case m.down:
-			w.after(w.way(), back(false, -1))
+			w.after(w.networkDelay(), back(false, -1))
 		default:
-			w.after(w.way(), back(true, m.position(w.now)+logBefore))
+			w.after(w.networkDelay(), back(true, m.position(w.now)+logStartBeforeRun))
 		}
 	})
 }
 
 // Forward implements hand.Executor.
 func (r *instance) Forward(id uint32, number, node int, until float64) {
-	w, c, m := r.w, r.commands[id], r.w.members[node]
+	w, c, m := r.world, r.commands[id], r.world.backends[node]
 	g := &w.spec.Groups[c.group]
 	w.check.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &verdict.Member{
-		Set: m.set, Away: m.told == router.Draining,
-		AwaySince: m.toldAt,
+		Set: m.shard, Away: m.listedState == router.Draining,
+		AwaySince: m.listedSince,
 	})
 	w.tally.Dispatches++
-	if needs[g.Need] != router.PrimaryOnly {
+	if consistencies[g.Need] != router.PrimaryOnly {
 		w.tally.Reads++
 		if m.primary {
 			w.tally.Primary++
 		}
 	}
-	l := &leg{cmd: c, number: number, at: m, sent: w.now, open: true}
-	c.legs = append(c.legs, l)
+	l := &attempt{cmd: c, number: number, at: m, sent: w.now, open: true}
+	c.attempts = append(c.attempts, l)
 	if m.cut {
-		w.outcome(l, router.ConnectFailed, float64(w.spec.Fleet.Dial))
+		w.deliverResult(l, router.ConnectFailed, float64(w.spec.Fleet.Dial))
 	} else {
-		m.coming++
-		w.after(w.way(), func() {
-			m.coming--
+		m.inTransit++
+		w.after(w.networkDelay(), func() {
+			m.inTransit--
 			if l.open {
 				m.arrive(l)
 			}
@@ -126,11 +126,11 @@
 
 // Cancel implements hand.Executor.
 func (r *instance) Cancel(id uint32, number int) {
-	for _, l := range r.commands[id].legs {
+	for _, l := range r.commands[id].attempts {
 		if l.number == number {
-			r.w.after(r.w.way(), func() {
+			r.world.after(r.world.networkDelay(), func() {
 				l.at.cancel(l)
-				r.w.outcome(l, router.Canceled, r.w.way())
+				r.world.deliverResult(l, router.Canceled, r.world.networkDelay())
 			})
 		}
 	}
@@ -138,15 +138,15 @@
 
 // Reject implements hand.Executor.
 func (r *instance) Reject(id uint32, comeBack float64) {
-	r.w.tally.Throttled++
+	r.world.tally.Throttled++
 	if c := r.final(id); c != nil {
-		r.w.again(c, math.Max(comeBack, 0.05))
+		r.world.retryLater(c, math.Max(comeBack, 0.05))
 	}
 }
 
 // Fail implements hand.Executor.
 func (r *instance) Fail(id uint32) {
-	r.w.tally.Failed++
+	r.world.tally.Failed++
 	r.final(id)
 }
 
@@ -156,33 +156,33 @@
 	if c == nil {
 		return nil
 	}
-	r.w.check.Answered(r.w.now, "a command of "+r.w.spec.Groups[c.group].Name, &c.Command)
-	c.over = true
+	r.world.check.Answered(r.world.now, "a command of "+r.world.spec.Groups[c.group].Name, &c.Command)
+	c.done = true
 	r.release(c)
 	return c
 }
 
 // release forgets a command with nothing more to come.
 func (r *instance) release(c *command) {
-	for _, l := range c.legs {
+	for _, l := range c.attempts {
 		if l.open {
 			return
 		}
 	}
-	if c.over && r.commands[c.id] == c {
+	if c.done && r.commands[c.id] == c {
 		delete(r.commands, c.id)
 	}
 }
 
-// ended has a dispatch's outcome come to its router; the first one counts.
-func (r *instance) ended(l *leg, e router.Result, primary bool, position float64) {
-	c, w := l.cmd, r.w
+// ended has a attempt's outcome come to its router; the first one counts.
+func (r *instance) ended(l *attempt, e router.Result, primary bool, position float64) {
+	c, w := l.cmd, r.world
 	if !l.open {
 		return
 	}
 	l.open = false
 	ran := e == router.Answered || e == router.ConnectionLost || e == router.TimedOut || e == router.Canceled
-	w.check.Back(&c.Command, l.sent, l.at.set, ran)
+	w.check.Back(&c.Command, l.sent, l.at.shard, ran)
 	if r.commands[c.id] != c { // its router has started anew
 		return
 	}
@@ -194,9 +194,9 @@
 		}
 	}
 	if e == router.Answered && !math.IsInf(position, -1) {
-		o.Position = position + logBefore
+		o.Position = position + logStartBeforeRun
 	}
-	if e == router.Answered && !c.over {
+	if e == router.Answered && !c.done {
 		r.answered(c, g, l, position)
 	}
 	r.policy.AttemptEnded(w.now, c.id, o)
@@ -204,19 +204,19 @@
 	r.wake()
 }
 
-// answered counts a member's answer that its client gets.
-func (r *instance) answered(c *command, g *Group, l *leg, position float64) {
-	w, s := r.w, r.sessions[c.session]
-	if needs[g.Need] == router.PrimaryOnly {
+// answered counts a backend's answer that its client gets.
+func (r *instance) answered(c *command, g *Group, l *attempt, position float64) {
+	w, s := r.world, r.sessions[c.session]
+	if consistencies[g.Need] == router.PrimaryOnly {
 		s.wrote = math.Max(s.wrote, position)
 	} else {
 		w.check.Served("a command of "+g.Name, &c.Command, l.at.node, &verdict.Member{Covers: position})
-		if needs[g.Need] == router.SessionConsistent {
+		if consistencies[g.Need] == router.SessionConsistent {
 			s.seen = math.Max(s.seen, position)
 		}
 	}
 	w.check.Answered(w.now, "a command of "+g.Name, &c.Command)
-	c.over = true
+	c.done = true
 	took := w.now - c.first
 	w.tally.Answered++
 	w.tally.Times[c.group] = append(w.tally.Times[c.group], took)
--- a/internal/lab/world/policy.go
+++ b/internal/lab/world/policy.go
@@ -19,20 +19,20 @@
 }
 
 // policies are what may decide. All but the module are there to be measured against, and no part of the router.
-var policies map[string]func(r *instance) Policy
+var policyConstructors map[string]func(r *instance) Policy
 
 func init() {
-	policies = map[string]func(r *instance) Policy{
+	policyConstructors = map[string]func(r *instance) Policy{
 		"module":      newModule,
-		"primary":     baseline(primaryOnly),
-		"any":         baseline(anyReplica),
-		"window":      baseline(primaryForAWindow),
-		"round-robin": baseline(roundRobin),
-		"least":       baseline(leastDispatches),
-		"two-choices": baseline(twoChoices),
+		"primary":     newBaseline(primaryOnly),
+		"any":         newBaseline(anyReplica),
+		"window":      newBaseline(primaryForAWindow),
+		"round-robin": newBaseline(roundRobin),
+		"least":       newBaseline(leastDispatches),
+		"two-choices": newBaseline(twoChoices),
 		"ceiling": func(r *instance) Policy {
-			b := baseline(seesAll)(r).(*simple)
-			b.sees = true
+			b := newBaseline(omniscient)(r).(*baselinePolicy)
+			b.seesBackends = true
 			return b
 		},
 	}
@@ -41,7 +41,7 @@
 // Policies are their names, in order.
 func Policies() []string {
 	var out []string
-	for n := range policies {
+	for n := range policyConstructors {
 		out = append(out, n)
 	}
 	slices.Sort(out)
@@ -55,8 +55,8 @@
 }
 
 func newModule(r *instance) Policy {
-	seed := rand.New(rand.NewPCG(r.w.seed, name("routers")+uint64(r.me)<<8+uint64(r.boots))).Uint64()
-	m := router.New(r.site(), seed)
+	seed := rand.New(rand.NewPCG(r.world.seed, hashName("routers")+uint64(r.index)<<8+uint64(r.boots))).Uint64()
+	m := router.New(r.config(), seed)
 	return &module{inflight.New(m, r), m}
 }
 
--- a/internal/lab/world/spec.go
+++ b/internal/lab/world/spec.go
@@ -1,4 +1,4 @@
-// Package world is a model of the deployments that the router serves, in virtual time and free of I/O: sets of one
+// Package world is a model of the deployments that the router serves, in virtual time and free of I/O: shards of one
 // primary and replicas that apply its log one record after another, slots and queues, cold starts, faults, a list
 // that comes late, clients with sessions who come back when they are throttled. Whatever decides where commands go
 // is a Policy; the router's module is one, and simple ones stand beside it to be measured against.
@@ -31,10 +31,10 @@
 	Routers    int           `sexp:"routers,must"`
 	Sets       int           `sexp:"sets,must"`
 	Replicas   int           `sexp:"replicas,must"`
-	Slots      int           `sexp:"slots,must"` // commands that a member works on at once
-	Queue      int           `sexp:"queue,must"` // that may wait there; the next is turned away
+	Slots      int           `sexp:"slots,must"` // commands that a backend works on at once
+	Queue      int           `sexp:"queue,must"` // that may wait there; the next is rejected
 	Sessions   int           `sexp:"sessions,must"`
-	Way        sexp.Seconds  `sexp:"way,must"`  // from a router to a member
+	Way        sexp.Seconds  `sexp:"way,must"`  // from a router to a backend
 	Dial       sexp.Seconds  `sexp:"dial,must"` // after which a connection that is not made has failed
 	Ship       sexp.Seconds  `sexp:"ship,must"` // of a log record to a replica
 	Apply      sexp.Seconds  `sexp:"apply,must"`
@@ -43,7 +43,7 @@
 	List       sexp.Seconds  `sexp:"list"` // until a router hears of a change
 	ColdShare  float64       `sexp:"cold-share,must"`
 	WarmIn     sexp.Seconds  `sexp:"warm-in,must"`
-	Overload   float64       `sexp:"overload,must"` // multiple of what a cold member bears that topples it,
+	Overload   float64       `sexp:"overload,must"` // multiple of what a cold backend bears that topples it,
 	FallSpan   sexp.Seconds  `sexp:"fall-span,must"`
 	Place      sexp.Position `sexp:",place"`
 }
@@ -66,12 +66,12 @@
 }
 
 var (
-	needs = map[string]router.Consistency{
+	consistencies = map[string]router.Consistency{
 		"write": router.PrimaryOnly, "current": router.Linearizable, "session": router.SessionConsistent,
 		"bound": router.BoundedStaleness, "any": router.Eventual,
 	}
-	effects = map[string]router.Idempotency{"replayable": router.Idempotent, "keyed": router.IdempotentWithKey, "mutating": router.NonIdempotent}
-	lasting = map[string]bool{"crash": true, "hang": true, "cut": true, "slow": true, "drain": true, "elect": false, "restart": false}
+	idempotencies = map[string]router.Idempotency{"replayable": router.Idempotent, "keyed": router.IdempotentWithKey, "mutating": router.NonIdempotent}
+	faultLasts    = map[string]bool{"crash": true, "hang": true, "cut": true, "slow": true, "drain": true, "elect": false, "restart": false}
 )
 
 // Load reads an experiment's file.
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -15,53 +15,53 @@
 
 // World is one run.
 type World struct {
-	spec    *Spec
-	now     float64
-	seq     uint64
-	events  events
-	sets    [][]*member
-	members []*member
-	told    []router.EndpointInfo // the list that routers heard last; one that starts anew knows no more
-	routers []*instance
-	check   verdict.Commands
-	broken  map[string]string // properties that were broken, with the first way
-	seed    uint64
-	arrive  []*rand.Rand // by group
-	works   []distuv.LogNormal
-	applies *rand.Rand
-	who     *rand.Rand
-	tally   Tally
+	spec           *Spec
+	now            float64
+	seq            uint64
+	events         events
+	shards         [][]*backend
+	backends       []*backend
+	knownEndpoints []router.EndpointInfo // the list that routers heard last; one that starts anew knows no more
+	routers        []*instance
+	check          verdict.Commands
+	violations     map[string]string // properties that were broken, with the first way
+	seed           uint64
+	arrive         []*rand.Rand // by group
+	workTimes      []distuv.LogNormal
+	applyStream    *rand.Rand
+	sessionStream  *rand.Rand
+	tally          Tally
 }
 
 // New is a run that has not begun.
 func New(s *Spec, policy string, seed int) *World {
-	w := &World{spec: s, seed: uint64(seed), broken: map[string]string{}, applies: stream(seed, "apply"), who: stream(seed, "sessions")}
+	w := &World{spec: s, seed: uint64(seed), violations: map[string]string{}, applyStream: newStream(seed, "apply"), sessionStream: newStream(seed, "sessions")}
 	f := &s.Fleet
-	for set := range f.Sets {
-		var ms []*member
+	for shard := range f.Sets {
+		var ms []*backend
 		for i := range f.Replicas + 1 {
-			m := &member{
-				w: w, node: len(w.members), set: set, primary: i == 0, slow: 1, started: math.Inf(-1), told: router.Ready,
-				applied: math.Inf(-1), working: map[*leg]bool{}, cold: w.budget(),
+			m := &backend{
+				world: w, node: len(w.backends), shard: shard, primary: i == 0, slow: 1, started: math.Inf(-1), listedState: router.Ready,
+				applied: math.Inf(-1), working: map[*attempt]bool{}, cold: w.budget(),
 			}
 			ms = append(ms, m)
-			w.members = append(w.members, m)
+			w.backends = append(w.backends, m)
 		}
-		w.sets = append(w.sets, ms)
+		w.shards = append(w.shards, ms)
 	}
-	w.told = w.list()
+	w.knownEndpoints = w.list()
 	for i := range f.Routers {
-		r := &instance{w: w, me: i, commands: map[uint32]*command{}, sessions: map[uint64]*session{}, due: math.Inf(1)}
+		r := &instance{world: w, index: i, commands: map[uint32]*command{}, sessions: map[uint64]*session{}, due: math.Inf(1)}
 		w.routers = append(w.routers, r)
 		r.boot(policy)
 	}
 	w.tally.Times = make([][]float64, len(s.Groups))
 	for i := range s.Groups {
 		g := &s.Groups[i]
-		w.arrive = append(w.arrive, stream(seed, "arrive "+g.Name))
-		w.works = append(w.works, distuv.LogNormal{
+		w.arrive = append(w.arrive, newStream(seed, "arrive "+g.Name))
+		w.workTimes = append(w.workTimes, distuv.LogNormal{
 			Mu: math.Log(float64(g.Work)) - g.Spread*g.Spread/2, Sigma: g.Spread,
-			Src: rand.NewPCG(uint64(seed), name("work "+g.Name)),
+			Src: rand.NewPCG(uint64(seed), hashName("work "+g.Name)),
 		})
 		w.nextArrival(i)
 	}
@@ -71,9 +71,9 @@
 	return w
 }
 
-func (w *World) way() float64 { return float64(w.spec.Fleet.Way) }
+func (w *World) networkDelay() float64 { return float64(w.spec.Fleet.Way) }
 
-// budget is what a member bears while it is cold: as many commands as its slots get through.
+// budget is what a backend bears while it is cold: as many commands as its slots get through.
 func (w *World) budget() verdict.Cold {
 	f := &w.spec.Fleet
 	rate, work := 0.0, 0.0
@@ -86,9 +86,9 @@
 	}
 }
 
-func (w *World) breaks(property, how string) {
-	if _, told := w.broken[property]; !told && property != "" {
-		w.broken[property] = how
+func (w *World) recordViolation(property, how string) {
+	if _, told := w.violations[property]; !told && property != "" {
+		w.violations[property] = how
 	}
 }
 
@@ -99,7 +99,7 @@
 	for _, g := range w.spec.Groups {
 		most = math.Max(most, float64(g.Timeout))
 	}
-	for w.events.Len() > 0 && w.events[0].at <= end+most*clientTries+1 {
+	for w.events.Len() > 0 && w.events[0].at <= end+most*maxClientAttempts+1 {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
 		w.tally.Events++
@@ -112,28 +112,28 @@
 			}
 		}
 	}
-	w.breaks(w.check.Broken())
-	return w.tally, w.broken
+	w.recordViolation(w.check.Broken())
+	return w.tally, w.violations
 }
 
-// outcome has a dispatch's end come to its router after a while.
-func (w *World) outcome(l *leg, e router.Result, after float64) {
+// deliverResult has a attempt's end come to its router after a while.
+func (w *World) deliverResult(l *attempt, e router.Result, after float64) {
 	primary, position := l.at.primary, l.position
 	w.after(after, func() { l.cmd.router.ended(l, e, primary, position) })
 }
 
-// listed has every router hear of the list as it is now, late.
-func (w *World) listed() {
+// publishEndpoints has every router hear of the list as it is now, late.
+func (w *World) publishEndpoints() {
 	l := w.list()
 	w.after(float64(w.spec.Fleet.List), func() {
-		w.told = l
+		w.knownEndpoints = l
 		for _, r := range w.routers {
 			r.policy.UpdateEndpoints(w.now, l)
 			r.wake()
 		}
-		for _, m := range w.members {
-			if s := l[m.node].State; s != m.told {
-				m.told, m.toldAt = s, w.now
+		for _, m := range w.backends {
+			if s := l[m.node].State; s != m.listedState {
+				m.listedState, m.listedSince = s, w.now
 			}
 		}
 	})
@@ -141,8 +141,8 @@
 
 func (w *World) list() []router.EndpointInfo {
 	var l []router.EndpointInfo
-	for _, m := range w.members {
-		x := router.EndpointInfo{Index: m.node, Shard: m.set, State: router.Ready, StartedAt: m.started, Primary: m.primary}
+	for _, m := range w.backends {
+		x := router.EndpointInfo{Index: m.node, Shard: m.shard, State: router.Ready, StartedAt: m.started, Primary: m.primary}
 		if m.drains {
 			x.State = router.Draining
 		}
@@ -151,9 +151,9 @@
 	return l
 }
 
-func sorted(l []*leg) []*leg {
-	slices.SortFunc(l, func(a, b *leg) int {
-		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.cmd.router.me, b.cmd.router.me), cmp.Compare(a.cmd.id, b.cmd.id), cmp.Compare(a.number, b.number))
+func sorted(l []*attempt) []*attempt {
+	slices.SortFunc(l, func(a, b *attempt) int {
+		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.cmd.router.index, b.cmd.router.index), cmp.Compare(a.cmd.id, b.cmd.id), cmp.Compare(a.number, b.number))
 	})
 	return l
 }
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -11,15 +11,15 @@
 
 // reckless breaks one rule, as its name says.
 type reckless struct {
-	*simple
+	*baselinePolicy
 	how string
 }
 
 func (b *reckless) Add(now float64, id uint32, c router.Command) {
-	b.simple.Add(now, id, c)
-	s := b.cmds[id]
+	b.baselinePolicy.Add(now, id, c)
+	s := b.commands[id]
 	if s != nil && b.how == "after the end" {
-		b.r.Reject(id, 0)
+		b.instance.Reject(id, 0)
 	}
 	if s != nil && (b.how == "after the end" || b.how == "two at once") {
 		b.place(s)
@@ -27,17 +27,17 @@
 }
 
 func (b *reckless) AttemptEnded(now float64, id uint32, o router.AttemptResult) {
-	s := b.cmds[id]
+	s := b.commands[id]
 	switch {
 	case s == nil || o.Result == router.Answered:
 	case b.how == "silent":
-		delete(b.cmds, id)
+		delete(b.commands, id)
 		return
 	case b.how == "again" && o.Result == router.ConnectionLost:
 		b.place(s)
 		return
 	}
-	b.simple.AttemptEnded(now, id, o)
+	b.baselinePolicy.AttemptEnded(now, id, o)
 }
 
 // Every checker is shown failing by a policy that breaks its rule, in a world in which the careful one breaks none.
@@ -57,28 +57,28 @@
 			Faults: []Fault{{Kind: "drain", Member: 1, At: 1, For: 1}, {Kind: "hang", Member: 0, At: 2.5, For: 1}, {Kind: "crash", Member: 0, At: 4, For: 0.5}},
 		}
 	}
-	defer delete(policies, "reckless")
+	defer delete(policyConstructors, "reckless")
 	for how, property := range map[string]string{
 		"careful": "", "two at once": verdict.OneOut, "after the end": verdict.NotAfter,
 		"silent": verdict.OneAnswer, "again": verdict.NoRepeat, "drains": verdict.NoDraining,
 	} {
-		policies["reckless"] = func(r *instance) Policy {
+		policyConstructors["reckless"] = func(r *instance) Policy {
 			choose := anyReplica
 			if how == "drains" {
-				choose = func(*simple, *standing) []int { return []int{1} }
+				choose = func(*baselinePolicy, *baselineCommand) []int { return []int{1} }
 			}
-			return &reckless{baseline(choose)(r).(*simple), how}
+			return &reckless{newBaseline(choose)(r).(*baselinePolicy), how}
 		}
-		_, broken := New(spec(), "reckless", 1).Run()
+		_, violations := New(spec(), "reckless", 1).Run()
 		if property == "" {
-			assert.Empty(t, broken, how)
+			assert.Empty(t, violations, how)
 			continue
 		}
-		assert.Contains(t, broken, property, how)
+		assert.Contains(t, violations, property, how)
 	}
-	policies["reckless"] = func(r *instance) Policy { return &reckless{baseline(anyReplica)(r).(*simple), "again"} }
+	policyConstructors["reckless"] = func(r *instance) Policy { return &reckless{newBaseline(anyReplica)(r).(*baselinePolicy), "again"} }
 	s := spec()
 	s.Groups[0].Rate, s.Groups[1].Rate, s.Groups[1].Memory = 0, 80, 0.001
-	_, broken := New(s, "reckless", 1).Run()
-	assert.Contains(t, broken, verdict.InMemory)
+	_, violations := New(s, "reckless", 1).Run()
+	assert.Contains(t, violations, verdict.InMemory)
 }
