--- a/internal/lab/world/backend.go
+++ b/internal/lab/world/backend.go
@@ -7,164 +7,160 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// backend is a database server.
+// backend is a database server: a primary or replica of a shard.
 type backend struct {
 	world       *World
 	node        int
 	shard       int
 	primary     bool
 	drains      bool
-	listedState router.EndpointState // to routers, of that
+	listedState router.EndpointState // the state that routers were last told
 	listedSince float64
 	down        bool
 	hung        bool
 	cut         bool
 	slow        float64
-	started     float64 // -Inf: long ago
+	started     float64 // virtual time in seconds; -Inf: long ago
 	busy        int
-	inTransit   int // attempts on their way to it
+	inTransit   int // attempts under way on the network
 	queue       []*attempt
 	working     map[*attempt]bool
 	applied     float64  // commit time of the newest record that it has applied
 	log         []record // shipped and not yet applied, in order of commits
-	until       float64  // when its thread has applied all of them
+	until       float64  // when the apply thread will have applied all of them
 	cold        verdict.Cold
-	// How much it did.
-	Served, Turned int
 }
 
-// attempt is one attempt.
+// attempt is one transmission of a command to a backend.
 type attempt struct {
-	cmd      *command
+	command  *command
 	number   int
 	at       *backend
 	sent     float64
-	open     bool // its router still waits for an outcome
+	open     bool // its router still waits for the result
 	started  bool
 	position float64 // of the data that it read
 }
 
-// share of its capacity that it has: less while it is cold.
-func (m *backend) share(now float64) float64 {
-	f := &m.world.spec.Fleet
-	return math.Min(1, f.ColdShare+(1-f.ColdShare)*math.Max(0, now-m.started)/float64(f.WarmIn))
+// capacityShare is the part of its capacity that it has at the time: less than 1 while it warms up.
+func (b *backend) capacityShare(now float64) float64 {
+	f := &b.world.spec.Fleet
+	return math.Min(1, f.ColdShare+(1-f.ColdShare)*math.Max(0, now-b.started)/float64(f.WarmIn))
 }
 
-// arrive has a attempt come.
-func (m *backend) arrive(l *attempt) {
-	w := m.world
+// receive takes in an attempt: it begins, waits in the queue or is rejected.
+func (b *backend) receive(a *attempt) {
+	w := b.world
 	switch {
-	case m.cut: // nothing is heard; the attempt runs out of time
+	case b.cut: // nothing arrives; the attempt times out
 		return
-	case m.down:
-		w.deliverResult(l, router.ConnectFailed, w.networkDelay())
+	case b.down:
+		w.deliverResult(a, router.ConnectFailed, w.networkDelay())
 		return
 	}
-	if now := w.now; now-m.started < float64(w.spec.Fleet.WarmIn) {
-		m.cold.Sent(now, m.started)
-		if p, how := m.cold.Broken(); p != "" {
+	if now := w.now; now-b.started < float64(w.spec.Fleet.WarmIn) {
+		b.cold.Sent(now, b.started)
+		if p, how := b.cold.Broken(); p != "" {
 			w.recordViolation(p, how)
-			m.cold = w.budget()
-			m.crash()
-			w.after(float64(w.spec.Fleet.WarmIn)/4, m.start)
+			b.cold = w.coldBudget()
+			b.crash()
+			w.after(float64(w.spec.Fleet.WarmIn)/4, b.start)
 			return
 		}
 	}
-	if m.busy >= w.spec.Fleet.Slots || m.hung {
-		if len(m.queue) >= w.spec.Fleet.Queue {
-			m.Turned++
-			w.deliverResult(l, router.Overloaded, w.networkDelay())
+	if b.busy >= w.spec.Fleet.Slots || b.hung {
+		if len(b.queue) >= w.spec.Fleet.Queue {
+			w.deliverResult(a, router.Overloaded, w.networkDelay())
 			return
 		}
-		m.queue = append(m.queue, l)
+		b.queue = append(b.queue, a)
 		return
 	}
-	m.work(l)
+	b.begin(a)
 }
 
-// work begins a attempt. What nobody waits for any more was called off before it began.
-func (m *backend) work(l *attempt) {
-	w := m.world
-	g := &w.spec.Groups[l.cmd.group]
-	if need := consistencies[g.Need]; need == router.PrimaryOnly && !m.primary {
-		w.deliverResult(l, router.NotServed, w.networkDelay())
-		m.next()
+// begin executes an attempt. Attempts that were canceled before are not begun.
+func (b *backend) begin(a *attempt) {
+	w := b.world
+	g := &w.spec.Groups[a.command.group]
+	if need := consistencies[g.Need]; need == router.PrimaryOnly && !b.primary {
+		w.deliverResult(a, router.NotServed, w.networkDelay())
+		b.beginQueued()
 		return
 	}
-	m.busy++
-	l.started = true
-	l.position = m.position(w.now)
-	m.working[l] = true
-	took := w.work(l.cmd.group) * m.slow / m.share(w.now)
-	w.after(took, func() { m.finish(l) })
+	b.busy++
+	a.started = true
+	a.position = b.position(w.now)
+	b.working[a] = true
+	took := w.drawWork(a.command.group) * b.slow / b.capacityShare(w.now)
+	w.after(took, func() { b.finish(a) })
 }
 
-func (m *backend) finish(l *attempt) {
-	if !m.working[l] { // it crashed, or called it off
+func (b *backend) finish(a *attempt) {
+	if !b.working[a] { // it crashed, or the attempt was canceled
 		return
 	}
-	delete(m.working, l)
-	m.busy--
-	if m.hung { // it is done, and cannot say so
+	delete(b.working, a)
+	b.busy--
+	if b.hung { // it is done, and no answer is sent
 		return
 	}
-	m.Served++
-	if consistencies[m.world.spec.Groups[l.cmd.group].Need] == router.PrimaryOnly {
-		l.position = m.world.commit(m)
+	if consistencies[b.world.spec.Groups[a.command.group].Need] == router.PrimaryOnly {
+		a.position = b.world.commit(b)
 	}
-	if !m.cut {
-		m.world.deliverResult(l, router.Answered, m.world.networkDelay())
+	if !b.cut {
+		b.world.deliverResult(a, router.Answered, b.world.networkDelay())
 	}
-	m.next()
+	b.beginQueued()
 }
 
-// next begins what waits, if there is room.
-func (m *backend) next() {
-	for len(m.queue) > 0 && m.busy < m.world.spec.Fleet.Slots && !m.hung {
-		l := m.queue[0]
-		m.queue = m.queue[1:]
-		if l.open {
-			m.work(l)
+// beginQueued begins the next attempt of the queue whose router still waits, if a slot is free.
+func (b *backend) beginQueued() {
+	for len(b.queue) > 0 && b.busy < b.world.spec.Fleet.Slots && !b.hung {
+		a := b.queue[0]
+		b.queue = b.queue[1:]
+		if a.open {
+			b.begin(a)
 			return
 		}
 	}
 }
 
-// cancel ends a attempt where it is.
-func (m *backend) cancel(l *attempt) {
-	if m.working[l] && !m.hung {
-		delete(m.working, l)
-		m.busy--
-		m.next()
+// cancel stops an attempt that is being executed.
+func (b *backend) cancel(a *attempt) {
+	if b.working[a] && !b.hung {
+		delete(b.working, a)
+		b.busy--
+		b.beginQueued()
 	}
 }
 
-// crash breaks all that it has.
-func (m *backend) crash() {
-	m.down = true
-	var violations []*attempt
-	for l := range m.working {
-		violations = append(violations, l)
+// crash loses the connections of all attempts, executed and queued.
+func (b *backend) crash() {
+	b.down = true
+	var lost []*attempt
+	for a := range b.working {
+		lost = append(lost, a)
 	}
-	violations = append(sorted(violations), m.queue...)
-	m.working, m.queue, m.busy = map[*attempt]bool{}, nil, 0
-	for _, l := range violations {
-		m.world.deliverResult(l, router.ConnectionLost, m.world.networkDelay())
+	lost = append(sortAttempts(lost), b.queue...)
+	b.working, b.queue, b.busy = map[*attempt]bool{}, nil, 0
+	for _, a := range lost {
+		b.world.deliverResult(a, router.ConnectionLost, b.world.networkDelay())
 	}
 }
 
-// start has it come back, cold.
-func (m *backend) start() {
-	m.down, m.hung = false, false
-	m.started = m.world.now
-	m.cold = m.world.budget()
-	m.world.publishEndpoints()
+// start ends a crash. The backend warms up.
+func (b *backend) start() {
+	b.down, b.hung = false, false
+	b.started = b.world.now
+	b.cold = b.world.coldBudget()
+	b.world.publishEndpoints()
 }
 
-// wake ends a hang: what it held goes on.
-func (m *backend) wake() {
-	m.hung = false
-	for range m.world.spec.Fleet.Slots {
-		m.next()
+// resume ends a hang: queued attempts begin.
+func (b *backend) resume() {
+	b.hung = false
+	for range b.world.spec.Fleet.Slots {
+		b.beginQueued()
 	}
 }
--- a/internal/lab/world/baseline.go
+++ b/internal/lab/world/baseline.go
@@ -8,12 +8,12 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// baselinePolicy is a policy that knows the list and its own attempts. Reads go where choose says, all else to the listed
-// primary; what never ran is tried again elsewhere, replayable commands also where they may have run.
+// baselinePolicy knows the endpoint list and its own attempts. Reads go where choose says, all else to the listed
+// primary; an attempt that never ran is retried elsewhere, idempotent commands also if they may have run.
 type baselinePolicy struct {
 	instance     *instance
 	choose       func(b *baselinePolicy, s *baselineCommand) []int
-	seesBackends bool // it knows at once what befalls backends
+	seesBackends bool // it knows the true state of backends at once
 	random       *rand.Rand
 	list         []router.EndpointInfo
 	out          []int // attempts by node
@@ -22,13 +22,13 @@
 	commands     map[uint32]*baselineCommand
 }
 
-// baselineCommand is a command of a simple policy.
+// baselineCommand is a command that a baseline policy has not finished.
 type baselineCommand struct {
-	id    uint32
-	cmd   router.Command
-	ran   bool
-	tried []int
-	at    int
+	id      uint32
+	command router.Command
+	ran     bool
+	tried   []int
+	at      int
 }
 
 const (
@@ -48,10 +48,10 @@
 // UpdateEndpoints implements Policy.
 func (b *baselinePolicy) UpdateEndpoints(_ float64, l []router.EndpointInfo) { b.list = l }
 
-// HealthChecked implements Policy: it asks nobody.
+// HealthChecked implements Policy: a baseline makes no health checks.
 func (b *baselinePolicy) HealthChecked(float64, int, bool, float64, float64, bool) {}
 
-// ReviewDue implements Policy: it never waits.
+// ReviewDue implements Policy: no command waits for a review; only old writes are forgotten.
 func (b *baselinePolicy) ReviewDue(now float64) (float64, []int) {
 	for s, at := range b.wrote {
 		if now-at > primaryWindow {
@@ -63,7 +63,7 @@
 
 // Add implements Policy.
 func (b *baselinePolicy) Add(_ float64, id uint32, c router.Command) {
-	s := &baselineCommand{id: id, cmd: c}
+	s := &baselineCommand{id: id, command: c}
 	b.commands[id] = s
 	b.place(s)
 }
@@ -72,7 +72,7 @@
 func (b *baselinePolicy) ClientGone(_ float64, id uint32) { delete(b.commands, id) }
 
 func (b *baselinePolicy) group(s *baselineCommand) *Group {
-	return &b.instance.world.spec.Groups[s.cmd.Group]
+	return &b.instance.world.spec.Groups[s.command.Group]
 }
 
 func (b *baselinePolicy) primary(shard int) int {
@@ -92,7 +92,7 @@
 // replicas that are listed ready and were not tried for this command.
 func (b *baselinePolicy) replicas(s *baselineCommand) (out []int) {
 	for _, l := range b.list {
-		if l.Shard == s.cmd.Shard && !l.Primary && l.State == router.Ready && !slices.Contains(s.tried, l.Index) {
+		if l.Shard == s.command.Shard && !l.Primary && l.State == router.Ready && !slices.Contains(s.tried, l.Index) {
 			out = append(out, l.Index)
 		}
 	}
@@ -100,7 +100,7 @@
 }
 
 func (b *baselinePolicy) place(s *baselineCommand) {
-	at := b.primary(s.cmd.Shard)
+	at := b.primary(s.command.Shard)
 	if consistencies[b.group(s).Need] != router.PrimaryOnly {
 		if some := b.choose(b, s); len(some) > 0 {
 			at = some[b.random.IntN(len(some))]
@@ -118,7 +118,7 @@
 	s.at = at
 	s.tried = append(s.tried, at)
 	b.out[at]++
-	b.instance.Forward(s.id, len(s.tried)-1, at, s.cmd.ClientDeadline)
+	b.instance.Forward(s.id, len(s.tried)-1, at, s.command.ClientDeadline)
 }
 
 // AttemptEnded implements Policy.
@@ -130,13 +130,13 @@
 	b.out[s.at]--
 	if o.Result == router.Answered {
 		if consistencies[b.group(s).Need] == router.PrimaryOnly {
-			b.wrote[s.cmd.Session] = now
+			b.wrote[s.command.Session] = now
 		}
 		delete(b.commands, id)
 		return
 	}
 	s.ran = s.ran || o.Result == router.ConnectionLost || o.Result == router.TimedOut
-	if now < s.cmd.ClientDeadline && (!s.ran || idempotencies[b.group(s).Effect] == router.Idempotent) {
+	if now < s.command.ClientDeadline && (!s.ran || idempotencies[b.group(s).Effect] == router.Idempotent) {
 		b.place(s)
 		return
 	}
@@ -144,7 +144,7 @@
 	b.instance.Fail(id)
 }
 
-// backendStalled tells the one that sees all that a backend will not answer: what may go elsewhere does so at once.
+// backendStalled cancels attempts at a backend that will not answer, if the policy is omniscient and they may be retried.
 func (b *baselinePolicy) backendStalled(node int) {
 	if !b.seesBackends {
 		return
@@ -167,7 +167,7 @@
 func anyReplica(b *baselinePolicy, s *baselineCommand) []int { return b.replicas(s) }
 
 func primaryForAWindow(b *baselinePolicy, s *baselineCommand) []int {
-	if at, wrote := b.wrote[s.cmd.Session]; wrote && s.cmd.ArrivedAt-at <= primaryWindow {
+	if at, wrote := b.wrote[s.command.Session]; wrote && s.command.ArrivedAt-at <= primaryWindow {
 		return nil
 	}
 	return b.replicas(s)
@@ -208,7 +208,7 @@
 	w := b.instance.world
 	c := b.instance.commands[s.id]
 	best, least := []int(nil), math.Inf(1)
-	for _, m := range w.shards[s.cmd.Shard] {
+	for _, m := range w.shards[s.command.Shard] {
 		if m.down || m.hung || m.cut || m.listedState != router.Ready || slices.Contains(s.tried, m.node) {
 			continue
 		}
@@ -216,7 +216,7 @@
 			continue
 		}
 		// One that drains or falls behind while the attempt is on its way is the price of the way.
-		queue := float64(m.busy+len(m.queue)+m.inTransit+1) * m.slow / m.share(w.now)
+		queue := float64(m.busy+len(m.queue)+m.inTransit+1) * m.slow / m.capacityShare(w.now)
 		if queue < least {
 			best, least = []int{m.node}, queue
 		}
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -8,7 +8,7 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// command is one, and each time that its client comes again is another.
+// command is one request of a client; each retry by the client is another.
 type command struct {
 	verdict.Command
 	id            uint32
@@ -17,13 +17,13 @@
 	session       uint64
 	shard         int
 	arrived       float64
-	first         float64 // when its client asked first
-	attemptNumber int     // that its client has made
+	first         float64 // when its client first sent it, in seconds
+	attemptNumber int     // of the client's attempts, from 1
 	done          bool
 	attempts      []*attempt
 }
 
-// session is a client's: where its last write and its furthest read were.
+// session is a client's session at a router: the positions of its last write and its latest read.
 type session struct{ wrote, seen float64 }
 
 // frontMargin is how much before its client's timeout a router gives a command up, so that the answer still gets there.
@@ -32,7 +32,7 @@
 // clientTries is how often a client asks in all.
 const maxClientAttempts = 3
 
-// nextArrival has a client ask: load does not wait for answers.
+// nextArrival schedules the group's next command. Load is open: it does not wait for answers.
 func (w *World) nextArrival(group int) {
 	g := &w.spec.Groups[group]
 	if g.Rate == 0 {
@@ -68,7 +68,7 @@
 	r.commands[c.id] = c
 	w.at(c.GiveUp, func() { w.giveUp(c) })
 	r.policy.Add(w.now, c.id, w.routerCommand(c, s))
-	r.wake()
+	r.review()
 }
 
 // session is the client's session at this router; its first command begins it.
@@ -124,11 +124,11 @@
 	c.done = true
 	w.check.Ended(&c.Command)
 	c.router.policy.ClientGone(w.now, c.id)
-	c.router.wake()
+	c.router.review()
 	c.router.release(c)
 }
 
-// retryLater has a client that was rejected come back.
+// retryLater has a rejected client send its command again after a delay in seconds, if it has attempts left.
 func (w *World) retryLater(c *command, after float64) {
 	if c.attemptNumber < maxClientAttempts && w.now+after < float64(w.spec.Seconds)+1 {
 		w.after(after, func() { w.ask(c.group, c.session, c.first, c.attemptNumber+1) })
--- a/internal/lab/world/events.go
+++ b/internal/lab/world/events.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// event is something at a time; what comes at one time comes in the order in which it was asked for.
+// event is an action at a virtual time. Events of one time are carried out in the order in which they were scheduled.
 type event struct {
 	at  float64
 	seq uint64
--- a/internal/lab/world/fault.go
+++ b/internal/lab/world/fault.go
@@ -6,7 +6,7 @@
 	"stoatdale.example/stoatdale/internal/sexp"
 )
 
-// Fault is something that goes wrong for a while.
+// Fault is a fault of a backend or router, with its start and duration.
 type Fault struct {
 	Kind   string        `sexp:",name"` // crash, hang, cut, slow, drain, elect or restart
 	Set    int           `sexp:"set"`
@@ -18,28 +18,28 @@
 	Place  sexp.Position `sexp:",place"`
 }
 
-// schedule has a fault begin and end.
+// schedule schedules the start and the end of a fault.
 func (w *World) schedule(x Fault, policy string) {
 	begin, end := func() {}, func() {}
 	if x.Kind == "restart" {
 		r := w.routers[x.Router]
 		begin = func() { r.restart(policy) }
 	} else {
-		m := w.shards[x.Set][x.Member]
+		b := w.shards[x.Set][x.Member]
 		switch x.Kind {
 		case "crash":
-			begin, end = m.crash, m.start
+			begin, end = b.crash, b.start
 		case "hang":
-			begin, end = func() { m.hung = true; w.backendStalled(m) }, m.wake
+			begin, end = func() { b.hung = true; w.backendStalled(b) }, b.resume
 		case "cut":
-			begin, end = func() { m.cut = true; w.backendStalled(m) }, func() { m.cut = false }
+			begin, end = func() { b.cut = true; w.backendStalled(b) }, func() { b.cut = false }
 		case "slow":
-			begin, end = func() { m.slow *= x.Times }, func() { m.slow /= x.Times }
+			begin, end = func() { b.slow *= x.Times }, func() { b.slow /= x.Times }
 		case "drain":
-			begin = func() { w.drain(m, true) }
-			end = func() { w.drain(m, false) }
+			begin = func() { w.drain(b, true) }
+			end = func() { w.drain(b, false) }
 		case "elect":
-			begin = func() { w.elect(m) }
+			begin = func() { w.elect(b) }
 		}
 	}
 	w.at(float64(x.At), begin)
@@ -48,35 +48,35 @@
 	}
 }
 
-func (w *World) backendStalled(m *backend) {
+func (w *World) backendStalled(b *backend) {
 	for _, r := range w.routers {
-		if b, baselinePolicy := r.policy.(*baselinePolicy); baselinePolicy {
-			b.backendStalled(m.node)
+		if policy, isBaseline := r.policy.(*baselinePolicy); isBaseline {
+			policy.backendStalled(b.node)
 		}
 	}
 }
 
-func (w *World) drain(m *backend, drains bool) {
-	m.drains = drains
+func (w *World) drain(b *backend, drains bool) {
+	b.drains = drains
 	w.publishEndpoints()
 }
 
 // elect makes a replica the primary. What it has not applied yet it applies first, so that no commit is lost.
-func (w *World) elect(m *backend) {
-	if m.primary || m.down {
+func (w *World) elect(b *backend) {
+	if b.primary || b.down {
 		return
 	}
-	for _, x := range w.shards[m.shard] {
+	for _, x := range w.shards[b.shard] {
 		if x.primary {
-			m.applied = math.Max(m.applied, x.applied)
+			b.applied = math.Max(b.applied, x.applied)
 			x.primary = false
 		}
 	}
-	m.primary, m.log = true, nil
+	b.primary, b.log = true, nil
 	w.publishEndpoints()
 }
 
-// restart has a router end and come back at once, knowing nothing but the list. Its clients ask again.
+// restart restarts a router, which knows nothing but the endpoint list afterwards. Its clients retry.
 func (r *instance) restart(policy string) {
 	for id := uint32(1); id <= r.last; id++ {
 		c := r.commands[id]
@@ -91,5 +91,5 @@
 	for _, s := range r.sessions {
 		s.seen = math.Inf(-1) // what it has shown is promised by one router
 	}
-	r.boot(policy)
+	r.start(policy)
 }
--- a/internal/lab/world/instance.go
+++ b/internal/lab/world/instance.go
@@ -8,7 +8,7 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// instance is one router: its policy and the sessions whose clients use it.
+// instance is one router: its policy and the sessions whose clients use it. It carries out what the policy decides.
 type instance struct {
 	world    *World
 	index    int
@@ -17,21 +17,21 @@
 	commands map[uint32]*command
 	last     uint32
 	sessions map[uint64]*session
-	due      float64 // when it is to settle
+	due      float64 // when the next review is due
 }
 
-// logBefore is how long before the run the log began, in seconds: positions count from there.
+// logStartBeforeRun is how long before the run the log began, in seconds: positions count from there.
 const logStartBeforeRun = 1000
 
-// boot starts a router, for the first time or anew.
-func (r *instance) boot(policy string) {
+// start starts a router for the first time, or again with the knowledge of the endpoint list alone.
+func (r *instance) start(policy string) {
 	r.boots++
 	r.policy = policyConstructors[policy](r)
 	r.policy.UpdateEndpoints(r.world.now, r.world.knownEndpoints)
-	r.wake()
+	r.review()
 }
 
-// config is what the module is told of the world.
+// config is the module's configuration for the experiment.
 func (r *instance) config() router.Config {
 	f := &r.world.spec.Fleet
 	s := router.Config{
@@ -48,8 +48,8 @@
 	return s
 }
 
-// wake has the policy go on, and asks to be woken again when it wants to be.
-func (r *instance) wake() {
+// review calls the policy for what is due, and schedules the next review when the policy asks for it.
+func (r *instance) review() {
 	w := r.world
 	next, probes := r.policy.ReviewDue(w.now)
 	for _, n := range probes {
@@ -60,77 +60,77 @@
 		w.at(next, func() {
 			if r.due == next {
 				r.due = math.Inf(1)
-				r.wake()
+				r.review()
 			}
 		})
 	}
 }
 
-// checkHealth asks a backend how it stands.
+// checkHealth sends a health check to a backend.
 func (r *instance) checkHealth(node int) {
-	w, m, p, sent := r.world, r.world.backends[node], r.policy, r.world.now
+	w, b, p, sent := r.world, r.world.backends[node], r.policy, r.world.now
 	w.tally.Probes++
 	back := func(ok bool, position float64) func() {
 		return func() {
-			if r.policy == p { // it did not start anew meanwhile
-				p.HealthChecked(w.now, node, ok, w.now-sent, position, m.primary)
-				r.wake()
+			if r.policy == p { // the router has not restarted meanwhile
+				p.HealthChecked(w.now, node, ok, w.now-sent, position, b.primary)
+				r.review()
 			}
 		}
 	}
 	w.after(w.networkDelay(), func() {
 		switch {
-		case m.cut || m.hung:
+		case b.cut || b.hung:
 			w.after(float64(w.spec.Fleet.Dial)-w.networkDelay(), back(false, -1))
-		case m.down:
+		case b.down:
 			w.after(w.networkDelay(), back(false, -1))
 		default:
-			w.after(w.networkDelay(), back(true, m.position(w.now)+logStartBeforeRun))
+			w.after(w.networkDelay(), back(true, b.position(w.now)+logStartBeforeRun))
 		}
 	})
 }
 
 // Forward implements hand.Executor.
 func (r *instance) Forward(id uint32, number, node int, until float64) {
-	w, c, m := r.world, r.commands[id], r.world.backends[node]
+	w, c, b := r.world, r.commands[id], r.world.backends[node]
 	g := &w.spec.Groups[c.group]
 	w.check.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &verdict.Member{
-		Set: m.shard, Away: m.listedState == router.Draining,
-		AwaySince: m.listedSince,
+		Set: b.shard, Away: b.listedState == router.Draining,
+		AwaySince: b.listedSince,
 	})
 	w.tally.Dispatches++
 	if consistencies[g.Need] != router.PrimaryOnly {
 		w.tally.Reads++
-		if m.primary {
+		if b.primary {
 			w.tally.Primary++
 		}
 	}
-	l := &attempt{cmd: c, number: number, at: m, sent: w.now, open: true}
-	c.attempts = append(c.attempts, l)
-	if m.cut {
-		w.deliverResult(l, router.ConnectFailed, float64(w.spec.Fleet.Dial))
+	a := &attempt{command: c, number: number, at: b, sent: w.now, open: true}
+	c.attempts = append(c.attempts, a)
+	if b.cut {
+		w.deliverResult(a, router.ConnectFailed, float64(w.spec.Fleet.Dial))
 	} else {
-		m.inTransit++
+		b.inTransit++
 		w.after(w.networkDelay(), func() {
-			m.inTransit--
-			if l.open {
-				m.arrive(l)
+			b.inTransit--
+			if a.open {
+				b.receive(a)
 			}
 		})
 	}
 	w.at(math.Min(until, c.GiveUp), func() {
-		m.cancel(l)
-		r.ended(l, router.TimedOut, false, 0)
+		b.cancel(a)
+		r.attemptEnded(a, router.TimedOut, false, 0)
 	})
 }
 
 // Cancel implements hand.Executor.
 func (r *instance) Cancel(id uint32, number int) {
-	for _, l := range r.commands[id].attempts {
-		if l.number == number {
+	for _, a := range r.commands[id].attempts {
+		if a.number == number {
 			r.world.after(r.world.networkDelay(), func() {
-				l.at.cancel(l)
-				r.world.deliverResult(l, router.Canceled, r.world.networkDelay())
+				a.at.cancel(a)
+				r.world.deliverResult(a, router.Canceled, r.world.networkDelay())
 			})
 		}
 	}
@@ -139,7 +139,7 @@
 // Reject implements hand.Executor.
 func (r *instance) Reject(id uint32, comeBack float64) {
 	r.world.tally.Throttled++
-	if c := r.final(id); c != nil {
+	if c := r.finish(id); c != nil {
 		r.world.retryLater(c, math.Max(comeBack, 0.05))
 	}
 }
@@ -147,11 +147,11 @@
 // Fail implements hand.Executor.
 func (r *instance) Fail(id uint32) {
 	r.world.tally.Failed++
-	r.final(id)
+	r.finish(id)
 }
 
-// final is a command's last answer.
-func (r *instance) final(id uint32) *command {
+// finish records the final answer to a command. It returns nil if the command is not known.
+func (r *instance) finish(id uint32) *command {
 	c := r.commands[id]
 	if c == nil {
 		return nil
@@ -162,10 +162,10 @@
 	return c
 }
 
-// release forgets a command with nothing more to come.
+// release forgets a command that is done and has no attempt in flight.
 func (r *instance) release(c *command) {
-	for _, l := range c.attempts {
-		if l.open {
+	for _, a := range c.attempts {
+		if a.open {
 			return
 		}
 	}
@@ -174,20 +174,20 @@
 	}
 }
 
-// ended has a attempt's outcome come to its router; the first one counts.
-func (r *instance) ended(l *attempt, e router.Result, primary bool, position float64) {
-	c, w := l.cmd, r.world
-	if !l.open {
+// attemptEnded reports an attempt's result to its policy. Only the first result of an attempt counts.
+func (r *instance) attemptEnded(a *attempt, e router.Result, primary bool, position float64) {
+	c, w := a.command, r.world
+	if !a.open {
 		return
 	}
-	l.open = false
+	a.open = false
 	ran := e == router.Answered || e == router.ConnectionLost || e == router.TimedOut || e == router.Canceled
-	w.check.Back(&c.Command, l.sent, l.at.shard, ran)
-	if r.commands[c.id] != c { // its router has started anew
+	w.check.Back(&c.Command, a.sent, a.at.shard, ran)
+	if r.commands[c.id] != c { // its router has restarted
 		return
 	}
 	g := &w.spec.Groups[c.group]
-	o := router.AttemptResult{Attempt: l.number, Result: e, Elapsed: w.now - l.sent, Final: e == router.Answered, Position: -1}
+	o := router.AttemptResult{Attempt: a.number, Result: e, Elapsed: w.now - a.sent, Final: e == router.Answered, Position: -1}
 	if e == router.Answered || e == router.NotServed {
 		if o.Role = router.RoleReplica; primary {
 			o.Role = router.RolePrimary
@@ -197,20 +197,20 @@
 		o.Position = position + logStartBeforeRun
 	}
 	if e == router.Answered && !c.done {
-		r.answered(c, g, l, position)
+		r.recordAnswer(c, g, a, position)
 	}
 	r.policy.AttemptEnded(w.now, c.id, o)
 	r.release(c)
-	r.wake()
+	r.review()
 }
 
-// answered counts a backend's answer that its client gets.
-func (r *instance) answered(c *command, g *Group, l *attempt, position float64) {
+// recordAnswer counts a backend's answer that reaches its client.
+func (r *instance) recordAnswer(c *command, g *Group, a *attempt, position float64) {
 	w, s := r.world, r.sessions[c.session]
 	if consistencies[g.Need] == router.PrimaryOnly {
 		s.wrote = math.Max(s.wrote, position)
 	} else {
-		w.check.Served("a command of "+g.Name, &c.Command, l.at.node, &verdict.Member{Covers: position})
+		w.check.Served("a command of "+g.Name, &c.Command, a.at.node, &verdict.Member{Covers: position})
 		if consistencies[g.Need] == router.SessionConsistent {
 			s.seen = math.Max(s.seen, position)
 		}
--- a/internal/lab/world/policy.go
+++ b/internal/lab/world/policy.go
@@ -8,7 +8,8 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// Policy decides where commands go. It is told what a router is told and nothing else, but for the one that sees all.
+// Policy decides where commands go. It learns what a router learns and nothing else, except for the omniscient baseline.
+// Times are virtual and in seconds.
 type Policy interface {
 	Add(now float64, id uint32, c router.Command)
 	ClientGone(now float64, id uint32)
@@ -18,7 +19,7 @@
 	HealthChecked(now float64, node int, ok bool, took, position float64, primary bool)
 }
 
-// policies are what may decide. All but the module are there to be measured against, and no part of the router.
+// policyConstructors are the policies by name. All but the module are baselines to measure it against.
 var policyConstructors map[string]func(r *instance) Policy
 
 func init() {
@@ -38,7 +39,7 @@
 	}
 }
 
-// Policies are their names, in order.
+// Policies are the names of all policies, sorted.
 func Policies() []string {
 	var out []string
 	for n := range policyConstructors {
@@ -48,7 +49,7 @@
 	return out
 }
 
-// module is the router's own decisions, the code that serves.
+// module is the router module, as it serves in production.
 type module struct {
 	*inflight.Tracker
 	router *router.Router
--- a/internal/lab/world/tally.go
+++ b/internal/lab/world/tally.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Tally is what a run came to.
+// Tally is the result of a run in counts. Benefits are sums of priority weights.
 type Tally struct {
 	Asked      int     `json:"asked"`    // by clients, their repeats not counted
 	Answered   int     `json:"answered"` // of them, in the end
@@ -28,5 +28,5 @@
 	Earned  float64 `json:"earned"`
 }
 
-// Service is the share of the benefit that was earned.
+// Service is the share of the benefit that was earned, from 0 to 1.
 func (t *Tally) Service() float64 { return t.Earned / math.Max(t.Benefit, math.SmallestNonzeroFloat64) }
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -13,7 +13,7 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// World is one run.
+// World is one run of an experiment: one policy with one seed. It is used by one goroutine.
 type World struct {
 	spec           *Spec
 	now            float64
@@ -21,10 +21,10 @@
 	events         events
 	shards         [][]*backend
 	backends       []*backend
-	knownEndpoints []router.EndpointInfo // the list that routers heard last; one that starts anew knows no more
+	knownEndpoints []router.EndpointInfo // the list that routers were last told; a restarted one begins with it
 	routers        []*instance
 	check          verdict.Commands
-	violations     map[string]string // properties that were broken, with the first way
+	violations     map[string]string // properties that were violated, with the first violation
 	seed           uint64
 	arrive         []*rand.Rand // by group
 	workTimes      []distuv.LogNormal
@@ -33,48 +33,68 @@
 	tally          Tally
 }
 
-// New is a run that has not begun.
+// New sets up a run of a checked experiment under the named policy. Run starts it.
 func New(s *Spec, policy string, seed int) *World {
-	w := &World{spec: s, seed: uint64(seed), violations: map[string]string{}, applyStream: newStream(seed, "apply"), sessionStream: newStream(seed, "sessions")}
-	f := &s.Fleet
-	for shard := range f.Sets {
-		var ms []*backend
-		for i := range f.Replicas + 1 {
-			m := &backend{
-				world: w, node: len(w.backends), shard: shard, primary: i == 0, slow: 1, started: math.Inf(-1), listedState: router.Ready,
-				applied: math.Inf(-1), working: map[*attempt]bool{}, cold: w.budget(),
-			}
-			ms = append(ms, m)
-			w.backends = append(w.backends, m)
-		}
-		w.shards = append(w.shards, ms)
+	w := &World{
+		spec: s, seed: uint64(seed), violations: map[string]string{},
+		applyStream: newStream(seed, "apply"), sessionStream: newStream(seed, "sessions"),
 	}
-	w.knownEndpoints = w.list()
-	for i := range f.Routers {
-		r := &instance{world: w, index: i, commands: map[uint32]*command{}, sessions: map[uint64]*session{}, due: math.Inf(1)}
-		w.routers = append(w.routers, r)
-		r.boot(policy)
+	for range s.Fleet.Sets {
+		w.addShard()
+	}
+	w.knownEndpoints = w.endpoints()
+	for range s.Fleet.Routers {
+		w.addRouter(policy)
 	}
 	w.tally.Times = make([][]float64, len(s.Groups))
 	for i := range s.Groups {
-		g := &s.Groups[i]
-		w.arrive = append(w.arrive, newStream(seed, "arrive "+g.Name))
-		w.workTimes = append(w.workTimes, distuv.LogNormal{
-			Mu: math.Log(float64(g.Work)) - g.Spread*g.Spread/2, Sigma: g.Spread,
-			Src: rand.NewPCG(uint64(seed), hashName("work "+g.Name)),
-		})
-		w.nextArrival(i)
+		w.addLoad(i, seed)
 	}
-	for _, x := range s.Faults {
-		w.schedule(x, policy)
+	for _, fault := range s.Faults {
+		w.schedule(fault, policy)
 	}
 	return w
 }
 
+// addShard adds a primary and its replicas.
+func (w *World) addShard() {
+	var shard []*backend
+	for i := range w.spec.Fleet.Replicas + 1 {
+		b := &backend{
+			world: w, node: len(w.backends), shard: len(w.shards), primary: i == 0, listedState: router.Ready,
+			slow: 1, started: math.Inf(-1), applied: math.Inf(-1), working: map[*attempt]bool{}, cold: w.coldBudget(),
+		}
+		shard = append(shard, b)
+		w.backends = append(w.backends, b)
+	}
+	w.shards = append(w.shards, shard)
+}
+
+// addRouter adds a router and starts it.
+func (w *World) addRouter(policy string) {
+	r := &instance{
+		world: w, index: len(w.routers),
+		commands: map[uint32]*command{}, sessions: map[uint64]*session{}, due: math.Inf(1),
+	}
+	w.routers = append(w.routers, r)
+	r.start(policy)
+}
+
+// addLoad starts a group's arrivals.
+func (w *World) addLoad(group, seed int) {
+	g := &w.spec.Groups[group]
+	w.arrive = append(w.arrive, newStream(seed, "arrive "+g.Name))
+	w.workTimes = append(w.workTimes, distuv.LogNormal{
+		Mu: math.Log(float64(g.Work)) - g.Spread*g.Spread/2, Sigma: g.Spread,
+		Src: rand.NewPCG(uint64(seed), hashName("work "+g.Name)),
+	})
+	w.nextArrival(group)
+}
+
 func (w *World) networkDelay() float64 { return float64(w.spec.Fleet.Way) }
 
-// budget is what a backend bears while it is cold: as many commands as its slots get through.
-func (w *World) budget() verdict.Cold {
+// coldBudget is the load that a backend bears while it warms up: as many commands as its slots get through.
+func (w *World) coldBudget() verdict.Cold {
 	f := &w.spec.Fleet
 	rate, work := 0.0, 0.0
 	for _, g := range w.spec.Groups {
@@ -92,7 +112,8 @@
 	}
 }
 
-// Run plays it to its end. Commands that are out by then have until their timeout.
+// Run plays the run to its end and returns the counts and the violated properties, each with its first violation. Commands
+// that are in flight at the end have until their timeout. It may be called once.
 func (w *World) Run() (Tally, map[string]string) {
 	end := float64(w.spec.Seconds)
 	most := 0.0
@@ -116,34 +137,34 @@
 	return w.tally, w.violations
 }
 
-// deliverResult has a attempt's end come to its router after a while.
+// deliverResult delivers an attempt's result to its router after a delay in seconds.
 func (w *World) deliverResult(l *attempt, e router.Result, after float64) {
 	primary, position := l.at.primary, l.position
-	w.after(after, func() { l.cmd.router.ended(l, e, primary, position) })
+	w.after(after, func() { l.command.router.attemptEnded(l, e, primary, position) })
 }
 
-// publishEndpoints has every router hear of the list as it is now, late.
+// publishEndpoints sends the present endpoint list to every router. It arrives after the delay of the list.
 func (w *World) publishEndpoints() {
-	l := w.list()
+	l := w.endpoints()
 	w.after(float64(w.spec.Fleet.List), func() {
 		w.knownEndpoints = l
 		for _, r := range w.routers {
 			r.policy.UpdateEndpoints(w.now, l)
-			r.wake()
+			r.review()
 		}
-		for _, m := range w.backends {
-			if s := l[m.node].State; s != m.listedState {
-				m.listedState, m.listedSince = s, w.now
+		for _, b := range w.backends {
+			if s := l[b.node].State; s != b.listedState {
+				b.listedState, b.listedSince = s, w.now
 			}
 		}
 	})
 }
 
-func (w *World) list() []router.EndpointInfo {
+func (w *World) endpoints() []router.EndpointInfo {
 	var l []router.EndpointInfo
-	for _, m := range w.backends {
-		x := router.EndpointInfo{Index: m.node, Shard: m.shard, State: router.Ready, StartedAt: m.started, Primary: m.primary}
-		if m.drains {
+	for _, b := range w.backends {
+		x := router.EndpointInfo{Index: b.node, Shard: b.shard, State: router.Ready, StartedAt: b.started, Primary: b.primary}
+		if b.drains {
 			x.State = router.Draining
 		}
 		l = append(l, x)
@@ -151,9 +172,16 @@
 	return l
 }
 
-func sorted(l []*attempt) []*attempt {
-	slices.SortFunc(l, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.cmd.router.index, b.cmd.router.index), cmp.Compare(a.cmd.id, b.cmd.id), cmp.Compare(a.number, b.number))
+// sortAttempts sorts attempts by the time at which they were sent, in place: maps have no order of their own, and the
+// same seed must give the same run.
+func sortAttempts(attempts []*attempt) []*attempt {
+	slices.SortFunc(attempts, func(a, b *attempt) int {
+		return cmp.Or(
+			cmp.Compare(a.sent, b.sent),
+			cmp.Compare(a.command.router.index, b.command.router.index),
+			cmp.Compare(a.command.id, b.command.id),
+			cmp.Compare(a.number, b.number),
+		)
 	})
-	return l
+	return attempts
 }
