--- a/internal/lab/world/check.go
+++ b/internal/lab/world/check.go
@@ -184,7 +184,7 @@
 	return s.checkOverlap(index)
 }
 
-// checkFaultTarget tells whether there is the router or backend that the fault befalls.
+// checkFaultTarget tells whether there is the router or backend that the fault concerns.
 func (s *Spec) checkFaultTarget(fault *Fault) error {
 	fleet := &s.Fleet
 	if fault.Kind == "restart" {
--- a/internal/lab/world/instance.go
+++ b/internal/lab/world/instance.go
@@ -90,7 +90,7 @@
 	})
 }
 
-// Forward implements hand.Executor.
+// Forward implements inflight.Executor.
 func (r *instance) Forward(id uint32, number, node int, until float64) {
 	w, c, b := r.world, r.commands[id], r.world.backends[node]
 	g := &w.spec.Groups[c.group]
@@ -124,7 +124,7 @@
 	})
 }
 
-// Cancel implements hand.Executor.
+// Cancel implements inflight.Executor.
 func (r *instance) Cancel(id uint32, number int) {
 	for _, a := range r.commands[id].attempts {
 		if a.number == number {
@@ -136,7 +136,7 @@
 	}
 }
 
-// Reject implements hand.Executor.
+// Reject implements inflight.Executor.
 func (r *instance) Reject(id uint32, comeBack float64) {
 	r.world.tally.Throttled++
 	if c := r.finish(id); c != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-// Fail implements hand.Executor.
+// Fail implements inflight.Executor.
 func (r *instance) Fail(id uint32) {
 	r.world.tally.Failed++
 	r.finish(id)
