--- a/internal/cli/agent.go
+++ b/internal/cli/agent.go
@@ -12,7 +12,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/agent"
 	"stoatdale.example/stoatdale/internal/fleet/api"
 	"stoatdale.example/stoatdale/internal/fleet/inventory"
-	"stoatdale.example/stoatdale/internal/keys"
+	"stoatdale.example/stoatdale/internal/pki"
 )
 
 func (a *app) agentCommand() *cobra.Command {
@@ -35,7 +35,7 @@
 			if !cmd.Flags().Changed("log") {
 				a.log = a.log.Level(zerolog.InfoLevel)
 			}
-			return exitError(ExitFailed, a.runAgent(cmd.Context(), fleet, self, keys.Folder(keysFolder)))
+			return exitError(ExitFailed, a.runAgent(cmd.Context(), fleet, self, pki.Folder(keysFolder)))
 		},
 	}
 	c.Flags().StringVar(&fleetFile, "fleet", "deploy/fleet.sexp", "fleet file")
@@ -46,8 +46,8 @@
 }
 
 // runAgent serves the agent's API and runs its supervisors until ctx is canceled or the API fails. Its routers go on.
-func (a *app) runAgent(ctx context.Context, fleet *inventory.Fleet, self *inventory.Agent, folder keys.Folder) error {
-	source := folder.Credentials(keys.Agent, self.Name)
+func (a *app) runAgent(ctx context.Context, fleet *inventory.Fleet, self *inventory.Agent, folder pki.Folder) error {
+	source := folder.Credentials(pki.Agent, self.Name)
 	if err := source.Check(); err != nil {
 		return fmt.Errorf("agent %s: %w", self.Name, err)
 	}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -10,7 +10,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/keys"
+	"stoatdale.example/stoatdale/internal/pki"
 )
 
 // fleetFlags are common to the commands that call agents.
@@ -26,7 +26,7 @@
 	if err != nil {
 		return nil, exitError(ExitUsage, err)
 	}
-	client, err := control.New(fleet, keys.Folder(f.keysFolder), f.operator)
+	client, err := control.New(fleet, pki.Folder(f.keysFolder), f.operator)
 	if err != nil {
 		return nil, exitError(ExitUsage, err)
 	}
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"stoatdale.example/stoatdale/internal/fleet/inventory"
-	"stoatdale.example/stoatdale/internal/keys"
+	"stoatdale.example/stoatdale/internal/pki"
 )
 
 const (
@@ -24,7 +24,7 @@
 	folder string
 }
 
-func (f *keysFlags) keys() keys.Folder { return keys.Folder(f.folder) }
+func (f *keysFlags) keys() pki.Folder { return pki.Folder(f.folder) }
 
 func (a *app) keysCommand() *cobra.Command {
 	var flags keysFlags
@@ -85,7 +85,7 @@
 		Example: "  stoatctl keys issue operator ayla\n  stoatctl keys issue agent --fleet deploy/fleet.sexp     # all agents of the file",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			role, names := keys.Role(args[0]), args[1:]
+			role, names := pki.Role(args[0]), args[1:]
 			if fleetFile != "" {
 				fleet, err := inventory.Load(fleetFile)
 				if err != nil {
--- a/internal/drill/fleet_size.go
+++ b/internal/drill/fleet_size.go
@@ -21,7 +21,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/keys"
+	"stoatdale.example/stoatdale/internal/pki"
 )
 
 const (
@@ -144,7 +144,7 @@
 // simulatedFleet is a fleet of static agents that serve on loopback.
 type simulatedFleet struct {
 	folder  string // temporary
-	keys    keys.Folder
+	keys    pki.Folder
 	file    *inventory.Fleet
 	servers []*api.Server
 	serving sync.WaitGroup
@@ -156,11 +156,11 @@
 	if err != nil {
 		return &simulatedFleet{}, err
 	}
-	f := &simulatedFleet{folder: folder, keys: keys.Folder(filepath.Join(folder, "keys"))}
+	f := &simulatedFleet{folder: folder, keys: pki.Folder(filepath.Join(folder, "keys"))}
 	if err := f.keys.CreateAuthority("sizes", time.Hour, time.Now()); err != nil {
 		return f, err
 	}
-	if err := f.keys.Issue(keys.Operator, operatorName, sizeCertificateLasts, time.Now()); err != nil {
+	if err := f.keys.Issue(pki.Operator, operatorName, sizeCertificateLasts, time.Now()); err != nil {
 		return f, err
 	}
 	f.file = &inventory.Fleet{
@@ -193,7 +193,7 @@
 			Listen: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 5432),
 		})
 	}
-	if err := f.keys.Issue(keys.Agent, name, sizeCertificateLasts, time.Now()); err != nil {
+	if err := f.keys.Issue(pki.Agent, name, sizeCertificateLasts, time.Now()); err != nil {
 		_ = listener.Close()
 		return err
 	}
@@ -201,7 +201,7 @@
 		Name: name, Zone: "h", Folder: f.folder, Program: "none",
 		Listen: netip.MustParseAddrPort(listener.Addr().String()),
 	})
-	server := api.NewServer(listener, handler, f.keys.Credentials(keys.Agent, name), api.SupportedVersions, zerolog.Nop())
+	server := api.NewServer(listener, handler, f.keys.Credentials(pki.Agent, name), api.SupportedVersions, zerolog.Nop())
 	f.servers = append(f.servers, server)
 	f.serving.Go(func() { _ = server.Serve() }) // ends when close closes the server
 	return nil
--- a/internal/drill/rollout_setup.go
+++ b/internal/drill/rollout_setup.go
@@ -17,8 +17,8 @@
 	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/keys"
 	"stoatdale.example/stoatdale/internal/lab/stand"
+	"stoatdale.example/stoatdale/internal/pki"
 )
 
 const (
@@ -49,7 +49,7 @@
 	if err := d.writeFleet(); err != nil {
 		return err
 	}
-	folder := keys.Folder(filepath.Join(d.folder, "keys"))
+	folder := pki.Folder(filepath.Join(d.folder, "keys"))
 	if err := issueKeys(folder, d.fleet); err != nil {
 		return err
 	}
@@ -164,16 +164,16 @@
 func zoneName(zone int) string { return fmt.Sprint("hall", zone+1) }
 
 // issueKeys makes an authority, and certificates of the operator and all agents.
-func issueKeys(folder keys.Folder, fleet *inventory.Fleet) error {
+func issueKeys(folder pki.Folder, fleet *inventory.Fleet) error {
 	now := time.Now()
 	if err := folder.CreateAuthority("drill", authorityLasts, now); err != nil {
 		return err
 	}
-	if err := folder.Issue(keys.Operator, operatorName, certificateLasts, now); err != nil {
+	if err := folder.Issue(pki.Operator, operatorName, certificateLasts, now); err != nil {
 		return err
 	}
 	for _, a := range fleet.Agents {
-		if err := folder.Issue(keys.Agent, a.Name, certificateLasts, now); err != nil {
+		if err := folder.Issue(pki.Agent, a.Name, certificateLasts, now); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/api/api_test.go
+++ b/internal/fleet/api/api_test.go
@@ -19,7 +19,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
-	"stoatdale.example/stoatdale/internal/keys"
+	"stoatdale.example/stoatdale/internal/pki"
 )
 
 // echo answers with what it was asked, as far as an answer can hold it.
@@ -32,7 +32,7 @@
 // rig is an agent's server on loopback, with the keys of an agent and an operator. It takes the server's log.
 type rig struct {
 	t       *testing.T
-	keys    keys.Folder
+	keys    pki.Folder
 	address string
 	mu      sync.Mutex // guards log
 	log     bytes.Buffer
@@ -53,14 +53,14 @@
 
 // newRig serves until the test ends.
 func newRig(t *testing.T, v Versions, h Handler) *rig {
-	r := &rig{t: t, keys: keys.Folder(t.TempDir())}
+	r := &rig{t: t, keys: pki.Folder(t.TempDir())}
 	require.NoError(t, r.keys.CreateAuthority("f", time.Hour, time.Now()))
-	require.NoError(t, r.keys.Issue(keys.Agent, "a1", time.Minute, time.Now()))
-	require.NoError(t, r.keys.Issue(keys.Operator, "ayla", time.Minute, time.Now()))
+	require.NoError(t, r.keys.Issue(pki.Agent, "a1", time.Minute, time.Now()))
+	require.NoError(t, r.keys.Issue(pki.Operator, "ayla", time.Minute, time.Now()))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	r.address = l.Addr().String()
-	s := NewServer(l, h, r.keys.Credentials(keys.Agent, "a1"), v, zerolog.New(r))
+	s := NewServer(l, h, r.keys.Credentials(pki.Agent, "a1"), v, zerolog.New(r))
 	done := make(chan error, 1)
 	go func() { done <- s.Serve() }()
 	t.Cleanup(func() { s.Close(); assert.NoError(t, <-done) })
@@ -68,7 +68,7 @@
 }
 
 func (r *rig) client(v Versions) *Client {
-	c := NewClient("a1", r.address, r.keys.Credentials(keys.Operator, "ayla"), v)
+	c := NewClient("a1", r.address, r.keys.Credentials(pki.Operator, "ayla"), v)
 	r.t.Cleanup(c.Close)
 	return c
 }
@@ -119,7 +119,7 @@
 
 // raw is a connection of an operator that speaks as it likes.
 func (r *rig) raw() net.Conn {
-	conf, err := r.keys.Credentials(keys.Operator, "ayla").ClientConfig("a1")
+	conf, err := r.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
 	require.NoError(r.t, err)
 	c, err := tls.Dial("tcp", r.address, conf)
 	require.NoError(r.t, err)
@@ -130,7 +130,7 @@
 
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	r := newRig(t, SupportedVersions, echo{})
-	conf, err := r.keys.Credentials(keys.Operator, "ayla").ClientConfig("a1")
+	conf, err := r.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
 	require.NoError(t, err)
 	h := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
 	t.Cleanup(h.CloseIdleConnections)
@@ -211,16 +211,16 @@
 
 func TestWrongCertificatesAreRefusedAndLogged(t *testing.T) {
 	r := newRig(t, SupportedVersions, echo{})
-	other := keys.Folder(t.TempDir())
+	other := pki.Folder(t.TempDir())
 	require.NoError(t, other.CreateAuthority("g", time.Hour, time.Now()))
-	require.NoError(t, other.Issue(keys.Operator, "ayla", time.Minute, time.Now()))
-	stranger := NewClient("a1", r.address, keys.Credentials{CertificateFile: other.CertificateFile(keys.Operator, "ayla"), TrustedFile: r.keys.TrustedFile(), Now: time.Now}, SupportedVersions)
+	require.NoError(t, other.Issue(pki.Operator, "ayla", time.Minute, time.Now()))
+	stranger := NewClient("a1", r.address, pki.Credentials{CertificateFile: other.CertificateFile(pki.Operator, "ayla"), TrustedFile: r.keys.TrustedFile(), Now: time.Now}, SupportedVersions)
 	defer stranger.Close()
 	_, err := stranger.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorIs(t, err, ErrCertificateRefused)
 	require.ErrorContains(t, err, "it refuses this operator's certificate")
 	assert.Contains(t, r.logged(), "operator ayla is from an authority that is not trusted here")
-	misled := NewClient("a2", r.address, r.keys.Credentials(keys.Operator, "ayla"), SupportedVersions)
+	misled := NewClient("a2", r.address, r.keys.Credentials(pki.Operator, "ayla"), SupportedVersions)
 	defer misled.Close()
 	_, err = misled.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorContains(t, err, "agent a1's, and should be agent a2's")
@@ -228,7 +228,7 @@
 	c := r.client(SupportedVersions)
 	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.NoError(t, err)
-	require.NoError(t, r.keys.Issue(keys.Agent, "a1", 30*time.Second, time.Now()))
+	require.NoError(t, r.keys.Issue(pki.Agent, "a1", 30*time.Second, time.Now()))
 	c.Close()
 	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	assert.NoError(t, err)
@@ -241,7 +241,7 @@
 	var status *StatusError
 	require.ErrorAs(t, err, &status)
 	assert.Equal(t, StatusError{Status: "503 Service Unavailable", Text: "busy"}, *status)
-	c := NewClient("a1", "127.0.0.1:1", r.keys.Credentials(keys.Operator, "ayla"), SupportedVersions)
+	c := NewClient("a1", "127.0.0.1:1", r.keys.Credentials(pki.Operator, "ayla"), SupportedVersions)
 	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	var unreachable *UnreachableError
 	require.ErrorAs(t, err, &unreachable)
--- a/internal/fleet/api/client.go
+++ b/internal/fleet/api/client.go
@@ -13,7 +13,7 @@
 	"strings"
 
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
-	"stoatdale.example/stoatdale/internal/keys"
+	"stoatdale.example/stoatdale/internal/pki"
 )
 
 const (
@@ -32,7 +32,7 @@
 
 // NewClient returns a client that has not connected yet. address is the agent's listener, as host and port. The
 // certificate is read from source anew for each connection.
-func NewClient(agent, address string, source keys.Credentials, v Versions) *Client {
+func NewClient(agent, address string, source pki.Credentials, v Versions) *Client {
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conf, err := source.ClientConfig(agent)
 		if err != nil {
--- a/internal/fleet/api/recorded_test.go
+++ b/internal/fleet/api/recorded_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
-	"stoatdale.example/stoatdale/internal/keys"
+	"stoatdale.example/stoatdale/internal/pki"
 )
 
 // replayer answers each verb with the recorded reply and keeps the calls.
@@ -50,7 +50,7 @@
 		h.replies[v] = reply
 	}
 	r := newRig(t, SupportedVersions, h)
-	conf, err := r.keys.Credentials(keys.Operator, "ayla").ClientConfig("a1")
+	conf, err := r.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
 	require.NoError(t, err)
 	plainHTTP := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
 	t.Cleanup(plainHTTP.CloseIdleConnections)
--- a/internal/fleet/api/server.go
+++ b/internal/fleet/api/server.go
@@ -15,7 +15,7 @@
 	"golang.org/x/net/netutil"
 
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
-	"stoatdale.example/stoatdale/internal/keys"
+	"stoatdale.example/stoatdale/internal/pki"
 )
 
 // Handler handles the requests to an agent. It is called from several goroutines. The operator is the name in the
@@ -32,7 +32,7 @@
 
 // NewServer returns a server for a listener, which it takes over. The certificate and the trusted authorities are read
 // from source anew for each connection. Refused connections and requests are logged.
-func NewServer(l net.Listener, h Handler, source keys.Credentials, v Versions, log zerolog.Logger) *Server {
+func NewServer(l net.Listener, h Handler, source pki.Credentials, v Versions, log zerolog.Logger) *Server {
 	tlsConfig := source.ServerConfig(func(err error) { log.Warn().Err(err).Msg("connection refused") })
 	return &Server{
 		http: &http.Server{
@@ -93,7 +93,7 @@
 	if err := h.checkHeader(r); err != nil {
 		return protocol.Reply{}, err
 	}
-	operator := keys.IdentityOf(r.TLS.PeerCertificates[0]).Name
+	operator := pki.IdentityOf(r.TLS.PeerCertificates[0]).Name
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxContentBytes))
 	if err != nil {
 		h.log.Warn().Err(err).Str("operator", operator).Msg("request not read")
--- a/internal/fleet/control/client.go
+++ b/internal/fleet/control/client.go
@@ -13,7 +13,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/api"
 	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
-	"stoatdale.example/stoatdale/internal/keys"
+	"stoatdale.example/stoatdale/internal/pki"
 )
 
 const (
@@ -33,8 +33,8 @@
 
 // New returns a client that has not connected to any agent. It fails if the operator's certificate in the folder cannot be
 // used now.
-func New(f *inventory.Fleet, folder keys.Folder, operator string) (*Client, error) {
-	source := folder.Credentials(keys.Operator, operator)
+func New(f *inventory.Fleet, folder pki.Folder, operator string) (*Client, error) {
+	source := folder.Credentials(pki.Operator, operator)
 	if err := source.Check(); err != nil {
 		return nil, fmt.Errorf("operator %s: %w", operator, err)
 	}
--- a/internal/fleet/control/client_test.go
+++ b/internal/fleet/control/client_test.go
@@ -24,8 +24,8 @@
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/keys"
 	"stoatdale.example/stoatdale/internal/lab/stand"
+	"stoatdale.example/stoatdale/internal/pki"
 )
 
 // testTimeout ends a test that hangs; no test that passes waits for it.
@@ -43,7 +43,7 @@
 type rig struct {
 	t      *testing.T
 	fleet  *inventory.Fleet
-	keys   keys.Folder
+	keys   pki.Folder
 	agents []func() // that stop them; nil for those that are stopped
 }
 
@@ -57,13 +57,13 @@
 	}
 	f, err := inventory.Parse("f", []byte(text))
 	require.NoError(t, err)
-	r := &rig{t: t, fleet: f, keys: keys.Folder(filepath.Join(dir, "keys")), agents: make([]func(), n)}
+	r := &rig{t: t, fleet: f, keys: pki.Folder(filepath.Join(dir, "keys")), agents: make([]func(), n)}
 	require.NoError(t, r.keys.CreateAuthority("t", time.Hour, time.Now()))
 	for _, o := range []string{"ayla", "mehmet"} {
-		require.NoError(t, r.keys.Issue(keys.Operator, o, time.Minute, time.Now()))
+		require.NoError(t, r.keys.Issue(pki.Operator, o, time.Minute, time.Now()))
 	}
 	for i := range n {
-		require.NoError(t, r.keys.Issue(keys.Agent, fmt.Sprint("a", i), time.Minute, time.Now()))
+		require.NoError(t, r.keys.Issue(pki.Agent, fmt.Sprint("a", i), time.Minute, time.Now()))
 		r.startAgent(i)
 	}
 	t.Cleanup(func() {
@@ -90,7 +90,7 @@
 	require.NoError(r.t, err)
 	l, err := net.Listen("tcp", me.Listen.String())
 	require.NoError(r.t, err)
-	server := api.NewServer(l, a, r.keys.Credentials(keys.Agent, me.Name), api.SupportedVersions, zerolog.New(io.Discard))
+	server := api.NewServer(l, a, r.keys.Credentials(pki.Agent, me.Name), api.SupportedVersions, zerolog.New(io.Discard))
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Add(2)
--- a/internal/keys/keys.go
+++ b/internal/pki/keys.go
@@ -3,7 +3,7 @@
 //
 // Everything lies in one folder of PEM files. Files are read anew for each connection, so a replaced file is used from
 // the next connection on.
-package keys
+package pki
 
 import (
 	"crypto/x509"
--- a/internal/keys/keys_test.go
+++ b/internal/pki/keys_test.go
@@ -1,4 +1,4 @@
-package keys
+package pki
 
 import (
 	"crypto/tls"
