--- a/internal/cli/explore_run.go
+++ b/internal/cli/explore_run.go
@@ -10,7 +10,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
-	"stoatdale.example/stoatdale/internal/explore"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/systems"
 )
 
@@ -66,7 +66,7 @@
 	kind   systems.Kind
 	fault  string // injected; empty: none
 	bounds []systems.Bounds
-	saved  *explore.Saved // where an earlier exploration stopped; nil: from the start
+	saved  *modelcheck.Saved // where an earlier exploration stopped; nil: from the start
 }
 
 // newExploration reads what the flags name. All its errors are of usage.
@@ -109,16 +109,16 @@
 }
 
 // run explores in one of the bounds.
-func (e *exploration) run(ctx context.Context, bounds systems.Bounds, report func(explore.Progress)) (explore.Result, error) {
+func (e *exploration) run(ctx context.Context, bounds systems.Bounds, report func(modelcheck.Progress)) (modelcheck.Result, error) {
 	limits := bounds.Explore(e.flags.workers)
 	limits.TakeAllSteps = e.flags.whole
 	if e.flags.depthFirst {
 		if limits.MaxDepth == 0 {
-			return explore.Result{}, exitErrorf(ExitUsage, "%s: --deep needs a bound of depth", bounds.Place)
+			return modelcheck.Result{}, exitErrorf(ExitUsage, "%s: --deep needs a bound of depth", bounds.Place)
 		}
-		return explore.RunDepthFirst(ctx, e.kind.New(bounds, e.fault), limits), nil
+		return modelcheck.RunDepthFirst(ctx, e.kind.New(bounds, e.fault), limits), nil
 	}
-	result, saved := explore.Resume(ctx, e.kind.New(bounds, e.fault), limits, e.saved, report)
+	result, saved := modelcheck.Resume(ctx, e.kind.New(bounds, e.fault), limits, e.saved, report)
 	if saved == nil || e.flags.stoppedFile == "" {
 		return result, nil
 	}
@@ -128,20 +128,20 @@
 
 // exploreReport is one system's exploration in all its bounds.
 type exploreReport struct {
-	System        string           `json:"system"`
-	OK            bool             `json:"ok"`
-	Complete      bool             `json:"complete"`
-	States        int              `json:"states"`
-	Steps         int              `json:"steps"`
-	Depth         int              `json:"depth"`
-	PeakHeapBytes uint64           `json:"peak_heap_bytes"`
-	Seconds       float64          `json:"seconds"`
-	Runs          []explore.Result `json:"runs"` // one for each of the bounds
-	TraceFile     string           `json:"trace,omitempty"`
+	System        string              `json:"system"`
+	OK            bool                `json:"ok"`
+	Complete      bool                `json:"complete"`
+	States        int                 `json:"states"`
+	Steps         int                 `json:"steps"`
+	Depth         int                 `json:"depth"`
+	PeakHeapBytes uint64              `json:"peak_heap_bytes"`
+	Seconds       float64             `json:"seconds"`
+	Runs          []modelcheck.Result `json:"runs"` // one for each of the bounds
+	TraceFile     string              `json:"trace,omitempty"`
 	broken        *systems.Trace
 }
 
-func (r *exploreReport) add(result explore.Result) {
+func (r *exploreReport) add(result modelcheck.Result) {
 	r.Runs = append(r.Runs, result)
 	r.States += result.States
 	r.Steps += result.Steps
@@ -199,9 +199,9 @@
 }
 
 // exploreProgress returns a function that writes progress to standard error at intervals.
-func (a *app) exploreProgress(system string) func(explore.Progress) {
+func (a *app) exploreProgress(system string) func(modelcheck.Progress) {
 	last := time.Now()
-	return func(p explore.Progress) {
+	return func(p modelcheck.Progress) {
 		if time.Since(last) <= exploreProgressInterval {
 			return
 		}
--- a/internal/explore/breadth.go
+++ b/internal/modelcheck/breadth.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"context"
--- a/internal/explore/explore.go
+++ b/internal/modelcheck/explore.go
@@ -4,7 +4,7 @@
 //
 // A state is known by the fingerprint of all that decides its future. States are not kept but played again from
 // the start: the systems here are the code that serves, with closures and pointers that cannot be copied.
-package explore
+package modelcheck
 
 import (
 	"context"
--- a/internal/explore/explore_test.go
+++ b/internal/modelcheck/explore_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"context"
@@ -144,7 +144,7 @@
 		calls int
 	}
 	sum := func(c clock, zero float64) uint64 {
-		h := Hash{TimeZero: zero, Rules: &Rules{Ignored: Fields{"explore.clock": {"calls"}}, Times: Fields{"explore.clock": {"at"}}}}
+		h := Hash{TimeZero: zero, Rules: &Rules{Ignored: Fields{"modelcheck.clock": {"calls"}}, Times: Fields{"modelcheck.clock": {"at"}}}}
 		h.Value(c)
 		return h.Sum()
 	}
@@ -160,11 +160,11 @@
 		calls int
 	}
 	for says, rules := range map[string]*Rules{
-		"explore: rules ignore explore.clock.call, which is not a field":            {Ignored: Fields{"explore.clock": {"calls", "call"}}},
-		"explore: rules ignore explore.clock.inherited, which is not a field":       {Ignored: Fields{"explore.clock": {"inherited"}}},
-		"explore: rules take explore.clock.sentAt for a time, which is not a field": {Times: Fields{"explore.clock": {"at", "sentAt"}}},
-		"explore: rules take explore.clock.calls for a time, which is a int":        {Times: Fields{"explore.clock": {"calls"}}},
-		"explore: rules take explore.clock.at for a time and ignore it":             {Ignored: Fields{"explore.clock": {"at"}}, Times: Fields{"explore.clock": {"at"}}},
+		"explore: rules ignore explore.clock.call, which is not a field":            {Ignored: Fields{"modelcheck.clock": {"calls", "call"}}},
+		"explore: rules ignore explore.clock.inherited, which is not a field":       {Ignored: Fields{"modelcheck.clock": {"inherited"}}},
+		"explore: rules take explore.clock.sentAt for a time, which is not a field": {Times: Fields{"modelcheck.clock": {"at", "sentAt"}}},
+		"explore: rules take explore.clock.calls for a time, which is a int":        {Times: Fields{"modelcheck.clock": {"calls"}}},
+		"explore: rules take explore.clock.at for a time and ignore it":             {Ignored: Fields{"modelcheck.clock": {"at"}}, Times: Fields{"modelcheck.clock": {"at"}}},
 	} {
 		h := Hash{Rules: rules}
 		assert.PanicsWithValue(t, says, func() { h.Value(clock{embedded: embedded{inherited: 1}, at: 2, calls: 3}) })
@@ -173,11 +173,11 @@
 
 func TestUnmetReturnsTheTypesThatNoHashHasMet(t *testing.T) {
 	type clock struct{ at, unused float64 }
-	rules := &Rules{Ignored: Fields{"explore.clock": {"unused"}, "explore.watch": {"face"}}, Times: Fields{"explore.clock": {"at"}, "explore.bell": {"at"}}}
-	assert.Equal(t, []string{"explore.bell", "explore.clock", "explore.watch"}, rules.Unmet())
+	rules := &Rules{Ignored: Fields{"modelcheck.clock": {"unused"}, "modelcheck.watch": {"face"}}, Times: Fields{"modelcheck.clock": {"at"}, "modelcheck.bell": {"at"}}}
+	assert.Equal(t, []string{"modelcheck.bell", "modelcheck.clock", "modelcheck.watch"}, rules.Unmet())
 	h := Hash{Rules: rules}
 	h.Value(clock{at: 1, unused: 2})
-	assert.Equal(t, []string{"explore.bell", "explore.watch"}, rules.Unmet())
+	assert.Equal(t, []string{"modelcheck.bell", "modelcheck.watch"}, rules.Unmet())
 }
 
 func TestDepthFirstFindsTheSameWithLittleMemory(t *testing.T) {
--- a/internal/explore/live.go
+++ b/internal/modelcheck/live.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 // EndReachable is the property that no state is without a way to the promised end.
 const EndReachable = "the end can be reached"
--- a/internal/explore/sleep.go
+++ b/internal/modelcheck/sleep.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 // Sleep sets spare steps that commute. If a and b commute, the state after a and b is the same as after b and a, so b need
 // not be taken after the second of them: it sleeps there. A state that is reached again with fewer steps asleep has
--- a/internal/systems/chart.go
+++ b/internal/systems/chart.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"stoatdale.example/stoatdale/internal/explore"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 )
 
 // Chart draws a trace as a sequence chart in SVG: a line for each party, and a mark for each step on the lines
@@ -69,7 +69,7 @@
 			number = n
 		}
 	}
-	switch explore.Kind(step) {
+	switch modelcheck.Kind(step) {
 	case "die", "back":
 		return []string{strings.Join(words[1:], " ")}
 	case "act", "crash":
--- a/internal/systems/client.go
+++ b/internal/systems/client.go
@@ -16,10 +16,10 @@
 	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/eventloop"
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/frontend"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
 	"stoatdale.example/stoatdale/internal/metrics"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -33,8 +33,8 @@
 		"left-twice": {"a command whose client has left is answered all the same", Bounds{Clients: 1, Commands: []string{"look"}, Faults: 1}},
 		"unheard":    {"a client that leaves is not told to the core", Bounds{Clients: 1, Commands: []string{"look"}, Faults: 2}},
 	},
-	New: func(b Bounds, fault string) func() explore.System {
-		return func() explore.System { return newClient(b, fault) }
+	New: func(b Bounds, fault string) func() modelcheck.System {
+		return func() modelcheck.System { return newClient(b, fault) }
 	},
 }
 
@@ -293,13 +293,13 @@
 
 // Commute implements explore.Commuter: what one client sends is nothing to the connection of another.
 func (s *clients) Commute(a, b string) bool {
-	if explore.Kind(a) != "say" {
+	if modelcheck.Kind(a) != "say" {
 		a, b = b, a
 	}
-	if explore.Kind(a) != "say" || a[len(a)-1] == b[len(b)-1] {
+	if modelcheck.Kind(a) != "say" || a[len(a)-1] == b[len(b)-1] {
 		return false
 	}
-	switch explore.Kind(b) {
+	switch modelcheck.Kind(b) {
 	case "say", "see", "half", "stall", "take", "leave":
 		return true
 	}
@@ -454,7 +454,7 @@
 
 // clientRules leave out the lists of those that may make room, for there is room for all, and what is the same in all
 // states or stands for the same thing elsewhere.
-var clientRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
+var clientRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
 	"buffer.Chain":       {"pool"},
 	"dispatcher.Command": {"Owner", "Responder"},
 	"frontend.conn":      {"fd", "server", "shedElement", "shedQueue", "timer"},
@@ -463,7 +463,7 @@
 }}
 
 // Fingerprint implements explore.System.
-func (s *clients) Fingerprint(h *explore.Hash) {
+func (s *clients) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = clientRules
 	h.Float(s.wire.now)
 	h.Value(s)
--- a/internal/systems/cold.go
+++ b/internal/systems/cold.go
@@ -5,9 +5,9 @@
 	"math"
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -17,8 +17,8 @@
 		"alone":     {"each router takes itself for the only one", Bounds{Routers: 2, Ticks: 5}},
 		"unstarted": {"a member's start is not told with the list", Bounds{Routers: 2, Ticks: 1}},
 	},
-	New: func(b Bounds, fault string) func() explore.System {
-		return func() explore.System { return newCold(b, fault) }
+	New: func(b Bounds, fault string) func() modelcheck.System {
+		return func() modelcheck.System { return newCold(b, fault) }
 	},
 }
 
@@ -182,13 +182,13 @@
 
 // Commute implements explore.Commuter: routers know nothing of each other, and the member counts what it is sent.
 func (c *cold) Commute(a, b string) bool {
-	return explore.Kind(a) == "burst" && explore.Kind(b) == "burst" && a != b
+	return modelcheck.Kind(a) == "burst" && modelcheck.Kind(b) == "burst" && a != b
 }
 
 // Take implements explore.System.
 func (c *cold) Take(step string) {
 	var n int
-	what := explore.Kind(step)
+	what := modelcheck.Kind(step)
 	_, _ = fmt.Sscanf(step[len(what):], "%d", &n)
 	switch what {
 	case "burst":
@@ -212,10 +212,10 @@
 	}
 }
 
-var coldRules = &explore.Rules{FloatGrain: 1e-9, Ignored: commandRules.Ignored}
+var coldRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: commandRules.Ignored}
 
 // Fingerprint implements explore.System.
-func (c *cold) Fingerprint(h *explore.Hash) {
+func (c *cold) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = coldRules
 	h.Float(c.now)
 	h.Uint(uint64(c.faults))
--- a/internal/systems/command.go
+++ b/internal/systems/command.go
@@ -7,9 +7,9 @@
 	"slices"
 	"strings"
 
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/inflight"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -73,8 +73,8 @@
 			Bounds{Members: 2, Commands: []string{"keyed"}, Ticks: 1, Faults: 1},
 		},
 	},
-	New: func(b Bounds, fault string) func() explore.System {
-		return func() explore.System { return newCommands(b, fault) }
+	New: func(b Bounds, fault string) func() modelcheck.System {
+		return func() modelcheck.System { return newCommands(b, fault) }
 	},
 }
 
@@ -293,13 +293,13 @@
 // Commute implements explore.Commuter: a replica that applies its log touches nothing but itself, and most steps
 // do not look at it.
 func (c *commands) Commute(a, b string) bool {
-	if explore.Kind(a) != "apply" {
+	if modelcheck.Kind(a) != "apply" {
 		a, b = b, a
 	}
-	if explore.Kind(a) != "apply" {
+	if modelcheck.Kind(a) != "apply" {
 		return false
 	}
-	switch explore.Kind(b) {
+	switch modelcheck.Kind(b) {
 	case "apply", "take": // what may end the last command is not among them: nothing comes after that
 		return a != b
 	case "report":
@@ -573,7 +573,7 @@
 }
 
 // commandRules leave out to whom the tracker reports, and the numbers that tell reviews of one time apart.
-var commandRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
+var commandRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
 	"inflight.Tracker":     {"executor"},
 	"inflight.review":      {"order"},
 	"inflight.reviewQueue": {"count"},
@@ -581,7 +581,7 @@
 
 // Fingerprint implements explore.System. Nothing of the module is left out, chance included; what the world
 // looks like follows from what is here.
-func (c *commands) Fingerprint(h *explore.Hash) {
+func (c *commands) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = commandRules
 	h.Float(c.now)
 	h.Uint(uint64(c.faults))
--- a/internal/systems/member.go
+++ b/internal/systems/member.go
@@ -10,9 +10,9 @@
 	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/config"
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
 	"stoatdale.example/stoatdale/internal/metrics"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -41,8 +41,8 @@
 			Bounds{Commands: []string{"look"}, Faults: 1},
 		},
 	},
-	New: func(b Bounds, fault string) func() explore.System {
-		return func() explore.System { return newMember(b, fault) }
+	New: func(b Bounds, fault string) func() modelcheck.System {
+		return func() modelcheck.System { return newMember(b, fault) }
 	},
 }
 
@@ -411,7 +411,7 @@
 }
 
 // memberRules leave out what is the same in all states or stands for the same thing elsewhere.
-var memberRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
+var memberRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
 	"buffer.Chain":    {"pool"},
 	"backend.Attempt": {"conn"},
 	"backend.Pool":    {"blocks", "counters", "limits", "loop", "results"},
@@ -422,7 +422,7 @@
 }}
 
 // Fingerprint implements explore.System. A connection stands for its handler; timers for their times.
-func (s *members) Fingerprint(h *explore.Hash) {
+func (s *members) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = memberRules
 	h.Value(s)
 	for _, fd := range s.order {
--- a/internal/systems/recorded_test.go
+++ b/internal/systems/recorded_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/sexp"
 )
 
@@ -24,7 +24,7 @@
 			System: "watch", Depth: 30, States: 24, Ticks: 1, Faults: 1,
 			Place: sexp.Position{File: "small2.sexp", Line: 1, Column: 1},
 		},
-		Saved: explore.Saved{
+		Saved: modelcheck.Saved{
 			Parents: []int32{-1, 0, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 2, 3, 3, 4, 5, 5, 5, 5, 6, 6, 6},
 			By:      []int32{-1, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 2, 3, 3, 10, 3, 2, 11, 9, 2, 3, 11, 12, 3},
 			Prints: []uint64{
@@ -63,11 +63,11 @@
 	k, err := Find(s.System)
 	require.NoError(t, err)
 	s.Bounds.States = 0
-	r, saved := explore.Resume(context.Background(), k.New(s.Bounds, s.Fault), s.Bounds.Explore(0), &s.Saved, nil)
+	r, saved := modelcheck.Resume(context.Background(), k.New(s.Bounds, s.Fault), s.Bounds.Explore(0), &s.Saved, nil)
 	assert.Nil(t, saved)
 	assert.True(t, r.Complete, r.StopReason)
 	assert.Nil(t, r.Counterexample)
-	whole := explore.Run(context.Background(), k.New(s.Bounds, s.Fault), s.Bounds.Explore(0), nil)
+	whole := modelcheck.Run(context.Background(), k.New(s.Bounds, s.Fault), s.Bounds.Explore(0), nil)
 	// Fingerprints are of the fields of the code. Where those have changed since the file was written, states of it
 	// are not known again and are explored once more: none may be missed.
 	assert.GreaterOrEqual(t, r.States, whole.States)
@@ -81,7 +81,7 @@
 	assert.Equal(t, Trace{
 		System: "watch", Fault: "old-bytes",
 		Bounds: Bounds{System: "watch", Depth: 30, Ticks: 2, Faults: 1, Place: sexp.Position{File: "trace.sexp", Line: 1, Column: 1}},
-		Trace: explore.Trace{
+		Trace: modelcheck.Trace{
 			Steps:    []string{"up 0", "answer 0", "move"},
 			Property: "after a move no list of the address before is taken",
 			How:      "a list from 0 is taken while 1 is watched",
--- a/internal/systems/rollout.go
+++ b/internal/systems/rollout.go
@@ -6,13 +6,13 @@
 	"slices"
 	"strings"
 
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 )
 
 var rolloutKind = Kind{
@@ -27,8 +27,8 @@
 		"untold-start": {"the outcome of a router's start is not told to its agent", Bounds{Agents: 1, Tools: 1, Ticks: 1}},
 		"two-begin":    {"the plan does not look whether another instance is in a step", Bounds{Agents: 2, Tools: 1, Ticks: 2}},
 	},
-	New: func(b Bounds, fault string) func() explore.System {
-		return func() explore.System { return newRollout(b, fault) }
+	New: func(b Bounds, fault string) func() modelcheck.System {
+		return func() modelcheck.System { return newRollout(b, fault) }
 	},
 }
 
@@ -347,13 +347,13 @@
 
 // Commute implements explore.Commuter: what one agent does by itself is nothing to another.
 func (r *rolloutSystem) Commute(a, b string) bool {
-	if explore.Kind(a) != "act" {
+	if modelcheck.Kind(a) != "act" {
 		a, b = b, a
 	}
-	if explore.Kind(a) != "act" || a[len(a)-1] == b[len(b)-1] {
+	if modelcheck.Kind(a) != "act" || a[len(a)-1] == b[len(b)-1] {
 		return false
 	}
-	return explore.Kind(b) == "act" || strings.HasPrefix(b, "die agent")
+	return modelcheck.Kind(b) == "act" || strings.HasPrefix(b, "die agent")
 }
 
 // calm tells whether no step is open or on its way: a router that ends by itself between the plan's last look
@@ -461,9 +461,9 @@
 
 // rolloutRules leave out what decides nothing: numbers of calls, which only tell them apart, readings of counters and of
 // a claim's age, which nothing here goes by, and what is the same in all states. Times count from now.
-var rolloutRules = &explore.Rules{
+var rolloutRules = &modelcheck.Rules{
 	FloatGrain: 1e-6,
-	Ignored: explore.Fields{
+	Ignored: modelcheck.Fields{
 		"lease.State":             {"HeldSeconds", "RemainingSeconds"},
 		"rollout.Planner":         {"Fleet"},
 		"rollout.Observation":     {"ReadySeconds"},
@@ -473,7 +473,7 @@
 		"systems.rollCall":        {"ID"},
 		"supervisor.Supervisor":   {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
 	},
-	Times: explore.Fields{
+	Times: modelcheck.Fields{
 		"lease.Lease":             {"expiresAt", "heldSince", "now"},
 		"rollout.Planner":         {"waitingSince"},
 		"rollout.Observation":     {"SeenAt"},
@@ -485,7 +485,7 @@
 
 // Fingerprint implements explore.System. Left out are numbers of calls, which only tell them apart, and readings
 // that nothing here goes by.
-func (r *rolloutSystem) Fingerprint(h *explore.Hash) {
+func (r *rolloutSystem) Fingerprint(h *modelcheck.Hash) {
 	h.Rules, h.TimeZero = rolloutRules, r.now
 	h.Uint(uint64(r.bounds.Faults - r.faults))
 	h.Uint(uint64(r.bounds.Ticks - r.ticks))
--- a/internal/systems/run.go
+++ b/internal/systems/run.go
@@ -12,7 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/google/renameio/v2"
 
-	"stoatdale.example/stoatdale/internal/explore"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 )
 
 // Trace is a way to a broken property, with all that is needed to take it again.
@@ -20,7 +20,7 @@
 	System string `json:"system"`
 	Fault  string `json:"fault,omitempty"` // that was injected
 	Bounds Bounds `json:"bounds"`
-	explore.Trace
+	modelcheck.Trace
 }
 
 // Save writes a trace to a file.
@@ -61,7 +61,7 @@
 	if err != nil {
 		return 0, "", err.Error()
 	}
-	return explore.Replay(k.New(t.Bounds, t.Fault)(), t.Trace)
+	return modelcheck.Replay(k.New(t.Bounds, t.Fault)(), t.Trace)
 }
 
 // Found is what became of one injected bug.
@@ -83,13 +83,13 @@
 	f := k.Faults[fault]
 	b := f.Bounds
 	b.System = k.Name
-	r := explore.Run(ctx, k.New(b, fault), b.Explore(workers), nil)
+	r := modelcheck.Run(ctx, k.New(b, fault), b.Explore(workers), nil)
 	out := Found{System: k.Name, Fault: fault, Words: f.Words, States: r.States, Seconds: r.Seconds}
 	if r.Counterexample != nil {
 		out.Found, out.Property, out.Length = true, r.Counterexample.Property, len(r.Counterexample.Steps)
 		out.Trace = &Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *r.Counterexample}
 	}
-	clean := explore.Run(ctx, k.New(b, ""), b.Explore(workers), nil)
+	clean := modelcheck.Run(ctx, k.New(b, ""), b.Explore(workers), nil)
 	out.Clean = clean.Complete && clean.Counterexample == nil
 	return out
 }
@@ -120,7 +120,7 @@
 	rng := rand.New(rand.NewPCG(seed, 0))
 	began := time.Now()
 	for ; w.Walks < walks && ctx.Err() == nil && (most == 0 || time.Since(began) < most); w.Walks++ {
-		if t := explore.RandomWalk(k.New(b, fault)(), steps, rng.IntN, w.Taken); t != nil {
+		if t := modelcheck.RandomWalk(k.New(b, fault)(), steps, rng.IntN, w.Taken); t != nil {
 			w.Broken = &Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *t}
 			break
 		}
@@ -136,7 +136,7 @@
 	System string
 	Fault  string
 	Bounds Bounds
-	Saved  explore.Saved
+	Saved  modelcheck.Saved
 }
 
 // Save writes it to a file.
--- a/internal/systems/settle.go
+++ b/internal/systems/settle.go
@@ -5,9 +5,9 @@
 	"math"
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -24,7 +24,7 @@
 func endless(b *Bounds, faults int) { b.Faults, b.Ticks = faults, math.MaxInt }
 
 // calm has everything happen that can, in order, and lets time pass when nothing else can. It tells whether the end came.
-func calm(s explore.System, done func() bool) bool {
+func calm(s modelcheck.System, done func() bool) bool {
 	for range calmSteps {
 		steps := s.Steps() // time comes last
 		if done() || len(steps) == 0 {
--- a/internal/systems/steps.go
+++ b/internal/systems/steps.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"stoatdale.example/stoatdale/internal/explore"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 )
 
 // stepList gathers the names of the steps that may happen now, in order.
@@ -20,7 +20,7 @@
 
 // parseStep returns a step's kind and its numbers; those that it does not have are 0.
 func parseStep(step string) (kind string, first, second int) {
-	kind = explore.Kind(step)
+	kind = modelcheck.Kind(step)
 	_, _ = fmt.Sscanf(step[len(kind):], "%d %d", &first, &second) // a step may have none
 	return kind, first, second
 }
--- a/internal/systems/systems.go
+++ b/internal/systems/systems.go
@@ -9,7 +9,7 @@
 	"sort"
 	"time"
 
-	"stoatdale.example/stoatdale/internal/explore"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/sexp"
 )
 
@@ -18,7 +18,7 @@
 	Name   string
 	Words  string
 	Faults map[string]Fault // bugs that can be injected
-	New    func(b Bounds, fault string) func() explore.System
+	New    func(b Bounds, fault string) func() modelcheck.System
 }
 
 // Fault is a bug that can be injected, with bounds in which it is found. No release of the router holds
@@ -127,8 +127,8 @@
 }
 
 // Explore are the explorer's bounds.
-func (b *Bounds) Explore(workers int) explore.Bounds {
-	return explore.Bounds{
+func (b *Bounds) Explore(workers int) modelcheck.Bounds {
+	return modelcheck.Bounds{
 		MaxDepth: b.Depth, MaxStates: b.States, MaxHeapBytes: uint64(b.Memory) << 20,
 		MaxDuration: time.Duration(float64(b.For) * float64(time.Second)), Workers: workers, CheckLiveness: b.Live,
 	}
--- a/internal/systems/systems_test.go
+++ b/internal/systems/systems_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"stoatdale.example/stoatdale/internal/explore"
 	_ "stoatdale.example/stoatdale/internal/lab/fixed"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 )
 
 func TestEveryInjectedBugIsFoundAndNothingElse(t *testing.T) {
@@ -49,7 +49,7 @@
 // TestEveryTypeThatRulesNameIsMet sees that no rule is without effect: a field that its type does not have is an error of
 // the hash, and a type that is not met within CI's bounds is one here.
 func TestEveryTypeThatRulesNameIsMet(t *testing.T) {
-	rules := map[string]*explore.Rules{
+	rules := map[string]*modelcheck.Rules{
 		"client": clientRules, "cold": coldRules, "command": commandRules, "member": memberRules,
 		"rollout": rolloutRules, "watch": watchRules,
 	}
@@ -60,7 +60,7 @@
 		require.NoError(t, err)
 		within := bounds[0].Explore(0)
 		within.MaxStates = 2000
-		explore.Run(context.Background(), k.New(bounds[0], ""), within, nil)
+		modelcheck.Run(context.Background(), k.New(bounds[0], ""), within, nil)
 		assert.Empty(t, rules[k.Name].Unmet(), "%s: rules name types that are not met", k.Name)
 	}
 }
@@ -72,9 +72,9 @@
 	defer func() { rolloutRules = folded }()
 	for _, fault := range []string{"", "forgetful", "twin"} {
 		rolloutRules = folded
-		with := explore.Run(context.Background(), rolloutKind.New(b, fault), b.Explore(0), nil)
-		rolloutRules = &explore.Rules{}
-		without := explore.Run(context.Background(), rolloutKind.New(b, fault), b.Explore(0), nil)
+		with := modelcheck.Run(context.Background(), rolloutKind.New(b, fault), b.Explore(0), nil)
+		rolloutRules = &modelcheck.Rules{}
+		without := modelcheck.Run(context.Background(), rolloutKind.New(b, fault), b.Explore(0), nil)
 		if fault == "" { // a search that finds something ends wherever its cores are
 			assert.GreaterOrEqual(t, without.States, with.States)
 		}
@@ -98,10 +98,10 @@
 	} {
 		k, err := Find(b.System)
 		require.NoError(t, err)
-		spared := explore.Run(context.Background(), k.New(b, ""), b.Explore(0), nil)
+		spared := modelcheck.Run(context.Background(), k.New(b, ""), b.Explore(0), nil)
 		x := b.Explore(0)
 		x.TakeAllSteps = true
-		whole := explore.Run(context.Background(), k.New(b, ""), x, nil)
+		whole := modelcheck.Run(context.Background(), k.New(b, ""), x, nil)
 		assert.True(t, spared.Complete && whole.Complete)
 		assert.Equal(t, whole.States, spared.States, "%v", b)
 		assert.Less(t, spared.Steps, whole.Steps, "%v", b)
@@ -128,7 +128,7 @@
 				property, how := s.Broken()
 				require.Empty(t, property, how)
 			}
-			property, how := explore.Settled(s)
+			property, how := modelcheck.Settled(s)
 			require.Empty(t, property, how)
 		})
 	}
@@ -142,7 +142,7 @@
 		"a member that is back is shunned for what never reached it": {"take 0", "unreached 0 0", "tick", "tick", "tick", "report 1", "promote 1"},
 		"a doubted member that becomes the primary gets no write":    {"take 0", "errored 0 0", "promote 1", "tick", "tick", "tick", "tick"},
 	} {
-		taken, property, how := Trace{System: "command", Bounds: look, Trace: explore.Trace{Steps: steps}}.Replay()
+		taken, property, how := Trace{System: "command", Bounds: look, Trace: modelcheck.Trace{Steps: steps}}.Replay()
 		assert.Empty(t, property, "%s: %s", name, how)
 		assert.Equal(t, len(steps), taken, name)
 	}
@@ -158,7 +158,7 @@
 			"deliver 0 1", "deliver 0 1", "act 0", "act 0",
 		},
 	} {
-		w := Trace{System: "rollout", Bounds: Bounds{Agents: 3, Tools: 2, Ticks: 8, Faults: 3}, Trace: explore.Trace{Steps: steps}}
+		w := Trace{System: "rollout", Bounds: Bounds{Agents: 3, Tools: 2, Ticks: 8, Faults: 3}, Trace: modelcheck.Trace{Steps: steps}}
 		taken, property, how := w.Replay()
 		assert.Empty(t, property, "%s: %s", name, how)
 		assert.Greater(t, taken, len(steps)/2, name)
@@ -249,7 +249,7 @@
 func TestReadAfterARestartInTheMomentOfItsWrite(t *testing.T) {
 	trace := Trace{
 		System: "command", Bounds: Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 3, Faults: 1},
-		Trace: explore.Trace{Steps: []string{"tick", "take 0", "answered 0 0", "restart", "take 1"}},
+		Trace: modelcheck.Trace{Steps: []string{"tick", "take 0", "answered 0 0", "restart", "take 1"}},
 	}
 	taken, property, how := trace.Replay()
 	assert.Equal(t, 5, taken)
@@ -266,7 +266,7 @@
 		bounds, err := Load("../../deploy/bounds/ci.sexp", k.Name)
 		require.NoError(t, err)
 		for _, b := range bounds {
-			r := explore.Run(context.Background(), k.New(b, ""), b.Explore(0), nil)
+			r := modelcheck.Run(context.Background(), k.New(b, ""), b.Explore(0), nil)
 			assert.True(t, r.Complete, "%s: %s", b.Place, r.StopReason)
 			assert.Nil(t, r.Counterexample, "%s", b.Place)
 			assert.Greater(t, r.States, 1000, "%s", b.Place)
--- a/internal/systems/watch.go
+++ b/internal/systems/watch.go
@@ -14,8 +14,8 @@
 	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/discovery"
 	"stoatdale.example/stoatdale/internal/endpoint"
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 )
 
 var watchKind = Kind{
@@ -27,8 +27,8 @@
 		"timeless":  {"a timer that is set never fires", Bounds{Faults: 1}},
 		"hidden":    {"a call that discovery refused is not noticed to have failed", Bounds{Faults: 2}},
 	},
-	New: func(b Bounds, fault string) func() explore.System {
-		return func() explore.System { return newWatch(b, fault) }
+	New: func(b Bounds, fault string) func() modelcheck.System {
+		return func() modelcheck.System { return newWatch(b, fault) }
 	},
 }
 
@@ -176,7 +176,7 @@
 // Take implements explore.System.
 func (s *watching) Take(step string) {
 	var n int
-	what := explore.Kind(step)
+	what := modelcheck.Kind(step)
 	_, _ = fmt.Sscanf(step[len(what):], "%d", &n)
 	var k *sock
 	var c *call
@@ -258,7 +258,7 @@
 }
 
 // watchRules leave out what is the same in all states or stands for the same thing elsewhere.
-var watchRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
+var watchRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
 	"buffer.Chain":     {"pool"},
 	"discovery.Watch":  {"handler", "limits", "log", "loop", "timer"},
 	"systems.sock":     {"handler"},
@@ -267,7 +267,7 @@
 }}
 
 // Fingerprint implements explore.System.
-func (s *watching) Fingerprint(h *explore.Hash) {
+func (s *watching) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = watchRules
 	h.Value(s)
 	next, ok := s.wire.next()
