--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -9,7 +9,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
-	"stoatdale.example/stoatdale/internal/systems"
+	"stoatdale.example/stoatdale/internal/modelcheck/models"
 )
 
 func (a *app) exploreCommand() *cobra.Command {
@@ -34,7 +34,7 @@
 		Use: "list", Short: "Lists the systems and the bugs that can be injected", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			var list []listedSystem
-			for _, kind := range systems.Kinds() {
+			for _, kind := range models.Kinds() {
 				entry := listedSystem{System: kind.Name, Words: kind.Words, Faults: map[string]string{}}
 				for name, fault := range kind.Faults {
 					entry.Faults[name] = fault.Words
@@ -42,7 +42,7 @@
 				list = append(list, entry)
 			}
 			return a.show(list, func(out io.Writer) {
-				for _, kind := range systems.Kinds() {
+				for _, kind := range models.Kinds() {
 					printf(out, "%s: %s\n", kind.Name, kind.Words)
 					for _, name := range kind.Names() {
 						printf(out, "  %s: %s\n", name, kind.Faults[name].Words)
@@ -56,16 +56,16 @@
 }
 
 // loadSystem finds a system and reads its bounds from a file. Its errors are of usage.
-func loadSystem(name, boundsFile string) (systems.Kind, []systems.Bounds, error) {
-	kind, err := systems.Find(name)
+func loadSystem(name, boundsFile string) (models.Kind, []models.Bounds, error) {
+	kind, err := models.Find(name)
 	if err != nil {
-		return systems.Kind{}, nil, exitError(ExitUsage, err)
+		return models.Kind{}, nil, exitError(ExitUsage, err)
 	}
-	bounds, err := systems.Load(boundsFile, kind.Name)
+	bounds, err := models.Load(boundsFile, kind.Name)
 	return kind, bounds, exitError(ExitUsage, err)
 }
 
-func printTrace(out io.Writer, trace *systems.Trace) {
+func printTrace(out io.Writer, trace *models.Trace) {
 	t := newTable(out, "", "step")
 	for i, step := range trace.Steps {
 		t.AppendRow(table.Row{i + 1, step})
@@ -105,7 +105,7 @@
 				return err
 			}
 			a.drawSeed(cmd, &flags.seed)
-			walked := systems.Walk(cmd.Context(), kind, bounds[0], flags.fault, flags.seed, flags.walks, flags.steps, flags.duration)
+			walked := models.Walk(cmd.Context(), kind, bounds[0], flags.fault, flags.seed, flags.walks, flags.steps, flags.duration)
 			if walked.Broken != nil && flags.traceFile != "" {
 				if err := walked.Broken.Save(flags.traceFile); err != nil {
 					return exitError(ExitFailed, err)
@@ -136,12 +136,12 @@
 		Use: "show TRACE", Short: "Shows a trace step by step, and as a sequence chart", Args: cobra.ExactArgs(1),
 		Example: "  stoatctl explore show trace.json --svg trace.svg",
 		RunE: func(_ *cobra.Command, args []string) error {
-			trace, err := systems.LoadTrace(args[0])
+			trace, err := models.LoadTrace(args[0])
 			if err != nil {
 				return exitError(ExitUsage, err)
 			}
 			if chartFile != "" {
-				if err := os.WriteFile(chartFile, systems.Chart(trace), 0o600); err != nil {
+				if err := os.WriteFile(chartFile, models.Chart(trace), 0o600); err != nil {
 					return exitError(ExitFailed, err)
 				}
 			}
@@ -166,7 +166,7 @@
 		Use: "replay TRACE", Short: "Takes the steps of a trace on the code as it is now",
 		Long: "Exit status 1 if a property is broken, 0 if none is: made for bisecting.", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			trace, err := systems.LoadTrace(args[0])
+			trace, err := models.LoadTrace(args[0])
 			if err != nil {
 				return exitError(ExitUsage, err)
 			}
--- a/internal/cli/explore_inject.go
+++ b/internal/cli/explore_inject.go
@@ -10,13 +10,13 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
-	"stoatdale.example/stoatdale/internal/systems"
+	"stoatdale.example/stoatdale/internal/modelcheck/models"
 )
 
 // injectReport is which of the injected faults were found.
 type injectReport struct {
-	Faults []systems.Found `json:"bugs"`
-	OK     bool            `json:"ok"` // all were found, and nothing was without them
+	Faults []models.Found `json:"bugs"`
+	OK     bool           `json:"ok"` // all were found, and nothing was without them
 }
 
 func (r *injectReport) print(out io.Writer) {
@@ -86,13 +86,13 @@
 	}
 	wanted := func(name string) bool { return flags.all || unmet[name] }
 	var report injectReport
-	for _, kind := range systems.Kinds() {
+	for _, kind := range models.Kinds() {
 		for _, name := range kind.Names() {
 			if !wanted(name) {
 				continue
 			}
 			delete(unmet, name)
-			found := systems.Inject(ctx, kind, name, flags.workers)
+			found := models.Inject(ctx, kind, name, flags.workers)
 			if err := saveInjectTrace(found, flags.traceFolder); err != nil {
 				return nil, err
 			}
@@ -106,7 +106,7 @@
 	return &report, nil
 }
 
-func saveInjectTrace(found systems.Found, folder string) error {
+func saveInjectTrace(found models.Found, folder string) error {
 	if found.Trace == nil || folder == "" {
 		return nil
 	}
--- a/internal/cli/explore_run.go
+++ b/internal/cli/explore_run.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"stoatdale.example/stoatdale/internal/modelcheck"
-	"stoatdale.example/stoatdale/internal/systems"
+	"stoatdale.example/stoatdale/internal/modelcheck/models"
 )
 
 const exploreProgressInterval = 2 * time.Second
@@ -63,22 +63,22 @@
 // exploration is a system that is explored in some bounds, one after the other.
 type exploration struct {
 	flags  *exploreFlags
-	kind   systems.Kind
+	kind   models.Kind
 	fault  string // injected; empty: none
-	bounds []systems.Bounds
+	bounds []models.Bounds
 	saved  *modelcheck.Saved // where an earlier exploration stopped; nil: from the start
 }
 
 // newExploration reads what the flags name. All its errors are of usage.
 func newExploration(system string, flags *exploreFlags) (*exploration, error) {
-	kind, err := systems.Find(system)
+	kind, err := models.Find(system)
 	if err != nil {
 		return nil, exitError(ExitUsage, err)
 	}
 	if _, known := kind.Faults[flags.fault]; flags.fault != "" && !known {
 		return nil, exitErrorf(ExitUsage, "--inject: system %s has no fault %q", kind.Name, flags.fault)
 	}
-	bounds, err := systems.Load(flags.boundsFile, kind.Name)
+	bounds, err := models.Load(flags.boundsFile, kind.Name)
 	if err != nil {
 		return nil, exitError(ExitUsage, err)
 	}
@@ -86,7 +86,7 @@
 	if flags.resumeFile == "" {
 		return e, nil
 	}
-	stopped, err := systems.LoadStopped(flags.resumeFile)
+	stopped, err := models.LoadStopped(flags.resumeFile)
 	if err != nil {
 		return nil, exitError(ExitUsage, err)
 	}
@@ -98,18 +98,18 @@
 }
 
 // resume goes on with a stopped exploration, under the present limits of states, memory and time.
-func (e *exploration) resume(stopped systems.Stopped) {
+func (e *exploration) resume(stopped models.Stopped) {
 	limits := e.bounds[0]
 	stopped.Bounds.States = limits.States
 	stopped.Bounds.Memory = limits.Memory
 	stopped.Bounds.For = limits.For
-	e.bounds = []systems.Bounds{stopped.Bounds}
+	e.bounds = []models.Bounds{stopped.Bounds}
 	e.fault = stopped.Fault
 	e.saved = &stopped.Saved
 }
 
 // run explores in one of the bounds.
-func (e *exploration) run(ctx context.Context, bounds systems.Bounds, report func(modelcheck.Progress)) (modelcheck.Result, error) {
+func (e *exploration) run(ctx context.Context, bounds models.Bounds, report func(modelcheck.Progress)) (modelcheck.Result, error) {
 	limits := bounds.Explore(e.flags.workers)
 	limits.TakeAllSteps = e.flags.whole
 	if e.flags.depthFirst {
@@ -122,7 +122,7 @@
 	if saved == nil || e.flags.stoppedFile == "" {
 		return result, nil
 	}
-	stopped := systems.Stopped{System: e.kind.Name, Fault: e.fault, Bounds: bounds, Saved: *saved}
+	stopped := models.Stopped{System: e.kind.Name, Fault: e.fault, Bounds: bounds, Saved: *saved}
 	return result, stopped.Save(e.flags.stoppedFile)
 }
 
@@ -138,7 +138,7 @@
 	Seconds       float64             `json:"seconds"`
 	Runs          []modelcheck.Result `json:"runs"` // one for each of the bounds
 	TraceFile     string              `json:"trace,omitempty"`
-	broken        *systems.Trace
+	broken        *models.Trace
 }
 
 func (r *exploreReport) add(result modelcheck.Result) {
@@ -151,7 +151,7 @@
 	r.Complete = r.Complete && (result.Complete || result.Counterexample != nil)
 }
 
-func (r *exploreReport) print(out io.Writer, bounds []systems.Bounds) {
+func (r *exploreReport) print(out io.Writer, bounds []models.Bounds) {
 	t := newTable(out, "bounds", "states", "steps", "depth", "complete", "ends", "clash", "seconds", "states a second")
 	for i, run := range r.Runs {
 		t.AppendRow(table.Row{
@@ -176,7 +176,7 @@
 		report.add(result)
 		if result.Counterexample != nil {
 			report.OK = false
-			report.broken = &systems.Trace{System: e.kind.Name, Fault: e.fault, Bounds: bounds, Trace: *result.Counterexample}
+			report.broken = &models.Trace{System: e.kind.Name, Fault: e.fault, Bounds: bounds, Trace: *result.Counterexample}
 			break
 		}
 	}
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -25,7 +25,7 @@
 	fd     int
 	state  connState
 	phase  phase
-	timer  *eventloop.Timer // ends the phase; internal/systems finds it by this name
+	timer  *eventloop.Timer // ends the phase; internal/modelcheck/models finds it by this name
 
 	input   buffer.Chain // read, and not yet processed
 	output  buffer.Chain // to be written
--- a/internal/lab/fixed/fixed.go
+++ b/internal/lab/fixed/fixed.go
@@ -1,6 +1,6 @@
 // Package fixed gives the tests that draw by chance one seed, so that the same code always has the same verdict:
 // what chance finds belongs to those who look for it, not to whoever lands next. A test imports it for its effect.
-// Other draws are taken by hand: go test ./internal/systems -rapid.seed 7 -rapid.checks 20000.
+// Other draws are taken by hand: go test ./internal/modelcheck/models -rapid.seed 7 -rapid.checks 20000.
 package fixed
 
 import (
--- a/internal/systems/client.go
+++ b/internal/modelcheck/models/client.go
@@ -1,4 +1,4 @@
-package systems
+package models
 
 import (
 	"bytes"
@@ -458,8 +458,8 @@
 	"buffer.Chain":       {"pool"},
 	"dispatcher.Command": {"Owner", "Responder"},
 	"frontend.conn":      {"fd", "server", "shedElement", "shedQueue", "timer"},
-	"systems.clients":    {"blocks", "bounds", "fault", "front", "wire"},
-	"systems.sock":       {"handler"},
+	"models.clients":     {"blocks", "bounds", "fault", "front", "wire"},
+	"models.sock":        {"handler"},
 }}
 
 // Fingerprint implements explore.System.
--- a/internal/systems/member.go
+++ b/internal/modelcheck/models/member.go
@@ -1,4 +1,4 @@
-package systems
+package models
 
 import (
 	"bytes"
@@ -416,9 +416,9 @@
 	"backend.Attempt": {"conn"},
 	"backend.Pool":    {"blocks", "counters", "limits", "loop", "results"},
 	"backend.conn":    {"pool", "timer"},
-	"systems.members": {"blocks", "bounds", "fault"},
-	"systems.sock":    {"handler"},
-	"systems.wire":    {"timers"},
+	"models.members":  {"blocks", "bounds", "fault"},
+	"models.sock":     {"handler"},
+	"models.wire":     {"timers"},
 }}
 
 // Fingerprint implements explore.System. A connection stands for its handler; timers for their times.
--- a/internal/systems/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -1,4 +1,4 @@
-package systems
+package models
 
 import (
 	"fmt"
@@ -470,7 +470,7 @@
 		"coordinator.Config":      {"Fleet", "Random", "Timing"},
 		"coordinator.Coordinator": {"events", "lastCallID", "pendingCalls", "statuses"},
 		"coordinator.agent":       {"leaseState", "pendingCommand", "pendingQuery"},
-		"systems.rollCall":        {"ID"},
+		"models.rollCall":         {"ID"},
 		"supervisor.Supervisor":   {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
 	},
 	Times: modelcheck.Fields{
--- a/internal/systems/watch.go
+++ b/internal/modelcheck/models/watch.go
@@ -1,4 +1,4 @@
-package systems
+package models
 
 import (
 	"bytes"
@@ -259,11 +259,11 @@
 
 // watchRules leave out what is the same in all states or stands for the same thing elsewhere.
 var watchRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
-	"buffer.Chain":     {"pool"},
-	"discovery.Watch":  {"handler", "limits", "log", "loop", "timer"},
-	"systems.sock":     {"handler"},
-	"systems.watching": {"bounds", "fault"},
-	"systems.wire":     {"timers"},
+	"buffer.Chain":    {"pool"},
+	"discovery.Watch": {"handler", "limits", "log", "loop", "timer"},
+	"models.sock":     {"handler"},
+	"models.watching": {"bounds", "fault"},
+	"models.wire":     {"timers"},
 }}
 
 // Fingerprint implements explore.System.
--- a/internal/systems/wire.go
+++ b/internal/modelcheck/models/wire.go
@@ -1,4 +1,4 @@
-package systems
+package models
 
 import (
 	"errors"
