--- a/internal/lab/verdict/fleet.go
+++ b/internal/lab/invariant/fleet.go
@@ -1,6 +1,6 @@
 // Package verdict holds the properties that must hold whatever happens, each written once, in words and in
 // code. They look at what was seen from outside, never at what a part says of itself, and have no I/O.
-package verdict
+package invariant
 
 import "fmt"
 
--- a/internal/lab/verdict/promise.go
+++ b/internal/lab/invariant/promise.go
@@ -1,4 +1,4 @@
-package verdict
+package invariant
 
 // Promises, in words: what comes once nobody is against it any more. They hold from every state.
 const (
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/lab/world"
 )
 
@@ -88,9 +88,9 @@
 			}
 		}
 	}
-	assert.True(t, seen[verdict.NotStale], "a read of any replica is older than its session's writes: %v", seen)
-	assert.True(t, seen[verdict.NotBack], "%v", seen)
-	assert.True(t, seen[verdict.ColdBudget], "members that start are pushed over by those that do not spare them: %v", seen)
+	assert.True(t, seen[invariant.NotStale], "a read of any replica is older than its session's writes: %v", seen)
+	assert.True(t, seen[invariant.NotBack], "%v", seen)
+	assert.True(t, seen[invariant.ColdBudget], "members that start are pushed over by those that do not spare them: %v", seen)
 }
 
 func TestPoliciesStandInTheOrderThatTheyMust(t *testing.T) {
--- a/internal/lab/world/backend.go
+++ b/internal/lab/world/backend.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -28,7 +28,7 @@
 	applied     float64  // commit time of the newest record that it has applied
 	log         []record // shipped and not yet applied, in order of commits
 	until       float64  // when the apply thread will have applied all of them
-	cold        verdict.Cold
+	cold        invariant.Cold
 }
 
 // attempt is one transmission of a command to a backend.
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -4,13 +4,13 @@
 	"cmp"
 	"math"
 
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
 // command is one request of a client; each retry by the client is another.
 type command struct {
-	verdict.Command
+	invariant.Command
 	id            uint32
 	router        *instance
 	group         int
@@ -84,7 +84,7 @@
 // expect tells the checkers what must hold for the command.
 func (w *World) expect(c *command, s *session) {
 	g := &w.spec.Groups[c.group]
-	c.Effect = verdict.Effect(idempotencies[g.Effect])
+	c.Effect = invariant.Effect(idempotencies[g.Effect])
 	c.GiveUp = w.now + float64(g.Timeout)
 	c.Memory = float64(g.Memory)
 	c.Needs = math.Inf(-1)
--- a/internal/lab/world/instance.go
+++ b/internal/lab/world/instance.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -94,7 +94,7 @@
 func (r *instance) Forward(id uint32, number, node int, until float64) {
 	w, c, b := r.world, r.commands[id], r.world.backends[node]
 	g := &w.spec.Groups[c.group]
-	w.check.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &verdict.Member{
+	w.check.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &invariant.Member{
 		Set: b.shard, Away: b.listedState == router.Draining,
 		AwaySince: b.listedSince,
 	})
@@ -210,7 +210,7 @@
 	if consistencies[g.Need] == router.PrimaryOnly {
 		s.wrote = math.Max(s.wrote, position)
 	} else {
-		w.check.Served("a command of "+g.Name, &c.Command, a.at.node, &verdict.Member{Covers: position})
+		w.check.Served("a command of "+g.Name, &c.Command, a.at.node, &invariant.Member{Covers: position})
 		if consistencies[g.Need] == router.SessionConsistent {
 			s.seen = math.Max(s.seen, position)
 		}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -9,7 +9,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -23,7 +23,7 @@
 	backends       []*backend
 	knownEndpoints []router.EndpointInfo // the list that routers were last told; a restarted one begins with it
 	routers        []*instance
-	check          verdict.Commands
+	check          invariant.Commands
 	violations     map[string]string // properties that were violated, with the first violation
 	seed           uint64
 	arrive         []*rand.Rand // by group
@@ -94,13 +94,13 @@
 func (w *World) networkDelay() float64 { return float64(w.spec.Fleet.Way) }
 
 // coldBudget is the load that a backend bears while it warms up: as many commands as its slots get through.
-func (w *World) coldBudget() verdict.Cold {
+func (w *World) coldBudget() invariant.Cold {
 	f := &w.spec.Fleet
 	rate, work := 0.0, 0.0
 	for _, g := range w.spec.Groups {
 		rate, work = rate+g.Rate, work+g.Rate*float64(g.Work)
 	}
-	return verdict.Cold{
+	return invariant.Cold{
 		Capacity: float64(f.Slots) * rate / math.Max(work, math.SmallestNonzeroFloat64), Share: f.ColdShare,
 		WarmIn: float64(f.WarmIn), Overload: f.Overload, FallSpan: float64(f.FallSpan),
 	}
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -59,8 +59,8 @@
 	}
 	defer delete(policyConstructors, "reckless")
 	for how, property := range map[string]string{
-		"careful": "", "two at once": verdict.OneOut, "after the end": verdict.NotAfter,
-		"silent": verdict.OneAnswer, "again": verdict.NoRepeat, "drains": verdict.NoDraining,
+		"careful": "", "two at once": invariant.OneOut, "after the end": invariant.NotAfter,
+		"silent": invariant.OneAnswer, "again": invariant.NoRepeat, "drains": invariant.NoDraining,
 	} {
 		policyConstructors["reckless"] = func(r *instance) Policy {
 			choose := anyReplica
@@ -80,5 +80,5 @@
 	s := spec()
 	s.Groups[0].Rate, s.Groups[1].Rate, s.Groups[1].Memory = 0, 80, 0.001
 	_, violations := New(s, "reckless", 1).Run()
-	assert.Contains(t, violations, verdict.InMemory)
+	assert.Contains(t, violations, invariant.InMemory)
 }
--- a/internal/modelcheck/models/client.go
+++ b/internal/modelcheck/models/client.go
@@ -17,7 +17,7 @@
 	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/eventloop"
 	"stoatdale.example/stoatdale/internal/frontend"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/pg"
@@ -45,7 +45,7 @@
 	wire     *listening
 	front    *frontend.Server
 	blocks   *buffer.Pool
-	check    verdict.Clients
+	check    invariant.Clients
 	clients  []*scriptedClient
 	received []*receivedCommand
 	faults   int
@@ -193,12 +193,12 @@
 }
 
 // may is what a client's n-th message may be answered with.
-func (s *clients) may(client, n int) func(verdict.Answer) bool {
+func (s *clients) may(client, n int) func(invariant.Answer) bool {
 	if n == 0 {
-		return func(a verdict.Answer) bool { return a == verdict.Answer{} }
+		return func(a invariant.Answer) bool { return a == invariant.Answer{} }
 	}
 	kind := s.bounds.Commands[n-1]
-	return func(a verdict.Answer) bool {
+	return func(a invariant.Answer) bool {
 		switch kind {
 		case "empty":
 			return a.Empty
@@ -214,12 +214,12 @@
 }
 
 // answers reads what a client was sent. What is not yet whole is left out; an error that is fatal needs no more.
-func answers(raw []byte) (out []verdict.Answer) {
-	var a verdict.Answer
+func answers(raw []byte) (out []invariant.Answer) {
+	var a invariant.Answer
 	for len(raw) >= 5 {
 		n := 1 + int(binary.BigEndian.Uint32(raw[1:]))
 		if n < 5 || n > 1<<16 || !bytes.ContainsRune([]byte("RSKZTDCIE"), rune(raw[0])) {
-			return append(out, verdict.Answer{Garbled: true})
+			return append(out, invariant.Answer{Garbled: true})
 		}
 		if len(raw) < n {
 			return out
@@ -239,10 +239,10 @@
 				}
 			}
 			if a.Code == pg.CodeProtocolViolation { // no ReadyForQuery comes after it
-				out, a = append(out, a), verdict.Answer{}
+				out, a = append(out, a), invariant.Answer{}
 			}
 		case 'Z':
-			out, a = append(out, a), verdict.Answer{}
+			out, a = append(out, a), invariant.Answer{}
 		}
 		raw = raw[n:]
 	}
@@ -417,13 +417,13 @@
 		if k := s.wire.socks[c.fd]; c.connected && k != nil {
 			c.received = append(c.received[:0], k.sent...)
 		}
-		var may []func(verdict.Answer) bool
+		var may []func(invariant.Answer) bool
 		for n := range c.messagesSent {
 			own := s.may(i, n)
-			may = append(may, func(a verdict.Answer) bool { return own(a) || c.wasSlow && a.Code == pg.CodeProtocolViolation })
+			may = append(may, func(a invariant.Answer) bool { return own(a) || c.wasSlow && a.Code == pg.CodeProtocolViolation })
 		}
 		if c.halfSent { // its own half message may be found wrong
-			may = append(may, func(a verdict.Answer) bool { return a.Code == pg.CodeProtocolViolation })
+			may = append(may, func(a invariant.Answer) bool { return a.Code == pg.CodeProtocolViolation })
 		}
 		s.check.Read(i, answers(c.received), may)
 	}
--- a/internal/modelcheck/models/cold.go
+++ b/internal/modelcheck/models/cold.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"stoatdale.example/stoatdale/internal/inflight"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -41,7 +41,7 @@
 	faults  int
 	started float64
 	routers []*coldRouter
-	check   verdict.Cold
+	check   invariant.Cold
 	served  []int // dispatches to the cold member by each router, while nobody is against it
 }
 
@@ -62,7 +62,7 @@
 }
 
 func newCold(b Bounds, fault string) *cold {
-	c := &cold{bounds: b, fault: fault, now: 10, started: math.Inf(-1), check: verdict.Cold{
+	c := &cold{bounds: b, fault: fault, now: 10, started: math.Inf(-1), check: invariant.Cold{
 		Capacity: 1 / coldWork, Share: 0.2, WarmIn: 8,
 		Overload: 2, FallSpan: 2,
 	}}
--- a/internal/modelcheck/models/command.go
+++ b/internal/modelcheck/models/command.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"stoatdale.example/stoatdale/internal/inflight"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -89,15 +89,15 @@
 type commandGroup struct {
 	name string
 	g    router.CommandGroup
-	e    verdict.Effect
+	e    invariant.Effect
 }
 
 // Names of command groups in bounds, and what they are.
 var commandGroups = []commandGroup{
-	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, verdict.Replayable},
-	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, verdict.Replayable},
-	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, verdict.Mutating},
-	{"keyed", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope}, verdict.Keyed},
+	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, invariant.Replayable},
+	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, invariant.Replayable},
+	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, invariant.Mutating},
+	{"keyed", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope}, invariant.Keyed},
 }
 
 // commands is the system: one router, one set whose member 0 is the primary at first, and one session.
@@ -113,7 +113,7 @@
 	endpoints         []simulatedEndpoint
 	cmds              []*clientCommand
 	healthChecks      map[int]bool // that the module waits for
-	check             verdict.Commands
+	check             invariant.Commands
 	lastWrite         float64  // position of the session's last write
 	readHighWaterMark float64  // the furthest position that its reads have shown at this router
 	starts            int      // of the router
@@ -123,13 +123,13 @@
 }
 
 type simulatedEndpoint struct {
-	verdict.Member
+	invariant.Member
 	primary     bool
 	listedState router.EndpointState
 }
 
 type clientCommand struct {
-	verdict.Command
+	invariant.Command
 	name     string
 	group    int
 	received bool
@@ -151,11 +151,11 @@
 
 func newCommands(b Bounds, fault string) *commands {
 	c := &commands{
-		bounds: b, fault: fault, healthChecks: map[int]bool{}, check: verdict.Commands{Grace: cmdGrace}, lastWrite: math.Inf(-1),
+		bounds: b, fault: fault, healthChecks: map[int]bool{}, check: invariant.Commands{Grace: cmdGrace}, lastWrite: math.Inf(-1),
 		readHighWaterMark: math.Inf(-1),
 	}
 	for range b.Members {
-		c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready, Member: verdict.Member{Covers: 10}})
+		c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready, Member: invariant.Member{Covers: 10}})
 	}
 	c.endpoints[0].primary = true
 	for i, name := range b.Commands {
--- a/internal/modelcheck/models/member.go
+++ b/internal/modelcheck/models/member.go
@@ -10,7 +10,7 @@
 	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/config"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/metrics"
 	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/pg"
@@ -56,7 +56,7 @@
 	sends  []*sending
 	faults int
 	ticks  int
-	check  verdict.Dispatches
+	check  invariant.Dispatches
 	order  []int // descriptors, in the order in which they came
 	closed bool
 	pg     map[int]*peer
--- a/internal/modelcheck/models/recorded_test.go
+++ b/internal/modelcheck/models/recorded_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/sexp"
 )
@@ -93,7 +93,7 @@
 
 	taken, property, _ := got.Replay()
 	assert.Equal(t, 3, taken)
-	assert.Equal(t, verdict.ListFrom, property)
+	assert.Equal(t, invariant.ListFrom, property)
 	got.Fault = ""
 	_, property, _ = got.Replay()
 	assert.Empty(t, property, "without the injected bug the same steps break nothing")
--- a/internal/modelcheck/models/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -11,7 +11,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/modelcheck"
 )
 
@@ -51,7 +51,7 @@
 	agents       []*rollAgent
 	tools        []*rollTool
 	delayedCalls []rollCall // calls that are still on their way after their tool has given them up
-	check        *verdict.Fleet
+	check        *invariant.Fleet
 }
 
 type rollAgent struct {
@@ -84,7 +84,7 @@
 }
 
 func newRollout(b Bounds, fault string) *rolloutSystem {
-	r := &rolloutSystem{bounds: b, fault: fault, check: verdict.NewFleet(b.Agents - 1), limits: supervisor.Limits{
+	r := &rolloutSystem{bounds: b, fault: fault, check: invariant.NewFleet(b.Agents - 1), limits: supervisor.Limits{
 		ReadyTimeoutSeconds: 100, TerminationGraceSeconds: 0.5,
 		HealthCheckSeconds: 1e9, CounterReadSeconds: 1e9, RecentSeconds: 1, MinBackoffSeconds: 0.5, MaxBackoffSeconds: 1, StableSeconds: 1e9, MaxCrashes: 9, MaxMissedHealthChecks: 9, KillRetrySeconds: 100,
 	}}
--- a/internal/modelcheck/models/settle.go
+++ b/internal/modelcheck/models/settle.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -45,7 +45,7 @@
 				open = append(open, int(x.d.CommandID))
 			}
 		}
-		return verdict.ComesToEnd, fmt.Sprintf("dispatches %v do not end", open)
+		return invariant.ComesToEnd, fmt.Sprintf("dispatches %v do not end", open)
 	}
 	return s.Broken()
 }
@@ -55,7 +55,7 @@
 	endless(&s.bounds, s.faults)
 	s.lists = 0
 	if !calm(s, func() bool { return s.lists >= 2 }) {
-		return verdict.ComesToEnd, fmt.Sprintf("of the list %d versions are told, and then none", s.lists)
+		return invariant.ComesToEnd, fmt.Sprintf("of the list %d versions are told, and then none", s.lists)
 	}
 	return s.Broken()
 }
@@ -68,7 +68,7 @@
 		s.Take("drain")
 	}
 	if !calm(s, s.Ended) {
-		return verdict.ComesToEnd, fmt.Sprintf("the front has %d connections and does not end", s.front.OpenConnections())
+		return invariant.ComesToEnd, fmt.Sprintf("the front has %d connections and does not end", s.front.OpenConnections())
 	}
 	return s.Broken()
 }
@@ -83,7 +83,7 @@
 		}
 	}
 	if i := slices.Index(c.served, 0); i >= 0 {
-		return verdict.ServesAgain, fmt.Sprintf("router %d sends the cold member nothing in %g s", i, calmTicks*coldTick)
+		return invariant.ServesAgain, fmt.Sprintf("router %d sends the cold member nothing in %g s", i, calmTicks*coldTick)
 	}
 	return "", "" // whether it gets too much is for the steps, which can be read
 }
@@ -95,7 +95,7 @@
 		c.quiet()
 	}
 	if c.tracker.Len() > 0 {
-		return verdict.ComesToEnd, fmt.Sprintf("%d commands stay in hand", c.tracker.Len())
+		return invariant.ComesToEnd, fmt.Sprintf("%d commands stay in hand", c.tracker.Len())
 	}
 	primary := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return m.primary && m.listedState == router.Ready })
 	replica := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return !m.primary && m.listedState == router.Ready })
@@ -104,7 +104,7 @@
 		may   bool
 	}{{"order", primary}, {"look", primary || replica}} {
 		if x.may && !c.servedAgain(x.group) {
-			return verdict.ServesAgain, fmt.Sprintf("none of %d new commands of %s is answered", calmTries, x.group)
+			return invariant.ServesAgain, fmt.Sprintf("none of %d new commands of %s is answered", calmTries, x.group)
 		}
 	}
 	return c.Broken()
@@ -159,7 +159,7 @@
 		if !calm(r, func() bool {
 			return !slices.ContainsFunc(r.tools, func(t *rollTool) bool { return t.coordinator != nil })
 		}) {
-			return verdict.ComesToEnd, "a tool neither goes on nor ends"
+			return invariant.ComesToEnd, "a tool neither goes on nor ends"
 		}
 		o := r.tools[len(r.tools)-1].outcome
 		if last = fmt.Sprintf("outcome %d, %+v", o.Kind, o.Reason); r.Ended() || o.Kind == coordinator.OutcomeNoRollout {
@@ -172,5 +172,5 @@
 		r.start(len(r.tools) - 1)
 		r.turn()
 	}
-	return verdict.ComesToEnd, fmt.Sprintf("it is taken up %d times and is not over: %s", calmRuns, last)
+	return invariant.ComesToEnd, fmt.Sprintf("it is taken up %d times and is not over: %s", calmRuns, last)
 }
--- a/internal/modelcheck/models/systems_test.go
+++ b/internal/modelcheck/models/systems_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	_ "stoatdale.example/stoatdale/internal/lab/fixed"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/modelcheck"
 )
 
@@ -36,11 +36,11 @@
 		}
 	}
 	for _, p := range []string{
-		verdict.OneInstance, verdict.OneHolder, verdict.NoFloor, verdict.OneProcess, verdict.Resolved,
-		verdict.OneAnswer, verdict.InTime, verdict.NotAfter, verdict.NoRepeat, verdict.InMemory, verdict.OneOut, verdict.NoDraining,
-		verdict.NotStale, verdict.NotBack, verdict.EndsOnce, verdict.LastByte, verdict.OwnAnswer, verdict.NoneIsLeft, verdict.ListFollows, verdict.ListFrom,
-		verdict.WholeAsked, verdict.OneCall, verdict.InOrder, verdict.EndsOrLet, verdict.ColdBudget,
-		verdict.ComesToEnd, verdict.ServesAgain,
+		invariant.OneInstance, invariant.OneHolder, invariant.NoFloor, invariant.OneProcess, invariant.Resolved,
+		invariant.OneAnswer, invariant.InTime, invariant.NotAfter, invariant.NoRepeat, invariant.InMemory, invariant.OneOut, invariant.NoDraining,
+		invariant.NotStale, invariant.NotBack, invariant.EndsOnce, invariant.LastByte, invariant.OwnAnswer, invariant.NoneIsLeft, invariant.ListFollows, invariant.ListFrom,
+		invariant.WholeAsked, invariant.OneCall, invariant.InOrder, invariant.EndsOrLet, invariant.ColdBudget,
+		invariant.ComesToEnd, invariant.ServesAgain,
 	} {
 		assert.True(t, broken[p], "no injected bug breaks it: %s", p)
 	}
@@ -210,7 +210,7 @@
 	}
 	w = Walk(context.Background(), commandKind, b, "early-byte", 1, 2000, 60, 0)
 	require.NotNil(t, w.Broken)
-	assert.Equal(t, verdict.NoRepeat, w.Broken.Property)
+	assert.Equal(t, invariant.NoRepeat, w.Broken.Property)
 }
 
 func TestBoundsAndTracesAreFiles(t *testing.T) {
@@ -257,7 +257,7 @@
 	trace.Fault = "no-age"
 	trace.Steps = append(trace.Steps, "answered 1 0")
 	_, property, _ = trace.Replay()
-	assert.Equal(t, verdict.NotStale, property)
+	assert.Equal(t, invariant.NotStale, property)
 }
 
 // TestBoundsOfCIAreExploredWhole is the exploration itself.
--- a/internal/modelcheck/models/watch.go
+++ b/internal/modelcheck/models/watch.go
@@ -14,7 +14,7 @@
 	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/discovery"
 	"stoatdale.example/stoatdale/internal/endpoint"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/modelcheck"
 )
 
@@ -38,7 +38,7 @@
 	fault      string
 	wire       *wire
 	w          *discovery.Watch
-	check      verdict.Lists
+	check      invariant.Lists
 	at         int // address that is watched
 	faults     int
 	ticks      int
@@ -61,7 +61,7 @@
 }
 
 func newWatch(b Bounds, fault string) *watching {
-	s := &watching{bounds: b, fault: fault, wire: newWire(), check: verdict.Lists{Members: 2}, generation: 5, calls: map[int]*call{}}
+	s := &watching{bounds: b, fault: fault, wire: newWire(), check: invariant.Lists{Members: 2}, generation: 5, calls: map[int]*call{}}
 	limits := &config.Limits{
 		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10,
