--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -14,9 +14,9 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
+	"stoatdale.example/stoatdale/internal/lab/model"
 	"stoatdale.example/stoatdale/internal/lab/report"
 	"stoatdale.example/stoatdale/internal/lab/sim"
-	"stoatdale.example/stoatdale/internal/lab/world"
 )
 
 func (a *app) labCommand() *cobra.Command {
@@ -60,7 +60,7 @@
 			if err != nil {
 				return fmt.Errorf("experiment: %w", err)
 			}
-			spec, err := world.Load(args[0])
+			spec, err := model.Load(args[0])
 			if err != nil {
 				return err
 			}
@@ -93,7 +93,7 @@
 
 // runExperiment plays every policy of an experiment with every seed, and writes its progress to standard error. It fails if
 // ctx is canceled before the end.
-func (a *app) runExperiment(ctx context.Context, spec *world.Spec, workers int) (experimentResults, error) {
+func (a *app) runExperiment(ctx context.Context, spec *model.Spec, workers int) (experimentResults, error) {
 	runs, err := sim.Play(ctx, spec, workers, func(p sim.Progress) {
 		printf(a.stderr, "%s: %d of %d runs, %s left\n", spec.Name, p.Done, p.Of, p.Left.Round(time.Second))
 	})
@@ -151,7 +151,7 @@
 			if err != nil {
 				return err
 			}
-			spec, err := world.Load(filepath.Join(folder, experimentFile))
+			spec, err := model.Load(filepath.Join(folder, experimentFile))
 			if err != nil {
 				return err
 			}
@@ -182,7 +182,7 @@
 
 // saveResults writes the text of an experiment's file, its results and its report to a folder. The same file, seeds and
 // build give the same bytes.
-func saveResults(folder string, text []byte, spec *world.Spec, results experimentResults) error {
+func saveResults(folder string, text []byte, spec *model.Spec, results experimentResults) error {
 	results.Out = "" // the folder may be moved
 	encoded, err := json.MarshalIndent(results, "", "  ")
 	if err != nil {
--- a/internal/cli/recorded_test.go
+++ b/internal/cli/recorded_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/lab/world"
+	"stoatdale.example/stoatdale/internal/lab/model"
 )
 
 // TestSavedResultsOfAnEarlierReleaseRoundTrip loads the results of an earlier release and saves them again: the same bytes.
@@ -24,7 +24,7 @@
 	experiment := filepath.Join(recorded, "experiment.sexp")
 	text, err := os.ReadFile(experiment)
 	require.NoError(t, err)
-	spec, err := world.Load(experiment)
+	spec, err := model.Load(experiment)
 	require.NoError(t, err)
 	dir := t.TempDir()
 	require.NoError(t, saveResults(dir, text, spec, results))
--- a/internal/lab/world/events.go
+++ b/internal/lab/model/events.go
@@ -1,4 +1,4 @@
-package world
+package model
 
 import "container/heap"
 
--- a/internal/lab/world/spec.go
+++ b/internal/lab/model/spec.go
@@ -5,7 +5,7 @@
 //
 // The same file and seed give the same run, whatever else runs. Each part draws random numbers from a stream of its own,
 // so that a change to one leaves the draws of the others alone. docs/lab.md says what is modelled and what is not.
-package world
+package model
 
 import (
 	"fmt"
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -16,8 +16,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
+	"stoatdale.example/stoatdale/internal/lab/model"
 	"stoatdale.example/stoatdale/internal/lab/sim"
-	"stoatdale.example/stoatdale/internal/lab/world"
 )
 
 // Curve is a policy's service second by second, over all seeds: the share of the benefit that clients asked for in
@@ -30,14 +30,14 @@
 // Curves are those of all policies, in the order of the runs.
 func Curves(runs []sim.Run) []Curve {
 	var out []Curve
-	sums := map[string][]world.Second{}
+	sums := map[string][]model.Second{}
 	for _, r := range runs {
 		if sums[r.Policy] == nil {
 			out = append(out, Curve{Policy: r.Policy})
 		}
 		for i, s := range r.Tally.Series {
 			for len(sums[r.Policy]) <= i {
-				sums[r.Policy] = append(sums[r.Policy], world.Second{})
+				sums[r.Policy] = append(sums[r.Policy], model.Second{})
 			}
 			sums[r.Policy][i].Benefit += s.Benefit
 			sums[r.Policy][i].Earned += s.Earned
@@ -72,7 +72,7 @@
 }
 
 // Chart draws the curves as SVG, with the faults marked where they begin and end.
-func Chart(s *world.Spec, curves []Curve) (string, error) {
+func Chart(s *model.Spec, curves []Curve) (string, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "service"
 	p.Y.Min, p.Y.Max = 0, 1
@@ -121,14 +121,14 @@
 }
 
 // Page is an experiment's report.
-func Page(s *world.Spec, runs []sim.Run) ([]byte, error) {
+func Page(s *model.Spec, runs []sim.Run) ([]byte, error) {
 	chart, err := Chart(s, Curves(runs))
 	if err != nil {
 		return nil, err
 	}
 	var b bytes.Buffer
 	err = page.Execute(&b, struct {
-		Spec  *world.Spec
+		Spec  *model.Spec
 		Rows  []sim.Row
 		Runs  []sim.Run
 		Chart template.HTML
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"stoatdale.example/stoatdale/internal/lab/model"
 	"stoatdale.example/stoatdale/internal/lab/sim"
-	"stoatdale.example/stoatdale/internal/lab/world"
 )
 
 func runs() []sim.Run {
-	series := func(earned ...float64) world.Tally {
-		var t world.Tally
+	series := func(earned ...float64) model.Tally {
+		var t model.Tally
 		for _, e := range earned {
-			t.Series = append(t.Series, world.Second{Benefit: 10, Earned: e})
+			t.Series = append(t.Series, model.Second{Benefit: 10, Earned: e})
 		}
 		return t
 	}
@@ -37,11 +37,11 @@
 	require.Len(t, c, 2)
 	assert.Equal(t, []float64{1, 0.6, 0.5}, c[0].Service)
 	assert.Equal(t, []float64{0, 0.2}, c[1].Service)
-	assert.True(t, math.IsNaN(Curves([]sim.Run{{Tally: world.Tally{Series: []world.Second{{}}}}})[0].Service[0]), "nothing was asked")
+	assert.True(t, math.IsNaN(Curves([]sim.Run{{Tally: model.Tally{Series: []model.Second{{}}}}})[0].Service[0]), "nothing was asked")
 }
 
 func TestPageIsWholeAndNeedsNothingFromOutside(t *testing.T) {
-	s := &world.Spec{Name: "bad <day>", Seconds: 3, Seeds: []int{1, 2}, Faults: []world.Fault{{Kind: "hang", Member: 2, At: 1, For: 1}}}
+	s := &model.Spec{Name: "bad <day>", Seconds: 3, Seeds: []int{1, 2}, Faults: []model.Fault{{Kind: "hang", Member: 2, At: 1, For: 1}}}
 	one, err := Page(s, runs())
 	require.NoError(t, err)
 	two, err := Page(s, runs())
--- a/internal/lab/sim/recorded_test.go
+++ b/internal/lab/sim/recorded_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"stoatdale.example/stoatdale/internal/lab/world"
+	"stoatdale.example/stoatdale/internal/lab/model"
 )
 
 // testdata/small is the result of an experiment as stoatctl lab run --out keeps it, written by an earlier release.
@@ -30,10 +30,10 @@
 	return []Run{
 		{
 			Policy: "module", Seed: 1, Service: 1,
-			Tally: world.Tally{
+			Tally: model.Tally{
 				Asked: 262, Answered: 262, InTarget: 262, Dispatches: 271, Primary: 55, Reads: 231, Probes: 26,
 				Benefit: 342, Earned: 342, Events: 2082,
-				Series: []world.Second{{Benefit: 159, Earned: 159}, {Benefit: 183, Earned: 183}},
+				Series: []model.Second{{Benefit: 159, Earned: 159}, {Benefit: 183, Earned: 183}},
 			},
 			Groups: []Group{
 				{Name: "order", Answered: 40, P50: 0.0058196922464677225, P99: 0.012908772343200425, P999: 0.012908772343200425},
@@ -42,10 +42,10 @@
 		},
 		{
 			Policy: "module", Seed: 2, Service: 1,
-			Tally: world.Tally{
+			Tally: model.Tally{
 				Asked: 256, Answered: 256, InTarget: 256, Dispatches: 265, Primary: 76, Reads: 226, Probes: 25,
 				Benefit: 334, Earned: 334, Events: 2401,
-				Series: []world.Second{{Benefit: 166, Earned: 166}, {Benefit: 168, Earned: 168}},
+				Series: []model.Second{{Benefit: 166, Earned: 166}, {Benefit: 168, Earned: 168}},
 			},
 			Groups: []Group{
 				{Name: "order", Answered: 39, P50: 0.004671234461941509, P99: 0.011693810604563204, P999: 0.011693810604563204},
@@ -54,10 +54,10 @@
 		},
 		{
 			Policy: "any", Seed: 1, Service: 0.9970760233918129,
-			Tally: world.Tally{
+			Tally: model.Tally{
 				Asked: 262, Answered: 261, InTarget: 261, Dispatches: 315, Primary: 53, Reads: 275, Failed: 1,
 				Benefit: 342, Earned: 341, Events: 1693,
-				Series: []world.Second{{Benefit: 159, Earned: 158}, {Benefit: 183, Earned: 183}},
+				Series: []model.Second{{Benefit: 159, Earned: 158}, {Benefit: 183, Earned: 183}},
 			},
 			Groups: []Group{
 				{Name: "order", Answered: 40, P50: 0.0058196922464677225, P99: 0.012908772343200425, P999: 0.012908772343200425},
@@ -67,10 +67,10 @@
 		},
 		{
 			Policy: "any", Seed: 2, Service: 1,
-			Tally: world.Tally{
+			Tally: model.Tally{
 				Asked: 256, Answered: 256, InTarget: 256, Dispatches: 306, Primary: 50, Reads: 267,
 				Benefit: 334, Earned: 334, Events: 1652,
-				Series: []world.Second{{Benefit: 166, Earned: 166}, {Benefit: 168, Earned: 168}},
+				Series: []model.Second{{Benefit: 166, Earned: 166}, {Benefit: 168, Earned: 168}},
 			},
 			Groups: []Group{
 				{Name: "order", Answered: 39, P50: 0.004671234461941509, P99: 0.011693810604563204, P999: 0.011693810604563204},
@@ -106,6 +106,6 @@
 	again, err := json.MarshalIndent(want, "", "  ")
 	require.NoError(t, err)
 	assert.Equal(t, string(raw), string(append(again, '\n')))
-	_, err = world.Load("testdata/small/experiment.sexp")
+	_, err = model.Load("testdata/small/experiment.sexp")
 	assert.NoError(t, err)
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -14,7 +14,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"stoatdale.example/stoatdale/internal/lab/world"
+	"stoatdale.example/stoatdale/internal/lab/model"
 )
 
 // Run is one policy with one seed.
@@ -22,7 +22,7 @@
 	Policy  string            `json:"policy"`
 	Seed    int               `json:"seed"`
 	Service float64           `json:"service"`
-	Tally   world.Tally       `json:"tally"`
+	Tally   model.Tally       `json:"tally"`
 	Groups  []Group           `json:"groups"`
 	Broken  map[string]string `json:"broken,omitempty"` // rules, with the first way
 	Seconds float64           `json:"-"`                // of wall time, which differs from run to run
@@ -44,7 +44,7 @@
 }
 
 // Play plays all of an experiment's runs. It ends early, with what is done, when ctx ends.
-func Play(ctx context.Context, s *world.Spec, workers int, tell func(Progress)) ([]Run, error) {
+func Play(ctx context.Context, s *model.Spec, workers int, tell func(Progress)) ([]Run, error) {
 	if workers == 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
@@ -87,9 +87,9 @@
 	return runs, nil
 }
 
-func play(s *world.Spec, r *Run) {
+func play(s *model.Spec, r *Run) {
 	began := time.Now()
-	t, broken := world.New(s, r.Policy, r.Seed).Run()
+	t, broken := model.New(s, r.Policy, r.Seed).Run()
 	r.Tally, r.Service = t, t.Service()
 	if len(broken) > 0 {
 		r.Broken = broken
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -12,11 +12,11 @@
 	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/lab/invariant"
-	"stoatdale.example/stoatdale/internal/lab/world"
+	"stoatdale.example/stoatdale/internal/lab/model"
 )
 
 // small is an experiment with room for lines in place of its last, and of its faults.
-func small(t *testing.T, policies, faults string) *world.Spec {
+func small(t *testing.T, policies, faults string) *model.Spec {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "small.sexp")
 	text := `(name small) (seconds 6s) (seeds 1) (policies ` + policies + `)
@@ -27,12 +27,12 @@
 (group own (need session) (effect replayable) (rate 200) (work 5ms) (target 250ms) (timeout 1s) (benefit 1))
 ` + faults
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-	s, err := world.Load(path)
+	s, err := model.Load(path)
 	require.NoError(t, err)
 	return s
 }
 
-func run(t *testing.T, s *world.Spec, workers int) []Run {
+func run(t *testing.T, s *model.Spec, workers int) []Run {
 	t.Helper()
 	runs, err := Play(context.Background(), s, workers, nil)
 	require.NoError(t, err)
@@ -141,7 +141,7 @@
 	load := func(text string) error {
 		path := filepath.Join(t.TempDir(), "f")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		_, err := world.Load(path)
+		_, err := model.Load(path)
 		return err
 	}
 	require.NoError(t, load(good))
