--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -14,9 +14,9 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
+	"stoatdale.example/stoatdale/internal/lab/experiment"
 	"stoatdale.example/stoatdale/internal/lab/model"
 	"stoatdale.example/stoatdale/internal/lab/report"
-	"stoatdale.example/stoatdale/internal/lab/sim"
 )
 
 func (a *app) labCommand() *cobra.Command {
@@ -42,12 +42,12 @@
 
 // experimentResults are an experiment's results, as they are printed and, with --out, saved.
 type experimentResults struct {
-	Name     string    `json:"name"`
-	OK       bool      `json:"ok"` // the module kept all rules
-	Policies []sim.Row `json:"policies"`
-	Runs     []sim.Run `json:"runs,omitempty"`
-	Commands int       `json:"commands"`      // of clients in all runs, retries not counted
-	Out      string    `json:"out,omitempty"` // folder that they were saved in
+	Name     string           `json:"name"`
+	OK       bool             `json:"ok"` // the module kept all rules
+	Policies []experiment.Row `json:"policies"`
+	Runs     []experiment.Run `json:"runs,omitempty"`
+	Commands int              `json:"commands"`      // of clients in all runs, retries not counted
+	Out      string           `json:"out,omitempty"` // folder that they were saved in
 }
 
 func (a *app) labRunCommand() *cobra.Command {
@@ -94,13 +94,13 @@
 // runExperiment plays every policy of an experiment with every seed, and writes its progress to standard error. It fails if
 // ctx is canceled before the end.
 func (a *app) runExperiment(ctx context.Context, spec *model.Spec, workers int) (experimentResults, error) {
-	runs, err := sim.Play(ctx, spec, workers, func(p sim.Progress) {
+	runs, err := experiment.Play(ctx, spec, workers, func(p experiment.Progress) {
 		printf(a.stderr, "%s: %d of %d runs, %s left\n", spec.Name, p.Done, p.Of, p.Left.Round(time.Second))
 	})
 	if err != nil {
 		return experimentResults{}, exitError(ExitPaused, err)
 	}
-	results := experimentResults{Name: spec.Name, OK: true, Policies: sim.Table(runs), Runs: runs}
+	results := experimentResults{Name: spec.Name, OK: true, Policies: experiment.Table(runs), Runs: runs}
 	for _, run := range runs {
 		results.Commands += run.Tally.Asked
 		if run.Policy == modulePolicy && len(run.Broken) > 0 {
@@ -114,7 +114,7 @@
 	c := &cobra.Command{
 		Use: "compare A B", Short: "Compares two experiments that were kept, paired by seed", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			var runs [2][]sim.Run
+			var runs [2][]experiment.Run
 			for i, folder := range args {
 				results, err := loadResults(folder)
 				if err != nil {
@@ -122,7 +122,7 @@
 				}
 				runs[i] = results.Runs
 			}
-			differences, err := sim.Compare(runs[0], runs[1])
+			differences, err := experiment.Compare(runs[0], runs[1])
 			if err != nil {
 				return fmt.Errorf("%s and %s: %w", args[0], args[1], err)
 			}
--- a/internal/lab/sim/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -1,4 +1,4 @@
-package sim
+package experiment
 
 import (
 	"cmp"
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -16,8 +16,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
+	"stoatdale.example/stoatdale/internal/lab/experiment"
 	"stoatdale.example/stoatdale/internal/lab/model"
-	"stoatdale.example/stoatdale/internal/lab/sim"
 )
 
 // Curve is a policy's service second by second, over all seeds: the share of the benefit that clients asked for in
@@ -28,7 +28,7 @@
 }
 
 // Curves are those of all policies, in the order of the runs.
-func Curves(runs []sim.Run) []Curve {
+func Curves(runs []experiment.Run) []Curve {
 	var out []Curve
 	sums := map[string][]model.Second{}
 	for _, r := range runs {
@@ -121,7 +121,7 @@
 }
 
 // Page is an experiment's report.
-func Page(s *model.Spec, runs []sim.Run) ([]byte, error) {
+func Page(s *model.Spec, runs []experiment.Run) ([]byte, error) {
 	chart, err := Chart(s, Curves(runs))
 	if err != nil {
 		return nil, err
@@ -129,10 +129,10 @@
 	var b bytes.Buffer
 	err = page.Execute(&b, struct {
 		Spec  *model.Spec
-		Rows  []sim.Row
-		Runs  []sim.Run
+		Rows  []experiment.Row
+		Runs  []experiment.Run
 		Chart template.HTML
-	}{s, sim.Table(runs), runs, template.HTML(chart)}) // our own drawing
+	}{s, experiment.Table(runs), runs, template.HTML(chart)}) // our own drawing
 	if err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -10,11 +10,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"stoatdale.example/stoatdale/internal/lab/experiment"
 	"stoatdale.example/stoatdale/internal/lab/model"
-	"stoatdale.example/stoatdale/internal/lab/sim"
 )
 
-func runs() []sim.Run {
+func runs() []experiment.Run {
 	series := func(earned ...float64) model.Tally {
 		var t model.Tally
 		for _, e := range earned {
@@ -22,11 +22,11 @@
 		}
 		return t
 	}
-	return []sim.Run{
+	return []experiment.Run{
 		{Policy: "module", Seed: 1, Service: 0.9, Tally: series(10, 8)},
 		{Policy: "module", Seed: 2, Service: 0.7, Tally: series(10, 4, 5)},
 		{
-			Policy: "any", Seed: 1, Service: 0.2, Tally: series(0, 2), Groups: []sim.Group{{Name: "a<b", Answered: 3, P50: 0.0123}},
+			Policy: "any", Seed: 1, Service: 0.2, Tally: series(0, 2), Groups: []experiment.Group{{Name: "a<b", Answered: 3, P50: 0.0123}},
 			Broken: map[string]string{"a rule": "so"},
 		},
 	}
@@ -37,7 +37,7 @@
 	require.Len(t, c, 2)
 	assert.Equal(t, []float64{1, 0.6, 0.5}, c[0].Service)
 	assert.Equal(t, []float64{0, 0.2}, c[1].Service)
-	assert.True(t, math.IsNaN(Curves([]sim.Run{{Tally: model.Tally{Series: []model.Second{{}}}}})[0].Service[0]), "nothing was asked")
+	assert.True(t, math.IsNaN(Curves([]experiment.Run{{Tally: model.Tally{Series: []model.Second{{}}}}})[0].Service[0]), "nothing was asked")
 }
 
 func TestPageIsWholeAndNeedsNothingFromOutside(t *testing.T) {
