--- a/cmd/stoatctl/fleet_test.go
+++ b/cmd/stoatctl/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"stoatdale.example/stoatdale/internal/fleet/agent"
-	"stoatdale.example/stoatdale/internal/lab/stand"
+	"stoatdale.example/stoatdale/internal/lab/testserver"
 )
 
 // testFleet is a folder with keys, a fleet file of three agents and two revisions, and the agents as processes.
@@ -28,14 +28,14 @@
 	text := "(name t) (floor 2) (hall h (floor 2)) (times (soak 200ms) (fresh 1s) (contact 2s) (claim 2s) (look 50ms) (ready 3s) (grace 100ms))\n"
 	for i := range 3 {
 		text += fmt.Sprintf("(agent a%d (listen %s) (hall h) (folder a%d) (program %q))\n(instance n%d (agent a%d) (listen %s))\n",
-			i, stand.Host()+":7400", i, filepath.Join(programFolder, "stoatdale"), i, i, stand.Host()+":5432")
+			i, testserver.Host()+":7400", i, filepath.Join(programFolder, "stoatdale"), i, i, testserver.Host()+":5432")
 	}
 	f.write("fleet.sexp", text)
 	f.must("keys", "init", "t")
 	f.must("keys", "issue", "operator", "ayla", "mehmet")
 	f.must("keys", "issue", "agent", "--fleet", "fleet.sexp")
 	for name, sockets := range map[string]int{"a": 100, "b": 101} {
-		f.write(name+".json", string(stand.JSON(stand.Deployment("127.0.0.1:9", 0.2,
+		f.write(name+".json", string(testserver.JSON(testserver.Deployment("127.0.0.1:9", 0.2,
 			map[string]any{"limits": map[string]any{"memory_mb": 32, "sockets": sockets}}))))
 	}
 	return f
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -16,7 +16,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/lab/stand"
+	"stoatdale.example/stoatdale/internal/lab/testserver"
 )
 
 // RolloutOptions are the parameters of the rollout drill: real routers and agents on loopback, one agent an instance, under
@@ -103,9 +103,9 @@
 	folder         string // absolute
 	fleet          *inventory.Fleet
 	client         *control.Client
-	members        [3]*stand.Member // the primary and two replicas
-	discovery      *stand.Discovery
-	load           *stand.Load
+	members        [3]*testserver.Member // the primary and two replicas
+	discovery      *testserver.Discovery
+	load           *testserver.Load
 	firstRevision  string // digest
 	secondRevision string // digest
 	minServing     atomic.Int64
--- a/internal/drill/rollout_check.go
+++ b/internal/drill/rollout_check.go
@@ -13,7 +13,7 @@
 
 	"stoatdale.example/stoatdale/internal/fleet/agent"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
-	"stoatdale.example/stoatdale/internal/lab/stand"
+	"stoatdale.example/stoatdale/internal/lab/testserver"
 )
 
 const (
@@ -48,7 +48,7 @@
 
 // watchRouter stores, again and again, whether a router answers an empty query on a connection of the watcher's own.
 func watchRouter(ctx context.Context, address string, serving *atomic.Bool) {
-	var c *stand.Client
+	var c *testserver.Client
 	defer func() {
 		if c != nil {
 			_ = c.Close()
@@ -63,7 +63,7 @@
 			}
 		}
 		if c == nil {
-			if c, err = stand.Dial(address, dialTimeout); err == nil {
+			if c, err = testserver.Dial(address, dialTimeout); err == nil {
 				_, _, err = c.Ask("", queryTimeout)
 			}
 		}
@@ -73,7 +73,7 @@
 }
 
 // recordCounts takes what the load has counted, with the response times of answered commands, into the report.
-func (d *rolloutDrill) recordCounts(counts stand.Counts, responseTimes []time.Duration) {
+func (d *rolloutDrill) recordCounts(counts testserver.Counts, responseTimes []time.Duration) {
 	r := d.report
 	r.CommandsSent = counts.Asked
 	r.Answered = counts.Answered
@@ -168,7 +168,7 @@
 
 // checkAnswers checks that a router answers an empty query as one.
 func checkAnswers(address string) error {
-	c, err := stand.Dial(address, dialTimeout)
+	c, err := testserver.Dial(address, dialTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/drill/rollout_faults.go
+++ b/internal/drill/rollout_faults.go
@@ -9,7 +9,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/agent"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/lab/stand"
+	"stoatdale.example/stoatdale/internal/lab/testserver"
 )
 
 const (
@@ -113,7 +113,7 @@
 // awaitRouter waits until a router accepts a client.
 func awaitRouter(ctx context.Context, address string) error {
 	for {
-		if c, err := stand.Dial(address, dialTimeout); err == nil {
+		if c, err := testserver.Dial(address, dialTimeout); err == nil {
 			_ = c.Close()
 			return nil
 		}
--- a/internal/drill/rollout_setup.go
+++ b/internal/drill/rollout_setup.go
@@ -17,7 +17,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/inventory"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/lab/stand"
+	"stoatdale.example/stoatdale/internal/lab/testserver"
 	"stoatdale.example/stoatdale/internal/pki"
 )
 
@@ -85,7 +85,7 @@
 
 // startMembers starts the database servers and their discovery, and makes the load that counts what they are sent.
 func (d *rolloutDrill) startMembers() error {
-	d.load = &stand.Load{
+	d.load = &testserver.Load{
 		Clients: clientsPerRouter * d.options.Instances, Think: clientThinkTime, Timeout: clientTimeout, Writes: writeShare,
 	}
 	for i := range d.members {
@@ -93,17 +93,17 @@
 		if i == 0 {
 			readOnly = "off"
 		}
-		member, err := stand.NewMember(func(statement string) []byte {
+		member, err := testserver.NewMember(func(statement string) []byte {
 			d.load.Seen(statement)
 			time.Sleep(serviceTime)
-			return stand.Row("v", readOnly)
+			return testserver.Row("v", readOnly)
 		})
 		if err != nil {
 			return err
 		}
 		d.members[i] = member
 	}
-	discovery, err := stand.NewDiscovery(d.members[0].Entry("a", "ready", "off"), d.members[1].Entry("b", "ready", "on"),
+	discovery, err := testserver.NewDiscovery(d.members[0].Entry("a", "ready", "off"), d.members[1].Entry("b", "ready", "on"),
 		d.members[2].Entry("c", "ready", "on"))
 	if err != nil {
 		return err
@@ -134,7 +134,7 @@
 	zones := min(maxZones, instances/2)
 	zoneSizes := make([]int, zones)
 	for i := range instances {
-		zone, name, host := i*zones/instances, fmt.Sprint("a", i+1), stand.Host()
+		zone, name, host := i*zones/instances, fmt.Sprint("a", i+1), testserver.Host()
 		zoneSizes[zone]++
 		fleet.Agents = append(fleet.Agents, inventory.Agent{
 			Name: name, Zone: zoneName(zone), Listen: netip.MustParseAddrPort(host + agentPort),
@@ -231,10 +231,10 @@
 
 // pushRevision has all agents store a revision, and returns its digest. Revisions differ in the limit of sockets.
 func (d *rolloutDrill) pushRevision(ctx context.Context, name string, sockets int) (digest string, err error) {
-	settings := stand.Deployment(d.discovery.At, clientTimeout.Seconds(), map[string]any{
+	settings := testserver.Deployment(d.discovery.At, clientTimeout.Seconds(), map[string]any{
 		"limits": map[string]any{"memory_mb": 48, "sockets": sockets},
 	})
-	content, err := revision.Canonical(name, stand.JSON(settings))
+	content, err := revision.Canonical(name, testserver.JSON(settings))
 	if err != nil {
 		return "", err
 	}
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -24,7 +24,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/store"
-	"stoatdale.example/stoatdale/internal/lab/stand"
+	"stoatdale.example/stoatdale/internal/lab/testserver"
 )
 
 // testTimeout ends a test that hangs; no test that passes waits for it.
@@ -33,7 +33,7 @@
 // TestMain is also the stand-in router that agents start.
 func TestMain(m *testing.M) {
 	if os.Getenv(incarnationVariable) != "" {
-		stand.Router()
+		testserver.Router()
 	}
 	goleak.VerifyTestMain(m)
 }
@@ -66,7 +66,7 @@
 func newRig(t *testing.T) *rig {
 	dir := t.TempDir()
 	text := fmt.Sprintf(`(name t) (floor 0) (times (ready 2s) (grace 200ms)) (hall h (floor 0))
-		(agent a (listen 127.0.0.1:1) (hall h) (folder %q) (program %q)) (instance n (agent a) (listen %s))`, dir, os.Args[0], stand.Host()+":5432")
+		(agent a (listen 127.0.0.1:1) (hall h) (folder %q) (program %q)) (instance n (agent a) (listen %s))`, dir, os.Args[0], testserver.Host()+":5432")
 	f, err := inventory.Parse("f", []byte(text))
 	require.NoError(t, err)
 	r := &rig{t: t, fleet: f, folder: dir}
@@ -144,13 +144,13 @@
 }
 
 // push has the agent store a revision and returns its digest.
-func (r *rig) push(conduct stand.Conduct, more map[string]any) string {
+func (r *rig) push(conduct testserver.Conduct, more map[string]any) string {
 	r.t.Helper()
 	if more == nil {
 		more = map[string]any{}
 	}
 	more["stand"] = conduct
-	raw, err := revision.Canonical("f", stand.JSON(stand.Deployment("127.0.0.1:9", 0.1, more)))
+	raw, err := revision.Canonical("f", testserver.JSON(testserver.Deployment("127.0.0.1:9", 0.1, more)))
 	require.NoError(r.t, err)
 	digest := revision.Digest(raw)
 	reply := r.call(protocol.Request{Verb: protocol.PutRevisionVerb, Revision: protocol.Revision{Digest: digest, Content: raw}})
@@ -186,17 +186,17 @@
 func TestStepsStartRestartAndReloadRouters(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	a := r.push(stand.Conduct{}, nil)
+	a := r.push(testserver.Conduct{}, nil)
 	status := r.completeStep(a)
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	first := status.ProcessID
 	assert.NotZero(t, first)
 	r.waitFor("counters", func(t protocol.InstanceStatus) bool { return t.CommandsSinceStep.Completed >= 200 })
-	b := r.push(stand.Conduct{}, map[string]any{"discovery": "127.0.0.1:10"})
+	b := r.push(testserver.Conduct{}, map[string]any{"discovery": "127.0.0.1:10"})
 	status = r.completeStep(b)
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.Equal(t, first, status.ProcessID, "another address of discovery moves by SIGHUP")
-	c := r.push(stand.Conduct{Ready: 0.3}, map[string]any{"limits": map[string]any{"sockets": 300}})
+	c := r.push(testserver.Conduct{Ready: 0.3}, map[string]any{"limits": map[string]any{"sockets": 300}})
 	status = r.completeStep(c)
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.NotEqual(t, first, status.ProcessID)
@@ -208,9 +208,9 @@
 func TestInvalidRevisionFailsItsStepAndThePreviousOneRunsAgain(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	good := r.push(stand.Conduct{}, nil)
+	good := r.push(testserver.Conduct{}, nil)
 	r.completeStep(good)
-	for says, conduct := range map[string]stand.Conduct{
+	for says, conduct := range map[string]testserver.Conduct{
 		"it ended with status 3: stand-in: told to end": {Exit: 3},
 		"it was not ready within 2 s":                   {Silent: true},
 	} {
@@ -232,14 +232,14 @@
 func TestRouterIsKilledAfterItsDrainTimeout(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	r.completeStep(r.push(stand.Conduct{Deaf: true}, nil))
+	r.completeStep(r.push(testserver.Conduct{Deaf: true}, nil))
 	began := time.Now()
-	status := r.completeStep(r.push(stand.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}}))
+	status := r.completeStep(r.push(testserver.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}}))
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.GreaterOrEqual(t, time.Since(began), 1500*time.Millisecond, "ten client timeouts, half a second, the grace")
-	r.completeStep(r.push(stand.Conduct{Drain: 0.7}, map[string]any{"limits": map[string]any{"sockets": 301}}))
+	r.completeStep(r.push(testserver.Conduct{Drain: 0.7}, map[string]any{"limits": map[string]any{"sockets": 301}}))
 	p := r.process()
-	status = r.completeStep(r.push(stand.Conduct{}, nil))
+	status = r.completeStep(r.push(testserver.Conduct{}, nil))
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult)
 	assert.NotEqual(t, p.pid, status.ProcessID)
 }
@@ -247,7 +247,7 @@
 func TestRestartedAgentAdoptsRunningRouter(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	status := r.completeStep(r.push(stand.Conduct{}, nil))
+	status := r.completeStep(r.push(testserver.Conduct{}, nil))
 	r.restart()
 	again := r.waitFor("ready", ready)
 	assert.Equal(t, status.ProcessID, again.ProcessID)
@@ -262,7 +262,7 @@
 func TestProcessWithoutIncarnationIsNotAdopted(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	status := r.completeStep(r.push(stand.Conduct{}, nil))
+	status := r.completeStep(r.push(testserver.Conduct{}, nil))
 	r.stop()
 	p, err := findRunning(r.agent.routers[0].incarnation(1))
 	require.NoError(t, err)
@@ -285,8 +285,8 @@
 		"before it is ready": 700 * time.Millisecond,
 	} {
 		r := newRig(t)
-		r.completeStep(r.push(stand.Conduct{Drain: 0.5}, nil))
-		b := r.push(stand.Conduct{Ready: 0.5}, map[string]any{"limits": map[string]any{"sockets": 300}})
+		r.completeStep(r.push(testserver.Conduct{Drain: 0.5}, nil))
+		b := r.push(testserver.Conduct{Ready: 0.5}, map[string]any{"limits": map[string]any{"sockets": 300}})
 		require.Empty(t, r.beginStep(b), name)
 		time.Sleep(after)
 		r.restart()
@@ -301,8 +301,8 @@
 func TestFullDiskRejectsTheStepAndChangesNothing(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	status := r.completeStep(r.push(stand.Conduct{}, nil))
-	b := r.push(stand.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}})
+	status := r.completeStep(r.push(testserver.Conduct{}, nil))
+	b := r.push(testserver.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}})
 	r.store.full.Store(true)
 	assert.Contains(t, r.beginStep(b), "no space left")
 	assert.Contains(t, r.call(protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 9, Holder: "h"}}).Failure, "no space left")
@@ -316,7 +316,7 @@
 	t.Parallel()
 	r := newRig(t)
 	r.inEventLoop(func() { r.agent.limits.MinBackoffSeconds, r.agent.limits.MaxCrashes = 0.01, 3 })
-	status := r.completeStep(r.push(stand.Conduct{LiveFor: 0.3}, nil))
+	status := r.completeStep(r.push(testserver.Conduct{LiveFor: 0.3}, nil))
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult)
 	status = r.waitFor("broken", func(t protocol.InstanceStatus) bool { return t.State == rollout.ProcessCrashLooping })
 	assert.Equal(t, 4, status.Crashes)
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -14,7 +14,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/lab/stand"
+	"stoatdale.example/stoatdale/internal/lab/testserver"
 )
 
 // Revisions and the holder in the recorded store.
@@ -75,7 +75,7 @@
 		(agent a (listen 127.0.0.1:1) (hall h) (folder %q) (program %q))`, dir, os.Args[0])
 	names = []string{"open", "failed", "reloaded", "rolled-back"}
 	for _, name := range names {
-		text += fmt.Sprintf("(instance %s (agent a) (listen %s))", name, stand.Host()+":5432")
+		text += fmt.Sprintf("(instance %s (agent a) (listen %s))", name, testserver.Host()+":5432")
 	}
 	f, err := inventory.Parse("f", []byte(text))
 	require.NoError(t, err)
--- a/internal/fleet/control/client_test.go
+++ b/internal/fleet/control/client_test.go
@@ -24,7 +24,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
-	"stoatdale.example/stoatdale/internal/lab/stand"
+	"stoatdale.example/stoatdale/internal/lab/testserver"
 	"stoatdale.example/stoatdale/internal/pki"
 )
 
@@ -34,7 +34,7 @@
 // TestMain is also the stand-in router that agents start.
 func TestMain(m *testing.M) {
 	if os.Getenv("STOATDALE_MARK") != "" {
-		stand.Router()
+		testserver.Router()
 	}
 	goleak.VerifyTestMain(m)
 }
@@ -53,7 +53,7 @@
 	text := fmt.Sprintf("(name t) (floor %d) (hall h (floor 1)) (times (soak 200ms) (fresh 1s) (contact 2s) (step 20s) (claim 2s) (look 50ms) (ready 2s) (grace 100ms))\n", n-1)
 	for i := range n {
 		text += fmt.Sprintf("(agent a%d (listen %s) (hall h) (folder %q) (program %q))\n(instance n%d (agent a%d) (listen %s))\n",
-			i, stand.Host()+":7400", filepath.Join(dir, fmt.Sprint("a", i)), os.Args[0], i, i, stand.Host()+":5432")
+			i, testserver.Host()+":7400", filepath.Join(dir, fmt.Sprint("a", i)), os.Args[0], i, i, testserver.Host()+":5432")
 	}
 	f, err := inventory.Parse("f", []byte(text))
 	require.NoError(t, err)
@@ -110,11 +110,11 @@
 }
 
 // push pushes a revision whose routers conduct themselves so; sockets make it another one.
-func (r *rig) push(t *Client, name string, conduct stand.Conduct, sockets int) protocol.Revision {
+func (r *rig) push(t *Client, name string, conduct testserver.Conduct, sockets int) protocol.Revision {
 	r.t.Helper()
-	doc := stand.Deployment("127.0.0.1:9", 0.1, map[string]any{"stand": conduct, "limits": map[string]any{"sockets": sockets}})
+	doc := testserver.Deployment("127.0.0.1:9", 0.1, map[string]any{"stand": conduct, "limits": map[string]any{"sockets": sockets}})
 	file := filepath.Join(r.t.TempDir(), name+".json")
-	require.NoError(r.t, os.WriteFile(file, stand.JSON(doc), 0o600))
+	require.NoError(r.t, os.WriteFile(file, testserver.JSON(doc), 0o600))
 	content, err := t.ReadRevision(file)
 	require.NoError(r.t, err)
 	p := t.PushRevision(context.Background(), content, name)
@@ -150,16 +150,16 @@
 	t.Parallel()
 	r := newRig(t, 3)
 	ayla := r.client("ayla")
-	good := r.push(ayla, "good", stand.Conduct{}, 100)
+	good := r.push(ayla, "good", testserver.Conduct{}, 100)
 	r.requireComplete(r.drive(ayla, ayla.NewRollout(good, false), nil))
 	time.Sleep(1200 * time.Millisecond) // counters are read once a second
 	for name, c := range map[string]struct {
-		conduct stand.Conduct
+		conduct testserver.Conduct
 		says    string
 	}{
-		"exits":  {stand.Conduct{Exit: 7}, "it ended with status 7: stand-in: told to end"},
-		"silent": {stand.Conduct{Silent: true}, "it was not ready within 2 s"},
-		"fails":  {stand.Conduct{Fails: true}, "commands unanswered in its soak, a larger share than before"},
+		"exits":  {testserver.Conduct{Exit: 7}, "it ended with status 7: stand-in: told to end"},
+		"silent": {testserver.Conduct{Silent: true}, "it was not ready within 2 s"},
+		"fails":  {testserver.Conduct{Fails: true}, "commands unanswered in its soak, a larger share than before"},
 	} {
 		if name == "fails" {
 			r.fleet.Times.Soak = 2 // long enough for a reading of the counters
@@ -181,9 +181,9 @@
 	t.Parallel()
 	r := newRig(t, 4)
 	ayla, mehmet := r.client("ayla"), r.client("mehmet")
-	a := r.push(ayla, "a", stand.Conduct{}, 100)
+	a := r.push(ayla, "a", testserver.Conduct{}, 100)
 	r.requireComplete(r.drive(ayla, ayla.NewRollout(a, false), nil))
-	b := r.push(ayla, "b", stand.Conduct{Ready: 0.2}, 101)
+	b := r.push(ayla, "b", testserver.Conduct{Ready: 0.2}, 101)
 	ctx, kill := context.WithCancel(context.Background())
 	began := 0
 	o := ayla.Drive(ctx, ayla.NewRollout(b, false), func(_ coordinator.View, events []coordinator.Event) {
@@ -225,7 +225,7 @@
 	t.Parallel()
 	r := newRig(t, 4)
 	ayla, mehmet := r.client("ayla"), r.client("mehmet")
-	a, b := r.push(ayla, "a", stand.Conduct{}, 100), r.push(mehmet, "b", stand.Conduct{}, 101)
+	a, b := r.push(ayla, "a", testserver.Conduct{}, 100), r.push(mehmet, "b", testserver.Conduct{}, 101)
 	var got [2]coordinator.Outcome
 	var both sync.WaitGroup
 	for i, x := range []struct {
@@ -255,9 +255,9 @@
 	r := newRig(t, 4)
 	r.fleet.MinAvailable = 2
 	ayla, mehmet := r.client("ayla"), r.client("mehmet")
-	a := r.push(ayla, "a", stand.Conduct{}, 100)
+	a := r.push(ayla, "a", testserver.Conduct{}, 100)
 	r.requireComplete(r.drive(ayla, ayla.NewRollout(a, false), nil))
-	b := r.push(ayla, "b", stand.Conduct{Ready: 0.3}, 101)
+	b := r.push(ayla, "b", testserver.Conduct{Ready: 0.3}, 101)
 	asked := false
 	o := r.drive(ayla, ayla.NewRollout(b, false), func(v coordinator.View, _ []coordinator.Event) {
 		if !asked && v.Rollout.CurrentStep.Number == 1 {
@@ -282,10 +282,10 @@
 	t.Parallel()
 	r := newRig(t, 3)
 	ayla := r.client("ayla")
-	a := r.push(ayla, "a", stand.Conduct{}, 100)
+	a := r.push(ayla, "a", testserver.Conduct{}, 100)
 	effects := func(sockets int, discovery string) []RevisionEffect {
-		doc := stand.Deployment(discovery, 0.1, map[string]any{"stand": stand.Conduct{}, "limits": map[string]any{"sockets": sockets}})
-		content, err := revision.Canonical("f", stand.JSON(doc))
+		doc := testserver.Deployment(discovery, 0.1, map[string]any{"stand": testserver.Conduct{}, "limits": map[string]any{"sockets": sockets}})
+		content, err := revision.Canonical("f", testserver.JSON(doc))
 		require.NoError(t, err)
 		e, err := ayla.PreviewEffects(context.Background(), content)
 		require.NoError(t, err)
--- a/internal/lab/stand/address.go
+++ b/internal/lab/testserver/address.go
@@ -1,4 +1,4 @@
-package stand
+package testserver
 
 import (
 	"fmt"
