--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -307,8 +307,8 @@
 	_, errs := s.checkPage(page)
 	assert.Empty(t, errs)
 	for planted, says := range map[string]string{
-		"`dispatcher.Dispatcher.Planted`":         "declares no Dispatcher.Planted",
-		"`dispatcher.Planted`":                    "declares no Planted",
+		"`dispatcher.Dispatcher.Planted`":   "declares no Dispatcher.Planted",
+		"`dispatcher.Planted`":              "declares no Planted",
 		"`planted.Core`":                    "there is no package planted",
 		"`internal/planted`":                "there is no such file or folder",
 		"`internal/dispatcher/planted.go`":  "there is no such file or folder",
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -94,7 +94,7 @@
 	c.pool.loop.SetInterest(c.fd, true, c.output.Len() > 0)
 }
 
-// Ready implements loop.Handler.
+// Ready implements eventloop.Handler.
 func (c *conn) Ready(readable, writable bool) {
 	if c.state == stateConnecting {
 		if err := c.pool.loop.ConnectError(c.fd); err != nil {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,4 +1,4 @@
-// Package member keeps the connections to the database servers (backends). It sends attempts and health checks over
+// Package backend keeps the connections to the database servers (backends). It sends attempts and health checks over
 // them and reports how each ended. It never sends anything twice and takes no routing decision.
 //
 // A Pool belongs to one event loop; none of its methods may be called from another goroutine.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package site reads a router's configuration, checks it and completes it: the settings of the deployment, which a
+// Package config reads a router's configuration, checks it and completes it: the settings of the deployment, which a
 // document or the simulator hands over, the environment variables, and the limits that follow from them.
 package config
 
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -52,7 +52,7 @@
 	w.replyDeadline = 0
 }
 
-// Ready implements loop.Handler.
+// Ready implements eventloop.Handler.
 func (w *Watch) Ready(readable, writable bool) {
 	if !w.connected {
 		w.finishConnect()
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -13,7 +13,7 @@
 // CallError is a call to discovery that failed.
 type CallError struct {
 	Address netip.AddrPort // of discovery
-	Err     error          // of the network, of the reply's form, *roster.ParseError, *StatusError, *GenerationError or ErrNoReply
+	Err     error          // of the network, of the reply's form, *endpoint.ParseError, *StatusError, *GenerationError or ErrNoReply
 }
 
 // Error implements error.
--- a/internal/dispatcher/attempt.go
+++ b/internal/dispatcher/attempt.go
@@ -15,7 +15,7 @@
 // rolesByRecovery gives the role of a backend by what its answer says of its recovery.
 var rolesByRecovery = map[string]router.Role{"off": router.RolePrimary, "on": router.RoleReplica}
 
-// AttemptEnded implements member.ResultHandler.
+// AttemptEnded implements backend.ResultHandler.
 func (d *Dispatcher) AttemptEnded(attempt *backend.Attempt, result router.Result, elapsed float64, answer *pg.Answer) {
 	ended := endedAttempt{attempt: attempt, result: result, elapsed: elapsed}
 	if answer != nil {
@@ -24,7 +24,7 @@
 	d.gathered.endedAttempts = append(d.gathered.endedAttempts, ended)
 }
 
-// HealthChecked implements member.ResultHandler.
+// HealthChecked implements backend.ResultHandler.
 func (d *Dispatcher) HealthChecked(endpoint int, result router.Result, elapsed float64, report string) {
 	check := healthCheckResult{endpoint: endpoint, result: result, elapsed: elapsed, report: report}
 	d.gathered.healthChecks = append(d.gathered.healthChecks, check)
@@ -113,7 +113,7 @@
 	d.decided.sends = d.decided.sends[:0]
 }
 
-// Forward implements hand.Executor.
+// Forward implements inflight.Executor.
 func (d *Dispatcher) Forward(trackingID uint32, attemptIndex, endpoint int, deadline float64) {
 	command := d.commands.get(trackingID)
 	command.attempt = &backend.Attempt{
@@ -128,7 +128,7 @@
 	d.decided.sends = append(d.decided.sends, command.attempt)
 }
 
-// Cancel implements hand.Executor.
+// Cancel implements inflight.Executor.
 func (d *Dispatcher) Cancel(trackingID uint32, attemptIndex int) {
 	command := d.commands.get(trackingID)
 	if command != nil && command.attempt != nil && command.attempt.Index == attemptIndex {
@@ -136,7 +136,7 @@
 	}
 }
 
-// Reject implements hand.Executor.
+// Reject implements inflight.Executor.
 func (d *Dispatcher) Reject(trackingID uint32, retryAfter float64) {
 	command := d.commands.get(trackingID)
 	d.counters.Rejected++
@@ -144,7 +144,7 @@
 	d.finish(command)
 }
 
-// Fail implements hand.Executor.
+// Fail implements inflight.Executor.
 func (d *Dispatcher) Fail(trackingID uint32) {
 	command := d.commands.get(trackingID)
 	d.counters.Failed++
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,4 +1,4 @@
-// Package core joins the parts of the data plane. In each turn of the event loop it gathers what the frontend, the
+// Package dispatcher joins the parts of the data plane. In each turn of the event loop it gathers what the frontend, the
 // connections to backends and discovery have to tell, hands that to the router, and carries out the router's decisions.
 // It interns endpoints, shards and zones, gives commands their tracking ids, and decides nothing itself. All of it runs
 // on the event loop's goroutine.
--- a/internal/endpoint/roster.go
+++ b/internal/endpoint/roster.go
@@ -1,4 +1,4 @@
-// Package roster defines the endpoint list that discovery serves and reads it from JSON.
+// Package endpoint defines the endpoint list that discovery serves and reads it from JSON.
 package endpoint
 
 import (
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,4 +1,4 @@
-// Package loop is the event loop of a router: epoll, timers, sockets, and calls posted from other goroutines. A turn
+// Package eventloop is the event loop of a router: epoll, timers, sockets, and calls posted from other goroutines. A turn
 // handles the ready descriptors and the due timers, and then calls once for what they add up to.
 //
 // Times are seconds on the loop's clock, which reads 0 when the loop is made.
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -1,5 +1,5 @@
 // Package agent runs the routers of one machine for the fleet tool: it starts and watches their processes, carries out
-// what package tend decides, and saves its state before it acknowledges a request or acts on a router.
+// what package supervisor decides, and saves its state before it acknowledges a request or acts on a router.
 //
 // Routers outlive their agent. One that starts again finds the processes of the one before and continues their steps.
 //
--- a/internal/fleet/agent/requests.go
+++ b/internal/fleet/agent/requests.go
@@ -51,7 +51,7 @@
 	return reply
 }
 
-// handleDecision handles a request that package tend decides on. What it changes is stored before the reply; if that
+// handleDecision handles a request that package supervisor decides on. What it changes is stored before the reply; if that
 // fails the request has not happened and is denied.
 func (a *Agent) handleDecision(ctx context.Context, operator string, request protocol.Request) protocol.Reply {
 	request.OperatorRequest.Operator = operator
--- a/internal/fleet/api/api.go
+++ b/internal/fleet/api/api.go
@@ -1,4 +1,4 @@
-// Package api carries the protocol of package form between the fleet tool and its agents: HTTP/1.1 over TLS, with a
+// Package api carries the protocol of package protocol between the fleet tool and its agents: HTTP/1.1 over TLS, with a
 // certificate on each side. Sizes, times and connections are bounded. Client and server agree on a version of the
 // protocol, or report which versions each of them speaks.
 package api
--- a/internal/fleet/control/client.go
+++ b/internal/fleet/control/client.go
@@ -1,4 +1,4 @@
-// Package tool is the operator's side of a fleet: it asks all agents, shows how the fleet stands, stores revisions at the
+// Package control is the operator's side of a fleet: it asks all agents, shows how the fleet stands, stores revisions at the
 // agents and drives rollouts.
 package control
 
--- a/internal/fleet/coordinator/doc.go
+++ b/internal/fleet/coordinator/doc.go
@@ -1,5 +1,5 @@
-// Package roll drives a rollout on the operator's side. A Coordinator joins the lease (package claim) and the decisions
-// (package plan) to the messages of package form, without a socket or a clock: calls to be made come back as values,
+// Package coordinator drives a rollout on the operator's side. A Coordinator joins the lease (package lease) and the decisions
+// (package rollout) to the messages of package protocol, without a socket or a clock: calls to be made come back as values,
 // replies and failures are handed in, and times are seconds on the clock of the caller.
 //
 // A coordinator may stop at any point. What it was doing is in the record that a majority of agents stores, and another
--- a/internal/fleet/inventory/inventory.go
+++ b/internal/fleet/inventory/inventory.go
@@ -1,4 +1,4 @@
-// Package layout reads the fleet file, an inventory as S-expressions: the agents, zones and instances of a fleet, how many
+// Package inventory reads the fleet file, an inventory as S-expressions: the agents, zones and instances of a fleet, how many
 // instances must stay available, and times.
 package inventory
 
--- a/internal/fleet/lease/doc.go
+++ b/internal/fleet/lease/doc.go
@@ -1,4 +1,4 @@
-// Package claim implements the majority lease that decides who may change a fleet: the agent's side (Lease) and
+// Package lease implements the majority lease that decides who may change a fleet: the agent's side (Lease) and
 // the requester's side (Campaign). It does no input or output and reads no clock. Callers hand in the time in
 // seconds on their own clock; times of different clocks are never compared.
 //
@@ -6,5 +6,5 @@
 // request with a lower one, so two majorities cannot grant the same epoch to two holders: the epoch is a fencing
 // token. What a holder is doing is kept in a Record that it has a majority store before it acts. The next holder
 // reads the record from the majority that grants its lease and so learns of every step that may have begun. An
-// agent that cannot be reached may still be carrying out a step; package plan begins nothing while that is so.
+// agent that cannot be reached may still be carrying out a step; package rollout begins nothing while that is so.
 package lease
--- a/internal/fleet/protocol/messages.go
+++ b/internal/fleet/protocol/messages.go
@@ -1,4 +1,4 @@
-// Package form defines the protocol between the fleet tool and its agents: the messages and their encoding.
+// Package protocol defines the protocol between the fleet tool and its agents: the messages and their encoding.
 //
 // Messages are CBOR maps with their fields by name, so that a later version may add some: a decoder passes over fields
 // that it does not know. Sizes and nesting are bounded. The names under which fields are sent stand in their tags and
--- a/internal/fleet/revision/revision.go
+++ b/internal/fleet/revision/revision.go
@@ -108,7 +108,7 @@
 }
 
 // Check has the router's own reader check what one instance would be given, and returns what it reads. Errors name the
-// instance, and match *site.Error where the reader refuses a key.
+// instance, and match *config.Error where the reader refuses a key.
 func Check(canonical []byte, instance Instance) (config.Config, error) {
 	const anySeed = 1
 	raw, err := Render(canonical, instance, anySeed)
--- a/internal/fleet/rollout/doc.go
+++ b/internal/fleet/rollout/doc.go
@@ -1,4 +1,4 @@
-// Package plan decides what happens next in a rollout. From observations of the fleet's instances, with their age,
+// Package rollout decides what happens next in a rollout. From observations of the fleet's instances, with their age,
 // and from what is wanted, a Planner derives the next step, a wait, or an end with its reason. The package does no
 // input or output and reads no clock: times are seconds on the clock of the caller. Instances, zones and agents
 // are referred to by their indices.
--- a/internal/fleet/supervisor/doc.go
+++ b/internal/fleet/supervisor/doc.go
@@ -1,4 +1,4 @@
-// Package tend decides for an agent: what it does with the processes of its routers (Supervisor) and how it answers
+// Package supervisor decides for an agent: what it does with the processes of its routers (Supervisor) and how it answers
 // the operators' tools (RequestHandler). It does no input or output and reads no clock: times are seconds on the
 // clock of the agent. Every event returns a Transition: what must be stored first, and which actions to carry out
 // then. The outcome of an action is handed in as the next event.
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -64,11 +64,11 @@
 	return c
 }
 
-// HungUp implements loop.HangupHandler. Nobody waits any more for what the client has asked for, so nothing is read before the
+// HungUp implements eventloop.HangupHandler. Nobody waits any more for what the client has asked for, so nothing is read before the
 // connection is closed.
 func (c *conn) HungUp() { c.close() }
 
-// Ready implements loop.Handler.
+// Ready implements eventloop.Handler.
 func (c *conn) Ready(readable, writable bool) {
 	if writable && c.output.Len() > 0 {
 		c.flush()
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -5,7 +5,7 @@
 // noDescriptor stands for the descriptor of a closed listener.
 const noDescriptor = -1
 
-// Ready implements loop.Handler for the listener.
+// Ready implements eventloop.Handler for the listener.
 func (s *Server) Ready(bool, bool) { s.accept(s.limits.Counts.AcceptsPerTurn) }
 
 // accept accepts waiting connections, so many at the most.
--- a/internal/frontend/reply.go
+++ b/internal/frontend/reply.go
@@ -16,7 +16,7 @@
 	complete bool
 }
 
-// owner is a command's core.Command.Owner: where its result goes.
+// owner is a command's dispatcher.Command.Owner: where its result goes.
 type owner struct {
 	conn  *conn
 	reply *reply
@@ -54,7 +54,7 @@
 	}
 }
 
-// Answer implements core.Responder: it sends a row and frees it.
+// Answer implements dispatcher.Responder: it sends a row and frees it.
 func (s *Server) Answer(command *dispatcher.Command, row *buffer.Chain) {
 	if to := command.Owner.(owner); to.conn.state != stateClosed {
 		row.MoveTo(&to.reply.data)
@@ -63,7 +63,7 @@
 	s.complete(command, pg.AppendReadyForQuery(nil))
 }
 
-// Reject implements core.Responder: it sends an error upon which the client may retry, after so many seconds if it is
+// Reject implements dispatcher.Responder: it sends an error upon which the client may retry, after so many seconds if it is
 // above 0.
 func (s *Server) Reject(command *dispatcher.Command, retryAfter float64) {
 	const millisecondsPerSecond = 1000
@@ -75,7 +75,7 @@
 	s.complete(command, pg.AppendReadyForQuery(message))
 }
 
-// Fail implements core.Responder: it sends an error upon which the client cannot know whether the command ran.
+// Fail implements dispatcher.Responder: it sends an error upon which the client cannot know whether the command ran.
 func (s *Server) Fail(command *dispatcher.Command) {
 	message := pg.AppendErrorResponse(nil, false, pg.CodeSystemError, "failed: it is not known whether the command ran", "")
 	s.complete(command, pg.AppendReadyForQuery(message))
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,4 +1,4 @@
-// Package front accepts clients over PostgreSQL's wire protocol. It hands their commands to a dispatcher and writes the
+// Package frontend accepts clients over PostgreSQL's wire protocol. It hands their commands to a dispatcher and writes the
 // results back in the order of the commands; it decides nothing about routing.
 //
 // Everything in it belongs to the goroutine of the event loop. Times are seconds on the event loop's clock.
--- a/internal/idtable/index.go
+++ b/internal/idtable/index.go
@@ -1,4 +1,4 @@
-// Package index interns keys: it maps names and addresses to the small, dense ids by which package router knows
+// Package idtable interns keys: it maps names and addresses to the small, dense ids by which package router knows
 // endpoints, shards and zones. Ids that were released are used again, so that tables indexed by them stay small.
 package idtable
 
--- a/internal/inflight/tracker.go
+++ b/internal/inflight/tracker.go
@@ -1,4 +1,4 @@
-// Package hand keeps the commands in flight and the times at which the router wants to review them. It makes the
+// Package inflight keeps the commands in flight and the times at which the router wants to review them. It makes the
 // router's calls and decides nothing; what carries the decisions out, the simulator's wire or sockets, is an Executor.
 package inflight
 
--- a/internal/lab/experiment/sim.go
+++ b/internal/lab/experiment/sim.go
@@ -1,4 +1,4 @@
-// Package sim plays experiments in virtual time, as many runs at once as there are cores. Each run is one world from
+// Package experiment plays experiments in virtual time, as many runs at once as there are cores. Each run is one world from
 // one seed, so results are the same whatever the number of cores; they come in the order of the file.
 package experiment
 
--- a/internal/lab/invariant/fleet.go
+++ b/internal/lab/invariant/fleet.go
@@ -1,4 +1,4 @@
-// Package verdict holds the properties that must hold whatever happens, each written once, in words and in
+// Package invariant holds the properties that must hold whatever happens, each written once, in words and in
 // code. They look at what was seen from outside, never at what a part says of itself, and have no I/O.
 package invariant
 
--- a/internal/lab/model/spec.go
+++ b/internal/lab/model/spec.go
@@ -1,4 +1,4 @@
-// Package world is a model of the deployments that the router serves, in virtual time and free of I/O: shards of one
+// Package model is a model of the deployments that the router serves, in virtual time and free of I/O: shards of one
 // primary and replicas that apply its log one record after another, slots and queues, slow starts, faults, an endpoint
 // list that arrives late, clients with sessions that retry when they are rejected. Whatever decides where commands go is
 // a Policy: the router's module is one, and simple baselines are there to compare it with.
--- a/internal/lab/testserver/member.go
+++ b/internal/lab/testserver/member.go
@@ -1,4 +1,4 @@
-// Package stand holds stand-ins of what surrounds a router, on loopback sockets and in real time: members,
+// Package testserver holds stand-ins of what surrounds a router, on loopback sockets and in real time: members,
 // discovery, clients, and a router that misbehaves as it is told. They speak the published protocols and
 // share no code with the router but the writing of messages.
 package testserver
--- a/internal/metrics/count.go
+++ b/internal/metrics/count.go
@@ -1,4 +1,4 @@
-// Package count holds the router's counters and writes them to its log.
+// Package metrics holds the router's counters and writes them to its log.
 package metrics
 
 import "slices"
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -1,4 +1,4 @@
-// Package explore takes a system through every order of its steps within bounds, and tells the shortest way to
+// Package modelcheck takes a system through every order of its steps within bounds, and tells the shortest way to
 // a state in which a property is broken, or from which the promised end cannot be reached any more. It knows
 // nothing of what it explores.
 //
--- a/internal/modelcheck/models/client.go
+++ b/internal/modelcheck/models/client.go
@@ -115,7 +115,7 @@
 	return s
 }
 
-// Listen implements loop.ServerNetwork, as the others do.
+// Listen implements eventloop.ServerNetwork, as the others do.
 func (l *listening) Listen(netip.AddrPort, int) (int, error) {
 	l.last++
 	l.listener = l.last
@@ -140,7 +140,7 @@
 // clientCore is the core that the front speaks to: the adversary.
 type clientCore struct{ *clients }
 
-// LookupShard implements front.Dispatcher, as the others do.
+// LookupShard implements frontend.Dispatcher, as the others do.
 func (clientCore) LookupShard(int) (int, bool) { return 0, true }
 
 func (s clientCore) IsInFlight(name string) bool {
@@ -249,7 +249,7 @@
 	return out
 }
 
-// Steps implements explore.System.
+// Steps implements modelcheck.System.
 func (s *clients) Steps() []string {
 	var out stepList
 	for i, c := range s.clients {
@@ -291,7 +291,7 @@
 	out.addIf(k.room > 0 && may("stall"), "stall %d", i)
 }
 
-// Commute implements explore.Commuter: what one client sends is nothing to the connection of another.
+// Commute implements modelcheck.Commuter: what one client sends is nothing to the connection of another.
 func (s *clients) Commute(a, b string) bool {
 	if modelcheck.Kind(a) != "say" {
 		a, b = b, a
@@ -306,7 +306,7 @@
 	return false
 }
 
-// Take implements explore.System.
+// Take implements modelcheck.System.
 func (s *clients) Take(step string) {
 	kind, n, _ := parseStep(step)
 	switch kind {
@@ -446,10 +446,10 @@
 	return fds
 }
 
-// Broken implements explore.System.
+// Broken implements modelcheck.System.
 func (s *clients) Broken() (string, string) { return s.check.Broken() }
 
-// Ended implements explore.System: the front has drained.
+// Ended implements modelcheck.System: the front has drained.
 func (s *clients) Ended() bool { return s.drained && s.front.OpenConnections() == 0 }
 
 // clientRules leave out the lists of those that may make room, for there is room for all, and what is the same in all
@@ -462,7 +462,7 @@
 	"models.sock":        {"handler"},
 }}
 
-// Fingerprint implements explore.System.
+// Fingerprint implements modelcheck.System.
 func (s *clients) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = clientRules
 	h.Float(s.wire.now)
--- a/internal/modelcheck/models/cold.go
+++ b/internal/modelcheck/models/cold.go
@@ -114,7 +114,7 @@
 	r.hand.ReviewDue(r.world.now)
 }
 
-// Forward implements hand.Executor.
+// Forward implements inflight.Executor.
 func (r *coldRouter) Forward(id uint32, number, node int, _ float64) {
 	if c := r.world; node == 1 && !math.IsInf(c.started, -1) {
 		c.check.Sent(c.now, c.started)
@@ -125,13 +125,13 @@
 	r.out = append(r.out, coldLeg{id, number, node})
 }
 
-// Cancel implements hand.Executor: an answer is quicker.
+// Cancel implements inflight.Executor: an answer is quicker.
 func (r *coldRouter) Cancel(uint32, int) {}
 
-// Reject implements hand.Executor.
+// Reject implements inflight.Executor.
 func (r *coldRouter) Reject(uint32, float64) {}
 
-// Fail implements hand.Executor.
+// Fail implements inflight.Executor.
 func (r *coldRouter) Fail(uint32) {}
 
 // ask has reads come, one after another. What the router holds waits in hand.
@@ -164,7 +164,7 @@
 	}
 }
 
-// Steps implements explore.System.
+// Steps implements modelcheck.System.
 func (c *cold) Steps() (s []string) {
 	for i, r := range c.routers {
 		if !r.burst {
@@ -180,12 +180,12 @@
 	return s
 }
 
-// Commute implements explore.Commuter: routers know nothing of each other, and the member counts what it is sent.
+// Commute implements modelcheck.Commuter: routers know nothing of each other, and the member counts what it is sent.
 func (c *cold) Commute(a, b string) bool {
 	return modelcheck.Kind(a) == "burst" && modelcheck.Kind(b) == "burst" && a != b
 }
 
-// Take implements explore.System.
+// Take implements modelcheck.System.
 func (c *cold) Take(step string) {
 	var n int
 	what := modelcheck.Kind(step)
@@ -214,7 +214,7 @@
 
 var coldRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: commandRules.Ignored}
 
-// Fingerprint implements explore.System.
+// Fingerprint implements modelcheck.System.
 func (c *cold) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = coldRules
 	h.Float(c.now)
@@ -227,10 +227,10 @@
 	h.Value(&c.check)
 }
 
-// Broken implements explore.System.
+// Broken implements modelcheck.System.
 func (c *cold) Broken() (string, string) { return c.check.Broken() }
 
-// Ended implements explore.System: the member is sent something, however cold.
+// Ended implements modelcheck.System: the member is sent something, however cold.
 func (c *cold) Ended() bool {
 	return slices.ContainsFunc(c.routers, func(r *coldRouter) bool { return r.burst })
 }
--- a/internal/modelcheck/models/command.go
+++ b/internal/modelcheck/models/command.go
@@ -208,7 +208,7 @@
 	}
 }
 
-// Forward implements hand.Executor.
+// Forward implements inflight.Executor.
 func (c *commands) Forward(id uint32, number, node int, until float64) {
 	x := c.cmds[id]
 	m := c.endpoints[node].Member
@@ -219,7 +219,7 @@
 	x.attempts = append(x.attempts, &attempt{number: number, endpoint: node, sentAt: c.now, deadline: until})
 }
 
-// Cancel implements hand.Executor.
+// Cancel implements inflight.Executor.
 func (c *commands) Cancel(id uint32, number int) {
 	for _, l := range c.cmds[id].attempts {
 		if l.number == number {
@@ -231,10 +231,10 @@
 	}
 }
 
-// Reject implements hand.Executor.
+// Reject implements inflight.Executor.
 func (c *commands) Reject(id uint32, _ float64) { c.Fail(id) }
 
-// Fail implements hand.Executor.
+// Fail implements inflight.Executor.
 func (c *commands) Fail(id uint32) {
 	if c.fault == "held-back" {
 		c.heldAnswers = append(c.heldAnswers, int(id))
@@ -243,7 +243,7 @@
 	c.check.Answered(c.now, c.cmds[id].name, &c.cmds[id].Command)
 }
 
-// Steps implements explore.System.
+// Steps implements modelcheck.System.
 func (c *commands) Steps() []string {
 	if c.Ended() && !c.hasAttemptsInFlight() && len(c.heldAnswers) == 0 {
 		return nil // nothing more can come of them
@@ -290,7 +290,7 @@
 	s.addIf(may("promote") && isReadyReplica && m.Covers >= c.lastWrite, "promote %d", i)
 }
 
-// Commute implements explore.Commuter: a replica that applies its log touches nothing but itself, and most steps
+// Commute implements modelcheck.Commuter: a replica that applies its log touches nothing but itself, and most steps
 // do not look at it.
 func (c *commands) Commute(a, b string) bool {
 	if modelcheck.Kind(a) != "apply" {
@@ -313,7 +313,7 @@
 	"unreached": router.ConnectFailed, "broken": router.ConnectionLost, "recalled": router.Canceled, "timed": router.TimedOut,
 }
 
-// Take implements explore.System.
+// Take implements modelcheck.System.
 func (c *commands) Take(step string) {
 	kind, n, k := parseStep(step)
 	switch kind {
@@ -579,7 +579,7 @@
 	"inflight.reviewQueue": {"count"},
 }}
 
-// Fingerprint implements explore.System. Nothing of the module is left out, chance included; what the world
+// Fingerprint implements modelcheck.System. Nothing of the module is left out, chance included; what the world
 // looks like follows from what is here.
 func (c *commands) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = commandRules
@@ -596,10 +596,10 @@
 	h.Value(c.freeRows)
 }
 
-// Broken implements explore.System.
+// Broken implements modelcheck.System.
 func (c *commands) Broken() (string, string) { return c.check.Broken() }
 
-// Ended implements explore.System: every command has had its end.
+// Ended implements modelcheck.System: every command has had its end.
 func (c *commands) Ended() bool {
 	for _, x := range c.cmds {
 		if !x.received || x.Open() {
--- a/internal/modelcheck/models/member.go
+++ b/internal/modelcheck/models/member.go
@@ -46,7 +46,7 @@
 	},
 }
 
-// members is the system: dispatches to one member over the connections of package member.
+// members is the system: dispatches to one member over the connections of package backend.
 type members struct {
 	bounds Bounds
 	fault  string
@@ -111,7 +111,7 @@
 // memberSink is told how dispatches end.
 type memberSink struct{ *members }
 
-// AttemptEnded implements member.ResultHandler.
+// AttemptEnded implements backend.ResultHandler.
 func (s memberSink) AttemptEnded(d *backend.Attempt, e router.Result, _ float64, a *pg.Answer) {
 	x := s.sends[d.CommandID]
 	x.state = 2
@@ -142,7 +142,7 @@
 	a.Row.Free()
 }
 
-// HealthChecked implements member.ResultHandler.
+// HealthChecked implements backend.ResultHandler.
 func (memberSink) HealthChecked(int, router.Result, float64, string) {}
 
 // written tells whether a command's statement was written whole on any connection, ever.
@@ -210,7 +210,7 @@
 	return pg.AppendReadyForQuery(pg.AppendParameterStatus(b, "recovery", "on"))
 }
 
-// Steps implements explore.System.
+// Steps implements modelcheck.System.
 func (s *members) Steps() []string {
 	var out stepList
 	for i, x := range s.sends {
@@ -295,7 +295,7 @@
 	return -1
 }
 
-// Take implements explore.System.
+// Take implements modelcheck.System.
 func (s *members) Take(step string) {
 	kind, n, _ := parseStep(step)
 	fd := 0
@@ -421,7 +421,7 @@
 	"models.wire":     {"timers"},
 }}
 
-// Fingerprint implements explore.System. A connection stands for its handler; timers for their times.
+// Fingerprint implements modelcheck.System. A connection stands for its handler; timers for their times.
 func (s *members) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = memberRules
 	h.Value(s)
@@ -438,8 +438,8 @@
 	}
 }
 
-// Broken implements explore.System.
+// Broken implements modelcheck.System.
 func (s *members) Broken() (string, string) { return s.check.Broken() }
 
-// Ended implements explore.System.
+// Ended implements modelcheck.System.
 func (s *members) Ended() bool { return s.closed }
--- a/internal/modelcheck/models/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -311,7 +311,7 @@
 	return a.handler.Supervisors[0].ProcessExited(r.now, "ended")
 }
 
-// Steps implements explore.System.
+// Steps implements modelcheck.System.
 func (r *rolloutSystem) Steps() []string {
 	may := func(kind string) bool { return r.bounds.may(kind, r.faults) }
 	var s stepList
@@ -345,7 +345,7 @@
 	}
 }
 
-// Commute implements explore.Commuter: what one agent does by itself is nothing to another.
+// Commute implements modelcheck.Commuter: what one agent does by itself is nothing to another.
 func (r *rolloutSystem) Commute(a, b string) bool {
 	if modelcheck.Kind(a) != "act" {
 		a, b = b, a
@@ -389,7 +389,7 @@
 	}
 }
 
-// Take implements explore.System.
+// Take implements modelcheck.System.
 func (r *rolloutSystem) Take(step string) {
 	kind, n, k := parseStep(step)
 	switch kind {
@@ -483,7 +483,7 @@
 	},
 }
 
-// Fingerprint implements explore.System. Left out are numbers of calls, which only tell them apart, and readings
+// Fingerprint implements modelcheck.System. Left out are numbers of calls, which only tell them apart, and readings
 // that nothing here goes by.
 func (r *rolloutSystem) Fingerprint(h *modelcheck.Hash) {
 	h.Rules, h.TimeZero = rolloutRules, r.now
@@ -506,10 +506,10 @@
 	h.Value(r.check)
 }
 
-// Broken implements explore.System.
+// Broken implements modelcheck.System.
 func (r *rolloutSystem) Broken() (string, string) { return r.check.Broken() }
 
-// Ended implements explore.System: a tool has seen the rollout to its end.
+// Ended implements modelcheck.System: a tool has seen the rollout to its end.
 func (r *rolloutSystem) Ended() bool {
 	for _, t := range r.tools {
 		if t.ended {
--- a/internal/modelcheck/models/settle.go
+++ b/internal/modelcheck/models/settle.go
@@ -35,7 +35,7 @@
 	return done()
 }
 
-// Settle implements explore.Settler: every dispatch ends, and the connections can be closed.
+// Settle implements modelcheck.Settler: every dispatch ends, and the connections can be closed.
 func (s *members) Settle() (property, how string) {
 	endless(&s.bounds, s.faults)
 	if !calm(s, s.Ended) {
@@ -50,7 +50,7 @@
 	return s.Broken()
 }
 
-// Settle implements explore.Settler: the list is told, and told again when it changes.
+// Settle implements modelcheck.Settler: the list is told, and told again when it changes.
 func (s *watching) Settle() (property, how string) {
 	endless(&s.bounds, s.faults)
 	s.lists = 0
@@ -60,7 +60,7 @@
 	return s.Broken()
 }
 
-// Settle implements explore.Settler: clients say what they have to and are answered; then the front drains.
+// Settle implements modelcheck.Settler: clients say what they have to and are answered; then the front drains.
 func (s *clients) Settle() (property, how string) {
 	endless(&s.bounds, s.faults)
 	calm(s, func() bool { return false })
@@ -73,7 +73,7 @@
 	return s.Broken()
 }
 
-// Settle implements explore.Settler: a cold member gets commands from every router.
+// Settle implements modelcheck.Settler: a cold member gets commands from every router.
 func (c *cold) Settle() (property, how string) {
 	c.served = make([]int, len(c.routers))
 	for range calmTicks {
@@ -88,7 +88,7 @@
 	return "", "" // whether it gets too much is for the steps, which can be read
 }
 
-// Settle implements explore.Settler: commands in hand end and leave nothing in it, and commands that come after that are
+// Settle implements modelcheck.Settler: commands in hand end and leave nothing in it, and commands that come after that are
 // served, if there is a member to serve them.
 func (c *commands) Settle() (property, how string) {
 	for range calmTicks / 2 { // a client timeout, and half of one
@@ -148,7 +148,7 @@
 	c.Take("tick")
 }
 
-// Settle implements explore.Settler: whatever happened, operators can bring the rollout to its end.
+// Settle implements modelcheck.Settler: whatever happened, operators can bring the rollout to its end.
 func (r *rolloutSystem) Settle() (property, how string) {
 	endless(&r.bounds, r.faults)
 	last := ""
--- a/internal/modelcheck/models/systems.go
+++ b/internal/modelcheck/models/systems.go
@@ -1,4 +1,4 @@
-// Package systems holds what is explored: the code that serves, with everything round it as an adversary that
+// Package models holds what is explored: the code that serves, with everything round it as an adversary that
 // picks what happens next. Bounds say how much of it there is.
 package models
 
--- a/internal/modelcheck/models/watch.go
+++ b/internal/modelcheck/models/watch.go
@@ -136,7 +136,7 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Steps implements explore.System.
+// Steps implements modelcheck.System.
 func (s *watching) Steps() []string {
 	var out stepList
 	for i, fd := range s.order {
@@ -173,7 +173,7 @@
 	out.addIf(may("end"), "end %d", i)
 }
 
-// Take implements explore.System.
+// Take implements modelcheck.System.
 func (s *watching) Take(step string) {
 	var n int
 	what := modelcheck.Kind(step)
@@ -266,7 +266,7 @@
 	"models.wire":     {"timers"},
 }}
 
-// Fingerprint implements explore.System.
+// Fingerprint implements modelcheck.System.
 func (s *watching) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = watchRules
 	h.Value(s)
@@ -275,8 +275,8 @@
 	h.Float(next - s.wire.now)
 }
 
-// Broken implements explore.System.
+// Broken implements modelcheck.System.
 func (s *watching) Broken() (string, string) { return s.check.Broken() }
 
-// Ended implements explore.System: a list of the address that is watched has been taken.
+// Ended implements modelcheck.System: a list of the address that is watched has been taken.
 func (s *watching) Ended() bool { return s.lists > 0 }
--- a/internal/modelcheck/models/wire.go
+++ b/internal/modelcheck/models/wire.go
@@ -11,7 +11,7 @@
 	"stoatdale.example/stoatdale/internal/eventloop"
 )
 
-// wire is a loop.Network without sockets: what arrives, and when it is seen, is the adversary's to pick.
+// wire is a eventloop.Network without sockets: what arrives, and when it is seen, is the adversary's to pick.
 type wire struct {
 	now    float64
 	last   int
--- a/internal/pki/keys.go
+++ b/internal/pki/keys.go
@@ -1,4 +1,4 @@
-// Package keys is the certificate authority of a fleet and its use: it issues and renews the certificates of agents
+// Package pki is the certificate authority of a fleet and its use: it issues and renews the certificates of agents
 // and operators, lists them, and makes the TLS configurations with which both sides verify each other.
 //
 // Everything lies in one folder of PEM files. Files are read anew for each connection, so a replaced file is used from
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,4 +1,4 @@
-// Package adapter hosts router instances behind the simulator's frames. It decodes records into calls, keeps the
+// Package simadapter hosts router instances behind the simulator's frames. It decodes records into calls, keeps the
 // instances' timers and encodes what they decide. Package hand keeps the commands in flight; nothing is decided here.
 package simadapter
 
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -13,7 +13,7 @@
 	errStartUnselected = errors.New("start before any instance was named")
 )
 
-// host spreads a batch's records over the instances that they concern. It implements wire.Handler.
+// host spreads a batch's records over the instances that they concern. It implements simproto.Handler.
 type host struct {
 	clock     uint64 // of the batch, in nanoseconds
 	instances map[uint32]*instance
@@ -45,7 +45,7 @@
 	return h.reply.Frame(), nil
 }
 
-// SelectInstance implements wire.Handler.
+// SelectInstance implements simproto.Handler.
 func (h *host) SelectInstance(id uint32) error {
 	h.selected = true
 	h.currentID = id
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// StartInstance implements wire.Handler.
+// StartInstance implements simproto.Handler.
 func (h *host) StartInstance(seed uint64, settings []byte) error {
 	if !h.selected {
 		return errStartUnselected
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// CrashInstance implements wire.Handler.
+// CrashInstance implements simproto.Handler.
 func (h *host) CrashInstance() error {
 	if _, err := h.instance(); err != nil {
 		return err
@@ -118,13 +118,13 @@
 	h.current = nil
 }
 
-// DefineList implements wire.Handler.
+// DefineList implements simproto.Handler.
 func (h *host) DefineList(id int, endpoints []simproto.Endpoint) error {
 	h.lists[id] = endpoints
 	return nil
 }
 
-// UpdateList implements wire.Handler.
+// UpdateList implements simproto.Handler.
 func (h *host) UpdateList(mode simproto.UpdateMode, id int) error {
 	i, err := h.instance()
 	if err != nil {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// Command implements wire.Handler.
+// Command implements simproto.Handler.
 func (h *host) Command(command simproto.Command) error {
 	i, err := h.instance()
 	if err != nil {
@@ -158,13 +158,13 @@
 	return nil
 }
 
-// FirstByte implements wire.Handler; no command group is streamed.
+// FirstByte implements simproto.Handler; no command group is streamed.
 func (h *host) FirstByte(uint32, int) error {
 	_, err := h.instance()
 	return err
 }
 
-// TimerFired implements wire.Handler; what is due is reviewed at the batch's end.
+// TimerFired implements simproto.Handler; what is due is reviewed at the batch's end.
 func (h *host) TimerFired(timer uint32) error {
 	i, err := h.instance()
 	if err != nil {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// ClientGone implements wire.Handler.
+// ClientGone implements simproto.Handler.
 func (h *host) ClientGone(command uint32) error {
 	return h.guarded(func(i *instance) { i.commands.ClientGone(i.now, command) })
 }
@@ -185,7 +185,7 @@
 	router.ConnectionLost, router.Canceled, router.NeverSent, router.NotServed,
 }
 
-// AttemptEnded implements wire.Handler.
+// AttemptEnded implements simproto.Handler.
 func (h *host) AttemptEnded(ended simproto.AttemptEnded) error {
 	i, err := h.instance()
 	if err != nil {
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// HealthChecked implements wire.Handler.
+// HealthChecked implements simproto.Handler.
 func (h *host) HealthChecked(address simproto.Address, result int, elapsed uint64, report []float32) error {
 	i, err := h.instance()
 	if err != nil {
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -17,7 +17,7 @@
 
 func seconds(nanoseconds int64) float64 { return float64(nanoseconds) * secondsPerNanosecond }
 
-// instance is one router with its timers and its commands in flight. It implements hand.Executor. Times are in
+// instance is one router with its timers and its commands in flight. It implements inflight.Executor. Times are in
 // seconds since its start.
 type instance struct {
 	id           uint32
@@ -168,20 +168,20 @@
 	}
 }
 
-// Forward implements hand.Executor.
+// Forward implements inflight.Executor.
 func (i *instance) Forward(command uint32, _, endpoint int, deadline float64) {
 	i.actions.Forward(command, i.addresses.Key(endpoint), i.clock(deadline))
 }
 
-// Cancel implements hand.Executor.
+// Cancel implements inflight.Executor.
 func (i *instance) Cancel(command uint32, attempt int) { i.actions.CancelAttempt(command, attempt) }
 
-// Reject implements hand.Executor.
+// Reject implements inflight.Executor.
 func (i *instance) Reject(command uint32, retryAfter float64) {
 	i.actions.Reject(command, uint64(retryAfter/secondsPerNanosecond))
 }
 
-// Fail implements hand.Executor.
+// Fail implements inflight.Executor.
 func (i *instance) Fail(command uint32) { i.actions.Fail(command) }
 
 // finish ends a batch: it reviews what is due and adds the instance's actions to the reply.
--- a/internal/simproto/batch.go
+++ b/internal/simproto/batch.go
@@ -1,4 +1,4 @@
-// Package wire is the codec of the simulator's frames: little-endian, packed, records one after another. It knows
+// Package simproto is the codec of the simulator's frames: little-endian, packed, records one after another. It knows
 // layouts and makes no decisions.
 package simproto
 
