--- a/internal/modelcheck/models/systems_test.go
+++ b/internal/modelcheck/models/systems_test.go
@@ -56,7 +56,7 @@
 	require.Len(t, rules, len(Kinds()))
 	for _, k := range Kinds() {
 		require.Contains(t, rules, k.Name)
-		bounds, err := Load("../../deploy/bounds/ci.sexp", k.Name)
+		bounds, err := Load("../../../deploy/bounds/ci.sexp", k.Name)
 		require.NoError(t, err)
 		within := bounds[0].Explore(0)
 		within.MaxStates = 2000
@@ -216,7 +216,7 @@
 func TestBoundsAndTracesAreFiles(t *testing.T) {
 	for _, file := range []string{"ci", "large"} {
 		for _, k := range Kinds() {
-			b, err := Load("../../deploy/bounds/"+file+".sexp", k.Name)
+			b, err := Load("../../../deploy/bounds/"+file+".sexp", k.Name)
 			require.NoError(t, err)
 			assert.NotEmpty(t, b)
 		}
@@ -263,7 +263,7 @@
 // TestBoundsOfCIAreExploredWhole is the exploration itself.
 func TestBoundsOfCIAreExploredWhole(t *testing.T) {
 	for _, k := range Kinds() {
-		bounds, err := Load("../../deploy/bounds/ci.sexp", k.Name)
+		bounds, err := Load("../../../deploy/bounds/ci.sexp", k.Name)
 		require.NoError(t, err)
 		for _, b := range bounds {
 			r := modelcheck.Run(context.Background(), k.New(b, ""), b.Explore(0), nil)
