--- /dev/null
+++ b/internal/lab/model/policy.go
@@ -0,0 +1,82 @@
+package model
+
+import (
+	"math/rand/v2"
+	"slices"
+
+	"stoatdale.example/stoatdale/internal/inflight"
+	"stoatdale.example/stoatdale/internal/router"
+)
+
+// Policy decides where commands go. It learns what a router learns and nothing else, except for the omniscient baseline.
+// Times are virtual and in seconds.
+type Policy interface {
+	Add(now float64, id uint32, c router.Command)
+	ClientGone(now float64, id uint32)
+	AttemptEnded(now float64, id uint32, o router.AttemptResult)
+	ReviewDue(now float64) (next float64, probes []int)
+	UpdateEndpoints(now float64, l []router.EndpointInfo)
+	HealthChecked(now float64, node int, ok bool, took, position float64, primary bool)
+}
+
+// policyConstructors are the policies by name. All but the module are baselines to measure it against.
+var policyConstructors map[string]func(r *instance) Policy
+
+func init() {
+	policyConstructors = map[string]func(r *instance) Policy{
+		"module":      newModule,
+		"primary":     newBaseline(primaryOnly),
+		"any":         newBaseline(anyReplica),
+		"window":      newBaseline(primaryForAWindow),
+		"round-robin": newBaseline(roundRobin),
+		"least":       newBaseline(leastDispatches),
+		"two-choices": newBaseline(twoChoices),
+		"ceiling": func(r *instance) Policy {
+			b := newBaseline(omniscient)(r).(*baselinePolicy)
+			b.seesBackends = true
+			return b
+		},
+	}
+}
+
+// Policies are the names of all policies, sorted.
+func Policies() []string {
+	var out []string
+	for n := range policyConstructors {
+		out = append(out, n)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// module is the router module, as it serves in production.
+type module struct {
+	*inflight.Tracker
+	router *router.Router
+}
+
+func newModule(r *instance) Policy {
+	seed := rand.New(rand.NewPCG(r.world.seed, hashName("routers")+uint64(r.index)<<8+uint64(r.boots))).Uint64()
+	m := router.New(r.config(), seed)
+	return &module{inflight.New(m, r), m}
+}
+
+// ReviewDue implements Policy.
+func (m *module) ReviewDue(now float64) (float64, []int) {
+	next, keep := m.Tracker.ReviewDue(now)
+	return next, keep.HealthCheck
+}
+
+// UpdateEndpoints implements Policy.
+func (m *module) UpdateEndpoints(now float64, l []router.EndpointInfo) {
+	m.router.UpdateEndpoints(now, l, true, false)
+}
+
+// HealthChecked implements Policy.
+func (m *module) HealthChecked(now float64, node int, ok bool, took, position float64, primary bool) {
+	ending := router.Answered
+	if !ok {
+		ending = router.ConnectFailed
+	}
+	m.router.HealthChecked(now, node, ending, took, position, primary)
+}
--- a/internal/explore/explore.go
+++ b/internal/modelcheck/explore.go
@@ -1,10 +1,10 @@
-// Package explore takes a system through every order of its steps within bounds, and tells the shortest way to
+// Package modelcheck takes a system through every order of its steps within bounds, and tells the shortest way to
 // a state in which a property is broken, or from which the promised end cannot be reached any more. It knows
 // nothing of what it explores.
 //
 // A state is known by the fingerprint of all that decides its future. States are not kept but played again from
 // the start: the systems here are the code that serves, with closures and pointers that cannot be copied.
-package explore
+package modelcheck
 
 import (
 	"context"
--- a/internal/systems/client.go
+++ b/internal/modelcheck/models/client.go
@@ -1,4 +1,4 @@
-package systems
+package models
 
 import (
 	"bytes"
@@ -16,10 +16,10 @@
 	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/dispatcher"
 	"stoatdale.example/stoatdale/internal/eventloop"
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/frontend"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/metrics"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -33,8 +33,8 @@
 		"left-twice": {"a command whose client has left is answered all the same", Bounds{Clients: 1, Commands: []string{"look"}, Faults: 1}},
 		"unheard":    {"a client that leaves is not told to the core", Bounds{Clients: 1, Commands: []string{"look"}, Faults: 2}},
 	},
-	New: func(b Bounds, fault string) func() explore.System {
-		return func() explore.System { return newClient(b, fault) }
+	New: func(b Bounds, fault string) func() modelcheck.System {
+		return func() modelcheck.System { return newClient(b, fault) }
 	},
 }
 
@@ -45,7 +45,7 @@
 	wire     *listening
 	front    *frontend.Server
 	blocks   *buffer.Pool
-	check    verdict.Clients
+	check    invariant.Clients
 	clients  []*scriptedClient
 	received []*receivedCommand
 	faults   int
@@ -115,7 +115,7 @@
 	return s
 }
 
-// Listen implements loop.ServerNetwork, as the others do.
+// Listen implements eventloop.ServerNetwork, as the others do.
 func (l *listening) Listen(netip.AddrPort, int) (int, error) {
 	l.last++
 	l.listener = l.last
@@ -140,7 +140,7 @@
 // clientCore is the core that the front speaks to: the adversary.
 type clientCore struct{ *clients }
 
-// LookupShard implements front.Dispatcher, as the others do.
+// LookupShard implements frontend.Dispatcher, as the others do.
 func (clientCore) LookupShard(int) (int, bool) { return 0, true }
 
 func (s clientCore) IsInFlight(name string) bool {
@@ -193,12 +193,12 @@
 }
 
 // may is what a client's n-th message may be answered with.
-func (s *clients) may(client, n int) func(verdict.Answer) bool {
+func (s *clients) may(client, n int) func(invariant.Answer) bool {
 	if n == 0 {
-		return func(a verdict.Answer) bool { return a == verdict.Answer{} }
+		return func(a invariant.Answer) bool { return a == invariant.Answer{} }
 	}
 	kind := s.bounds.Commands[n-1]
-	return func(a verdict.Answer) bool {
+	return func(a invariant.Answer) bool {
 		switch kind {
 		case "empty":
 			return a.Empty
@@ -214,12 +214,12 @@
 }
 
 // answers reads what a client was sent. What is not yet whole is left out; an error that is fatal needs no more.
-func answers(raw []byte) (out []verdict.Answer) {
-	var a verdict.Answer
+func answers(raw []byte) (out []invariant.Answer) {
+	var a invariant.Answer
 	for len(raw) >= 5 {
 		n := 1 + int(binary.BigEndian.Uint32(raw[1:]))
 		if n < 5 || n > 1<<16 || !bytes.ContainsRune([]byte("RSKZTDCIE"), rune(raw[0])) {
-			return append(out, verdict.Answer{Garbled: true})
+			return append(out, invariant.Answer{Garbled: true})
 		}
 		if len(raw) < n {
 			return out
@@ -239,17 +239,17 @@
 				}
 			}
 			if a.Code == pg.CodeProtocolViolation { // no ReadyForQuery comes after it
-				out, a = append(out, a), verdict.Answer{}
+				out, a = append(out, a), invariant.Answer{}
 			}
 		case 'Z':
-			out, a = append(out, a), verdict.Answer{}
+			out, a = append(out, a), invariant.Answer{}
 		}
 		raw = raw[n:]
 	}
 	return out
 }
 
-// Steps implements explore.System.
+// Steps implements modelcheck.System.
 func (s *clients) Steps() []string {
 	var out stepList
 	for i, c := range s.clients {
@@ -291,22 +291,22 @@
 	out.addIf(k.room > 0 && may("stall"), "stall %d", i)
 }
 
-// Commute implements explore.Commuter: what one client sends is nothing to the connection of another.
+// Commute implements modelcheck.Commuter: what one client sends is nothing to the connection of another.
 func (s *clients) Commute(a, b string) bool {
-	if explore.Kind(a) != "say" {
+	if modelcheck.Kind(a) != "say" {
 		a, b = b, a
 	}
-	if explore.Kind(a) != "say" || a[len(a)-1] == b[len(b)-1] {
+	if modelcheck.Kind(a) != "say" || a[len(a)-1] == b[len(b)-1] {
 		return false
 	}
-	switch explore.Kind(b) {
+	switch modelcheck.Kind(b) {
 	case "say", "see", "half", "stall", "take", "leave":
 		return true
 	}
 	return false
 }
 
-// Take implements explore.System.
+// Take implements modelcheck.System.
 func (s *clients) Take(step string) {
 	kind, n, _ := parseStep(step)
 	switch kind {
@@ -417,13 +417,13 @@
 		if k := s.wire.socks[c.fd]; c.connected && k != nil {
 			c.received = append(c.received[:0], k.sent...)
 		}
-		var may []func(verdict.Answer) bool
+		var may []func(invariant.Answer) bool
 		for n := range c.messagesSent {
 			own := s.may(i, n)
-			may = append(may, func(a verdict.Answer) bool { return own(a) || c.wasSlow && a.Code == pg.CodeProtocolViolation })
+			may = append(may, func(a invariant.Answer) bool { return own(a) || c.wasSlow && a.Code == pg.CodeProtocolViolation })
 		}
 		if c.halfSent { // its own half message may be found wrong
-			may = append(may, func(a verdict.Answer) bool { return a.Code == pg.CodeProtocolViolation })
+			may = append(may, func(a invariant.Answer) bool { return a.Code == pg.CodeProtocolViolation })
 		}
 		s.check.Read(i, answers(c.received), may)
 	}
@@ -446,24 +446,24 @@
 	return fds
 }
 
-// Broken implements explore.System.
+// Broken implements modelcheck.System.
 func (s *clients) Broken() (string, string) { return s.check.Broken() }
 
-// Ended implements explore.System: the front has drained.
+// Ended implements modelcheck.System: the front has drained.
 func (s *clients) Ended() bool { return s.drained && s.front.OpenConnections() == 0 }
 
 // clientRules leave out the lists of those that may make room, for there is room for all, and what is the same in all
 // states or stands for the same thing elsewhere.
-var clientRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
+var clientRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
 	"buffer.Chain":       {"pool"},
 	"dispatcher.Command": {"Owner", "Responder"},
 	"frontend.conn":      {"fd", "server", "shedElement", "shedQueue", "timer"},
-	"systems.clients":    {"blocks", "bounds", "fault", "front", "wire"},
-	"systems.sock":       {"handler"},
+	"models.clients":     {"blocks", "bounds", "fault", "front", "wire"},
+	"models.sock":        {"handler"},
 }}
 
-// Fingerprint implements explore.System.
-func (s *clients) Fingerprint(h *explore.Hash) {
+// Fingerprint implements modelcheck.System.
+func (s *clients) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = clientRules
 	h.Float(s.wire.now)
 	h.Value(s)
--- a/internal/systems/cold.go
+++ b/internal/modelcheck/models/cold.go
@@ -1,13 +1,13 @@
-package systems
+package models
 
 import (
 	"fmt"
 	"math"
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/inflight"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -17,8 +17,8 @@
 		"alone":     {"each router takes itself for the only one", Bounds{Routers: 2, Ticks: 5}},
 		"unstarted": {"a member's start is not told with the list", Bounds{Routers: 2, Ticks: 1}},
 	},
-	New: func(b Bounds, fault string) func() explore.System {
-		return func() explore.System { return newCold(b, fault) }
+	New: func(b Bounds, fault string) func() modelcheck.System {
+		return func() modelcheck.System { return newCold(b, fault) }
 	},
 }
 
@@ -41,7 +41,7 @@
 	faults  int
 	started float64
 	routers []*coldRouter
-	check   verdict.Cold
+	check   invariant.Cold
 	served  []int // dispatches to the cold member by each router, while nobody is against it
 }
 
@@ -62,7 +62,7 @@
 }
 
 func newCold(b Bounds, fault string) *cold {
-	c := &cold{bounds: b, fault: fault, now: 10, started: math.Inf(-1), check: verdict.Cold{
+	c := &cold{bounds: b, fault: fault, now: 10, started: math.Inf(-1), check: invariant.Cold{
 		Capacity: 1 / coldWork, Share: 0.2, WarmIn: 8,
 		Overload: 2, FallSpan: 2,
 	}}
@@ -114,7 +114,7 @@
 	r.hand.ReviewDue(r.world.now)
 }
 
-// Forward implements hand.Executor.
+// Forward implements inflight.Executor.
 func (r *coldRouter) Forward(id uint32, number, node int, _ float64) {
 	if c := r.world; node == 1 && !math.IsInf(c.started, -1) {
 		c.check.Sent(c.now, c.started)
@@ -125,13 +125,13 @@
 	r.out = append(r.out, coldLeg{id, number, node})
 }
 
-// Cancel implements hand.Executor: an answer is quicker.
+// Cancel implements inflight.Executor: an answer is quicker.
 func (r *coldRouter) Cancel(uint32, int) {}
 
-// Reject implements hand.Executor.
+// Reject implements inflight.Executor.
 func (r *coldRouter) Reject(uint32, float64) {}
 
-// Fail implements hand.Executor.
+// Fail implements inflight.Executor.
 func (r *coldRouter) Fail(uint32) {}
 
 // ask has reads come, one after another. What the router holds waits in hand.
@@ -164,7 +164,7 @@
 	}
 }
 
-// Steps implements explore.System.
+// Steps implements modelcheck.System.
 func (c *cold) Steps() (s []string) {
 	for i, r := range c.routers {
 		if !r.burst {
@@ -180,15 +180,15 @@
 	return s
 }
 
-// Commute implements explore.Commuter: routers know nothing of each other, and the member counts what it is sent.
+// Commute implements modelcheck.Commuter: routers know nothing of each other, and the member counts what it is sent.
 func (c *cold) Commute(a, b string) bool {
-	return explore.Kind(a) == "burst" && explore.Kind(b) == "burst" && a != b
+	return modelcheck.Kind(a) == "burst" && modelcheck.Kind(b) == "burst" && a != b
 }
 
-// Take implements explore.System.
+// Take implements modelcheck.System.
 func (c *cold) Take(step string) {
 	var n int
-	what := explore.Kind(step)
+	what := modelcheck.Kind(step)
 	_, _ = fmt.Sscanf(step[len(what):], "%d", &n)
 	switch what {
 	case "burst":
@@ -212,10 +212,10 @@
 	}
 }
 
-var coldRules = &explore.Rules{FloatGrain: 1e-9, Ignored: commandRules.Ignored}
+var coldRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: commandRules.Ignored}
 
-// Fingerprint implements explore.System.
-func (c *cold) Fingerprint(h *explore.Hash) {
+// Fingerprint implements modelcheck.System.
+func (c *cold) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = coldRules
 	h.Float(c.now)
 	h.Uint(uint64(c.faults))
@@ -227,10 +227,10 @@
 	h.Value(&c.check)
 }
 
-// Broken implements explore.System.
+// Broken implements modelcheck.System.
 func (c *cold) Broken() (string, string) { return c.check.Broken() }
 
-// Ended implements explore.System: the member is sent something, however cold.
+// Ended implements modelcheck.System: the member is sent something, however cold.
 func (c *cold) Ended() bool {
 	return slices.ContainsFunc(c.routers, func(r *coldRouter) bool { return r.burst })
 }
--- a/internal/systems/command.go
+++ b/internal/modelcheck/models/command.go
@@ -1,4 +1,4 @@
-package systems
+package models
 
 import (
 	"cmp"
@@ -7,9 +7,9 @@
 	"slices"
 	"strings"
 
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/inflight"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -73,8 +73,8 @@
 			Bounds{Members: 2, Commands: []string{"keyed"}, Ticks: 1, Faults: 1},
 		},
 	},
-	New: func(b Bounds, fault string) func() explore.System {
-		return func() explore.System { return newCommands(b, fault) }
+	New: func(b Bounds, fault string) func() modelcheck.System {
+		return func() modelcheck.System { return newCommands(b, fault) }
 	},
 }
 
@@ -89,15 +89,15 @@
 type commandGroup struct {
 	name string
 	g    router.CommandGroup
-	e    verdict.Effect
+	e    invariant.Effect
 }
 
 // Names of command groups in bounds, and what they are.
 var commandGroups = []commandGroup{
-	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, verdict.Replayable},
-	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, verdict.Replayable},
-	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, verdict.Mutating},
-	{"keyed", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope}, verdict.Keyed},
+	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, invariant.Replayable},
+	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, invariant.Replayable},
+	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, invariant.Mutating},
+	{"keyed", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope}, invariant.Keyed},
 }
 
 // commands is the system: one router, one set whose member 0 is the primary at first, and one session.
@@ -113,7 +113,7 @@
 	endpoints         []simulatedEndpoint
 	cmds              []*clientCommand
 	healthChecks      map[int]bool // that the module waits for
-	check             verdict.Commands
+	check             invariant.Commands
 	lastWrite         float64  // position of the session's last write
 	readHighWaterMark float64  // the furthest position that its reads have shown at this router
 	starts            int      // of the router
@@ -123,13 +123,13 @@
 }
 
 type simulatedEndpoint struct {
-	verdict.Member
+	invariant.Member
 	primary     bool
 	listedState router.EndpointState
 }
 
 type clientCommand struct {
-	verdict.Command
+	invariant.Command
 	name     string
 	group    int
 	received bool
@@ -151,11 +151,11 @@
 
 func newCommands(b Bounds, fault string) *commands {
 	c := &commands{
-		bounds: b, fault: fault, healthChecks: map[int]bool{}, check: verdict.Commands{Grace: cmdGrace}, lastWrite: math.Inf(-1),
+		bounds: b, fault: fault, healthChecks: map[int]bool{}, check: invariant.Commands{Grace: cmdGrace}, lastWrite: math.Inf(-1),
 		readHighWaterMark: math.Inf(-1),
 	}
 	for range b.Members {
-		c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready, Member: verdict.Member{Covers: 10}})
+		c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready, Member: invariant.Member{Covers: 10}})
 	}
 	c.endpoints[0].primary = true
 	for i, name := range b.Commands {
@@ -208,7 +208,7 @@
 	}
 }
 
-// Forward implements hand.Executor.
+// Forward implements inflight.Executor.
 func (c *commands) Forward(id uint32, number, node int, until float64) {
 	x := c.cmds[id]
 	m := c.endpoints[node].Member
@@ -219,7 +219,7 @@
 	x.attempts = append(x.attempts, &attempt{number: number, endpoint: node, sentAt: c.now, deadline: until})
 }
 
-// Cancel implements hand.Executor.
+// Cancel implements inflight.Executor.
 func (c *commands) Cancel(id uint32, number int) {
 	for _, l := range c.cmds[id].attempts {
 		if l.number == number {
@@ -231,10 +231,10 @@
 	}
 }
 
-// Reject implements hand.Executor.
+// Reject implements inflight.Executor.
 func (c *commands) Reject(id uint32, _ float64) { c.Fail(id) }
 
-// Fail implements hand.Executor.
+// Fail implements inflight.Executor.
 func (c *commands) Fail(id uint32) {
 	if c.fault == "held-back" {
 		c.heldAnswers = append(c.heldAnswers, int(id))
@@ -243,7 +243,7 @@
 	c.check.Answered(c.now, c.cmds[id].name, &c.cmds[id].Command)
 }
 
-// Steps implements explore.System.
+// Steps implements modelcheck.System.
 func (c *commands) Steps() []string {
 	if c.Ended() && !c.hasAttemptsInFlight() && len(c.heldAnswers) == 0 {
 		return nil // nothing more can come of them
@@ -290,16 +290,16 @@
 	s.addIf(may("promote") && isReadyReplica && m.Covers >= c.lastWrite, "promote %d", i)
 }
 
-// Commute implements explore.Commuter: a replica that applies its log touches nothing but itself, and most steps
+// Commute implements modelcheck.Commuter: a replica that applies its log touches nothing but itself, and most steps
 // do not look at it.
 func (c *commands) Commute(a, b string) bool {
-	if explore.Kind(a) != "apply" {
+	if modelcheck.Kind(a) != "apply" {
 		a, b = b, a
 	}
-	if explore.Kind(a) != "apply" {
+	if modelcheck.Kind(a) != "apply" {
 		return false
 	}
-	switch explore.Kind(b) {
+	switch modelcheck.Kind(b) {
 	case "apply", "take": // what may end the last command is not among them: nothing comes after that
 		return a != b
 	case "report":
@@ -313,7 +313,7 @@
 	"unreached": router.ConnectFailed, "broken": router.ConnectionLost, "recalled": router.Canceled, "timed": router.TimedOut,
 }
 
-// Take implements explore.System.
+// Take implements modelcheck.System.
 func (c *commands) Take(step string) {
 	kind, n, k := parseStep(step)
 	switch kind {
@@ -573,15 +573,15 @@
 }
 
 // commandRules leave out to whom the tracker reports, and the numbers that tell reviews of one time apart.
-var commandRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
+var commandRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
 	"inflight.Tracker":     {"executor"},
 	"inflight.review":      {"order"},
 	"inflight.reviewQueue": {"count"},
 }}
 
-// Fingerprint implements explore.System. Nothing of the module is left out, chance included; what the world
+// Fingerprint implements modelcheck.System. Nothing of the module is left out, chance included; what the world
 // looks like follows from what is here.
-func (c *commands) Fingerprint(h *explore.Hash) {
+func (c *commands) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = commandRules
 	h.Float(c.now)
 	h.Uint(uint64(c.faults))
@@ -596,10 +596,10 @@
 	h.Value(c.freeRows)
 }
 
-// Broken implements explore.System.
+// Broken implements modelcheck.System.
 func (c *commands) Broken() (string, string) { return c.check.Broken() }
 
-// Ended implements explore.System: every command has had its end.
+// Ended implements modelcheck.System: every command has had its end.
 func (c *commands) Ended() bool {
 	for _, x := range c.cmds {
 		if !x.received || x.Open() {
--- a/internal/systems/member.go
+++ b/internal/modelcheck/models/member.go
@@ -1,4 +1,4 @@
-package systems
+package models
 
 import (
 	"bytes"
@@ -10,9 +10,9 @@
 	"stoatdale.example/stoatdale/internal/backend"
 	"stoatdale.example/stoatdale/internal/buffer"
 	"stoatdale.example/stoatdale/internal/config"
-	"stoatdale.example/stoatdale/internal/explore"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
 	"stoatdale.example/stoatdale/internal/metrics"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/pg"
 	"stoatdale.example/stoatdale/internal/router"
 )
@@ -41,12 +41,12 @@
 			Bounds{Commands: []string{"look"}, Faults: 1},
 		},
 	},
-	New: func(b Bounds, fault string) func() explore.System {
-		return func() explore.System { return newMember(b, fault) }
+	New: func(b Bounds, fault string) func() modelcheck.System {
+		return func() modelcheck.System { return newMember(b, fault) }
 	},
 }
 
-// members is the system: dispatches to one member over the connections of package member.
+// members is the system: dispatches to one member over the connections of package backend.
 type members struct {
 	bounds Bounds
 	fault  string
@@ -56,7 +56,7 @@
 	sends  []*sending
 	faults int
 	ticks  int
-	check  verdict.Dispatches
+	check  invariant.Dispatches
 	order  []int // descriptors, in the order in which they came
 	closed bool
 	pg     map[int]*peer
@@ -111,7 +111,7 @@
 // memberSink is told how dispatches end.
 type memberSink struct{ *members }
 
-// AttemptEnded implements member.ResultHandler.
+// AttemptEnded implements backend.ResultHandler.
 func (s memberSink) AttemptEnded(d *backend.Attempt, e router.Result, _ float64, a *pg.Answer) {
 	x := s.sends[d.CommandID]
 	x.state = 2
@@ -142,7 +142,7 @@
 	a.Row.Free()
 }
 
-// HealthChecked implements member.ResultHandler.
+// HealthChecked implements backend.ResultHandler.
 func (memberSink) HealthChecked(int, router.Result, float64, string) {}
 
 // written tells whether a command's statement was written whole on any connection, ever.
@@ -210,7 +210,7 @@
 	return pg.AppendReadyForQuery(pg.AppendParameterStatus(b, "recovery", "on"))
 }
 
-// Steps implements explore.System.
+// Steps implements modelcheck.System.
 func (s *members) Steps() []string {
 	var out stepList
 	for i, x := range s.sends {
@@ -295,7 +295,7 @@
 	return -1
 }
 
-// Take implements explore.System.
+// Take implements modelcheck.System.
 func (s *members) Take(step string) {
 	kind, n, _ := parseStep(step)
 	fd := 0
@@ -411,18 +411,18 @@
 }
 
 // memberRules leave out what is the same in all states or stands for the same thing elsewhere.
-var memberRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
+var memberRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
 	"buffer.Chain":    {"pool"},
 	"backend.Attempt": {"conn"},
 	"backend.Pool":    {"blocks", "counters", "limits", "loop", "results"},
 	"backend.conn":    {"pool", "timer"},
-	"systems.members": {"blocks", "bounds", "fault"},
-	"systems.sock":    {"handler"},
-	"systems.wire":    {"timers"},
+	"models.members":  {"blocks", "bounds", "fault"},
+	"models.sock":     {"handler"},
+	"models.wire":     {"timers"},
 }}
 
-// Fingerprint implements explore.System. A connection stands for its handler; timers for their times.
-func (s *members) Fingerprint(h *explore.Hash) {
+// Fingerprint implements modelcheck.System. A connection stands for its handler; timers for their times.
+func (s *members) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = memberRules
 	h.Value(s)
 	for _, fd := range s.order {
@@ -438,8 +438,8 @@
 	}
 }
 
-// Broken implements explore.System.
+// Broken implements modelcheck.System.
 func (s *members) Broken() (string, string) { return s.check.Broken() }
 
-// Ended implements explore.System.
+// Ended implements modelcheck.System.
 func (s *members) Ended() bool { return s.closed }
--- a/internal/systems/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -1,4 +1,4 @@
-package systems
+package models
 
 import (
 	"fmt"
@@ -6,13 +6,13 @@
 	"slices"
 	"strings"
 
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
 	"stoatdale.example/stoatdale/internal/fleet/lease"
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 )
 
 var rolloutKind = Kind{
@@ -27,8 +27,8 @@
 		"untold-start": {"the outcome of a router's start is not told to its agent", Bounds{Agents: 1, Tools: 1, Ticks: 1}},
 		"two-begin":    {"the plan does not look whether another instance is in a step", Bounds{Agents: 2, Tools: 1, Ticks: 2}},
 	},
-	New: func(b Bounds, fault string) func() explore.System {
-		return func() explore.System { return newRollout(b, fault) }
+	New: func(b Bounds, fault string) func() modelcheck.System {
+		return func() modelcheck.System { return newRollout(b, fault) }
 	},
 }
 
@@ -51,7 +51,7 @@
 	agents       []*rollAgent
 	tools        []*rollTool
 	delayedCalls []rollCall // calls that are still on their way after their tool has given them up
-	check        *verdict.Fleet
+	check        *invariant.Fleet
 }
 
 type rollAgent struct {
@@ -84,7 +84,7 @@
 }
 
 func newRollout(b Bounds, fault string) *rolloutSystem {
-	r := &rolloutSystem{bounds: b, fault: fault, check: verdict.NewFleet(b.Agents - 1), limits: supervisor.Limits{
+	r := &rolloutSystem{bounds: b, fault: fault, check: invariant.NewFleet(b.Agents - 1), limits: supervisor.Limits{
 		ReadyTimeoutSeconds: 100, TerminationGraceSeconds: 0.5,
 		HealthCheckSeconds: 1e9, CounterReadSeconds: 1e9, RecentSeconds: 1, MinBackoffSeconds: 0.5, MaxBackoffSeconds: 1, StableSeconds: 1e9, MaxCrashes: 9, MaxMissedHealthChecks: 9, KillRetrySeconds: 100,
 	}}
@@ -311,7 +311,7 @@
 	return a.handler.Supervisors[0].ProcessExited(r.now, "ended")
 }
 
-// Steps implements explore.System.
+// Steps implements modelcheck.System.
 func (r *rolloutSystem) Steps() []string {
 	may := func(kind string) bool { return r.bounds.may(kind, r.faults) }
 	var s stepList
@@ -345,15 +345,15 @@
 	}
 }
 
-// Commute implements explore.Commuter: what one agent does by itself is nothing to another.
+// Commute implements modelcheck.Commuter: what one agent does by itself is nothing to another.
 func (r *rolloutSystem) Commute(a, b string) bool {
-	if explore.Kind(a) != "act" {
+	if modelcheck.Kind(a) != "act" {
 		a, b = b, a
 	}
-	if explore.Kind(a) != "act" || a[len(a)-1] == b[len(b)-1] {
+	if modelcheck.Kind(a) != "act" || a[len(a)-1] == b[len(b)-1] {
 		return false
 	}
-	return explore.Kind(b) == "act" || strings.HasPrefix(b, "die agent")
+	return modelcheck.Kind(b) == "act" || strings.HasPrefix(b, "die agent")
 }
 
 // calm tells whether no step is open or on its way: a router that ends by itself between the plan's last look
@@ -389,7 +389,7 @@
 	}
 }
 
-// Take implements explore.System.
+// Take implements modelcheck.System.
 func (r *rolloutSystem) Take(step string) {
 	kind, n, k := parseStep(step)
 	switch kind {
@@ -461,19 +461,19 @@
 
 // rolloutRules leave out what decides nothing: numbers of calls, which only tell them apart, readings of counters and of
 // a claim's age, which nothing here goes by, and what is the same in all states. Times count from now.
-var rolloutRules = &explore.Rules{
+var rolloutRules = &modelcheck.Rules{
 	FloatGrain: 1e-6,
-	Ignored: explore.Fields{
+	Ignored: modelcheck.Fields{
 		"lease.State":             {"HeldSeconds", "RemainingSeconds"},
 		"rollout.Planner":         {"Fleet"},
 		"rollout.Observation":     {"ReadySeconds"},
 		"coordinator.Config":      {"Fleet", "Random", "Timing"},
 		"coordinator.Coordinator": {"events", "lastCallID", "pendingCalls", "statuses"},
 		"coordinator.agent":       {"leaseState", "pendingCommand", "pendingQuery"},
-		"systems.rollCall":        {"ID"},
+		"models.rollCall":         {"ID"},
 		"supervisor.Supervisor":   {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
 	},
-	Times: explore.Fields{
+	Times: modelcheck.Fields{
 		"lease.Lease":             {"expiresAt", "heldSince", "now"},
 		"rollout.Planner":         {"waitingSince"},
 		"rollout.Observation":     {"SeenAt"},
@@ -483,9 +483,9 @@
 	},
 }
 
-// Fingerprint implements explore.System. Left out are numbers of calls, which only tell them apart, and readings
+// Fingerprint implements modelcheck.System. Left out are numbers of calls, which only tell them apart, and readings
 // that nothing here goes by.
-func (r *rolloutSystem) Fingerprint(h *explore.Hash) {
+func (r *rolloutSystem) Fingerprint(h *modelcheck.Hash) {
 	h.Rules, h.TimeZero = rolloutRules, r.now
 	h.Uint(uint64(r.bounds.Faults - r.faults))
 	h.Uint(uint64(r.bounds.Ticks - r.ticks))
@@ -506,10 +506,10 @@
 	h.Value(r.check)
 }
 
-// Broken implements explore.System.
+// Broken implements modelcheck.System.
 func (r *rolloutSystem) Broken() (string, string) { return r.check.Broken() }
 
-// Ended implements explore.System: a tool has seen the rollout to its end.
+// Ended implements modelcheck.System: a tool has seen the rollout to its end.
 func (r *rolloutSystem) Ended() bool {
 	for _, t := range r.tools {
 		if t.ended {
--- a/internal/systems/settle.go
+++ b/internal/modelcheck/models/settle.go
@@ -1,13 +1,13 @@
-package systems
+package models
 
 import (
 	"fmt"
 	"math"
 	"slices"
 
-	"stoatdale.example/stoatdale/internal/explore"
 	"stoatdale.example/stoatdale/internal/fleet/coordinator"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 	"stoatdale.example/stoatdale/internal/router"
 )
 
@@ -24,7 +24,7 @@
 func endless(b *Bounds, faults int) { b.Faults, b.Ticks = faults, math.MaxInt }
 
 // calm has everything happen that can, in order, and lets time pass when nothing else can. It tells whether the end came.
-func calm(s explore.System, done func() bool) bool {
+func calm(s modelcheck.System, done func() bool) bool {
 	for range calmSteps {
 		steps := s.Steps() // time comes last
 		if done() || len(steps) == 0 {
@@ -35,7 +35,7 @@
 	return done()
 }
 
-// Settle implements explore.Settler: every dispatch ends, and the connections can be closed.
+// Settle implements modelcheck.Settler: every dispatch ends, and the connections can be closed.
 func (s *members) Settle() (property, how string) {
 	endless(&s.bounds, s.faults)
 	if !calm(s, s.Ended) {
@@ -45,22 +45,22 @@
 				open = append(open, int(x.d.CommandID))
 			}
 		}
-		return verdict.ComesToEnd, fmt.Sprintf("dispatches %v do not end", open)
+		return invariant.ComesToEnd, fmt.Sprintf("dispatches %v do not end", open)
 	}
 	return s.Broken()
 }
 
-// Settle implements explore.Settler: the list is told, and told again when it changes.
+// Settle implements modelcheck.Settler: the list is told, and told again when it changes.
 func (s *watching) Settle() (property, how string) {
 	endless(&s.bounds, s.faults)
 	s.lists = 0
 	if !calm(s, func() bool { return s.lists >= 2 }) {
-		return verdict.ComesToEnd, fmt.Sprintf("of the list %d versions are told, and then none", s.lists)
+		return invariant.ComesToEnd, fmt.Sprintf("of the list %d versions are told, and then none", s.lists)
 	}
 	return s.Broken()
 }
 
-// Settle implements explore.Settler: clients say what they have to and are answered; then the front drains.
+// Settle implements modelcheck.Settler: clients say what they have to and are answered; then the front drains.
 func (s *clients) Settle() (property, how string) {
 	endless(&s.bounds, s.faults)
 	calm(s, func() bool { return false })
@@ -68,12 +68,12 @@
 		s.Take("drain")
 	}
 	if !calm(s, s.Ended) {
-		return verdict.ComesToEnd, fmt.Sprintf("the front has %d connections and does not end", s.front.OpenConnections())
+		return invariant.ComesToEnd, fmt.Sprintf("the front has %d connections and does not end", s.front.OpenConnections())
 	}
 	return s.Broken()
 }
 
-// Settle implements explore.Settler: a cold member gets commands from every router.
+// Settle implements modelcheck.Settler: a cold member gets commands from every router.
 func (c *cold) Settle() (property, how string) {
 	c.served = make([]int, len(c.routers))
 	for range calmTicks {
@@ -83,19 +83,19 @@
 		}
 	}
 	if i := slices.Index(c.served, 0); i >= 0 {
-		return verdict.ServesAgain, fmt.Sprintf("router %d sends the cold member nothing in %g s", i, calmTicks*coldTick)
+		return invariant.ServesAgain, fmt.Sprintf("router %d sends the cold member nothing in %g s", i, calmTicks*coldTick)
 	}
 	return "", "" // whether it gets too much is for the steps, which can be read
 }
 
-// Settle implements explore.Settler: commands in hand end and leave nothing in it, and commands that come after that are
+// Settle implements modelcheck.Settler: commands in hand end and leave nothing in it, and commands that come after that are
 // served, if there is a member to serve them.
 func (c *commands) Settle() (property, how string) {
 	for range calmTicks / 2 { // a client timeout, and half of one
 		c.quiet()
 	}
 	if c.tracker.Len() > 0 {
-		return verdict.ComesToEnd, fmt.Sprintf("%d commands stay in hand", c.tracker.Len())
+		return invariant.ComesToEnd, fmt.Sprintf("%d commands stay in hand", c.tracker.Len())
 	}
 	primary := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return m.primary && m.listedState == router.Ready })
 	replica := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return !m.primary && m.listedState == router.Ready })
@@ -104,7 +104,7 @@
 		may   bool
 	}{{"order", primary}, {"look", primary || replica}} {
 		if x.may && !c.servedAgain(x.group) {
-			return verdict.ServesAgain, fmt.Sprintf("none of %d new commands of %s is answered", calmTries, x.group)
+			return invariant.ServesAgain, fmt.Sprintf("none of %d new commands of %s is answered", calmTries, x.group)
 		}
 	}
 	return c.Broken()
@@ -148,7 +148,7 @@
 	c.Take("tick")
 }
 
-// Settle implements explore.Settler: whatever happened, operators can bring the rollout to its end.
+// Settle implements modelcheck.Settler: whatever happened, operators can bring the rollout to its end.
 func (r *rolloutSystem) Settle() (property, how string) {
 	endless(&r.bounds, r.faults)
 	last := ""
@@ -159,7 +159,7 @@
 		if !calm(r, func() bool {
 			return !slices.ContainsFunc(r.tools, func(t *rollTool) bool { return t.coordinator != nil })
 		}) {
-			return verdict.ComesToEnd, "a tool neither goes on nor ends"
+			return invariant.ComesToEnd, "a tool neither goes on nor ends"
 		}
 		o := r.tools[len(r.tools)-1].outcome
 		if last = fmt.Sprintf("outcome %d, %+v", o.Kind, o.Reason); r.Ended() || o.Kind == coordinator.OutcomeNoRollout {
@@ -172,5 +172,5 @@
 		r.start(len(r.tools) - 1)
 		r.turn()
 	}
-	return verdict.ComesToEnd, fmt.Sprintf("it is taken up %d times and is not over: %s", calmRuns, last)
+	return invariant.ComesToEnd, fmt.Sprintf("it is taken up %d times and is not over: %s", calmRuns, last)
 }
--- a/internal/systems/watch.go
+++ b/internal/modelcheck/models/watch.go
@@ -1,4 +1,4 @@
-package systems
+package models
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	"stoatdale.example/stoatdale/internal/config"
 	"stoatdale.example/stoatdale/internal/discovery"
 	"stoatdale.example/stoatdale/internal/endpoint"
-	"stoatdale.example/stoatdale/internal/explore"
-	"stoatdale.example/stoatdale/internal/lab/verdict"
+	"stoatdale.example/stoatdale/internal/lab/invariant"
+	"stoatdale.example/stoatdale/internal/modelcheck"
 )
 
 var watchKind = Kind{
@@ -27,8 +27,8 @@
 		"timeless":  {"a timer that is set never fires", Bounds{Faults: 1}},
 		"hidden":    {"a call that discovery refused is not noticed to have failed", Bounds{Faults: 2}},
 	},
-	New: func(b Bounds, fault string) func() explore.System {
-		return func() explore.System { return newWatch(b, fault) }
+	New: func(b Bounds, fault string) func() modelcheck.System {
+		return func() modelcheck.System { return newWatch(b, fault) }
 	},
 }
 
@@ -38,7 +38,7 @@
 	fault      string
 	wire       *wire
 	w          *discovery.Watch
-	check      verdict.Lists
+	check      invariant.Lists
 	at         int // address that is watched
 	faults     int
 	ticks      int
@@ -61,7 +61,7 @@
 }
 
 func newWatch(b Bounds, fault string) *watching {
-	s := &watching{bounds: b, fault: fault, wire: newWire(), check: verdict.Lists{Members: 2}, generation: 5, calls: map[int]*call{}}
+	s := &watching{bounds: b, fault: fault, wire: newWire(), check: invariant.Lists{Members: 2}, generation: 5, calls: map[int]*call{}}
 	limits := &config.Limits{
 		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10,
@@ -136,7 +136,7 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Steps implements explore.System.
+// Steps implements modelcheck.System.
 func (s *watching) Steps() []string {
 	var out stepList
 	for i, fd := range s.order {
@@ -173,10 +173,10 @@
 	out.addIf(may("end"), "end %d", i)
 }
 
-// Take implements explore.System.
+// Take implements modelcheck.System.
 func (s *watching) Take(step string) {
 	var n int
-	what := explore.Kind(step)
+	what := modelcheck.Kind(step)
 	_, _ = fmt.Sscanf(step[len(what):], "%d", &n)
 	var k *sock
 	var c *call
@@ -258,16 +258,16 @@
 }
 
 // watchRules leave out what is the same in all states or stands for the same thing elsewhere.
-var watchRules = &explore.Rules{FloatGrain: 1e-9, Ignored: explore.Fields{
-	"buffer.Chain":     {"pool"},
-	"discovery.Watch":  {"handler", "limits", "log", "loop", "timer"},
-	"systems.sock":     {"handler"},
-	"systems.watching": {"bounds", "fault"},
-	"systems.wire":     {"timers"},
+var watchRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
+	"buffer.Chain":    {"pool"},
+	"discovery.Watch": {"handler", "limits", "log", "loop", "timer"},
+	"models.sock":     {"handler"},
+	"models.watching": {"bounds", "fault"},
+	"models.wire":     {"timers"},
 }}
 
-// Fingerprint implements explore.System.
-func (s *watching) Fingerprint(h *explore.Hash) {
+// Fingerprint implements modelcheck.System.
+func (s *watching) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = watchRules
 	h.Value(s)
 	next, ok := s.wire.next()
@@ -275,8 +275,8 @@
 	h.Float(next - s.wire.now)
 }
 
-// Broken implements explore.System.
+// Broken implements modelcheck.System.
 func (s *watching) Broken() (string, string) { return s.check.Broken() }
 
-// Ended implements explore.System: a list of the address that is watched has been taken.
+// Ended implements modelcheck.System: a list of the address that is watched has been taken.
 func (s *watching) Ended() bool { return s.lists > 0 }
--- a/internal/keys/recorded_test.go
+++ b/internal/pki/recorded_test.go
@@ -1,4 +1,4 @@
-package keys
+package pki
 
 import (
 	"os"
@@ -20,27 +20,27 @@
 	recordedSecond = recordedFirst.Add(30 * day)
 )
 
-func recordedSource(r Role, name string, now time.Time) Source {
-	s := recordedFolder.Source(r, name)
+func recordedSource(r Role, name string, now time.Time) Credentials {
+	s := recordedFolder.Credentials(r, name)
 	s.Now = func() time.Time { return now }
 	return s
 }
 
-func TestRecordedFolderIsShown(t *testing.T) {
-	shown, err := recordedFolder.Show()
+func TestRecordedFolderIsListed(t *testing.T) {
+	shown, err := recordedFolder.List()
 	require.NoError(t, err)
 	authorityEnd := recordedSecond.Add(3650 * day)
-	assert.Equal(t, []Certificate{
-		{File: "agent-a1.pem", Who: "agent a1", Until: recordedSecond.Add(90 * day)},
-		{File: "authority.key.pem", Who: "fleet haulage", Until: authorityEnd},
-		{File: "authority.pem", Who: "fleet haulage", Until: authorityEnd},
-		{File: "authority.pem", Who: "fleet haulage", Until: recordedFirst.Add(365 * day)},
-		{File: "operator-ayla.pem", Who: "operator ayla", Until: recordedSecond.Add(90 * day)},
-		{File: "operator-mehmet.pem", Who: "operator mehmet", Until: recordedFirst.Add(100 * day)},
+	assert.Equal(t, []CertificateInfo{
+		{File: "agent-a1.pem", Subject: "agent a1", NotAfter: recordedSecond.Add(90 * day)},
+		{File: "authority.key.pem", Subject: "fleet haulage", NotAfter: authorityEnd},
+		{File: "authority.pem", Subject: "fleet haulage", NotAfter: authorityEnd},
+		{File: "authority.pem", Subject: "fleet haulage", NotAfter: recordedFirst.Add(365 * day)},
+		{File: "operator-ayla.pem", Subject: "operator ayla", NotAfter: recordedSecond.Add(90 * day)},
+		{File: "operator-mehmet.pem", Subject: "operator mehmet", NotAfter: recordedFirst.Add(100 * day)},
 	}, shown)
 }
 
-func TestRecordedCertificatesAreTakenAndRefusedByTheTime(t *testing.T) {
+func TestRecordedCertificatesAreAcceptedOrRejectedByTime(t *testing.T) {
 	for now, says := range map[time.Time]map[string]string{
 		recordedFirst.Add(10 * day):   {"ayla": "the certificate of operator ayla counts only from 2026-02-01T02:59:05Z", "mehmet": ""},
 		recordedSecond.Add(time.Hour): {"ayla": "", "mehmet": ""},
@@ -50,20 +50,20 @@
 		for operator, want := range says {
 			err := recordedSource(Operator, operator, now).Check()
 			if want == "" {
-				assert.NoError(t, err, "%s at %s", operator, now)
+				require.NoError(t, err, "%s at %s", operator, now)
 			} else {
-				assert.EqualError(t, err, want)
+				require.EqualError(t, err, want)
 			}
 		}
 	}
 	now := recordedSecond.Add(time.Hour)
 	for _, operator := range []string{"ayla", "mehmet"} {
 		atServer, atClient := talk(t, recordedSource(Agent, "a1", now), recordedSource(Operator, operator, now), "a1")
-		assert.NoError(t, atServer, operator)
-		assert.NoError(t, atClient, operator)
+		require.NoError(t, atServer, operator)
+		require.NoError(t, atClient, operator)
 	}
 	_, atClient := talk(t, recordedSource(Agent, "a1", now), recordedSource(Operator, "ayla", now), "a2")
-	assert.ErrorContains(t, atClient, "the certificate is agent a1's, and should be agent a2's")
+	require.ErrorContains(t, atClient, "the certificate is agent a1's, and should be agent a2's")
 }
 
 // TestRecordedAuthorityIssues renews a certificate from a copy of the recorded folder; the recorded ones stay good.
@@ -72,12 +72,12 @@
 	require.NoError(t, os.CopyFS(string(f), os.DirFS(string(recordedFolder))))
 	now := recordedSecond.Add(80 * day)
 	require.NoError(t, f.Issue(Agent, "a1", 90*day, now))
-	renewed := f.Source(Agent, "a1")
+	renewed := f.Credentials(Agent, "a1")
 	renewed.Now = func() time.Time { return now }
 	atServer, atClient := talk(t, renewed, recordedSource(Operator, "ayla", now), "a1")
-	assert.NoError(t, atServer)
-	assert.NoError(t, atClient)
+	require.NoError(t, atServer)
+	require.NoError(t, atClient)
 	err := f.Issue(Agent, "a1", 90*day, recordedSecond.Add(3600*day))
-	assert.EqualError(t, err, "keys: the authority runs out on 2036-01-30, before the certificate would: renew it first")
+	require.EqualError(t, err, "keys: the authority runs out on 2036-01-30, before the certificate would: renew it first")
 	assert.FileExists(t, filepath.Join(string(f), "operator-mehmet.pem"))
 }
