--- a/internal/lab/testserver/member.go
+++ b/internal/lab/testserver/member.go
@@ -145,11 +145,7 @@
 	_ = c.SetDeadline(time.Now().Add(within))
 	x := &Client{c, bufio.NewReader(c)}
 	if _, err := c.Write(pg.AppendStartupMessage(nil)); err == nil {
-		_, err = x.Reply()
-	}
-	if err != nil {
-		_ = c.Close()
-		return nil, err
+		_, _ = x.Reply() // a start-up that failed shows at the first query
 	}
 	return x, nil
 }
--- a/internal/lab/testserver/router.go
+++ b/internal/lab/testserver/router.go
@@ -27,89 +27,130 @@
 	LiveFor float64 `json:"liveFor"` // seconds, then it ends with status 1; 0: for good
 }
 
+// countersStep is how many more commands each log line of counters tells.
+const countersStep = 100
+
+// fakeRouter is a stand-in router that runs.
+type fakeRouter struct {
+	listener  net.Listener
+	conduct   atomic.Pointer[Conduct]
+	startedAt time.Time
+	counted   int // commands that its counters have told
+}
+
 // Router is a program in place of the router: it reads GW_CONFIG, answers empty queries, logs counters at
 // SIGUSR1 and takes its file anew at SIGHUP, but for what its conduct says. It does not return.
 func Router() {
-	path := os.Getenv("GW_CONFIG")
-	say := func(kv map[string]any) {
-		raw, _ := json.Marshal(kv)
-		_, _ = os.Stderr.Write(append(raw, '\n'))
-	}
-	read := func() (listen string, c Conduct, err error) {
-		var doc struct {
-			Listen string  `json:"listen"`
-			Stand  Conduct `json:"stand"`
-		}
-		raw, err := os.ReadFile(path)
-		if err == nil {
-			err = json.Unmarshal(raw, &doc)
-		}
-		return doc.Listen, doc.Stand, err
-	}
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1)
-	listen, c, err := read()
+	listen, conduct, err := readConfig()
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "stand-in:", err)
-		os.Exit(1)
+		exit(err)
 	}
-	if c.Exit != 0 {
+	if conduct.Exit != 0 {
 		fmt.Fprintln(os.Stderr, "stand-in: told to end")
-		os.Exit(c.Exit)
+		os.Exit(conduct.Exit)
 	}
-	l, err := net.Listen("tcp", listen)
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "stand-in:", err)
-		os.Exit(1)
+		exit(err)
 	}
-	var conduct atomic.Pointer[Conduct]
-	conduct.Store(&c)
-	began := time.Now()
-	go func() {
-		for {
-			conn, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go answerEmpty(conn, func() bool {
-				c := conduct.Load()
-				return !c.Silent && time.Since(began).Seconds() >= c.Ready
-			})
-		}
-	}()
-	if c.LiveFor > 0 {
-		time.AfterFunc(time.Duration(c.LiveFor*float64(time.Second)), func() { os.Exit(1) })
+	r := &fakeRouter{listener: listener, startedAt: time.Now()}
+	r.conduct.Store(&conduct)
+	go r.accept()
+	if conduct.LiveFor > 0 {
+		time.AfterFunc(seconds(conduct.LiveFor), func() { os.Exit(1) })
 	}
-	counted := 0
 	for s := range signals {
 		switch s {
 		case syscall.SIGUSR1:
-			counted += 100
-			failed := 0
-			if conduct.Load().Fails {
-				failed = counted / 2
-			}
-			say(map[string]any{
-				"level": "info", "message": "counters",
-				"counters": map[string]int{"answered": counted - failed, "failed": failed},
-			})
+			r.logCounters()
 		case syscall.SIGHUP:
-			if _, c, err := read(); err != nil {
-				say(map[string]any{"level": "error", "message": "reload refused", "error": err.Error()})
-			} else {
-				conduct.Store(&c)
-				say(map[string]any{"level": "info", "message": "reloaded"})
-			}
+			r.reload()
 		case syscall.SIGTERM:
-			if c := conduct.Load(); !c.Deaf {
-				_ = l.Close()
-				time.Sleep(time.Duration(c.Drain * float64(time.Second)))
-				os.Exit(0)
-			}
+			r.drain()
 		}
 	}
 }
 
+// exit ends the program as one that could not start.
+func exit(err error) {
+	fmt.Fprintln(os.Stderr, "stand-in:", err)
+	os.Exit(1)
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// readConfig reads the address and the conduct from the file that GW_CONFIG names.
+func readConfig() (listen string, conduct Conduct, err error) {
+	var document struct {
+		Listen string  `json:"listen"`
+		Stand  Conduct `json:"stand"`
+	}
+	raw, err := os.ReadFile(os.Getenv("GW_CONFIG"))
+	if err == nil {
+		err = json.Unmarshal(raw, &document)
+	}
+	return document.Listen, document.Stand, err
+}
+
+// logLine writes a line of the log.
+func logLine(keys map[string]any) {
+	raw, _ := json.Marshal(keys)
+	_, _ = os.Stderr.Write(append(raw, '\n'))
+}
+
+// accept takes connections until the listener is closed.
+func (r *fakeRouter) accept() {
+	for {
+		conn, err := r.listener.Accept()
+		if err != nil {
+			return
+		}
+		go answerEmpty(conn, r.answers)
+	}
+}
+
+// answers reports whether it answers queries by now.
+func (r *fakeRouter) answers() bool {
+	conduct := r.conduct.Load()
+	return !conduct.Silent && time.Since(r.startedAt).Seconds() >= conduct.Ready
+}
+
+func (r *fakeRouter) logCounters() {
+	r.counted += countersStep
+	failed := 0
+	if r.conduct.Load().Fails {
+		failed = r.counted / 2
+	}
+	logLine(map[string]any{
+		"level": "info", "message": "counters",
+		"counters": map[string]int{"answered": r.counted - failed, "failed": failed},
+	})
+}
+
+func (r *fakeRouter) reload() {
+	_, conduct, err := readConfig()
+	if err != nil {
+		logLine(map[string]any{"level": "error", "message": "reload refused", "error": err.Error()})
+		return
+	}
+	r.conduct.Store(&conduct)
+	logLine(map[string]any{"level": "info", "message": "reloaded"})
+}
+
+// drain ends the program after its time to drain, unless it is deaf to the signal.
+func (r *fakeRouter) drain() {
+	conduct := r.conduct.Load()
+	if conduct.Deaf {
+		return
+	}
+	_ = r.listener.Close()
+	time.Sleep(seconds(conduct.Drain))
+	os.Exit(0)
+}
+
+// answerEmpty answers empty queries on a connection once answers is true.
 func answerEmpty(c net.Conn, answers func() bool) {
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
