--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -6,7 +6,7 @@
 	lowestQueueShare     = 0.4 // of the queue limit that the least valuable group has
 	queueShare           = 0.4 // of the tightest bearable queueing time; the rest waits at the router
 	lowTrafficQueueShare = 0.3 // more of it for a router with low traffic
-	leaverThreshold      = 0.5 // if more of a group's clients leave early, only their stay counts
+	earlyLeaveThreshold      = 0.5 // if more of a group's clients leave early, only their stay counts
 	retryQueueShare      = 0.2 // of its queue limit that a client's retry has
 	freeAttempts         = 2   // attempts at an endpoint beside its queue limit: it must show at some load,
 	freeAttemptsTotal    = 3   // as long as all routers' attempts do not add up to more than this
@@ -15,14 +15,14 @@
 // admits sheds load by value: a group joins only queues that leave capacity to what is worth more for its
 // service time, and nothing is sent too late. A client's retry has spent its objective already.
 func (r *Router) admits(now float64, c *Command, g *group, i int, queueLimit float64) bool {
-	if c.ClientRetry && g.leaverShare <= leaverThreshold {
+	if c.ClientRetry && g.earlyLeaveShare <= earlyLeaveThreshold {
 		queueLimit *= retryQueueShare
 	}
 	e := &r.endpoints[i]
 	latency := r.expectedLatency(e, e.queued)
 	// A queue that was full has a free place when one command of it is done.
-	hasCapacity := latency-r.serviceTime <= queueLimit || r.hasFreeAttempt(now, e, latency)
-	rested := now-e.overloadedAt >= r.serviceTime
+	hasCapacity := latency-r.fleetServiceTime <= queueLimit || r.hasFreeAttempt(now, e, latency)
+	rested := now-e.lastOverloadAt >= r.fleetServiceTime
 	return hasCapacity && rested && now+r.predictedResponse(i, g) <= r.usefulUntil(c, g)
 }
 
@@ -31,13 +31,13 @@
 func (r *Router) hasFreeAttempt(now float64, e *endpoint, latency float64) bool {
 	rest := latency * (float64(r.config.RouterCount)/freeAttemptsTotal - 1)
 	few := e.queued < freeAttempts && e.queued*r.config.RouterCount < freeAttemptsTotal
-	return few && now-e.answeredAt >= rest
+	return few && now-e.lastAnswerAt >= rest
 }
 
 // usefulUntil is how long an answer has a value; the value of a late one counts as a share of that time.
 func (r *Router) usefulUntil(c *Command, g *group) float64 {
-	if g.leaverShare > leaverThreshold {
-		return min(c.ArrivedAt+min(g.LatencyObjective, g.leaverStay), c.ClientDeadline)
+	if g.earlyLeaveShare > earlyLeaveThreshold {
+		return min(c.ArrivedAt+min(g.LatencyObjective, g.earlyLeaveDelay), c.ClientDeadline)
 	}
 	end := c.ArrivedAt + g.LatencyObjective
 	return min(end+g.LateValue*max(0, c.ClientDeadline-end), c.ClientDeadline)
@@ -47,9 +47,9 @@
 func (r *Router) giveUp(now float64, c *Command, g *group) Decision {
 	recognized := g.Idempotency == Idempotent || g.Idempotency == IdempotentWithKey && g.KeyScope == GlobalScope
 	if c.uncertainRuns > 0 && !recognized {
-		return Decision{Action: Fail, CancelAttempt: none}
+		return Decision{Action: Fail, CancelAttempt: noIndex}
 	}
-	d := Decision{Action: Reject, CancelAttempt: none}
+	d := Decision{Action: Reject, CancelAttempt: noIndex}
 	// A retry that comes too late for the objective should come late; one in time may come at once.
 	if r.config.RetryAfterAllowed && now+2*g.serviceTime*(1-latencySlack) > c.ArrivedAt+g.LatencyObjective {
 		d.RetryAfter = r.config.MaxRetryAfter
@@ -59,21 +59,21 @@
 
 // favourWorstGroup gives the worst-served group the weight that the configured objective gives it.
 func (r *Router) favourWorstGroup() {
-	worst, worstServed := none, math.Inf(1)
+	worst, worstServed := noIndex, math.Inf(1)
 	var earned, possible float64
 	for i := range r.groups {
 		g := &r.groups[i]
 		g.fairnessWeight = 1
-		earned += g.answeredInTime * g.PriorityWeight
-		possible += g.arrivals * g.PriorityWeight
-		served := (g.answeredInTime + priorWeight) / (g.arrivals + priorWeight)
+		earned += g.inTimeAnswerCount * g.PriorityWeight
+		possible += g.arrivalCount * g.PriorityWeight
+		served := (g.inTimeAnswerCount + priorWeight) / (g.arrivalCount + priorWeight)
 		if served < worstServed {
 			worst, worstServed = i, served
 		}
 	}
 	if worst >= 0 && worstServed < earned/math.Max(possible, 1) && r.config.TotalWeight > 0 {
 		g := &r.groups[worst]
-		total := r.config.TotalWeight * g.arrivals * g.PriorityWeight
+		total := r.config.TotalWeight * g.arrivalCount * g.PriorityWeight
 		g.fairnessWeight += r.config.WorstGroupWeight * possible / total
 	}
 }
@@ -99,6 +99,6 @@
 			bearable = math.Min(bearable, math.Max(0, other.LatencyObjective-other.serviceTime))
 		}
 	}
-	share := queueShare + lowTrafficQueueShare*math.Max(0, 1-r.warmRate*r.longestObjective/lowTrafficAttempts)
+	share := queueShare + lowTrafficQueueShare*math.Max(0, 1-r.warmAttemptRate*r.longestObjective/lowTrafficAttempts)
 	return share * bearable * (lowestQueueShare + (1-lowestQueueShare)*math.Min(1, own/highest))
 }
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -12,9 +12,9 @@
 	s.TotalWeight, s.WorstGroupWeight = 0.5, 0.25
 	r := testRouter(t, s)
 	for i := range r.groups {
-		r.groups[i].arrivals, r.groups[i].answeredInTime = 100, 90
+		r.groups[i].arrivalCount, r.groups[i].inTimeAnswerCount = 100, 90
 	}
-	r.groups[eventualReads].answeredInTime = 20
+	r.groups[eventualReads].inTimeAnswerCount = 20
 	r.favourWorstGroup()
 	assert.InDelta(t, 1.0, r.groups[boundedReads].fairnessWeight, 0)
 	assert.InDelta(t, 1+0.5*7, r.groups[eventualReads].fairnessWeight, 1e-9, "one seventh of the value asked for")
@@ -38,13 +38,13 @@
 	assert.Less(t, r.queueLimitOf(&r.groups[eventualReads], false), r.queueLimitOf(&r.groups[boundedReads], false))
 	assert.Less(t, r.queueLimitOf(&r.groups[boundedReads], true), r.queueLimitOf(&r.groups[writes], true), "the write has the most value")
 	// A hundred routers that see nothing of a queue once held back by a few stray answers.
-	r.warmRate = 4
+	r.warmAttemptRate = 4
 	assert.InDelta(t, queueShare*0.45, r.queueLimitOf(&r.groups[boundedReads], false), 1e-9)
-	r.warmRate = 0
+	r.warmAttemptRate = 0
 	assert.InDelta(t, (queueShare+lowTrafficQueueShare)*0.45, r.queueLimitOf(&r.groups[boundedReads], false), 1e-9)
-	r.serviceTime = 0.05
+	r.fleetServiceTime = 0.05
 	n := &r.endpoints[1]
-	n.latencySum, n.queueSum, n.answerSum, n.queued = 2, 50, 10, 5
+	n.latencySum, n.queuePositionSum, n.answerCount, n.queued = 2, 50, 10, 5
 	c := newCommand(boundedReads)
 	assert.True(t, r.admits(10, c, &r.groups[boundedReads], 1, 0.2))
 	c.ClientRetry = true
@@ -56,8 +56,8 @@
 	s := testConfig()
 	s.RouterCount = 12
 	r := testRouter(t, s)
-	r.serviceTime, r.latency, r.queueLength = 0.01, 0.1, 1
-	r.endpoints[1].answeredAt = 10
+	r.fleetServiceTime, r.fleetLatency, r.fleetQueueLength = 0.01, 0.1, 1
+	r.endpoints[1].lastAnswerAt = 10
 	c := newCommand(eventualReads)
 	assert.False(t, r.admits(10.1, c, &r.groups[eventualReads], 1, 0), "just answered: the others' turn")
 	assert.True(t, r.admits(10.35, c, &r.groups[eventualReads], 1, 0))
@@ -68,13 +68,13 @@
 // A write went back to the primary that had just rejected it as overloaded: 1.8 attempts a command in a burst.
 func TestOverloadedEndpointRestsForAMeanServiceTime(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.serviceTime, r.latency = 0.1, 0.1
+	r.fleetServiceTime, r.fleetLatency = 0.1, 0.1
 	c := newCommand(writes)
 	r.Route(10, c)
 	assert.Equal(t, Wait, r.AttemptEnded(10.001, c, AttemptResult{Result: Overloaded, Elapsed: 0.001, Position: -1}).Action)
 	assert.Equal(t, Wait, r.Route(10.05, c).Action)
 	n := &r.endpoints[0]
-	n.latencySum, n.answerSum = 0, 0 // what it told of its pace is another matter
+	n.latencySum, n.answerCount = 0, 0 // what it told of its pace is another matter
 	a := r.Route(10.102, c)
 	assert.Equal(t, Forward, a.Action)
 	assert.Equal(t, 0, a.Endpoint)
@@ -99,8 +99,8 @@
 func TestFewEarlyLeaversDoNotShortenOthersTime(t *testing.T) {
 	r := testRouter(t, testConfig())
 	g := &r.groups[eventualReads]
-	g.leaverShare, g.leaverStay = 0.2, 0.01
+	g.earlyLeaveShare, g.earlyLeaveDelay = 0.2, 0.01
 	assert.InDelta(t, 10.5, r.usefulUntil(newCommand(eventualReads), g), 0)
-	g.leaverShare = 0.6
+	g.earlyLeaveShare = 0.6
 	assert.InDelta(t, 10.01, r.usefulUntil(newCommand(eventualReads), g), 0)
 }
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -8,7 +8,7 @@
 
 const (
 	lostFactor       = 5.0 // predicted response times after which an answer that others overtook is lost
-	firstUnsentPause = 0.1 // of catchUpWait, after a command's first attempt that did not leave this process
+	firstUnsentPauseShare = 0.1 // of catchUpWait, after a command's first attempt that did not leave this process
 	maxUncertainRuns = 2   // attempts that may have run, after which a command is itself at fault
 )
 
@@ -19,15 +19,15 @@
 	}
 	// A connection may still have to be made, so a retry by key must leave by that much earlier.
 	arrival := now + r.config.ConnectTimeout + r.config.BatchInterval
-	return g.Idempotency == IdempotentWithKey && arrival < c.uncertainAt+g.IdempotencyWindow
+	return g.Idempotency == IdempotentWithKey && arrival < c.firstUncertainAt+g.IdempotencyWindow
 }
 
-// recognizesKey says whether an endpoint would recognize the key of a command that may have run elsewhere.
-func (r *Router) recognizesKey(c *Command, g *group, i int) bool {
+// inKeyScope says whether an endpoint would recognize the key of a command that may have run elsewhere.
+func (r *Router) inKeyScope(c *Command, g *group, i int) bool {
 	if c.uncertainRuns == 0 || g.Idempotency != IdempotentWithKey || g.KeyScope != ZoneScope {
 		return true
 	}
-	return r.endpoints[i].zone == r.endpoints[c.uncertainEndpoint].zone
+	return r.endpoints[i].zone == r.endpoints[c.firstUncertainEndpoint].zone
 }
 
 // forward sends an attempt and books it.
@@ -41,7 +41,7 @@
 	overdue := min(r.silenceTimeout(e), lostFactor*r.predictedResponse(i, g))
 	return Decision{
 		Action: Forward, Endpoint: i, AttemptDeadline: r.attemptDeadline(c, g),
-		ReviewAt: now + overdue + r.config.BatchInterval, CancelAttempt: none,
+		ReviewAt: now + overdue + r.config.BatchInterval, CancelAttempt: noIndex,
 	}
 }
 
@@ -50,7 +50,7 @@
 	deadline := c.ClientDeadline
 	if c.uncertainRuns > 0 && g.Idempotency == IdempotentWithKey {
 		// What is not complete at the endpoint by then must not run any more.
-		deadline = min(deadline, c.uncertainAt+g.IdempotencyWindow)
+		deadline = min(deadline, c.firstUncertainAt+g.IdempotencyWindow)
 	}
 	if g.Idempotency == Idempotent && g.LateValue == 0 && !r.connectionsCostly() {
 		deadline = min(deadline, c.ArrivedAt+g.LatencyObjective)
@@ -64,8 +64,8 @@
 	a := &c.Attempts[k]
 	e := &r.endpoints[a.Endpoint]
 	timeout := r.silenceTimeout(e)
-	d := Decision{Action: Wait, ReviewAt: now + timeout/2, CancelAttempt: none}
-	silent := e.unanswered > 0 && now-e.unansweredSince > timeout
+	d := Decision{Action: Wait, ReviewAt: now + timeout/2, CancelAttempt: noIndex}
+	silent := e.unansweredAttempts > 0 && now-e.unansweredSince > timeout
 	if silent && !a.overdue && now-a.SentAt > timeout {
 		a.overdue = true
 		r.recordFailure(now, e)
@@ -73,12 +73,12 @@
 	// Its endpoint has answered others since: the answer is lost, or the command very costly.
 	if lostAt := a.SentAt + lostFactor*r.predictedResponse(a.Endpoint, g); now < lostAt {
 		d.ReviewAt = min(d.ReviewAt, lostAt+r.config.BatchInterval)
-	} else if !a.lost && e.answeredAt > a.SentAt {
+	} else if !a.lost && e.lastAnswerAt > a.SentAt {
 		a.lost = true
 		e.queued--
 	}
 	if r.mayCancel(c, g, a) && r.worthRetry(now, c, g, a) {
-		a.canceled = true
+		a.cancelRequested = true
 		d.CancelAttempt = k
 	}
 	return d
@@ -86,7 +86,7 @@
 
 func (r *Router) mayCancel(c *Command, g *group, a *Attempt) bool {
 	retryable := g.Idempotency != NonIdempotent && r.remainingAttempts(c) > 0
-	return r.config.CanCancel && !a.canceled && !r.connectionsCostly() && retryable
+	return r.config.CanCancel && !a.cancelRequested && !r.connectionsCostly() && retryable
 }
 
 // worthRetry says that another attempt will do better than one in flight. A lost answer is worth one at the
@@ -95,15 +95,15 @@
 	if a.lost && now+lostFactor*r.predictedResponse(a.Endpoint, g) < r.usefulUntil(c, g) {
 		return true
 	}
-	return a.overdue && r.suspected(now, a.Endpoint) && r.anotherAvailable(now, c, g, a.Endpoint)
+	return a.overdue && r.updateEjection(now, a.Endpoint) && r.anotherEndpointAvailable(now, c, g, a.Endpoint)
 }
 
-// anotherAvailable says whether another endpoint may take a command.
-func (r *Router) anotherAvailable(now float64, c *Command, g *group, i int) bool {
+// anotherEndpointAvailable says whether another endpoint may take a command.
+func (r *Router) anotherEndpointAvailable(now float64, c *Command, g *group, i int) bool {
 	primary := r.primary(c.Shard)
 	return slices.ContainsFunc(r.shards[c.Shard].endpoints, func(k int) bool {
 		serves := g.Consistency != PrimaryOnly || k == primary
-		return k != i && serves && r.eligible(&r.endpoints[k]) && !r.suspected(now, k)
+		return k != i && serves && r.eligible(&r.endpoints[k]) && !r.updateEjection(now, k)
 	})
 }
 
@@ -113,9 +113,9 @@
 	g := &r.groups[c.Group]
 	stay := now - c.ArrivedAt
 	if now < c.ClientDeadline-r.config.BatchInterval && stay > r.config.BatchInterval {
-		g.leaverStay = cmp.Or(g.leaverStay, stay)
-		g.leaverShare += averageWeight * (1 - g.leaverShare)
-		g.leaverStay += averageWeight * (stay - g.leaverStay)
+		g.earlyLeaveDelay = cmp.Or(g.earlyLeaveDelay, stay)
+		g.earlyLeaveShare += averageWeight * (1 - g.earlyLeaveShare)
+		g.earlyLeaveDelay += averageWeight * (stay - g.earlyLeaveDelay)
 	}
 	return r.cancelUnneeded(c)
 }
@@ -123,12 +123,12 @@
 // cancelUnneeded returns an attempt that nobody waits for any more, or none.
 func (r *Router) cancelUnneeded(c *Command) int {
 	for k := range c.Attempts {
-		if a := &c.Attempts[k]; a.InFlight && !a.canceled && r.config.CanCancel {
-			a.canceled = true
+		if a := &c.Attempts[k]; a.InFlight && !a.cancelRequested && r.config.CanCancel {
+			a.cancelRequested = true
 			return k
 		}
 	}
-	return none
+	return noIndex
 }
 
 // AttemptEnded takes in how an attempt ended and says what to do with its command.
@@ -152,8 +152,8 @@
 	}
 	if result.Result == NeverSent {
 		c.unsentAttempts++
-		if !r.isHopeless(now, c, g) {
-			return Decision{Action: Wait, ReviewAt: now + unsentPause(c), CancelAttempt: none}
+		if !r.shouldGiveUp(now, c, g) {
+			return Decision{Action: Wait, ReviewAt: now + unsentPause(c), CancelAttempt: noIndex}
 		}
 	}
 	return r.Route(now, c)
@@ -162,7 +162,7 @@
 // unsentPause is how long a command waits whose attempt did not leave this process: what this machine
 // lacked for it, a descriptor or a port, it will lack in the next moment too.
 func unsentPause(c *Command) float64 {
-	return catchUpWait * min(1, firstUnsentPause*math.Exp2(float64(c.unsentAttempts-1)))
+	return catchUpWait * min(1, firstUnsentPauseShare*math.Exp2(float64(c.unsentAttempts-1)))
 }
 
 // remainingAttempts is how many attempts a command may still have. What did not leave this process is none.
@@ -177,9 +177,9 @@
 	}
 	e.idleConnections++
 	if e.ejected && result.Result != Overloaded {
-		e.ejected, e.failureSum = false, e.failureSum/2
+		e.ejected, e.failureCount = false, e.failureCount/2
 	}
-	e.unanswered = 0
+	e.unansweredAttempts = 0
 	r.recordReachable(now, e)
 	position := result.Position
 	if g.Consistency == PrimaryOnly && result.Result == Answered {
@@ -192,7 +192,7 @@
 func (r *Router) recordConnectCost(now float64, e *endpoint, a *Attempt, result AttemptResult) {
 	if a.newConnection && result.Result == Answered {
 		r.connectCost += averageWeight * (result.Elapsed - r.meanLatency(e) - r.connectCost)
-	} else if result.Result == ConnectFailed && now-e.answeredAt < r.decayTime/decayObjectives {
+	} else if result.Result == ConnectFailed && now-e.lastAnswerAt < r.decayTime/decayObjectives {
 		r.connectCost += connectFailureWeight * (result.Elapsed - r.connectCost)
 	}
 }
@@ -211,10 +211,10 @@
 		}
 	case Overloaded: // a failure too: an endpoint that rejects all at once would look idle and draw more
 		r.recordFailure(now, e)
-		e.overloadedAt = now
+		e.lastOverloadAt = now
 		r.recordLatency(g, e, a, max(end.Elapsed, g.LatencyObjective))
 	case NotServed:
-		e.resultSum++
+		e.resultCount++
 		c.tooStale = c.tooStale || g.Consistency != PrimaryOnly
 	case Canceled, NeverSent:
 	}
@@ -226,13 +226,13 @@
 
 // recordAnswer takes in an answer: its endpoint's health, latencies, and its session's position.
 func (r *Router) recordAnswer(now float64, c *Command, g *group, e *endpoint, a *Attempt, end AttemptResult) {
-	g.leaverShare -= averageWeight * g.leaverShare
+	g.earlyLeaveShare -= averageWeight * g.earlyLeaveShare
 	if now <= c.ArrivedAt+g.LatencyObjective {
-		g.answeredInTime++
+		g.inTimeAnswerCount++
 	}
-	e.resultSum++
-	e.answeredAt = now
-	e.servedSum += r.relativeWork(g)
+	e.resultCount++
+	e.lastAnswerAt = now
+	e.answeredWorkSum += r.relativeWork(g)
 	r.recordServiceTime(now, g, end.Elapsed)
 	if !r.isHeavy(g) {
 		r.recordFleetLatency(g, a, end.Elapsed)
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -13,7 +13,7 @@
 		Overloaded: Forward, ConnectFailed: Forward, NeverSent: Wait,
 	} {
 		r := testRouter(t, testConfig())
-		r.endpoints[0].resultSum, r.endpoints[0].decayedAt = 9, 10
+		r.endpoints[0].resultCount, r.endpoints[0].decayedAt = 9, 10
 		c := newCommand(writes)
 		r.Route(10, c)
 		decision := r.AttemptEnded(10.1, c, AttemptResult{Result: ending, Position: -1})
@@ -38,7 +38,7 @@
 	s := testConfig()
 	s.CommandGroups[writes].Idempotency = IdempotentWithKey
 	r := testRouter(t, s)
-	c := &Command{uncertainRuns: 1, uncertainAt: 10}
+	c := &Command{uncertainRuns: 1, firstUncertainAt: 10}
 	assert.True(t, r.mayRetry(11.7, c, &r.groups[writes]))
 	assert.False(t, r.mayRetry(11.75, c, &r.groups[writes]), "a connection may take as long as Dial")
 	assert.Equal(t, Fail, r.giveUp(11.9, c, &r.groups[writes]).Action, "known in its own group only")
@@ -51,23 +51,23 @@
 	s.CommandGroups[writes].Idempotency, s.CommandGroups[writes].KeyScope = IdempotentWithKey, ZoneScope
 	r := testRouter(t, s)
 	c := newCommand(writes)
-	c.uncertainRuns, c.uncertainAt, c.uncertainEndpoint = 1, 10, 1
+	c.uncertainRuns, c.firstUncertainAt, c.firstUncertainEndpoint = 1, 10, 1
 	assert.Equal(t, Forward, r.Route(10, c).Action)
 	r.endpoints[1].zone = 1
 	c = newCommand(writes)
-	c.uncertainRuns, c.uncertainAt, c.uncertainEndpoint = 1, 10, 1
+	c.uncertainRuns, c.firstUncertainAt, c.firstUncertainEndpoint = 1, 10, 1
 	assert.Equal(t, Wait, r.Route(10, c).Action)
 }
 
 // Lost answers once counted as queues and as seconds of work, and primaries looked full.
 func TestLostAnswersAreNoQueue(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.latency, r.queueLength = 0.05, 1
+	r.fleetLatency, r.fleetQueueLength = 0.05, 1
 	c := newCommand(writes)
 	n := &r.endpoints[r.Route(10, c).Endpoint]
 	r.Route(10.1, c)
 	assert.Equal(t, 1, n.queued)
-	n.answeredAt, n.unanswered = 10.2, 0
+	n.lastAnswerAt, n.unansweredAttempts = 10.2, 0
 	r.Route(11, c)
 	assert.Equal(t, 0, n.queued, "overtaken by another answer")
 	r.AttemptEnded(12, c, AttemptResult{Result: TimedOut, Elapsed: 2, Position: -1})
@@ -77,14 +77,14 @@
 
 func TestOverdueReadIsCanceled(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.latency = 0.02
+	r.fleetLatency = 0.02
 	c := newCommand(eventualReads)
 	a := r.Route(10, c)
 	n := &r.endpoints[a.Endpoint]
-	n.unanswered = 8
+	n.unansweredAttempts = 8
 	b := r.Route(10.4, c)
 	assert.Equal(t, 0, b.CancelAttempt)
-	assert.Positive(t, n.failureSum, "a hang is seen by what is overdue")
+	assert.Positive(t, n.failureCount, "a hang is seen by what is overdue")
 	w := newCommand(writes)
 	w.Attempts = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}
 	assert.Equal(t, -1, r.Route(10.4, w).CancelAttempt, "a non-idempotent command is never canceled for a retry")
@@ -111,13 +111,13 @@
 	for left, again := range map[float64]bool{0.4: true, 0.02: false} {
 		r := testRouter(t, testConfig())
 		for i := range r.endpoints {
-			r.endpoints[i].latencySum, r.endpoints[i].answerSum, r.endpoints[i].decayedAt = 0.1, 10, 10 // 10 ms each
+			r.endpoints[i].latencySum, r.endpoints[i].answerCount, r.endpoints[i].decayedAt = 0.1, 10, 10 // 10 ms each
 		}
 		c := newCommand(eventualReads)
 		c.ClientDeadline = 10.1 + left
 		require.Equal(t, Forward, r.Route(10, c).Action)
 		n := &r.endpoints[c.Attempts[0].Endpoint]
-		n.answeredAt, n.unanswered = 10.05, 0 // it has answered others since
+		n.lastAnswerAt, n.unansweredAttempts = 10.05, 0 // it has answered others since
 		a := r.Route(10.1, c)
 		assert.Equal(t, again, a.CancelAttempt == 0, "%v seconds are left", left)
 	}
@@ -127,10 +127,10 @@
 	for effect, recall := range map[Idempotency]int{IdempotentWithKey: 0, NonIdempotent: -1} {
 		r := testRouter(t, testConfig())
 		r.groups[writes].Idempotency = effect
-		r.endpoints[0].latencySum, r.endpoints[0].answerSum, r.endpoints[0].decayedAt = 0.1, 10, 10
+		r.endpoints[0].latencySum, r.endpoints[0].answerCount, r.endpoints[0].decayedAt = 0.1, 10, 10
 		c := newCommand(writes)
 		require.Equal(t, 0, r.Route(10, c).Endpoint)
-		r.endpoints[0].answeredAt, r.endpoints[0].unanswered = 10.05, 0
+		r.endpoints[0].lastAnswerAt, r.endpoints[0].unansweredAttempts = 10.05, 0
 		assert.Equal(t, recall, r.Route(10.1, c).CancelAttempt)
 		if effect == IdempotentWithKey {
 			a := r.AttemptEnded(10.1, c, AttemptResult{Result: Canceled, Position: -1})
--- a/internal/router/consistency.go
+++ b/internal/router/consistency.go
@@ -58,19 +58,19 @@
 // expireSessions forgets the older generation of sessions when it is due; its highest positions become its
 // shards' floors. How groups were served is forgotten by half at the same time.
 func (r *Router) expireSessions(now float64) {
-	if now-r.sessionsTurnedAt < retentionTimeouts*r.longestTimeout && r.sessions.Younger() < maxSessions/2 {
+	if now-r.sessionsRotatedAt < retentionTimeouts*r.longestTimeout && r.sessions.Younger() < maxSessions/2 {
 		return
 	}
 	for i := range r.groups {
-		r.groups[i].arrivals /= 2
-		r.groups[i].answeredInTime /= 2
+		r.groups[i].arrivalCount /= 2
+		r.groups[i].inTimeAnswerCount /= 2
 	}
-	r.turnSessions(now)
+	r.rotateSessions(now)
 }
 
 // mayCatchUp says whether it can have applied up to a position within the wait, at twice the log's pace.
 func (e *endpoint) mayCatchUp(now, position float64) bool {
-	return math.IsInf(e.reportedAt, -1) || position <= e.position+2*(now+catchUpWait-e.reportedAt)
+	return math.IsInf(e.positionReportedAt, -1) || position <= e.position+2*(now+catchUpWait-e.positionReportedAt)
 }
 
 // mayCover says whether a replica that is not ejected may cover a read's position within the wait.
@@ -82,11 +82,11 @@
 // collectCandidates gathers the endpoints that may take a read of a position. It returns the ejected endpoint
 // that is due for a recovery attempt first, or none; that may be the primary, whose data are always fresh.
 func (r *Router) collectCandidates(now float64, c *Command, g *group, position float64) int {
-	primary, recovering := r.primary(c.Shard), none
+	primary, recovering := r.primary(c.Shard), noIndex
 	r.candidates, r.healthyReplicas = r.candidates[:0], 0
 	for _, i := range r.shards[c.Shard].endpoints {
 		e := &r.endpoints[i]
-		suspected := r.suspected(now, i)
+		suspected := r.updateEjection(now, i)
 		if r.mayCover(now, position, i, primary) {
 			r.healthyReplicas++
 		}
@@ -97,7 +97,7 @@
 		if !suspected {
 			r.candidates = append(r.candidates, i)
 		} else if e.queued == 0 && g.Idempotency == Idempotent &&
-			(recovering < 0 || e.recoveryAt < r.endpoints[recovering].recoveryAt) {
+			(recovering < 0 || e.nextRecoveryAt < r.endpoints[recovering].nextRecoveryAt) {
 			recovering = i
 		}
 	}
@@ -125,14 +125,14 @@
 	}
 	i := r.candidates[r.config.Instance%len(r.candidates)]
 	e := &r.endpoints[i]
-	if e.position < c.requiredPosition && now-max(e.reportedAt, e.checkedAt) >= catchUpWait {
+	if e.position < c.requiredPosition && now-max(e.positionReportedAt, e.lastCheckAt) >= catchUpWait {
 		r.requestCheck(now, i)
 	}
 	return mayCover
 }
 
-// freshestReplica serves deployments whose replicas check reads themselves. Each is tried once for a command.
-func (r *Router) freshestReplica(now float64, c *Command, g *group) int {
+// chooseFreshestReplica serves deployments whose replicas check reads themselves. Each is tried once for a command.
+func (r *Router) chooseFreshestReplica(now float64, c *Command, g *group) int {
 	r.collectCandidates(now, c, g, math.Inf(-1))
 	r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool {
 		return slices.ContainsFunc(c.Attempts, func(a Attempt) bool { return a.Endpoint == i })
@@ -149,8 +149,8 @@
 
 // recentLag is how far a replica lagged lately; one that was not heard of lately may have caught up since.
 func (r *Router) recentLag(now float64, i int) float64 {
-	if e := &r.endpoints[i]; now-e.reportedAt <= r.longestObjective {
-		return e.lag
+	if e := &r.endpoints[i]; now-e.positionReportedAt <= r.longestObjective {
+		return e.reportedLag
 	}
 	return 0
 }
--- a/internal/router/consistency_test.go
+++ b/internal/router/consistency_test.go
@@ -56,7 +56,7 @@
 	s.ReplicasCheckReads = true
 	r := testRouter(t, s)
 	r.sessions.Put(9, session{lastWrite: 10.1, highestRead: math.Inf(-1)})
-	r.endpoints[1].lag, r.endpoints[2].lag = 3, 0.01
+	r.endpoints[1].reportedLag, r.endpoints[2].reportedLag = 3, 0.01
 	c := newCommand(sessionReads)
 	assert.Equal(t, 2, r.Route(10, c).Endpoint)
 	a := r.AttemptEnded(10.06, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
@@ -70,7 +70,7 @@
 	r := testRouter(t, s)
 	r.endpoints[0].role = RoleReplica
 	for i := range r.endpoints {
-		r.endpoints[i].lag = float64(i)
+		r.endpoints[i].reportedLag = float64(i)
 	}
 	assert.Equal(t, 0, r.Route(10.2, newCommand(linearizableReads)).Endpoint, "the least behind checks it itself")
 	c := newCommand(linearizableReads)
@@ -141,10 +141,10 @@
 	} {
 		for _, held := range []float64{-0.001, 0.001} { // what replicas hold, beside that
 			r := testRouter(t, s)
-			r.serviceTime, r.latency = 0.01, 0.01
+			r.fleetServiceTime, r.fleetLatency = 0.01, 0.01
 			hold := func(pos float64) {
 				for _, i := range replicas {
-					r.endpoints[i].position, r.endpoints[i].reportedAt, r.endpoints[i].lag = pos, 10.15, 10.15-pos
+					r.endpoints[i].position, r.endpoints[i].positionReportedAt, r.endpoints[i].reportedLag = pos, 10.15, 10.15-pos
 				}
 			}
 			first := newCommand(sessionReads)
@@ -167,7 +167,7 @@
 			other := newCommand(sessionReads)
 			other.Session, other.ArrivedAt, other.ClientDeadline = 8, 10.15, 12
 			assert.Contains(t, replicas, r.Route(10.15, other).Endpoint, "%s: of another session", what)
-			assert.Equal(t, held > 0, slices.Contains(replicas, r.pickReplica(10.15, waits, &r.groups[sessionReads], r.sessionPosition(10.15, waits))), "%s, %g", what, held)
+			assert.Equal(t, held > 0, slices.Contains(replicas, r.chooseReplica(10.15, waits, &r.groups[sessionReads], r.sessionPosition(10.15, waits))), "%s, %g", what, held)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 func TestKnownPositionIsNotChecked(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for i := range r.endpoints {
-		r.endpoints[i].latencySum, r.endpoints[i].answerSum, r.endpoints[i].queued, r.endpoints[i].answeredAt = 400, 100, 9, 10.25
+		r.endpoints[i].latencySum, r.endpoints[i].answerCount, r.endpoints[i].queued, r.endpoints[i].lastAnswerAt = 400, 100, 9, 10.25
 	}
 	c := newCommand(boundedReads)
 	c.ArrivedAt, c.ClientDeadline = 10.25, 12.25
@@ -197,7 +197,7 @@
 		s := testConfig()
 		s.ReplicasCheckReads = guarded
 		r := testRouter(t, s)
-		count(&r.reads, 10.2, 1, true)
+		count(&r.readCounter, 10.2, 1, true)
 		r.Route(10.2, uncoveredRead(r))
 		assert.Equal(t, guarded, len(r.pendingChecks) == 0)
 	}
@@ -207,7 +207,7 @@
 func TestReadThatFallsBackAtOnceChecksNoPosition(t *testing.T) {
 	r := testRouter(t, testConfig())
 	c := uncoveredRead(r)
-	count(&r.reads, 10, 10, false)
+	count(&r.readCounter, 10, 10, false)
 	a := r.Route(10.2, c)
 	require.Equal(t, Forward, a.Action)
 	assert.Equal(t, 0, a.Endpoint)
@@ -221,7 +221,7 @@
 		s := testConfig()
 		s.Instance, s.RouterCount = me, 1000
 		r := testRouter(t, s)
-		r.endpoints[1].startedAt, r.endpoints[1].slowStartBudgetAt = 10, 10.2
+		r.endpoints[1].startedAt, r.endpoints[1].slowStartBudgetSetAt = 10, 10.2
 		c := uncoveredRead(r)
 		require.Equal(t, Wait, r.Route(10.2, c).Action)
 		assert.Equal(t, []int{2}, r.pendingChecks, "router %d", me)
--- a/internal/router/health.go
+++ b/internal/router/health.go
@@ -19,7 +19,7 @@
 	if result == NeverSent {
 		return
 	}
-	if !result.fromEndpoint() && e.answeredAt < now-elapsed {
+	if !result.fromEndpoint() && e.lastAnswerAt < now-elapsed {
 		e.recordUnreachable(now)
 	}
 	if result != Answered {
@@ -41,7 +41,7 @@
 // requestCheck asks for a health check with the next maintenance.
 func (r *Router) requestCheck(now float64, i int) {
 	if r.config.HealthChecks {
-		r.endpoints[i].checkedAt = now
+		r.endpoints[i].lastCheckAt = now
 		r.pendingChecks = append(r.pendingChecks, i)
 	}
 }
@@ -49,33 +49,33 @@
 // recordReachable notes that an endpoint has answered. One that was unreachable for longer than by chance, by
 // two failed contacts, may have started anew before any list says so, and is taken to be in slow start.
 func (r *Router) recordReachable(now float64, e *endpoint) {
-	if e.unreachableAt-e.unreachableSince > r.longestObjective {
+	if e.lastUnreachableAt-e.unreachableSince > r.longestObjective {
 		e.startedAt = max(e.startedAt, now)
-		e.startListed = false
+		e.startFromList = false
 	}
 	if !math.IsInf(e.unreachableSince, 1) {
 		// What was sent meanwhile never reached it, and its silence would eject it again at once.
-		e.ejected, e.failureSum = false, 0
-		e.unanswered, e.unreachableSince = 0, math.Inf(1)
+		e.ejected, e.failureCount = false, 0
+		e.unansweredAttempts, e.unreachableSince = 0, math.Inf(1)
 	}
 }
 
 func (r *Router) recordFailure(now float64, e *endpoint) {
 	r.decay(now, e)
-	e.failureSum++
-	e.resultSum++
-	e.recoveryAt = now + r.longestObjective
+	e.failureCount++
+	e.resultCount++
+	e.nextRecoveryAt = now + r.longestObjective
 }
 
-func (e *endpoint) failureShare() float64 { return e.failureSum / (e.resultSum + priorWeight) }
+func (e *endpoint) failureShare() float64 { return e.failureCount / (e.resultCount + priorWeight) }
 
-// suspected says that an endpoint takes commands and answers none, or fails more than the fleet does, and
+// updateEjection says that an endpoint takes commands and answers none, or fails more than the fleet does, and
 // ejects it: until it answers it gets one recovery attempt at a time, or health checks if it was unreachable.
-func (r *Router) suspected(now float64, i int) bool {
+func (r *Router) updateEjection(now float64, i int) bool {
 	e := &r.endpoints[i]
 	r.decay(now, e)
 	// One attempt that is over says little: on it hundreds of routers ejected a seventh of a healthy fleet.
-	silent := e.unanswered > 1 || e.inFlight > 0 && e.unanswered > 0
+	silent := e.unansweredAttempts > 1 || e.inFlight > 0 && e.unansweredAttempts > 0
 	overdue := silent && now-e.unansweredSince > r.silenceTimeout(e)
 	if overdue || e.failureShare() > r.medianFailureShare+failureMargin {
 		e.ejected = true
@@ -86,10 +86,10 @@
 // silenceTimeout is how long an endpoint may be silent after an attempt. Lone lost answers do not count, nor
 // does silence that costs little of the objective: where answers are quick, one long one says nothing.
 func (r *Router) silenceTimeout(e *endpoint) float64 {
-	unanswered := float64(max(1, e.unanswered))
+	unanswered := float64(max(1, e.unansweredAttempts))
 	mean := cmp.Or(r.meanLatency(e), assumedServiceShare*r.longestObjective)
 	// A command of a second is no silence among answers of a tenth.
-	mean += max(0, e.unansweredWork/unanswered-cmp.Or(r.serviceTime, mean))
+	mean += max(0, e.unansweredWorkSum/unanswered-cmp.Or(r.fleetServiceTime, mean))
 	return max(latencySlack*r.longestObjective, mean*(1+silenceFactor/unanswered))
 }
 
@@ -99,7 +99,7 @@
 	e := &r.endpoints[i]
 	reachable := math.IsInf(e.unreachableSince, 1) || !r.config.HealthChecks
 	timely := now-c.ArrivedAt < latencySlack*g.LatencyObjective
-	if reachable && timely && now >= e.recoveryAt && now-r.recoveryAt >= r.recoveryInterval {
+	if reachable && timely && now >= e.nextRecoveryAt && now-r.lastRecoveryAt >= r.recoveryInterval {
 		return true
 	}
 	return r.healthyReplicas == 0 && r.mayFailOpen(now, e)
@@ -107,6 +107,6 @@
 
 // mayFailOpen says that an ejected endpoint may be used for want of a better one.
 func (r *Router) mayFailOpen(now float64, e *endpoint) bool {
-	settled := now >= e.recoveryAt-(1-failOpenShare)*r.longestObjective
+	settled := now >= e.nextRecoveryAt-(1-failOpenShare)*r.longestObjective
 	return e.queued == 0 && math.IsInf(e.unreachableSince, 1) && settled
 }
--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -26,17 +26,17 @@
 // A hung endpoint keeps its last position and would go on qualifying.
 func TestSilentEndpointIsEjectedUntilItAnswers(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.latency = 0.05
+	r.fleetLatency = 0.05
 	n := &r.endpoints[1]
-	n.queued, n.unanswered, n.unansweredSince = 4, 4, 10
-	assert.False(t, r.suspected(10.05, 1))
-	assert.True(t, r.suspected(10.2, 1))
+	n.queued, n.unansweredAttempts, n.unansweredSince = 4, 4, 10
+	assert.False(t, r.updateEjection(10.05, 1))
+	assert.True(t, r.updateEjection(10.2, 1))
 	n.queued = 0
-	assert.True(t, r.suspected(13, 1), "no answer since")
+	assert.True(t, r.updateEjection(13, 1), "no answer since")
 	n.queued = 1
 	c := &Command{Group: eventualReads, Attempts: []Attempt{{Endpoint: 1, InFlight: true}}, ArrivedAt: 10, ClientDeadline: 14, routed: true}
 	r.AttemptEnded(13, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
-	assert.False(t, r.suspected(13, 1))
+	assert.False(t, r.updateEjection(13, 1))
 }
 
 // An endpoint that rejected all commands at once looked idle and drew a third of them.
@@ -47,16 +47,16 @@
 		c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}, true
 		r.AttemptEnded(10, c, AttemptResult{Result: Overloaded, Position: -1})
 	}
-	assert.True(t, r.suspected(10, 1))
+	assert.True(t, r.updateEjection(10, 1))
 }
 
 // Forty routers once ejected all endpoints of all shards, and with nothing sent nothing was learnt.
 func TestWhereAllAreEjectedOneFailsOpen(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for i := range r.endpoints {
-		r.endpoints[i].ejected, r.endpoints[i].recoveryAt = true, 10.6-float64(i)/10
+		r.endpoints[i].ejected, r.endpoints[i].nextRecoveryAt = true, 10.6-float64(i)/10
 	}
-	r.recoveryAt, r.recoveryInterval = 10, 100
+	r.lastRecoveryAt, r.recoveryInterval = 10, 100
 	assert.Equal(t, 2, r.Route(10.1, newCommand(eventualReads)).Endpoint, "the one that failed longest ago")
 	assert.Equal(t, Wait, r.Route(10.1, newCommand(eventualReads)).Action, "one attempt at a time, not too soon")
 }
@@ -69,7 +69,7 @@
 	r := testRouter(t, s)
 	r.endpoints[1].ejected, r.endpoints[2].ejected = true, true
 	r.endpoints[2].recordUnreachable(10)
-	r.commands, r.maintainedAt = 3, 20
+	r.commandCount, r.lastReviewAt = 3, 20
 	_, up := r.Maintain(25)
 	assert.Equal(t, []int{2}, up.HealthCheck)
 }
@@ -81,23 +81,23 @@
 	for at := 10.0; at < 10.4; at += 0.1 {
 		c := newCommand(eventualReads)
 		c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: at, InFlight: true}}, true
-		r.endpoints[1].unanswered++
+		r.endpoints[1].unansweredAttempts++
 		r.endpoints[1].unansweredSince = 10
 		r.endpoints[1].inFlight++
 		r.AttemptEnded(at+0.05, c, AttemptResult{Result: ConnectFailed, Position: -1})
 	}
-	require.True(t, r.suspected(11, 1))
+	require.True(t, r.updateEjection(11, 1))
 	r.HealthChecked(11, 1, Answered, 0, 11, false)
-	assert.False(t, r.suspected(12, 1))
-	r.endpoints[1].unanswered, r.endpoints[1].unansweredSince = 3, 12
+	assert.False(t, r.updateEjection(12, 1))
+	r.endpoints[1].unansweredAttempts, r.endpoints[1].unansweredSince = 3, 12
 	r.HealthChecked(13, 1, Answered, 0, 13, false)
-	assert.True(t, r.suspected(14, 1), "one that was reached and is silent stays ejected")
+	assert.True(t, r.updateEjection(14, 1), "one that was reached and is silent stays ejected")
 }
 
 // A router that hears each endpoint every few seconds ejected it after one answer that was lost or late.
 func TestOneLostAnswerEjectsNobody(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.latency = 0.05
+	r.fleetLatency = 0.05
 	for lost, doubted := range []bool{false, true} {
 		c := newCommand(eventualReads)
 		c.ArrivedAt = 10 + float64(lost)
@@ -108,19 +108,19 @@
 		}
 		c.Attempts[0].overdue = true
 		r.AttemptEnded(c.ArrivedAt+0.1, c, AttemptResult{Result: TimedOut, Elapsed: 0.1, Position: -1, Final: true})
-		assert.Equal(t, doubted, r.suspected(c.ArrivedAt+0.9, at))
+		assert.Equal(t, doubted, r.updateEjection(c.ArrivedAt+0.9, at))
 	}
 }
 
 // Among many routers no replica is known to cover most reads: that once sent them all to an ejected primary.
 func TestNoFailOpenWhereAHealthyReplicaMayCover(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.endpoints[0].ejected, r.endpoints[0].recoveryAt, r.recoveryAt, r.recoveryInterval = true, 9, 10, 100
+	r.endpoints[0].ejected, r.endpoints[0].nextRecoveryAt, r.lastRecoveryAt, r.recoveryInterval = true, 9, 10, 100
 	c := uncoveredRead(r)
 	assert.Equal(t, Wait, r.Route(10.2, c).Action)
 	assert.Len(t, r.pendingChecks, 1, "a replica is asked")
 	r.endpoints[1].ejected, r.endpoints[2].ejected = true, true
-	r.endpoints[1].recoveryAt, r.endpoints[2].recoveryAt = 12, 12
+	r.endpoints[1].nextRecoveryAt, r.endpoints[2].nextRecoveryAt = 12, 12
 	a := r.Route(10.2, c)
 	require.Equal(t, Forward, a.Action, "nobody else is left")
 	assert.Equal(t, 0, a.Endpoint)
@@ -131,29 +131,29 @@
 	r := testRouter(t, testConfig())
 	r.decayTime = 5 * decayObjectives
 	r.recordFailure(10, &r.endpoints[1])
-	assert.False(t, r.suspected(10, 1))
+	assert.False(t, r.updateEjection(10, 1))
 	r.recordFailure(12, &r.endpoints[1])
-	assert.True(t, r.suspected(12, 1), "two are remembered where attempts are rare")
+	assert.True(t, r.updateEjection(12, 1), "two are remembered where attempts are rare")
 }
 
 func TestHealthIsAgainstTheFleetsMedian(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for i := range r.endpoints {
-		r.endpoints[i].failureSum, r.endpoints[i].resultSum, r.endpoints[i].decayedAt = 4, 8, 10
+		r.endpoints[i].failureCount, r.endpoints[i].resultCount, r.endpoints[i].decayedAt = 4, 8, 10
 	}
 	r.updateFleet(10)
-	assert.False(t, r.suspected(10, 1), "all fail alike: no endpoint stands out")
-	r.endpoints[1].failureSum, r.endpoints[1].resultSum = 8, 8
-	assert.True(t, r.suspected(10, 1))
+	assert.False(t, r.updateEjection(10, 1), "all fail alike: no endpoint stands out")
+	r.endpoints[1].failureCount, r.endpoints[1].resultCount = 8, 8
+	assert.True(t, r.updateEjection(10, 1))
 }
 
 func TestShortSilenceEjectsNobodyHoweverQuickAnswersAre(t *testing.T) {
 	r := testRouter(t, testConfig())
 	n := &r.endpoints[1]
-	n.latencySum, n.answerSum, n.decayedAt = 0.02, 10, 10 // 2 ms each
-	n.unanswered, n.unansweredSince = 3, 10
-	assert.False(t, r.suspected(10.04, 1), "twenty answer times, but little of an objective")
-	assert.True(t, r.suspected(10.06, 1))
+	n.latencySum, n.answerCount, n.decayedAt = 0.02, 10, 10 // 2 ms each
+	n.unansweredAttempts, n.unansweredSince = 3, 10
+	assert.False(t, r.updateEjection(10.04, 1), "twenty answer times, but little of an objective")
+	assert.True(t, r.updateEjection(10.06, 1))
 }
 
 // Where health checks failed for half a minute at endpoints that served as usual these counted as unreachable and,
@@ -161,7 +161,7 @@
 func TestFailedHealthChecksOfServingEndpointsSayNothing(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for now := 10.1; now < 20; now += 0.5 {
-		r.endpoints[1].answeredAt = now - 0.05
+		r.endpoints[1].lastAnswerAt = now - 0.05
 		r.HealthChecked(now, 1, Errored, 0.01, -1, false)
 		r.HealthChecked(now+0.01, 1, TimedOut, 0.25, -1, false)
 	}
--- a/internal/router/latency_test.go
+++ b/internal/router/latency_test.go
@@ -31,10 +31,10 @@
 		assert.InDelta(t, (seen+priorWeight*assumedServiceShare*0.5)/(a+priorWeight), r.groups[eventualReads].serviceTime, 1e-9,
 			"leaning on a quarter of the objective")
 	}
-	assert.InDelta(t, r.groups[eventualReads].serviceTime, r.latency, 0.05, "the lucky first one is no more than one of four")
-	r.answers, r.serviceTime, r.latency, r.groups[eventualReads].serviceTime, r.groups[eventualReads].batchedAt = 100, 0.1, 0.1, 0.1, 10
+	assert.InDelta(t, r.groups[eventualReads].serviceTime, r.fleetLatency, 0.05, "the lucky first one is no more than one of four")
+	r.fleetAnswerCount, r.fleetServiceTime, r.fleetLatency, r.groups[eventualReads].serviceTime, r.groups[eventualReads].batchEndedAt = 100, 0.1, 0.1, 0.1, 10
 	r.recordAnswer(10, newCommand(eventualReads), &r.groups[eventualReads], &r.endpoints[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: 100, Position: -1})
-	assert.InDelta(t, 0.11, r.latency, 1e-9, "nor does one met in a jam: a twentieth of three mean works")
+	assert.InDelta(t, 0.11, r.fleetLatency, 1e-9, "nor does one met in a jam: a twentieth of three mean works")
 }
 
 // Clients that left after a moment made the primary that answered nobody look quick. What was waited for in vain
@@ -42,7 +42,7 @@
 func TestCanceledAttemptDoesNotCountAsQuick(t *testing.T) {
 	for at, left := range map[int][2]float64{1: {0.01, 0.11}, 2: {9, 9.1}} { // when, and what it counts as
 		r := testRouter(t, testConfig())
-		r.serviceTime, r.latency, r.groups[eventualReads].serviceTime = 0.1, 0.1, 0.1
+		r.fleetServiceTime, r.fleetLatency, r.groups[eventualReads].serviceTime = 0.1, 0.1, 0.1
 		c := newCommand(eventualReads)
 		c.Attempts, c.routed = []Attempt{{Endpoint: at, SentAt: 10, InFlight: true}}, true
 		r.AttemptEnded(10+left[0], c, AttemptResult{Result: Canceled, Elapsed: left[0], Final: true, Position: -1})
@@ -60,7 +60,7 @@
 	s := testConfig()
 	s.RouterCount = 300
 	r := testRouter(t, s)
-	r.serviceTime, r.latency, r.groups[eventualReads].serviceTime = 0.05, 0.05, 0.05
+	r.fleetServiceTime, r.fleetLatency, r.groups[eventualReads].serviceTime = 0.05, 0.05, 0.05
 	r.UpdateEndpoints(0, []EndpointInfo{{Index: 5, Shard: 1, State: Ready, StartedAt: math.Inf(-1)}}, false, false)
 	other := r.meanLatency(&r.endpoints[5])
 	for k := range 3 {
@@ -86,7 +86,7 @@
 // With slow handshakes each attempt that ran out of time lost a connection that could not be replaced.
 func TestOpenConnectionsAreKeptWhereNewOnesAreCostly(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.latency = 0.05
+	r.fleetLatency = 0.05
 	c := newCommand(eventualReads)
 	c.Attempts, c.routed = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true, newConnection: true}}, true
 	r.AttemptEnded(10.25, c, AttemptResult{Result: Answered, Elapsed: 0.25, Position: -1, Final: true})
@@ -97,10 +97,10 @@
 	r.AttemptEnded(10.26, failed, AttemptResult{Result: ConnectFailed, Elapsed: 0.25, Position: -1, Final: true})
 	assert.InDelta(t, connectFailureWeight*0.25, r.connectCost, 0.01, "a failed one weighs more")
 	r.recordReachable(10.26, &r.endpoints[1])
-	r.connectCost, r.serviceTime, r.latency, r.endpoints[1].answerSum = 0.2, 0.05, 0.05, 0
-	r.endpoints[1].latencySum, r.endpoints[1].queueSum, r.groups[eventualReads].serviceTime = 0, 0, 0.05
+	r.connectCost, r.fleetServiceTime, r.fleetLatency, r.endpoints[1].answerCount = 0.2, 0.05, 0.05, 0
+	r.endpoints[1].latencySum, r.endpoints[1].queuePositionSum, r.groups[eventualReads].serviceTime = 0, 0, 0.05
 	for range 5 {
-		assert.Equal(t, 1, r.pickReplica(10.1, newCommand(eventualReads), &r.groups[eventualReads], 0), "endpoint 2 has none")
+		assert.Equal(t, 1, r.chooseReplica(10.1, newCommand(eventualReads), &r.groups[eventualReads], 0), "endpoint 2 has none")
 	}
 	assert.InDelta(t, 12.0, r.Route(10.1, newCommand(eventualReads)).AttemptDeadline, 0, "nor is it lost at the objective")
 	assert.Zero(t, r.endpoints[1].idleConnections)
@@ -109,7 +109,7 @@
 // One heavy answer among three once made a primary look full for seconds.
 func TestHeavyCommandIsNoQueue(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.serviceTime, r.groups[eventualReads].serviceTime = 0.1, 0.2
+	r.fleetServiceTime, r.groups[eventualReads].serviceTime = 0.1, 0.2
 	r.recordLatency(&r.groups[eventualReads], &r.endpoints[1], &Attempt{}, 0.25)
 	assert.InDelta(t, 0.125, r.endpoints[1].latencySum, 1e-9, "twice the mean work: half of what it took beyond")
 	r.groups[sessionReads].serviceTime = 0.05
@@ -124,16 +124,16 @@
 	s.CommandGroups[eventualReads].LatencyObjective, s.CommandGroups[eventualReads].ClientTimeout = 6, 12
 	r := testRouter(t, s)
 	assert.InDelta(t, 0.5, r.longestObjective, 0, "how soon one must know goes by what needs fresh data")
-	r.latency, r.serviceTime, r.queueLength = 0.1, 0.1, 1
+	r.fleetLatency, r.fleetServiceTime, r.fleetQueueLength = 0.1, 0.1, 1
 	c := newCommand(eventualReads)
 	c.ClientDeadline = 22
 	a := r.Route(10, c)
 	assert.Equal(t, Forward, a.Action)
 	for now := 10.1; now < 13; now += 0.1 {
 		assert.Equal(t, -1, r.Route(now, c).CancelAttempt)
-		assert.False(t, r.suspected(now, a.Endpoint), "at %v", now)
+		assert.False(t, r.updateEjection(now, a.Endpoint), "at %v", now)
 	}
 	r.AttemptEnded(13, c, AttemptResult{Result: Answered, Elapsed: 3, Final: true, Position: -1})
 	assert.InDelta(t, 0.1, r.meanLatency(&r.endpoints[a.Endpoint]), 0.05)
-	assert.InDelta(t, 0.1, r.serviceTime, 0)
+	assert.InDelta(t, 0.1, r.fleetServiceTime, 0)
 }
--- a/internal/router/maintenance_test.go
+++ b/internal/router/maintenance_test.go
@@ -58,7 +58,7 @@
 // Where every endpoint gets commands while a position is good, it is checked before it is asked for.
 func TestBusyRouterChecksPositionsUnasked(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.commands, r.maintainedAt = 200, 10
+	r.commandCount, r.lastReviewAt = 200, 10
 	_, up := r.Maintain(10.5)
 	assert.ElementsMatch(t, []int{0, 1, 2}, up.HealthCheck)
 }
@@ -76,11 +76,11 @@
 	r.EndpointListFailed(10.1)
 	next, up := r.Maintain(10.2)
 	assert.False(t, up.Subscribe)
-	assert.InDelta(t, r.pollAt, 10.2+next, 1e-9)
-	assert.Less(t, r.pollAt, 10.1+pollRetryShare*r.config.PollWindow+1e-9)
-	_, up = r.Maintain(r.pollAt)
+	assert.InDelta(t, r.nextPollAt, 10.2+next, 1e-9)
+	assert.Less(t, r.nextPollAt, 10.1+pollRetryShare*r.config.PollWindow+1e-9)
+	_, up = r.Maintain(r.nextPollAt)
 	assert.True(t, up.Subscribe)
-	next, _ = r.Maintain(r.pollAt)
+	next, _ = r.Maintain(r.nextPollAt)
 	assert.Positive(t, next)
 	r.UpdateEndpoints(12, nil, false, false)
 	next, up = r.Maintain(12)
@@ -97,7 +97,7 @@
 	last := 0.0
 	for range 4 {
 		r.EndpointListFailed(10)
-		gap := r.pollAt - 10
+		gap := r.nextPollAt - 10
 		assert.Greater(t, gap, last/2)
 		last = gap
 	}
--- a/internal/router/migration.go
+++ b/internal/router/migration.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// endedWrites stands for the writes in flight at an earlier router until LearnFrom finds that none is.
-const endedWrites = 0.5
+// previousRouterWrites stands for the writes in flight at an earlier router until LearnFrom finds that none is.
+const previousRouterWrites = 0.5
 
 // MigrateFrom takes over, before the first command, what an earlier router of the same process has learned
 // and what still means the same under other settings: where endpoints are, their states, roles and
@@ -22,23 +22,23 @@
 	for i := range r.shards {
 		s := &r.shards[i]
 		s.endpoints = slices.Clone(s.endpoints)
-		s.latencySum, s.answerSum = 0, 0
+		s.latencySum, s.answerCount = 0, 0
 	}
-	r.sessionsTurnedAt = now
+	r.sessionsRotatedAt = now
 	r.sessions = from.sessions.CloneFunc(func(s session) session {
 		if s.writesInFlight > 0 {
-			s.writesInFlight = endedWrites
+			s.writesInFlight = previousRouterWrites
 		}
 		return s
 	})
-	r.subscribed, r.pollAt, r.pollFailures = from.subscribed, from.pollAt, from.pollFailures
+	r.subscribed, r.nextPollAt, r.pollFailures = from.subscribed, from.nextPollAt, from.pollFailures
 }
 
 // resetTraffic forgets what is in flight and what was learned of latencies.
 func (e *endpoint) resetTraffic() {
-	e.queued, e.inFlight, e.unanswered = 0, 0, 0
-	e.attemptSum, e.servedSum = 0, 0
-	e.latencySum, e.queueSum, e.answerSum = 0, 0, 0
+	e.queued, e.inFlight, e.unansweredAttempts = 0, 0, 0
+	e.attemptCount, e.answeredWorkSum = 0, 0
+	e.latencySum, e.queuePositionSum, e.answerCount = 0, 0, 0
 }
 
 // LearnFrom takes over what an earlier router of the process has just learned of a command's session. The
--- a/internal/router/migration_test.go
+++ b/internal/router/migration_test.go
@@ -9,14 +9,14 @@
 
 func TestMigrationKeepsWhatStillMeansTheSame(t *testing.T) {
 	old := testRouter(t, testConfig())
-	old.endpoints[1].position, old.endpoints[1].latencySum, old.endpoints[1].answerSum, old.endpoints[1].inFlight, old.endpoints[1].unanswered = 11, 40, 100, 3, 2
+	old.endpoints[1].position, old.endpoints[1].latencySum, old.endpoints[1].answerCount, old.endpoints[1].inFlight, old.endpoints[1].unansweredAttempts = 11, 40, 100, 3, 2
 	old.endpoints[2].ejected, old.endpoints[2].startedAt, old.endpoints[2].slowStartBudget = true, 9, 5
 	old.UpdateEndpoints(10, []EndpointInfo{{Index: 0, State: Draining, StartedAt: math.Inf(-1)}}, false, false)
 	old.sessions.Put(7, session{lastWrite: 10.5, highestRead: 10.7, writesInFlight: 2})
 	old.sessions.Turn()
 	old.sessions.Put(9, session{lastWrite: 10.5, highestRead: 10.7})
-	old.shards[0].latencySum, old.shards[0].answerSum = 40, 100
-	old.shards[0].positionFloor, old.latency, old.warmRate = 9.5, 0.4, 50
+	old.shards[0].latencySum, old.shards[0].answerCount = 40, 100
+	old.shards[0].positionFloor, old.fleetLatency, old.warmAttemptRate = 9.5, 0.4, 50
 	s := testConfig()
 	s.CommandGroups = append(s.CommandGroups[:1:1], s.CommandGroups[sessionReads]) // other groups, in another order
 	r := New(s, 8)
@@ -28,11 +28,11 @@
 	assert.InDelta(t, 9.0, r.endpoints[2].startedAt, 0, "and a cold one is cold")
 	assert.InDelta(t, 5.0, r.endpoints[2].slowStartBudget, 0)
 	assert.True(t, r.subscribed)
-	assert.Zero(t, r.endpoints[1].latencySum+r.endpoints[1].answerSum, "paces were of other commands")
-	assert.Zero(t, r.endpoints[1].inFlight+r.endpoints[1].unanswered, "what is out ends at the old one")
-	assert.Zero(t, r.latency+r.warmRate+r.shards[0].latencySum+r.shards[0].answerSum)
+	assert.Zero(t, r.endpoints[1].latencySum+r.endpoints[1].answerCount, "paces were of other commands")
+	assert.Zero(t, r.endpoints[1].inFlight+r.endpoints[1].unansweredAttempts, "what is out ends at the old one")
+	assert.Zero(t, r.fleetLatency+r.warmAttemptRate+r.shards[0].latencySum+r.shards[0].answerCount)
 	c := &Command{Group: 1, Session: 9, ArrivedAt: 12, ClientDeadline: 14}
-	assert.Equal(t, 1, r.pickReplica(12, c, &r.groups[1], r.session(9).highestRead), "it covers what the session has seen")
+	assert.Equal(t, 1, r.chooseReplica(12, c, &r.groups[1], r.session(9).highestRead), "it covers what the session has seen")
 	assert.InDelta(t, 10.7, r.sessionPosition(12, c), 0)
 	writes := &Command{Group: 1, Session: 7, ArrivedAt: 12, ClientDeadline: 14}
 	assert.InDelta(t, 12.5, r.sessionPosition(12.5, writes), 0, "its writes are out at the old one")
--- a/internal/router/primary.go
+++ b/internal/router/primary.go
@@ -14,14 +14,14 @@
 // primary is the endpoint whose own word for being the primary is the newest, or none. The list, which may be
 // seconds late or frozen, counts only for an endpoint that was never heard.
 func (r *Router) primary(shard int) int {
-	best, bestAt := none, math.Inf(-1)
+	best, bestAt := noIndex, math.Inf(-1)
 	for _, i := range r.shards[shard].endpoints {
 		e := &r.endpoints[i]
 		if !r.eligible(e) {
 			continue
 		}
-		if e.role == RolePrimary && e.roleAt > bestAt {
-			best, bestAt = i, e.roleAt
+		if e.role == RolePrimary && e.roleHeldAt > bestAt {
+			best, bestAt = i, e.roleHeldAt
 		} else if best < 0 && e.role == RoleUnknown && e.listedPrimary {
 			best = i
 		}
@@ -39,34 +39,34 @@
 		}
 	}
 	if len(r.candidates) == 0 {
-		return r.suspectedPrimary(now, c, primary)
+		return r.chooseEjectedPrimary(now, c, primary)
 	}
 	i := r.candidates[r.random.IntN(len(r.candidates))]
 	// The tests of a hundred routers overload endpoints that come back in slow start.
 	rarer := max(1, math.Sqrt(float64(r.config.RouterCount))/2)
-	r.endpoints[i].roleTestAt = now + roleTestShare*r.longestObjective*rarer
+	r.endpoints[i].nextRoleTestAt = now + roleTestShare*r.longestObjective*rarer
 	return i
 }
 
 func (r *Router) mayTestRole(now float64, c *Command, i int) bool {
 	e := &r.endpoints[i]
-	if !r.eligible(e) || r.suspected(now, i) || now < e.roleTestAt || r.remainingAttempts(c) <= 1 {
+	if !r.eligible(e) || r.updateEjection(now, i) || now < e.nextRoleTestAt || r.remainingAttempts(c) <= 1 {
 		return false
 	}
-	return now-e.roleAt > roleTestShare*r.longestObjective && r.slowStartAdmits(now, i)
+	return now-e.roleHeldAt > roleTestShare*r.longestObjective && r.slowStartAdmits(now, i)
 }
 
-// suspectedPrimary fails open: a few failures say little, and there is no other primary.
-func (r *Router) suspectedPrimary(now float64, c *Command, primary int) int {
+// chooseEjectedPrimary fails open: a few failures say little, and there is no other primary.
+func (r *Router) chooseEjectedPrimary(now float64, c *Command, primary int) int {
 	for _, i := range r.shards[c.Shard].endpoints {
 		e := &r.endpoints[i]
-		mayBe := i == primary || primary < 0 && r.eligible(e) && r.suspected(now, i)
+		mayBe := i == primary || primary < 0 && r.eligible(e) && r.updateEjection(now, i)
 		if mayBe && r.mayFailOpen(now, e) && r.slowStartAdmits(now, i) {
-			e.recoveryAt = now + r.longestObjective
+			e.nextRecoveryAt = now + r.longestObjective
 			return i
 		}
 	}
-	return none
+	return noIndex
 }
 
 // primaryCrowded says that a replica which may yet cover a read will answer so much earlier than the primary
@@ -80,14 +80,14 @@
 
 // mayFallBack keeps reads at primaries to their share of the last second's.
 func (r *Router) mayFallBack(now float64) bool {
-	reads, fallbacks := r.reads.Sums(now)
+	reads, fallbacks := r.readCounter.Sums(now)
 	return fallbacks+1 <= fallbackShare*(reads+1)
 }
 
 // admitPrimary returns a primary if it admits the command, else none.
 func (r *Router) admitPrimary(now float64, c *Command, g *group, primary int) int {
 	if !r.slowStartAdmits(now, primary) || !r.admits(now, c, g, primary, g.primaryQueueLimit) {
-		return none
+		return noIndex
 	}
 	return primary
 }
--- a/internal/router/primary_test.go
+++ b/internal/router/primary_test.go
@@ -10,9 +10,9 @@
 
 func TestFallbacksAreOneReadInFive(t *testing.T) {
 	r := testRouter(t, testConfig())
-	count(&r.reads, 10, 9, false)
+	count(&r.readCounter, 10, 9, false)
 	assert.True(t, r.mayFallBack(10))
-	count(&r.reads, 10, 2, true)
+	count(&r.readCounter, 10, 2, true)
 	assert.False(t, r.mayFallBack(10))
 	assert.False(t, r.mayFallBack(11.5), "the last second only")
 }
@@ -37,7 +37,7 @@
 		r := New(s, 1)
 		r.UpdateEndpoints(10, []EndpointInfo{warmEndpoint(0)}, true, true)
 		require.Equal(t, Forward, r.Route(10, newCommand(writes)).Action)
-		r.endpoints[0].queued, r.endpoints[0].unanswered, r.endpoints[0].role = 0, 0, RoleReplica
+		r.endpoints[0].queued, r.endpoints[0].unansweredAttempts, r.endpoints[0].role = 0, 0, RoleReplica
 		assert.Equal(t, again, r.Route(10.2, newCommand(writes)).Action == Forward)
 	}
 }
@@ -78,10 +78,10 @@
 func TestReadDoesNotFallBackToACrowdedPrimary(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for i := range r.endpoints {
-		r.endpoints[i].latencySum, r.endpoints[i].answerSum, r.endpoints[i].decayedAt = 0.2, 10, 10.2
+		r.endpoints[i].latencySum, r.endpoints[i].answerCount, r.endpoints[i].decayedAt = 0.2, 10, 10.2
 	}
-	r.latency = 0.02
-	count(&r.reads, 10.2, 10, false)
+	r.fleetLatency = 0.02
+	count(&r.readCounter, 10.2, 10, false)
 	r.endpoints[0].latencySum = 2
 	c := uncoveredRead(r)
 	assert.Equal(t, Wait, r.Route(10.2, c).Action)
--- a/internal/router/reportedtime.go
+++ b/internal/router/reportedtime.go
@@ -10,8 +10,8 @@
 	for i := range r.endpoints {
 		e := &r.endpoints[i]
 		e.position -= behind
-		e.lag = max(0, e.lag+behind)
-		if behind < 0 || e.startListed {
+		e.reportedLag = max(0, e.reportedLag+behind)
+		if behind < 0 || e.startFromList {
 			e.startedAt -= behind
 		}
 	}
--- a/internal/router/reportedtime_test.go
+++ b/internal/router/reportedtime_test.go
@@ -15,7 +15,7 @@
 	} {
 		r := testRouter(t, testConfig())
 		r.UpdateEndpoints(9, []EndpointInfo{{Index: 1, State: Ready, StartedAt: 9}}, false, false)
-		r.endpoints[2].startedAt, r.endpoints[2].startListed = 9, false // seen by the router itself
+		r.endpoints[2].startedAt, r.endpoints[2].startFromList = 9, false // seen by the router itself
 		r.endpoints[1].position = 9.8
 		r.sessions.Put(9, session{lastWrite: 9.5, highestRead: math.Inf(-1)})
 		r.shards[0].newestPosition = 9.5
--- a/internal/router/rolling/rolling.go
+++ b/internal/router/rolling/rolling.go
@@ -18,7 +18,7 @@
 
 // Add counts one event at a time in seconds.
 func (c *Counter) Add(now float64, marked bool) {
-	c.turn(now)
+	c.advance(now)
 	slot := c.newest % int64(len(c.all))
 	c.all[slot]++
 	if marked {
@@ -28,7 +28,7 @@
 
 // Sums are the numbers of all events and of the marked ones in the second before a time.
 func (c *Counter) Sums(now float64) (all, marked float64) {
-	c.turn(now)
+	c.advance(now)
 	for slot := range c.all {
 		all += c.all[slot]
 		marked += c.marked[slot]
@@ -36,8 +36,8 @@
 	return all, marked
 }
 
-// turn clears the slots that begin after the newest one. A time before it counts as the newest slot's.
-func (c *Counter) turn(now float64) {
+// advance clears the slots that begin after the newest one. A time before it counts as the newest slot's.
+func (c *Counter) advance(now float64) {
 	slots := int64(len(c.all))
 	at := int64(math.Floor(now * float64(slots)))
 	for slot := max(c.newest+1, at-slots+1); slot <= at; slot++ {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	holdShare   = 0.5             // of its client's time after which a command never sent is given up
-	reviewShare = 0.05            // of catchUpWait between two looks at a command that waits
+	maxWaitShare   = 0.5             // of its client's time after which a command never sent is given up
+	waitReviewShare = 0.05            // of catchUpWait between two looks at a command that waits
 	priorWeight = 2.0             // answers' worth of a wider mean in the mean of one endpoint, shard or group
 	roundOff    = 1.0 / (1 << 23) // relative error of a reported position, and the least divisor
 )
@@ -20,7 +20,7 @@
 func New(config Config, seed uint64) *Router {
 	r := &Router{
 		config: config, random: mwc.New(seed), sessions: generational.New[uint64, session](),
-		reads: rolling.New(fallbackSlots), maintainedAt: math.Inf(-1),
+		readCounter: rolling.New(fallbackSlots), lastReviewAt: math.Inf(-1),
 	}
 	interval := math.Inf(1)
 	for _, g := range config.CommandGroups {
@@ -63,20 +63,20 @@
 	if k := slices.IndexFunc(c.Attempts, func(a Attempt) bool { return a.InFlight }); k >= 0 {
 		return r.reviewAttempt(now, c, g, k)
 	}
-	if r.isHopeless(now, c, g) {
+	if r.shouldGiveUp(now, c, g) {
 		return r.giveUp(now, c, g)
 	}
 	i, fallback := r.chooseEndpoint(now, c, g)
-	if i < 0 || !r.recognizesKey(c, g, i) {
-		reviewAt := now + max(r.config.BatchInterval, reviewShare*catchUpWait)
-		return Decision{Action: Wait, ReviewAt: reviewAt, CancelAttempt: none}
+	if i < 0 || !r.inKeyScope(c, g, i) {
+		reviewAt := now + max(r.config.BatchInterval, waitReviewShare*catchUpWait)
+		return Decision{Action: Wait, ReviewAt: reviewAt, CancelAttempt: noIndex}
 	}
 	return r.forward(now, c, g, i, fallback)
 }
 
-// isHopeless says that a command is to be given up: one that was never sent by half of its client's time, so
+// shouldGiveUp says that a command is to be given up: one that was never sent by half of its client's time, so
 // that the client can still try elsewhere.
-func (r *Router) isHopeless(now float64, c *Command, g *group) bool {
+func (r *Router) shouldGiveUp(now float64, c *Command, g *group) bool {
 	switch {
 	case now >= c.ClientDeadline, c.Shard < 0, c.Shard >= len(r.shards):
 		return true
@@ -85,5 +85,5 @@
 	case now+g.serviceTime*(1-latencySlack) > r.usefulUntil(c, g):
 		return true
 	}
-	return !c.delivered && now+2*r.config.BatchInterval > c.ArrivedAt+holdShare*(c.ClientDeadline-c.ArrivedAt)
+	return !c.delivered && now+2*r.config.BatchInterval > c.ArrivedAt+maxWaitShare*(c.ClientDeadline-c.ArrivedAt)
 }
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -16,7 +16,7 @@
 // replica.
 func (r *Router) chooseEndpoint(now float64, c *Command, g *group) (i int, fallback bool) {
 	primary := r.primary(c.Shard)
-	sound := primary >= 0 && !r.suspected(now, primary)
+	sound := primary >= 0 && !r.updateEjection(now, primary)
 	switch {
 	case sound && (g.Consistency == PrimaryOnly || g.Consistency == Linearizable):
 		return r.admitPrimary(now, c, g, primary), false
@@ -24,7 +24,7 @@
 		return r.testForPrimary(now, c, primary), false
 	}
 	c.requiredPosition = r.requiredPosition(now, c, g)
-	if i = r.pickReplica(now, c, g, c.requiredPosition); i >= 0 {
+	if i = r.chooseReplica(now, c, g, c.requiredPosition); i >= 0 {
 		return i, false
 	}
 	if sound && r.mayFallBack(now) && !r.primaryCrowded(now, c, g, primary) {
@@ -32,29 +32,29 @@
 			return i, true
 		}
 	}
-	return r.chooseUncovered(now, c, g, primary, sound)
+	return r.chooseForUncoveredRead(now, c, g, primary, sound)
 }
 
-// chooseUncovered serves a read that no replica is known to cover and that did not fall back at once.
-func (r *Router) chooseUncovered(now float64, c *Command, g *group, primary int, sound bool) (int, bool) {
+// chooseForUncoveredRead serves a read that no replica is known to cover and that did not fall back at once.
+func (r *Router) chooseForUncoveredRead(now float64, c *Command, g *group, primary int, sound bool) (int, bool) {
 	futile := !r.checkPosition(now, c, primary) || c.tooStale
 	if r.config.ReplicasCheckReads && (!futile || !sound) {
-		if i := r.freshestReplica(now, c, g); i >= 0 {
+		if i := r.chooseFreshestReplica(now, c, g); i >= 0 {
 			return i, false
 		}
 	}
 	// The answer must fit in after the wait.
-	wait := min(catchUpWait, holdShare*(r.usefulUntil(c, g)-c.ArrivedAt))
+	wait := min(catchUpWait, maxWaitShare*(r.usefulUntil(c, g)-c.ArrivedAt))
 	if sound && (futile || now-c.ArrivedAt >= wait) {
 		return r.admitPrimary(now, c, g, primary), true
 	}
-	return none, false
+	return noIndex, false
 }
 
-// pickReplica spreads reads evenly over the replicas that cover them, answer, and are not crowded.
-func (r *Router) pickReplica(now float64, c *Command, g *group, position float64) int {
+// chooseReplica spreads reads evenly over the replicas that cover them, answer, and are not crowded.
+func (r *Router) chooseReplica(now float64, c *Command, g *group, position float64) int {
 	if i := r.collectCandidates(now, c, g, position); i >= 0 && r.recoveryDue(now, c, g, i) {
-		r.endpoints[i].recoveryAt, r.recoveryAt = now+r.longestObjective, now
+		r.endpoints[i].nextRecoveryAt, r.lastRecoveryAt = now+r.longestObjective, now
 		return i
 	}
 	heavy := r.heavyReadReplica(c.Shard)
@@ -70,7 +70,7 @@
 // log: spread evenly they kept all replicas behind. So they meet there, and other reads avoid it.
 func (r *Router) heavyReadReplica(shard int) int {
 	if !slices.ContainsFunc(r.groups, func(g group) bool { return r.isHeavy(&g) }) {
-		return none
+		return noIndex
 	}
 	primary := r.primary(shard)
 	for _, i := range r.shards[shard].endpoints {
@@ -78,7 +78,7 @@
 			return i
 		}
 	}
-	return none
+	return noIndex
 }
 
 // isHeavy says that a group reads data of any age, with an objective beyond that of all fresher groups.
@@ -87,13 +87,13 @@
 // drawCandidate draws from the candidates about as quick as the quickest, or none if that one is too busy.
 func (r *Router) drawCandidate(now float64, c *Command, g *group) int {
 	if len(r.candidates) == 0 {
-		return none
+		return noIndex
 	}
 	best := slices.MinFunc(r.candidates, func(a, b int) int {
 		return cmp.Compare(r.predictedResponse(a, g), r.predictedResponse(b, g))
 	})
 	if !r.admits(now, c, g, best, g.queueLimit) {
-		return none
+		return noIndex
 	}
 	longest := r.predictedResponse(best, g) + latencySlack*g.LatencyObjective
 	r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool {
@@ -108,7 +108,7 @@
 }
 
 // hasLowTraffic says that this router sends too little to an endpoint to see its state in time.
-func (r *Router) hasLowTraffic() bool { return r.warmRate*r.longestObjective < lowTrafficAttempts }
+func (r *Router) hasLowTraffic() bool { return r.warmAttemptRate*r.longestObjective < lowTrafficAttempts }
 
 // preferOwnZone suits low traffic: a slow network to another zone is over before this router has seen it.
 func (r *Router) preferOwnZone() {
--- a/internal/router/selection_test.go
+++ b/internal/router/selection_test.go
@@ -65,15 +65,15 @@
 		assert.Equal(t, 1, heavy(), "the first listed replica")
 	}
 	for range 20 {
-		assert.Equal(t, 2, r.pickReplica(10, newCommand(boundedReads), &r.groups[boundedReads], 10), "others leave it alone")
+		assert.Equal(t, 2, r.chooseReplica(10, newCommand(boundedReads), &r.groups[boundedReads], 10), "others leave it alone")
 	}
 	r.endpoints[2].position = 9.5
 	c := newCommand(boundedReads)
 	c.requiredPosition = 9.9
 	r.checkPosition(10.2, c, 0)
 	assert.Equal(t, []int{2}, r.pendingChecks, "nor is it asked for its position")
-	assert.Equal(t, 1, r.pickReplica(10, newCommand(boundedReads), &r.groups[boundedReads], 10), "where another will do")
-	r.endpoints[1].latencySum, r.endpoints[1].answerSum, r.endpoints[1].answeredAt, r.latency = 400, 100, 10, 0.1
+	assert.Equal(t, 1, r.chooseReplica(10, newCommand(boundedReads), &r.groups[boundedReads], 10), "where another will do")
+	r.endpoints[1].latencySum, r.endpoints[1].answerCount, r.endpoints[1].lastAnswerAt, r.fleetLatency = 400, 100, 10, 0.1
 	assert.Equal(t, 0, heavy(), "the primary, whose log nothing stops, where it has no room")
 	r.endpoints[1].recordUnreachable(10)
 	assert.Equal(t, 2, heavy(), "the next once it is unreachable")
@@ -86,16 +86,16 @@
 		s.Zone = 1
 		r := testRouter(t, s)
 		r.endpoints[2].zone = 1
-		if r.warmRate = 0.1; !thin {
-			r.warmRate = 10
+		if r.warmAttemptRate = 0.1; !thin {
+			r.warmAttemptRate = 10
 		}
 		var met [3]int
 		for range 40 {
-			met[r.pickReplica(10, newCommand(eventualReads), &r.groups[eventualReads], 0)]++
+			met[r.chooseReplica(10, newCommand(eventualReads), &r.groups[eventualReads], 0)]++
 		}
 		assert.Equal(t, thin, met[1] == 0)
-		r.endpoints[2].latencySum, r.endpoints[2].answerSum, r.latency = 100, 100, 0.01
-		assert.Equal(t, 1, r.pickReplica(10, newCommand(eventualReads), &r.groups[eventualReads], 0), "a crowded one is left")
+		r.endpoints[2].latencySum, r.endpoints[2].answerCount, r.fleetLatency = 100, 100, 0.01
+		assert.Equal(t, 1, r.chooseReplica(10, newCommand(eventualReads), &r.groups[eventualReads], 0), "a crowded one is left")
 		c := uncoveredRead(r)
 		c.requiredPosition = 9.9
 		r.checkPosition(10.2, c, 0)
--- a/internal/router/slowstart.go
+++ b/internal/router/slowstart.go
@@ -21,15 +21,15 @@
 	}
 	capacity := r.config.SlowStartFloor + (1-r.config.SlowStartFloor)*max(0, age)/r.config.SlowStart
 	// Without a warm endpoint there is no rate to go by: an endpoint does one command at a time at least.
-	least := slowStartMargin * r.config.OverloadFactor * capacity / cmp.Or(r.serviceTime, r.config.SlowStart)
+	least := slowStartMargin * r.config.OverloadFactor * capacity / cmp.Or(r.fleetServiceTime, r.config.SlowStart)
 	least = max(1/r.config.OverloadWindow, least)
 	rate := slowStartMargin * r.config.OverloadFactor * capacity * r.warmThroughput
 	rate = max(rate, least/float64(r.config.RouterCount))
 	// Rounded at random and never saved up, so that the fractions of many routers add up to the whole: one
 	// attempt each at once, from a hundred routers, overloaded a cold endpoint.
-	if span := slowStartBurst * r.config.OverloadWindow; now-e.slowStartBudgetAt >= span {
+	if span := slowStartBurst * r.config.OverloadWindow; now-e.slowStartBudgetSetAt >= span {
 		owed := min(0, e.slowStartBudget)
-		e.slowStartBudget, e.slowStartBudgetAt = math.Floor(rate*span+r.random.Float64())+owed, now
+		e.slowStartBudget, e.slowStartBudgetSetAt = math.Floor(rate*span+r.random.Float64())+owed, now
 	}
 	return e.slowStartBudget >= 1
 }
--- a/internal/router/slowstart_test.go
+++ b/internal/router/slowstart_test.go
@@ -9,7 +9,7 @@
 
 func TestEndpointInSlowStartHasABudget(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.endpoints[1].startedAt, r.endpoints[1].slowStartBudgetAt = 10, 10
+	r.endpoints[1].startedAt, r.endpoints[1].slowStartBudgetSetAt = 10, 10
 	r.warmThroughput = 10
 	sent := 0
 	for at := 10.0; at < 12; at += 0.01 {
@@ -68,7 +68,7 @@
 		s.RouterCount = many
 		r := New(s, seedOf(seed))
 		r.UpdateEndpoints(10, []EndpointInfo{{State: Ready, StartedAt: 10}}, true, false)
-		r.serviceTime = work
+		r.fleetServiceTime = work
 		for at := 10.0; at < 20; at += 0.1 {
 			if r.slowStartAdmits(at, 0) {
 				r.endpoints[0].slowStartBudget--
@@ -126,9 +126,9 @@
 func TestHeavyCommandsTakeMoreOfTheSlowStartBudget(t *testing.T) {
 	r := testRouter(t, testConfig())
 	e := &r.endpoints[1]
-	e.startedAt, r.serviceTime, r.warmThroughput = 10, 0.5, 2
+	e.startedAt, r.fleetServiceTime, r.warmThroughput = 10, 0.5, 2
 	r.groups[eventualReads].serviceTime, r.groups[boundedReads].serviceTime = 2.5, 0.1
-	e.slowStartBudget, e.slowStartBudgetAt = 2, 10
+	e.slowStartBudget, e.slowStartBudgetSetAt = 2, 10
 	r.chargeSlowStart(10, e, &r.groups[boundedReads])
 	assert.InDelta(t, 1.8, e.slowStartBudget, 1e-9)
 	r.chargeSlowStart(10, e, &r.groups[eventualReads])
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -13,24 +13,24 @@
 // Times are in seconds on the caller's clock; a time that never was is negative infinity where the comment
 // does not say otherwise.
 
-// none stands for no endpoint, and for no attempt.
-const none = -1
+// noIndex stands for no endpoint, and for no attempt.
+const noIndex = -1
 
 // group is what the router has learned of a command group.
 type group struct {
 	CommandGroup
 
 	serviceTime       float64 // mean time of an answer without a queue
-	batchTime         float64 // sum of the answer times of the batch that is being measured,
-	batchCount        float64 // and their number
-	batchedAt         float64 // end of the last complete batch; 0: none yet
-	leaverShare       float64 // share of clients that leave before their time
-	leaverStay        float64 // mean time after which those leave
+	batchLatencySum         float64 // sum of the answer times of the batch that is being measured,
+	batchAnswers        float64 // and their number
+	batchEndedAt         float64 // end of the last complete batch; 0: none yet
+	earlyLeaveShare       float64 // share of clients that leave before their time
+	earlyLeaveDelay        float64 // mean time after which those leave
 	tailFactor        float64 // its answer times over what queues alone explain
 	queueLimit        float64 // longest queueing time that it may join at a replica,
 	primaryQueueLimit float64 // and at a primary
-	arrivals          float64 // commands, without clients' retries; halved when sessions expire
-	answeredInTime    float64 // answers within the latency objective; halved alike
+	arrivalCount          float64 // commands, without clients' retries; halved when sessions expire
+	inTimeAnswerCount    float64 // answers within the latency objective; halved alike
 	fairnessWeight    float64 // factor on its priority weight: above 1 for the worst-served group
 }
 
@@ -48,37 +48,37 @@
 	draining          bool
 	listedPrimary     bool    // the list says that it is the primary
 	startedAt         float64 // by the list, or by what the router saw of it
-	startListed       bool    // startedAt is the list's
+	startFromList       bool    // startedAt is the list's
 	removedAt         float64 // when the list dropped it; positive infinity: it did not
-	reportedAt        float64 // time of the last report with a position
+	positionReportedAt        float64 // time of the last report with a position
 	position          float64 // highest position reported
-	lag               float64 // how far behind it was at reportedAt
+	reportedLag               float64 // how far behind it was at reportedAt
 	role              Role    // by its own word
-	roleAt            float64 // when that held
+	roleHeldAt            float64 // when that held
 	queued            int     // attempts that count as in its queue
 	inFlight          int     // all attempts in flight
 	idleConnections   int     // connections that should stand open without an attempt
-	unanswered        int     // attempts since its last answer
-	unansweredWork    float64 // sum of their service times
+	unansweredAttempts        int     // attempts since its last answer
+	unansweredWorkSum    float64 // sum of their service times
 	unansweredSince   float64 // when the first of them was sent
 	decayedAt         float64 // the time that the following seven sums hold for
 	latencySum        float64 // answer times,
-	queueSum          float64 // queue positions
-	answerSum         float64 // and number of answers
-	attemptSum        float64 // attempts
-	servedSum         float64 // work that it answered, in commands of the mean service time
-	failureSum        float64 // failures
-	resultSum         float64 // results, failures included
-	answeredAt        float64 // last answer
+	queuePositionSum          float64 // queue positions
+	answerCount         float64 // and number of answers
+	attemptCount        float64 // attempts
+	answeredWorkSum         float64 // work that it answered, in commands of the mean service time
+	failureCount        float64 // failures
+	resultCount         float64 // results, failures included
+	lastAnswerAt        float64 // last answer
 	ejected           bool    // takes no new commands until it has answered
-	recoveryAt        float64 // when it is due for a recovery attempt
-	roleTestAt        float64 // when a write may test again whether it is the primary
-	checkedAt         float64 // last health check that was asked for
+	nextRecoveryAt        float64 // when it is due for a recovery attempt
+	nextRoleTestAt        float64 // when a write may test again whether it is the primary
+	lastCheckAt         float64 // last health check that was asked for
 	slowStartBudget   float64 // commands of mean service time that it may get while it warms up; below 0: owed,
-	slowStartBudgetAt float64 // and when those were granted
-	overloadedAt      float64 // last time that it turned a command away as overloaded
+	slowStartBudgetSetAt float64 // and when those were granted
+	lastOverloadAt      float64 // last time that it turned a command away as overloaded
 	unreachableSince  float64 // first failed contact since its last answer; positive infinity: none
-	unreachableAt     float64 // last failed contact
+	lastUnreachableAt     float64 // last failed contact
 }
 
 // shard is the endpoints that hold the same data.
@@ -89,7 +89,7 @@
 	olderPosition  float64 // and in the older one
 	decayedAt      float64 // the time that the following two sums hold for
 	latencySum     float64 // answer times of its endpoints
-	answerSum      float64 // and their number
+	answerCount      float64 // and their number
 }
 
 // session is what is remembered of a client's session. Positions are times.
@@ -112,29 +112,29 @@
 	reviewInterval   float64 // the tightest staleness bound or objective of a session read
 	decayTime        float64 // time over which endpoints' sums decay
 
-	latency            float64 // mean answer time of the fleet,
-	queueLength        float64 // mean queue position
-	serviceTime        float64 // mean service time,
-	answers            float64 // and the number of answers that they are taken from
+	fleetLatency            float64 // mean answer time of the fleet,
+	fleetQueueLength        float64 // mean queue position
+	fleetServiceTime        float64 // mean service time,
+	fleetAnswerCount            float64 // and the number of answers that they are taken from
 	medianFailureShare float64 // of the endpoints
 	connectCost        float64 // what a new connection adds to an answer time
-	warmRate           float64 // attempts per second to an endpoint that is warm,
+	warmAttemptRate           float64 // attempts per second to an endpoint that is warm,
 	warmThroughput     float64 // and what it answers of them, in commands of the mean service time
-	commands           float64 // decaying number of commands
+	commandCount           float64 // decaying number of commands
 
 	checkInterval    float64 // between two health checks of an endpoint that is not heard of,
-	recheckInterval  float64 // and of one that is ejected
+	ejectedCheckInterval  float64 // and of one that is ejected
 	recoveryInterval float64 // between two recovery attempts
 	pendingChecks    []int   // health checks to ask for with the next maintenance
-	maintainedAt     float64
-	recoveryAt       float64 // last recovery attempt
+	lastReviewAt     float64
+	lastRecoveryAt       float64 // last recovery attempt
 
 	sessions         generational.Map[uint64, session]
-	sessionsTurnedAt float64
-	reads            rolling.Counter // first attempts of reads; marked are those that fell back to a primary
+	sessionsRotatedAt float64
+	readCounter            rolling.Counter // first attempts of reads; marked are those that fell back to a primary
 
 	subscribed   bool    // changes of the endpoint list come by themselves
-	pollAt       float64 // when the list may be polled again
+	nextPollAt       float64 // when the list may be polled again
 	pollFailures float64 // in a row
 
 	candidates      []int // endpoints for the command that is being decided on
@@ -143,10 +143,10 @@
 
 // unknownEndpoint is an endpoint of which nothing is known.
 var unknownEndpoint = endpoint{
-	shard: none, startedAt: math.Inf(-1), removedAt: math.Inf(1),
-	reportedAt: math.Inf(-1), position: math.Inf(-1),
-	lag: math.Inf(1), roleAt: math.Inf(-1), answeredAt: math.Inf(-1), roleTestAt: math.Inf(-1),
-	checkedAt: math.Inf(-1), overloadedAt: math.Inf(-1), unreachableSince: math.Inf(1),
+	shard: noIndex, startedAt: math.Inf(-1), removedAt: math.Inf(1),
+	positionReportedAt: math.Inf(-1), position: math.Inf(-1),
+	reportedLag: math.Inf(1), roleHeldAt: math.Inf(-1), lastAnswerAt: math.Inf(-1), nextRoleTestAt: math.Inf(-1),
+	lastCheckAt: math.Inf(-1), lastOverloadAt: math.Inf(-1), unreachableSince: math.Inf(1),
 }
 
 // unknownShard is a shard of which nothing is known.
@@ -171,7 +171,7 @@
 	e.listedPrimary = info.Primary
 	if info.StartedAt >= e.startedAt {
 		e.startedAt = info.StartedAt
-		e.startListed = true
+		e.startFromList = true
 	}
 	if info.State == Removed {
 		e.removedAt = min(e.removedAt, now)
@@ -195,13 +195,13 @@
 	}
 	factor := math.Exp((e.decayedAt - now) / latencyTime)
 	e.latencySum *= factor
-	e.queueSum *= factor
-	e.answerSum *= factor
-	e.attemptSum *= factor
-	e.servedSum *= factor
+	e.queuePositionSum *= factor
+	e.answerCount *= factor
+	e.attemptCount *= factor
+	e.answeredWorkSum *= factor
 	factor = math.Exp((e.decayedAt - now) / healthTime)
-	e.failureSum *= factor
-	e.resultSum *= factor
+	e.failureCount *= factor
+	e.resultCount *= factor
 	e.decayedAt = now
 }
 
@@ -212,7 +212,7 @@
 	}
 	factor := math.Exp((s.decayedAt - now) / time)
 	s.latencySum *= factor
-	s.answerSum *= factor
+	s.answerCount *= factor
 	s.decayedAt = now
 }
 
@@ -221,20 +221,20 @@
 	if position >= 0 {
 		reached := epoch + position
 		e.position = max(e.position, reached)
-		if at > e.reportedAt {
-			e.reportedAt = at
-			e.lag = max(0, at-reached)
+		if at > e.positionReportedAt {
+			e.positionReportedAt = at
+			e.reportedLag = max(0, at-reached)
 		}
 	}
-	if role != RoleUnknown && at >= e.roleAt {
+	if role != RoleUnknown && at >= e.roleHeldAt {
 		e.role = role
-		e.roleAt = at
+		e.roleHeldAt = at
 	}
 }
 
 func (e *endpoint) recordUnreachable(now float64) {
 	e.unreachableSince = min(e.unreachableSince, now)
-	e.unreachableAt = now
+	e.lastUnreachableAt = now
 }
 
 // UpdateEndpoints takes in the complete endpoint list, or only the rows that changed. A cached list was not
@@ -280,16 +280,16 @@
 		Endpoint: index, SentAt: now, InFlight: true,
 		queuePosition: e.queued, newConnection: e.idleConnections == 0,
 	}
-	if e.unanswered == 0 {
+	if e.unansweredAttempts == 0 {
 		e.unansweredSince = now
-		e.unansweredWork = 0
+		e.unansweredWorkSum = 0
 	}
-	e.unanswered++
-	e.unansweredWork += work
+	e.unansweredAttempts++
+	e.unansweredWorkSum += work
 	e.idleConnections = max(0, e.idleConnections-1)
 	e.queued++
 	e.inFlight++
-	e.attemptSum++
+	e.attemptCount++
 	return a
 }
 
@@ -306,15 +306,15 @@
 func (c *Command) recordUncertainRun(a *Attempt) {
 	c.uncertainRuns++
 	if c.uncertainRuns == 1 {
-		c.uncertainAt = a.SentAt
-		c.uncertainEndpoint = a.Endpoint
+		c.firstUncertainAt = a.SentAt
+		c.firstUncertainEndpoint = a.Endpoint
 	}
 }
 
-// turnSessions forgets the older generation of sessions; its highest positions become its shards' floors.
-func (r *Router) turnSessions(now float64) {
+// rotateSessions forgets the older generation of sessions; its highest positions become its shards' floors.
+func (r *Router) rotateSessions(now float64) {
 	r.sessions.Turn()
-	r.sessionsTurnedAt = now
+	r.sessionsRotatedAt = now
 	for i := range r.shards {
 		s := &r.shards[i]
 		s.positionFloor = max(s.positionFloor, s.olderPosition)
@@ -330,9 +330,9 @@
 	}
 	c.routed = true
 	c.requiredPosition = math.Inf(-1)
-	r.commands++
+	r.commandCount++
 	if !c.ClientRetry {
-		g.arrivals++
+		g.arrivalCount++
 	}
 }
 
@@ -341,7 +341,7 @@
 	if g.Consistency == PrimaryOnly || len(c.Attempts) != 1 {
 		return
 	}
-	r.reads.Add(now, fallback)
+	r.readCounter.Add(now, fallback)
 }
 
 // median is the lower median of at least one value. It sorts them.
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -112,8 +112,8 @@
 	delivered         bool    // an endpoint may have had an attempt
 	unsentAttempts    int     // attempts that did not leave this process
 	uncertainRuns     int     // attempts that may have run without an answer
-	uncertainAt       float64 // when the first of those was sent
-	uncertainEndpoint int     // and where
+	firstUncertainAt       float64 // when the first of those was sent
+	firstUncertainEndpoint int     // and where
 	routed            bool    // seen by Route before
 	requiredPosition  float64 // log position that its data must cover
 	tooStale          bool    // a replica did not serve it: NotServed
@@ -128,7 +128,7 @@
 	queuePosition int  // this router's attempts at the endpoint when it was sent
 	newConnection bool // needed a new connection
 	overdue       bool // has counted as a failure for being overdue
-	canceled      bool // a decision has asked to cancel it
+	cancelRequested      bool // a decision has asked to cancel it
 	lost          bool // overtaken by other answers for too long: not in the queue any more
 }
 
