--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -39,14 +39,14 @@
 	if g.earlyLeaveShare > earlyLeaveThreshold {
 		return min(c.ArrivedAt+min(g.LatencyObjective, g.earlyLeaveDelay), c.ClientDeadline)
 	}
-	end := c.ArrivedAt + g.LatencyObjective
-	return min(end+g.LateValue*max(0, c.ClientDeadline-end), c.ClientDeadline)
+	objectiveEnd := c.ArrivedAt + g.LatencyObjective
+	return min(objectiveEnd+g.LateValue*max(0, c.ClientDeadline-objectiveEnd), c.ClientDeadline)
 }
 
 // giveUp is the final decision on a command without an answer: Reject where a client's retry does no harm.
 func (r *Router) giveUp(now float64, c *Command, g *group) Decision {
-	recognized := g.Idempotency == Idempotent || g.Idempotency == IdempotentWithKey && g.KeyScope == GlobalScope
-	if c.uncertainRuns > 0 && !recognized {
+	retryHarmless := g.Idempotency == Idempotent || g.Idempotency == IdempotentWithKey && g.KeyScope == GlobalScope
+	if c.uncertainRuns > 0 && !retryHarmless {
 		return Decision{Action: Fail, CancelAttempt: noIndex}
 	}
 	d := Decision{Action: Reject, CancelAttempt: noIndex}
@@ -87,7 +87,7 @@
 // and less the lower its own density is. Groups that run on the primary only count at a primary.
 func (r *Router) queueLimitOf(g *group, atPrimary bool) float64 {
 	own := r.valueDensity(g)
-	bearable, highest := math.Inf(1), roundOff
+	acceptable, highest := math.Inf(1), roundOff
 	for k := range r.groups {
 		other := &r.groups[k]
 		if other.Consistency == PrimaryOnly && !atPrimary {
@@ -96,9 +96,9 @@
 		density := r.valueDensity(other)
 		highest = math.Max(highest, density)
 		if density >= own {
-			bearable = math.Min(bearable, math.Max(0, other.LatencyObjective-other.serviceTime))
+			acceptable = math.Min(acceptable, math.Max(0, other.LatencyObjective-other.serviceTime))
 		}
 	}
 	share := queueShare + lowTrafficQueueShare*math.Max(0, 1-r.warmAttemptRate*r.longestObjective/lowTrafficAttempts)
-	return share * bearable * (lowestQueueShare + (1-lowestQueueShare)*math.Min(1, own/highest))
+	return share * acceptable * (lowestQueueShare + (1-lowestQueueShare)*math.Min(1, own/highest))
 }
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -8,9 +8,9 @@
 
 // Fairness follows the weights that the configuration states for the whole and for the worst-served group.
 func TestWorstServedGroupIsFavoured(t *testing.T) {
-	s := testConfig()
-	s.TotalWeight, s.WorstGroupWeight = 0.5, 0.25
-	r := testRouter(t, s)
+	config := testConfig()
+	config.TotalWeight, config.WorstGroupWeight = 0.5, 0.25
+	r := testRouter(t, config)
 	for i := range r.groups {
 		r.groups[i].arrivalCount, r.groups[i].inTimeAnswerCount = 100, 90
 	}
@@ -43,8 +43,8 @@
 	r.warmAttemptRate = 0
 	assert.InDelta(t, (queueShare+lowTrafficQueueShare)*0.45, r.queueLimitOf(&r.groups[boundedReads], false), 1e-9)
 	r.fleetServiceTime = 0.05
-	n := &r.endpoints[1]
-	n.latencySum, n.queuePositionSum, n.answerCount, n.queued = 2, 50, 10, 5
+	e := &r.endpoints[1]
+	e.latencySum, e.queuePositionSum, e.answerCount, e.queued = 2, 50, 10, 5
 	c := newCommand(boundedReads)
 	assert.True(t, r.admits(10, c, &r.groups[boundedReads], 1, 0.2))
 	c.ClientRetry = true
@@ -53,9 +53,9 @@
 
 // Eight routers' single free places once filled endpoints of four cores twice over.
 func TestManyRoutersTakeFreeAttemptsInTurn(t *testing.T) {
-	s := testConfig()
-	s.RouterCount = 12
-	r := testRouter(t, s)
+	config := testConfig()
+	config.RouterCount = 12
+	r := testRouter(t, config)
 	r.fleetServiceTime, r.fleetLatency, r.fleetQueueLength = 0.01, 0.1, 1
 	r.endpoints[1].lastAnswerAt = 10
 	c := newCommand(eventualReads)
@@ -73,11 +73,11 @@
 	r.Route(10, c)
 	assert.Equal(t, Wait, r.AttemptEnded(10.001, c, AttemptResult{Result: Overloaded, Elapsed: 0.001, Position: -1}).Action)
 	assert.Equal(t, Wait, r.Route(10.05, c).Action)
-	n := &r.endpoints[0]
-	n.latencySum, n.answerCount = 0, 0 // what it told of its pace is another matter
-	a := r.Route(10.102, c)
-	assert.Equal(t, Forward, a.Action)
-	assert.Equal(t, 0, a.Endpoint)
+	e := &r.endpoints[0]
+	e.latencySum, e.answerCount = 0, 0 // what it told of its pace is another matter
+	decision := r.Route(10.102, c)
+	assert.Equal(t, Forward, decision.Action)
+	assert.Equal(t, 0, decision.Endpoint)
 }
 
 // Clients that leave long before their time cost work that nobody waits for.
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -111,11 +111,11 @@
 // -1. Where many clients leave before their time, only what can be answered before then is worth sending.
 func (r *Router) ClientGone(now float64, c *Command) int {
 	g := &r.groups[c.Group]
-	stay := now - c.ArrivedAt
-	if now < c.ClientDeadline-r.config.BatchInterval && stay > r.config.BatchInterval {
-		g.earlyLeaveDelay = cmp.Or(g.earlyLeaveDelay, stay)
+	sinceArrival := now - c.ArrivedAt
+	if now < c.ClientDeadline-r.config.BatchInterval && sinceArrival > r.config.BatchInterval {
+		g.earlyLeaveDelay = cmp.Or(g.earlyLeaveDelay, sinceArrival)
 		g.earlyLeaveShare += averageWeight * (1 - g.earlyLeaveShare)
-		g.earlyLeaveDelay += averageWeight * (stay - g.earlyLeaveDelay)
+		g.earlyLeaveDelay += averageWeight * (sinceArrival - g.earlyLeaveDelay)
 	}
 	return r.cancelUnneeded(c)
 }
@@ -198,34 +198,34 @@
 }
 
 // recordResult notes what a result says of an endpoint's health and latency.
-func (r *Router) recordResult(now float64, c *Command, g *group, e *endpoint, a *Attempt, end AttemptResult) {
-	switch end.Result {
+func (r *Router) recordResult(now float64, c *Command, g *group, e *endpoint, a *Attempt, result AttemptResult) {
+	switch result.Result {
 	case Answered:
-		r.recordAnswer(now, c, g, e, a, end)
+		r.recordAnswer(now, c, g, e, a, result)
 	case Errored, ConnectionLost, TimedOut, ConnectFailed:
 		if !a.overdue {
 			r.recordFailure(now, e)
 		}
-		if end.Result == ConnectFailed {
+		if result.Result == ConnectFailed {
 			e.recordUnreachable(now)
 		}
 	case Overloaded: // a failure too: an endpoint that rejects all at once would look idle and draw more
 		r.recordFailure(now, e)
 		e.lastOverloadAt = now
-		r.recordLatency(g, e, a, max(end.Elapsed, g.LatencyObjective))
+		r.recordLatency(g, e, a, max(result.Elapsed, g.LatencyObjective))
 	case NotServed:
 		e.resultCount++
 		c.tooStale = c.tooStale || g.Consistency != PrimaryOnly
 	case Canceled, NeverSent:
 	}
-	if end.Result == TimedOut || end.Result == Canceled {
+	if result.Result == TimedOut || result.Result == Canceled {
 		// It would have taken as much again in the mean: what clients left counted as quick, and drew more.
-		r.recordLatency(g, e, a, end.Elapsed+r.expectedLatency(e, a.queuePosition))
+		r.recordLatency(g, e, a, result.Elapsed+r.expectedLatency(e, a.queuePosition))
 	}
 }
 
 // recordAnswer takes in an answer: its endpoint's health, latencies, and its session's position.
-func (r *Router) recordAnswer(now float64, c *Command, g *group, e *endpoint, a *Attempt, end AttemptResult) {
+func (r *Router) recordAnswer(now float64, c *Command, g *group, e *endpoint, a *Attempt, result AttemptResult) {
 	g.earlyLeaveShare -= averageWeight * g.earlyLeaveShare
 	if now <= c.ArrivedAt+g.LatencyObjective {
 		g.inTimeAnswerCount++
@@ -233,13 +233,13 @@
 	e.resultCount++
 	e.lastAnswerAt = now
 	e.answeredWorkSum += r.relativeWork(g)
-	r.recordServiceTime(now, g, end.Elapsed)
+	r.recordServiceTime(now, g, result.Elapsed)
 	if !r.isHeavy(g) {
-		r.recordFleetLatency(g, a, end.Elapsed)
+		r.recordFleetLatency(g, a, result.Elapsed)
 	}
-	r.recordLatency(g, e, a, end.Elapsed)
-	if end.Position >= 0 {
-		r.recordSession(c, g, 0, r.config.PositionEpoch+end.Position)
+	r.recordLatency(g, e, a, result.Elapsed)
+	if result.Position >= 0 {
+		r.recordSession(c, g, 0, r.config.PositionEpoch+result.Position)
 	} else if g.Consistency == PrimaryOnly {
 		r.recordSession(c, g, 0, now)
 	}
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNonIdempotentCommandRunsOnce(t *testing.T) {
-	for ending, want := range map[Result]Action{
+	for result, want := range map[Result]Action{
 		Errored: Fail, TimedOut: Fail, ConnectionLost: Fail, Canceled: Fail,
 		Overloaded: Forward, ConnectFailed: Forward, NeverSent: Wait,
 	} {
@@ -16,8 +16,8 @@
 		r.endpoints[0].resultCount, r.endpoints[0].decayedAt = 9, 10
 		c := newCommand(writes)
 		r.Route(10, c)
-		decision := r.AttemptEnded(10.1, c, AttemptResult{Result: ending, Position: -1})
-		assert.Equal(t, want, decision.Action, "ending %d", ending)
+		decision := r.AttemptEnded(10.1, c, AttemptResult{Result: result, Position: -1})
+		assert.Equal(t, want, decision.Action, "ending %d", result)
 		if want == Wait { // for what this machine lacked, and only that long
 			assert.Less(t, decision.ReviewAt, 10.15)
 			assert.Equal(t, Forward, r.Route(decision.ReviewAt, c).Action)
@@ -35,9 +35,9 @@
 }
 
 func TestRetryByKeyLeavesTimeForItsConnection(t *testing.T) {
-	s := testConfig()
-	s.CommandGroups[writes].Idempotency = IdempotentWithKey
-	r := testRouter(t, s)
+	config := testConfig()
+	config.CommandGroups[writes].Idempotency = IdempotentWithKey
+	r := testRouter(t, config)
 	c := &Command{uncertainRuns: 1, firstUncertainAt: 10}
 	assert.True(t, r.mayRetry(11.7, c, &r.groups[writes]))
 	assert.False(t, r.mayRetry(11.75, c, &r.groups[writes]), "a connection may take as long as Dial")
@@ -47,9 +47,9 @@
 }
 
 func TestRetryByKeyStaysInItsZone(t *testing.T) {
-	s := testConfig()
-	s.CommandGroups[writes].Idempotency, s.CommandGroups[writes].KeyScope = IdempotentWithKey, ZoneScope
-	r := testRouter(t, s)
+	config := testConfig()
+	config.CommandGroups[writes].Idempotency, config.CommandGroups[writes].KeyScope = IdempotentWithKey, ZoneScope
+	r := testRouter(t, config)
 	c := newCommand(writes)
 	c.uncertainRuns, c.firstUncertainAt, c.firstUncertainEndpoint = 1, 10, 1
 	assert.Equal(t, Forward, r.Route(10, c).Action)
@@ -60,82 +60,82 @@
 }
 
 // Lost answers once counted as queues and as seconds of work, and primaries looked full.
-func TestLostAnswersAreNoQueue(t *testing.T) {
+func TestLostAnswersDoNotCountAsQueue(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.fleetLatency, r.fleetQueueLength = 0.05, 1
 	c := newCommand(writes)
-	n := &r.endpoints[r.Route(10, c).Endpoint]
+	e := &r.endpoints[r.Route(10, c).Endpoint]
 	r.Route(10.1, c)
-	assert.Equal(t, 1, n.queued)
-	n.lastAnswerAt, n.unansweredAttempts = 10.2, 0
+	assert.Equal(t, 1, e.queued)
+	e.lastAnswerAt, e.unansweredAttempts = 10.2, 0
 	r.Route(11, c)
-	assert.Equal(t, 0, n.queued, "overtaken by another answer")
+	assert.Equal(t, 0, e.queued, "overtaken by another answer")
 	r.AttemptEnded(12, c, AttemptResult{Result: TimedOut, Elapsed: 2, Position: -1})
-	assert.Equal(t, 0, n.queued)
-	assert.Less(t, n.latencySum, 0.5)
+	assert.Equal(t, 0, e.queued)
+	assert.Less(t, e.latencySum, 0.5)
 }
 
 func TestOverdueReadIsCanceled(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.fleetLatency = 0.02
 	c := newCommand(eventualReads)
-	a := r.Route(10, c)
-	n := &r.endpoints[a.Endpoint]
-	n.unansweredAttempts = 8
-	b := r.Route(10.4, c)
-	assert.Equal(t, 0, b.CancelAttempt)
-	assert.Positive(t, n.failureCount, "a hang is seen by what is overdue")
-	w := newCommand(writes)
-	w.Attempts = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}
-	assert.Equal(t, -1, r.Route(10.4, w).CancelAttempt, "a non-idempotent command is never canceled for a retry")
+	decision := r.Route(10, c)
+	e := &r.endpoints[decision.Endpoint]
+	e.unansweredAttempts = 8
+	review := r.Route(10.4, c)
+	assert.Equal(t, 0, review.CancelAttempt)
+	assert.Positive(t, e.failureCount, "a hang is seen by what is overdue")
+	write := newCommand(writes)
+	write.Attempts = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}
+	assert.Equal(t, -1, r.Route(10.4, write).CancelAttempt, "a non-idempotent command is never canceled for a retry")
 }
 
 // A retry by key that an endpoint takes in slowly ran after its idempotency window was over.
 func TestRetryByKeyTimesOutWithItsIdempotencyWindow(t *testing.T) {
-	s := testConfig()
-	s.CommandGroups[writes].Idempotency, s.CommandGroups[writes].IdempotencyWindow = IdempotentWithKey, 1.5
-	r := testRouter(t, s)
+	config := testConfig()
+	config.CommandGroups[writes].Idempotency, config.CommandGroups[writes].IdempotencyWindow = IdempotentWithKey, 1.5
+	r := testRouter(t, config)
 	c := newCommand(writes)
-	a := r.Route(10, c)
-	assert.Equal(t, Forward, a.Action)
-	assert.InDelta(t, c.ClientDeadline, a.AttemptDeadline, 0, "a first attempt has all of its client's time")
-	a = r.AttemptEnded(10.01, c, AttemptResult{Result: ConnectionLost, Elapsed: 0.01, Position: -1})
-	for k := 0; a.Action == Wait && k < 100; k++ {
-		a = r.Route(a.ReviewAt, c)
+	decision := r.Route(10, c)
+	assert.Equal(t, Forward, decision.Action)
+	assert.InDelta(t, c.ClientDeadline, decision.AttemptDeadline, 0, "a first attempt has all of its client's time")
+	decision = r.AttemptEnded(10.01, c, AttemptResult{Result: ConnectionLost, Elapsed: 0.01, Position: -1})
+	for k := 0; decision.Action == Wait && k < 100; k++ {
+		decision = r.Route(decision.ReviewAt, c)
 	}
-	assert.Equal(t, Forward, a.Action)
-	assert.InDelta(t, 11.5, a.AttemptDeadline, 0)
+	assert.Equal(t, Forward, decision.Action)
+	assert.InDelta(t, 11.5, decision.AttemptDeadline, 0)
 }
 
 func TestLostAnswerIsRetriedInTime(t *testing.T) {
-	for left, again := range map[float64]bool{0.4: true, 0.02: false} {
+	for remaining, wantRetry := range map[float64]bool{0.4: true, 0.02: false} {
 		r := testRouter(t, testConfig())
 		for i := range r.endpoints {
 			r.endpoints[i].latencySum, r.endpoints[i].answerCount, r.endpoints[i].decayedAt = 0.1, 10, 10 // 10 ms each
 		}
 		c := newCommand(eventualReads)
-		c.ClientDeadline = 10.1 + left
+		c.ClientDeadline = 10.1 + remaining
 		require.Equal(t, Forward, r.Route(10, c).Action)
-		n := &r.endpoints[c.Attempts[0].Endpoint]
-		n.lastAnswerAt, n.unansweredAttempts = 10.05, 0 // it has answered others since
-		a := r.Route(10.1, c)
-		assert.Equal(t, again, a.CancelAttempt == 0, "%v seconds are left", left)
+		e := &r.endpoints[c.Attempts[0].Endpoint]
+		e.lastAnswerAt, e.unansweredAttempts = 10.05, 0 // it has answered others since
+		decision := r.Route(10.1, c)
+		assert.Equal(t, wantRetry, decision.CancelAttempt == 0, "%v seconds are left", remaining)
 	}
 }
 
 func TestLostWriteWithKeyGoesToThePrimaryAgain(t *testing.T) {
-	for effect, recall := range map[Idempotency]int{IdempotentWithKey: 0, NonIdempotent: -1} {
+	for idempotency, wantCancel := range map[Idempotency]int{IdempotentWithKey: 0, NonIdempotent: -1} {
 		r := testRouter(t, testConfig())
-		r.groups[writes].Idempotency = effect
+		r.groups[writes].Idempotency = idempotency
 		r.endpoints[0].latencySum, r.endpoints[0].answerCount, r.endpoints[0].decayedAt = 0.1, 10, 10
 		c := newCommand(writes)
 		require.Equal(t, 0, r.Route(10, c).Endpoint)
 		r.endpoints[0].lastAnswerAt, r.endpoints[0].unansweredAttempts = 10.05, 0
-		assert.Equal(t, recall, r.Route(10.1, c).CancelAttempt)
-		if effect == IdempotentWithKey {
-			a := r.AttemptEnded(10.1, c, AttemptResult{Result: Canceled, Position: -1})
-			assert.Equal(t, Forward, a.Action)
-			assert.Equal(t, 0, a.Endpoint, "its own shard knows the key")
+		assert.Equal(t, wantCancel, r.Route(10.1, c).CancelAttempt)
+		if idempotency == IdempotentWithKey {
+			decision := r.AttemptEnded(10.1, c, AttemptResult{Result: Canceled, Position: -1})
+			assert.Equal(t, Forward, decision.Action)
+			assert.Equal(t, 0, decision.Endpoint, "its own shard knows the key")
 		}
 	}
 }
--- a/internal/router/consistency.go
+++ b/internal/router/consistency.go
@@ -58,7 +58,7 @@
 // expireSessions forgets the older generation of sessions when it is due; its highest positions become its
 // shards' floors. How groups were served is forgotten by half at the same time.
 func (r *Router) expireSessions(now float64) {
-	if now-r.sessionsRotatedAt < retentionTimeouts*r.longestTimeout && r.sessions.Younger() < maxSessions/2 {
+	if now-r.sessionsRotatedAt < retentionTimeouts*r.longestTimeout && r.sessions.YoungerLen() < maxSessions/2 {
 		return
 	}
 	for i := range r.groups {
@@ -86,15 +86,15 @@
 	r.candidates, r.healthyReplicas = r.candidates[:0], 0
 	for _, i := range r.shards[c.Shard].endpoints {
 		e := &r.endpoints[i]
-		suspected := r.updateEjection(now, i)
+		ejected := r.updateEjection(now, i)
 		if r.mayCover(now, position, i, primary) {
 			r.healthyReplicas++
 		}
 		covers := i == primary || e.position >= position
-		if i == primary && !suspected || !r.eligible(e) || !covers || !r.slowStartAdmits(now, i) {
+		if i == primary && !ejected || !r.eligible(e) || !covers || !r.slowStartAdmits(now, i) {
 			continue
 		}
-		if !suspected {
+		if !ejected {
 			r.candidates = append(r.candidates, i)
 		} else if e.queued == 0 && g.Idempotency == Idempotent &&
 			(recovering < 0 || e.nextRecoveryAt < r.endpoints[recovering].nextRecoveryAt) {
--- a/internal/router/consistency_test.go
+++ b/internal/router/consistency_test.go
@@ -14,17 +14,17 @@
 	r.sessions.Put(9, session{lastWrite: 9, highestRead: 10.2})
 	r.endpoints[2].position = 10.3
 	for range 20 {
-		a := r.Route(10.3, newCommand(sessionReads))
-		assert.Equal(t, Forward, a.Action)
-		assert.Equal(t, 2, a.Endpoint, "only endpoint 2 covers both positions")
+		decision := r.Route(10.3, newCommand(sessionReads))
+		assert.Equal(t, Forward, decision.Action)
+		assert.Equal(t, 2, decision.Endpoint, "only endpoint 2 covers both positions")
 		r.endpoints[2].queued = 0
 	}
 }
 
 func TestClientTokenIsTheTimeOfTheLastWrite(t *testing.T) {
-	s := testConfig()
-	s.ClientTokens = true
-	r := testRouter(t, s)
+	config := testConfig()
+	config.ClientTokens = true
+	r := testRouter(t, config)
 	c := newCommand(sessionReads)
 	c.LastWriteAge = 0.25
 	r.Route(10, c)
@@ -52,22 +52,22 @@
 }
 
 func TestFreshestReplicaServesWhereReplicasCheckReads(t *testing.T) {
-	s := testConfig()
-	s.ReplicasCheckReads = true
-	r := testRouter(t, s)
+	config := testConfig()
+	config.ReplicasCheckReads = true
+	r := testRouter(t, config)
 	r.sessions.Put(9, session{lastWrite: 10.1, highestRead: math.Inf(-1)})
 	r.endpoints[1].reportedLag, r.endpoints[2].reportedLag = 3, 0.01
 	c := newCommand(sessionReads)
 	assert.Equal(t, 2, r.Route(10, c).Endpoint)
-	a := r.AttemptEnded(10.06, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
-	assert.Equal(t, 0, a.Endpoint, "not served as too stale, it goes to the primary")
+	decision := r.AttemptEnded(10.06, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
+	assert.Equal(t, 0, decision.Endpoint, "not served as too stale, it goes to the primary")
 }
 
 // With 127 routers a primary was often unknown, and what was heard of replicas seconds old.
 func TestLinearizableReadWithoutAPrimary(t *testing.T) {
-	s := testConfig()
-	s.ReplicasCheckReads = true
-	r := testRouter(t, s)
+	config := testConfig()
+	config.ReplicasCheckReads = true
+	r := testRouter(t, config)
 	r.endpoints[0].role = RoleReplica
 	for i := range r.endpoints {
 		r.endpoints[i].reportedLag = float64(i)
@@ -75,8 +75,8 @@
 	assert.Equal(t, 0, r.Route(10.2, newCommand(linearizableReads)).Endpoint, "the least behind checks it itself")
 	c := newCommand(linearizableReads)
 	c.Attempts, c.ArrivedAt, c.routed = []Attempt{{Endpoint: 0, SentAt: 10.1, InFlight: true}}, 10.1, true
-	a := r.AttemptEnded(10.2, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
-	assert.Equal(t, 1, a.Endpoint, "not served, it meets the next: one of them may be the primary")
+	decision := r.AttemptEnded(10.2, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
+	assert.Equal(t, 1, decision.Endpoint, "not served, it meets the next: one of them may be the primary")
 	assert.InDelta(t, 1.0, r.recentLag(10.2, 1), 0)
 	assert.Zero(t, r.recentLag(11, 1), "it may have caught up since")
 }
@@ -85,8 +85,8 @@
 	r := New(testConfig(), 1)
 	r.UpdateEndpoints(10, []EndpointInfo{warmEndpoint(0), warmEndpoint(1)}, true, true)
 	assert.Equal(t, Wait, r.Route(10, newCommand(boundedReads)).Action)
-	_, up := r.Maintain(10)
-	assert.Equal(t, []int{0}, up.HealthCheck, "the one that the read needs")
+	_, due := r.Maintain(10)
+	assert.Equal(t, []int{0}, due.HealthCheck, "the one that the read needs")
 	assert.Equal(t, Forward, r.Route(10, newCommand(eventualReads)).Action, "any read may go to any replica")
 }
 
@@ -98,7 +98,7 @@
 	r.expireSessions(10 + span)
 	_, known := r.sessions.Get(1)
 	assert.True(t, known)
-	assert.Zero(t, r.sessions.Younger())
+	assert.Zero(t, r.sessions.YoungerLen())
 	r.expireSessions(10 + 2*span)
 	_, known = r.sessions.Get(1)
 	assert.False(t, known)
@@ -106,27 +106,27 @@
 }
 
 func TestLastWriteAheadOfTheClockCounts(t *testing.T) {
-	s := testConfig()
-	s.ClientTokens = true
+	config := testConfig()
+	config.ClientTokens = true
 	for _, age := range []float64{-math.SmallestNonzeroFloat64, -0.25} {
 		c := newCommand(sessionReads)
 		c.LastWriteAge = age
-		testRouter(t, s).Route(10, c)
+		testRouter(t, config).Route(10, c)
 		assert.InDelta(t, 10-age, c.requiredPosition, 1e-9)
 	}
 	c := newCommand(sessionReads)
-	testRouter(t, s).Route(10, c)
+	testRouter(t, config).Route(10, c)
 	assert.Less(t, c.requiredPosition, 10.0, "0: none is known")
 }
 
 // A session read is sent while a write of its session is out, or after one that broke: the endpoint may have run the
 // write and its answer been on its way, so that the read owes what it wrote. A lagging replica was read (rule 5).
 func TestSessionReadCoversWritesThatMayHaveRun(t *testing.T) {
-	s := testConfig()
-	s.CommandGroups[writes].Idempotency = IdempotentWithKey
+	config := testConfig()
+	config.CommandGroups[writes].Idempotency = IdempotentWithKey
 	replicas := []int{1, 2}
-	for what, w := range map[string]struct {
-		o      *AttemptResult // at 10.1; nil: it is out
+	for name, write := range map[string]struct {
+		result      *AttemptResult // at 10.1; nil: it is out
 		covers float64        // what replicas must hold then to be read
 	}{
 		"out":       {nil, 10.15},
@@ -139,35 +139,35 @@
 		"full":      {&AttemptResult{Result: Overloaded}, 10},
 		"missed":    {&AttemptResult{Result: NotServed}, 10},
 	} {
-		for _, held := range []float64{-0.001, 0.001} { // what replicas hold, beside that
-			r := testRouter(t, s)
+		for _, offset := range []float64{-0.001, 0.001} { // what replicas hold, beside that
+			r := testRouter(t, config)
 			r.fleetServiceTime, r.fleetLatency = 0.01, 0.01
-			hold := func(pos float64) {
+			setPositions := func(position float64) {
 				for _, i := range replicas {
-					r.endpoints[i].position, r.endpoints[i].positionReportedAt, r.endpoints[i].reportedLag = pos, 10.15, 10.15-pos
+					r.endpoints[i].position, r.endpoints[i].positionReportedAt, r.endpoints[i].reportedLag = position, 10.15, 10.15-position
 				}
 			}
-			first := newCommand(sessionReads)
-			require.Contains(t, replicas, r.Route(10, first).Endpoint)
-			r.AttemptEnded(10, first, AttemptResult{Result: Answered, Elapsed: 0.01, Final: true, Position: 10}) // highest read 10
+			firstRead := newCommand(sessionReads)
+			require.Contains(t, replicas, r.Route(10, firstRead).Endpoint)
+			r.AttemptEnded(10, firstRead, AttemptResult{Result: Answered, Elapsed: 0.01, Final: true, Position: 10}) // highest read 10
 			c := newCommand(writes)
 			require.Equal(t, 0, r.Route(10, c).Endpoint)
-			waits := newCommand(sessionReads) // arrived before the write ended, and found no replica
-			waits.routed, waits.requiredPosition = true, 10
-			if w.o != nil {
-				o := *w.o
-				o.Elapsed, o.Final, o.Position = 0.1, true, -1
-				if o.Result == Answered {
-					o.Position = 10.05
+			waitingRead := newCommand(sessionReads) // arrived before the write ended, and found no replica
+			waitingRead.routed, waitingRead.requiredPosition = true, 10
+			if write.result != nil {
+				result := *write.result
+				result.Elapsed, result.Final, result.Position = 0.1, true, -1
+				if result.Result == Answered {
+					result.Position = 10.05
 				}
-				r.AttemptEnded(10.1, c, o)
+				r.AttemptEnded(10.1, c, result)
 			}
-			assert.Equal(t, w.o == nil, r.session(9).writesInFlight == 1, what)
-			hold(w.covers + held)
+			assert.Equal(t, write.result == nil, r.session(9).writesInFlight == 1, name)
+			setPositions(write.covers + offset)
 			other := newCommand(sessionReads)
 			other.Session, other.ArrivedAt, other.ClientDeadline = 8, 10.15, 12
-			assert.Contains(t, replicas, r.Route(10.15, other).Endpoint, "%s: of another session", what)
-			assert.Equal(t, held > 0, slices.Contains(replicas, r.chooseReplica(10.15, waits, &r.groups[sessionReads], r.sessionPosition(10.15, waits))), "%s, %g", what, held)
+			assert.Contains(t, replicas, r.Route(10.15, other).Endpoint, "%s: of another session", name)
+			assert.Equal(t, offset > 0, slices.Contains(replicas, r.chooseReplica(10.15, waitingRead, &r.groups[sessionReads], r.sessionPosition(10.15, waitingRead))), "%s, %g", name, offset)
 		}
 	}
 }
@@ -193,13 +193,13 @@
 // Where replicas check reads a miss tells their position for nothing; health checks for it cost a service point in
 // thirty.
 func TestPositionIsNotCheckedWhereReplicasCheckReads(t *testing.T) {
-	for _, guarded := range []bool{true, false} {
-		s := testConfig()
-		s.ReplicasCheckReads = guarded
-		r := testRouter(t, s)
-		count(&r.readCounter, 10.2, 1, true)
+	for _, replicasCheckReads := range []bool{true, false} {
+		config := testConfig()
+		config.ReplicasCheckReads = replicasCheckReads
+		r := testRouter(t, config)
+		addReads(&r.readCounter, 10.2, 1, true)
 		r.Route(10.2, uncoveredRead(r))
-		assert.Equal(t, guarded, len(r.pendingChecks) == 0)
+		assert.Equal(t, replicasCheckReads, len(r.pendingChecks) == 0)
 	}
 }
 
@@ -207,36 +207,36 @@
 func TestReadThatFallsBackAtOnceChecksNoPosition(t *testing.T) {
 	r := testRouter(t, testConfig())
 	c := uncoveredRead(r)
-	count(&r.readCounter, 10, 10, false)
-	a := r.Route(10.2, c)
-	require.Equal(t, Forward, a.Action)
-	assert.Equal(t, 0, a.Endpoint)
+	addReads(&r.readCounter, 10, 10, false)
+	decision := r.Route(10.2, c)
+	require.Equal(t, Forward, decision.Action)
+	assert.Equal(t, 0, decision.Endpoint)
 	assert.Empty(t, r.pendingChecks)
 }
 
 // A replica that is cold and has its share was asked, found to cover, and waited for in vain, beside warm ones that
 // nobody asked.
 func TestReplicaWithoutSlowStartBudgetIsNotChecked(t *testing.T) {
-	for me := range 4 {
-		s := testConfig()
-		s.Instance, s.RouterCount = me, 1000
-		r := testRouter(t, s)
+	for index := range 4 {
+		config := testConfig()
+		config.Instance, config.RouterCount = index, 1000
+		r := testRouter(t, config)
 		r.endpoints[1].startedAt, r.endpoints[1].slowStartBudgetSetAt = 10, 10.2
 		c := uncoveredRead(r)
 		require.Equal(t, Wait, r.Route(10.2, c).Action)
-		assert.Equal(t, []int{2}, r.pendingChecks, "router %d", me)
+		assert.Equal(t, []int{2}, r.pendingChecks, "router %d", index)
 	}
 }
 
 // A read waits for a replica for no longer than leaves its primary time to answer within a short objective.
 func TestReadWaitsNoLongerThanHalfOfAShortObjective(t *testing.T) {
-	s := testConfig()
-	s.CommandGroups[boundedReads].LatencyObjective = 0.1
-	r := testRouter(t, s)
+	config := testConfig()
+	config.CommandGroups[boundedReads].LatencyObjective = 0.1
+	r := testRouter(t, config)
 	c := uncoveredRead(r)
 	require.Equal(t, Wait, r.Route(10.2, c).Action)
 	require.Equal(t, Wait, r.Route(10.245, c).Action)
-	a := r.Route(10.255, c)
-	require.Equal(t, Forward, a.Action)
-	assert.Equal(t, 0, a.Endpoint)
+	decision := r.Route(10.255, c)
+	require.Equal(t, Forward, decision.Action)
+	assert.Equal(t, 0, decision.Endpoint)
 }
--- a/internal/router/generational/generational.go
+++ b/internal/router/generational/generational.go
@@ -27,11 +27,11 @@
 // Put sets the entry of a key in the younger generation.
 func (m *Map[K, V]) Put(key K, value V) { m.younger[key] = value }
 
-// Younger is the number of entries in the younger generation.
-func (m *Map[K, V]) Younger() int { return len(m.younger) }
+// YoungerLen is the number of entries in the younger generation.
+func (m *Map[K, V]) YoungerLen() int { return len(m.younger) }
 
-// Turn forgets the older generation; the younger one takes its place.
-func (m *Map[K, V]) Turn() { m.older, m.younger = m.younger, map[K]V{} }
+// Rotate forgets the older generation; the younger one takes its place.
+func (m *Map[K, V]) Rotate() { m.older, m.younger = m.younger, map[K]V{} }
 
 // Update makes each entry what convert makes of it. Entries come in no order.
 func (m *Map[K, V]) Update(convert func(V) V) {
--- a/internal/router/generational/generational_test.go
+++ b/internal/router/generational/generational_test.go
@@ -6,30 +6,30 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestEntryIsForgottenAfterTwoTurnsUnlessPutAgain(t *testing.T) {
+func TestEntryIsForgottenAfterTwoRotationsUnlessPutAgain(t *testing.T) {
 	m := New[string, int]()
 	m.Put("kept", 1)
 	m.Put("dropped", 2)
-	m.Turn()
+	m.Rotate()
 	value, ok := m.Get("kept")
 	assert.True(t, ok)
 	m.Put("kept", value+2)
-	assert.Equal(t, 1, m.Younger())
+	assert.Equal(t, 1, m.YoungerLen())
 	value, _ = m.Get("kept")
 	assert.Equal(t, 3, value, "the newer entry counts")
-	m.Turn()
+	m.Rotate()
 	value, ok = m.Get("kept")
 	assert.True(t, ok)
 	assert.Equal(t, 3, value)
 	_, ok = m.Get("dropped")
 	assert.False(t, ok)
-	assert.Zero(t, m.Younger())
+	assert.Zero(t, m.YoungerLen())
 }
 
 func TestCloneIsConvertedAndSharesNothing(t *testing.T) {
 	m := New[string, int]()
 	m.Put("older", 1)
-	m.Turn()
+	m.Rotate()
 	m.Put("younger", 2)
 	clone := m.CloneFunc(func(v int) int { return 10 * v })
 	m.Put("younger", 3)
--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -9,7 +9,7 @@
 )
 
 // Chance connect failures once made warm endpoints count as cold and rejected commands on quiet days.
-func TestOneFailedConnectionIsNoRestart(t *testing.T) {
+func TestOneFailedConnectionDoesNotCountAsARestart(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.endpoints[1].recordUnreachable(10)
 	r.recordReachable(10.3, &r.endpoints[1])
@@ -27,13 +27,13 @@
 func TestSilentEndpointIsEjectedUntilItAnswers(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.fleetLatency = 0.05
-	n := &r.endpoints[1]
-	n.queued, n.unansweredAttempts, n.unansweredSince = 4, 4, 10
+	e := &r.endpoints[1]
+	e.queued, e.unansweredAttempts, e.unansweredSince = 4, 4, 10
 	assert.False(t, r.updateEjection(10.05, 1))
 	assert.True(t, r.updateEjection(10.2, 1))
-	n.queued = 0
+	e.queued = 0
 	assert.True(t, r.updateEjection(13, 1), "no answer since")
-	n.queued = 1
+	e.queued = 1
 	c := &Command{Group: eventualReads, Attempts: []Attempt{{Endpoint: 1, InFlight: true}}, ArrivedAt: 10, ClientDeadline: 14, routed: true}
 	r.AttemptEnded(13, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
 	assert.False(t, r.updateEjection(13, 1))
@@ -64,19 +64,19 @@
 // An endpoint that was reached and is silent answers health checks all the same: hundreds of routers each kept
 // checking those that they ejected, and only a command's answer ends the ejection. One unreachable is checked.
 func TestEjectedEndpointIsCheckedOnlyIfUnreachable(t *testing.T) {
-	s := testConfig()
-	s.RouterCount = 300
-	r := testRouter(t, s)
+	config := testConfig()
+	config.RouterCount = 300
+	r := testRouter(t, config)
 	r.endpoints[1].ejected, r.endpoints[2].ejected = true, true
 	r.endpoints[2].recordUnreachable(10)
 	r.commandCount, r.lastReviewAt = 3, 20
-	_, up := r.Maintain(25)
-	assert.Equal(t, []int{2}, up.HealthCheck)
+	_, due := r.Maintain(25)
+	assert.Equal(t, []int{2}, due.HealthCheck)
 }
 
 // What was sent to an endpoint that could not be reached counted as its silence, which ejected it again as soon as a
 // health check had been answered; and then it was checked no more.
-func TestEndpointThatIsBackIsNotEjectedForWhatNeverReachedIt(t *testing.T) {
+func TestRecoveredEndpointIsNotEjectedForAttemptsThatNeverReachedIt(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for at := 10.0; at < 10.4; at += 0.1 {
 		c := newCommand(eventualReads)
@@ -95,20 +95,20 @@
 }
 
 // A router that hears each endpoint every few seconds ejected it after one answer that was lost or late.
-func TestOneLostAnswerEjectsNobody(t *testing.T) {
+func TestOneLostAnswerDoesNotEjectItsEndpoint(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.fleetLatency = 0.05
-	for lost, doubted := range []bool{false, true} {
+	for lost, wantEjected := range []bool{false, true} {
 		c := newCommand(eventualReads)
 		c.ArrivedAt = 10 + float64(lost)
 		require.Equal(t, Forward, r.Route(c.ArrivedAt, c).Action)
-		at := c.Attempts[0].Endpoint
+		index := c.Attempts[0].Endpoint
 		for i := range r.endpoints { // the same endpoint again
-			r.endpoints[i].draining = i != at
+			r.endpoints[i].draining = i != index
 		}
 		c.Attempts[0].overdue = true
 		r.AttemptEnded(c.ArrivedAt+0.1, c, AttemptResult{Result: TimedOut, Elapsed: 0.1, Position: -1, Final: true})
-		assert.Equal(t, doubted, r.updateEjection(c.ArrivedAt+0.9, at))
+		assert.Equal(t, wantEjected, r.updateEjection(c.ArrivedAt+0.9, index))
 	}
 }
 
@@ -121,13 +121,13 @@
 	assert.Len(t, r.pendingChecks, 1, "a replica is asked")
 	r.endpoints[1].ejected, r.endpoints[2].ejected = true, true
 	r.endpoints[1].nextRecoveryAt, r.endpoints[2].nextRecoveryAt = 12, 12
-	a := r.Route(10.2, c)
-	require.Equal(t, Forward, a.Action, "nobody else is left")
-	assert.Equal(t, 0, a.Endpoint)
+	decision := r.Route(10.2, c)
+	require.Equal(t, Forward, decision.Action, "nobody else is left")
+	assert.Equal(t, 0, decision.Endpoint)
 }
 
 // A router that hears an endpoint every few seconds ejected it after a single failure.
-func TestOneFailureAloneEjectsNobody(t *testing.T) {
+func TestOneFailureDoesNotEjectItsEndpoint(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.decayTime = 5 * decayObjectives
 	r.recordFailure(10, &r.endpoints[1])
@@ -136,7 +136,7 @@
 	assert.True(t, r.updateEjection(12, 1), "two are remembered where attempts are rare")
 }
 
-func TestHealthIsAgainstTheFleetsMedian(t *testing.T) {
+func TestFailuresAreComparedWithTheFleetsMedian(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for i := range r.endpoints {
 		r.endpoints[i].failureCount, r.endpoints[i].resultCount, r.endpoints[i].decayedAt = 4, 8, 10
@@ -147,40 +147,40 @@
 	assert.True(t, r.updateEjection(10, 1))
 }
 
-func TestShortSilenceEjectsNobodyHoweverQuickAnswersAre(t *testing.T) {
+func TestShortSilenceDoesNotEjectAQuickEndpoint(t *testing.T) {
 	r := testRouter(t, testConfig())
-	n := &r.endpoints[1]
-	n.latencySum, n.answerCount, n.decayedAt = 0.02, 10, 10 // 2 ms each
-	n.unansweredAttempts, n.unansweredSince = 3, 10
+	e := &r.endpoints[1]
+	e.latencySum, e.answerCount, e.decayedAt = 0.02, 10, 10 // 2 ms each
+	e.unansweredAttempts, e.unansweredSince = 3, 10
 	assert.False(t, r.updateEjection(10.04, 1), "twenty answer times, but little of an objective")
 	assert.True(t, r.updateEjection(10.06, 1))
 }
 
 // Where health checks failed for half a minute at endpoints that served as usual these counted as unreachable and,
 // once a health check went through, as started anew.
-func TestFailedHealthChecksOfServingEndpointsSayNothing(t *testing.T) {
+func TestFailedHealthChecksDoNotCountAtServingEndpoints(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for now := 10.1; now < 20; now += 0.5 {
 		r.endpoints[1].lastAnswerAt = now - 0.05
 		r.HealthChecked(now, 1, Errored, 0.01, -1, false)
 		r.HealthChecked(now+0.01, 1, TimedOut, 0.25, -1, false)
 	}
-	n := &r.endpoints[1]
-	assert.True(t, math.IsInf(n.unreachableSince, 1), "commands were answered meanwhile")
+	e := &r.endpoints[1]
+	assert.True(t, math.IsInf(e.unreachableSince, 1), "commands were answered meanwhile")
 	r.HealthChecked(20.5, 1, TimedOut, 0.25, -1, false)
-	assert.InDelta(t, 20.5, n.unreachableSince, 0, "nothing answered since")
+	assert.InDelta(t, 20.5, e.unreachableSince, 0, "nothing answered since")
 	r.HealthChecked(21.5, 1, TimedOut, 0.25, -1, false)
 	r.HealthChecked(21.6, 1, Errored, 0.01, -1, false)
-	assert.InDelta(t, 20.5, n.unreachableSince, 0, "an error is no sign of health either")
+	assert.InDelta(t, 20.5, e.unreachableSince, 0, "an error is no sign of health either")
 	r.HealthChecked(21.7, 1, Answered, 0.01, -1, false)
-	assert.InDelta(t, 21.7, n.startedAt, 0, "away for longer than chance, it may have started anew")
+	assert.InDelta(t, 21.7, e.startedAt, 0, "away for longer than chance, it may have started anew")
 }
 
 // The whole fleet's join day broke rule 5 once: a health check's report was taken though the health check had erred.
 func TestReportOfAFailedHealthCheckSaysNothingOfData(t *testing.T) {
 	r := testRouter(t, testConfig())
-	for _, ending := range []Result{Errored, Overloaded, NotServed, TimedOut, ConnectionLost} {
-		r.HealthChecked(20, 1, ending, 0.01, 19, true)
+	for _, result := range []Result{Errored, Overloaded, NotServed, TimedOut, ConnectionLost} {
+		r.HealthChecked(20, 1, result, 0.01, 19, true)
 		assert.InDelta(t, 10.0, r.endpoints[1].position, 0)
 		assert.Equal(t, RoleReplica, r.endpoints[1].role)
 	}
--- a/internal/router/helper_test.go
+++ b/internal/router/helper_test.go
@@ -21,15 +21,15 @@
 	group := func(consistency Consistency) CommandGroup {
 		return CommandGroup{Consistency: consistency, LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1, IdempotencyWindow: 2}
 	}
-	s := Config{
+	config := Config{
 		RouterCount: 1, BatchInterval: 0.005, LoadReports: true, CanCancel: true,
 		HealthChecks: true, MaxAttempts: 6, ConnectTimeout: 0.25, SlowStartFloor: 0.2, SlowStart: 10, OverloadFactor: 2, OverloadWindow: 2,
 		PollWindow: 8, CommandGroups: []CommandGroup{group(PrimaryOnly), group(Linearizable), group(SessionConsistent), group(BoundedStaleness), group(Eventual)},
 	}
-	s.CommandGroups[writes].Idempotency = NonIdempotent
-	s.CommandGroups[writes].PriorityWeight = 3
-	s.CommandGroups[boundedReads].MaxStaleness = 0.4
-	return s
+	config.CommandGroups[writes].Idempotency = NonIdempotent
+	config.CommandGroups[writes].PriorityWeight = 3
+	config.CommandGroups[boundedReads].MaxStaleness = 0.4
+	return config
 }
 
 // warmEndpoint is a warm, ready endpoint of shard 0.
@@ -38,9 +38,9 @@
 }
 
 // testRouter knows a shard of three: endpoint 0 is the primary, 1 and 2 are replicas, all heard at time 10.
-func testRouter(t *testing.T, s Config) *Router {
+func testRouter(t *testing.T, config Config) *Router {
 	t.Helper()
-	r := New(s, 7)
+	r := New(config, 7)
 	r.UpdateEndpoints(10, []EndpointInfo{warmEndpoint(0), warmEndpoint(1), warmEndpoint(2)}, true, true)
 	for i := range r.endpoints {
 		r.endpoints[i].recordReport(10, r.config.PositionEpoch, 10, RoleReplica)
@@ -63,11 +63,11 @@
 	return c
 }
 
-// seedOf is the seed of one of many routers. Small seeds leave the generator's half that draw reads the same.
-func seedOf(i int) uint64 { return uint64(i+1) * 0x9e3779b97f4a7c15 }
+// routerSeed is the seed of one of many routers. Small seeds leave the generator's half that draw reads the same.
+func routerSeed(i int) uint64 { return uint64(i+1) * 0x9e3779b97f4a7c15 }
 
-// count adds so many reads at a time, which fell back to a primary or did not.
-func count(c *rolling.Counter, now float64, reads int, fallbacks bool) {
+// addReads adds so many reads at a time, which fell back to a primary or did not.
+func addReads(c *rolling.Counter, now float64, reads int, fallbacks bool) {
 	for range reads {
 		c.Add(now, fallbacks)
 	}
--- a/internal/router/latency_test.go
+++ b/internal/router/latency_test.go
@@ -8,27 +8,27 @@
 )
 
 // Queues once passed for work under load, and crowded replicas stopped applying the log.
-func TestServiceTimeIsTheLeastMean(t *testing.T) {
+func TestServiceTimeIsTheLowestMean(t *testing.T) {
 	r := testRouter(t, testConfig())
-	g, n, l := &r.groups[eventualReads], &r.endpoints[1], &Attempt{Endpoint: 1}
+	g, e, attempt := &r.groups[eventualReads], &r.endpoints[1], &Attempt{Endpoint: 1}
 	c := newCommand(eventualReads)
 	for range 8 {
-		r.recordAnswer(10, c, g, n, l, AttemptResult{Elapsed: 0.1, Position: -1})
+		r.recordAnswer(10, c, g, e, attempt, AttemptResult{Elapsed: 0.1, Position: -1})
 	}
 	for k := range 80 {
-		r.recordAnswer(10+float64(k)/100, c, g, n, l, AttemptResult{Elapsed: 1, Position: -1})
+		r.recordAnswer(10+float64(k)/100, c, g, e, attempt, AttemptResult{Elapsed: 1, Position: -1})
 	}
 	assert.InDelta(t, 0.15, g.serviceTime, 0.06)
 }
 
 // The first answer alone once stood for a group's work for minutes: at three commands a second the least mean drifts
 // up too slowly to mend a lucky one.
-func TestFirstAnswersCountAlike(t *testing.T) {
+func TestFirstAnswersHaveEqualWeight(t *testing.T) {
 	r := testRouter(t, testConfig())
-	for i, took := range []float64{0.01, 0.2, 0.2, 0.2} {
-		r.recordAnswer(10, newCommand(eventualReads), &r.groups[eventualReads], &r.endpoints[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: took, Position: -1})
-		seen, a := 0.01+0.2*float64(i), float64(i+1)
-		assert.InDelta(t, (seen+priorWeight*assumedServiceShare*0.5)/(a+priorWeight), r.groups[eventualReads].serviceTime, 1e-9,
+	for i, latency := range []float64{0.01, 0.2, 0.2, 0.2} {
+		r.recordAnswer(10, newCommand(eventualReads), &r.groups[eventualReads], &r.endpoints[1], &Attempt{Endpoint: 1}, AttemptResult{Elapsed: latency, Position: -1})
+		latencySum, answers := 0.01+0.2*float64(i), float64(i+1)
+		assert.InDelta(t, (latencySum+priorWeight*assumedServiceShare*0.5)/(answers+priorWeight), r.groups[eventualReads].serviceTime, 1e-9,
 			"leaning on a quarter of the objective")
 	}
 	assert.InDelta(t, r.groups[eventualReads].serviceTime, r.fleetLatency, 0.05, "the lucky first one is no more than one of four")
@@ -40,26 +40,26 @@
 // Clients that left after a moment made the primary that answered nobody look quick. What was waited for in vain
 // counts as all of that, but for what it tells of its group's stretch.
 func TestCanceledAttemptDoesNotCountAsQuick(t *testing.T) {
-	for at, left := range map[int][2]float64{1: {0.01, 0.11}, 2: {9, 9.1}} { // when, and what it counts as
+	for index, times := range map[int][2]float64{1: {0.01, 0.11}, 2: {9, 9.1}} { // when, and what it counts as
 		r := testRouter(t, testConfig())
 		r.fleetServiceTime, r.fleetLatency, r.groups[eventualReads].serviceTime = 0.1, 0.1, 0.1
 		c := newCommand(eventualReads)
-		c.Attempts, c.routed = []Attempt{{Endpoint: at, SentAt: 10, InFlight: true}}, true
-		r.AttemptEnded(10+left[0], c, AttemptResult{Result: Canceled, Elapsed: left[0], Final: true, Position: -1})
-		assert.InDelta(t, left[1], r.endpoints[at].latencySum, 1e-9)
-		assert.InDelta(t, left[1], r.shards[0].latencySum, 1e-9)
-		told := math.Min(left[1]/0.1, maxTailFactor)
-		assert.InDelta(t, 1+averageWeight*(told-1), r.groups[eventualReads].tailFactor, 1e-9)
+		c.Attempts, c.routed = []Attempt{{Endpoint: index, SentAt: 10, InFlight: true}}, true
+		r.AttemptEnded(10+times[0], c, AttemptResult{Result: Canceled, Elapsed: times[0], Final: true, Position: -1})
+		assert.InDelta(t, times[1], r.endpoints[index].latencySum, 1e-9)
+		assert.InDelta(t, times[1], r.shards[0].latencySum, 1e-9)
+		ratio := math.Min(times[1]/0.1, maxTailFactor)
+		assert.InDelta(t, 1+averageWeight*(ratio-1), r.groups[eventualReads].tailFactor, 1e-9)
 	}
 }
 
 // Hundreds of routers with low traffic, each of which heard an endpoint every ten seconds, went on sending to a shard
 // that answered nothing in time: what one of its endpoints shows counts for those that were not heard, and for no
 // other shard.
-func TestShardThatAnswersNothingInTimeIsLeftAlone(t *testing.T) {
-	s := testConfig()
-	s.RouterCount = 300
-	r := testRouter(t, s)
+func TestShardThatAnswersNothingInTimeGetsNoCommands(t *testing.T) {
+	config := testConfig()
+	config.RouterCount = 300
+	r := testRouter(t, config)
 	r.fleetServiceTime, r.fleetLatency, r.groups[eventualReads].serviceTime = 0.05, 0.05, 0.05
 	r.UpdateEndpoints(0, []EndpointInfo{{Index: 5, Shard: 1, State: Ready, StartedAt: math.Inf(-1)}}, false, false)
 	other := r.meanLatency(&r.endpoints[5])
@@ -107,7 +107,7 @@
 }
 
 // One heavy answer among three once made a primary look full for seconds.
-func TestHeavyCommandIsNoQueue(t *testing.T) {
+func TestHeavyCommandDoesNotCountAsQueue(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.fleetServiceTime, r.groups[eventualReads].serviceTime = 0.1, 0.2
 	r.recordLatency(&r.groups[eventualReads], &r.endpoints[1], &Attempt{}, 0.25)
@@ -119,21 +119,21 @@
 
 // Reports of a second and a half among reads of a tenth: each was blamed on its endpoint while it ran, and the first
 // one at a router, whose work was not known yet, counted as a queue of its whole length.
-func TestHeavyGroupIsNeitherSilenceNorQueue(t *testing.T) {
-	s := testConfig()
-	s.CommandGroups[eventualReads].LatencyObjective, s.CommandGroups[eventualReads].ClientTimeout = 6, 12
-	r := testRouter(t, s)
+func TestHeavyGroupCountsNeitherAsSilenceNorAsQueue(t *testing.T) {
+	config := testConfig()
+	config.CommandGroups[eventualReads].LatencyObjective, config.CommandGroups[eventualReads].ClientTimeout = 6, 12
+	r := testRouter(t, config)
 	assert.InDelta(t, 0.5, r.longestObjective, 0, "how soon one must know goes by what needs fresh data")
 	r.fleetLatency, r.fleetServiceTime, r.fleetQueueLength = 0.1, 0.1, 1
 	c := newCommand(eventualReads)
 	c.ClientDeadline = 22
-	a := r.Route(10, c)
-	assert.Equal(t, Forward, a.Action)
+	decision := r.Route(10, c)
+	assert.Equal(t, Forward, decision.Action)
 	for now := 10.1; now < 13; now += 0.1 {
 		assert.Equal(t, -1, r.Route(now, c).CancelAttempt)
-		assert.False(t, r.updateEjection(now, a.Endpoint), "at %v", now)
+		assert.False(t, r.updateEjection(now, decision.Endpoint), "at %v", now)
 	}
 	r.AttemptEnded(13, c, AttemptResult{Result: Answered, Elapsed: 3, Final: true, Position: -1})
-	assert.InDelta(t, 0.1, r.meanLatency(&r.endpoints[a.Endpoint]), 0.05)
+	assert.InDelta(t, 0.1, r.meanLatency(&r.endpoints[decision.Endpoint]), 0.05)
 	assert.InDelta(t, 0.1, r.fleetServiceTime, 0)
 }
--- a/internal/router/maintenance.go
+++ b/internal/router/maintenance.go
@@ -54,7 +54,7 @@
 		if e.shard < 0 {
 			continue
 		}
-		suspected := r.updateEjection(now, i)
+		ejected := r.updateEjection(now, i)
 		// By then a flapping list, a slow start and what is in flight are over; the index may become another's.
 		unused := now - max(e.removedAt, e.lastAnswerAt)
 		if e.inFlight == 0 && unused > r.config.SlowStart+retentionTimeouts*r.longestTimeout {
@@ -62,7 +62,7 @@
 			*e = unknownEndpoint
 			released = append(released, i)
 		}
-		if r.eligible(e) && r.checkDue(now, e, suspected) {
+		if r.eligible(e) && r.checkDue(now, e, ejected) {
 			r.requestCheck(now, i)
 		}
 	}
@@ -71,17 +71,17 @@
 
 // checkDue says that an endpoint's position was not reported lately, or that a sign of life is due from a
 // suspected one that is unreachable. Of a suspected one that is reached, only a recovery attempt says more.
-func (r *Router) checkDue(now float64, e *endpoint, suspected bool) bool {
+func (r *Router) checkDue(now float64, e *endpoint, ejected bool) bool {
 	unreachable := !math.IsInf(e.unreachableSince, 1)
-	if suspected && unreachable && now-e.lastCheckAt >= r.ejectedCheckInterval {
+	if ejected && unreachable && now-e.lastCheckAt >= r.ejectedCheckInterval {
 		return true
 	}
 	interval := r.checkInterval
-	if suspected {
+	if ejected {
 		interval = max(interval, r.ejectedCheckInterval)
 	}
-	unheard := now - max(e.positionReportedAt, e.lastCheckAt)
-	return r.config.LoadReports && !math.IsInf(r.checkInterval, 1) && unheard >= interval
+	sinceReport := now - max(e.positionReportedAt, e.lastCheckAt)
+	return r.config.LoadReports && !math.IsInf(r.checkInterval, 1) && sinceReport >= interval
 }
 
 // updateFleet brings up to date what is known of the fleet as a whole, and the queue limits.
--- a/internal/router/maintenance_test.go
+++ b/internal/router/maintenance_test.go
@@ -10,37 +10,37 @@
 
 // A hundred routers once checked every endpoint at the tightest bound.
 func TestHealthChecksFollowTheRoutersOwnTraffic(t *testing.T) {
-	s := testConfig()
-	s.RouterCount, s.Instance = 100, 3
-	r := testRouter(t, s)
-	_, up := r.Maintain(11)
-	assert.Empty(t, up.HealthCheck, "no commands, no health checks")
+	config := testConfig()
+	config.RouterCount, config.Instance = 100, 3
+	r := testRouter(t, config)
+	_, due := r.Maintain(11)
+	assert.Empty(t, due.HealthCheck, "no commands, no health checks")
 	c := newCommand(boundedReads)
 	c.ArrivedAt, c.ClientDeadline = 11, 13
 	r.Route(11, c)
-	_, up = r.Maintain(11)
-	assert.Equal(t, []int{2}, up.HealthCheck, "a read asks for one, of the router's own")
+	_, due = r.Maintain(11)
+	assert.Equal(t, []int{2}, due.HealthCheck, "a read asks for one, of the router's own")
 	r.Route(11.05, c)
-	_, up = r.Maintain(11.05)
-	assert.Empty(t, up.HealthCheck)
+	_, due = r.Maintain(11.05)
+	assert.Empty(t, due.HealthCheck)
 }
 
 // Three hundred routers by a hundred and twenty endpoints: at their start each once asked every endpoint for its
 // position, over a new connection, and few commands came while the answers were good.
-func TestLowTrafficChecksNoPositionUnasked(t *testing.T) {
+func TestLowTrafficRouterChecksNoPositionInAdvance(t *testing.T) {
 	const routers, endpoints = 300, 120
-	s := testConfig()
-	s.RouterCount = routers
+	config := testConfig()
+	config.RouterCount = routers
 	var list []EndpointInfo
 	for i := range endpoints {
-		l := warmEndpoint(i)
-		l.Shard = i / 6
-		list = append(list, l)
+		row := warmEndpoint(i)
+		row.Shard = i / 6
+		list = append(list, row)
 	}
 	checks := 0
-	for me := range routers {
-		s.Instance = me
-		r := New(s, seedOf(me))
+	for index := range routers {
+		config.Instance = index
+		r := New(config, routerSeed(index))
 		r.UpdateEndpoints(0, list, true, true)
 		for now := 0.0; now < 4; now += 0.2 {
 			c := newCommand(eventualReads)
@@ -48,52 +48,52 @@
 			if a := r.Route(now, c); a.Action == Forward {
 				r.AttemptEnded(now+0.05, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
 			}
-			_, up := r.Maintain(now + 0.05)
-			checks += len(up.HealthCheck)
+			_, due := r.Maintain(now + 0.05)
+			checks += len(due.HealthCheck)
 		}
 	}
 	assert.Zero(t, checks, "nothing was read that needs a position")
 }
 
 // Where every endpoint gets commands while a position is good, it is checked before it is asked for.
-func TestBusyRouterChecksPositionsUnasked(t *testing.T) {
+func TestBusyRouterChecksPositionsInAdvance(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.commandCount, r.lastReviewAt = 200, 10
-	_, up := r.Maintain(10.5)
-	assert.ElementsMatch(t, []int{0, 1, 2}, up.HealthCheck)
+	_, due := r.Maintain(10.5)
+	assert.ElementsMatch(t, []int{0, 1, 2}, due.HealthCheck)
 }
 
 // Where endpoints are looked at rarely a list that failed was asked for again up to half a span late.
 func TestFailedListIsPolledWhenItIsDue(t *testing.T) {
-	s := testConfig()
-	s.PollList = true
-	for i := range s.CommandGroups {
-		s.CommandGroups[i].Consistency, s.CommandGroups[i].LatencyObjective, s.CommandGroups[i].ClientTimeout = Eventual, 8, 20
+	config := testConfig()
+	config.PollList = true
+	for i := range config.CommandGroups {
+		config.CommandGroups[i].Consistency, config.CommandGroups[i].LatencyObjective, config.CommandGroups[i].ClientTimeout = Eventual, 8, 20
 	}
-	r := testRouter(t, s)
-	_, up := r.Maintain(10)
-	require.True(t, up.Subscribe)
+	r := testRouter(t, config)
+	_, due := r.Maintain(10)
+	require.True(t, due.Subscribe)
 	r.EndpointListFailed(10.1)
-	next, up := r.Maintain(10.2)
-	assert.False(t, up.Subscribe)
+	next, due := r.Maintain(10.2)
+	assert.False(t, due.Subscribe)
 	assert.InDelta(t, r.nextPollAt, 10.2+next, 1e-9)
 	assert.Less(t, r.nextPollAt, 10.1+pollRetryShare*r.config.PollWindow+1e-9)
-	_, up = r.Maintain(r.nextPollAt)
-	assert.True(t, up.Subscribe)
+	_, due = r.Maintain(r.nextPollAt)
+	assert.True(t, due.Subscribe)
 	next, _ = r.Maintain(r.nextPollAt)
 	assert.Positive(t, next)
 	r.UpdateEndpoints(12, nil, false, false)
-	next, up = r.Maintain(12)
-	assert.False(t, up.Subscribe)
+	next, due = r.Maintain(12)
+	assert.False(t, due.Subscribe)
 	assert.Greater(t, next, 1.0, "it comes")
 }
 
 func TestListPollsBackOff(t *testing.T) {
-	s := testConfig()
-	s.PollList = true
-	r := testRouter(t, s)
-	_, up := r.Maintain(10)
-	require.True(t, up.Subscribe)
+	config := testConfig()
+	config.PollList = true
+	r := testRouter(t, config)
+	_, due := r.Maintain(10)
+	require.True(t, due.Subscribe)
 	last := 0.0
 	for range 4 {
 		r.EndpointListFailed(10)
@@ -101,12 +101,12 @@
 		assert.Greater(t, gap, last/2)
 		last = gap
 	}
-	assert.LessOrEqual(t, last, s.PollWindow/2)
-	_, up = r.Maintain(10.01)
-	assert.False(t, up.Subscribe)
+	assert.LessOrEqual(t, last, config.PollWindow/2)
+	_, due = r.Maintain(10.01)
+	assert.False(t, due.Subscribe)
 	r.UpdateEndpoints(11, nil, false, false)
-	_, up = r.Maintain(30)
-	assert.False(t, up.Subscribe, "subscribed")
+	_, due = r.Maintain(30)
+	assert.False(t, due.Subscribe, "subscribed")
 }
 
 func TestRemovedEndpointIsReleasedAndStartsClean(t *testing.T) {
@@ -117,19 +117,19 @@
 	r.UpdateEndpoints(10, []EndpointInfo{gone}, false, false)
 	span := r.config.SlowStart + retentionTimeouts*r.longestTimeout
 	r.endpoints[2].inFlight = 1
-	_, up := r.Maintain(11 + span)
-	assert.Empty(t, up.Release, "an attempt is out there")
+	_, due := r.Maintain(11 + span)
+	assert.Empty(t, due.Release, "an attempt is out there")
 	r.endpoints[2].inFlight = 0
-	_, up = r.Maintain(9 + span)
-	assert.Empty(t, up.Release, "a list may flap")
-	_, up = r.Maintain(12 + span)
-	assert.Equal(t, []int{2}, up.Release)
+	_, due = r.Maintain(9 + span)
+	assert.Empty(t, due.Release, "a list may flap")
+	_, due = r.Maintain(12 + span)
+	assert.Equal(t, []int{2}, due.Release)
 	assert.Equal(t, []int{0, 1}, r.shards[0].endpoints)
-	_, up = r.Maintain(13 + span)
-	assert.Empty(t, up.Release, "once")
+	_, due = r.Maintain(13 + span)
+	assert.Empty(t, due.Release, "once")
 	r.UpdateEndpoints(14+span, []EndpointInfo{{Index: 2, Shard: 1, State: Ready, StartedAt: math.Inf(-1)}}, false, false)
 	assert.True(t, r.eligible(&r.endpoints[2]))
 	assert.True(t, math.IsInf(r.endpoints[2].position, -1), "nothing of the one before counts")
-	_, up = r.Maintain(99 + span)
-	assert.Empty(t, up.Release, "what is listed stays")
+	_, due = r.Maintain(99 + span)
+	assert.Empty(t, due.Release, "what is listed stays")
 }
--- a/internal/router/migration_test.go
+++ b/internal/router/migration_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestMigrationKeepsWhatStillMeansTheSame(t *testing.T) {
+func TestMigrationKeepsStateThatIsStillValid(t *testing.T) {
 	old := testRouter(t, testConfig())
 	old.endpoints[1].position, old.endpoints[1].latencySum, old.endpoints[1].answerCount, old.endpoints[1].inFlight, old.endpoints[1].unansweredAttempts = 11, 40, 100, 3, 2
 	old.endpoints[2].ejected, old.endpoints[2].startedAt, old.endpoints[2].slowStartBudget = true, 9, 5
 	old.UpdateEndpoints(10, []EndpointInfo{{Index: 0, State: Draining, StartedAt: math.Inf(-1)}}, false, false)
 	old.sessions.Put(7, session{lastWrite: 10.5, highestRead: 10.7, writesInFlight: 2})
-	old.sessions.Turn()
+	old.sessions.Rotate()
 	old.sessions.Put(9, session{lastWrite: 10.5, highestRead: 10.7})
 	old.shards[0].latencySum, old.shards[0].answerCount = 40, 100
 	old.shards[0].positionFloor, old.fleetLatency, old.warmAttemptRate = 9.5, 0.4, 50
-	s := testConfig()
-	s.CommandGroups = append(s.CommandGroups[:1:1], s.CommandGroups[sessionReads]) // other groups, in another order
-	r := New(s, 8)
+	config := testConfig()
+	config.CommandGroups = append(config.CommandGroups[:1:1], config.CommandGroups[sessionReads]) // other groups, in another order
+	r := New(config, 8)
 	r.MigrateFrom(12, old)
 	assert.InDelta(t, 11.0, r.endpoints[1].position, 0, "a position holds for good")
 	assert.Equal(t, RolePrimary, r.endpoints[0].role)
--- a/internal/router/primary.go
+++ b/internal/router/primary.go
@@ -43,8 +43,8 @@
 	}
 	i := r.candidates[r.random.IntN(len(r.candidates))]
 	// The tests of a hundred routers overload endpoints that come back in slow start.
-	rarer := max(1, math.Sqrt(float64(r.config.RouterCount))/2)
-	r.endpoints[i].nextRoleTestAt = now + roleTestShare*r.longestObjective*rarer
+	intervalFactor := max(1, math.Sqrt(float64(r.config.RouterCount))/2)
+	r.endpoints[i].nextRoleTestAt = now + roleTestShare*r.longestObjective*intervalFactor
 	return i
 }
 
@@ -60,8 +60,8 @@
 func (r *Router) chooseEjectedPrimary(now float64, c *Command, primary int) int {
 	for _, i := range r.shards[c.Shard].endpoints {
 		e := &r.endpoints[i]
-		mayBe := i == primary || primary < 0 && r.eligible(e) && r.updateEjection(now, i)
-		if mayBe && r.mayFailOpen(now, e) && r.slowStartAdmits(now, i) {
+		mayBePrimary := i == primary || primary < 0 && r.eligible(e) && r.updateEjection(now, i)
+		if mayBePrimary && r.mayFailOpen(now, e) && r.slowStartAdmits(now, i) {
 			e.nextRecoveryAt = now + r.longestObjective
 			return i
 		}
--- a/internal/router/primary_test.go
+++ b/internal/router/primary_test.go
@@ -10,9 +10,9 @@
 
 func TestFallbacksAreOneReadInFive(t *testing.T) {
 	r := testRouter(t, testConfig())
-	count(&r.readCounter, 10, 9, false)
+	addReads(&r.readCounter, 10, 9, false)
 	assert.True(t, r.mayFallBack(10))
-	count(&r.readCounter, 10, 2, true)
+	addReads(&r.readCounter, 10, 2, true)
 	assert.False(t, r.mayFallBack(10))
 	assert.False(t, r.mayFallBack(11.5), "the last second only")
 }
@@ -31,14 +31,14 @@
 
 // While a whole shard was down the tests of 311 routers pushed each endpoint over as it came back cold.
 func TestRoleTestsAreRarerAmongManyRouters(t *testing.T) {
-	for routers, again := range map[int]bool{3: true, 300: false} {
-		s := testConfig()
-		s.RouterCount = routers
-		r := New(s, 1)
+	for routers, wantTest := range map[int]bool{3: true, 300: false} {
+		config := testConfig()
+		config.RouterCount = routers
+		r := New(config, 1)
 		r.UpdateEndpoints(10, []EndpointInfo{warmEndpoint(0)}, true, true)
 		require.Equal(t, Forward, r.Route(10, newCommand(writes)).Action)
 		r.endpoints[0].queued, r.endpoints[0].unansweredAttempts, r.endpoints[0].role = 0, 0, RoleReplica
-		assert.Equal(t, again, r.Route(10.2, newCommand(writes)).Action == Forward)
+		assert.Equal(t, wantTest, r.Route(10.2, newCommand(writes)).Action == Forward)
 	}
 }
 
@@ -57,20 +57,20 @@
 	r.endpoints[0].role = RoleReplica // the primary that was, by its own word of late
 	r.endpoints[1].ejected = true
 	r.UpdateEndpoints(10, []EndpointInfo{warmEndpoint(0), {Index: 1, State: Ready, StartedAt: math.Inf(-1), Primary: true}, warmEndpoint(2)}, true, false)
-	at := map[int]int{}
+	commandsByEndpoint := map[int]int{}
 	for now := 10.05; now < 20; now += 0.5 {
 		c := newCommand(writes)
 		c.ArrivedAt, c.ClientDeadline = now, now+2
-		a := r.Route(now, c)
-		for ; a.Action == Forward; a = r.AttemptEnded(now, c, AttemptResult{Attempt: len(c.Attempts) - 1, Result: NotServed, Role: RoleReplica, Position: -1}) {
-			at[a.Endpoint]++
-			if a.Endpoint == 1 {
+		decision := r.Route(now, c)
+		for ; decision.Action == Forward; decision = r.AttemptEnded(now, c, AttemptResult{Attempt: len(c.Attempts) - 1, Result: NotServed, Role: RoleReplica, Position: -1}) {
+			commandsByEndpoint[decision.Endpoint]++
+			if decision.Endpoint == 1 {
 				r.AttemptEnded(now, c, AttemptResult{Attempt: len(c.Attempts) - 1, Result: Answered, Final: true, Role: RolePrimary, Elapsed: 0.01, Position: -1})
 				break
 			}
 		}
 	}
-	assert.GreaterOrEqual(t, at[1], 15, "once it has answered it has them all: %v", at)
+	assert.GreaterOrEqual(t, commandsByEndpoint[1], 15, "once it has answered it has them all: %v", commandsByEndpoint)
 	assert.Equal(t, 1, r.primary(0))
 }
 
@@ -81,12 +81,12 @@
 		r.endpoints[i].latencySum, r.endpoints[i].answerCount, r.endpoints[i].decayedAt = 0.2, 10, 10.2
 	}
 	r.fleetLatency = 0.02
-	count(&r.readCounter, 10.2, 10, false)
+	addReads(&r.readCounter, 10.2, 10, false)
 	r.endpoints[0].latencySum = 2
 	c := uncoveredRead(r)
 	assert.Equal(t, Wait, r.Route(10.2, c).Action)
 	r.endpoints[1].latencySum, r.endpoints[2].latencySum = 2, 2
-	a := r.Route(10.2, c)
-	require.Equal(t, Forward, a.Action)
-	assert.Equal(t, 0, a.Endpoint, "the replicas are no better")
+	decision := r.Route(10.2, c)
+	require.Equal(t, Forward, decision.Action)
+	assert.Equal(t, 0, decision.Endpoint, "the replicas are no better")
 }
--- a/internal/router/reportedtime.go
+++ b/internal/router/reportedtime.go
@@ -15,16 +15,16 @@
 			e.startedAt -= behind
 		}
 	}
-	later := math.Max(0, -behind)
+	forwardShift := math.Max(0, -behind)
 	for i := range r.shards {
 		s := &r.shards[i]
-		s.positionFloor += later
-		s.newestPosition += later
-		s.olderPosition += later
+		s.positionFloor += forwardShift
+		s.newestPosition += forwardShift
+		s.olderPosition += forwardShift
 	}
 	r.sessions.Update(func(s session) session {
-		s.lastWrite += later
-		s.highestRead += later
+		s.lastWrite += forwardShift
+		s.highestRead += forwardShift
 		return s
 	})
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -11,9 +11,9 @@
 	a, b := testRouter(t, testConfig()), testRouter(t, testConfig())
 	seen := map[int]bool{}
 	for range 100 {
-		x := a.random.IntN(5)
-		require.Equal(t, x, b.random.IntN(5))
-		seen[x] = true
+		number := a.random.IntN(5)
+		require.Equal(t, number, b.random.IntN(5))
+		seen[number] = true
 	}
 	assert.Len(t, seen, 5)
 }
@@ -30,17 +30,17 @@
 
 func TestDrainingAndRemovedEndpointsGetNothingNew(t *testing.T) {
 	r := testRouter(t, testConfig())
-	l := warmEndpoint(1)
-	l.State = Draining
-	gone := warmEndpoint(2)
-	gone.State = Removed
-	r.UpdateEndpoints(10, []EndpointInfo{l, gone}, false, false)
+	draining := warmEndpoint(1)
+	draining.State = Draining
+	removed := warmEndpoint(2)
+	removed.State = Removed
+	r.UpdateEndpoints(10, []EndpointInfo{draining, removed}, false, false)
 	assert.NotContains(t, []int{1, 2}, r.Route(10, newCommand(eventualReads)).Endpoint)
 	r.config.SoftRemoval = true
-	r.UpdateEndpoints(10, []EndpointInfo{gone}, false, false)
+	r.UpdateEndpoints(10, []EndpointInfo{removed}, false, false)
 	assert.True(t, r.eligible(&r.endpoints[2]), "gone alone does not bind there")
-	l.State = Removed
-	r.UpdateEndpoints(10, []EndpointInfo{l}, false, false)
+	draining.State = Removed
+	r.UpdateEndpoints(10, []EndpointInfo{draining}, false, false)
 	assert.False(t, r.eligible(&r.endpoints[1]), "but a drain before it does")
 }
 
@@ -64,15 +64,15 @@
 func TestCommandNeverDeliveredIsRejectedByHalfOfItsClientsTime(t *testing.T) {
 	r := testRouter(t, testConfig())
 	c := newCommand(eventualReads)
-	a := r.Route(10, c)
-	require.Equal(t, Forward, a.Action)
-	a = r.AttemptEnded(11, c, AttemptResult{Result: ConnectFailed, Position: -1})
-	assert.Equal(t, Reject, a.Action, "half of its client's time is over and nobody has had it")
+	decision := r.Route(10, c)
+	require.Equal(t, Forward, decision.Action)
+	decision = r.AttemptEnded(11, c, AttemptResult{Result: ConnectFailed, Position: -1})
+	assert.Equal(t, Reject, decision.Action, "half of its client's time is over and nobody has had it")
 	c = newCommand(linearizableReads)
 	r.groups[linearizableReads].LateValue = 1
 	require.Equal(t, Forward, r.Route(10, c).Action)
-	a = r.AttemptEnded(11, c, AttemptResult{Result: Overloaded, Position: -1})
-	assert.NotEqual(t, Reject, a.Action, "an endpoint has had this one")
+	decision = r.AttemptEnded(11, c, AttemptResult{Result: Overloaded, Position: -1})
+	assert.NotEqual(t, Reject, decision.Action, "an endpoint has had this one")
 }
 
 // An agent that is behind names endpoints as ready of which the one before has said that they drain or are gone.
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -16,9 +16,9 @@
 // replica.
 func (r *Router) chooseEndpoint(now float64, c *Command, g *group) (i int, fallback bool) {
 	primary := r.primary(c.Shard)
-	sound := primary >= 0 && !r.updateEjection(now, primary)
+	primaryHealthy := primary >= 0 && !r.updateEjection(now, primary)
 	switch {
-	case sound && (g.Consistency == PrimaryOnly || g.Consistency == Linearizable):
+	case primaryHealthy && (g.Consistency == PrimaryOnly || g.Consistency == Linearizable):
 		return r.admitPrimary(now, c, g, primary), false
 	case g.Consistency == PrimaryOnly:
 		return r.testForPrimary(now, c, primary), false
@@ -27,25 +27,25 @@
 	if i = r.chooseReplica(now, c, g, c.requiredPosition); i >= 0 {
 		return i, false
 	}
-	if sound && r.mayFallBack(now) && !r.primaryCrowded(now, c, g, primary) {
+	if primaryHealthy && r.mayFallBack(now) && !r.primaryCrowded(now, c, g, primary) {
 		if i = r.admitPrimary(now, c, g, primary); i >= 0 {
 			return i, true
 		}
 	}
-	return r.chooseForUncoveredRead(now, c, g, primary, sound)
+	return r.chooseForUncoveredRead(now, c, g, primary, primaryHealthy)
 }
 
 // chooseForUncoveredRead serves a read that no replica is known to cover and that did not fall back at once.
-func (r *Router) chooseForUncoveredRead(now float64, c *Command, g *group, primary int, sound bool) (int, bool) {
-	futile := !r.checkPosition(now, c, primary) || c.tooStale
-	if r.config.ReplicasCheckReads && (!futile || !sound) {
+func (r *Router) chooseForUncoveredRead(now float64, c *Command, g *group, primary int, primaryHealthy bool) (int, bool) {
+	waitIsUseless := !r.checkPosition(now, c, primary) || c.tooStale
+	if r.config.ReplicasCheckReads && (!waitIsUseless || !primaryHealthy) {
 		if i := r.chooseFreshestReplica(now, c, g); i >= 0 {
 			return i, false
 		}
 	}
 	// The answer must fit in after the wait.
 	wait := min(catchUpWait, maxWaitShare*(r.usefulUntil(c, g)-c.ArrivedAt))
-	if sound && (futile || now-c.ArrivedAt >= wait) {
+	if primaryHealthy && (waitIsUseless || now-c.ArrivedAt >= wait) {
 		return r.admitPrimary(now, c, g, primary), true
 	}
 	return noIndex, false
--- a/internal/router/selection_test.go
+++ b/internal/router/selection_test.go
@@ -19,13 +19,13 @@
 }
 
 // Few reads a router over all replicas opened a connection for most of them. Over all routers they stay even.
-func TestLowTrafficReadsWhereAConnectionIsOpen(t *testing.T) {
+func TestLowTrafficRouterPrefersOpenConnections(t *testing.T) {
 	const routers, endpoints, reads = 300, 6, 8
-	fresh, taken := 0, make([]int, endpoints)
-	for me := range routers {
-		s := testConfig()
-		s.RouterCount = routers
-		r := New(s, seedOf(me))
+	newConnections, readsByEndpoint := 0, make([]int, endpoints)
+	for index := range routers {
+		config := testConfig()
+		config.RouterCount = routers
+		r := New(config, routerSeed(index))
 		var list []EndpointInfo
 		for i := range endpoints {
 			list = append(list, warmEndpoint(i))
@@ -37,32 +37,32 @@
 			c := newCommand(eventualReads)
 			c.ArrivedAt, c.ClientDeadline = now, now+2
 			require.Equal(t, Forward, r.Route(now, c).Action)
-			taken[c.Attempts[0].Endpoint]++
+			readsByEndpoint[c.Attempts[0].Endpoint]++
 			if c.Attempts[0].newConnection {
-				fresh++
+				newConnections++
 			}
 			r.AttemptEnded(now+0.02, c, AttemptResult{Result: Answered, Elapsed: 0.02, Position: -1, Final: true})
 		}
 	}
-	assert.Less(t, fresh, 2*routers, "spread over all it is five of eight")
-	for i := range taken {
-		assert.InDelta(t, routers*reads/endpoints, taken[i], routers*reads/endpoints/3, "endpoint %d", i)
+	assert.Less(t, newConnections, 2*routers, "spread over all it is five of eight")
+	for i := range readsByEndpoint {
+		assert.InDelta(t, routers*reads/endpoints, readsByEndpoint[i], routers*reads/endpoints/3, "endpoint %d", i)
 	}
 }
 
 // Spread evenly, reads of any age that run for seconds stopped the log of every replica of their shard, and other
 // reads met theirs.
-func TestHeavyReadsMeetAtOneReplica(t *testing.T) {
-	s := testConfig()
-	s.CommandGroups[eventualReads].LatencyObjective, s.CommandGroups[eventualReads].ClientTimeout = 6, 12
-	r := testRouter(t, s)
-	heavy := func() int {
+func TestHeavyReadsGoToOneReplica(t *testing.T) {
+	config := testConfig()
+	config.CommandGroups[eventualReads].LatencyObjective, config.CommandGroups[eventualReads].ClientTimeout = 6, 12
+	r := testRouter(t, config)
+	routeHeavyRead := func() int {
 		c := newCommand(eventualReads)
 		c.ClientDeadline = 22
 		return r.Route(10, c).Endpoint
 	}
 	for range 3 {
-		assert.Equal(t, 1, heavy(), "the first listed replica")
+		assert.Equal(t, 1, routeHeavyRead(), "the first listed replica")
 	}
 	for range 20 {
 		assert.Equal(t, 2, r.chooseReplica(10, newCommand(boundedReads), &r.groups[boundedReads], 10), "others leave it alone")
@@ -74,31 +74,31 @@
 	assert.Equal(t, []int{2}, r.pendingChecks, "nor is it asked for its position")
 	assert.Equal(t, 1, r.chooseReplica(10, newCommand(boundedReads), &r.groups[boundedReads], 10), "where another will do")
 	r.endpoints[1].latencySum, r.endpoints[1].answerCount, r.endpoints[1].lastAnswerAt, r.fleetLatency = 400, 100, 10, 0.1
-	assert.Equal(t, 0, heavy(), "the primary, whose log nothing stops, where it has no room")
+	assert.Equal(t, 0, routeHeavyRead(), "the primary, whose log nothing stops, where it has no room")
 	r.endpoints[1].recordUnreachable(10)
-	assert.Equal(t, 2, heavy(), "the next once it is unreachable")
+	assert.Equal(t, 2, routeHeavyRead(), "the next once it is unreachable")
 }
 
 // A way between two zones was slow for half a minute and no router with low traffic saw enough to tell.
-func TestLowTrafficKeepsToItsOwnZone(t *testing.T) {
-	for _, thin := range []bool{true, false} {
-		s := testConfig()
-		s.Zone = 1
-		r := testRouter(t, s)
+func TestLowTrafficRouterPrefersItsOwnZone(t *testing.T) {
+	for _, lowTraffic := range []bool{true, false} {
+		config := testConfig()
+		config.Zone = 1
+		r := testRouter(t, config)
 		r.endpoints[2].zone = 1
-		if r.warmAttemptRate = 0.1; !thin {
+		if r.warmAttemptRate = 0.1; !lowTraffic {
 			r.warmAttemptRate = 10
 		}
-		var met [3]int
+		var readsByEndpoint [3]int
 		for range 40 {
-			met[r.chooseReplica(10, newCommand(eventualReads), &r.groups[eventualReads], 0)]++
+			readsByEndpoint[r.chooseReplica(10, newCommand(eventualReads), &r.groups[eventualReads], 0)]++
 		}
-		assert.Equal(t, thin, met[1] == 0)
+		assert.Equal(t, lowTraffic, readsByEndpoint[1] == 0)
 		r.endpoints[2].latencySum, r.endpoints[2].answerCount, r.fleetLatency = 100, 100, 0.01
 		assert.Equal(t, 1, r.chooseReplica(10, newCommand(eventualReads), &r.groups[eventualReads], 0), "a crowded one is left")
 		c := uncoveredRead(r)
 		c.requiredPosition = 9.9
 		r.checkPosition(10.2, c, 0)
-		assert.Equal(t, thin, r.pendingChecks[0] == 2, "positions are asked for there too")
+		assert.Equal(t, lowTraffic, r.pendingChecks[0] == 2, "positions are asked for there too")
 	}
 }
--- a/internal/router/slowstart.go
+++ b/internal/router/slowstart.go
@@ -28,8 +28,8 @@
 	// Rounded at random and never saved up, so that the fractions of many routers add up to the whole: one
 	// attempt each at once, from a hundred routers, overloaded a cold endpoint.
 	if span := slowStartBurst * r.config.OverloadWindow; now-e.slowStartBudgetSetAt >= span {
-		owed := min(0, e.slowStartBudget)
-		e.slowStartBudget, e.slowStartBudgetSetAt = math.Floor(rate*span+r.random.Float64())+owed, now
+		overdraft := min(0, e.slowStartBudget)
+		e.slowStartBudget, e.slowStartBudgetSetAt = math.Floor(rate*span+r.random.Float64())+overdraft, now
 	}
 	return e.slowStartBudget >= 1
 }
--- a/internal/router/slowstart_test.go
+++ b/internal/router/slowstart_test.go
@@ -18,24 +18,24 @@
 			sent++
 		}
 	}
-	most := r.config.OverloadFactor * r.config.SlowStartFloor * r.warmThroughput * r.config.OverloadWindow
+	allowed := r.config.OverloadFactor * r.config.SlowStartFloor * r.warmThroughput * r.config.OverloadWindow
 	assert.Positive(t, sent)
-	assert.LessOrEqual(t, float64(sent), most, "over one fall span")
+	assert.LessOrEqual(t, float64(sent), allowed, "over one fall span")
 }
 
 // A hundred routers with one attempt each once pushed a cold endpoint over in its first second. Together they stay under
 // what the settings allow in the mean, and within the slack for chance every time.
 func TestSlowStartBudgetsOfAllRoutersAddUp(t *testing.T) {
-	const many, draws, window = 100, 20, 2.0
-	s := testConfig()
-	s.RouterCount = many
-	share := s.SlowStartFloor + (1-s.SlowStartFloor)*(1+window/2)/s.SlowStart // a second after the start, and in the window
-	allowed := s.OverloadFactor * share * 10 * window                         // ten a second at a warm endpoint
+	const routers, draws, window = 100, 20, 2.0
+	config := testConfig()
+	config.RouterCount = routers
+	share := config.SlowStartFloor + (1-config.SlowStartFloor)*(1+window/2)/config.SlowStart // a second after the start, and in the window
+	allowed := config.OverloadFactor * share * 10 * window                         // ten a second at a warm endpoint
 	total := 0
 	for draw := range draws {
 		sent := 0
-		for seed := range many {
-			sent += grantsOfThinRouter(s, seedOf(draw*many+seed), window)
+		for seed := range routers {
+			sent += grantsOfLowTrafficRouter(config, routerSeed(draw*routers+seed), window)
 		}
 		assert.LessOrEqual(t, float64(sent), allowed+3*math.Sqrt(allowed)+3)
 		total += sent
@@ -43,10 +43,10 @@
 	assert.Less(t, float64(total)/draws, 0.85*allowed)
 }
 
-// grantsOfThinRouter is how many commands a router sends in a window to an endpoint that has started a second before, if
+// grantsOfLowTrafficRouter is how many commands a router sends in a window to an endpoint that has started a second before, if
 // warm ones answer one in ten seconds to it.
-func grantsOfThinRouter(s Config, seed uint64, window float64) (sent int) {
-	r := New(s, seed)
+func grantsOfLowTrafficRouter(config Config, seed uint64, window float64) (sent int) {
+	r := New(config, seed)
 	r.UpdateEndpoints(10, []EndpointInfo{{State: Ready, StartedAt: 9}}, true, false)
 	r.warmThroughput = 0.1
 	for at := 10.0; at < 10+window; at += 0.1 {
@@ -61,12 +61,12 @@
 // Routers that have just started meet a fleet of which half is new, and have no warm endpoint's rate to go by: they
 // sent next to nothing to endpoints that stood idle. Together they send less than one slot bears at that capacity.
 func TestFreshRoutersUseColdEndpointsWithinTheirCapacity(t *testing.T) {
-	const many, work = 300, 0.05
+	const routers, work = 300, 0.05
 	sent := 0
-	for seed := range many {
-		s := testConfig()
-		s.RouterCount = many
-		r := New(s, seedOf(seed))
+	for seed := range routers {
+		config := testConfig()
+		config.RouterCount = routers
+		r := New(config, routerSeed(seed))
 		r.UpdateEndpoints(10, []EndpointInfo{{State: Ready, StartedAt: 10}}, true, false)
 		r.fleetServiceTime = work
 		for at := 10.0; at < 20; at += 0.1 {
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -313,7 +313,7 @@
 
 // rotateSessions forgets the older generation of sessions; its highest positions become its shards' floors.
 func (r *Router) rotateSessions(now float64) {
-	r.sessions.Turn()
+	r.sessions.Rotate()
 	r.sessionsRotatedAt = now
 	for i := range r.shards {
 		s := &r.shards[i]
