--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -1,7 +1,8 @@
-// Package router decides where each command of a sharded, replicated database goes.
+// Package router decides to which endpoint each command of a sharded, replicated database goes.
 //
-// New takes a Config. Route says where to send a command, or not yet, or never; AttemptEnded what to do once
-// an attempt has ended; Maintain how long until the next look and which maintenance is due. The other calls
-// feed facts in. Values are plain (types.go), times are seconds, ids small indices; docs/design.md has the
-// reasons.
+// New takes a Config. Route decides whether to send a command, where, or to wait or give up. AttemptEnded
+// decides what to do after an attempt has ended. Maintain returns when to call it next and the
+// maintenance that is due. The other methods report events to the router. Arguments and results are plain
+// values (types.go): times are in seconds, and endpoints, shards and zones are identified by small
+// indexes. docs/design.md gives the reasons for the rules.
 package router
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -9,32 +9,33 @@
 	"stoatdale.example/stoatdale/internal/router/rolling"
 )
 
-// This file has what a router remembers, as plain data with their bookkeeping. It holds no tuned value.
-// Times are in seconds on the caller's clock; a time that never was is negative infinity where the comment
-// does not say otherwise.
+// This file holds the state of a router as plain data, with the functions that update it. It holds no
+// tuned value. Times are seconds on the caller's clock. A time at which something last happened is
+// negative infinity as long as it has not happened, unless its comment says otherwise.
 
-// noIndex stands for no endpoint, and for no attempt.
+// noIndex is used in place of an endpoint's or an attempt's index where there is none.
 const noIndex = -1
 
-// group is what the router has learned of a command group.
+// group is the configuration of a command group and what the router has measured of it. Times are in
+// seconds.
 type group struct {
 	CommandGroup
 
-	serviceTime       float64 // mean time of an answer without a queue
-	batchLatencySum         float64 // sum of the answer times of the batch that is being measured,
-	batchAnswers        float64 // and their number
-	batchEndedAt         float64 // end of the last complete batch; 0: none yet
-	earlyLeaveShare       float64 // share of clients that leave before their time
-	earlyLeaveDelay        float64 // mean time after which those leave
-	tailFactor        float64 // its answer times over what queues alone explain
-	queueLimit        float64 // longest queueing time that it may join at a replica,
-	primaryQueueLimit float64 // and at a primary
-	arrivalCount          float64 // commands, without clients' retries; halved when sessions expire
-	inTimeAnswerCount    float64 // answers within the latency objective; halved alike
-	fairnessWeight    float64 // factor on its priority weight: above 1 for the worst-served group
+	serviceTime       float64 // estimated answer time at an endpoint without a queue; 0 before any answer
+	batchLatencySum   float64 // sum of the answer times in the current batch of serviceBatchSize answers
+	batchAnswers      float64 // number of answers in the current batch
+	batchEndedAt      float64 // when the last complete batch ended; 0 if none is complete
+	earlyLeaveShare   float64 // share of clients that disconnect before their timeout
+	earlyLeaveDelay   float64 // mean time from a command's arrival until such a client disconnects
+	tailFactor        float64 // mean ratio of answer times to the answer times expected from the queues
+	queueLimit        float64 // longest queueing time at a replica that its commands may join
+	primaryQueueLimit float64 // longest queueing time at a primary that its commands may join
+	arrivalCount      float64 // number of commands except clients' retries; halved when sessions expire
+	inTimeAnswerCount float64 // number of answers within LatencyObjective; halved when sessions expire
+	fairnessWeight    float64 // factor on PriorityWeight: above 1 for the worst-served group, else 1
 }
 
-// newGroup is a group of which nothing is known yet.
+// newGroup returns a group for which nothing has been measured yet.
 func newGroup(g CommandGroup) group {
 	return group{
 		CommandGroup: g, tailFactor: 1, fairnessWeight: 1,
@@ -42,106 +43,106 @@
 	}
 }
 
-// endpoint is what the router knows of one endpoint.
+// endpoint is the state of one endpoint. The seven fields after decayedAt decay with age.
 type endpoint struct {
-	shard, zone       int
-	draining          bool
-	listedPrimary     bool    // the list says that it is the primary
-	startedAt         float64 // by the list, or by what the router saw of it
-	startFromList       bool    // startedAt is the list's
-	removedAt         float64 // when the list dropped it; positive infinity: it did not
-	positionReportedAt        float64 // time of the last report with a position
-	position          float64 // highest position reported
-	reportedLag               float64 // how far behind it was at reportedAt
-	role              Role    // by its own word
-	roleHeldAt            float64 // when that held
-	queued            int     // attempts that count as in its queue
-	inFlight          int     // all attempts in flight
-	idleConnections   int     // connections that should stand open without an attempt
-	unansweredAttempts        int     // attempts since its last answer
-	unansweredWorkSum    float64 // sum of their service times
-	unansweredSince   float64 // when the first of them was sent
-	decayedAt         float64 // the time that the following seven sums hold for
-	latencySum        float64 // answer times,
-	queuePositionSum          float64 // queue positions
-	answerCount         float64 // and number of answers
-	attemptCount        float64 // attempts
-	answeredWorkSum         float64 // work that it answered, in commands of the mean service time
-	failureCount        float64 // failures
-	resultCount         float64 // results, failures included
-	lastAnswerAt        float64 // last answer
-	ejected           bool    // takes no new commands until it has answered
-	nextRecoveryAt        float64 // when it is due for a recovery attempt
-	nextRoleTestAt        float64 // when a write may test again whether it is the primary
-	lastCheckAt         float64 // last health check that was asked for
-	slowStartBudget   float64 // commands of mean service time that it may get while it warms up; below 0: owed,
-	slowStartBudgetSetAt float64 // and when those were granted
-	lastOverloadAt      float64 // last time that it turned a command away as overloaded
-	unreachableSince  float64 // first failed contact since its last answer; positive infinity: none
-	lastUnreachableAt     float64 // last failed contact
+	shard, zone          int     // indexes; shard is noIndex while nothing is known about the endpoint
+	draining             bool    // the list marks it as draining
+	listedPrimary        bool    // the list marks it as the primary
+	startedAt            float64 // when it started, from the list or as observed by this router
+	startFromList        bool    // startedAt comes from the list
+	removedAt            float64 // when the list dropped it; positive infinity while it is listed
+	positionReportedAt   float64 // when its last reported position was current
+	position             float64 // highest position it has reported, as a time
+	reportedLag          float64 // seconds by which its data was behind at positionReportedAt
+	role                 Role    // role that it stated itself
+	roleHeldAt           float64 // latest time at which it is known to have held that role
+	queued               int     // attempts in flight that are counted as its queue: those not lost
+	inFlight             int     // all attempts in flight
+	idleConnections      int     // number of its connections expected to be open and unused
+	unansweredAttempts   int     // number of attempts sent since its last answer
+	unansweredWorkSum    float64 // sum of the expected service times of those attempts, in seconds
+	unansweredSince      float64 // when the first of those attempts was sent
+	decayedAt            float64 // time to which the next seven fields have been decayed
+	latencySum           float64 // sum of normalized answer times, in seconds
+	queuePositionSum     float64 // sum of queue positions, each plus 1, of the attempts in answerCount
+	answerCount          float64 // number of attempts in latencySum
+	attemptCount         float64 // number of attempts sent
+	answeredWorkSum      float64 // answered commands, each weighted by its group's relativeWork
+	failureCount         float64 // number of failures
+	resultCount          float64 // number of results, failures included
+	lastAnswerAt         float64 // when it last answered a command
+	ejected              bool    // gets only recovery attempts until it has answered
+	nextRecoveryAt       float64 // when it may get a recovery attempt while ejected
+	nextRoleTestAt       float64 // when a write may test again whether it is the primary
+	lastCheckAt          float64 // when a health check was last requested
+	slowStartBudget      float64 // work it may still get in slow start, as relativeWork; negative if overdrawn
+	slowStartBudgetSetAt float64 // when that budget was last granted
+	lastOverloadAt       float64 // when it last rejected a command as overloaded
+	unreachableSince     float64 // when contact first failed after its last answer; else positive infinity
+	lastUnreachableAt    float64 // when contact last failed
 }
 
-// shard is the endpoints that hold the same data.
+// shard is the state of one shard: the endpoints that hold the same data.
 type shard struct {
-	endpoints      []int
-	positionFloor  float64 // highest position of a session that was forgotten
-	newestPosition float64 // highest position of a session in the younger generation,
-	olderPosition  float64 // and in the older one
-	decayedAt      float64 // the time that the following two sums hold for
-	latencySum     float64 // answer times of its endpoints
-	answerCount      float64 // and their number
+	endpoints      []int   // indexes of its endpoints
+	positionFloor  float64 // highest position of all sessions that have been forgotten, as a time
+	newestPosition float64 // highest position of the sessions in the younger generation, as a time
+	olderPosition  float64 // highest position of the sessions in the older generation, as a time
+	decayedAt      float64 // time to which latencySum and answerCount have been decayed
+	latencySum     float64 // decaying sum of its endpoints' normalized answer times, in seconds
+	answerCount    float64 // decaying number of attempts in latencySum
 }
 
-// session is what is remembered of a client's session. Positions are times.
+// session is what the router remembers of a client's session.
 type session struct {
-	lastWrite      float64 // position of its last write
-	highestRead    float64 // highest position that it has read
-	writesInFlight float64
+	lastWrite      float64 // position of its last write, as a time
+	highestRead    float64 // highest position that it has read, as a time
+	writesInFlight float64 // number of its writes in flight; a fraction after a migration
 }
 
-// Router decides for one proxy. It is not safe for concurrent use.
+// Router makes the routing decisions of one process. It is not safe for concurrent use.
 type Router struct {
-	config    Config
-	groups    []group
-	endpoints []endpoint
-	shards    []shard
-	random    mwc.Source
-
-	longestObjective float64 // of the groups that need fresh data
-	longestTimeout   float64 // of all clients
-	reviewInterval   float64 // the tightest staleness bound or objective of a session read
-	decayTime        float64 // time over which endpoints' sums decay
-
-	fleetLatency            float64 // mean answer time of the fleet,
-	fleetQueueLength        float64 // mean queue position
-	fleetServiceTime        float64 // mean service time,
-	fleetAnswerCount            float64 // and the number of answers that they are taken from
-	medianFailureShare float64 // of the endpoints
-	connectCost        float64 // what a new connection adds to an answer time
-	warmAttemptRate           float64 // attempts per second to an endpoint that is warm,
-	warmThroughput     float64 // and what it answers of them, in commands of the mean service time
-	commandCount           float64 // decaying number of commands
-
-	checkInterval    float64 // between two health checks of an endpoint that is not heard of,
-	ejectedCheckInterval  float64 // and of one that is ejected
-	recoveryInterval float64 // between two recovery attempts
-	pendingChecks    []int   // health checks to ask for with the next maintenance
-	lastReviewAt     float64
-	lastRecoveryAt       float64 // last recovery attempt
-
-	sessions         generational.Map[uint64, session]
-	sessionsRotatedAt float64
-	readCounter            rolling.Counter // first attempts of reads; marked are those that fell back to a primary
-
-	subscribed   bool    // changes of the endpoint list come by themselves
-	nextPollAt       float64 // when the list may be polled again
-	pollFailures float64 // in a row
-
-	candidates      []int // endpoints for the command that is being decided on
-	healthyReplicas int   // replicas that are not ejected and may cover the read that was looked at last
+	config    Config     // with defaults applied
+	groups    []group    // by index in Config.CommandGroups
+	endpoints []endpoint // by endpoint index
+	shards    []shard    // by shard index
+	random    mwc.Source // for all random choices
+
+	longestObjective float64 // longest LatencyObjective of the groups that are not Eventual, in seconds
+	longestTimeout   float64 // longest ClientTimeout of all groups, in seconds
+	reviewInterval   float64 // tightest staleness bound or session-read objective, in seconds
+	decayTime        float64 // time constant with which the sums of an endpoint decay, in seconds
+
+	fleetLatency       float64 // mean normalized answer time without heavy groups, in seconds
+	fleetQueueLength   float64 // mean queue length, the attempt itself included, that an attempt found
+	fleetServiceTime   float64 // mean service time of the answered commands, in seconds
+	fleetAnswerCount   float64 // number of answers in these three means
+	medianFailureShare float64 // median of the endpoints' failure shares
+	connectCost        float64 // seconds that a new connection adds to an answer time
+	warmAttemptRate    float64 // attempts per second that this router sends to a warm endpoint
+	warmThroughput     float64 // commands of mean service time that a warm endpoint answers it per second
+	commandCount       float64 // decaying number of commands
+
+	checkInterval        float64 // seconds after a position report until a check; infinite for none
+	ejectedCheckInterval float64 // seconds between health checks of an ejected endpoint
+	recoveryInterval     float64 // seconds between two recovery attempts to any endpoints
+	pendingChecks        []int   // endpoints for which the next Maintain requests a health check
+	lastReviewAt         float64 // when Maintain last reviewed all endpoints
+	lastRecoveryAt       float64 // when the last recovery attempt to any endpoint was sent
+
+	sessions          generational.Map[uint64, session] // by session id
+	sessionsRotatedAt float64                           // when the older generation of sessions was last dropped
+	readCounter       rolling.Counter                   // first attempts of reads; fallbacks are marked
+
+	subscribed   bool    // the list service sends changes of the endpoint list without a poll
+	nextPollAt   float64 // when the list may be polled again
+	pollFailures float64 // number of failed polls in a row
+
+	candidates      []int // indexes of the endpoints considered for the current command
+	healthyReplicas int   // number of replicas, not ejected, that may cover the read considered last
 }
 
-// unknownEndpoint is an endpoint of which nothing is known.
+// unknownEndpoint is the state of an endpoint before anything is known about it.
 var unknownEndpoint = endpoint{
 	shard: noIndex, startedAt: math.Inf(-1), removedAt: math.Inf(1),
 	positionReportedAt: math.Inf(-1), position: math.Inf(-1),
@@ -149,11 +150,12 @@
 	lastCheckAt: math.Inf(-1), lastOverloadAt: math.Inf(-1), unreachableSince: math.Inf(1),
 }
 
-// unknownShard is a shard of which nothing is known.
+// unknownShard is the state of a shard before anything is known about it.
 var unknownShard = shard{
 	positionFloor: math.Inf(-1), newestPosition: math.Inf(-1), olderPosition: math.Inf(-1),
 }
 
+// updateEndpoint applies one row of the endpoint list.
 func (r *Router) updateEndpoint(now float64, info EndpointInfo) {
 	for len(r.endpoints) <= info.Index {
 		r.endpoints = append(r.endpoints, unknownEndpoint)
@@ -181,6 +183,7 @@
 	e.removedAt = math.Inf(1)
 }
 
+// removeFromShard removes endpoint i from its shard, if it belongs to one.
 func (r *Router) removeFromShard(i int) {
 	if e := &r.endpoints[i]; e.shard >= 0 {
 		s := &r.shards[e.shard]
@@ -188,7 +191,8 @@
 	}
 }
 
-// decay lets the sums decay: those of latency over one time, those of health over another.
+// decay reduces the sums by their age: those of latency with one time constant, those of health with
+// another.
 func (e *endpoint) decay(now, latencyTime, healthTime float64) {
 	if now <= e.decayedAt {
 		return
@@ -205,7 +209,7 @@
 	e.decayedAt = now
 }
 
-// decay lets the sums decay over a time.
+// decay reduces the sums by their age with the given time constant in seconds.
 func (s *shard) decay(now, time float64) {
 	if now <= s.decayedAt {
 		return
@@ -216,7 +220,8 @@
 	s.decayedAt = now
 }
 
-// recordReport notes a position after an epoch, if it is not negative, and a role that held at a time.
+// recordReport records a reported position, in seconds after epoch and ignored if negative, and a
+// reported role. The report was true at the given time; an older role than the known one is ignored.
 func (e *endpoint) recordReport(at, epoch, position float64, role Role) {
 	if position >= 0 {
 		reached := epoch + position
@@ -232,13 +237,14 @@
 	}
 }
 
+// recordUnreachable records a failed contact with the endpoint.
 func (e *endpoint) recordUnreachable(now float64) {
 	e.unreachableSince = min(e.unreachableSince, now)
 	e.lastUnreachableAt = now
 }
 
-// UpdateEndpoints takes in the complete endpoint list, or only the rows that changed. A cached list was not
-// told by the list service, so that it says nothing of the subscription.
+// UpdateEndpoints applies the complete endpoint list, or only the rows that changed. A cached list does
+// not come from the list service, so it does not show that the subscription works.
 func (r *Router) UpdateEndpoints(now float64, list []EndpointInfo, complete, cached bool) {
 	if !cached {
 		r.subscribed = true
@@ -255,8 +261,8 @@
 	}
 }
 
-// isSuperseded says that a row of an older list calls an endpoint ready of which a newer one has said, in
-// the same life, that it drains or is gone.
+// isSuperseded reports whether an outdated row calls an endpoint ready although a newer list has marked
+// the same process as draining or removed. A later start time means a new process.
 func (r *Router) isSuperseded(info EndpointInfo) bool {
 	if !info.Outdated || info.State != Ready || info.Index >= len(r.endpoints) {
 		return false
@@ -266,7 +272,7 @@
 	return e.shard >= 0 && unused && info.StartedAt <= e.startedAt
 }
 
-// session is what is remembered of a session, if anything.
+// session returns the state of a session; the state of an unknown one has no positions.
 func (r *Router) session(id uint64) session {
 	if s, ok := r.sessions.Get(id); ok {
 		return s
@@ -274,7 +280,7 @@
 	return session{lastWrite: math.Inf(-1), highestRead: math.Inf(-1)}
 }
 
-// startAttempt books an attempt that is sent to this endpoint, with its expected service time.
+// startAttempt records an attempt sent to this endpoint; work is its expected service time in seconds.
 func (e *endpoint) startAttempt(now float64, index int, work float64) Attempt {
 	a := Attempt{
 		Endpoint: index, SentAt: now, InFlight: true,
@@ -293,7 +299,7 @@
 	return a
 }
 
-// endAttempt books the end of an attempt.
+// endAttempt records the end of an attempt.
 func (e *endpoint) endAttempt(a *Attempt) {
 	a.InFlight = false
 	e.inFlight--
@@ -302,7 +308,7 @@
 	}
 }
 
-// recordUncertainRun notes that an attempt may have run though no answer to it came.
+// recordUncertainRun records that an attempt may have run although no answer to it came.
 func (c *Command) recordUncertainRun(a *Attempt) {
 	c.uncertainRuns++
 	if c.uncertainRuns == 1 {
@@ -311,7 +317,8 @@
 	}
 }
 
-// rotateSessions forgets the older generation of sessions; its highest positions become its shards' floors.
+// rotateSessions forgets the older generation of sessions. A shard's floor rises to the highest position
+// forgotten.
 func (r *Router) rotateSessions(now float64) {
 	r.sessions.Rotate()
 	r.sessionsRotatedAt = now
@@ -323,7 +330,7 @@
 	}
 }
 
-// countArrival counts a command when it is routed for the first time.
+// countArrival counts a command when Route is called for it for the first time.
 func (r *Router) countArrival(c *Command, g *group) {
 	if c.routed {
 		return
@@ -336,7 +343,7 @@
 	}
 }
 
-// countRead counts the first attempt of a read.
+// countRead counts a read when its first attempt is sent.
 func (r *Router) countRead(now float64, c *Command, g *group, fallback bool) {
 	if g.Consistency == PrimaryOnly || len(c.Attempts) != 1 {
 		return
@@ -344,7 +351,7 @@
 	r.readCounter.Add(now, fallback)
 }
 
-// median is the lower median of at least one value. It sorts them.
+// median returns the lower median of values, of which there must be at least one. It sorts them in place.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	return values[(len(values)-1)/2]
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -1,79 +1,80 @@
 package router
 
-// Consistency is what the data that a command group reads must cover.
+// Consistency is the class of a command group: which data its commands have to see.
 type Consistency int
 
 // Consistency classes, from the strictest to the loosest.
 const (
-	PrimaryOnly       Consistency = iota // runs on the primary: writes, and reads that must
-	Linearizable                         // covers every commit before the command
-	SessionConsistent                    // covers what its session has written and read
-	BoundedStaleness                     // is at most CommandGroup.MaxStaleness old
-	Eventual                             // may be of any age
+	PrimaryOnly       Consistency = iota // runs on the primary: writes, and reads that require it
+	Linearizable                         // sees every write committed before the command arrived
+	SessionConsistent                    // sees what its session has written and read before
+	BoundedStaleness                     // sees data that is at most CommandGroup.MaxStaleness old
+	Eventual                             // may see data of any age
 )
 
-// Idempotency is what a second run of a command does.
+// Idempotency is the effect of running a command a second time.
 type Idempotency int
 
 // Kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // a second run does no harm
-	IdempotentWithKey                    // a second run is recognized by its key, within a scope and a window
-	NonIdempotent                        // a second run may have its effect twice
+	IdempotentWithKey                    // endpoints skip a second run by its key, within a scope and a time
+	NonIdempotent                        // a second run may apply the effect twice
 )
 
-// KeyScope is where the key of an IdempotentWithKey command is recognized.
+// KeyScope is the set of endpoints that recognize the key of an IdempotentWithKey command they have run.
 type KeyScope int
 
 // Scopes of an idempotency key.
 const (
-	ShardScope  KeyScope = iota // by every endpoint of the command's shard
-	ZoneScope                   // by the endpoints of one zone of that shard
-	GlobalScope                 // by every endpoint
+	ShardScope  KeyScope = iota // all endpoints of the command's shard
+	ZoneScope                   // the endpoints of that shard in the zone where the command first ran
+	GlobalScope                 // all endpoints
 )
 
-// Config is what a router is told at its start. All durations are in seconds.
+// Config is the configuration of a Router. All durations are in seconds.
 type Config struct {
+	// CommandGroups is indexed by Command.Group.
 	CommandGroups      []CommandGroup
-	TotalWeight        float64 // weight of all commands' value in the objective
-	WorstGroupWeight   float64 // weight of the worst-served command group in the objective
-	RouterCount        int     // routers in this tier
-	Instance           int     // this router's number among them
-	Zone               int     // where this router runs; negative if it is not known
-	BatchInterval      float64 // batches of calls are at least this far apart
-	PositionEpoch      float64 // the time from which log positions count
-	ClientTokens       bool    // session reads bring the age of their session's last write
-	ReplicasCheckReads bool    // replicas turn a read away themselves if they are too stale for it
-	LoadReports        bool    // health checks answer with a position and a role
-	PollList           bool    // the endpoint list comes only when it is polled
-	PollWindow         float64 // a list that is not polled for so long still binds the router
-	SoftRemoval        bool    // an endpoint that was only removed from the list may still be used
+	TotalWeight        float64 // weight of the value of all answers in the service objective
+	WorstGroupWeight   float64 // weight of the worst-served command group in the service objective
+	RouterCount        int     // number of routers that serve the same endpoints
+	Instance           int     // index of this router among them
+	Zone               int     // zone in which this router runs; negative if unknown
+	BatchInterval      float64 // least time between two batches of calls that the caller makes
+	PositionEpoch      float64 // time on the caller's clock from which log positions count, in seconds
+	ClientTokens       bool    // clients send Command.LastWriteAge with session reads
+	ReplicasCheckReads bool    // replicas reject reads (NotServed) for which their data is too old
+	LoadReports        bool    // health checks return the endpoint's log position and role
+	PollList           bool    // the router has to poll for the endpoint list and its changes
+	PollWindow         float64 // a changed list binds the router after this time even if it did not poll
+	SoftRemoval        bool    // an endpoint that left the list without draining may still be used
 	CanCancel          bool    // attempts can be canceled
-	HealthChecks       bool    // the router may send health checks of its own
-	RetryAfterAllowed  bool    // a rejection may carry a Retry-After
-	MaxRetryAfter      float64 // the longest Retry-After that clients honour
-	MaxAttempts        int     // of one command
-	ConnectTimeout     float64 // a connection that is not made by then has failed
-	SlowStartFloor     float64 // share of its capacity that an endpoint has at its start
-	SlowStart          float64 // time after its start until an endpoint has all of its capacity
-	OverloadFactor     float64 // multiple of its present capacity that overloads an endpoint in slow start,
-	OverloadWindow     float64 // if it is kept up for so long
+	HealthChecks       bool    // the router may request health checks
+	RetryAfterAllowed  bool    // a Reject may ask the client to wait before its retry
+	MaxRetryAfter      float64 // longest wait before a retry that clients obey
+	MaxAttempts        int     // most attempts for one command
+	ConnectTimeout     float64 // time after which a connection attempt fails
+	SlowStartFloor     float64 // share of its full capacity that an endpoint has when it starts
+	SlowStart          float64 // time from its start until an endpoint has its full capacity
+	OverloadFactor     float64 // load, over its present capacity, that overloads an endpoint in slow start
+	OverloadWindow     float64 // time for which that load has to last to overload the endpoint
 }
 
-// CommandGroup is what is configured for one group of commands. All durations are in seconds.
+// CommandGroup is the configuration of one group of commands. All durations are in seconds.
 type CommandGroup struct {
-	Consistency       Consistency
-	Idempotency       Idempotency
-	KeyScope          KeyScope
-	LatencyObjective  float64 // an answer within this earns the whole PriorityWeight
-	ClientTimeout     float64 // clients stop waiting after this
-	PriorityWeight    float64 // value of one answer
-	LateValue         float64 // share of PriorityWeight that an answer after LatencyObjective still earns
-	MaxStaleness      float64 // greatest age of the data that a BoundedStaleness read may see
-	IdempotencyWindow float64 // how long an idempotency key is recognized
+	Consistency       Consistency // data that its commands have to see
+	Idempotency       Idempotency // effect of running one of its commands twice
+	KeyScope          KeyScope    // with IdempotentWithKey: endpoints that recognize its keys
+	LatencyObjective  float64     // an answer within this time earns the full PriorityWeight
+	ClientTimeout     float64     // time after which clients stop waiting for an answer
+	PriorityWeight    float64     // value of one answer
+	LateValue         float64     // share of PriorityWeight that an answer after LatencyObjective earns
+	MaxStaleness      float64     // greatest age of the data that a BoundedStaleness read may see
+	IdempotencyWindow float64     // time for which endpoints remember an idempotency key
 }
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState int
 
 // States of an endpoint in the list.
@@ -85,80 +86,81 @@
 
 // EndpointInfo is one row of the endpoint list.
 type EndpointInfo struct {
-	Index     int // a small number that the caller gives the endpoint
-	Shard     int // endpoints of one shard hold the same data
-	Zone      int
-	State     EndpointState
-	StartedAt float64 // time of its start; negative infinity if that is long ago
-	Primary   bool
-	Outdated  bool // the row is of an older list than one that was told before
+	Index     int           // small number by which the caller identifies the endpoint
+	Shard     int           // endpoints of one shard hold the same data
+	Zone      int           // zone in which it runs
+	State     EndpointState // its state in the list
+	StartedAt float64       // when its process started, in seconds; negative infinity if long ago
+	Primary   bool          // the list names it as the primary of its shard
+	Outdated  bool          // the row is from a list older than one the router has already received
 }
 
-// Command is a command in flight. The caller fills the exported fields except Attempts and keeps the value
-// until every attempt has ended; Attempts may be read, the rest belongs to the router.
+// Command is a command in flight. The caller fills in the exported fields except Attempts, and keeps the
+// value until all attempts have ended. The caller may read Attempts; all other fields belong to the
+// router.
 type Command struct {
-	Group          int // index in Config.CommandGroups
-	Shard          int // negative if it is not in the endpoint list
-	Session        uint64
-	ArrivedAt      float64
-	ClientDeadline float64 // when the client stops waiting
-	// LastWriteAge is the seconds since the session's last write, negative if that is ahead of this clock.
-	// Zero: no write is known of.
+	Group          int     // index in Config.CommandGroups
+	Shard          int     // negative if the endpoint list does not have the shard
+	Session        uint64  // id of the client's session; 0 if it has none
+	ArrivedAt      float64 // when the router received it, in seconds
+	ClientDeadline float64 // when the client stops waiting, in seconds
+	// LastWriteAge is the number of seconds since the session's last write, as sent by the client. It is
+	// negative if that write is ahead of the caller's clock, and 0 if no write is known.
 	LastWriteAge float64
-	ClientRetry  bool // the client says that it has sent this command before
+	ClientRetry  bool // the client has marked the command as a retry
 
 	Attempts []Attempt // in the order in which they were sent
 
-	delivered         bool    // an endpoint may have had an attempt
-	unsentAttempts    int     // attempts that did not leave this process
-	uncertainRuns     int     // attempts that may have run without an answer
-	firstUncertainAt       float64 // when the first of those was sent
-	firstUncertainEndpoint int     // and where
-	routed            bool    // seen by Route before
-	requiredPosition  float64 // log position that its data must cover
-	tooStale          bool    // a replica did not serve it: NotServed
+	delivered              bool    // an attempt may have reached an endpoint
+	unsentAttempts         int     // number of attempts that ended as NeverSent
+	uncertainRuns          int     // number of attempts that may have run, but returned no answer
+	firstUncertainAt       float64 // when the first of the uncertainRuns was sent, in seconds
+	firstUncertainEndpoint int     // index of the endpoint that got the first of the uncertainRuns
+	routed                 bool    // Route has been called for it
+	requiredPosition       float64 // log position that a replica must have applied, as a time in seconds
+	tooStale               bool    // a replica has rejected this read (NotServed)
 }
 
-// Attempt is one sending of a command to an endpoint.
+// Attempt is one attempt to run a command at an endpoint.
 type Attempt struct {
-	Endpoint int
-	SentAt   float64
-	InFlight bool
-
-	queuePosition int  // this router's attempts at the endpoint when it was sent
-	newConnection bool // needed a new connection
-	overdue       bool // has counted as a failure for being overdue
-	cancelRequested      bool // a decision has asked to cancel it
-	lost          bool // overtaken by other answers for too long: not in the queue any more
+	Endpoint int     // index of the endpoint
+	SentAt   float64 // when it was sent, in seconds
+	InFlight bool    // it has not ended yet
+
+	queuePosition   int  // number of this router's attempts queued at the endpoint when it was sent
+	newConnection   bool // no idle connection was expected to be open when it was sent
+	overdue         bool // has been counted as a failure because no answer came in time
+	cancelRequested bool // a decision has asked the caller to cancel it
+	lost            bool // the endpoint has answered later attempts; no longer counted as queued
 }
 
-// Result is how an attempt or a health check ended.
+// Result is the way in which an attempt or a health check ended.
 type Result int
 
-// Results. After Errored, TimedOut, ConnectionLost and Canceled the command may have run.
+// Results. A command may have run after Errored, TimedOut, ConnectionLost and Canceled.
 const (
 	Answered       Result = iota
 	Errored               // the endpoint answered with an error
-	Overloaded            // the endpoint turned the command away without looking at it
-	TimedOut              // no answer by Decision.AttemptDeadline
-	ConnectFailed         // no connection was made
+	Overloaded            // the endpoint rejected the command, without looking at it, for lack of capacity
+	TimedOut              // no answer came by Decision.AttemptDeadline
+	ConnectFailed         // no connection could be made
 	ConnectionLost        // the connection broke before the answer was complete
 	Canceled              // the attempt was canceled
 	NeverSent             // the command did not leave this process
-	NotServed             // the endpoint turned it away: it is not the primary, or too stale
+	NotServed             // the endpoint rejected the command: it is not the primary, or its data is too old
 )
 
-// mayHaveRun says that a command may have run though no answer to it came.
+// mayHaveRun reports whether the command may have run although no valid answer came.
 func (result Result) mayHaveRun() bool {
 	return result == Errored || result == TimedOut || result == ConnectionLost || result == Canceled
 }
 
-// fromEndpoint says that the endpoint itself answered in some way.
+// fromEndpoint reports whether the endpoint itself sent an answer, an error or a rejection.
 func (result Result) fromEndpoint() bool {
 	return result == Answered || result == Errored || result == Overloaded || result == NotServed
 }
 
-// Role is what an answer says that its sender is.
+// Role is the role that an endpoint states in an answer.
 type Role int
 
 // Roles of an endpoint.
@@ -168,41 +170,41 @@
 	RoleReplica
 )
 
-// AttemptResult is the end of a command's attempt.
+// AttemptResult describes how an attempt ended.
 type AttemptResult struct {
-	Attempt  int // index in Command.Attempts
-	Result   Result
-	Elapsed  float64 // seconds since it was sent
-	Final    bool    // the command has had its final answer
-	Position float64 // log position that the answer tells; negative if it tells none
-	Role     Role
+	Attempt  int     // index in Command.Attempts
+	Result   Result  // how it ended
+	Elapsed  float64 // seconds since the attempt was sent
+	Final    bool    // the client has its final answer: no further attempt is needed
+	Position float64 // log position in the answer, seconds after Config.PositionEpoch; negative if none
+	Role     Role    // role that the endpoint stated in the answer
 }
 
-// Action is what a Decision says.
+// Action is the kind of a Decision.
 type Action int
 
 // Actions.
 const (
-	Wait    Action = iota // nothing yet: call Route again, at Decision.ReviewAt at the latest
+	Wait    Action = iota // do nothing now; call Route again by Decision.ReviewAt
 	Forward               // send an attempt to Decision.Endpoint
-	Reject                // give the command up; the client may retry
-	Fail                  // give the command up; it may have run
-	None                  // the command has had its final answer
+	Reject                // give up; the client may retry without harm
+	Fail                  // give up; the command may have run
+	None                  // nothing to do: the client has its final answer
 )
 
-// Decision is what to do with a command.
+// Decision is what the caller has to do next for a command.
 type Decision struct {
-	Action          Action
-	Endpoint        int     // with Forward: where to
-	AttemptDeadline float64 // with Forward: when the attempt times out
-	ReviewAt        float64 // with Wait and Forward: when to call Route again at the latest
-	RetryAfter      float64 // with Reject: seconds that the client is asked to wait; 0 if none are told
-	CancelAttempt   int     // attempt to cancel first, or -1
+	Action          Action  // kind of the decision
+	Endpoint        int     // with Forward: index of the endpoint to send the attempt to
+	AttemptDeadline float64 // with Forward: when the attempt times out, in seconds
+	ReviewAt        float64 // with Wait and Forward: when to call Route again at the latest, in seconds
+	RetryAfter      float64 // with Reject: seconds that the client is asked to wait; 0 for no request
+	CancelAttempt   int     // index of an attempt to cancel first; -1 for none
 }
 
-// Maintenance is the work that is due besides commands.
+// Maintenance lists the work that is due independently of any command.
 type Maintenance struct {
-	HealthCheck []int // endpoints to check
-	Release     []int // endpoints whose index may be given to others
+	HealthCheck []int // indexes of the endpoints to check
+	Release     []int // endpoint indexes that are free for other endpoints from now on
 	Subscribe   bool  // poll the endpoint list and subscribe to its changes
 }
