--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -7,22 +7,28 @@
 )
 
 const (
-	lostFactor       = 5.0 // predicted response times after which an answer that others overtook is lost
-	firstUnsentPauseShare = 0.1 // of catchUpWait, after a command's first attempt that did not leave this process
-	maxUncertainRuns = 2   // attempts that may have run, after which a command is itself at fault
+	// After this many predicted response times, an answer that later answers have overtaken counts as lost.
+	lostFactor = 5.0
+	// Share of catchUpWait to wait after a command's first attempt that did not leave this process.
+	firstUnsentPauseShare = 0.1
+	// After this many attempts that may have run, the command itself is taken for the cause.
+	maxUncertainRuns = 2
 )
 
-// mayRetry allows a retry only of what is known not to have run, or within the bounds of its idempotency.
+// mayRetry reports whether another attempt is allowed: no attempt may have run, or the command may run
+// twice, or it has an idempotency key that the endpoints will still remember.
 func (r *Router) mayRetry(now float64, c *Command, g *group) bool {
 	if c.uncertainRuns == 0 || g.Idempotency == Idempotent {
 		return true
 	}
-	// A connection may still have to be made, so a retry by key must leave by that much earlier.
+	// A connection may have to be made first, so a retry by key has to leave that much earlier.
 	arrival := now + r.config.ConnectTimeout + r.config.BatchInterval
 	return g.Idempotency == IdempotentWithKey && arrival < c.firstUncertainAt+g.IdempotencyWindow
 }
 
-// inKeyScope says whether an endpoint would recognize the key of a command that may have run elsewhere.
+// inKeyScope reports whether the scope of a command's idempotency key allows its next attempt at endpoint
+// i, which is of the command's shard. If an attempt may have run and the scope is a zone, only endpoints
+// in the zone of the first such attempt know the key.
 func (r *Router) inKeyScope(c *Command, g *group, i int) bool {
 	if c.uncertainRuns == 0 || g.Idempotency != IdempotentWithKey || g.KeyScope != ZoneScope {
 		return true
@@ -30,7 +36,7 @@
 	return r.endpoints[i].zone == r.endpoints[c.firstUncertainEndpoint].zone
 }
 
-// forward sends an attempt and books it.
+// forward decides to send an attempt to endpoint i and records it.
 func (r *Router) forward(now float64, c *Command, g *group, i int, fallback bool) Decision {
 	e := &r.endpoints[i]
 	r.decay(now, e)
@@ -45,11 +51,11 @@
 	}
 }
 
-// attemptDeadline is when an attempt that is sent now times out.
+// attemptDeadline returns when an attempt that is sent now times out, in seconds.
 func (r *Router) attemptDeadline(c *Command, g *group) float64 {
 	deadline := c.ClientDeadline
 	if c.uncertainRuns > 0 && g.Idempotency == IdempotentWithKey {
-		// What is not complete at the endpoint by then must not run any more.
+		// An attempt that is not complete at the endpoint by then must not run any more.
 		deadline = min(deadline, c.firstUncertainAt+g.IdempotencyWindow)
 	}
 	if g.Idempotency == Idempotent && g.LateValue == 0 && !r.connectionsCostly() {
@@ -58,8 +64,9 @@
 	return deadline
 }
 
-// reviewAttempt looks at an attempt in flight. One that is overdue counts as a failure of its endpoint, or a
-// hang would never be seen; one that is lost or at an ejected endpoint is canceled where a retry is allowed.
+// reviewAttempt reviews attempt k, which is in flight. An overdue attempt counts as a failure of its
+// endpoint; otherwise a hang would go unnoticed. If a retry is allowed, an attempt that is lost or at an
+// ejected endpoint is canceled.
 func (r *Router) reviewAttempt(now float64, c *Command, g *group, k int) Decision {
 	a := &c.Attempts[k]
 	e := &r.endpoints[a.Endpoint]
@@ -70,7 +77,7 @@
 		a.overdue = true
 		r.recordFailure(now, e)
 	}
-	// Its endpoint has answered others since: the answer is lost, or the command very costly.
+	// The endpoint has answered other attempts since: the answer is lost, or the command is very expensive.
 	if lostAt := a.SentAt + lostFactor*r.predictedResponse(a.Endpoint, g); now < lostAt {
 		d.ReviewAt = min(d.ReviewAt, lostAt+r.config.BatchInterval)
 	} else if !a.lost && e.lastAnswerAt > a.SentAt {
@@ -84,13 +91,15 @@
 	return d
 }
 
+// mayCancel reports whether attempt a may be canceled so that the command can be retried.
 func (r *Router) mayCancel(c *Command, g *group, a *Attempt) bool {
 	retryable := g.Idempotency != NonIdempotent && r.remainingAttempts(c) > 0
 	return r.config.CanCancel && !a.cancelRequested && !r.connectionsCostly() && retryable
 }
 
-// worthRetry says that another attempt will do better than one in flight. A lost answer is worth one at the
-// same endpoint too, as its connection fell silent, if there is as much time left as it was given.
+// worthRetry reports whether another attempt would do better than attempt a, which is in flight. A lost
+// answer is worth a retry even at the same endpoint, as only its connection is silent, if there is as
+// much time left as the lost attempt was given.
 func (r *Router) worthRetry(now float64, c *Command, g *group, a *Attempt) bool {
 	if a.lost && now+lostFactor*r.predictedResponse(a.Endpoint, g) < r.usefulUntil(c, g) {
 		return true
@@ -98,7 +107,7 @@
 	return a.overdue && r.updateEjection(now, a.Endpoint) && r.anotherEndpointAvailable(now, c, g, a.Endpoint)
 }
 
-// anotherEndpointAvailable says whether another endpoint may take a command.
+// anotherEndpointAvailable reports whether an endpoint other than i may get a command.
 func (r *Router) anotherEndpointAvailable(now float64, c *Command, g *group, i int) bool {
 	primary := r.primary(c.Shard)
 	return slices.ContainsFunc(r.shards[c.Shard].endpoints, func(k int) bool {
@@ -107,8 +116,9 @@
 	})
 }
 
-// ClientGone takes in that the client of an unfinished command has gone, and returns an attempt to cancel, or
-// -1. Where many clients leave before their time, only what can be answered before then is worth sending.
+// ClientGone records that the client of an unfinished command has disconnected. It returns the index of
+// an attempt to cancel, or -1. Where many clients disconnect before their timeout, usefulUntil ends at
+// their usual time.
 func (r *Router) ClientGone(now float64, c *Command) int {
 	g := &r.groups[c.Group]
 	sinceArrival := now - c.ArrivedAt
@@ -120,7 +130,7 @@
 	return r.cancelUnneeded(c)
 }
 
-// cancelUnneeded returns an attempt that nobody waits for any more, or none.
+// cancelUnneeded returns the index of an attempt in flight for which no client waits, or noIndex.
 func (r *Router) cancelUnneeded(c *Command) int {
 	for k := range c.Attempts {
 		if a := &c.Attempts[k]; a.InFlight && !a.cancelRequested && r.config.CanCancel {
@@ -131,7 +141,7 @@
 	return noIndex
 }
 
-// AttemptEnded takes in how an attempt ended and says what to do with its command.
+// AttemptEnded records how an attempt ended and decides what to do next with its command.
 func (r *Router) AttemptEnded(now float64, c *Command, result AttemptResult) Decision {
 	g := &r.groups[c.Group]
 	a := &c.Attempts[result.Attempt]
@@ -145,7 +155,8 @@
 	r.recordResult(now, c, g, e, a, result)
 	if result.Result.mayHaveRun() {
 		c.recordUncertainRun(a)
-		r.recordSession(c, g, 0, now) // it may have been answered: a connection can break under its answer
+		// The command may have been answered: a connection can break while its answer is under way.
+		r.recordSession(c, g, 0, now)
 	}
 	if result.Final {
 		return Decision{Action: None, CancelAttempt: r.cancelUnneeded(c)}
@@ -159,18 +170,19 @@
 	return r.Route(now, c)
 }
 
-// unsentPause is how long a command waits whose attempt did not leave this process: what this machine
-// lacked for it, a descriptor or a port, it will lack in the next moment too.
+// unsentPause returns how many seconds a command waits after an attempt that did not leave this process.
+// What this machine lacked, a file descriptor or a port, will not be free again immediately.
 func unsentPause(c *Command) float64 {
 	return catchUpWait * min(1, firstUnsentPauseShare*math.Exp2(float64(c.unsentAttempts-1)))
 }
 
-// remainingAttempts is how many attempts a command may still have. What did not leave this process is none.
+// remainingAttempts returns how many attempts a command may still have. Those that never left this
+// process are not counted.
 func (r *Router) remainingAttempts(c *Command) int {
 	return r.config.MaxAttempts - (len(c.Attempts) - c.unsentAttempts)
 }
 
-// recordContact notes that an endpoint has answered in some way, and what it said of itself.
+// recordContact records that an endpoint has answered in some way, and the position and role in the answer.
 func (r *Router) recordContact(now float64, g *group, e *endpoint, result AttemptResult) {
 	if !result.Result.fromEndpoint() {
 		return
@@ -183,12 +195,13 @@
 	r.recordReachable(now, e)
 	position := result.Position
 	if g.Consistency == PrimaryOnly && result.Result == Answered {
-		position = -1 // the commit's, not the endpoint's
+		position = -1 // it is the position of the commit, not of the endpoint's data
 	}
 	e.recordReport(now, r.config.PositionEpoch, position, result.Role)
 }
 
-// recordConnectCost learns what new connections cost: where that is much, open ones are worth keeping.
+// recordConnectCost updates the estimated cost of a new connection. If it is high, open ones are worth
+// keeping.
 func (r *Router) recordConnectCost(now float64, e *endpoint, a *Attempt, result AttemptResult) {
 	if a.newConnection && result.Result == Answered {
 		r.connectCost += averageWeight * (result.Elapsed - r.meanLatency(e) - r.connectCost)
@@ -197,35 +210,38 @@
 	}
 }
 
-// recordResult notes what a result says of an endpoint's health and latency.
-func (r *Router) recordResult(now float64, c *Command, g *group, e *endpoint, a *Attempt, result AttemptResult) {
-	switch result.Result {
+// recordResult updates an endpoint's health and latency by the result of an attempt.
+func (r *Router) recordResult(now float64, c *Command, g *group, e *endpoint, a *Attempt, end AttemptResult) {
+	switch end.Result {
 	case Answered:
-		r.recordAnswer(now, c, g, e, a, result)
+		r.recordAnswer(now, c, g, e, a, end)
 	case Errored, ConnectionLost, TimedOut, ConnectFailed:
 		if !a.overdue {
 			r.recordFailure(now, e)
 		}
-		if result.Result == ConnectFailed {
+		if end.Result == ConnectFailed {
 			e.recordUnreachable(now)
 		}
-	case Overloaded: // a failure too: an endpoint that rejects all at once would look idle and draw more
+	case Overloaded:
+		// This is a failure too: an endpoint that rejects everything quickly looks idle and attracts more.
 		r.recordFailure(now, e)
 		e.lastOverloadAt = now
-		r.recordLatency(g, e, a, max(result.Elapsed, g.LatencyObjective))
+		r.recordLatency(g, e, a, max(end.Elapsed, g.LatencyObjective))
 	case NotServed:
 		e.resultCount++
 		c.tooStale = c.tooStale || g.Consistency != PrimaryOnly
 	case Canceled, NeverSent:
 	}
-	if result.Result == TimedOut || result.Result == Canceled {
-		// It would have taken as much again in the mean: what clients left counted as quick, and drew more.
-		r.recordLatency(g, e, a, result.Elapsed+r.expectedLatency(e, a.queuePosition))
+	if end.Result == TimedOut || end.Result == Canceled {
+		// On average the answer would have taken as long again. Attempts abandoned by clients once
+		// counted as quick answers, which attracted more commands.
+		r.recordLatency(g, e, a, end.Elapsed+r.expectedLatency(e, a.queuePosition))
 	}
 }
 
-// recordAnswer takes in an answer: its endpoint's health, latencies, and its session's position.
-func (r *Router) recordAnswer(now float64, c *Command, g *group, e *endpoint, a *Attempt, result AttemptResult) {
+// recordAnswer updates the statistics of the group, endpoint and fleet, and the session's position, by an
+// answer.
+func (r *Router) recordAnswer(now float64, c *Command, g *group, e *endpoint, a *Attempt, end AttemptResult) {
 	g.earlyLeaveShare -= averageWeight * g.earlyLeaveShare
 	if now <= c.ArrivedAt+g.LatencyObjective {
 		g.inTimeAnswerCount++
@@ -233,13 +249,13 @@
 	e.resultCount++
 	e.lastAnswerAt = now
 	e.answeredWorkSum += r.relativeWork(g)
-	r.recordServiceTime(now, g, result.Elapsed)
+	r.recordServiceTime(now, g, end.Elapsed)
 	if !r.isHeavy(g) {
-		r.recordFleetLatency(g, a, result.Elapsed)
+		r.recordFleetLatency(g, a, end.Elapsed)
 	}
-	r.recordLatency(g, e, a, result.Elapsed)
-	if result.Position >= 0 {
-		r.recordSession(c, g, 0, r.config.PositionEpoch+result.Position)
+	r.recordLatency(g, e, a, end.Elapsed)
+	if end.Position >= 0 {
+		r.recordSession(c, g, 0, r.config.PositionEpoch+end.Position)
 	} else if g.Consistency == PrimaryOnly {
 		r.recordSession(c, g, 0, now)
 	}
--- a/internal/router/consistency.go
+++ b/internal/router/consistency.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	catchUpWait       = 0.1     // seconds that a read waits for a replica to catch up
-	maxSessions       = 1 << 16 // sessions remembered before the older half is forgotten
-	retentionTimeouts = 8       // longest client timeouts until sessions and removed endpoints are forgotten
+	catchUpWait       = 0.1     // seconds for which a read waits for a replica to catch up
+	maxSessions       = 1 << 16 // number of remembered sessions at which the older half is forgotten
+	retentionTimeouts = 8       // longest client timeouts for which sessions and removed endpoints are kept
 )
 
-// requiredPosition is the log position that a read's data must cover if it is sent now.
+// requiredPosition returns the log position, as a time, that a replica must have applied to serve a read
+// sent now.
 func (r *Router) requiredPosition(now float64, c *Command, g *group) float64 {
 	switch g.Consistency {
 	case Linearizable:
@@ -25,8 +26,9 @@
 	}
 }
 
-// sessionPosition is the position that a session's read must cover, with what its session was told while the
-// read waited. A write in flight may be in the log already, with its answer on the way.
+// sessionPosition returns the position that a read must cover for its session. It includes what the
+// session has learned while the read waited. A write in flight counts as done: it may be in the log with
+// its answer under way.
 func (r *Router) sessionPosition(now float64, c *Command) float64 {
 	s := r.session(c.Session)
 	position := max(s.lastWrite, s.highestRead, r.shards[c.Shard].positionFloor)
@@ -39,7 +41,8 @@
 	return position
 }
 
-// recordSession notes a position that a session wrote or read, and a change of its writes in flight.
+// recordSession records a position that a session has written or read, and adds writes to its writes in
+// flight.
 func (r *Router) recordSession(c *Command, g *group, writes, position float64) {
 	s := r.session(c.Session)
 	switch {
@@ -55,8 +58,9 @@
 	r.shards[c.Shard].newestPosition = max(r.shards[c.Shard].newestPosition, position)
 }
 
-// expireSessions forgets the older generation of sessions when it is due; its highest positions become its
-// shards' floors. How groups were served is forgotten by half at the same time.
+// expireSessions forgets the older generation of sessions when it is due. The highest positions in it
+// become the floors of the shards. The groups' arrivalCount and inTimeAnswerCount are halved at the same
+// time.
 func (r *Router) expireSessions(now float64) {
 	if now-r.sessionsRotatedAt < retentionTimeouts*r.longestTimeout && r.sessions.YoungerLen() < maxSessions/2 {
 		return
@@ -68,19 +72,23 @@
 	r.rotateSessions(now)
 }
 
-// mayCatchUp says whether it can have applied up to a position within the wait, at twice the log's pace.
+// mayCatchUp reports whether the endpoint may reach a position within catchUpWait if it applies the log
+// at twice the pace at which it is written.
 func (e *endpoint) mayCatchUp(now, position float64) bool {
-	return math.IsInf(e.positionReportedAt, -1) || position <= e.position+2*(now+catchUpWait-e.positionReportedAt)
+	return math.IsInf(e.positionReportedAt, -1) ||
+		position <= e.position+2*(now+catchUpWait-e.positionReportedAt)
 }
 
-// mayCover says whether a replica that is not ejected may cover a read's position within the wait.
+// mayCover reports whether endpoint i is a replica, not ejected, that may cover a read's position within
+// catchUpWait.
 func (r *Router) mayCover(now, position float64, i, primary int) bool {
 	e := &r.endpoints[i]
 	return i != primary && r.eligible(e) && !e.ejected && e.mayCatchUp(now, position)
 }
 
-// collectCandidates gathers the endpoints that may take a read of a position. It returns the ejected endpoint
-// that is due for a recovery attempt first, or none; that may be the primary, whose data are always fresh.
+// collectCandidates sets r.candidates to the endpoints that may serve a read at a position, and
+// r.healthyReplicas. It returns the ejected endpoint whose recovery attempt has been due longest, or
+// noIndex. That may be the primary, whose data is always current.
 func (r *Router) collectCandidates(now float64, c *Command, g *group, position float64) int {
 	primary, recovering := r.primary(c.Shard), noIndex
 	r.candidates, r.healthyReplicas = r.candidates[:0], 0
@@ -104,8 +112,9 @@
 	return recovering
 }
 
-// checkPosition says whether a replica may cover a read in time, and has one checked, this router's own:
-// keeping the positions of all of them fresh costs more checks than there are commands.
+// checkPosition reports whether a replica may cover a read within catchUpWait. If so, it may request a
+// health check of one of them, chosen by this router's index. Keeping the positions of all replicas fresh
+// would take more checks than there are commands.
 func (r *Router) checkPosition(now float64, c *Command, primary int) (mayCover bool) {
 	r.candidates = r.candidates[:0]
 	for _, i := range r.shards[c.Shard].endpoints {
@@ -119,7 +128,7 @@
 	heavy := r.heavyReadReplica(c.Shard)
 	r.prefer(func(i int) bool { return i != heavy })
 	r.preferOwnZone()
-	// A replica that checks reads itself tells its position by turning the read away.
+	// A replica that checks reads itself reports its position when it rejects the read.
 	if len(r.candidates) == 0 || !r.config.LoadReports || r.config.ReplicasCheckReads {
 		return mayCover
 	}
@@ -131,7 +140,8 @@
 	return mayCover
 }
 
-// chooseFreshestReplica serves deployments whose replicas check reads themselves. Each is tried once for a command.
+// chooseFreshestReplica chooses a replica for a read where replicas check reads themselves: one of those
+// that lag least, each at most once for a command. It returns noIndex if there is none.
 func (r *Router) chooseFreshestReplica(now float64, c *Command, g *group) int {
 	r.collectCandidates(now, c, g, math.Inf(-1))
 	r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool {
@@ -147,7 +157,8 @@
 	return r.drawCandidate(now, c, g)
 }
 
-// recentLag is how far a replica lagged lately; one that was not heard of lately may have caught up since.
+// recentLag returns by how many seconds replica i was behind lately. It returns 0 if its last report is
+// old, as the replica may have caught up since.
 func (r *Router) recentLag(now float64, i int) float64 {
 	if e := &r.endpoints[i]; now-e.positionReportedAt <= r.longestObjective {
 		return e.reportedLag
--- a/internal/router/health.go
+++ b/internal/router/health.go
@@ -6,14 +6,20 @@
 )
 
 const (
-	silenceFactor = 8.0  // mean answer times, shared by the unanswered attempts, of silence beyond one
-	failureMargin = 0.35 // beyond the fleet's median of failures, an endpoint is ejected: not for one
-	failOpenShare = 0.25 // share of the longest objective after a failure until an ejected endpoint may be used
+	// An endpoint with n unanswered attempts may be silent for 1 + silenceFactor/n mean answer times.
+	silenceFactor = 8.0
+	// An endpoint is ejected if its failure share is this far above the fleet's median. A single failure,
+	// of 1 + priorWeight results, does not reach it.
+	failureMargin = 0.35
+	// Share of the longest objective after a failure until an ejected endpoint may be used for lack of
+	// healthy ones.
+	failOpenShare = 0.25
 )
 
-// HealthChecked takes in the result of a health check. Only its report speaks for the endpoint's data. An
-// error says nothing, nor does a check that did not leave this process, and silence says less than an
-// answer to a command meanwhile.
+// HealthChecked records the result of a health check: elapsed is in seconds, position in seconds after
+// Config.PositionEpoch, negative if there is none. Position and role count only if the check was
+// answered. An error does not change the endpoint's health, nor does a check that never left this
+// process. Silence is ignored if the endpoint has answered a command meanwhile.
 func (r *Router) HealthChecked(now float64, i int, result Result, elapsed, position float64, primary bool) {
 	e := &r.endpoints[i]
 	if result == NeverSent {
@@ -26,7 +32,7 @@
 		return
 	}
 	r.recordReachable(now, e)
-	e.idleConnections = max(1, e.idleConnections) // the health check's connection stands
+	e.idleConnections = max(1, e.idleConnections) // the connection of the health check stays open
 	if position < 0 || !r.config.LoadReports {
 		return
 	}
@@ -38,7 +44,7 @@
 	e.recordReport(reportedAt, r.config.PositionEpoch, position, role)
 }
 
-// requestCheck asks for a health check with the next maintenance.
+// requestCheck has the next Maintain request a health check of endpoint i, if the router may send any.
 func (r *Router) requestCheck(now float64, i int) {
 	if r.config.HealthChecks {
 		r.endpoints[i].lastCheckAt = now
@@ -46,20 +52,23 @@
 	}
 }
 
-// recordReachable notes that an endpoint has answered. One that was unreachable for longer than by chance, by
-// two failed contacts, may have started anew before any list says so, and is taken to be in slow start.
+// recordReachable records that an endpoint has answered. If contacts with it failed over more than the
+// longest objective before, which takes at least two failures, it may have restarted before any list says
+// so. It is then put into slow start.
 func (r *Router) recordReachable(now float64, e *endpoint) {
 	if e.lastUnreachableAt-e.unreachableSince > r.longestObjective {
 		e.startedAt = max(e.startedAt, now)
 		e.startFromList = false
 	}
 	if !math.IsInf(e.unreachableSince, 1) {
-		// What was sent meanwhile never reached it, and its silence would eject it again at once.
+		// What was sent meanwhile never reached it. Counted as its silence, it would eject it again
+		// immediately.
 		e.ejected, e.failureCount = false, 0
 		e.unansweredAttempts, e.unreachableSince = 0, math.Inf(1)
 	}
 }
 
+// recordFailure counts a failure of an endpoint and puts off its next recovery attempt.
 func (r *Router) recordFailure(now float64, e *endpoint) {
 	r.decay(now, e)
 	e.failureCount++
@@ -67,14 +76,17 @@
 	e.nextRecoveryAt = now + r.longestObjective
 }
 
+// failureShare returns the share of failures in an endpoint's results, lowered while there are few results.
 func (e *endpoint) failureShare() float64 { return e.failureCount / (e.resultCount + priorWeight) }
 
-// updateEjection says that an endpoint takes commands and answers none, or fails more than the fleet does, and
-// ejects it: until it answers it gets one recovery attempt at a time, or health checks if it was unreachable.
+// updateEjection ejects endpoint i if it takes commands and answers none, or fails more than the fleet
+// does, and reports whether it is ejected. An ejected endpoint gets one recovery attempt at a time until
+// it answers. If it is unreachable, it gets health checks instead.
 func (r *Router) updateEjection(now float64, i int) bool {
 	e := &r.endpoints[i]
 	r.decay(now, e)
-	// One attempt that is over says little: on it hundreds of routers ejected a seventh of a healthy fleet.
+	// One attempt that has ended shows little: because of such, hundreds of routers ejected a seventh of a
+	// healthy fleet.
 	silent := e.unansweredAttempts > 1 || e.inFlight > 0 && e.unansweredAttempts > 0
 	overdue := silent && now-e.unansweredSince > r.silenceTimeout(e)
 	if overdue || e.failureShare() > r.medianFailureShare+failureMargin {
@@ -83,18 +95,20 @@
 	return e.ejected
 }
 
-// silenceTimeout is how long an endpoint may be silent after an attempt. Lone lost answers do not count, nor
-// does silence that costs little of the objective: where answers are quick, one long one says nothing.
+// silenceTimeout returns how many seconds an endpoint may be silent after an attempt. It leaves room for
+// single lost answers. Its least value is a small share of the objective: where answers are quick, one
+// slow answer means nothing.
 func (r *Router) silenceTimeout(e *endpoint) float64 {
 	unanswered := float64(max(1, e.unansweredAttempts))
 	mean := cmp.Or(r.meanLatency(e), assumedServiceShare*r.longestObjective)
-	// A command of a second is no silence among answers of a tenth.
+	// A command that takes a second is not silent among answers of a tenth of a second.
 	mean += max(0, e.unansweredWorkSum/unanswered-cmp.Or(r.fleetServiceTime, mean))
 	return max(latencySlack*r.longestObjective, mean*(1+silenceFactor/unanswered))
 }
 
-// recoveryDue says whether an ejected endpoint gets a recovery attempt. Where all are ejected one fails open,
-// or there would be nobody to learn from; an unreachable one is left to health checks.
+// recoveryDue reports whether ejected endpoint i gets a recovery attempt. If no replica is healthy, one
+// endpoint is used all the same (fail open); otherwise the router would never learn that one has
+// recovered. Unreachable endpoints are left to health checks.
 func (r *Router) recoveryDue(now float64, c *Command, g *group, i int) bool {
 	e := &r.endpoints[i]
 	reachable := math.IsInf(e.unreachableSince, 1) || !r.config.HealthChecks
@@ -105,7 +119,7 @@
 	return r.healthyReplicas == 0 && r.mayFailOpen(now, e)
 }
 
-// mayFailOpen says that an ejected endpoint may be used for want of a better one.
+// mayFailOpen reports whether an ejected endpoint may be used if no healthy one is available.
 func (r *Router) mayFailOpen(now float64, e *endpoint) bool {
 	settled := now >= e.nextRecoveryAt-(1-failOpenShare)*r.longestObjective
 	return e.queued == 0 && math.IsInf(e.unreachableSince, 1) && settled
