--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -3,38 +3,43 @@
 import "math"
 
 const (
-	lowestQueueShare     = 0.4 // of the queue limit that the least valuable group has
-	queueShare           = 0.4 // of the tightest bearable queueing time; the rest waits at the router
-	lowTrafficQueueShare = 0.3 // more of it for a router with low traffic
-	earlyLeaveThreshold      = 0.5 // if more of a group's clients leave early, only their stay counts
-	retryQueueShare      = 0.2 // of its queue limit that a client's retry has
-	freeAttempts         = 2   // attempts at an endpoint beside its queue limit: it must show at some load,
-	freeAttemptsTotal    = 3   // as long as all routers' attempts do not add up to more than this
+	lowestQueueShare     = 0.4 // share of the queue limit for a group with a value density near 0
+	queueShare           = 0.4 // share of the least acceptable queueing time to use; commands wait here instead
+	lowTrafficQueueShare = 0.3 // added to queueShare for a router with no traffic, and less the more it has
+	earlyLeaveThreshold  = 0.5 // above this share of early disconnects, earlyLeaveDelay bounds the useful time
+	retryQueueShare      = 0.2 // share of its queue limit that applies to a client's retry
+	// Attempts that an endpoint may get whatever its queue limit: it has to show its latency at some load.
+	freeAttempts = 2
+	// Most such attempts at an endpoint by all routers together.
+	freeAttemptsTotal = 3
 )
 
-// admits sheds load by value: a group joins only queues that leave capacity to what is worth more for its
-// service time, and nothing is sent too late. A client's retry has spent its objective already.
+// admits reports whether a command may be sent to endpoint i now. It sheds load by value: a group may
+// join only queues short enough to leave capacity to groups with more value for their service time.
+// Nothing is sent that would be answered too late. A client's retry gets a shorter queue, as its
+// objective has already passed.
 func (r *Router) admits(now float64, c *Command, g *group, i int, queueLimit float64) bool {
 	if c.ClientRetry && g.earlyLeaveShare <= earlyLeaveThreshold {
 		queueLimit *= retryQueueShare
 	}
 	e := &r.endpoints[i]
 	latency := r.expectedLatency(e, e.queued)
-	// A queue that was full has a free place when one command of it is done.
+	// A full queue has room again once one of its commands is done: one service time earlier.
 	hasCapacity := latency-r.fleetServiceTime <= queueLimit || r.hasFreeAttempt(now, e, latency)
 	rested := now-e.lastOverloadAt >= r.fleetServiceTime
 	return hasCapacity && rested && now+r.predictedResponse(i, g) <= r.usefulUntil(c, g)
 }
 
-// hasFreeAttempt says whether an endpoint may get one of the few attempts that are sent whatever its queue.
-// Many routers take turns at these: each rests for as long as the others need.
+// hasFreeAttempt reports whether an endpoint may get one of the few attempts that are sent whatever its
+// queue limit. Many routers take turns with these: each pauses for as long as the others need.
 func (r *Router) hasFreeAttempt(now float64, e *endpoint, latency float64) bool {
 	rest := latency * (float64(r.config.RouterCount)/freeAttemptsTotal - 1)
 	few := e.queued < freeAttempts && e.queued*r.config.RouterCount < freeAttemptsTotal
 	return few && now-e.lastAnswerAt >= rest
 }
 
-// usefulUntil is how long an answer has a value; the value of a late one counts as a share of that time.
+// usefulUntil returns until when an answer has a value, in seconds. If late answers keep a share of their
+// value, the time after the objective counts by that share.
 func (r *Router) usefulUntil(c *Command, g *group) float64 {
 	if g.earlyLeaveShare > earlyLeaveThreshold {
 		return min(c.ArrivedAt+min(g.LatencyObjective, g.earlyLeaveDelay), c.ClientDeadline)
@@ -43,21 +48,23 @@
 	return min(objectiveEnd+g.LateValue*max(0, c.ClientDeadline-objectiveEnd), c.ClientDeadline)
 }
 
-// giveUp is the final decision on a command without an answer: Reject where a client's retry does no harm.
+// giveUp returns the final decision on a command without an answer: Reject if a retry by the client does
+// no harm, otherwise Fail.
 func (r *Router) giveUp(now float64, c *Command, g *group) Decision {
-	retryHarmless := g.Idempotency == Idempotent || g.Idempotency == IdempotentWithKey && g.KeyScope == GlobalScope
-	if c.uncertainRuns > 0 && !retryHarmless {
+	harmless := g.Idempotency == Idempotent || g.Idempotency == IdempotentWithKey && g.KeyScope == GlobalScope
+	if c.uncertainRuns > 0 && !harmless {
 		return Decision{Action: Fail, CancelAttempt: noIndex}
 	}
 	d := Decision{Action: Reject, CancelAttempt: noIndex}
-	// A retry that comes too late for the objective should come late; one in time may come at once.
+	// A client's retry that is too late for the objective is best sent late. One still in time may come
+	// immediately.
 	if r.config.RetryAfterAllowed && now+2*g.serviceTime*(1-latencySlack) > c.ArrivedAt+g.LatencyObjective {
 		d.RetryAfter = r.config.MaxRetryAfter
 	}
 	return d
 }
 
-// favourWorstGroup gives the worst-served group the weight that the configured objective gives it.
+// favourWorstGroup raises the fairness weight of the worst-served group by the weight configured for it.
 func (r *Router) favourWorstGroup() {
 	worst, worstServed := noIndex, math.Inf(1)
 	var earned, possible float64
@@ -78,13 +85,14 @@
 	}
 }
 
-// valueDensity is a group's value for its service time.
+// valueDensity returns the value of a group's answer for each second of its service time.
 func (r *Router) valueDensity(g *group) float64 {
 	return g.fairnessWeight * g.PriorityWeight / math.Max(g.serviceTime, r.config.BatchInterval+roundOff)
 }
 
-// queueLimitOf is the queueing time that a group may join: what the groups of at least its density can bear,
-// and less the lower its own density is. Groups that run on the primary only count at a primary.
+// queueLimitOf returns the longest queueing time, in seconds, that commands of a group may join. It is a
+// share of the shortest queueing time that any group of at least its value density can accept, and
+// smaller for a lower density. PrimaryOnly groups are considered only at a primary.
 func (r *Router) queueLimitOf(g *group, atPrimary bool) float64 {
 	own := r.valueDensity(g)
 	acceptable, highest := math.Inf(1), roundOff
@@ -99,6 +107,7 @@
 			acceptable = math.Min(acceptable, math.Max(0, other.LatencyObjective-other.serviceTime))
 		}
 	}
-	share := queueShare + lowTrafficQueueShare*math.Max(0, 1-r.warmAttemptRate*r.longestObjective/lowTrafficAttempts)
+	share := queueShare +
+		lowTrafficQueueShare*math.Max(0, 1-r.warmAttemptRate*r.longestObjective/lowTrafficAttempts)
 	return share * acceptable * (lowestQueueShare + (1-lowestQueueShare)*math.Min(1, own/highest))
 }
--- a/internal/router/latency.go
+++ b/internal/router/latency.go
@@ -6,33 +6,46 @@
 )
 
 const (
-	decayObjectives      = 4    // longest objectives over which an endpoint's latency decays; its health in one,
-	decayAttempts        = 2    // or in the time of so many attempts to it, where these are rare
-	maxTailFactor        = 3.0  // times the expected latency that one answer counts for at most
-	averageWeight        = 0.05 // of one answer in the fleet's and the groups' means
-	connectFailureWeight = 0.2  // of one failed connection in the cost of a new one
-	serviceBatchSize         = 8.0  // answers whose mean stands for a group's service time if it is the least yet
-	serviceDriftObjectives    = 25   // longest objectives in which the service time follows batches that are above it
-	assumedServiceShare  = 0.25 // of its objective that a group's service time is taken for until answers tell
+	// Time constant with which an endpoint's latency decays, in longest objectives; that of its health is
+	// one longest objective.
+	decayObjectives = 4
+	// Where attempts to an endpoint are rare, the time of this many takes the place of one longest
+	// objective.
+	decayAttempts = 2
+	// Most times the expected latency that a single answer counts for.
+	maxTailFactor = 3.0
+	// Weight of one answer in the exponentially weighted means of the fleet and of the groups.
+	averageWeight = 0.05
+	// Weight of one failed connection in the cost of a new one.
+	connectFailureWeight = 0.2
+	// Number of answers whose mean replaces a group's service time if it is lower.
+	serviceBatchSize = 8.0
+	// Time constant, in longest objectives, with which a group's service time rises to batches above it.
+	serviceDriftObjectives = 25
+	// Share of its latency objective that is taken for a group's service time before there are answers.
+	assumedServiceShare = 0.25
 )
 
-// expectedLatency is the answer time over all groups to expect at a queue position. Other routers' part of
-// the queue shows only in answer times; this router's goes with what it has in flight.
+// expectedLatency returns the answer time in seconds, over all groups, that an endpoint is expected to
+// have at a queue position. The other routers' part of its queue shows only in answer times. This
+// router's part follows the attempts that it has in flight there.
 func (r *Router) expectedLatency(e *endpoint, position int) float64 {
 	meanPosition := (e.queuePositionSum + priorWeight*r.fleetQueueLength) / (e.answerCount + priorWeight)
 	others := math.Sqrt(float64(r.config.RouterCount)) - 1
 	return r.meanLatency(e) * (others + float64(position+1)/(meanPosition+1)) / (others + 1)
 }
 
-// meanLatency is an endpoint's mean answer time, leaning on its shard's while answers are few, and that on
-// the fleet's: with low traffic an endpoint is heard every ten seconds, its shard every second.
+// meanLatency returns an endpoint's mean answer time in seconds. While the endpoint has few answers, the
+// mean leans on that of its shard, which in turn leans on that of the fleet. With low traffic a router
+// has an answer from an endpoint every ten seconds, and from its shard every second.
 func (r *Router) meanLatency(e *endpoint) float64 {
 	s := &r.shards[e.shard]
 	prior := priorWeight * (s.latencySum + priorWeight*r.fleetLatency) / (s.answerCount + priorWeight)
 	return (e.latencySum + prior) / (e.answerCount + priorWeight)
 }
 
-// predictedResponse is the answer time to expect of an endpoint for a group's next command.
+// predictedResponse returns the answer time in seconds that endpoint i is expected to have for a group's
+// next command.
 func (r *Router) predictedResponse(i int, g *group) float64 {
 	e := &r.endpoints[i]
 	response := max(g.serviceTime, r.expectedLatency(e, e.queued)*g.tailFactor)
@@ -42,27 +55,29 @@
 	return response
 }
 
-// connectionsCostly says that new connections cost so much that open ones are worth keeping.
+// connectionsCostly reports whether a new connection costs so much time that open ones are worth keeping.
 func (r *Router) connectionsCostly() bool { return r.connectCost >= latencySlack*r.longestObjective }
 
-// expectedWork is a group's service time, or what its objective makes likely before the first answer.
+// expectedWork returns a group's service time in seconds, assumed from its objective before the first
+// answer.
 func (r *Router) expectedWork(g *group) float64 {
 	return cmp.Or(g.serviceTime, assumedServiceShare*g.LatencyObjective)
 }
 
-// relativeWork is a group's expected work in commands of the mean service time.
+// relativeWork returns a group's expected work as a number of commands of mean service time.
 func (r *Router) relativeWork(g *group) float64 {
 	work := r.expectedWork(g)
 	return work / cmp.Or(r.fleetServiceTime, work)
 }
 
-// decay lets the sums of an endpoint and of its shard decay, and those of its health quicker.
+// decay decays the sums of an endpoint and of its shard, those of the endpoint's health faster.
 func (r *Router) decay(now float64, e *endpoint) {
 	e.decay(now, r.decayTime, r.decayTime/decayObjectives)
 	r.shards[e.shard].decay(now, decayObjectives*r.longestObjective)
 }
 
-// recordLatency adds an attempt's answer time, or the least that it would have been.
+// recordLatency adds an attempt's answer time, or the least that it would have been, to the latency
+// statistics.
 func (r *Router) recordLatency(g *group, e *endpoint, a *Attempt, elapsed float64) {
 	if expected := r.expectedLatency(e, a.queuePosition); expected > 0 {
 		g.tailFactor += averageWeight * (min(elapsed/expected, maxTailFactor) - g.tailFactor)
@@ -76,14 +91,16 @@
 	s.answerCount++
 }
 
-// normalizedLatency is an answer time as if the command had the fleet's mean service time. What a longer one
-// takes beyond its service time is chance of that rather than queueing, so it counts in proportion.
+// normalizedLatency converts a group's answer time, in seconds, to that of a command with the fleet's
+// mean service time. For a longer command, the part beyond its service time is scaled down in proportion:
+// it comes from the variation of that service time rather than from queueing.
 func (r *Router) normalizedLatency(g *group, elapsed float64) float64 {
 	proportion := min(1, r.fleetServiceTime/max(g.serviceTime, roundOff))
 	return max(0, r.fleetServiceTime+(elapsed-g.serviceTime)*proportion)
 }
 
-// recordServiceTime takes the least mean of late: under load every answer holds a queue too.
+// recordServiceTime updates a group's service time to the lowest recent mean of its answer times. Under
+// load every answer time includes queueing.
 func (r *Router) recordServiceTime(now float64, g *group, elapsed float64) {
 	g.batchLatencySum += elapsed
 	g.batchAnswers++
@@ -99,7 +116,7 @@
 	}
 }
 
-// recordFleetLatency takes an answer into the fleet's means; the first ones count alike.
+// recordFleetLatency adds an answer to the fleet's means. The first answers all have the same weight.
 func (r *Router) recordFleetLatency(g *group, a *Attempt, elapsed float64) {
 	r.fleetAnswerCount++
 	weight := max(averageWeight, 1/r.fleetAnswerCount)
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -7,13 +7,17 @@
 )
 
 const (
-	latencySlack       = 0.1  // share of the latency objective by which an endpoint may be slower than the best
-	lowTrafficAttempts = 0.5  // attempts to an endpoint within an objective: with fewer its queue cannot be seen
-	recoveryShare      = 0.05 // of this router's commands may be recovery attempts
+	// Share of the latency objective that counts as a small difference, for example between the quickest
+	// endpoint and a chosen one.
+	latencySlack = 0.1
+	// With fewer attempts to an endpoint per longest objective, a router cannot observe its queue.
+	lowTrafficAttempts = 0.5
+	// Share of this router's commands that may be recovery attempts.
+	recoveryShare = 0.05
 )
 
-// chooseEndpoint picks an endpoint, or none for now. A fallback is a read at the primary for want of a
-// replica.
+// chooseEndpoint returns the endpoint for a command, or noIndex if there is none for now. A fallback is a
+// read that goes to the primary because no replica can serve it.
 func (r *Router) chooseEndpoint(now float64, c *Command, g *group) (i int, fallback bool) {
 	primary := r.primary(c.Shard)
 	primaryHealthy := primary >= 0 && !r.updateEjection(now, primary)
@@ -32,20 +36,21 @@
 			return i, true
 		}
 	}
-	return r.chooseForUncoveredRead(now, c, g, primary, primaryHealthy)
+	return r.serveUncovered(now, c, g, primary, primaryHealthy)
 }
 
-// chooseForUncoveredRead serves a read that no replica is known to cover and that did not fall back at once.
-func (r *Router) chooseForUncoveredRead(now float64, c *Command, g *group, primary int, primaryHealthy bool) (int, bool) {
+// serveUncovered chooses an endpoint for a read that no replica is known to cover and that has not fallen
+// back to the primary.
+func (r *Router) serveUncovered(now float64, c *Command, g *group, primary int, healthy bool) (int, bool) {
 	waitIsUseless := !r.checkPosition(now, c, primary) || c.tooStale
-	if r.config.ReplicasCheckReads && (!waitIsUseless || !primaryHealthy) {
+	if r.config.ReplicasCheckReads && (!waitIsUseless || !healthy) {
 		if i := r.chooseFreshestReplica(now, c, g); i >= 0 {
 			return i, false
 		}
 	}
-	// The answer must fit in after the wait.
+	// The read waits no longer than leaves time for its answer.
 	wait := min(catchUpWait, maxWaitShare*(r.usefulUntil(c, g)-c.ArrivedAt))
-	if primaryHealthy && (waitIsUseless || now-c.ArrivedAt >= wait) {
+	if healthy && (waitIsUseless || now-c.ArrivedAt >= wait) {
 		return r.admitPrimary(now, c, g, primary), true
 	}
 	return noIndex, false
@@ -66,8 +71,9 @@
 	return r.drawCandidate(now, c, g)
 }
 
-// heavyReadReplica is the first listed replica that is reachable, or none. Heavy reads can stop a replica's
-// log: spread evenly they kept all replicas behind. So they meet there, and other reads avoid it.
+// heavyReadReplica returns the first listed replica of a shard that is reachable, or noIndex if there is
+// none or no group is heavy. Heavy reads can stop a replica from applying the log. Spread evenly, they
+// kept all replicas behind, so all go to this replica, and other reads avoid it.
 func (r *Router) heavyReadReplica(shard int) int {
 	if !slices.ContainsFunc(r.groups, func(g group) bool { return r.isHeavy(&g) }) {
 		return noIndex
@@ -81,10 +87,12 @@
 	return noIndex
 }
 
-// isHeavy says that a group reads data of any age, with an objective beyond that of all fresher groups.
+// isHeavy reports whether a group reads data of any age with a longer latency objective than all fresher
+// groups.
 func (r *Router) isHeavy(g *group) bool { return g.LatencyObjective > r.longestObjective }
 
-// drawCandidate draws from the candidates about as quick as the quickest, or none if that one is too busy.
+// drawCandidate draws one of the candidates that are about as quick as the quickest. It returns noIndex
+// if the quickest does not admit the command.
 func (r *Router) drawCandidate(now float64, c *Command, g *group) int {
 	if len(r.candidates) == 0 {
 		return noIndex
@@ -100,24 +108,28 @@
 		return r.predictedResponse(i, g) > longest
 	})
 	r.preferOwnZone()
-	// Hundreds of routers that each spread a few reads over all endpoints open a connection for most of them.
+	// Hundreds of routers that each spread a few reads over all endpoints would connect anew for most of
+	// them.
 	if r.hasLowTraffic() {
 		r.prefer(func(i int) bool { return r.endpoints[i].idleConnections > 0 })
 	}
 	return r.candidates[r.random.IntN(len(r.candidates))]
 }
 
-// hasLowTraffic says that this router sends too little to an endpoint to see its state in time.
-func (r *Router) hasLowTraffic() bool { return r.warmAttemptRate*r.longestObjective < lowTrafficAttempts }
+// hasLowTraffic reports whether this router sends too little to each endpoint to observe its state in time.
+func (r *Router) hasLowTraffic() bool {
+	return r.warmAttemptRate*r.longestObjective < lowTrafficAttempts
+}
 
-// preferOwnZone suits low traffic: a slow network to another zone is over before this router has seen it.
+// preferOwnZone keeps the candidates in this router's zone if it has low traffic. A slow network to
+// another zone would have recovered before such a router had noticed it.
 func (r *Router) preferOwnZone() {
 	if r.hasLowTraffic() {
 		r.prefer(func(i int) bool { return r.endpoints[i].zone == r.config.Zone })
 	}
 }
 
-// prefer keeps the candidates that are better, if any are.
+// prefer keeps only the candidates that are better, unless none are.
 func (r *Router) prefer(better func(int) bool) {
 	if slices.ContainsFunc(r.candidates, better) {
 		r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool { return !better(i) })
--- a/internal/router/slowstart.go
+++ b/internal/router/slowstart.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	slowStartMargin = 0.7  // of the overload factor that a cold endpoint gets; the rest is left to chance
-	slowStartBurst  = 0.25 // of the overload window whose budget is granted at once
+	slowStartMargin = 0.7  // share of the overload factor to use; the rest allows for random variation
+	slowStartBurst  = 0.25 // share of the overload window for which budget is granted at a time
 )
 
-// slowStartAdmits gives an endpoint that has just started its share of what a warm one answers to this
-// router, as far as its capacity has grown at the slowest. All routers do the same. What warm endpoints are
-// sent is no measure: in a burst that is several times what they can do, and what they answer never is.
+// slowStartAdmits reports whether endpoint i may get an attempt. An endpoint in slow start has a budget:
+// the commands that a warm endpoint answers to this router, scaled by the least capacity to which it has
+// grown by now. All routers apply the same rule. The commands sent to warm endpoints are no measure, as a
+// burst brings several times what they can answer; the commands that they answer never exceed it.
 func (r *Router) slowStartAdmits(now float64, i int) bool {
 	e := &r.endpoints[i]
 	age := now - e.startedAt
@@ -20,13 +21,16 @@
 		return true
 	}
 	capacity := r.config.SlowStartFloor + (1-r.config.SlowStartFloor)*max(0, age)/r.config.SlowStart
-	// Without a warm endpoint there is no rate to go by: an endpoint does one command at a time at least.
-	least := slowStartMargin * r.config.OverloadFactor * capacity / cmp.Or(r.fleetServiceTime, r.config.SlowStart)
+	// Without a warm endpoint there is no rate to measure. An endpoint can run at least one command at a
+	// time.
+	least := slowStartMargin * r.config.OverloadFactor * capacity /
+		cmp.Or(r.fleetServiceTime, r.config.SlowStart)
 	least = max(1/r.config.OverloadWindow, least)
 	rate := slowStartMargin * r.config.OverloadFactor * capacity * r.warmThroughput
 	rate = max(rate, least/float64(r.config.RouterCount))
-	// Rounded at random and never saved up, so that the fractions of many routers add up to the whole: one
-	// attempt each at once, from a hundred routers, overloaded a cold endpoint.
+	// The budget is rounded at random and unused budget expires, so that the fractions of many routers
+	// add up to the whole. When a hundred routers each sent one attempt at the same time, they overloaded
+	// a cold endpoint.
 	if span := slowStartBurst * r.config.OverloadWindow; now-e.slowStartBudgetSetAt >= span {
 		overdraft := min(0, e.slowStartBudget)
 		e.slowStartBudget, e.slowStartBudgetSetAt = math.Floor(rate*span+r.random.Float64())+overdraft, now
@@ -34,8 +38,8 @@
 	return e.slowStartBudget >= 1
 }
 
-// chargeSlowStart takes an attempt from the budget of an endpoint in slow start: its work, in commands of
-// the mean service time.
+// chargeSlowStart deducts an attempt's work, in commands of mean service time, from the budget of an
+// endpoint in slow start.
 func (r *Router) chargeSlowStart(now float64, e *endpoint, g *group) {
 	if now-e.startedAt < r.config.SlowStart {
 		e.slowStartBudget -= r.relativeWork(g)
