--- a/internal/router/maintenance.go
+++ b/internal/router/maintenance.go
@@ -3,11 +3,15 @@
 import "math"
 
 const (
-	checksPerCommand     = 0.25   // health checks per command for positions, and as many for signs of life, unasked
-	pollRetryShare = 0.0625 // share of the poll window before a failed poll of the list is repeated
+	// Health checks per command to learn positions, and again as many to find ejected endpoints that are
+	// back. Checks requested for a certain read come on top.
+	checksPerCommand = 0.25
+	// Share of the poll window until a failed poll of the endpoint list is first repeated.
+	pollRetryShare = 0.0625
 )
 
-// EndpointListFailed takes in that a poll of the endpoint list failed, and backs off exponentially.
+// EndpointListFailed records that a poll of the endpoint list has failed. The next polls back off
+// exponentially.
 func (r *Router) EndpointListFailed(now float64) {
 	r.subscribed = false
 	backoff := min(pollRetryShare*r.config.PollWindow*math.Exp2(r.pollFailures), r.config.PollWindow/2)
@@ -15,7 +19,8 @@
 	r.nextPollAt = now + backoff*(1+r.random.Float64())/2
 }
 
-// Maintain returns the seconds until it is to be called again at the latest, and what is due now.
+// Maintain returns the number of seconds within which it has to be called again, and the work that is due
+// now.
 func (r *Router) Maintain(now float64) (float64, Maintenance) {
 	var due Maintenance
 	if r.config.PollList && !r.subscribed && now >= r.nextPollAt {
@@ -30,13 +35,15 @@
 	}
 	due.HealthCheck, r.pendingChecks = append(due.HealthCheck, r.pendingChecks...), r.pendingChecks[:0]
 	next := r.lastReviewAt + r.reviewInterval/2
-	if r.config.PollList && !r.subscribed { // a list that was missed binds however rarely the fleet is reviewed
+	// A change missed in the list binds this router however rarely it reviews the endpoints.
+	if r.config.PollList && !r.subscribed {
 		return max(0, min(next, r.nextPollAt)-now), due
 	}
 	return next - now, due
 }
 
-// decayCounts lets counts decay. Leaving clients must be seen anew: rejected commands say nothing of them.
+// decayCounts decays counts by their age. Without decay, a high share of leaving clients would last:
+// rejected commands do not show whether clients still leave early.
 func (r *Router) decayCounts(now float64) {
 	factor := math.Exp((r.lastReviewAt - now) / r.decayTime)
 	for i := range r.groups {
@@ -47,7 +54,7 @@
 	r.lastReviewAt = now
 }
 
-// reviewEndpoints asks for the health checks that are due, and returns the endpoints that it has forgotten.
+// reviewEndpoints requests the health checks that are due, and returns the endpoints that it has forgotten.
 func (r *Router) reviewEndpoints(now float64) (released []int) {
 	for i := range r.endpoints {
 		e := &r.endpoints[i]
@@ -55,7 +62,8 @@
 			continue
 		}
 		ejected := r.updateEjection(now, i)
-		// By then a flapping list, a slow start and what is in flight are over; the index may become another's.
+		// After this time the list has settled, slow start is over and nothing is in flight, so the index
+		// may be given to another endpoint.
 		unused := now - max(e.removedAt, e.lastAnswerAt)
 		if e.inFlight == 0 && unused > r.config.SlowStart+retentionTimeouts*r.longestTimeout {
 			r.removeFromShard(i)
@@ -69,8 +77,9 @@
 	return released
 }
 
-// checkDue says that an endpoint's position was not reported lately, or that a sign of life is due from a
-// suspected one that is unreachable. Of a suspected one that is reached, only a recovery attempt says more.
+// checkDue reports whether an endpoint has to be checked: its position has not been reported lately, or
+// it is ejected and unreachable. An ejected endpoint that is reachable can only show by a recovery
+// attempt that it has recovered.
 func (r *Router) checkDue(now float64, e *endpoint, ejected bool) bool {
 	unreachable := !math.IsInf(e.unreachableSince, 1)
 	if ejected && unreachable && now-e.lastCheckAt >= r.ejectedCheckInterval {
@@ -84,7 +93,7 @@
 	return r.config.LoadReports && !math.IsInf(r.checkInterval, 1) && sinceReport >= interval
 }
 
-// updateFleet brings up to date what is known of the fleet as a whole, and the queue limits.
+// updateFleet updates the statistics of the fleet as a whole and the queue limits of the groups.
 func (r *Router) updateFleet(now float64) {
 	var failureShares []float64
 	var rate, throughput, warm, ejected float64
@@ -106,7 +115,9 @@
 	if len(failureShares) > 0 {
 		r.medianFailureShare = median(failureShares)
 	}
-	if warm > 0 { // it falls no faster than an endpoint warms up: where most are ejected little is sent
+	if warm > 0 {
+		// The rates fall no faster than an endpoint warms up. While most endpoints are ejected, little is
+		// sent.
 		kept := 1 - r.reviewInterval/r.config.SlowStart
 		r.warmAttemptRate = max(rate/warm, r.warmAttemptRate*kept)
 		r.warmThroughput = max(throughput/warm, r.warmThroughput*kept)
@@ -120,16 +131,18 @@
 	}
 }
 
-// updateIntervals fits the intervals of checks and recovery attempts to this router's traffic.
+// updateIntervals adapts the intervals of health checks and recovery attempts to this router's traffic.
 func (r *Router) updateIntervals(eligible, ejected float64) {
 	commandInterval := 1 / max(r.commandCount/r.decayTime, 1/r.longestTimeout)
 	r.checkInterval = max(r.reviewInterval, eligible*commandInterval/checksPerCommand)
-	// A position is checked unasked only where each endpoint gets a command while the position is good. Hundreds
-	// of routers with low traffic each checked every endpoint in the first second, and used few of the answers.
+	// Positions are checked in advance only if each endpoint gets a command while its position is still
+	// usable. Hundreds of routers with low traffic each checked every endpoint in their first second, and
+	// used few of the positions.
 	if eligible*commandInterval > r.reviewInterval {
 		r.checkInterval = math.Inf(1)
 	}
 	r.ejectedCheckInterval = max(r.longestObjective/2, ejected*commandInterval/checksPerCommand)
 	r.recoveryInterval = commandInterval / recoveryShare
-	r.decayTime = decayObjectives * max(r.longestObjective, min(decayAttempts/r.warmAttemptRate, r.longestTimeout))
+	r.decayTime = decayObjectives *
+		max(r.longestObjective, min(decayAttempts/r.warmAttemptRate, r.longestTimeout))
 }
--- a/internal/router/migration.go
+++ b/internal/router/migration.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// previousRouterWrites stands for the writes in flight at an earlier router until LearnFrom finds that none is.
+// previousRouterWrites marks in session.writesInFlight that writes were in flight at the previous router.
+// It stays until LearnFrom finds that none is in flight there any more.
 const previousRouterWrites = 0.5
 
-// MigrateFrom takes over, before the first command, what an earlier router of the same process has learned
-// and what still means the same under other settings: where endpoints are, their states, roles and
-// positions, when they started, which are ejected or unreachable, slow-start budgets, and the sessions.
-// What was learned of the earlier command groups, traffic or number of routers (latencies, service times,
-// shares, rates) starts afresh, and so does what is in flight: the earlier router's attempts end there.
+// MigrateFrom copies, before the first command, the state of the previous router of the same process that
+// is still valid under new settings: the endpoints with their shards, states, roles, positions, start
+// times, ejections, failed contacts and slow-start budgets, and the sessions. What the previous router
+// has measured of its command groups, traffic or number of routers (latencies, service times, shares,
+// rates) starts afresh. Attempts in flight are not copied: they end at the previous router.
 func (r *Router) MigrateFrom(now float64, from *Router) {
 	r.endpoints = slices.Clone(from.endpoints)
 	for i := range r.endpoints {
@@ -34,15 +35,15 @@
 	r.subscribed, r.nextPollAt, r.pollFailures = from.subscribed, from.nextPollAt, from.pollFailures
 }
 
-// resetTraffic forgets what is in flight and what was learned of latencies.
+// resetTraffic discards the attempts in flight and the measured latencies.
 func (e *endpoint) resetTraffic() {
 	e.queued, e.inFlight, e.unansweredAttempts = 0, 0, 0
 	e.attemptCount, e.answeredWorkSum = 0, 0
 	e.latencySum, e.queuePositionSum, e.answerCount = 0, 0, 0
 }
 
-// LearnFrom takes over what an earlier router of the process has just learned of a command's session. The
-// session's last commands end there after the switch, and a read that is routed here must see what they
+// LearnFrom merges what the previous router of the process has just learned of a command's session. After
+// the switch the session's last commands still end there, and a read routed here has to see what they
 // wrote.
 func (r *Router) LearnFrom(c *Command, from *Router) {
 	learned, known := from.session(c.Session), r.session(c.Session)
--- a/internal/router/reportedtime.go
+++ b/internal/router/reportedtime.go
@@ -2,10 +2,11 @@
 
 import "math"
 
-// ShiftReportedTimes sets right the times that endpoints, the list and sessions' clients have told, after
-// the caller's clock turned out to be behind theirs by so many seconds (negative: ahead): what was told of
-// before is that much earlier. Where a time may be the router's own, it is only moved to the side on which
-// it makes the router more careful.
+// ShiftReportedTimes corrects the times that endpoints, the list and clients have reported so far. It is
+// called when the caller's clock turns out to be behind theirs by the given number of seconds (negative:
+// ahead). The reported times were then taken for that much later than they were. Where a time may have
+// been taken from the router's own clock, it is only moved to the side that makes the router more
+// careful.
 func (r *Router) ShiftReportedTimes(behind float64) {
 	for i := range r.endpoints {
 		e := &r.endpoints[i]
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -10,13 +10,18 @@
 )
 
 const (
-	maxWaitShare   = 0.5             // of its client's time after which a command never sent is given up
-	waitReviewShare = 0.05            // of catchUpWait between two looks at a command that waits
-	priorWeight = 2.0             // answers' worth of a wider mean in the mean of one endpoint, shard or group
-	roundOff    = 1.0 / (1 << 23) // relative error of a reported position, and the least divisor
+	// Share of a command's time that it may wait. One that no endpoint has received is given up after it,
+	// and a read waits for a replica no longer than this share of its useful time.
+	maxWaitShare = 0.5
+	// Share of catchUpWait between two calls of Route for a command that waits.
+	waitReviewShare = 0.05
+	// Number of answers that the wider mean counts for in the mean of an endpoint, shard or group.
+	priorWeight = 2.0
+	// Relative rounding error of a reported position. It is also the least value of a divisor.
+	roundOff = 1.0 / (1 << 23)
 )
 
-// New returns a router that knows nothing but its configuration. Its random choices follow the seed.
+// New returns a router that knows only its configuration. Equal seeds give equal random choices.
 func New(config Config, seed uint64) *Router {
 	r := &Router{
 		config: config, random: mwc.New(seed), sessions: generational.New[uint64, session](),
@@ -42,21 +47,22 @@
 	}
 	r.config.RouterCount = max(1, config.RouterCount)
 	r.config.MaxAttempts = max(1, config.MaxAttempts)
-	// Where no window is configured the list service must not be flooded.
+	// Without a configured window, the router must not flood the list service.
 	r.config.PollWindow = max(config.PollWindow, r.longestObjective)
 	r.reviewInterval = max(config.BatchInterval, min(interval, r.longestObjective))
 	r.decayTime = decayObjectives * r.longestObjective
 	return r
 }
 
-// eligible says whether an endpoint may get new commands. With soft removal, being removed does not bind.
+// eligible reports whether an endpoint may get new commands. With Config.SoftRemoval, a removed endpoint
+// may unless it was draining.
 func (r *Router) eligible(e *endpoint) bool {
 	listed := math.IsInf(e.removedAt, 1) || r.config.SoftRemoval
 	return e.shard >= 0 && !e.draining && listed
 }
 
-// Route says where to send a command, or not yet, or never. The caller calls it for a new command and again
-// at Decision.ReviewAt, also while an attempt is in flight.
+// Route decides whether to send a command, and where, or to wait or give up. The caller calls it for a
+// new command, and again at Decision.ReviewAt, also while an attempt is in flight.
 func (r *Router) Route(now float64, c *Command) Decision {
 	g := &r.groups[c.Group]
 	r.countArrival(c, g)
@@ -74,8 +80,8 @@
 	return r.forward(now, c, g, i, fallback)
 }
 
-// shouldGiveUp says that a command is to be given up: one that was never sent by half of its client's time, so
-// that the client can still try elsewhere.
+// shouldGiveUp reports whether a command has to be given up. One that no endpoint has received is given
+// up by half of its client's time, so that the client can still try elsewhere.
 func (r *Router) shouldGiveUp(now float64, c *Command, g *group) bool {
 	switch {
 	case now >= c.ClientDeadline, c.Shard < 0, c.Shard >= len(r.shards):
