--- a/internal/router/generational/generational.go
+++ b/internal/router/generational/generational.go
@@ -1,13 +1,14 @@
-// Package generational has a map that forgets its oldest entries by halves, without a list of their ages.
+// Package generational provides a map that forgets its oldest entries without tracking the age of each
+// entry.
 package generational
 
 import "maps"
 
-// Map is a map in two generations. Put writes to the younger one; Turn drops the older one as a whole and makes
-// the younger one the older. An entry is forgotten if it is not put again between two turns. Its zero value is
-// not ready for use; see New. It is not safe for concurrent use.
+// Map is a map in two generations. Put writes to the younger one; Rotate drops the older one and makes
+// the younger one the older. An entry is forgotten if it is not put again between two rotations. The zero
+// value is not ready for use; see New. A Map is not safe for concurrent use.
 type Map[K comparable, V any] struct {
-	younger, older map[K]V
+	younger, older map[K]V // entries put since the last rotation, and between the two before it
 }
 
 // New returns an empty map.
@@ -15,7 +16,7 @@
 	return Map[K, V]{younger: map[K]V{}, older: map[K]V{}}
 }
 
-// Get returns the entry of a key, the newer one if both generations have one.
+// Get returns the value of a key, the newer one if both generations have one.
 func (m *Map[K, V]) Get(key K) (value V, ok bool) {
 	if value, ok = m.younger[key]; ok {
 		return value, true
@@ -24,16 +25,16 @@
 	return value, ok
 }
 
-// Put sets the entry of a key in the younger generation.
+// Put sets the value of a key in the younger generation.
 func (m *Map[K, V]) Put(key K, value V) { m.younger[key] = value }
 
-// YoungerLen is the number of entries in the younger generation.
+// YoungerLen returns the number of entries in the younger generation.
 func (m *Map[K, V]) YoungerLen() int { return len(m.younger) }
 
-// Rotate forgets the older generation; the younger one takes its place.
+// Rotate drops the older generation and makes the younger one the older.
 func (m *Map[K, V]) Rotate() { m.older, m.younger = m.younger, map[K]V{} }
 
-// Update makes each entry what convert makes of it. Entries come in no order.
+// Update replaces each value by the result of convert, in no particular order.
 func (m *Map[K, V]) Update(convert func(V) V) {
 	for _, generation := range []map[K]V{m.younger, m.older} {
 		for key, value := range generation {
@@ -42,7 +43,8 @@
 	}
 }
 
-// CloneFunc returns a copy in which each entry is what convert makes of it. Entries come in no order.
+// CloneFunc returns a copy in which each value is replaced by the result of convert, in no particular
+// order.
 func (m *Map[K, V]) CloneFunc(convert func(V) V) Map[K, V] {
 	clone := Map[K, V]{younger: maps.Clone(m.younger), older: maps.Clone(m.older)}
 	clone.Update(convert)
