--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Fairness follows the weights that the configuration states for the whole and for the worst-served group.
+// The worst-served group gets extra weight in the proportion that the configuration gives it against all
+// groups.
 func TestWorstServedGroupIsFavoured(t *testing.T) {
 	config := testConfig()
 	config.TotalWeight, config.WorstGroupWeight = 0.5, 0.25
@@ -17,31 +18,36 @@
 	r.groups[eventualReads].inTimeAnswerCount = 20
 	r.favourWorstGroup()
 	assert.InDelta(t, 1.0, r.groups[boundedReads].fairnessWeight, 0)
-	assert.InDelta(t, 1+0.5*7, r.groups[eventualReads].fairnessWeight, 1e-9, "one seventh of the value asked for")
+	assert.InDelta(t, 1+0.5*7, r.groups[eventualReads].fairnessWeight, 1e-9,
+		"the group asks for one seventh of the total value")
 }
 
-// Commands past their objective were sent again at once until their attempts ran out.
+// Commands past their objective were sent again immediately until they had no attempts left.
 func TestNothingIsSentThatIsOfNoUseAnyMore(t *testing.T) {
 	r := testRouter(t, testConfig())
 	assert.Equal(t, Reject, r.Route(10.6, newCommand(eventualReads)).Action)
 	r.groups[writes].LateValue = 0.5
-	assert.Equal(t, Forward, r.Route(10.6, newCommand(writes)).Action, "late value is worth having")
+	assert.Equal(t, Forward, r.Route(10.6, newCommand(writes)).Action, "a late answer still has value")
 }
 
-// A group with a roomy objective filled queues past what a denser group could bear.
+// A group with a long objective once filled queues beyond what a group of more value density could accept.
 func TestQueueLimitFollowsValueDensity(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for i := range r.groups {
 		r.groups[i].serviceTime = 0.05
 	}
 	r.groups[eventualReads].serviceTime, r.groups[eventualReads].LatencyObjective = 0.1, 2
-	assert.Less(t, r.queueLimitOf(&r.groups[eventualReads], false), r.queueLimitOf(&r.groups[boundedReads], false))
-	assert.Less(t, r.queueLimitOf(&r.groups[boundedReads], true), r.queueLimitOf(&r.groups[writes], true), "the write has the most value")
-	// A hundred routers that see nothing of a queue once held back by a few stray answers.
+	assert.Less(t, r.queueLimitOf(&r.groups[eventualReads], false),
+		r.queueLimitOf(&r.groups[boundedReads], false))
+	assert.Less(t, r.queueLimitOf(&r.groups[boundedReads], true), r.queueLimitOf(&r.groups[writes], true),
+		"writes have the highest value density")
+	// A hundred routers with too little traffic to observe a queue once held commands back because of a
+	// few slow answers.
 	r.warmAttemptRate = 4
 	assert.InDelta(t, queueShare*0.45, r.queueLimitOf(&r.groups[boundedReads], false), 1e-9)
 	r.warmAttemptRate = 0
-	assert.InDelta(t, (queueShare+lowTrafficQueueShare)*0.45, r.queueLimitOf(&r.groups[boundedReads], false), 1e-9)
+	assert.InDelta(t, (queueShare+lowTrafficQueueShare)*0.45, r.queueLimitOf(&r.groups[boundedReads], false),
+		1e-9)
 	r.fleetServiceTime = 0.05
 	e := &r.endpoints[1]
 	e.latencySum, e.queuePositionSum, e.answerCount, e.queued = 2, 50, 10, 5
@@ -51,7 +57,8 @@
 	assert.False(t, r.admits(10, c, &r.groups[boundedReads], 1, 0.2), "a client's retry")
 }
 
-// Eight routers' single free places once filled endpoints of four cores twice over.
+// Eight routers, each with a single free attempt at the same time, once gave endpoints of four cores
+// twice the work that fills them.
 func TestManyRoutersTakeFreeAttemptsInTurn(t *testing.T) {
 	config := testConfig()
 	config.RouterCount = 12
@@ -59,28 +66,31 @@
 	r.fleetServiceTime, r.fleetLatency, r.fleetQueueLength = 0.01, 0.1, 1
 	r.endpoints[1].lastAnswerAt = 10
 	c := newCommand(eventualReads)
-	assert.False(t, r.admits(10.1, c, &r.groups[eventualReads], 1, 0), "just answered: the others' turn")
+	assert.False(t, r.admits(10.1, c, &r.groups[eventualReads], 1, 0),
+		"it has just answered: the other routers' turn")
 	assert.True(t, r.admits(10.35, c, &r.groups[eventualReads], 1, 0))
 	r.config.RouterCount = 3
 	assert.True(t, r.admits(10.1, c, &r.groups[eventualReads], 1, 0))
 }
 
-// A write went back to the primary that had just rejected it as overloaded: 1.8 attempts a command in a burst.
+// A write went back to the primary that had just rejected it as overloaded: 1.8 attempts per command in a
+// burst.
 func TestOverloadedEndpointRestsForAMeanServiceTime(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.fleetServiceTime, r.fleetLatency = 0.1, 0.1
 	c := newCommand(writes)
 	r.Route(10, c)
-	assert.Equal(t, Wait, r.AttemptEnded(10.001, c, AttemptResult{Result: Overloaded, Elapsed: 0.001, Position: -1}).Action)
+	assert.Equal(t, Wait, r.AttemptEnded(10.001, c,
+		AttemptResult{Result: Overloaded, Elapsed: 0.001, Position: -1}).Action)
 	assert.Equal(t, Wait, r.Route(10.05, c).Action)
 	e := &r.endpoints[0]
-	e.latencySum, e.answerCount = 0, 0 // what it told of its pace is another matter
+	e.latencySum, e.answerCount = 0, 0 // discard the latency of the rejection, which is not tested here
 	decision := r.Route(10.102, c)
 	assert.Equal(t, Forward, decision.Action)
 	assert.Equal(t, 0, decision.Endpoint)
 }
 
-// Clients that leave long before their time cost work that nobody waits for.
+// Commands of clients that leave long before their timeout cost work for answers that nobody receives.
 func TestLeavingClientsShortenTheUsefulTime(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for range 20 {
@@ -90,10 +100,11 @@
 	}
 	assert.InDelta(t, 10.1, r.usefulUntil(newCommand(eventualReads), &r.groups[eventualReads]), 0.001)
 	assert.InDelta(t, 10.5, r.usefulUntil(newCommand(boundedReads), &r.groups[boundedReads]), 0)
-	// A router that stalled once took its own lateness for leaving clients and never sent again.
+	// A router that had once stalled took its own delay for early leaving and never sent anything again.
 	r.Maintain(11)
 	r.Maintain(20)
-	assert.InDelta(t, 10.5, r.usefulUntil(newCommand(eventualReads), &r.groups[eventualReads]), 0, "not seen again, it is forgotten")
+	assert.InDelta(t, 10.5, r.usefulUntil(newCommand(eventualReads), &r.groups[eventualReads]), 0,
+		"without new early leavers the share decays")
 }
 
 func TestFewEarlyLeaversDoNotShortenOthersTime(t *testing.T) {
--- a/internal/router/consistency_test.go
+++ b/internal/router/consistency_test.go
@@ -37,18 +37,18 @@
 	assert.Equal(t, 2, r.Route(10.05, newCommand(boundedReads)).Endpoint)
 	c := newCommand(boundedReads)
 	c.ArrivedAt = 10.15
-	assert.Equal(t, Wait, r.Route(10.15, c).Action, "none within the bound: it waits")
-	assert.Equal(t, 0, r.Route(10.26, c).Endpoint, "and then goes to the primary")
+	assert.Equal(t, Wait, r.Route(10.15, c).Action, "no replica is within the bound: it waits")
+	assert.Equal(t, 0, r.Route(10.26, c).Endpoint, "after the wait it goes to the primary")
 }
 
-// With every replica stalled by one heavy record the wait only spent the objective.
+// While one heavy log record stalled every replica, waiting only used up the time of the latency objective.
 func TestReadDoesNotWaitWhereNoReplicaCanCatchUp(t *testing.T) {
 	r := testRouter(t, testConfig())
 	c := newCommand(boundedReads)
 	c.ArrivedAt, c.ClientDeadline = 10.6, 12
-	assert.Equal(t, Wait, r.Route(10.6, c).Action, "heard 0.6 s ago, a replica may have caught up")
+	assert.Equal(t, Wait, r.Route(10.6, c).Action, "a replica that reported 0.6 s ago may have caught up")
 	r.endpoints[1].position, r.endpoints[2].position = 5, 5
-	assert.Equal(t, 0, r.Route(10.6, c).Endpoint, "the primary at once")
+	assert.Equal(t, 0, r.Route(10.6, c).Endpoint, "it goes to the primary without a wait")
 }
 
 func TestFreshestReplicaServesWhereReplicasCheckReads(t *testing.T) {
@@ -60,10 +60,11 @@
 	c := newCommand(sessionReads)
 	assert.Equal(t, 2, r.Route(10, c).Endpoint)
 	decision := r.AttemptEnded(10.06, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
-	assert.Equal(t, 0, decision.Endpoint, "not served as too stale, it goes to the primary")
+	assert.Equal(t, 0, decision.Endpoint, "rejected as too stale, it goes to the primary")
 }
 
-// With 127 routers a primary was often unknown, and what was heard of replicas seconds old.
+// With 127 routers the primary was often unknown to a router, and its last reports from replicas were
+// seconds old.
 func TestLinearizableReadWithoutAPrimary(t *testing.T) {
 	config := testConfig()
 	config.ReplicasCheckReads = true
@@ -72,13 +73,14 @@
 	for i := range r.endpoints {
 		r.endpoints[i].reportedLag = float64(i)
 	}
-	assert.Equal(t, 0, r.Route(10.2, newCommand(linearizableReads)).Endpoint, "the least behind checks it itself")
+	assert.Equal(t, 0, r.Route(10.2, newCommand(linearizableReads)).Endpoint,
+		"the replica with the least lag checks the read itself")
 	c := newCommand(linearizableReads)
 	c.Attempts, c.ArrivedAt, c.routed = []Attempt{{Endpoint: 0, SentAt: 10.1, InFlight: true}}, 10.1, true
 	decision := r.AttemptEnded(10.2, c, AttemptResult{Result: NotServed, Position: -1, Role: RoleReplica})
-	assert.Equal(t, 1, decision.Endpoint, "not served, it meets the next: one of them may be the primary")
+	assert.Equal(t, 1, decision.Endpoint, "after a rejection the next is tried: one may be the primary")
 	assert.InDelta(t, 1.0, r.recentLag(10.2, 1), 0)
-	assert.Zero(t, r.recentLag(11, 1), "it may have caught up since")
+	assert.Zero(t, r.recentLag(11, 1), "a replica with an old report may have caught up")
 }
 
 func TestUnheardReplicaCoversNoBoundedRead(t *testing.T) {
@@ -86,8 +88,9 @@
 	r.UpdateEndpoints(10, []EndpointInfo{warmEndpoint(0), warmEndpoint(1)}, true, true)
 	assert.Equal(t, Wait, r.Route(10, newCommand(boundedReads)).Action)
 	_, due := r.Maintain(10)
-	assert.Equal(t, []int{0}, due.HealthCheck, "the one that the read needs")
-	assert.Equal(t, Forward, r.Route(10, newCommand(eventualReads)).Action, "any read may go to any replica")
+	assert.Equal(t, []int{0}, due.HealthCheck, "the replica that the read needs")
+	assert.Equal(t, Forward, r.Route(10, newCommand(eventualReads)).Action,
+		"an eventual read may go to any replica")
 }
 
 func TestForgottenSessionsRaiseThePositionFloor(t *testing.T) {
@@ -116,18 +119,19 @@
 	}
 	c := newCommand(sessionReads)
 	testRouter(t, config).Route(10, c)
-	assert.Less(t, c.requiredPosition, 10.0, "0: none is known")
+	assert.Less(t, c.requiredPosition, 10.0, "an age of 0 means that no write is known")
 }
 
-// A session read is sent while a write of its session is out, or after one that broke: the endpoint may have run the
-// write and its answer been on its way, so that the read owes what it wrote. A lagging replica was read (rule 5).
+// A session's read is sent while a write of the session is in flight, or after one that broke. The
+// endpoint may have run the write while its answer was under way, so the read has to see it. A lagging
+// replica was read (rule 5).
 func TestSessionReadCoversWritesThatMayHaveRun(t *testing.T) {
 	config := testConfig()
 	config.CommandGroups[writes].Idempotency = IdempotentWithKey
 	replicas := []int{1, 2}
 	for name, write := range map[string]struct {
-		result      *AttemptResult // at 10.1; nil: it is out
-		covers float64        // what replicas must hold then to be read
+		result *AttemptResult // result of the write at 10.1; nil: still in flight
+		covers float64        // position that a replica must have at 10.15 to serve the session's read
 	}{
 		"out":       {nil, 10.15},
 		"broke":     {&AttemptResult{Result: ConnectionLost}, 10.1},
@@ -139,20 +143,23 @@
 		"full":      {&AttemptResult{Result: Overloaded}, 10},
 		"missed":    {&AttemptResult{Result: NotServed}, 10},
 	} {
-		for _, offset := range []float64{-0.001, 0.001} { // what replicas hold, beside that
+		for _, offset := range []float64{-0.001, 0.001} { // offset of the replicas' position from covers
 			r := testRouter(t, config)
 			r.fleetServiceTime, r.fleetLatency = 0.01, 0.01
 			setPositions := func(position float64) {
 				for _, i := range replicas {
-					r.endpoints[i].position, r.endpoints[i].positionReportedAt, r.endpoints[i].reportedLag = position, 10.15, 10.15-position
+					r.endpoints[i].position, r.endpoints[i].positionReportedAt, r.endpoints[i].reportedLag =
+						position, 10.15, 10.15-position
 				}
 			}
 			firstRead := newCommand(sessionReads)
 			require.Contains(t, replicas, r.Route(10, firstRead).Endpoint)
-			r.AttemptEnded(10, firstRead, AttemptResult{Result: Answered, Elapsed: 0.01, Final: true, Position: 10}) // highest read 10
+			// The session's highest read is now at position 10.
+			r.AttemptEnded(10, firstRead, AttemptResult{Result: Answered, Elapsed: 0.01, Final: true, Position: 10})
 			c := newCommand(writes)
 			require.Equal(t, 0, r.Route(10, c).Endpoint)
-			waitingRead := newCommand(sessionReads) // arrived before the write ended, and found no replica
+			// It arrived before the write ended and has waited for a replica since.
+			waitingRead := newCommand(sessionReads)
 			waitingRead.routed, waitingRead.requiredPosition = true, 10
 			if write.result != nil {
 				result := *write.result
@@ -166,23 +173,26 @@
 			setPositions(write.covers + offset)
 			other := newCommand(sessionReads)
 			other.Session, other.ArrivedAt, other.ClientDeadline = 8, 10.15, 12
-			assert.Contains(t, replicas, r.Route(10.15, other).Endpoint, "%s: of another session", name)
-			assert.Equal(t, offset > 0, slices.Contains(replicas, r.chooseReplica(10.15, waitingRead, &r.groups[sessionReads], r.sessionPosition(10.15, waitingRead))), "%s, %g", name, offset)
+			assert.Contains(t, replicas, r.Route(10.15, other).Endpoint, "%s: a read of another session", name)
+			assert.Equal(t, offset > 0, slices.Contains(replicas,
+				r.chooseReplica(10.15, waitingRead, &r.groups[sessionReads], r.sessionPosition(10.15, waitingRead))),
+				"%s, %g", name, offset)
 		}
 	}
 }
 
-// Where those that cover a read have no room a position more is of no use: at a burst each read held for want of room
-// once had a health check every 100 ms.
+// If the replicas that cover a read are all busy, a new position does not help. In a burst, every read
+// that waited for a free replica once requested a health check each 100 ms.
 func TestKnownPositionIsNotChecked(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for i := range r.endpoints {
-		r.endpoints[i].latencySum, r.endpoints[i].answerCount, r.endpoints[i].queued, r.endpoints[i].lastAnswerAt = 400, 100, 9, 10.25
+		r.endpoints[i].latencySum, r.endpoints[i].answerCount, r.endpoints[i].queued,
+			r.endpoints[i].lastAnswerAt = 400, 100, 9, 10.25
 	}
 	c := newCommand(boundedReads)
 	c.ArrivedAt, c.ClientDeadline = 10.25, 12.25
 	require.Equal(t, Wait, r.Route(10.25, c).Action)
-	assert.Empty(t, r.pendingChecks, "both replicas cover it")
+	assert.Empty(t, r.pendingChecks, "both replicas are known to cover the read")
 	for i := range r.endpoints {
 		r.endpoints[i].position = 9.5
 	}
@@ -190,8 +200,8 @@
 	assert.Len(t, r.pendingChecks, 1)
 }
 
-// Where replicas check reads a miss tells their position for nothing; health checks for it cost a service point in
-// thirty.
+// Where replicas check reads, a rejected read already reports the replica's position. Health checks for
+// it cost one service point in thirty.
 func TestPositionIsNotCheckedWhereReplicasCheckReads(t *testing.T) {
 	for _, replicasCheckReads := range []bool{true, false} {
 		config := testConfig()
@@ -203,7 +213,7 @@
 	}
 }
 
-// A read that goes to the primary at once has no replica asked for it.
+// A read that goes to the primary immediately requests no health check of a replica.
 func TestReadThatFallsBackAtOnceChecksNoPosition(t *testing.T) {
 	r := testRouter(t, testConfig())
 	c := uncoveredRead(r)
@@ -214,8 +224,8 @@
 	assert.Empty(t, r.pendingChecks)
 }
 
-// A replica that is cold and has its share was asked, found to cover, and waited for in vain, beside warm ones that
-// nobody asked.
+// A read once requested the position of a replica in slow start that had used up its budget, and waited
+// for it in vain, while the positions of warm replicas were not requested.
 func TestReplicaWithoutSlowStartBudgetIsNotChecked(t *testing.T) {
 	for index := range 4 {
 		config := testConfig()
@@ -228,7 +238,7 @@
 	}
 }
 
-// A read waits for a replica for no longer than leaves its primary time to answer within a short objective.
+// A read with a short objective waits for a replica only as long as the primary can still answer in time.
 func TestReadWaitsNoLongerThanHalfOfAShortObjective(t *testing.T) {
 	config := testConfig()
 	config.CommandGroups[boundedReads].LatencyObjective = 0.1
--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Chance connect failures once made warm endpoints count as cold and rejected commands on quiet days.
+// Failed connections that were accidental once put warm endpoints into slow start, and commands were
+// rejected on days with little traffic.
 func TestOneFailedConnectionDoesNotCountAsARestart(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.endpoints[1].recordUnreachable(10)
@@ -16,14 +17,14 @@
 	assert.True(t, math.IsInf(r.endpoints[1].startedAt, -1))
 	r.endpoints[1].recordUnreachable(10)
 	r.recordReachable(12, &r.endpoints[1])
-	assert.True(t, math.IsInf(r.endpoints[1].startedAt, -1), "heard rarely, still one failure")
+	assert.True(t, math.IsInf(r.endpoints[1].startedAt, -1), "a long gap after a single failure changes nothing")
 	r.endpoints[1].recordUnreachable(10)
 	r.endpoints[1].recordUnreachable(11)
 	r.recordReachable(12, &r.endpoints[1])
 	assert.InDelta(t, 12.0, r.endpoints[1].startedAt, 0)
 }
 
-// A hung endpoint keeps its last position and would go on qualifying.
+// A hung endpoint keeps the last position it reported, by which it would stay a candidate.
 func TestSilentEndpointIsEjectedUntilItAnswers(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.fleetLatency = 0.05
@@ -32,14 +33,17 @@
 	assert.False(t, r.updateEjection(10.05, 1))
 	assert.True(t, r.updateEjection(10.2, 1))
 	e.queued = 0
-	assert.True(t, r.updateEjection(13, 1), "no answer since")
+	assert.True(t, r.updateEjection(13, 1), "it has not answered since")
 	e.queued = 1
-	c := &Command{Group: eventualReads, Attempts: []Attempt{{Endpoint: 1, InFlight: true}}, ArrivedAt: 10, ClientDeadline: 14, routed: true}
+	c := &Command{
+		Group: eventualReads, Attempts: []Attempt{{Endpoint: 1, InFlight: true}}, ArrivedAt: 10,
+		ClientDeadline: 14, routed: true,
+	}
 	r.AttemptEnded(13, c, AttemptResult{Result: Answered, Elapsed: 0.05, Position: -1, Final: true})
 	assert.False(t, r.updateEjection(13, 1))
 }
 
-// An endpoint that rejected all commands at once looked idle and drew a third of them.
+// An endpoint that rejected all commands quickly looked idle and attracted a third of them.
 func TestOverloadedResultIsAFailure(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for range 4 {
@@ -50,19 +54,23 @@
 	assert.True(t, r.updateEjection(10, 1))
 }
 
-// Forty routers once ejected all endpoints of all shards, and with nothing sent nothing was learnt.
+// Forty routers once ejected all endpoints of all shards. As nothing was sent any more, nothing changed
+// that.
 func TestWhereAllAreEjectedOneFailsOpen(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for i := range r.endpoints {
 		r.endpoints[i].ejected, r.endpoints[i].nextRecoveryAt = true, 10.6-float64(i)/10
 	}
 	r.lastRecoveryAt, r.recoveryInterval = 10, 100
-	assert.Equal(t, 2, r.Route(10.1, newCommand(eventualReads)).Endpoint, "the one that failed longest ago")
-	assert.Equal(t, Wait, r.Route(10.1, newCommand(eventualReads)).Action, "one attempt at a time, not too soon")
+	assert.Equal(t, 2, r.Route(10.1, newCommand(eventualReads)).Endpoint,
+		"the endpoint whose failure is longest ago")
+	assert.Equal(t, Wait, r.Route(10.1, newCommand(eventualReads)).Action,
+		"only one attempt at a time, and not too soon")
 }
 
-// An endpoint that was reached and is silent answers health checks all the same: hundreds of routers each kept
-// checking those that they ejected, and only a command's answer ends the ejection. One unreachable is checked.
+// An endpoint that can be reached but answers no command still answers health checks. Hundreds of routers
+// each kept checking the endpoints they had ejected, though only the answer to a command ends an
+// ejection. An unreachable endpoint has to be checked.
 func TestEjectedEndpointIsCheckedOnlyIfUnreachable(t *testing.T) {
 	config := testConfig()
 	config.RouterCount = 300
@@ -74,8 +82,8 @@
 	assert.Equal(t, []int{2}, due.HealthCheck)
 }
 
-// What was sent to an endpoint that could not be reached counted as its silence, which ejected it again as soon as a
-// health check had been answered; and then it was checked no more.
+// Attempts to an unreachable endpoint counted as its silence. That ejected it again as soon as it had
+// answered a health check, and from then on it was not checked any more.
 func TestRecoveredEndpointIsNotEjectedForAttemptsThatNeverReachedIt(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for at := 10.0; at < 10.4; at += 0.1 {
@@ -91,10 +99,11 @@
 	assert.False(t, r.updateEjection(12, 1))
 	r.endpoints[1].unansweredAttempts, r.endpoints[1].unansweredSince = 3, 12
 	r.HealthChecked(13, 1, Answered, 0, 13, false)
-	assert.True(t, r.updateEjection(14, 1), "one that was reached and is silent stays ejected")
+	assert.True(t, r.updateEjection(14, 1), "an endpoint that can be reached but is silent stays ejected")
 }
 
-// A router that hears each endpoint every few seconds ejected it after one answer that was lost or late.
+// A router that has an answer from each endpoint every few seconds ejected it after one lost or late
+// answer.
 func TestOneLostAnswerDoesNotEjectItsEndpoint(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.fleetLatency = 0.05
@@ -103,7 +112,7 @@
 		c.ArrivedAt = 10 + float64(lost)
 		require.Equal(t, Forward, r.Route(c.ArrivedAt, c).Action)
 		index := c.Attempts[0].Endpoint
-		for i := range r.endpoints { // the same endpoint again
+		for i := range r.endpoints { // the next command has to go to the same endpoint
 			r.endpoints[i].draining = i != index
 		}
 		c.Attempts[0].overdue = true
@@ -112,28 +121,30 @@
 	}
 }
 
-// Among many routers no replica is known to cover most reads: that once sent them all to an ejected primary.
+// Among many routers, a router mostly knows no replica that covers a read. All reads then went to an
+// ejected primary.
 func TestNoFailOpenWhereAHealthyReplicaMayCover(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.endpoints[0].ejected, r.endpoints[0].nextRecoveryAt, r.lastRecoveryAt, r.recoveryInterval = true, 9, 10, 100
+	r.endpoints[0].ejected, r.endpoints[0].nextRecoveryAt, r.lastRecoveryAt, r.recoveryInterval =
+		true, 9, 10, 100
 	c := uncoveredRead(r)
 	assert.Equal(t, Wait, r.Route(10.2, c).Action)
-	assert.Len(t, r.pendingChecks, 1, "a replica is asked")
+	assert.Len(t, r.pendingChecks, 1, "the position of a replica is requested")
 	r.endpoints[1].ejected, r.endpoints[2].ejected = true, true
 	r.endpoints[1].nextRecoveryAt, r.endpoints[2].nextRecoveryAt = 12, 12
 	decision := r.Route(10.2, c)
-	require.Equal(t, Forward, decision.Action, "nobody else is left")
+	require.Equal(t, Forward, decision.Action, "no other endpoint is left")
 	assert.Equal(t, 0, decision.Endpoint)
 }
 
-// A router that hears an endpoint every few seconds ejected it after a single failure.
+// A router that has an answer from an endpoint every few seconds ejected it after a single failure.
 func TestOneFailureDoesNotEjectItsEndpoint(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.decayTime = 5 * decayObjectives
 	r.recordFailure(10, &r.endpoints[1])
 	assert.False(t, r.updateEjection(10, 1))
 	r.recordFailure(12, &r.endpoints[1])
-	assert.True(t, r.updateEjection(12, 1), "two are remembered where attempts are rare")
+	assert.True(t, r.updateEjection(12, 1), "two failures count where attempts are rare")
 }
 
 func TestFailuresAreComparedWithTheFleetsMedian(t *testing.T) {
@@ -142,7 +153,7 @@
 		r.endpoints[i].failureCount, r.endpoints[i].resultCount, r.endpoints[i].decayedAt = 4, 8, 10
 	}
 	r.updateFleet(10)
-	assert.False(t, r.updateEjection(10, 1), "all fail alike: no endpoint stands out")
+	assert.False(t, r.updateEjection(10, 1), "all endpoints fail alike")
 	r.endpoints[1].failureCount, r.endpoints[1].resultCount = 8, 8
 	assert.True(t, r.updateEjection(10, 1))
 }
@@ -150,14 +161,14 @@
 func TestShortSilenceDoesNotEjectAQuickEndpoint(t *testing.T) {
 	r := testRouter(t, testConfig())
 	e := &r.endpoints[1]
-	e.latencySum, e.answerCount, e.decayedAt = 0.02, 10, 10 // 2 ms each
+	e.latencySum, e.answerCount, e.decayedAt = 0.02, 10, 10 // 2 ms mean
 	e.unansweredAttempts, e.unansweredSince = 3, 10
-	assert.False(t, r.updateEjection(10.04, 1), "twenty answer times, but little of an objective")
+	assert.False(t, r.updateEjection(10.04, 1), "twenty answer times, but a small part of the objective")
 	assert.True(t, r.updateEjection(10.06, 1))
 }
 
-// Where health checks failed for half a minute at endpoints that served as usual these counted as unreachable and,
-// once a health check went through, as started anew.
+// When health checks failed for half a minute at endpoints that served commands as usual, these counted
+// as unreachable and, once a health check succeeded, as restarted.
 func TestFailedHealthChecksDoNotCountAtServingEndpoints(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for now := 10.1; now < 20; now += 0.5 {
@@ -168,15 +179,16 @@
 	e := &r.endpoints[1]
 	assert.True(t, math.IsInf(e.unreachableSince, 1), "commands were answered meanwhile")
 	r.HealthChecked(20.5, 1, TimedOut, 0.25, -1, false)
-	assert.InDelta(t, 20.5, e.unreachableSince, 0, "nothing answered since")
+	assert.InDelta(t, 20.5, e.unreachableSince, 0, "no command has been answered since")
 	r.HealthChecked(21.5, 1, TimedOut, 0.25, -1, false)
 	r.HealthChecked(21.6, 1, Errored, 0.01, -1, false)
-	assert.InDelta(t, 20.5, e.unreachableSince, 0, "an error is no sign of health either")
+	assert.InDelta(t, 20.5, e.unreachableSince, 0, "an error does not end the unreachable time")
 	r.HealthChecked(21.7, 1, Answered, 0.01, -1, false)
-	assert.InDelta(t, 21.7, e.startedAt, 0, "away for longer than chance, it may have started anew")
+	assert.InDelta(t, 21.7, e.startedAt, 0, "unreachable for longer than by accident, it may have restarted")
 }
 
-// The whole fleet's join day broke rule 5 once: a health check's report was taken though the health check had erred.
+// A health check that ended with an error once had its position recorded, which broke rule 5 when a whole
+// fleet joined on one day.
 func TestReportOfAFailedHealthCheckSaysNothingOfData(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for _, result := range []Result{Errored, Overloaded, NotServed, TimedOut, ConnectionLost} {
--- a/internal/router/maintenance_test.go
+++ b/internal/router/maintenance_test.go
@@ -8,25 +8,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A hundred routers once checked every endpoint at the tightest bound.
+// A hundred routers once checked every endpoint at the interval of the tightest staleness bound.
 func TestHealthChecksFollowTheRoutersOwnTraffic(t *testing.T) {
 	config := testConfig()
 	config.RouterCount, config.Instance = 100, 3
 	r := testRouter(t, config)
 	_, due := r.Maintain(11)
-	assert.Empty(t, due.HealthCheck, "no commands, no health checks")
+	assert.Empty(t, due.HealthCheck, "without commands there are no health checks")
 	c := newCommand(boundedReads)
 	c.ArrivedAt, c.ClientDeadline = 11, 13
 	r.Route(11, c)
 	_, due = r.Maintain(11)
-	assert.Equal(t, []int{2}, due.HealthCheck, "a read asks for one, of the router's own")
+	assert.Equal(t, []int{2}, due.HealthCheck, "a read requests one, chosen by the router's index")
 	r.Route(11.05, c)
 	_, due = r.Maintain(11.05)
 	assert.Empty(t, due.HealthCheck)
 }
 
-// Three hundred routers by a hundred and twenty endpoints: at their start each once asked every endpoint for its
-// position, over a new connection, and few commands came while the answers were good.
+// Three hundred routers and a hundred and twenty endpoints: at its start each router requested the
+// position of every endpoint, over a new connection, but got few commands while the positions were still
+// usable.
 func TestLowTrafficRouterChecksNoPositionInAdvance(t *testing.T) {
 	const routers, endpoints = 300, 120
 	config := testConfig()
@@ -52,10 +53,11 @@
 			checks += len(due.HealthCheck)
 		}
 	}
-	assert.Zero(t, checks, "nothing was read that needs a position")
+	assert.Zero(t, checks, "no read needed a position")
 }
 
-// Where every endpoint gets commands while a position is good, it is checked before it is asked for.
+// If every endpoint gets commands while a position is usable, positions are checked before a read needs
+// them.
 func TestBusyRouterChecksPositionsInAdvance(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.commandCount, r.lastReviewAt = 200, 10
@@ -63,12 +65,14 @@
 	assert.ElementsMatch(t, []int{0, 1, 2}, due.HealthCheck)
 }
 
-// Where endpoints are looked at rarely a list that failed was asked for again up to half a span late.
+// Where endpoints are reviewed rarely, a failed poll of the list was repeated up to half a review
+// interval late.
 func TestFailedListIsPolledWhenItIsDue(t *testing.T) {
 	config := testConfig()
 	config.PollList = true
 	for i := range config.CommandGroups {
-		config.CommandGroups[i].Consistency, config.CommandGroups[i].LatencyObjective, config.CommandGroups[i].ClientTimeout = Eventual, 8, 20
+		config.CommandGroups[i].Consistency, config.CommandGroups[i].LatencyObjective,
+			config.CommandGroups[i].ClientTimeout = Eventual, 8, 20
 	}
 	r := testRouter(t, config)
 	_, due := r.Maintain(10)
@@ -85,7 +89,7 @@
 	r.UpdateEndpoints(12, nil, false, false)
 	next, due = r.Maintain(12)
 	assert.False(t, due.Subscribe)
-	assert.Greater(t, next, 1.0, "it comes")
+	assert.Greater(t, next, 1.0, "the list is subscribed: no poll is due")
 }
 
 func TestListPollsBackOff(t *testing.T) {
@@ -106,7 +110,7 @@
 	assert.False(t, due.Subscribe)
 	r.UpdateEndpoints(11, nil, false, false)
 	_, due = r.Maintain(30)
-	assert.False(t, due.Subscribe, "subscribed")
+	assert.False(t, due.Subscribe, "the list is subscribed")
 }
 
 func TestRemovedEndpointIsReleasedAndStartsClean(t *testing.T) {
@@ -118,18 +122,19 @@
 	span := r.config.SlowStart + retentionTimeouts*r.longestTimeout
 	r.endpoints[2].inFlight = 1
 	_, due := r.Maintain(11 + span)
-	assert.Empty(t, due.Release, "an attempt is out there")
+	assert.Empty(t, due.Release, "an attempt is in flight")
 	r.endpoints[2].inFlight = 0
 	_, due = r.Maintain(9 + span)
-	assert.Empty(t, due.Release, "a list may flap")
+	assert.Empty(t, due.Release, "the endpoint may soon be listed again")
 	_, due = r.Maintain(12 + span)
 	assert.Equal(t, []int{2}, due.Release)
 	assert.Equal(t, []int{0, 1}, r.shards[0].endpoints)
 	_, due = r.Maintain(13 + span)
-	assert.Empty(t, due.Release, "once")
-	r.UpdateEndpoints(14+span, []EndpointInfo{{Index: 2, Shard: 1, State: Ready, StartedAt: math.Inf(-1)}}, false, false)
+	assert.Empty(t, due.Release, "an index is released once")
+	r.UpdateEndpoints(14+span, []EndpointInfo{{Index: 2, Shard: 1, State: Ready, StartedAt: math.Inf(-1)}},
+		false, false)
 	assert.True(t, r.eligible(&r.endpoints[2]))
-	assert.True(t, math.IsInf(r.endpoints[2].position, -1), "nothing of the one before counts")
+	assert.True(t, math.IsInf(r.endpoints[2].position, -1), "nothing of the earlier endpoint is kept")
 	_, due = r.Maintain(99 + span)
-	assert.Empty(t, due.Release, "what is listed stays")
+	assert.Empty(t, due.Release, "a listed endpoint is not released")
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -38,10 +38,10 @@
 	assert.NotContains(t, []int{1, 2}, r.Route(10, newCommand(eventualReads)).Endpoint)
 	r.config.SoftRemoval = true
 	r.UpdateEndpoints(10, []EndpointInfo{removed}, false, false)
-	assert.True(t, r.eligible(&r.endpoints[2]), "gone alone does not bind there")
+	assert.True(t, r.eligible(&r.endpoints[2]), "with soft removal a removed endpoint may be used")
 	draining.State = Removed
 	r.UpdateEndpoints(10, []EndpointInfo{draining}, false, false)
-	assert.False(t, r.eligible(&r.endpoints[1]), "but a drain before it does")
+	assert.False(t, r.eligible(&r.endpoints[1]), "unless it was draining before")
 }
 
 func TestCommandNeverSentIsRejectedByHalfOfItsClientsTime(t *testing.T) {
@@ -50,15 +50,16 @@
 		r.endpoints[i].draining = true
 	}
 	c := newCommand(eventualReads)
-	c.ClientDeadline = 10.4 // well before the objective
+	c.ClientDeadline = 10.4 // half of the client's time ends well before the objective
 	assert.Equal(t, Wait, r.Route(10.15, c).Action)
-	assert.Equal(t, Reject, r.Route(10.195, c).Action, "in time for a look a batch later")
+	assert.Equal(t, Reject, r.Route(10.195, c).Action, "rejected early enough for one more batch")
 	c = newCommand(eventualReads)
 	c.ClientDeadline = 10.4
 	r.endpoints[1].draining = false
 	require.Equal(t, Forward, r.Route(10, c).Action)
 	r.endpoints[2].draining = false
-	assert.Equal(t, Forward, r.AttemptEnded(10.25, c, AttemptResult{Result: Overloaded, Position: -1}).Action, "one that was sent goes on")
+	assert.Equal(t, Forward, r.AttemptEnded(10.25, c,
+		AttemptResult{Result: Overloaded, Position: -1}).Action, "a command that was delivered goes on")
 }
 
 func TestCommandNeverDeliveredIsRejectedByHalfOfItsClientsTime(t *testing.T) {
@@ -67,15 +68,16 @@
 	decision := r.Route(10, c)
 	require.Equal(t, Forward, decision.Action)
 	decision = r.AttemptEnded(11, c, AttemptResult{Result: ConnectFailed, Position: -1})
-	assert.Equal(t, Reject, decision.Action, "half of its client's time is over and nobody has had it")
+	assert.Equal(t, Reject, decision.Action, "half of its client's time is over and no endpoint has received it")
 	c = newCommand(linearizableReads)
 	r.groups[linearizableReads].LateValue = 1
 	require.Equal(t, Forward, r.Route(10, c).Action)
 	decision = r.AttemptEnded(11, c, AttemptResult{Result: Overloaded, Position: -1})
-	assert.NotEqual(t, Reject, decision.Action, "an endpoint has had this one")
+	assert.NotEqual(t, Reject, decision.Action, "an endpoint has received it")
 }
 
-// An agent that is behind names endpoints as ready of which the one before has said that they drain or are gone.
+// A list from an agent that is behind calls endpoints ready that an earlier list has marked as draining
+// or removed.
 func TestOutdatedRowRevivesNothingOfTheSameLife(t *testing.T) {
 	r := testRouter(t, testConfig())
 	row := func(i int, state EndpointState, startedAt float64, outdated bool) EndpointInfo {
@@ -86,10 +88,10 @@
 	for _, complete := range []bool{false, true} {
 		r.UpdateEndpoints(11, behind, complete, false)
 		assert.True(t, r.eligible(&r.endpoints[0]))
-		assert.False(t, r.eligible(&r.endpoints[1]), "it drains")
-		assert.False(t, r.eligible(&r.endpoints[2]), "it is gone")
+		assert.False(t, r.eligible(&r.endpoints[1]), "a newer list marks it as draining")
+		assert.False(t, r.eligible(&r.endpoints[2]), "a newer list marks it as removed")
 	}
 	r.UpdateEndpoints(12, []EndpointInfo{row(1, Ready, 11, true), row(2, Ready, 3, false)}, false, false)
-	assert.True(t, r.eligible(&r.endpoints[1]), "it has started anew")
+	assert.True(t, r.eligible(&r.endpoints[1]), "it has restarted")
 	assert.True(t, r.eligible(&r.endpoints[2]), "a newer list calls it ready")
 }
--- a/internal/router/selection_test.go
+++ b/internal/router/selection_test.go
@@ -14,11 +14,12 @@
 		count[r.Route(10, newCommand(eventualReads)).Endpoint]++
 		r.endpoints[1].queued, r.endpoints[2].queued = 0, 0
 	}
-	assert.Zero(t, count[0], "the primary is spared")
+	assert.Zero(t, count[0], "reads do not go to the primary")
 	assert.InDelta(t, 200, count[1], 50)
 }
 
-// Few reads a router over all replicas opened a connection for most of them. Over all routers they stay even.
+// Few reads per router, spread over all replicas, needed a new connection for most of them. With open
+// connections preferred, the reads of all routers together stay evenly spread.
 func TestLowTrafficRouterPrefersOpenConnections(t *testing.T) {
 	const routers, endpoints, reads = 300, 6, 8
 	newConnections, readsByEndpoint := 0, make([]int, endpoints)
@@ -44,17 +45,18 @@
 			r.AttemptEnded(now+0.02, c, AttemptResult{Result: Answered, Elapsed: 0.02, Position: -1, Final: true})
 		}
 	}
-	assert.Less(t, newConnections, 2*routers, "spread over all it is five of eight")
+	assert.Less(t, newConnections, 2*routers, "spread over all endpoints it would be five of eight")
 	for i := range readsByEndpoint {
 		assert.InDelta(t, routers*reads/endpoints, readsByEndpoint[i], routers*reads/endpoints/3, "endpoint %d", i)
 	}
 }
 
-// Spread evenly, reads of any age that run for seconds stopped the log of every replica of their shard, and other
-// reads met theirs.
+// Reads of any age that run for seconds, spread evenly, stopped the log on every replica of their shard,
+// and other reads queued behind them.
 func TestHeavyReadsGoToOneReplica(t *testing.T) {
 	config := testConfig()
-	config.CommandGroups[eventualReads].LatencyObjective, config.CommandGroups[eventualReads].ClientTimeout = 6, 12
+	config.CommandGroups[eventualReads].LatencyObjective,
+		config.CommandGroups[eventualReads].ClientTimeout = 6, 12
 	r := testRouter(t, config)
 	routeHeavyRead := func() int {
 		c := newCommand(eventualReads)
@@ -65,21 +67,25 @@
 		assert.Equal(t, 1, routeHeavyRead(), "the first listed replica")
 	}
 	for range 20 {
-		assert.Equal(t, 2, r.chooseReplica(10, newCommand(boundedReads), &r.groups[boundedReads], 10), "others leave it alone")
+		assert.Equal(t, 2, r.chooseReplica(10, newCommand(boundedReads), &r.groups[boundedReads], 10),
+			"other reads avoid the replica with heavy reads")
 	}
 	r.endpoints[2].position = 9.5
 	c := newCommand(boundedReads)
 	c.requiredPosition = 9.9
 	r.checkPosition(10.2, c, 0)
-	assert.Equal(t, []int{2}, r.pendingChecks, "nor is it asked for its position")
-	assert.Equal(t, 1, r.chooseReplica(10, newCommand(boundedReads), &r.groups[boundedReads], 10), "where another will do")
-	r.endpoints[1].latencySum, r.endpoints[1].answerCount, r.endpoints[1].lastAnswerAt, r.fleetLatency = 400, 100, 10, 0.1
-	assert.Equal(t, 0, routeHeavyRead(), "the primary, whose log nothing stops, where it has no room")
+	assert.Equal(t, []int{2}, r.pendingChecks, "its position is not requested either")
+	assert.Equal(t, 1, r.chooseReplica(10, newCommand(boundedReads), &r.groups[boundedReads], 10),
+		"other reads use it if no other replica covers them")
+	r.endpoints[1].latencySum, r.endpoints[1].answerCount, r.endpoints[1].lastAnswerAt, r.fleetLatency =
+		400, 100, 10, 0.1
+	assert.Equal(t, 0, routeHeavyRead(), "the primary, if the replica is too busy")
 	r.endpoints[1].recordUnreachable(10)
-	assert.Equal(t, 2, routeHeavyRead(), "the next once it is unreachable")
+	assert.Equal(t, 2, routeHeavyRead(), "the next replica once it is unreachable")
 }
 
-// A way between two zones was slow for half a minute and no router with low traffic saw enough to tell.
+// The network between two zones was slow for half a minute, and no router with low traffic had enough
+// answers to see it.
 func TestLowTrafficRouterPrefersItsOwnZone(t *testing.T) {
 	for _, lowTraffic := range []bool{true, false} {
 		config := testConfig()
@@ -95,10 +101,11 @@
 		}
 		assert.Equal(t, lowTraffic, readsByEndpoint[1] == 0)
 		r.endpoints[2].latencySum, r.endpoints[2].answerCount, r.fleetLatency = 100, 100, 0.01
-		assert.Equal(t, 1, r.chooseReplica(10, newCommand(eventualReads), &r.groups[eventualReads], 0), "a crowded one is left")
+		assert.Equal(t, 1, r.chooseReplica(10, newCommand(eventualReads), &r.groups[eventualReads], 0),
+			"a crowded replica is avoided")
 		c := uncoveredRead(r)
 		c.requiredPosition = 9.9
 		r.checkPosition(10.2, c, 0)
-		assert.Equal(t, lowTraffic, r.pendingChecks[0] == 2, "positions are asked for there too")
+		assert.Equal(t, lowTraffic, r.pendingChecks[0] == 2, "positions are requested in the router's own zone too")
 	}
 }
--- a/internal/router/slowstart_test.go
+++ b/internal/router/slowstart_test.go
@@ -20,17 +20,19 @@
 	}
 	allowed := r.config.OverloadFactor * r.config.SlowStartFloor * r.warmThroughput * r.config.OverloadWindow
 	assert.Positive(t, sent)
-	assert.LessOrEqual(t, float64(sent), allowed, "over one fall span")
+	assert.LessOrEqual(t, float64(sent), allowed, "within one overload window")
 }
 
-// A hundred routers with one attempt each once pushed a cold endpoint over in its first second. Together they stay under
-// what the settings allow in the mean, and within the slack for chance every time.
+// A hundred routers, each with one attempt, once overloaded a cold endpoint in its first second. All
+// their budgets together stay below what the configuration allows on average, and within random variation
+// of it in every draw.
 func TestSlowStartBudgetsOfAllRoutersAddUp(t *testing.T) {
 	const routers, draws, window = 100, 20, 2.0
 	config := testConfig()
 	config.RouterCount = routers
-	share := config.SlowStartFloor + (1-config.SlowStartFloor)*(1+window/2)/config.SlowStart // a second after the start, and in the window
-	allowed := config.OverloadFactor * share * 10 * window                         // ten a second at a warm endpoint
+	// Share of the full capacity one second after the start, in the middle of the window.
+	share := config.SlowStartFloor + (1-config.SlowStartFloor)*(1+window/2)/config.SlowStart
+	allowed := config.OverloadFactor * share * 10 * window // a warm endpoint answers ten commands per second
 	total := 0
 	for draw := range draws {
 		sent := 0
@@ -43,8 +45,8 @@
 	assert.Less(t, float64(total)/draws, 0.85*allowed)
 }
 
-// grantsOfLowTrafficRouter is how many commands a router sends in a window to an endpoint that has started a second before, if
-// warm ones answer one in ten seconds to it.
+// grantsOfLowTrafficRouter returns how many commands a router sends within a window, in seconds, to an
+// endpoint that started one second before, if each warm endpoint answers it one command in ten seconds.
 func grantsOfLowTrafficRouter(config Config, seed uint64, window float64) (sent int) {
 	r := New(config, seed)
 	r.UpdateEndpoints(10, []EndpointInfo{{State: Ready, StartedAt: 9}}, true, false)
@@ -58,8 +60,9 @@
 	return sent
 }
 
-// Routers that have just started meet a fleet of which half is new, and have no warm endpoint's rate to go by: they
-// sent next to nothing to endpoints that stood idle. Together they send less than one slot bears at that capacity.
+// Routers that have just started with a fleet of which half is new have no warm endpoint whose rate they
+// could measure. They sent next to nothing to idle endpoints. All together they must send less than an
+// endpoint that runs one command at a time can answer in slow start.
 func TestFreshRoutersUseColdEndpointsWithinTheirCapacity(t *testing.T) {
 	const routers, work = 300, 0.05
 	sent := 0
@@ -76,15 +79,17 @@
 			}
 		}
 	}
-	capacity := (0.2 + 1) / 2 * 10 / work // of one slot over the warming
+	capacity := (0.2 + 1) / 2 * 10 / work // commands that one slot can answer during slow start
 	assert.Greater(t, float64(sent), 0.7*capacity)
-	assert.Less(t, float64(sent), 1.3*capacity, "half of the overload factor, which is 2")
+	assert.Less(t, float64(sent), 1.3*capacity, "half of what the overload factor of 2 allows")
 }
 
-// In a burst warm endpoints are sent several times what they can do, and turn the rest away: an endpoint in slow start
-// that was paced by what they are sent fell at 2.2 times its capacity.
+// In a burst, warm endpoints get several times the commands they can answer and reject the rest. An
+// endpoint in slow start whose budget followed the commands sent to them was overloaded, at 2.2 times its
+// capacity.
 func TestSlowStartIsPacedByWhatWarmEndpointsAnswer(t *testing.T) {
-	const interval, answeredOf = 0.01, 4 // seconds between attempts at each warm endpoint, which answers one in four
+	// Seconds between attempts at each warm endpoint; each answers one attempt in four.
+	const interval, answeredOf = 0.01, 4
 	r := testRouter(t, testConfig())
 	now := 10.0
 	for n := range 2000 {
@@ -94,7 +99,7 @@
 		}
 		r.Maintain(now)
 	}
-	answered := 1 / (interval * answeredOf) // a second, by each of three endpoints
+	answered := 1 / (interval * answeredOf) // answers per second of each of the three endpoints
 	r.UpdateEndpoints(now, []EndpointInfo{{Index: 3, State: Ready, StartedAt: now}}, false, false)
 	sent := 0.0
 	for at := now; at < now+r.config.OverloadWindow; at += 0.002 {
@@ -109,7 +114,7 @@
 	assert.LessOrEqual(t, sent, allowed)
 }
 
-// sendAndEnd has an endpoint get an attempt and answer it, or turn it away.
+// sendAndEnd sends an attempt to endpoint i and ends it as answered or as overloaded.
 func sendAndEnd(r *Router, now float64, i int, answered bool) {
 	c := newCommand(eventualReads)
 	g := &r.groups[eventualReads]
@@ -122,7 +127,7 @@
 	r.AttemptEnded(now+result.Elapsed, c, result)
 }
 
-// An attempt takes its work from the budget, and what is owed beyond that comes off the next.
+// An attempt takes its work from the budget. What it takes beyond the budget is deducted from the next one.
 func TestHeavyCommandsTakeMoreOfTheSlowStartBudget(t *testing.T) {
 	r := testRouter(t, testConfig())
 	e := &r.endpoints[1]
@@ -134,7 +139,7 @@
 	r.chargeSlowStart(10, e, &r.groups[eventualReads])
 	assert.InDelta(t, -3.2, e.slowStartBudget, 1e-9)
 	assert.False(t, r.slowStartAdmits(10.5, 1))
-	assert.InDelta(t, -2.7, e.slowStartBudget, 0.51, "one more at the most is granted, and owed")
+	assert.InDelta(t, -2.7, e.slowStartBudget, 0.51, "at most one more is granted and deducted")
 	r.chargeSlowStart(25, e, &r.groups[eventualReads])
 	assert.InDelta(t, -2.7, e.slowStartBudget, 0.51, "a warm endpoint has no budget")
 }
