--- a/internal/inflight/tracker.go
+++ b/internal/inflight/tracker.go
@@ -103,7 +103,7 @@
 	result.Final = result.Final || c.answered
 	decision := c.router.AttemptEnded(now, &c.Command, result)
 	if c.router != t.router {
-		t.router.LearnFrom(&c.Command, c.router)
+		t.router.MergeSession(&c.Command, c.router)
 	}
 	c.answered = c.answered || result.Final
 	t.execute(c, decision)
--- a/internal/router/migration.go
+++ b/internal/router/migration.go
@@ -6,7 +6,7 @@
 )
 
 // previousRouterWrites marks in session.writesInFlight that writes were in flight at the previous router.
-// It stays until LearnFrom finds that none is in flight there any more.
+// It stays until MergeSession finds that none is in flight there any more.
 const previousRouterWrites = 0.5
 
 // MigrateFrom copies, before the first command, the state of the previous router of the same process that
@@ -42,10 +42,10 @@
 	e.latencySum, e.queuePositionSum, e.answerCount = 0, 0, 0
 }
 
-// LearnFrom merges what the previous router of the process has just learned of a command's session. After
+// MergeSession merges what the previous router of the process has just learned of a command's session. After
 // the switch the session's last commands still end there, and a read routed here has to see what they
 // wrote.
-func (r *Router) LearnFrom(c *Command, from *Router) {
+func (r *Router) MergeSession(c *Command, from *Router) {
 	learned, known := from.session(c.Session), r.session(c.Session)
 	s := known
 	if learned.writesInFlight == 0 {
--- a/internal/router/migration_test.go
+++ b/internal/router/migration_test.go
@@ -46,7 +46,7 @@
 	r.recordSession(writes, &group{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, 1, math.Inf(-1))
 	for out := 1.0; out >= 0; out-- {
 		old.sessions.Put(7, session{lastWrite: math.Inf(-1), highestRead: math.Inf(-1), writesInFlight: out})
-		r.LearnFrom(writes, old)
+		r.MergeSession(writes, old)
 		assert.InDelta(t, 12.5, r.sessionPosition(12.5, writes), 0)
 	}
 	r.recordSession(writes, &group{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, -1, math.Inf(-1))
