--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -8,134 +8,141 @@
 )
 
 func TestNonIdempotentCommandRunsOnce(t *testing.T) {
-	for ending, want := range map[Result]Action{
+	for result, want := range map[Result]Action{
 		Errored: Fail, TimedOut: Fail, ConnectionLost: Fail, Canceled: Fail,
 		Overloaded: Forward, ConnectFailed: Forward, NeverSent: Wait,
 	} {
 		r := testRouter(t, testConfig())
-		r.endpoints[0].resultSum, r.endpoints[0].decayedAt = 9, 10
+		r.endpoints[0].resultCount, r.endpoints[0].decayedAt = 9, 10
 		c := newCommand(writes)
 		r.Route(10, c)
-		decision := r.AttemptEnded(10.1, c, AttemptResult{Result: ending, Position: -1})
-		assert.Equal(t, want, decision.Action, "ending %d", ending)
-		if want == Wait { // for what this machine lacked, and only that long
+		decision := r.AttemptEnded(10.1, c, AttemptResult{Result: result, Position: -1})
+		assert.Equal(t, want, decision.Action, "result %d", result)
+		if want == Wait { // this machine lacked something; the command waits only shortly for it
 			assert.Less(t, decision.ReviewAt, 10.15)
 			assert.Equal(t, Forward, r.Route(decision.ReviewAt, c).Action)
 		}
 	}
 }
 
-// Half of all commands once erred at every endpoint, and each took eight attempts.
+// Once half of all commands failed with an error at every endpoint, and each took eight attempts.
 func TestCommandThatErrsEverywhereIsRejected(t *testing.T) {
 	r := testRouter(t, testConfig())
 	c := newCommand(eventualReads)
 	r.Route(10, c)
 	assert.Equal(t, Forward, r.AttemptEnded(10.01, c, AttemptResult{Result: Errored, Position: -1}).Action)
-	assert.Equal(t, Reject, r.AttemptEnded(10.02, c, AttemptResult{Attempt: 1, Result: Errored, Position: -1}).Action)
+	assert.Equal(t, Reject, r.AttemptEnded(10.02, c,
+		AttemptResult{Attempt: 1, Result: Errored, Position: -1}).Action)
 }
 
 func TestRetryByKeyLeavesTimeForItsConnection(t *testing.T) {
-	s := testConfig()
-	s.CommandGroups[writes].Idempotency = IdempotentWithKey
-	r := testRouter(t, s)
-	c := &Command{uncertainRuns: 1, uncertainAt: 10}
+	config := testConfig()
+	config.CommandGroups[writes].Idempotency = IdempotentWithKey
+	r := testRouter(t, config)
+	c := &Command{uncertainRuns: 1, firstUncertainAt: 10}
 	assert.True(t, r.mayRetry(11.7, c, &r.groups[writes]))
-	assert.False(t, r.mayRetry(11.75, c, &r.groups[writes]), "a connection may take as long as Dial")
-	assert.Equal(t, Fail, r.giveUp(11.9, c, &r.groups[writes]).Action, "known in its own group only")
+	assert.False(t, r.mayRetry(11.75, c, &r.groups[writes]),
+		"a new connection may take the whole ConnectTimeout")
+	assert.Equal(t, Fail, r.giveUp(11.9, c, &r.groups[writes]).Action,
+		"only the command's shard recognizes the key")
 	r.groups[writes].KeyScope = GlobalScope
 	assert.Equal(t, Reject, r.giveUp(11.9, c, &r.groups[writes]).Action)
 }
 
 func TestRetryByKeyStaysInItsZone(t *testing.T) {
-	s := testConfig()
-	s.CommandGroups[writes].Idempotency, s.CommandGroups[writes].KeyScope = IdempotentWithKey, ZoneScope
-	r := testRouter(t, s)
+	config := testConfig()
+	config.CommandGroups[writes].Idempotency, config.CommandGroups[writes].KeyScope =
+		IdempotentWithKey, ZoneScope
+	r := testRouter(t, config)
 	c := newCommand(writes)
-	c.uncertainRuns, c.uncertainAt, c.uncertainEndpoint = 1, 10, 1
+	c.uncertainRuns, c.firstUncertainAt, c.firstUncertainEndpoint = 1, 10, 1
 	assert.Equal(t, Forward, r.Route(10, c).Action)
 	r.endpoints[1].zone = 1
 	c = newCommand(writes)
-	c.uncertainRuns, c.uncertainAt, c.uncertainEndpoint = 1, 10, 1
+	c.uncertainRuns, c.firstUncertainAt, c.firstUncertainEndpoint = 1, 10, 1
 	assert.Equal(t, Wait, r.Route(10, c).Action)
 }
 
-// Lost answers once counted as queues and as seconds of work, and primaries looked full.
-func TestLostAnswersAreNoQueue(t *testing.T) {
+// Lost answers once counted as queued attempts and as seconds of work, so that primaries looked full.
+func TestLostAnswersDoNotCountAsQueue(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.latency, r.queueLength = 0.05, 1
+	r.fleetLatency, r.fleetQueueLength = 0.05, 1
 	c := newCommand(writes)
-	n := &r.endpoints[r.Route(10, c).Endpoint]
+	e := &r.endpoints[r.Route(10, c).Endpoint]
 	r.Route(10.1, c)
-	assert.Equal(t, 1, n.queued)
-	n.answeredAt, n.unanswered = 10.2, 0
+	assert.Equal(t, 1, e.queued)
+	e.lastAnswerAt, e.unansweredAttempts = 10.2, 0
 	r.Route(11, c)
-	assert.Equal(t, 0, n.queued, "overtaken by another answer")
+	assert.Equal(t, 0, e.queued, "lost: the endpoint has answered a later attempt")
 	r.AttemptEnded(12, c, AttemptResult{Result: TimedOut, Elapsed: 2, Position: -1})
-	assert.Equal(t, 0, n.queued)
-	assert.Less(t, n.latencySum, 0.5)
+	assert.Equal(t, 0, e.queued)
+	assert.Less(t, e.latencySum, 0.5)
 }
 
 func TestOverdueReadIsCanceled(t *testing.T) {
 	r := testRouter(t, testConfig())
-	r.latency = 0.02
+	r.fleetLatency = 0.02
 	c := newCommand(eventualReads)
-	a := r.Route(10, c)
-	n := &r.endpoints[a.Endpoint]
-	n.unanswered = 8
-	b := r.Route(10.4, c)
-	assert.Equal(t, 0, b.CancelAttempt)
-	assert.Positive(t, n.failureSum, "a hang is seen by what is overdue")
-	w := newCommand(writes)
-	w.Attempts = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}
-	assert.Equal(t, -1, r.Route(10.4, w).CancelAttempt, "a non-idempotent command is never canceled for a retry")
+	decision := r.Route(10, c)
+	e := &r.endpoints[decision.Endpoint]
+	e.unansweredAttempts = 8
+	review := r.Route(10.4, c)
+	assert.Equal(t, 0, review.CancelAttempt)
+	assert.Positive(t, e.failureCount, "an overdue attempt counts as a failure")
+	write := newCommand(writes)
+	write.Attempts = []Attempt{{Endpoint: 1, SentAt: 10, InFlight: true}}
+	assert.Equal(t, -1, r.Route(10.4, write).CancelAttempt,
+		"a non-idempotent command is never canceled for a retry")
 }
 
-// A retry by key that an endpoint takes in slowly ran after its idempotency window was over.
+// A retry by key that an endpoint received slowly ran after its idempotency window had ended.
 func TestRetryByKeyTimesOutWithItsIdempotencyWindow(t *testing.T) {
-	s := testConfig()
-	s.CommandGroups[writes].Idempotency, s.CommandGroups[writes].IdempotencyWindow = IdempotentWithKey, 1.5
-	r := testRouter(t, s)
+	config := testConfig()
+	config.CommandGroups[writes].Idempotency, config.CommandGroups[writes].IdempotencyWindow =
+		IdempotentWithKey, 1.5
+	r := testRouter(t, config)
 	c := newCommand(writes)
-	a := r.Route(10, c)
-	assert.Equal(t, Forward, a.Action)
-	assert.InDelta(t, c.ClientDeadline, a.AttemptDeadline, 0, "a first attempt has all of its client's time")
-	a = r.AttemptEnded(10.01, c, AttemptResult{Result: ConnectionLost, Elapsed: 0.01, Position: -1})
-	for k := 0; a.Action == Wait && k < 100; k++ {
-		a = r.Route(a.ReviewAt, c)
+	decision := r.Route(10, c)
+	assert.Equal(t, Forward, decision.Action)
+	assert.InDelta(t, c.ClientDeadline, decision.AttemptDeadline, 0,
+		"a first attempt may use all of its client's time")
+	decision = r.AttemptEnded(10.01, c, AttemptResult{Result: ConnectionLost, Elapsed: 0.01, Position: -1})
+	for k := 0; decision.Action == Wait && k < 100; k++ {
+		decision = r.Route(decision.ReviewAt, c)
 	}
-	assert.Equal(t, Forward, a.Action)
-	assert.InDelta(t, 11.5, a.AttemptDeadline, 0)
+	assert.Equal(t, Forward, decision.Action)
+	assert.InDelta(t, 11.5, decision.AttemptDeadline, 0)
 }
 
 func TestLostAnswerIsRetriedInTime(t *testing.T) {
-	for left, again := range map[float64]bool{0.4: true, 0.02: false} {
+	for remaining, wantRetry := range map[float64]bool{0.4: true, 0.02: false} {
 		r := testRouter(t, testConfig())
 		for i := range r.endpoints {
-			r.endpoints[i].latencySum, r.endpoints[i].answerSum, r.endpoints[i].decayedAt = 0.1, 10, 10 // 10 ms each
+			r.endpoints[i].latencySum, r.endpoints[i].answerCount, r.endpoints[i].decayedAt = 0.1, 10, 10 // 10 ms mean
 		}
 		c := newCommand(eventualReads)
-		c.ClientDeadline = 10.1 + left
+		c.ClientDeadline = 10.1 + remaining
 		require.Equal(t, Forward, r.Route(10, c).Action)
-		n := &r.endpoints[c.Attempts[0].Endpoint]
-		n.answeredAt, n.unanswered = 10.05, 0 // it has answered others since
-		a := r.Route(10.1, c)
-		assert.Equal(t, again, a.CancelAttempt == 0, "%v seconds are left", left)
+		e := &r.endpoints[c.Attempts[0].Endpoint]
+		e.lastAnswerAt, e.unansweredAttempts = 10.05, 0 // it has answered a later attempt
+		decision := r.Route(10.1, c)
+		assert.Equal(t, wantRetry, decision.CancelAttempt == 0, "%v seconds remain", remaining)
 	}
 }
 
 func TestLostWriteWithKeyGoesToThePrimaryAgain(t *testing.T) {
-	for effect, recall := range map[Idempotency]int{IdempotentWithKey: 0, NonIdempotent: -1} {
+	for idempotency, wantCancel := range map[Idempotency]int{IdempotentWithKey: 0, NonIdempotent: -1} {
 		r := testRouter(t, testConfig())
-		r.groups[writes].Idempotency = effect
-		r.endpoints[0].latencySum, r.endpoints[0].answerSum, r.endpoints[0].decayedAt = 0.1, 10, 10
+		r.groups[writes].Idempotency = idempotency
+		r.endpoints[0].latencySum, r.endpoints[0].answerCount, r.endpoints[0].decayedAt = 0.1, 10, 10
 		c := newCommand(writes)
 		require.Equal(t, 0, r.Route(10, c).Endpoint)
-		r.endpoints[0].answeredAt, r.endpoints[0].unanswered = 10.05, 0
-		assert.Equal(t, recall, r.Route(10.1, c).CancelAttempt)
-		if effect == IdempotentWithKey {
-			a := r.AttemptEnded(10.1, c, AttemptResult{Result: Canceled, Position: -1})
-			assert.Equal(t, Forward, a.Action)
-			assert.Equal(t, 0, a.Endpoint, "its own shard knows the key")
+		r.endpoints[0].lastAnswerAt, r.endpoints[0].unansweredAttempts = 10.05, 0
+		assert.Equal(t, wantCancel, r.Route(10.1, c).CancelAttempt)
+		if idempotency == IdempotentWithKey {
+			decision := r.AttemptEnded(10.1, c, AttemptResult{Result: Canceled, Position: -1})
+			assert.Equal(t, Forward, decision.Action)
+			assert.Equal(t, 0, decision.Endpoint, "the shard recognizes the key")
 		}
 	}
 }
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -7,54 +7,59 @@
 )
 
 const (
-	latencySlack       = 0.1  // share of the latency objective by which an endpoint may be slower than the best
-	lowTrafficAttempts = 0.5  // attempts to an endpoint within an objective: with fewer its queue cannot be seen
-	recoveryShare      = 0.05 // of this router's commands may be recovery attempts
+	// Share of the latency objective that counts as a small difference, for example between the quickest
+	// endpoint and a chosen one.
+	latencySlack = 0.1
+	// With fewer attempts to an endpoint per longest objective, a router cannot observe its queue.
+	lowTrafficAttempts = 0.5
+	// Share of this router's commands that may be recovery attempts.
+	recoveryShare = 0.05
 )
 
-// chooseEndpoint picks an endpoint, or none for now. A fallback is a read at the primary for want of a
-// replica.
+// chooseEndpoint returns the endpoint for a command, or noIndex if there is none for now. A fallback is a
+// read that goes to the primary because no replica can serve it.
 func (r *Router) chooseEndpoint(now float64, c *Command, g *group) (i int, fallback bool) {
 	primary := r.primary(c.Shard)
-	sound := primary >= 0 && !r.suspected(now, primary)
+	primaryHealthy := primary >= 0 && !r.updateEjection(now, primary)
 	switch {
-	case sound && (g.Consistency == PrimaryOnly || g.Consistency == Linearizable):
+	case primaryHealthy && (g.Consistency == PrimaryOnly || g.Consistency == Linearizable):
 		return r.admitPrimary(now, c, g, primary), false
 	case g.Consistency == PrimaryOnly:
 		return r.testForPrimary(now, c, primary), false
 	}
 	c.requiredPosition = r.requiredPosition(now, c, g)
-	if i = r.pickReplica(now, c, g, c.requiredPosition); i >= 0 {
+	if i = r.chooseReplica(now, c, g, c.requiredPosition); i >= 0 {
 		return i, false
 	}
-	if sound && r.mayFallBack(now) && !r.primaryCrowded(now, c, g, primary) {
+	if primaryHealthy && r.mayFallBack(now) && !r.primaryCrowded(now, c, g, primary) {
 		if i = r.admitPrimary(now, c, g, primary); i >= 0 {
 			return i, true
 		}
 	}
-	return r.chooseUncovered(now, c, g, primary, sound)
+	return r.serveUncovered(now, c, g, primary, primaryHealthy)
 }
 
-// chooseUncovered serves a read that no replica is known to cover and that did not fall back at once.
-func (r *Router) chooseUncovered(now float64, c *Command, g *group, primary int, sound bool) (int, bool) {
-	futile := !r.checkPosition(now, c, primary) || c.tooStale
-	if r.config.ReplicasCheckReads && (!futile || !sound) {
-		if i := r.freshestReplica(now, c, g); i >= 0 {
+// serveUncovered chooses an endpoint for a read that no replica is known to cover and that has not fallen
+// back to the primary.
+func (r *Router) serveUncovered(now float64, c *Command, g *group, primary int, healthy bool) (int, bool) {
+	waitIsUseless := !r.checkPosition(now, c, primary) || c.tooStale
+	if r.config.ReplicasCheckReads && (!waitIsUseless || !healthy) {
+		if i := r.chooseFreshestReplica(now, c, g); i >= 0 {
 			return i, false
 		}
 	}
-	// The answer must fit in after the wait.
-	wait := min(catchUpWait, holdShare*(r.usefulUntil(c, g)-c.ArrivedAt))
-	if sound && (futile || now-c.ArrivedAt >= wait) {
+	// The read waits no longer than leaves time for its answer.
+	wait := min(catchUpWait, maxWaitShare*(r.usefulUntil(c, g)-c.ArrivedAt))
+	if healthy && (waitIsUseless || now-c.ArrivedAt >= wait) {
 		return r.admitPrimary(now, c, g, primary), true
 	}
-	return none, false
+	return noIndex, false
 }
 
-// pickReplica spreads reads evenly over the replicas that cover them, answer, and are not crowded.
-func (r *Router) pickReplica(now float64, c *Command, g *group, position float64) int {
+// chooseReplica spreads reads evenly over the replicas that cover them, answer, and are not crowded.
+func (r *Router) chooseReplica(now float64, c *Command, g *group, position float64) int {
 	if i := r.collectCandidates(now, c, g, position); i >= 0 && r.recoveryDue(now, c, g, i) {
-		r.endpoints[i].recoveryAt, r.recoveryAt = now+r.longestObjective, now
+		r.endpoints[i].nextRecoveryAt, r.lastRecoveryAt = now+r.longestObjective, now
 		return i
 	}
 	heavy := r.heavyReadReplica(c.Shard)
@@ -66,11 +71,12 @@
 	return r.drawCandidate(now, c, g)
 }
 
-// heavyReadReplica is the first listed replica that is reachable, or none. Heavy reads can stop a replica's
-// log: spread evenly they kept all replicas behind. So they meet there, and other reads avoid it.
+// heavyReadReplica returns the first listed replica of a shard that is reachable, or noIndex if there is
+// none or no group is heavy. Heavy reads can stop a replica from applying the log. Spread evenly, they
+// kept all replicas behind, so all go to this replica, and other reads avoid it.
 func (r *Router) heavyReadReplica(shard int) int {
 	if !slices.ContainsFunc(r.groups, func(g group) bool { return r.isHeavy(&g) }) {
-		return none
+		return noIndex
 	}
 	primary := r.primary(shard)
 	for _, i := range r.shards[shard].endpoints {
@@ -78,46 +84,52 @@
 			return i
 		}
 	}
-	return none
+	return noIndex
 }
 
-// isHeavy says that a group reads data of any age, with an objective beyond that of all fresher groups.
+// isHeavy reports whether a group reads data of any age with a longer latency objective than all fresher
+// groups.
 func (r *Router) isHeavy(g *group) bool { return g.LatencyObjective > r.longestObjective }
 
-// drawCandidate draws from the candidates about as quick as the quickest, or none if that one is too busy.
+// drawCandidate draws one of the candidates that are about as quick as the quickest. It returns noIndex
+// if the quickest does not admit the command.
 func (r *Router) drawCandidate(now float64, c *Command, g *group) int {
 	if len(r.candidates) == 0 {
-		return none
+		return noIndex
 	}
 	best := slices.MinFunc(r.candidates, func(a, b int) int {
 		return cmp.Compare(r.predictedResponse(a, g), r.predictedResponse(b, g))
 	})
 	if !r.admits(now, c, g, best, g.queueLimit) {
-		return none
+		return noIndex
 	}
 	longest := r.predictedResponse(best, g) + latencySlack*g.LatencyObjective
 	r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool {
 		return r.predictedResponse(i, g) > longest
 	})
 	r.preferOwnZone()
-	// Hundreds of routers that each spread a few reads over all endpoints open a connection for most of them.
+	// Hundreds of routers that each spread a few reads over all endpoints would connect anew for most of
+	// them.
 	if r.hasLowTraffic() {
 		r.prefer(func(i int) bool { return r.endpoints[i].idleConnections > 0 })
 	}
 	return r.candidates[r.random.IntN(len(r.candidates))]
 }
 
-// hasLowTraffic says that this router sends too little to an endpoint to see its state in time.
-func (r *Router) hasLowTraffic() bool { return r.warmRate*r.longestObjective < lowTrafficAttempts }
+// hasLowTraffic reports whether this router sends too little to each endpoint to observe its state in time.
+func (r *Router) hasLowTraffic() bool {
+	return r.warmAttemptRate*r.longestObjective < lowTrafficAttempts
+}
 
-// preferOwnZone suits low traffic: a slow network to another zone is over before this router has seen it.
+// preferOwnZone keeps the candidates in this router's zone if it has low traffic. A slow network to
+// another zone would have recovered before such a router had noticed it.
 func (r *Router) preferOwnZone() {
 	if r.hasLowTraffic() {
 		r.prefer(func(i int) bool { return r.endpoints[i].zone == r.config.Zone })
 	}
 }
 
-// prefer keeps the candidates that are better, if any are.
+// prefer keeps only the candidates that are better, unless none are.
 func (r *Router) prefer(better func(int) bool) {
 	if slices.ContainsFunc(r.candidates, better) {
 		r.candidates = slices.DeleteFunc(r.candidates, func(i int) bool { return !better(i) })
