--- a/internal/inflight/review.go
+++ b/internal/inflight/review.go
@@ -5,29 +5,29 @@
 	"math"
 )
 
-// review is a time at which the router wants to look at a command again.
+// review is a request of the router to decide on a command again at a given time.
 type review struct {
-	at      float64
-	order   uint64 // tells reviews of one time apart: first come, first served
+	at      float64 // seconds, on the tracker's clock
+	order   uint64  // sequence number; reviews that are due at the same time run in the order in which they were pushed
 	command *command
 }
 
-// reviewQueue is the reviews to come, by their times. Its zero value is empty and ready for use.
+// reviewQueue holds the pending reviews, the earliest first. Its zero value is an empty queue.
 type reviewQueue struct {
 	heap  reviewHeap
-	count uint64 // of all reviews pushed
+	count uint64 // number of reviews ever pushed
 }
 
-// push adds a review.
+// push schedules a review of c.
 func (q *reviewQueue) push(at float64, c *command) {
 	q.count++
 	heap.Push(&q.heap, review{at: at, order: q.count, command: c})
 }
 
-// pop removes the next review. There must be one.
+// pop removes and returns the earliest review. It panics if the queue is empty.
 func (q *reviewQueue) pop() review { return heap.Pop(&q.heap).(review) }
 
-// nextAt is the time of the next review; positive infinity if there is none.
+// nextAt returns the time of the earliest review, or positive infinity if the queue is empty.
 func (q *reviewQueue) nextAt() float64 {
 	if len(q.heap) == 0 {
 		return math.Inf(1)
@@ -53,7 +53,7 @@
 
 func (h *reviewHeap) Pop() any {
 	last := len(*h) - 1
-	x := (*h)[last]
+	popped := (*h)[last]
 	*h = (*h)[:last]
-	return x
+	return popped
 }
--- a/internal/inflight/tracker.go
+++ b/internal/inflight/tracker.go
@@ -1,5 +1,6 @@
-// Package inflight keeps the commands in flight and the times at which the router wants to review them. It makes the
-// router's calls and decides nothing; what carries the decisions out, the simulator's wire or sockets, is an Executor.
+// Package inflight holds the commands in flight and the times at which the router wants to decide on them again. It
+// calls the router on every event and passes the router's decisions to an Executor, which carries them out over
+// sockets or in the simulator. The package takes no decisions of its own.
 package inflight
 
 import (
@@ -10,80 +11,85 @@
 
 // Executor carries out the router's decisions on a command. Its methods must not call the Tracker.
 type Executor interface {
-	// Forward sends an attempt, numbered from 0 for each command, to an endpoint. It times out at a time.
+	// Forward sends an attempt of a command to an endpoint. Attempts are numbered from 0 for each command. The attempt
+	// times out at deadline.
 	Forward(id uint32, attempt, endpoint int, deadline float64)
-	// Cancel cancels an attempt that was forwarded. Its end is still to be told to AttemptEnded.
+	// Cancel cancels a forwarded attempt. The attempt's result must still be reported to Tracker.AttemptEnded.
 	Cancel(id uint32, attempt int)
-	// Reject answers that the command is given up and may be retried, after so many seconds if they are not 0.
+	// Reject tells the client that the command was given up and may be sent again. If retryAfter is not 0, the client
+	// should wait for that many seconds first.
 	Reject(id uint32, retryAfter float64)
-	// Fail answers that the command is given up and may have run.
+	// Fail tells the client that the command was given up and may have run.
 	Fail(id uint32)
 }
 
-// command is a command that still has an answer or the end of an attempt to come.
+// command is a command that has no final answer yet or still has an attempt in flight.
 type command struct {
 	router.Command
-	router   *router.Router // which took it, and decides on it to its end
+	router   *router.Router // the router that received the command; it decides on the command until the end
 	id       uint32
-	reviewAt float64 // the review that counts; earlier requests are passed over
-	answered bool    // has had its final answer, or needs none
+	reviewAt float64 // time of the review requested last; reviews queued for other times are ignored
+	answered bool    // the final answer was given, or the client has gone
 }
 
+// hasAttemptInFlight reports whether the result of one of the command's attempts is still unknown.
 func (c *command) hasAttemptInFlight() bool {
 	return slices.ContainsFunc(c.Attempts, func(a router.Attempt) bool { return a.InFlight })
 }
 
-// Tracker is the commands in flight of one router. It is not safe for concurrent use. Times are in seconds and must
-// not go back.
+// Tracker holds the commands in flight of one router. It is not safe for concurrent use. Times are in seconds, and the
+// time passed to a call must not be before that of an earlier call.
 type Tracker struct {
-	router   *router.Router   // takes new commands
-	earlier  []*router.Router // of earlier settings, with commands in flight
-	executor Executor
-	commands map[uint32]*command
-	reviews  reviewQueue
+	router         *router.Router   // receives new commands
+	earlierRouters []*router.Router // routers of earlier settings that still have commands in flight
+	executor       Executor
+	commands       map[uint32]*command
+	reviews        reviewQueue
 }
 
-// New returns a tracker without commands.
+// New returns a tracker without commands. Its router is r, and executor carries out r's decisions.
 func New(r *router.Router, executor Executor) *Tracker {
 	return &Tracker{router: r, executor: executor, commands: map[uint32]*command{}}
 }
 
-// Len is the number of commands in flight.
+// Len returns the number of commands in flight.
 func (t *Tracker) Len() int { return len(t.commands) }
 
-// Add takes in a command. An id must not be used again.
+// Add passes a new command to the router and executes its first decision. Each command needs an id of its own; an id must
+// not be used again.
 func (t *Tracker) Add(now float64, id uint32, cmd router.Command) {
 	c := &command{id: id, Command: cmd, router: t.router}
 	t.commands[id] = c
 	t.execute(c, c.router.Route(now, &c.Command))
 }
 
-// SwitchRouter has a fresh router take new commands, with what the present one has learned that still means the same.
-// What is in flight ends by the present one.
+// SwitchRouter passes new commands to another router from now on. That router takes over what the current one has learned,
+// as far as it is still valid under the new settings. Commands in flight stay with the current router until they end.
 func (t *Tracker) SwitchRouter(now float64, fresh *router.Router) {
 	fresh.MigrateFrom(now, t.router)
-	t.earlier = append(t.earlier, t.router)
+	t.earlierRouters = append(t.earlierRouters, t.router)
 	t.router = fresh
 }
 
-// UpdateEndpoints hands the endpoint list to every router that has commands in flight; see router.UpdateEndpoints.
+// UpdateEndpoints passes an update of the endpoint list to the current router and to the earlier routers that still have
+// commands in flight. See router.UpdateEndpoints.
 func (t *Tracker) UpdateEndpoints(now float64, list []router.EndpointInfo, complete, cached bool) {
 	t.router.UpdateEndpoints(now, list, complete, cached)
-	for _, r := range t.earlier {
+	for _, r := range t.earlierRouters {
 		r.UpdateEndpoints(now, list, complete, cached)
 	}
 }
 
-// ShiftReportedTimes has every router that has commands in flight set right the times that others have told it; see
-// router.ShiftReportedTimes.
+// ShiftReportedTimes corrects the times that clients and backends reported, in the current router and in the earlier
+// routers that still have commands in flight. See router.ShiftReportedTimes.
 func (t *Tracker) ShiftReportedTimes(behind float64) {
 	t.router.ShiftReportedTimes(behind)
-	for _, r := range t.earlier {
+	for _, r := range t.earlierRouters {
 		r.ShiftReportedTimes(behind)
 	}
 }
 
-// ClientGone takes in that the client of a command has gone. It may be called for a command that has ended.
+// ClientGone gives up a command whose client has gone. It does nothing if the command has ended already.
 func (t *Tracker) ClientGone(now float64, id uint32) {
 	c := t.commands[id]
 	if c == nil || c.answered {
@@ -94,7 +100,8 @@
 	t.release(c)
 }
 
-// AttemptEnded takes in how an attempt ended. A result that nobody waits for is passed over.
+// AttemptEnded passes the result of an attempt to the router and executes its decision. It ignores the result of an
+// attempt that is not in flight, or of a command that is not.
 func (t *Tracker) AttemptEnded(now float64, id uint32, result router.AttemptResult) {
 	c := t.commands[id]
 	if c == nil || result.Attempt >= len(c.Attempts) || !c.Attempts[result.Attempt].InFlight {
@@ -110,8 +117,8 @@
 	t.release(c)
 }
 
-// ReviewDue makes all reviews that are due. It returns when to call it next at the latest, and the maintenance that
-// is due now.
+// ReviewDue has the router decide again on every command whose review is due. It returns the time by which the caller must
+// call it again, and the maintenance that the router wants done now.
 func (t *Tracker) ReviewDue(now float64) (float64, router.Maintenance) {
 	for t.reviews.nextAt() <= now {
 		r := t.reviews.pop()
@@ -119,8 +126,8 @@
 			t.execute(c, c.router.Route(now, &c.Command))
 		}
 	}
-	t.earlier = slices.DeleteFunc(t.earlier, func(r *router.Router) bool { return !t.hasCommandsOf(r) })
-	wait, maintenance := t.router.Maintain(now) // endpoints are the present router's to look after
+	t.earlierRouters = slices.DeleteFunc(t.earlierRouters, func(r *router.Router) bool { return !t.hasCommandsOf(r) })
+	wait, maintenance := t.router.Maintain(now) // only the current router maintains endpoints
 	return min(now+wait, t.reviews.nextAt()), maintenance
 }
 
@@ -133,14 +140,14 @@
 	return false
 }
 
-// release forgets a command that has nothing more to come.
+// release removes a command that was answered and has no attempt in flight.
 func (t *Tracker) release(c *command) {
 	if c.answered && !c.hasAttemptInFlight() {
 		delete(t.commands, c.id)
 	}
 }
 
-// execute has a decision carried out and books its review.
+// execute has the executor carry out a decision, and schedules the review that the decision asks for.
 func (t *Tracker) execute(c *command, d router.Decision) {
 	if d.CancelAttempt >= 0 {
 		t.executor.Cancel(c.id, d.CancelAttempt)
--- a/internal/inflight/tracker_test.go
+++ b/internal/inflight/tracker_test.go
@@ -145,12 +145,12 @@
 		assert.Equal(t, 1, out.endpoint, "nothing to one that is draining")
 	}
 	tracker.ReviewDue(1.9)
-	assert.Len(t, tracker.earlier, 1)
+	assert.Len(t, tracker.earlierRouters, 1)
 	for id := range uint32(many) {
 		tracker.AttemptEnded(1.9, id, router.AttemptResult{Attempt: 1, Result: router.Answered, Final: true, Position: -1})
 	}
 	tracker.ReviewDue(1.9)
-	assert.Empty(t, tracker.earlier)
+	assert.Empty(t, tracker.earlierRouters)
 }
 
 func TestReadAfterASwitchSeesAWriteThatEndedAtTheEarlierRouter(t *testing.T) {
