--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -10,22 +10,22 @@
 
 const millisecondsPerSecond = 1000
 
-// Attempt is one sending of a command to one backend. The caller fills the exported fields and must not change them
-// until the attempt has ended. Times are in seconds on the event loop's clock.
+// Attempt sends a command to one backend. The caller fills the exported fields and must not change them until the
+// attempt has ended. Times are in seconds on the event loop's clock.
 type Attempt struct {
 	CommandID uint32
-	Index     int           // index of the attempt among those of its command
-	Endpoint  int           // index of the endpoint that it is sent to
-	Statement *buffer.Chain // the statement's text, final zero included; it stays the caller's
-	WaitStart int           // where the digits of the client's waiting time begin in Statement
-	WaitEnd   int           // where they end
-	Deadline  float64       // when the attempt ends as timed out
+	Index     int           // number of the attempt among those of its command, from 0
+	Endpoint  int           // index of the endpoint that receives the attempt
+	Statement *buffer.Chain // text of the statement with its terminating zero byte; the caller frees it
+	WaitStart int           // offset in Statement of the first digit of the client's waiting time
+	WaitEnd   int           // offset in Statement after the last digit of the waiting time
+	Deadline  float64       // time at which the attempt times out
 
-	conn   *conn // nil before it is sent and after it has ended
-	sentAt float64
+	conn   *conn   // the connection that carries the attempt; nil before Send and after the attempt has ended
+	sentAt float64 // time of the call to Send
 }
 
-// Send sends an attempt over an idle connection or a new one. Its result is reported to the ResultHandler, perhaps
+// Send sends an attempt over an idle connection or a new one. The Pool reports the result to its ResultHandler, possibly
 // before Send returns.
 func (p *Pool) Send(attempt *Attempt) {
 	p.counters.Attempts++
@@ -37,11 +37,11 @@
 	}
 	attempt.conn = c
 	c.attempt = attempt
-	c.start()
+	c.sendWhenReady()
 }
 
-// Cancel ends an attempt by closing its connection. Its result is reported before Cancel returns. An attempt that has
-// ended is left alone.
+// Cancel ends an attempt by closing its connection, and reports its result before it returns. It does nothing if the
+// attempt has ended already.
 func (p *Pool) Cancel(attempt *Attempt) {
 	if attempt.conn != nil {
 		p.counters.AttemptsCanceled++
@@ -49,26 +49,26 @@
 	}
 }
 
-// Unsent reports whether the attempt's last byte has not been written, so that the backend cannot have run it.
+// Unsent reports whether the last byte of the statement is not yet written. In that case the backend cannot have run it.
 func (a *Attempt) Unsent() bool { return a.conn == nil || a.conn.state != stateAwaitingAnswer }
 
-// writeStatement queues the attempt's statement as it came, but for the waiting time, which is replaced by what is left
-// of it: in milliseconds, 1 at the least.
+// writeStatement appends the attempt's statement to the output. It replaces the client's waiting time by the time that
+// remains until the deadline, in milliseconds and at least 1.
 func (c *conn) writeStatement(now float64) {
 	a := c.attempt
 	length := a.Statement.Len()
-	left := a.Deadline - now
-	if length > c.pool.limits.Sizes.BufferBlock { // the socket may take it in parts
-		left -= c.pool.limits.Durations.StatementWriteTimeout
+	remaining := a.Deadline - now
+	if length > c.pool.limits.Sizes.BufferBlock { // writing may take up to the timeout, because the socket may accept only parts
+		remaining -= c.pool.limits.Durations.StatementWriteTimeout
 	}
-	waitMs := strconv.Itoa(max(1, int(left*millisecondsPerSecond)))
+	waitMs := strconv.Itoa(max(1, int(remaining*millisecondsPerSecond)))
 	c.output.Write(pg.AppendQueryHeader(nil, length-(a.WaitEnd-a.WaitStart)+len(waitMs)))
 	a.Statement.CopyTo(&c.output, 0, a.WaitStart)
 	c.output.Write([]byte(waitMs))
 	a.Statement.CopyTo(&c.output, a.WaitEnd, length-a.WaitEnd)
 }
 
-// resultOf returns the result that a complete answer stands for.
+// resultOf returns the result of an attempt or health check that got a complete answer.
 func resultOf(answer *pg.Answer) router.Result {
 	switch {
 	case answer.HasRow():
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -144,11 +144,11 @@
 func TestAttemptWhoseClientHasLeftIsNotWritten(t *testing.T) {
 	f := newFixture(t)
 	f.send("d=99", distantDeadline)
-	f.unwanted = true
+	f.clientsGone = true
 	c := f.accept()
 	f.run(f.hasResults(1))
 	assert.Equal(t, []router.Result{router.NeverSent}, f.results)
-	f.unwanted = false
+	f.clientsGone = false
 	f.send("d=98", distantDeadline)
 	assert.Contains(t, f.receive(c, 10), "d=", "the connection was kept, and the first statement never came on it")
 	assert.EqualValues(t, 1, f.counters.BackendConnects)
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -9,37 +9,38 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// state is what a connection is doing.
+// state is the state of a connection.
 type state int
 
 const (
-	stateConnecting     state = iota // the TCP connection is being made
-	stateStartup                     // the start-up packet is queued or sent; its answer is awaited
+	stateConnecting     state = iota // the TCP connection is being established
+	stateStartup                     // the start-up packet is queued or sent and not yet answered
 	stateIdle                        // ready for an attempt or a health check
 	stateSending                     // a query is being written
-	stateAwaitingAnswer              // the query's last byte is written
+	stateAwaitingAnswer              // the query is written completely and not yet answered
 	stateClosed
 )
 
-// conn is one connection. It carries one attempt or health check at a time, from the moment it is dialed for it.
+// conn is a connection to a backend. It is dialed for one attempt or health check, which it carries from then on, and can
+// be reused for others, one at a time. Times are in seconds on the event loop's clock.
 type conn struct {
-	pool           *Pool
-	endpoint       int
-	generation     int            // the endpoint row's when the connection was dialed
-	address        netip.AddrPort // the endpoint's when the connection was dialed
-	fd             int
-	state          state
-	input, output  buffer.Chain
-	answer         pg.Answer // the answer as far as it has come
-	attempt        *Attempt  // nil: it carries none
-	checking       bool      // it carries a health check
-	checkStartedAt float64
-	idleSince      float64
-	writeDeadline  float64 // when the statement that is being written must be complete
-	timer          *eventloop.Timer
+	pool               *Pool
+	endpoint           int
+	generation         int            // generation of the endpoint's row when the connection was dialed
+	address            netip.AddrPort // address of the endpoint when the connection was dialed
+	fd                 int
+	state              state
+	input, output      buffer.Chain
+	answer             pg.Answer // the part of the answer received so far
+	attempt            *Attempt  // nil if the connection carries no attempt
+	carriesHealthCheck bool      // true while the connection carries a health check
+	checkStartedAt     float64
+	idleSince          float64
+	writeDeadline      float64 // time by which the query must be written completely
+	timer              *eventloop.Timer
 }
 
-// newConn returns a connection to an endpoint over a descriptor that is being connected.
+// newConn returns a connection to an endpoint that uses fd, a socket whose connect has been started.
 func newConn(p *Pool, index, fd int) *conn {
 	e := &p.endpoints[index]
 	c := &conn{
@@ -56,23 +57,23 @@
 	return c
 }
 
-// start sends what the connection carries if it is ready. Otherwise it limits the time for becoming ready, after which
-// start is called again.
-func (c *conn) start() {
+// sendWhenReady sends the attempt or health check that the connection carries if the connection is idle. Otherwise it sets
+// the timer for the connect timeout; handleStartupAnswer calls sendWhenReady again once the connection is idle.
+func (c *conn) sendWhenReady() {
 	now := c.pool.loop.Clock()
 	deadline := c.deadline()
 	if c.state != stateIdle {
 		c.pool.loop.SetTimer(c.timer, min(deadline, now+c.pool.limits.Durations.ConnectTimeout))
 		return
 	}
-	if !c.isWanted() {
-		c.endUnsent()
+	if !c.shouldWrite() {
+		c.reportNeverSent()
 		return
 	}
-	// The statement says how long its client waits, so it must not be held back for long.
+	// The statement contains its client's remaining waiting time, so it must not be delayed for long.
 	c.pool.loop.SetTimer(c.timer, min(deadline, now+c.pool.limits.Durations.StatementWriteTimeout))
 	c.state = stateSending
-	if c.checking {
+	if c.carriesHealthCheck {
 		c.output.Write(pg.AppendQuery(nil, healthQuery))
 	} else {
 		c.writeStatement(now)
@@ -81,14 +82,14 @@
 	c.flush()
 }
 
-// isWanted reports whether what the connection carries is still to be written: a health check, or an attempt whose time
-// has not run out and whose client is there.
-func (c *conn) isWanted() bool {
+// shouldWrite reports whether the query should still be written. It returns true for a health check, and for an attempt
+// whose deadline has not passed and whose client is still there.
+func (c *conn) shouldWrite() bool {
 	return c.attempt == nil || c.pool.loop.Clock() < c.attempt.Deadline && c.pool.results.Wanted(c.attempt)
 }
 
-// endUnsent ends an attempt before anything of it was written, and keeps the connection.
-func (c *conn) endUnsent() {
+// reportNeverSent reports the attempt as router.NeverSent before any of it was written, and keeps the connection.
+func (c *conn) reportNeverSent() {
 	now := c.pool.loop.Now()
 	attempt := c.attempt
 	c.attempt = nil
@@ -97,7 +98,7 @@
 	c.pool.results.AttemptEnded(attempt, router.NeverSent, now-attempt.sentAt, nil)
 }
 
-// deadline is when what the connection carries times out.
+// deadline returns the time at which the attempt or health check that the connection carries times out.
 func (c *conn) deadline() float64 {
 	if c.attempt != nil {
 		return c.attempt.Deadline
@@ -105,7 +106,8 @@
 	return c.checkStartedAt + c.pool.limits.Durations.HealthCheckTimeout
 }
 
-// flush writes what the socket takes. A query counts as sent, and perhaps run, once its last byte is written.
+// flush writes as much of the output as the socket accepts. Once the last byte of a query is written, the backend may run
+// it.
 func (c *conn) flush() {
 	if err := c.pool.loop.Write(c.fd, &c.output); err != nil {
 		c.fail(router.ConnectionLost)
@@ -128,7 +130,7 @@
 		c.state = stateStartup
 		c.output.Write(pg.AppendStartupMessage(nil))
 	}
-	if c.state == stateIdle { // the backend has nothing to say now but that it closes the connection
+	if c.state == stateIdle { // no answer is due, so the backend has closed the connection or sent unrequested data
 		c.closeUnsolicited()
 		return
 	}
@@ -140,17 +142,18 @@
 	}
 }
 
-// continueWriting writes more of what the socket did not take at once. The rest of a statement whose client has left, or
-// that says a time which is over by now, is never written: it has not run.
+// continueWriting writes more of an output that the socket accepted only in part. It does not write the rest of a
+// statement whose client has gone, whose deadline has passed or whose write timeout is over: the waiting time in the
+// statement would be wrong by then. The attempt ends as never sent, because the backend cannot run a part of a statement.
 func (c *conn) continueWriting() {
-	if c.state == stateSending && (!c.isWanted() || c.pool.loop.Clock() >= c.writeDeadline) {
+	if c.state == stateSending && (!c.shouldWrite() || c.pool.loop.Clock() >= c.writeDeadline) {
 		c.fail(router.NeverSent)
 		return
 	}
 	c.flush()
 }
 
-// read takes in what has come of an answer.
+// read parses the bytes of an answer that have arrived.
 func (c *conn) read() {
 	sizes := &c.pool.limits.Sizes
 	_, readErr := c.pool.loop.Read(c.fd, &c.input, sizes.ReadPerTurn)
@@ -160,36 +163,38 @@
 		c.pool.counters.BackendInvalidAnswers++
 		c.fail(router.Errored)
 	case complete:
-		c.answerComplete(readErr != nil)
+		c.handleAnswer(readErr != nil)
 	case readErr != nil:
 		c.fail(router.ConnectionLost)
 	}
 }
 
-// closeUnsolicited closes an idle connection that the backend has closed, or on which it sent data unasked.
+// closeUnsolicited closes an idle connection that the backend has closed or sent unrequested data on.
 func (c *conn) closeUnsolicited() {
 	c.pool.counters.BackendUnsolicited++
 	c.close()
 }
 
-// answerComplete takes in a complete answer. ended says that the backend has closed the connection behind it.
-func (c *conn) answerComplete(ended bool) {
+// handleAnswer handles a complete answer. connectionEnded is true if the backend has closed the connection after the
+// answer, or if reading from it failed.
+func (c *conn) handleAnswer(connectionEnded bool) {
 	answer := c.answer
 	c.answer = pg.Answer{Row: c.pool.blocks.NewChain()}
-	reusable := !ended && !answer.Fatal && c.input.Len() == 0 && c.output.Len() == 0
+	reusable := !connectionEnded && !answer.Fatal && c.input.Len() == 0 && c.output.Len() == 0
 	switch c.state {
 	case stateStartup:
-		c.startupAnswered(&answer, reusable)
+		c.handleStartupAnswer(&answer, reusable)
 	case stateAwaitingAnswer:
-		c.queryAnswered(&answer, reusable)
-	default: // an answer to a query that was not yet sent
+		c.handleQueryAnswer(&answer, reusable)
+	default: // the answer came before the query was written completely
 		answer.Row.Free()
 		c.fail(router.ConnectionLost)
 	}
 }
 
-// startupAnswered sends what the connection was dialed for, if the backend accepted the start-up packet.
-func (c *conn) startupAnswered(answer *pg.Answer, reusable bool) {
+// handleStartupAnswer makes the connection idle and sends the query that it was dialed for, if the backend accepted the
+// start-up packet.
+func (c *conn) handleStartupAnswer(answer *pg.Answer, reusable bool) {
 	hasRow := answer.Row.Len() > 0
 	answer.Row.Free()
 	switch {
@@ -199,30 +204,32 @@
 		c.fail(router.ConnectFailed)
 	default:
 		c.state = stateIdle
-		c.pool.endpoints[c.endpoint].opened(c)
-		c.start()
+		c.pool.endpoints[c.endpoint].removeConnecting(c)
+		c.sendWhenReady()
 	}
 }
 
-// queryAnswered frees the connection for the next query and reports the answer to the one before.
-func (c *conn) queryAnswered(answer *pg.Answer, reusable bool) {
+// handleQueryAnswer makes the connection available for the next query, or closes it if it cannot be reused, and reports
+// the answer.
+func (c *conn) handleQueryAnswer(answer *pg.Answer, reusable bool) {
 	now := c.pool.loop.Now()
-	attempt, checking := c.attempt, c.checking
-	c.attempt, c.checking = nil, false
+	attempt, checking := c.attempt, c.carriesHealthCheck
+	c.attempt, c.carriesHealthCheck = nil, false
 	if reusable {
 		c.returnToPool(now)
 	} else {
 		c.close()
 	}
 	if checking {
-		c.healthCheckAnswered(answer, now-c.checkStartedAt)
+		c.handleHealthCheckAnswer(answer, now-c.checkStartedAt)
 		return
 	}
 	attempt.conn = nil
 	c.pool.results.AttemptEnded(attempt, resultOf(answer), now-attempt.sentAt, answer)
 }
 
-// returnToPool keeps the connection for the next query, unless its endpoint has another address by now or left its row.
+// returnToPool makes the connection idle. It closes the connection instead if the endpoint's address has changed or its
+// row was released since the connection was dialed.
 func (c *conn) returnToPool(now float64) {
 	e := &c.pool.endpoints[c.endpoint]
 	if c.address != e.address || c.generation != e.generation {
@@ -235,7 +242,8 @@
 	c.pool.loop.SetTimer(c.timer, now+c.pool.limits.Durations.BackendIdleTimeout)
 }
 
-// timerExpired is called when the time for what the connection does has run out.
+// timerExpired closes a connection that has been idle for too long. On a busy connection, it ends the attempt or health
+// check as timed out.
 func (c *conn) timerExpired() {
 	if c.state == stateIdle {
 		c.pool.counters.BackendIdleClosed++
@@ -245,8 +253,8 @@
 	c.fail(router.TimedOut)
 }
 
-// fail closes the connection and reports a result for what it carried. Whatever the reason, a query whose last byte was
-// not written has not run: it is reported as ConnectFailed here, or as NeverSent if that was this router's own doing.
+// fail closes the connection and reports a result for the attempt or health check that it carried. If the last byte of
+// the query was not written, the backend has not run it; fail then reports the result that unsentResult returns.
 func (c *conn) fail(result router.Result) {
 	if c.state != stateAwaitingAnswer {
 		result = unsentResult(result)
@@ -256,8 +264,8 @@
 		c.pool.counters.BackendConnectFailures++
 	}
 	now := c.pool.loop.Now()
-	attempt, checking := c.attempt, c.checking
-	c.attempt, c.checking = nil, false
+	attempt, checking := c.attempt, c.carriesHealthCheck
+	c.attempt, c.carriesHealthCheck = nil, false
 	c.close()
 	if checking {
 		c.reportHealthCheck(result, now-c.checkStartedAt, "")
@@ -268,7 +276,8 @@
 	}
 }
 
-// unsentResult is the result of a query whose last byte was not written, which would else have had the given one.
+// unsentResult converts the result of a query whose last byte was not written: to NeverSent if this router canceled it,
+// and to ConnectFailed for any failure other than Overloaded.
 func unsentResult(result router.Result) router.Result {
 	switch result {
 	case router.Overloaded, router.NeverSent:
@@ -286,9 +295,9 @@
 	case stateClosed:
 		return
 	case stateIdle:
-		c.pool.endpoints[c.endpoint].remove(c)
+		c.pool.endpoints[c.endpoint].removeIdle(c)
 	case stateConnecting, stateStartup:
-		c.pool.endpoints[c.endpoint].opened(c)
+		c.pool.endpoints[c.endpoint].removeConnecting(c)
 	case stateSending, stateAwaitingAnswer:
 	}
 	c.state = stateClosed
--- a/internal/backend/health_check.go
+++ b/internal/backend/health_check.go
@@ -5,11 +5,11 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// healthQuery is the statement that a backend answers with its load report.
+// healthQuery is the statement of a health check. A backend answers it with its load report.
 const healthQuery = "SHOW health"
 
-// CheckHealth asks a backend for its load report. The result is reported to the ResultHandler, perhaps before
-// CheckHealth returns, unless the endpoint's row is released first.
+// CheckHealth requests the load report of the backend at an endpoint. The Pool reports the result to its ResultHandler,
+// possibly before CheckHealth returns, unless Release is called for the endpoint first.
 func (p *Pool) CheckHealth(index int) {
 	p.counters.HealthChecks++
 	c, failure := p.acquire(index)
@@ -18,23 +18,23 @@
 		p.results.HealthChecked(index, failure, 0, "")
 		return
 	}
-	c.checking = true
+	c.carriesHealthCheck = true
 	c.checkStartedAt = p.loop.Now()
-	c.start()
+	c.sendWhenReady()
 }
 
-// healthCheckAnswered takes in the complete answer to a health check.
-func (c *conn) healthCheckAnswered(answer *pg.Answer, elapsed float64) {
+// handleHealthCheckAnswer reports the result of a health check that got a complete answer.
+func (c *conn) handleHealthCheckAnswer(answer *pg.Answer, elapsed float64) {
 	result := resultOf(answer)
 	report := ""
-	if result == router.Answered { // the row before an error is no report
+	if result == router.Answered { // a row that is followed by an error is not a load report
 		report = answer.Value()
 	}
 	answer.Row.Free()
 	c.reportHealthCheck(result, elapsed, report)
 }
 
-// reportHealthCheck reports a health check's result, unless the endpoint that it was for has left its row.
+// reportHealthCheck reports the result of a health check, unless the endpoint's row was released during the check.
 func (c *conn) reportHealthCheck(result router.Result, elapsed float64, report string) {
 	if result != router.Answered {
 		c.pool.counters.HealthChecksFailed++
--- a/internal/backend/helper_test.go
+++ b/internal/backend/helper_test.go
@@ -19,17 +19,17 @@
 
 // fixture is a Pool with one endpoint, whose listener the test serves itself, and the results that the Pool reported.
 type fixture struct {
-	t        *testing.T
-	pool     *Pool
-	loop     *eventloop.Loop
-	blocks   *buffer.Pool
-	counters metrics.Counters
-	backend  net.Listener
-	results  []router.Result // of attempts
-	values   []string        // of answers to attempts
-	checks   []router.Result // of health checks
-	reports  []string        // of health checks
-	unwanted bool            // the commands of attempts have lost their clients
+	t           *testing.T
+	pool        *Pool
+	loop        *eventloop.Loop
+	blocks      *buffer.Pool
+	counters    metrics.Counters
+	backend     net.Listener
+	results     []router.Result // of attempts
+	values      []string        // of answers to attempts
+	checks      []router.Result // of health checks
+	reports     []string        // of health checks
+	clientsGone bool            // the commands of attempts have lost their clients
 }
 
 // AttemptEnded implements ResultHandler.
@@ -42,7 +42,7 @@
 }
 
 // Wanted implements ResultHandler.
-func (f *fixture) Wanted(*Attempt) bool { return !f.unwanted }
+func (f *fixture) Wanted(*Attempt) bool { return !f.clientsGone }
 
 // HealthChecked implements ResultHandler.
 func (f *fixture) HealthChecked(_ int, result router.Result, _ float64, report string) {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,5 +1,6 @@
-// Package backend keeps the connections to the database servers (backends). It sends attempts and health checks over
-// them and reports how each ended. It never sends anything twice and takes no routing decision.
+// Package backend manages the connections to the database servers (backends). It sends attempts and health checks over
+// them and reports the result of each. It sends each attempt and each health check only once, and takes no routing
+// decisions.
 //
 // A Pool belongs to one event loop; none of its methods may be called from another goroutine.
 package backend
@@ -16,20 +17,20 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// ResultHandler receives the results of attempts and health checks, each exactly once. Its methods must not call the
-// Pool. Elapsed times are in seconds.
+// ResultHandler receives the result of every attempt and health check exactly once. Its methods must not call the Pool.
+// Elapsed times are in seconds.
 type ResultHandler interface {
-	// AttemptEnded reports the result of an attempt. The answer is nil unless the backend sent a complete one; its Row
-	// is the receiver's to free.
+	// AttemptEnded receives the result of an attempt. The answer is nil unless the backend sent a complete one; the
+	// handler must free the answer's Row.
 	AttemptEnded(attempt *Attempt, result router.Result, elapsed float64, answer *pg.Answer)
-	// Wanted is asked just before an attempt's statement is written, or the rest of it: it reports whether the command
-	// still has its client.
+	// Wanted reports whether the client of the attempt's command is still there. The Pool calls it just before it writes
+	// the attempt's statement or the rest of it, and does not write if the client has gone.
 	Wanted(attempt *Attempt) bool
-	// HealthChecked reports the result of a health check; report is empty unless the result is router.Answered.
+	// HealthChecked receives the result of a health check. The report is empty unless the result is router.Answered.
 	HealthChecked(endpoint int, result router.Result, elapsed float64, report string)
 }
 
-// Pool holds all connections to backends. Endpoints are named by the router's small indices.
+// Pool holds all connections to backends. Its methods identify an endpoint by its index in the router.
 type Pool struct {
 	loop        eventloop.Network
 	limits      *config.Limits
@@ -37,30 +38,31 @@
 	results     ResultHandler
 	counters    *metrics.Counters
 	endpoints   []endpoint // by index
-	connections int
+	connections int        // number of open connections, including those being established
 }
 
 // endpoint is one row of the endpoint list.
 type endpoint struct {
-	address    netip.AddrPort // invalid: not known
-	idle       []*conn        // the one used last comes last
-	opening    []*conn        // are being made for an attempt or a health check
-	generation int            // how often the row was released to be used for another endpoint
+	address    netip.AddrPort // invalid while the address is unknown
+	idle       []*conn        // ordered by time of last use; the most recently used connection is last
+	connecting []*conn        // connections being opened, each for one attempt or health check
+	generation int            // number of times that the row was released for reuse by another endpoint
 }
 
-// New returns an empty Pool that reports to results.
+// New returns a Pool without connections that reports results to the given handler.
 func New(l eventloop.Network, limits *config.Limits, blocks *buffer.Pool, results ResultHandler, counters *metrics.Counters) *Pool {
 	return &Pool{loop: l, limits: limits, blocks: blocks, results: results, counters: counters}
 }
 
-// ConnectionCount returns the number of connections, those that are still being made included.
+// ConnectionCount returns the number of connections, including those that are being opened.
 func (p *Pool) ConnectionCount() int { return p.connections }
 
-// EndpointRows returns the number of endpoint rows, released ones included.
+// EndpointRows returns the number of endpoint rows, including released ones.
 func (p *Pool) EndpointRows() int { return len(p.endpoints) }
 
-// SetAddress sets an endpoint's address. Connections to its earlier address take nothing new, and no idle connection is
-// kept to an endpoint that is gone.
+// SetAddress sets the address of an endpoint, adding a row for it if needed. An invalid address leaves the known one in
+// place. If the address differs from the known one or the endpoint is gone, SetAddress closes the idle connections. Busy
+// connections to an earlier address are closed once they have finished their query.
 func (p *Pool) SetAddress(index int, address netip.AddrPort, gone bool) {
 	for len(p.endpoints) <= index {
 		p.endpoints = append(p.endpoints, endpoint{})
@@ -74,24 +76,24 @@
 	}
 }
 
-// StopOpening ends the connections to an endpoint that are still being made: it takes nothing new any more. What they
-// were made for is reported as router.NeverSent.
+// StopOpening closes the connections to an endpoint that are still being opened, because the endpoint must not receive
+// anything new. Their attempts and health checks end as router.NeverSent.
 func (p *Pool) StopOpening(index int) {
-	for _, c := range slices.Clone(p.endpoints[index].opening) {
+	for _, c := range slices.Clone(p.endpoints[index].connecting) {
 		c.fail(router.NeverSent)
 	}
 }
 
-// Release empties an endpoint's row, which another endpoint may get. Connections that are busy finish what they carry
-// and are closed then.
+// Release clears an endpoint's row so that another endpoint can use it. It closes idle connections; busy ones finish their
+// query and are closed then.
 func (p *Pool) Release(index int) {
 	e := &p.endpoints[index]
 	e.closeIdle()
-	*e = endpoint{generation: e.generation + 1, opening: e.opening}
+	*e = endpoint{generation: e.generation + 1, connecting: e.connecting}
 }
 
-// CloseSurplus closes the connection that has been idle longest if backends hold more descriptors than are reserved for
-// them, and reports whether it closed one.
+// CloseSurplus closes the connection that has been idle longest if there are more connections to backends than descriptors
+// reserved for them. It reports whether it closed one.
 func (p *Pool) CloseSurplus() bool {
 	return p.connections > p.limits.Counts.BackendConnections && p.closeLongestIdle()
 }
@@ -103,20 +105,20 @@
 	}
 }
 
-// closeIdle closes the endpoint's idle connections. Each removes itself from the list.
+// closeIdle closes the endpoint's idle connections. Closing a connection removes it from the idle list.
 func (e *endpoint) closeIdle() {
 	for len(e.idle) > 0 {
 		e.idle[len(e.idle)-1].close()
 	}
 }
 
-// remove takes a connection off the idle list.
-func (e *endpoint) remove(c *conn) { e.idle = without(e.idle, c) }
+// removeIdle removes a connection from the list of idle ones.
+func (e *endpoint) removeIdle(c *conn) { e.idle = without(e.idle, c) }
 
-// opened takes a connection off the list of those that are being made.
-func (e *endpoint) opened(c *conn) { e.opening = without(e.opening, c) }
+// removeConnecting removes a connection from the list of those being opened.
+func (e *endpoint) removeConnecting(c *conn) { e.connecting = without(e.connecting, c) }
 
-// without returns a list without one of its connections.
+// without removes c from the list, if it is there, and returns the list.
 func without(list []*conn, c *conn) []*conn {
 	if i := slices.Index(list, c); i >= 0 {
 		return slices.Delete(list, i, i+1)
@@ -124,10 +126,14 @@
 	return list
 }
 
-// acquire returns the idle connection that was used last and has been idle for the reuse delay, or a new one; nil if
-// none can be made, and why: router.ConnectFailed, or router.NeverSent if that says nothing of the endpoint. Idle connections that the backend has closed or sent data on are dropped: what is written to such a
-// connection may count as run, or be answered with what belongs to the command before. Either may be under way just
-// after an answer, which is why there is a reuse delay.
+// acquire returns the most recently used connection that has been idle for at least the reuse delay, or else a new one.
+// If it cannot open one, it returns nil and the result to report: router.ConnectFailed, or router.NeverSent if the cause
+// has nothing to do with the endpoint.
+//
+// acquire closes an idle connection that the backend has closed or has sent data on. A statement written to such a
+// connection could count as possibly run although it was never received, or could get the data as its answer, which
+// belongs to an earlier command. The end of the connection or the data may still be on its way just after an answer;
+// the reuse delay leaves time for it to arrive.
 func (p *Pool) acquire(index int) (*conn, router.Result) {
 	e := &p.endpoints[index]
 	now := p.loop.Now()
@@ -137,7 +143,7 @@
 			continue
 		}
 		if p.loop.NothingToRead(c.fd) {
-			e.remove(c)
+			e.removeIdle(c)
 			return c, router.NeverSent
 		}
 		c.closeUnsolicited()
@@ -145,7 +151,8 @@
 	return p.dial(index)
 }
 
-// dial begins a connection; nil if the endpoint has no address, no descriptor is free, or the system refuses one.
+// dial starts to open a connection. It returns nil and the result to report if the endpoint has no address, no descriptor
+// is free, or a system call fails.
 func (p *Pool) dial(index int) (*conn, router.Result) {
 	e := &p.endpoints[index]
 	if !e.address.IsValid() {
@@ -169,19 +176,19 @@
 		return nil, router.NeverSent
 	}
 	p.connections++
-	e.opening = append(e.opening, c)
+	e.connecting = append(e.connecting, c)
 	return c, router.NeverSent
 }
 
-// hasDescriptor reports whether a connection may be opened: within the descriptors reserved for backends, within those
-// shared with clients, or in place of an idle connection, which it closes.
+// hasDescriptor reports whether a descriptor is free for a new connection: one of those reserved for backends or of those
+// shared with clients. If there is none, it closes the connection that has been idle longest to free its descriptor.
 func (p *Pool) hasDescriptor() bool {
 	return p.connections < p.limits.Counts.BackendConnections ||
 		p.loop.OpenDescriptors() < p.limits.Counts.SharedDescriptors ||
 		p.closeLongestIdle()
 }
 
-// closeLongestIdle closes the connection that has been idle longest and reports whether there was one.
+// closeLongestIdle closes the connection that has been idle longest, and reports whether there was an idle one.
 func (p *Pool) closeLongestIdle() bool {
 	var oldest *conn
 	for i := range p.endpoints {
--- a/internal/dispatcher/attempt.go
+++ b/internal/dispatcher/attempt.go
@@ -34,13 +34,13 @@
 	if answer != nil {
 		ended.answer = *answer
 	}
-	d.gathered.endedAttempts = append(d.gathered.endedAttempts, ended)
+	d.pendingEvents.endedAttempts = append(d.pendingEvents.endedAttempts, ended)
 }
 
 // HealthChecked implements backend.ResultHandler.
 func (d *Dispatcher) HealthChecked(endpoint int, result router.Result, elapsed float64, report string) {
 	check := healthCheckResult{endpoint: endpoint, result: result, elapsed: elapsed, report: report}
-	d.gathered.healthChecks = append(d.gathered.healthChecks, check)
+	d.pendingEvents.healthChecks = append(d.pendingEvents.healthChecks, check)
 }
 
 // deliverAttempt tells the router how an attempt ended, and the client if it was answered.
@@ -52,7 +52,7 @@
 		command.attempt = nil
 	}
 	d.tracker.AttemptEnded(now, ended.attempt.CommandID, d.attemptResult(ended))
-	d.deliverAnswersReport(now, ended)
+	d.deliverAnswerReport(now, ended)
 	if ended.result == router.Answered && command != nil && !command.done {
 		d.counters.Answered++
 		command.Responder.Answer(command, &ended.answer.Row)
@@ -109,8 +109,8 @@
 	return result
 }
 
-// deliverAnswersReport tells the router of the load report beside an answer, as if a health check had brought it.
-func (d *Dispatcher) deliverAnswersReport(now float64, ended *endedAttempt) {
+// deliverAnswerReport tells the router of the load report beside an answer, as if a health check had brought it.
+func (d *Dispatcher) deliverAnswerReport(now float64, ended *endedAttempt) {
 	report := d.readReport(ended.answer.LoadReport)
 	if report.position >= 0 && d.settings.ReportsOnAnswers {
 		d.router.HealthChecked(now, ended.attempt.Endpoint, ended.result, ended.elapsed, report.position, report.primary)
@@ -127,7 +127,7 @@
 	d.tracker.ClientGone(now, command.trackingID)
 	unsent = command.attempt == nil || command.attempt.Unsent()
 	if unsent && command.attempt != nil {
-		d.decided.cancels = append(d.decided.cancels, command.attempt)
+		d.pendingDecisions.cancels = append(d.pendingDecisions.cancels, command.attempt)
 	}
 	d.finish(command)
 	return unsent
@@ -140,22 +140,22 @@
 	d.commands.remove(command)
 }
 
-// carryOut carries out the router's decisions. Canceled attempts are closed before anything new is sent.
-func (d *Dispatcher) carryOut() {
-	for _, attempt := range d.decided.cancels {
+// executeDecisions carries out the router's decisions. Canceled attempts are closed before anything new is sent.
+func (d *Dispatcher) executeDecisions() {
+	for _, attempt := range d.pendingDecisions.cancels {
 		d.backends.Cancel(attempt)
 	}
-	for _, attempt := range d.decided.sends {
+	for _, attempt := range d.pendingDecisions.sends {
 		if d.commands.get(attempt.CommandID) == nil { // its client left in this same turn
 			d.AttemptEnded(attempt, router.NeverSent, 0, nil)
 			continue
 		}
 		d.backends.Send(attempt)
 	}
-	clear(d.decided.cancels)
-	clear(d.decided.sends)
-	d.decided.cancels = d.decided.cancels[:0]
-	d.decided.sends = d.decided.sends[:0]
+	clear(d.pendingDecisions.cancels)
+	clear(d.pendingDecisions.sends)
+	d.pendingDecisions.cancels = d.pendingDecisions.cancels[:0]
+	d.pendingDecisions.sends = d.pendingDecisions.sends[:0]
 }
 
 // Forward implements inflight.Executor.
@@ -170,14 +170,14 @@
 		WaitEnd:   command.WaitEnd,
 		Deadline:  deadline,
 	}
-	d.decided.sends = append(d.decided.sends, command.attempt)
+	d.pendingDecisions.sends = append(d.pendingDecisions.sends, command.attempt)
 }
 
 // Cancel implements inflight.Executor.
 func (d *Dispatcher) Cancel(trackingID uint32, attemptIndex int) {
 	command := d.commands.get(trackingID)
 	if command != nil && command.attempt != nil && command.attempt.Index == attemptIndex {
-		d.decided.cancels = append(d.decided.cancels, command.attempt)
+		d.pendingDecisions.cancels = append(d.pendingDecisions.cancels, command.attempt)
 	}
 }
 
--- a/internal/dispatcher/clock.go
+++ b/internal/dispatcher/clock.go
@@ -22,7 +22,7 @@
 	estimate       clockEstimate
 
 	confirmed      bool    // a primary's answer has agreed with it
-	confirmSeconds float64 // for which positions are rejected until one has
+	confirmationTimeout float64 // for which positions are rejected until one has
 	rejectingSince float64 // loop time of the first position rejected for that; 0: none was
 }
 
@@ -35,7 +35,7 @@
 		unixAtStart:    float64(l.StartedAt().UnixNano()) / nanosecondsPerSecond,
 		positionEpoch:  -durations.PositionEpoch,
 		maxSkewSeconds: durations.MaxClockSkew,
-		confirmSeconds: durations.ClockConfirmation,
+		confirmationTimeout: durations.ClockConfirmation,
 	}
 }
 
@@ -69,7 +69,7 @@
 	if c.rejectingSince == 0 {
 		c.rejectingSince = now
 	}
-	return now-c.rejectingSince >= c.confirmSeconds
+	return now-c.rejectingSince >= c.confirmationTimeout
 }
 
 // confirm notes that a primary has answered, which the clock does not contradict.
--- a/internal/dispatcher/clockestimate.go
+++ b/internal/dispatcher/clockestimate.go
@@ -35,7 +35,7 @@
 	count              int
 	earliest, latest   float64 // that all readings have in common
 	firstReceivedAt    float64
-	lastContradictedAt float64 // sentAt of the last reading
+	lastSentAt float64 // sentAt of the last reading
 }
 
 // inDoubt reports whether the last reading contradicts the clock.
@@ -51,7 +51,7 @@
 		return 0, false
 	}
 	e.narrow(reading)
-	if e.count < readingsNeeded || e.lastContradictedAt-e.firstReceivedAt < readingSeparation {
+	if e.count < readingsNeeded || e.lastSentAt-e.firstReceivedAt < readingSeparation {
 		return 0, false
 	}
 	if corrected = e.latest; math.IsInf(corrected, 1) {
@@ -67,11 +67,11 @@
 	if e.count == 0 || earliest > latest+readingTolerance {
 		*e = clockEstimate{
 			count: 1, earliest: reading.earliest, latest: reading.latest,
-			firstReceivedAt: reading.receivedAt, lastContradictedAt: reading.sentAt,
+			firstReceivedAt: reading.receivedAt, lastSentAt: reading.sentAt,
 		}
 		return
 	}
 	e.count++
 	e.earliest, e.latest = earliest, latest
-	e.lastContradictedAt = reading.sentAt
+	e.lastSentAt = reading.sentAt
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -36,11 +36,11 @@
 	endpoints *idtable.Table[string] // an id is released when the router lets the endpoint go
 	shards    *idtable.Table[int]    // as many as the deployment has, so that none is ever released
 	zones     *idtable.Table[string] // the same
-	newest    newestList
+	newestGeneration    newestListGeneration
 	commands  commandTable
 
-	gathered events
-	decided  decisions
+	pendingEvents events
+	pendingDecisions  decisions
 }
 
 // New returns a dispatcher that knows the endpoint list of the configuration, which must outlive it, and begins to watch
@@ -65,7 +65,7 @@
 	d.tracker = inflight.New(d.router, d)
 	d.backends = backend.New(l, &config.Limits, blocks, d, counters)
 	d.watch = discovery.New(l, &config.Limits, config.Discovery, config.Settings.PollList, blocks, d, log)
-	d.gathered.listUpdates = []listUpdate{{source: listFromConfig, list: config.KnownList}}
+	d.pendingEvents.listUpdates = []listUpdate{{source: listFromConfig, list: config.KnownList}}
 	if !config.Settings.PollList {
 		d.watch.Poll()
 	}
@@ -113,7 +113,7 @@
 // Submit takes a command over. The router hears of it in the next RunTurn.
 func (d *Dispatcher) Submit(command *Command) {
 	d.commands.add(command)
-	d.gathered.received = append(d.gathered.received, command)
+	d.pendingEvents.received = append(d.pendingEvents.received, command)
 	d.counters.Received++
 	d.counters.ReceivedByGroup[command.Group]++
 }
@@ -123,7 +123,7 @@
 	for _, command := range commands {
 		command.clientGone = true
 	}
-	d.gathered.goneClients = append(d.gathered.goneClients, commands)
+	d.pendingEvents.goneClients = append(d.pendingEvents.goneClients, commands)
 }
 
 // InFlight returns the number of commands without a final answer.
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -19,7 +19,7 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-const testCluster = 7
+const testShardNumber = 7
 
 // recorder is a Responder that notes the final answers that commands get.
 type recorder []string
@@ -33,7 +33,7 @@
 func (r *recorder) ClientPresent(*Command) bool { return true }
 
 func testList() endpoint.List {
-	return endpoint.List{Complete: true, Endpoints: []endpoint.Endpoint{{ID: "a", Shard: testCluster, State: endpoint.StateReady}}}
+	return endpoint.List{Complete: true, Endpoints: []endpoint.Endpoint{{ID: "a", Shard: testShardNumber, State: endpoint.StateReady}}}
 }
 
 // newTestDispatcher returns a dispatcher that knows one endpoint, which has no address, and its buffers.
@@ -63,13 +63,13 @@
 	startConfig.Discovery = startConfig.KnownList.Endpoints[0].Address
 	buffers := buffer.NewPool(64, 1000)
 	d := New(startConfig, events, buffers, &metrics.Counters{ReceivedByGroup: make([]uint64, 1)}, zerolog.Nop())
-	d.deliver(0)
+	d.deliverEvents(0)
 	return d, buffers
 }
 
 // submit submits a command of the cluster that newTestDispatcher knows.
 func submit(d *Dispatcher, buffers *buffer.Pool, responder Responder) *Command {
-	shard, _ := d.LookupShard(testCluster)
+	shard, _ := d.LookupShard(testShardNumber)
 	command := &Command{ID: "9b1f", Shard: shard, ClientDeadline: 1, Statement: buffers.NewChain(), Responder: responder}
 	command.Statement.Write([]byte("d=99\x00"))
 	d.Submit(command)
@@ -78,9 +78,9 @@
 
 func TestShardsAreKnownByTheList(t *testing.T) {
 	d, _ := newTestDispatcher(t)
-	_, ok := d.LookupShard(testCluster)
+	_, ok := d.LookupShard(testShardNumber)
 	assert.True(t, ok)
-	_, ok = d.LookupShard(testCluster + 1)
+	_, ok = d.LookupShard(testShardNumber + 1)
 	assert.False(t, ok)
 }
 
@@ -100,11 +100,11 @@
 	d, buffers := newTestDispatcher(t)
 	var answers recorder
 	command := submit(d, buffers, &answers)
-	d.deliver(0.1)
-	require.Len(t, d.decided.sends, 1)
+	d.deliverEvents(0.1)
+	require.Len(t, d.pendingDecisions.sends, 1)
 	d.ClientGone([]*Command{command}) // before the attempt was sent
-	d.deliver(0.1)
-	d.carryOut()
+	d.deliverEvents(0.1)
+	d.executeDecisions()
 	assert.Zero(t, d.counters.Attempts)
 	d.RunTurn(0.1)
 	assert.EqualValues(t, 1, d.counters.AttemptResults[router.NeverSent])
@@ -115,9 +115,9 @@
 	d, buffers := newTestDispatcher(t)
 	var answers recorder
 	submit(d, buffers, &answers)
-	d.deliver(0.1)
-	attempt := d.decided.sends[0]
-	d.decided.sends = nil
+	d.deliverEvents(0.1)
+	attempt := d.pendingDecisions.sends[0]
+	d.pendingDecisions.sends = nil
 	newAnswer := func() *pg.Answer {
 		answer := &pg.Answer{Row: buffers.NewChain()}
 		answer.Row.Write([]byte("row"))
@@ -137,8 +137,8 @@
 	mostKnown := 0
 	for i := range 500 {
 		d.HandleList(endpoint.List{Endpoints: []endpoint.Endpoint{
-			{ID: fmt.Sprint("m", i), Shard: testCluster, State: endpoint.StateReady},
-			{ID: fmt.Sprint("m", i-1), Shard: testCluster, State: endpoint.StateGone},
+			{ID: fmt.Sprint("m", i), Shard: testShardNumber, State: endpoint.StateReady},
+			{ID: fmt.Sprint("m", i-1), Shard: testShardNumber, State: endpoint.StateGone},
 		}})
 		d.RunTurn(float64(i))
 		known, _ := d.EndpointRows()
@@ -175,11 +175,11 @@
 	reported := float64(d.loop.StartedAt().UnixNano())/1e9 + polled + 0.005
 	d.HealthChecked(0, router.Answered, 0, fmt.Sprintf("x0=%.6f,x1=0", reported))
 	submit(d, buffers, &recorder{})
-	d.deliver(polled)
-	assert.Empty(t, d.decided.sends, "a position of 5 ms after the poll does not cover what came 20 ms after it")
+	d.deliverEvents(polled)
+	assert.Empty(t, d.pendingDecisions.sends, "a position of 5 ms after the poll does not cover what came 20 ms after it")
 	time.Sleep(50 * time.Millisecond)
 	d.HealthChecked(0, router.Answered, 0, fmt.Sprintf("x0=%.6f,x1=0", reported+0.05))
-	d.deliver(polled)
+	d.deliverEvents(polled)
 	d.tracker.ReviewDue(polled + 0.05)
-	assert.Len(t, d.decided.sends, 1, "one of later does")
+	assert.Len(t, d.pendingDecisions.sends, 1, "one of later does")
 }
--- a/internal/dispatcher/list.go
+++ b/internal/dispatcher/list.go
@@ -24,12 +24,12 @@
 
 // HandleList implements discovery.ListHandler.
 func (d *Dispatcher) HandleList(list endpoint.List) {
-	d.gathered.listUpdates = append(d.gathered.listUpdates, listUpdate{source: listFromDiscovery, list: list})
+	d.pendingEvents.listUpdates = append(d.pendingEvents.listUpdates, listUpdate{source: listFromDiscovery, list: list})
 }
 
 // HandleCallFailure implements discovery.ListHandler.
 func (d *Dispatcher) HandleCallFailure() {
-	d.gathered.listUpdates = append(d.gathered.listUpdates, listUpdate{source: listCallFailed})
+	d.pendingEvents.listUpdates = append(d.pendingEvents.listUpdates, listUpdate{source: listCallFailed})
 }
 
 // deliverList tells the router and the backends' connections of an update.
@@ -46,28 +46,28 @@
 	}
 }
 
-// outdatedSpan is how long, in seconds, an older list counts as that of an agent that is behind. One that stays behind for
+// outdatedListWindow is how long, in seconds, an older list counts as that of an agent that is behind. One that stays behind for
 // longer counts its generations anew.
-const outdatedSpan = 60
+const outdatedListWindow = 60
 
-// newestList is the newest generation of the list that was told.
-type newestList struct {
+// newestListGeneration is the newest generation of the list that was told.
+type newestListGeneration struct {
 	generation int64
-	toldAt     float64 // loop time
+	receivedAt     float64 // loop time
 }
 
-// isAhead takes in a generation, and reports whether a newer one was told lately.
-func (n *newestList) isAhead(generation int64, now float64) bool {
-	if generation < n.generation && now-n.toldAt < outdatedSpan {
+// isOutdated takes in a generation, and reports whether a newer one was told lately.
+func (n *newestListGeneration) isOutdated(generation int64, now float64) bool {
+	if generation < n.generation && now-n.receivedAt < outdatedListWindow {
 		return true
 	}
-	*n = newestList{generation: generation, toldAt: now}
+	*n = newestListGeneration{generation: generation, receivedAt: now}
 	return false
 }
 
 // updateEndpoints takes a list over. One that is cached counts as complete, whatever it says.
 func (d *Dispatcher) updateEndpoints(now float64, list endpoint.List, cached bool) {
-	outdated := d.newest.isAhead(list.Generation, d.loop.Now())
+	outdated := d.newestGeneration.isOutdated(list.Generation, d.loop.Now())
 	infos := make([]router.EndpointInfo, 0, len(list.Endpoints))
 	ready := map[int]bool{}
 	for i := range list.Endpoints {
@@ -78,7 +78,7 @@
 		ready[info.Index] = row.State == endpoint.StateReady
 		infos = append(infos, info)
 	}
-	d.stopOpening(ready, list.Complete || cached)
+	d.abortConnecting(ready, list.Complete || cached)
 	d.tracker.UpdateEndpoints(now, infos, list.Complete || cached, cached)
 	if len(infos) == 0 { // a long poll that ended without changes
 		return
@@ -91,9 +91,9 @@
 		Msg("list")
 }
 
-// stopOpening ends the connections that are being made to endpoints which take nothing new by a list: what is not ready,
+// abortConnecting ends the connections that are being made to endpoints which take nothing new by a list: what is not ready,
 // and what a complete list does not name.
-func (d *Dispatcher) stopOpening(ready map[int]bool, complete bool) {
+func (d *Dispatcher) abortConnecting(ready map[int]bool, complete bool) {
 	for index := range d.backends.EndpointRows() {
 		isReady, listed := ready[index]
 		if listed && !isReady || complete && !listed {
--- a/internal/dispatcher/turn.go
+++ b/internal/dispatcher/turn.go
@@ -42,18 +42,18 @@
 // the loop time at which to call it next at the latest.
 func (d *Dispatcher) RunTurn(now float64) float64 {
 	for {
-		d.deliver(now)
+		d.deliverEvents(now)
 		next, maintenance := d.tracker.ReviewDue(now)
-		d.carryOut()
-		d.maintain(maintenance)
-		if d.gathered.empty() {
+		d.executeDecisions()
+		d.runMaintenance(maintenance)
+		if d.pendingEvents.empty() {
 			return next
 		}
 	}
 }
 
-// maintain carries out the work that is due besides commands.
-func (d *Dispatcher) maintain(work router.Maintenance) {
+// runMaintenance carries out the work that is due besides commands.
+func (d *Dispatcher) runMaintenance(work router.Maintenance) {
 	for _, endpoint := range work.HealthCheck {
 		d.backends.CheckHealth(endpoint)
 	}
@@ -66,11 +66,11 @@
 	}
 }
 
-// deliver tells the router what was gathered. The order is that of what the router should know first. Answers that are
+// deliverEvents tells the router what was gathered. The order is that of what the router should know first. Answers that are
 // given meanwhile let the frontend submit more, which the next delivery tells.
-func (d *Dispatcher) deliver(now float64) {
-	gathered := d.gathered
-	d.gathered = events{}
+func (d *Dispatcher) deliverEvents(now float64) {
+	gathered := d.pendingEvents
+	d.pendingEvents = events{}
 	for _, update := range gathered.listUpdates {
 		d.deliverList(now, update)
 	}
