--- a/internal/dispatcher/attempt.go
+++ b/internal/dispatcher/attempt.go
@@ -6,17 +6,17 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// decisions is what the router has decided and is not yet carried out.
+// decisions holds the router's decisions that are not yet executed.
 type decisions struct {
 	cancels []*backend.Attempt
 	sends   []*backend.Attempt
 }
 
-// rolesByRecovery gives the role of a backend by what its answer says of its recovery.
+// rolesByRecovery maps the recovery mode in a backend's answer to the backend's role.
 var rolesByRecovery = map[string]router.Role{"off": router.RolePrimary, "on": router.RoleReplica}
 
-// maxTurnAge is how old a turn may be, in seconds, for a client to count as present because this turn's poll did not tell
-// that it has gone.
+// maxTurnAge is the age of a turn, in seconds, up to which the turn's poll is recent enough to tell whether a client is
+// still there. In an older turn, Wanted asks the client's Responder.
 const maxTurnAge = 0.01
 
 // Wanted implements backend.ResultHandler.
@@ -43,7 +43,7 @@
 	d.pendingEvents.healthChecks = append(d.pendingEvents.healthChecks, check)
 }
 
-// deliverAttempt tells the router how an attempt ended, and the client if it was answered.
+// deliverAttempt passes the result of an attempt to the router, and the answer, if there is one, to the client.
 func (d *Dispatcher) deliverAttempt(now float64, ended *endedAttempt) {
 	d.counters.AttemptResults[ended.result]++
 	command := d.commands.get(ended.attempt.CommandID)
@@ -62,8 +62,9 @@
 	ended.answer.Row.Free()
 }
 
-// observeAnswer sets the clock right by an answer, if need be. Only a read's tells when its primary answered: that to a
-// write may tell of an earlier commit, where its key was known.
+// observeAnswer uses the position in an answer as a reading of the clock. The position is the time at which the backend
+// answered only if a primary answered a read. The answer to a write may have the position of an earlier commit, if the
+// primary had already run a command with the same idempotency key.
 func (d *Dispatcher) observeAnswer(ended *endedAttempt, command *Command) {
 	if ended.result != router.Answered || ended.answer.PositionMs <= 0 || command == nil {
 		return
@@ -77,23 +78,25 @@
 	}
 }
 
-// observeClock sets the clock right by a reading, if need be.
+// observeClock adds a reading to the clock. If that corrects the clock, observeClock shifts the times reported to the
+// router accordingly.
 func (d *Dispatcher) observeClock(reading clockReading) {
 	behind := d.clock.observe(reading)
 	if behind == 0 {
 		return
 	}
-	d.log.Warn().Float64("behind_seconds", behind).Msg("clock set by backends' answers")
+	d.log.Warn().Float64("behind_seconds", behind).Msg("clock corrected by backends' answers")
 	d.tracker.ShiftReportedTimes(behind)
 }
 
-// isWrite reports whether only a primary runs a command, by the settings as they are now.
+// isWrite reports whether the command must run at a primary, under the current settings. A group that they do not have
+// counts as one of writes.
 func (d *Dispatcher) isWrite(command *Command) bool {
 	groups := d.settings.CommandGroups
 	return command.Group >= len(groups) || groups[command.Group].Consistency == router.PrimaryOnly
 }
 
-// attemptResult converts an attempt's end to the router's terms.
+// attemptResult converts the result of an attempt to the router's type.
 func (d *Dispatcher) attemptResult(ended *endedAttempt) router.AttemptResult {
 	result := router.AttemptResult{
 		Attempt:  ended.attempt.Index,
@@ -109,7 +112,7 @@
 	return result
 }
 
-// deliverAnswerReport tells the router of the load report beside an answer, as if a health check had brought it.
+// deliverAnswerReport passes the load report in an answer to the router, in the same way as one from a health check.
 func (d *Dispatcher) deliverAnswerReport(now float64, ended *endedAttempt) {
 	report := d.readReport(ended.answer.LoadReport)
 	if report.position >= 0 && d.settings.ReportsOnAnswers {
@@ -117,8 +120,8 @@
 	}
 }
 
-// abandon gives up a command whose client has gone, unless it is over. What was not yet sent for it never is. It reports
-// whether nothing was sent for it.
+// abandon gives up a command whose client has gone, unless the command is done. If the command's current attempt is not
+// sent completely, abandon cancels it. It reports whether no attempt was in flight that may have reached a backend.
 func (d *Dispatcher) abandon(now float64, command *Command) (unsent bool) {
 	if command.done {
 		return false
@@ -133,20 +136,20 @@
 	return unsent
 }
 
-// finish forgets a command that has had its final answer or needs none.
+// finish removes a command that has its final answer or whose client has gone.
 func (d *Dispatcher) finish(command *Command) {
 	command.done = true
 	command.Statement.Free()
 	d.commands.remove(command)
 }
 
-// executeDecisions carries out the router's decisions. Canceled attempts are closed before anything new is sent.
+// executeDecisions cancels and sends attempts as the router decided. It cancels first.
 func (d *Dispatcher) executeDecisions() {
 	for _, attempt := range d.pendingDecisions.cancels {
 		d.backends.Cancel(attempt)
 	}
 	for _, attempt := range d.pendingDecisions.sends {
-		if d.commands.get(attempt.CommandID) == nil { // its client left in this same turn
+		if d.commands.get(attempt.CommandID) == nil { // its client left during this turn
 			d.AttemptEnded(attempt, router.NeverSent, 0, nil)
 			continue
 		}
--- a/internal/dispatcher/clockestimate.go
+++ b/internal/dispatcher/clockestimate.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// Figures of a clock's estimate.
+// Conditions for correcting the clock.
 const (
-	readingTolerance  = 0.005 // seconds by which positions are rounded and clocks of one fleet differ
-	readingsNeeded    = 2     // that agree with each other and contradict the clock
-	readingSeparation = 0.1   // seconds between the first one's receipt and the last one's sending
+	readingTolerance  = 0.005 // seconds; covers the rounding of positions and differences between the clocks of a fleet
+	readingsNeeded    = 2     // number of readings in a row that agree with each other and contradict the clock
+	readingSeparation = 0.1   // least time in seconds from receiving the first of these readings to sending the last
 )
 
-// clockReading bounds the Unix time, in seconds, at which the event loop's clock read 0, by the position of an answer. No
-// position is ahead of the present. A primary stands at the present when it answers, which is after the attempt was sent
-// and before its answer was received.
+// clockReading gives bounds for the Unix time, in seconds, at loop time 0. They follow from the position in an answer: no
+// position is ahead of the current time, and a primary's position is the current time at the moment at which it answers,
+// which lies between the sending of the attempt and the receipt of the answer.
 type clockReading struct {
-	earliest, latest   float64 // latest: positive infinity if the position may be an earlier one
+	earliest, latest   float64 // Unix times in seconds; latest is positive infinity if the position may be out of date
 	sentAt, receivedAt float64 // loop times
 }
 
-// newClockReading returns what an answer or a report with a position, in Unix seconds, tells. atPresent says that a primary
-// gave it as the time of its answer.
+// newClockReading returns the reading that a position, in Unix seconds, of an answer or a load report gives. atPresent is
+// true if the position is the time at which a primary answered.
 func newClockReading(position, sentAt, receivedAt float64, atPresent bool) clockReading {
 	reading := clockReading{
 		earliest: position - receivedAt, latest: math.Inf(1), sentAt: sentAt, receivedAt: receivedAt,
@@ -29,23 +29,24 @@
 	return reading
 }
 
-// clockEstimate collects readings in a row that contradict a clock. A primary that hangs on to an earlier time, as one
-// that is cut off does, contradicts itself: the readings that it gives one after the other have no time in common.
+// clockEstimate collects consecutive readings that contradict a clock. A primary whose position stands still, because it is
+// cut off, cannot correct the clock: the bounds of its successive readings do not overlap.
 type clockEstimate struct {
-	count              int
-	earliest, latest   float64 // that all readings have in common
-	firstReceivedAt    float64
-	lastSentAt float64 // sentAt of the last reading
+	count            int     // number of readings that agree with each other
+	earliest, latest float64 // the bounds that all these readings allow
+	firstReceivedAt  float64 // receivedAt of the first reading
+	lastSentAt       float64 // sentAt of the last reading
 }
 
-// inDoubt reports whether the last reading contradicts the clock.
+// inDoubt reports whether the clock is contradicted by readings that are not yet enough to correct it.
 func (e *clockEstimate) inDoubt() bool { return e.count > 0 }
 
-// add takes in a reading beside what the clock says. It returns the time that the readings agree on, once they are many
-// enough and far enough apart to be certain: the latest one, by which no data look fresher than they are.
+// add compares a reading with the clock's value, unixAtStart. Once enough readings contradict the clock and are far enough
+// apart, it returns a corrected value and true. Of the values that all readings allow, this is the latest, which never
+// makes data look fresher than they are. If they set no upper bound, it is the earliest.
 func (e *clockEstimate) add(unixAtStart float64, reading clockReading) (corrected float64, certain bool) {
 	if unixAtStart >= reading.earliest-readingTolerance && unixAtStart <= reading.latest+readingTolerance {
-		if !math.IsInf(reading.latest, 1) { // a replica's answer says nothing for a clock that is ahead
+		if !math.IsInf(reading.latest, 1) { // without an upper bound, the reading cannot refute that the clock is ahead
 			*e = clockEstimate{}
 		}
 		return 0, false
@@ -61,7 +62,8 @@
 	return corrected, true
 }
 
-// narrow adds a reading, or begins anew by it if it does not agree with those before.
+// narrow adds a reading to the estimate. If it does not agree with the earlier readings, the estimate starts again from
+// this one.
 func (e *clockEstimate) narrow(reading clockReading) {
 	earliest, latest := max(e.earliest, reading.earliest), min(e.latest, reading.latest)
 	if e.count == 0 || earliest > latest+readingTolerance {
--- a/internal/dispatcher/command.go
+++ b/internal/dispatcher/command.go
@@ -5,45 +5,47 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// Command is a command that a client sent. The frontend fills the exported fields, and leaves the value to the
-// dispatcher when it submits it.
+// Command is a command of a client. The frontend fills the exported fields and must not change them after it has submitted
+// the command.
 type Command struct {
-	ID             string // the client's name of the command, unlike that of any other command in flight
+	ID             string // identifier that the client chose; no two commands in flight have the same
 	Group          int    // index of the command group in the settings
-	Shard          int    // by Dispatcher.LookupShard
+	Shard          int    // id of the shard, from Dispatcher.LookupShard
 	Session        uint64
-	ClientRetry    bool    // the client says that it has sent this command before
-	LastWriteAge   float64 // seconds since the session's last write, negative if ahead of this clock; 0: not known
-	ClientDeadline float64 // loop time at which the client stops waiting
-	Statement      buffer.Chain
-	WaitStart      int // offset in Statement of the digits of the time for which the client waits
-	WaitEnd        int // offset after them
-	Responder      Responder
-	Owner          any // for the frontend; the dispatcher does not look at it
+	ClientRetry    bool         // the client has marked the command as sent before
+	LastWriteAge   float64      // seconds since the session's last write; negative if that lies in the future; 0 if unknown
+	ClientDeadline float64      // loop time at which the client stops waiting
+	Statement      buffer.Chain // text of the statement with its terminating zero byte
+	WaitStart      int          // offset in Statement of the first digit of the client's waiting time
+	WaitEnd        int          // offset in Statement after the last digit of the waiting time
+	Responder      Responder    // receives the final answer
+	Owner          any          // set and used by the frontend only
 
-	trackingID uint32
-	attempt    *backend.Attempt // the last one that was begun and has not ended
-	done       bool             // has had its final answer, or needs none
-	clientGone bool             // needs none, which the router may still have to hear
+	trackingID uint32           // identifies the command at the tracker and the backends
+	attempt    *backend.Attempt // the attempt started last, until its end is delivered; nil if there is none
+	done       bool             // the final answer was given, or the command was abandoned
+	clientGone bool             // the client has gone; the router may not have been notified yet
 }
 
-// Responder gives a command its final answer: one call a command, and none once its client has gone. It may call
-// Submit and ClientGone meanwhile.
+// Responder receives the final answer of a command. For each command, the dispatcher calls one of Answer, Reject and Fail
+// once, or none of them if the client has gone. These methods may call Submit and ClientGone.
 type Responder interface {
-	// Answer gives a backend's row, which the responder must free.
+	// Answer passes on a backend's row. The Responder must free it.
 	Answer(c *Command, row *buffer.Chain)
-	// Reject says that the command was not run and may be sent again, after so many seconds if it is not 0.
+	// Reject tells the client that the command was given up and may be sent again. If retryAfter is not 0, the client
+	// should wait for that many seconds first.
 	Reject(c *Command, retryAfter float64)
-	// Fail says that the command may have run.
+	// Fail tells the client that the command was given up and may have run.
 	Fail(c *Command)
-	// ClientPresent looks whether the client is still there, also if that has not been told yet.
+	// ClientPresent checks the client's connection and reports whether the client is still there. It may find out that a
+	// client has gone before ClientGone is called.
 	ClientPresent(c *Command) bool
 }
 
 // commandTable holds the commands in flight.
 type commandTable struct {
 	byTrackingID   map[uint32]*Command
-	clientIDs      map[string]bool
+	clientIDs      map[string]bool // Command.ID of every command in flight
 	lastTrackingID uint32
 }
 
@@ -51,7 +53,7 @@
 	return commandTable{byTrackingID: map[uint32]*Command{}, clientIDs: map[string]bool{}}
 }
 
-// add gives the command a tracking id that no other command in flight has.
+// add adds a command and assigns it a tracking id that no other command in flight has.
 func (t *commandTable) add(c *Command) {
 	t.lastTrackingID++
 	c.trackingID = t.lastTrackingID
@@ -59,13 +61,13 @@
 	t.clientIDs[c.ID] = true
 }
 
-// remove forgets a command.
+// remove removes a command.
 func (t *commandTable) remove(c *Command) {
 	delete(t.byTrackingID, c.trackingID)
 	delete(t.clientIDs, c.ID)
 }
 
-// get returns the command in flight that has a tracking id, or nil.
+// get returns the command in flight with the given tracking id, or nil if there is none.
 func (t *commandTable) get(trackingID uint32) *Command { return t.byTrackingID[trackingID] }
 
 func (t *commandTable) size() int { return len(t.byTrackingID) }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,6 +1,6 @@
-// Package dispatcher joins the parts of the data plane. In each turn of the event loop it gathers what the frontend, the
-// connections to backends and discovery have to tell, hands that to the router, and carries out the router's decisions.
-// It interns endpoints, shards and zones, gives commands their tracking ids, and decides nothing itself. All of it runs
+// Package dispatcher connects the parts of the data plane. In each turn of the event loop it collects events from the
+// frontend, the connections to backends and discovery, passes them to the router, and executes the router's decisions. It
+// assigns integer ids to endpoints, shards, zones and commands, and takes no routing decisions itself. All of its code runs
 // on the event loop's goroutine.
 package dispatcher
 
@@ -20,31 +20,31 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// Dispatcher takes commands from the frontend and gives each one final answer.
+// Dispatcher receives commands from the frontend and gives each of them one final answer, unless its client has gone.
 type Dispatcher struct {
 	loop     *eventloop.Loop
 	clock    clock
 	settings *config.Settings
 	seed     uint64
-	router   *router.Router // decides about new commands
+	router   *router.Router // decides on new commands
 	tracker  *inflight.Tracker
 	backends *backend.Pool
 	watch    *discovery.Watch
 	counters *metrics.Counters
 	log      zerolog.Logger
 
-	endpoints *idtable.Table[string] // an id is released when the router lets the endpoint go
-	shards    *idtable.Table[int]    // as many as the deployment has, so that none is ever released
-	zones     *idtable.Table[string] // the same
-	newestGeneration    newestListGeneration
-	commands  commandTable
+	endpoints        *idtable.Table[string] // ids of endpoints; an id is released once the router has released the endpoint
+	shards           *idtable.Table[int]    // ids of shards, never released because a deployment has a limited number of shards
+	zones            *idtable.Table[string] // ids of zones, never released for the same reason
+	newestGeneration newestListGeneration
+	commands         commandTable
 
-	pendingEvents events
-	pendingDecisions  decisions
+	pendingEvents    events
+	pendingDecisions decisions
 }
 
-// New returns a dispatcher that knows the endpoint list of the configuration, which must outlive it, and begins to watch
-// the list unless the settings have it polled on demand.
+// New returns a dispatcher that starts with the endpoint list in config. It starts watching the list at once, unless the
+// settings say that the list is polled only on demand. The dispatcher keeps using config, which must outlive it.
 func New(config *config.Config, l *eventloop.Loop, blocks *buffer.Pool, counters *metrics.Counters, log zerolog.Logger) *Dispatcher {
 	d := &Dispatcher{
 		loop:      l,
@@ -72,45 +72,48 @@
 	return d
 }
 
-// newRouter returns a router under the present settings, which knows no endpoint yet.
+// newRouter returns a router with the current settings and without endpoints.
 func (d *Dispatcher) newRouter() *router.Router {
 	config := d.settings.Config
 	config.PositionEpoch = d.clock.positionEpoch
 	if config.Zone >= 0 && config.Zone < len(d.settings.Zones) {
-		config.Zone = d.zones.Intern(d.settings.Zones[config.Zone]) // an id that outlasts a change of the settings' order
+		// New settings may list the zones in another order; the id of a zone stays the same.
+		config.Zone = d.zones.Intern(d.settings.Zones[config.Zone])
 	}
 	return router.New(config, d.seed)
 }
 
-// ApplySettings has the settings as they are now decide about every command that is submitted from here on. RunTurn must
-// have been called since the last Submit; commands in flight end under the earlier settings.
+// ApplySettings makes the current settings apply to every command that is submitted from now on. Commands in flight end
+// under the earlier settings, so RunTurn must have been called since the last Submit.
 func (d *Dispatcher) ApplySettings() {
 	d.router = d.newRouter()
 	d.tracker.SwitchRouter(d.loop.Now(), d.router)
 }
 
-// SetDiscoveryAddress has the endpoint list watched at another address.
+// SetDiscoveryAddress changes the address from which discovery requests the endpoint list.
 func (d *Dispatcher) SetDiscoveryAddress(address netip.AddrPort) { d.watch.SetAddress(address) }
 
-// Close ends the watch of the endpoint list and closes all idle connections to backends.
+// Close stops watching the endpoint list and closes all idle connections to backends.
 func (d *Dispatcher) Close() {
 	d.watch.Close()
 	d.backends.CloseIdle()
 }
 
-// LookupShard returns the id of the shard that a client's cluster number names, and false if no list has named it.
-func (d *Dispatcher) LookupShard(cluster int) (shard int, ok bool) { return d.shards.Lookup(cluster) }
+// LookupShard returns the id of the shard with the given number, by which clients and the endpoint list name it. It returns
+// false if no endpoint list has contained that number.
+func (d *Dispatcher) LookupShard(number int) (shard int, ok bool) { return d.shards.Lookup(number) }
 
-// IsInFlight reports whether a command with this client's id is in flight. Another one must not be submitted then:
-// backends would take it for a second copy of the first.
+// IsInFlight reports whether a command with the given Command.ID is in flight. If so, another command with that id must not
+// be submitted, because backends would take it for a second copy of the first.
 func (d *Dispatcher) IsInFlight(clientID string) bool { return d.commands.clientIDs[clientID] }
 
-// SecondsSince returns how many seconds ago a Unix time in seconds was; negative if it lies in the future.
+// SecondsSince returns the number of seconds that have passed since a Unix time in seconds. It is negative if the time lies
+// in the future.
 func (d *Dispatcher) SecondsSince(unixSeconds float64) float64 {
 	return d.clock.secondsSince(unixSeconds)
 }
 
-// Submit takes a command over. The router hears of it in the next RunTurn.
+// Submit accepts a command. The next RunTurn passes it to the router.
 func (d *Dispatcher) Submit(command *Command) {
 	d.commands.add(command)
 	d.pendingEvents.received = append(d.pendingEvents.received, command)
@@ -118,7 +121,7 @@
 	d.counters.ReceivedByGroup[command.Group]++
 }
 
-// ClientGone notifies the dispatcher that the client of these commands has gone. They get no answer any more.
+// ClientGone notifies the dispatcher that the client of these commands has gone. They get no answer from then on.
 func (d *Dispatcher) ClientGone(commands []*Command) {
 	for _, command := range commands {
 		command.clientGone = true
@@ -132,11 +135,11 @@
 // BackendConnections returns the number of connections to backends.
 func (d *Dispatcher) BackendConnections() int { return d.backends.ConnectionCount() }
 
-// EndpointRows returns the number of endpoints that have a row, and of rows, unused ones included.
+// EndpointRows returns the number of known endpoints, and the number of endpoint rows including unused ones.
 func (d *Dispatcher) EndpointRows() (known, rows int) {
 	return d.endpoints.Len(), d.backends.EndpointRows()
 }
 
-// CloseIdleBackend closes an idle connection to a backend if backends have more than the descriptors that are set aside
-// for them, and reports whether it closed one.
+// CloseIdleBackend closes an idle connection to a backend if there are more such connections than descriptors reserved for
+// backends. It reports whether it closed one.
 func (d *Dispatcher) CloseIdleBackend() bool { return d.backends.CloseSurplus() }
--- a/internal/dispatcher/list.go
+++ b/internal/dispatcher/list.go
@@ -7,16 +7,16 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// listSource is where a list update came from.
+// listSource is the origin of a list update.
 type listSource int
 
 const (
-	listFromConfig    listSource = iota // the list of the configuration, which the router knew before its start
-	listFromDiscovery                   // a complete list, or changes
-	listCallFailed                      // none came
+	listFromConfig    listSource = iota // the endpoint list in the configuration, used at the start
+	listFromDiscovery                   // a complete list or a list of changes
+	listCallFailed                      // the call to discovery failed, so there is no list
 )
 
-// listUpdate is what happened to the endpoint list.
+// listUpdate is an endpoint list, or the failure to get one.
 type listUpdate struct {
 	source listSource
 	list   endpoint.List
@@ -32,7 +32,7 @@
 	d.pendingEvents.listUpdates = append(d.pendingEvents.listUpdates, listUpdate{source: listCallFailed})
 }
 
-// deliverList tells the router and the backends' connections of an update.
+// deliverList passes a list update to the router and to the backend pool.
 func (d *Dispatcher) deliverList(now float64, update listUpdate) {
 	switch update.source {
 	case listCallFailed:
@@ -46,17 +46,18 @@
 	}
 }
 
-// outdatedListWindow is how long, in seconds, an older list counts as that of an agent that is behind. One that stays behind for
-// longer counts its generations anew.
+// outdatedListWindow is the time in seconds after the newest list during which a list of a lower generation counts as
+// outdated: it comes from an agent that is behind. A lower generation after that time means that generations were reset.
 const outdatedListWindow = 60
 
-// newestListGeneration is the newest generation of the list that was told.
+// newestListGeneration is the generation of the newest endpoint list.
 type newestListGeneration struct {
 	generation int64
-	receivedAt     float64 // loop time
+	receivedAt float64 // loop time
 }
 
-// isOutdated takes in a generation, and reports whether a newer one was told lately.
+// isOutdated reports whether a list of a higher generation was received within the last outdatedListWindow. If not, it
+// records the given generation as the newest one.
 func (n *newestListGeneration) isOutdated(generation int64, now float64) bool {
 	if generation < n.generation && now-n.receivedAt < outdatedListWindow {
 		return true
@@ -65,7 +66,8 @@
 	return false
 }
 
-// updateEndpoints takes a list over. One that is cached counts as complete, whatever it says.
+// updateEndpoints passes an endpoint list to the backend pool and the router. A cached list counts as complete even if it is
+// not marked as such.
 func (d *Dispatcher) updateEndpoints(now float64, list endpoint.List, cached bool) {
 	outdated := d.newestGeneration.isOutdated(list.Generation, d.loop.Now())
 	infos := make([]router.EndpointInfo, 0, len(list.Endpoints))
@@ -80,7 +82,7 @@
 	}
 	d.abortConnecting(ready, list.Complete || cached)
 	d.tracker.UpdateEndpoints(now, infos, list.Complete || cached, cached)
-	if len(infos) == 0 { // a long poll that ended without changes
+	if len(infos) == 0 { // the long poll ended without changes
 		return
 	}
 	d.log.Info().
@@ -88,11 +90,11 @@
 		Bool("complete", list.Complete).
 		Bool("cached", cached).
 		Int("endpoints", len(list.Endpoints)).
-		Msg("list")
+		Msg("endpoint list updated")
 }
 
-// abortConnecting ends the connections that are being made to endpoints which take nothing new by a list: what is not ready,
-// and what a complete list does not name.
+// abortConnecting closes the connections that are being opened to endpoints that must not get new commands: those that the
+// list contains as not ready, and those missing from a complete list.
 func (d *Dispatcher) abortConnecting(ready map[int]bool, complete bool) {
 	for index := range d.backends.EndpointRows() {
 		isReady, listed := ready[index]
@@ -102,8 +104,8 @@
 	}
 }
 
-// endpointInfo converts a row of the list to the router's terms. It gives ids to an endpoint, shard and zone that have
-// none.
+// endpointInfo converts a row of the endpoint list to the router's type. It assigns ids to an endpoint, shard or zone that
+// has none yet.
 func (d *Dispatcher) endpointInfo(endpoint *endpoint.Endpoint) router.EndpointInfo {
 	startedAt := math.Inf(-1)
 	if endpoint.StartedUnixMs > 0 {
@@ -119,7 +121,7 @@
 	}
 }
 
-// endpointState converts a list's state to the router's.
+// endpointState converts a state in the endpoint list to the router's type.
 func endpointState(state endpoint.State) router.EndpointState {
 	switch state {
 	case endpoint.StateReady:
--- a/internal/dispatcher/report.go
+++ b/internal/dispatcher/report.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// Fields of a load report.
+// Names of the fields of a load report.
 const (
 	positionField = "x0" // Unix time in seconds up to which the backend has applied the log
 	primaryField  = "x1" // 1 if the backend is a primary, else 0
 )
 
-// loadReport is what a backend reports of itself, by a health check or beside an answer.
+// loadReport holds the values of a load report, which a backend sends in reply to a health check or along with an answer.
 type loadReport struct {
-	unixSeconds float64 // the position as it was told; 0: none was
-	position    float64 // log position, or noPosition
-	primary     bool
+	unixSeconds float64 // the position as the backend sent it, a Unix time; 0 if the report has none
+	position    float64 // log position, or noPosition if the report has none that is valid
+	primary     bool    // the backend reports that it is a primary
 }
 
-// reportField is one field of a load report's text, which has the form name=number,name=number.
+// reportField is a field of a load report. The text of a report has the form name=number,name=number.
 type reportField struct {
 	name  string
 	value float64
@@ -32,9 +32,9 @@
 	errNotAFlag  = errors.New("is neither 0 nor 1")
 )
 
-// fieldError is a field of a load report that could not be read.
+// fieldError reports a field of a load report that could not be parsed.
 type fieldError struct {
-	field string // its text
+	field string // text of the field
 	cause error
 }
 
@@ -46,7 +46,7 @@
 // Unwrap returns the cause.
 func (e *fieldError) Unwrap() error { return e.cause }
 
-// parseReportField reads one field. Its errors are of type *fieldError.
+// parseReportField parses one field. Its errors are of type *fieldError.
 func parseReportField(text string) (reportField, error) {
 	name, number, _ := strings.Cut(strings.TrimSpace(text), "=")
 	value, err := strconv.ParseFloat(number, 64)
@@ -61,8 +61,8 @@
 	return reportField{name: name, value: value}, nil
 }
 
-// readReport reads a load report's text, and counts what cannot be true. A report with a field that cannot be read
-// reports nothing. An empty text is no report.
+// readReport parses the text of a load report. It returns an empty report if the text is empty or if any field cannot be
+// parsed. It counts a field that cannot be parsed or a position that cannot be true as a rejected position.
 func (d *Dispatcher) readReport(text string) loadReport {
 	report := loadReport{position: noPosition}
 	if text == "" {
@@ -85,7 +85,8 @@
 	return report
 }
 
-// readPosition converts a backend's Unix time in seconds to a log position, or counts it and returns noPosition.
+// readPosition converts a backend's Unix time in seconds to a log position. If the clock rejects the time, readPosition
+// counts a rejected position and returns noPosition.
 func (d *Dispatcher) readPosition(unixSeconds float64) float64 {
 	position, ok := d.clock.position(unixSeconds)
 	if !ok {
--- a/internal/dispatcher/turn.go
+++ b/internal/dispatcher/turn.go
@@ -6,29 +6,29 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// events is what was gathered since the last delivery.
+// events holds the events since the last call of deliverEvents.
 type events struct {
 	listUpdates   []listUpdate
 	healthChecks  []healthCheckResult
 	endedAttempts []endedAttempt
-	goneClients   [][]*Command // the commands of each client
+	goneClients   [][]*Command // for each client that has gone, its commands
 	received      []*Command
 }
 
-// empty reports whether nothing was gathered.
+// empty reports whether there are no events.
 func (e *events) empty() bool {
 	return len(e.listUpdates)+len(e.healthChecks)+len(e.endedAttempts)+len(e.goneClients)+len(e.received) == 0
 }
 
-// healthCheckResult is the end of a health check.
+// healthCheckResult is the result of a health check.
 type healthCheckResult struct {
 	endpoint int
 	result   router.Result
 	elapsed  float64 // seconds
-	report   string  // a load report, or empty
+	report   string  // text of the load report; empty unless the check was answered
 }
 
-// endedAttempt is the end of an attempt.
+// endedAttempt is the result of an attempt.
 type endedAttempt struct {
 	attempt *backend.Attempt
 	result  router.Result
@@ -38,8 +38,9 @@
 	receivedAt float64 // loop time
 }
 
-// RunTurn tells the router what was gathered, and carries out its decisions, until nothing more comes of it. It returns
-// the loop time at which to call it next at the latest.
+// RunTurn delivers the pending events to the router, runs the reviews and the maintenance that are due, and executes the
+// router's decisions. It repeats this until executing the decisions has caused no new events. It returns the loop time by
+// which the caller must call it again.
 func (d *Dispatcher) RunTurn(now float64) float64 {
 	for {
 		d.deliverEvents(now)
@@ -52,7 +53,8 @@
 	}
 }
 
-// runMaintenance carries out the work that is due besides commands.
+// runMaintenance executes the router's requests that concern no command: health checks, the release of endpoints and a
+// poll of the endpoint list.
 func (d *Dispatcher) runMaintenance(work router.Maintenance) {
 	for _, endpoint := range work.HealthCheck {
 		d.backends.CheckHealth(endpoint)
@@ -66,26 +68,29 @@
 	}
 }
 
-// deliverEvents tells the router what was gathered. The order is that of what the router should know first. Answers that are
-// given meanwhile let the frontend submit more, which the next delivery tells.
+// deliverEvents passes the pending events to the router: news about endpoints and clients first, so that the decisions on
+// new commands take them into account. Answers given meanwhile may make the frontend submit more commands; these stay
+// pending until the next call.
 func (d *Dispatcher) deliverEvents(now float64) {
-	gathered := d.pendingEvents
+	pending := d.pendingEvents
 	d.pendingEvents = events{}
-	for _, update := range gathered.listUpdates {
+	for _, update := range pending.listUpdates {
 		d.deliverList(now, update)
 	}
-	for _, check := range gathered.healthChecks {
+	for _, check := range pending.healthChecks {
 		d.deliverHealthCheck(now, check)
 	}
-	for i := range gathered.endedAttempts {
-		d.deliverAttempt(now, &gathered.endedAttempts[i])
+	for i := range pending.endedAttempts {
+		d.deliverAttempt(now, &pending.endedAttempts[i])
 	}
-	for _, commands := range gathered.goneClients {
+	for _, commands := range pending.goneClients {
 		d.deliverGoneClient(now, commands)
 	}
-	d.deliverReceived(now, gathered.received)
+	d.deliverReceived(now, pending.received)
 }
 
+// deliverHealthCheck passes the result of a health check to the router. The position in its load report is also used as a
+// reading of the clock.
 func (d *Dispatcher) deliverHealthCheck(now float64, check healthCheckResult) {
 	report := d.readReport(check.report)
 	if check.result == router.Answered && report.unixSeconds > 0 {
@@ -95,7 +100,8 @@
 	d.router.HealthChecked(now, check.endpoint, check.result, check.elapsed, report.position, report.primary)
 }
 
-// deliverGoneClient gives up the commands of a client that has gone.
+// deliverGoneClient gives up the commands of a client that has gone. It counts the client if an unfinished command of it had
+// no attempt in flight that may have reached a backend.
 func (d *Dispatcher) deliverGoneClient(now float64, commands []*Command) {
 	anyUnsent := false
 	for _, command := range commands {
@@ -108,8 +114,9 @@
 	}
 }
 
-// deliverReceived hands commands to the router, except for those whose client has gone meanwhile. Their time of arrival is
-// the present: a turn may be held up between its poll and its reading, and no command may count as older than it is.
+// deliverReceived passes new commands to the router, except for those whose client has gone in the meantime. The time of
+// arrival is the current time rather than that of the turn's poll: the turn may have been delayed between polling and
+// reading, and a command must not count as older than it is.
 func (d *Dispatcher) deliverReceived(now float64, commands []*Command) {
 	arrivedAt := d.loop.Clock()
 	for _, command := range commands {
