--- a/internal/inflight/decisions_test.go
+++ b/internal/inflight/decisions_test.go
@@ -12,27 +12,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-var updateDecisions = flag.Bool("update-decisions", false, "record testdata/decisions.txt afresh")
+var updateDecisions = flag.Bool("update-decisions", false, "record testdata/decisions.txt again")
 
 const (
-	simulationCount = 160  // seeds with a draw of settings each
-	simulationCalls = 8000 // calls of each, at which it ends
-	floodCalls      = 400_000
+	simulatedSeeds     = 160  // number of seeds; each draws settings of its own
+	callsPerSimulation = 8000 // calls after which a simulation ends
+	callsOfFlood       = 400_000
 )
 
-// TestDecisionsAreAsRecorded replays simulated fleets, each drawn from a seed, and compares a digest of every
-// thousand calls to the module and of its answers with the ones on record. A change that means to keep the
-// behaviour keeps every digest: results of floating point must stay equal to the last bit. After a change of
-// behaviour that is wanted, record afresh with -update-decisions.
+// TestDecisionsAreAsRecorded simulates fleets, each drawn from a seed, and compares a digest of every thousand calls
+// and their results with the recorded digest. A change that is meant to keep the router's behaviour must keep every
+// digest: floating-point results must stay equal to the last bit. After an intended change of behaviour, record the
+// digests again with -update-decisions.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("recorded on amd64; compilers for others may fuse a multiplication with an addition, which rounds otherwise")
+		t.Skip("recorded on amd64; compilers for other architectures may fuse multiplication and addition, which rounds differently")
 	}
 	var lines []string
-	for seed := range uint64(simulationCount) {
-		lines = append(lines, simulate(seed, simulationCalls)...)
+	for seed := range uint64(simulatedSeeds) {
+		lines = append(lines, simulate(seed, callsPerSimulation)...)
 	}
-	lines = append(lines, simulate(floodSeed, floodCalls)...)
+	lines = append(lines, simulate(floodSeed, callsOfFlood)...)
 	path := filepath.Join("testdata", "decisions.txt")
 	if *updateDecisions {
 		require.NoError(t, os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644))
@@ -42,13 +42,13 @@
 	want := strings.Split(strings.TrimSpace(string(recorded)), "\n")
 	require.Len(t, lines, len(want))
 	for i, line := range lines {
-		if !assert.Equal(t, want[i], line, "the first thousand calls that differ; what follows differs by them") {
+		if !assert.Equal(t, want[i], line, "first thousand calls that differ; later ones differ as a result") {
 			return
 		}
 	}
 }
 
-// Two runs of one seed give the same digests; a run of another gives others.
+// Two simulations with the same seed give the same digests, and one with another seed gives different digests.
 func TestSimulationsFollowTheirSeed(t *testing.T) {
 	first := simulate(1, callsPerDigest)
 	assert.Equal(t, first, simulate(1, callsPerDigest))
--- a/internal/inflight/simulation_test.go
+++ b/internal/inflight/simulation_test.go
@@ -12,14 +12,14 @@
 const (
 	callsPerDigest = 1000
 	startTime      = 100.0
-	// leastStep keeps the clock going where the module asks to be called again at once.
-	leastStep = 1e-4
+	// minStep advances the clock if the tracker asks to be called again immediately.
+	minStep   = 1e-4
 	floodStep = 5e-3
-	// The seed of a flood of commands, most of a session of their own, which fills the memory of sessions.
+	// floodSeed selects a flood of commands, most of them in a session of their own, which fills the memory for sessions.
 	floodSeed = 1 << 20
 )
 
-// digest sums up calls and their answers.
+// digest computes checksums of the calls and their results.
 type digest struct {
 	seed  uint64
 	sum   uint64
@@ -27,12 +27,13 @@
 	lines []string
 }
 
-// call is a kind of call or answer.
-type call int
+// callKind is the kind of a recorded call.
+type callKind int
 
-// Calls to the module, and its calls to what carries its decisions out.
+// Calls to the tracker and the router, and the tracker's calls to its Executor. callHealthChecked also stands for the
+// requests for health checks and releases in the maintenance.
 const (
-	callAdd call = iota
+	callAdd callKind = iota
 	callClientGone
 	callAttemptEnded
 	callUpdateEndpoints
@@ -51,8 +52,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// note adds one call or answer with its values.
-func (d *digest) note(kind call, values ...float64) {
+// record adds a call with its arguments or results to the digest.
+func (d *digest) record(kind callKind, values ...float64) {
 	d.mix(uint64(kind))
 	for _, v := range values {
 		d.mix(math.Float64bits(v))
@@ -74,14 +75,14 @@
 	d.lines = append(d.lines, fmt.Sprintf("seed %d, calls up to %d: %016x", d.seed, d.calls, d.sum))
 }
 
-func flagged(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// random is splitmix64, whose numbers do not depend on the version of a library.
+// random is the generator splitmix64. Its numbers do not depend on the version of a library.
 type random struct{ state uint64 }
 
 func (r *random) next() uint64 {
@@ -99,13 +100,13 @@
 func (r *random) exponential(mean float64) float64 {
 	return -mean * math.Log(1-r.float())
 }
-func (r *random) of(values ...float64) float64 { return values[r.intn(len(values))] }
+func (r *random) choose(values ...float64) float64 { return values[r.intn(len(values))] }
 
-// event is something that happens at a time.
+// event is an action that is scheduled for a time.
 type event struct {
-	at    float64
-	order int
-	do    func()
+	at     float64
+	order  int // events at the same time run in this order
+	action func()
 }
 
 type events []event
@@ -122,7 +123,7 @@
 	return last
 }
 
-// simulation is one router's view of a fleet: clients, database servers and the service that lists them.
+// simulation simulates the surroundings of one router: clients, backends and discovery.
 type simulation struct {
 	*random
 	digest
@@ -130,25 +131,25 @@
 	queue   events
 	order   int
 	config  router.Config
-	router  *router.Router // the one in force
+	router  *router.Router // the current router, which receives new commands
 	tracker *inflight.Tracker
-	// The time by which the module wants to be asked again. A flood asks no sooner, others after every event.
-	reviewAt float64
-	nextID   uint32
+	// Time by which the tracker wants ReviewDue to be called. A flood calls it only then, other simulations after each event.
+	nextReviewAt float64
+	nextID       uint32
 
-	endpoints      []endpoint
-	free           []int // indices that the module has given back
-	shards         int
-	following      bool
-	gap            float64 // mean time between two commands
-	leavers        float64 // share of clients that leave early
-	sessions       int
-	errorsAreFinal bool // an error can be the final answer
-	flood          bool
-	turbulence     float64 // mean time between two changes of the fleet
+	endpoints          []endpoint
+	freeIndices        []int // indices of released endpoints
+	shards             int
+	subscribed         bool
+	meanCommandGap     float64 // mean time in seconds between two commands
+	leaveShare         float64 // share of clients that may leave before their answer
+	sessions           int
+	errorsAreFinal     bool // errors of backends are final answers
+	flood              bool
+	meanChangeInterval float64 // mean time in seconds between two changes of the fleet
 }
 
-// simulate runs a fleet until so many calls have been made, and returns its digests.
+// simulate runs a simulation until the given number of calls is recorded, and returns its digests.
 func simulate(seed uint64, calls int) []string {
 	s := &simulation{random: &random{state: seed}, digest: digest{seed: seed, sum: fnvOffset}, now: startTime}
 	s.flood = seed == floodSeed
@@ -156,15 +157,15 @@
 	s.drawFleet()
 	s.config = s.drawConfig()
 	if s.flood {
-		s.settleFlood()
+		s.configureFlood()
 	}
 	s.router = router.New(s.config, s.next())
 	s.tracker = inflight.New(s.router, s)
 	s.publishAll(s.chance(0.5))
-	s.after(0, s.arrive)
-	s.after(s.exponential(s.turbulence), s.disturb)
+	s.schedule(0, s.arrive)
+	s.schedule(s.exponential(s.meanChangeInterval), s.changeFleet)
 	if !s.flood && s.chance(0.5) {
-		s.after(s.of(0.2, 2, 20), s.switchRouter)
+		s.schedule(s.choose(0.2, 2, 20), s.switchRouter)
 	}
 	for s.calls < calls {
 		s.step()
@@ -173,75 +174,75 @@
 	return s.lines
 }
 
-func (s *simulation) after(delay float64, do func()) {
+func (s *simulation) schedule(delay float64, do func()) {
 	s.order++
-	heap.Push(&s.queue, event{at: s.now + delay, order: s.order, do: do})
+	heap.Push(&s.queue, event{at: s.now + delay, order: s.order, action: do})
 }
 
-// step lets the module do what is due, and then the next thing happen.
+// step calls ReviewDue if it is due, and then executes the next event or advances the clock to the next review.
 func (s *simulation) step() {
-	if !s.flood || s.now >= s.reviewAt {
+	if !s.flood || s.now >= s.nextReviewAt {
 		s.review()
 	}
-	if len(s.queue) == 0 || s.queue[0].at > s.reviewAt {
-		s.now = s.reviewAt
+	if len(s.queue) == 0 || s.queue[0].at > s.nextReviewAt {
+		s.now = s.nextReviewAt
 		return
 	}
 	e := heap.Pop(&s.queue).(event)
 	s.now = math.Max(s.now, e.at)
-	e.do()
+	e.action()
 }
 
 func (s *simulation) review() {
-	next, due := s.tracker.ReviewDue(s.now)
-	s.note(callReviewDue, s.now, next, float64(s.tracker.Len()), flagged(due.Subscribe))
-	s.maintain(due)
-	step := leastStep
+	next, maintenance := s.tracker.ReviewDue(s.now)
+	s.record(callReviewDue, s.now, next, float64(s.tracker.Len()), boolValue(maintenance.Subscribe))
+	s.maintain(maintenance)
+	step := minStep
 	if s.flood {
 		step = floodStep
 	}
-	s.reviewAt = math.Max(next, s.now+step)
+	s.nextReviewAt = math.Max(next, s.now+step)
 }
 
-// maintain carries out what the module wants done besides commands.
-func (s *simulation) maintain(due router.Maintenance) {
-	for _, at := range due.HealthCheck {
-		s.note(callHealthChecked, float64(at))
-		s.probe(at)
+// maintain executes the maintenance that the router requests.
+func (s *simulation) maintain(maintenance router.Maintenance) {
+	for _, index := range maintenance.HealthCheck {
+		s.record(callHealthChecked, float64(index))
+		s.checkHealth(index)
 	}
-	for _, at := range due.Release {
-		s.note(callHealthChecked, float64(at), -1)
-		s.endpoints[at].released = true
-		s.free = append(s.free, at)
+	for _, index := range maintenance.Release {
+		s.record(callHealthChecked, float64(index), -1)
+		s.endpoints[index].released = true
+		s.freeIndices = append(s.freeIndices, index)
 	}
-	if due.Subscribe {
-		s.after(s.between(0.01, 0.4), s.answerList)
+	if maintenance.Subscribe {
+		s.schedule(s.between(0.01, 0.4), s.answerListPoll)
 	}
 }
 
-func (s *simulation) answerList() {
+func (s *simulation) answerListPoll() {
 	if s.chance(0.4) {
 		s.failList()
 		return
 	}
-	s.following = true
+	s.subscribed = true
 	s.publishAll(false)
 }
 
 func (s *simulation) failList() {
-	s.following = false
-	s.note(callEndpointListFailed, s.now)
+	s.subscribed = false
+	s.record(callEndpointListFailed, s.now)
 	s.router.EndpointListFailed(s.now)
 }
 
-// probe asks an endpoint for its state, and hands the result in.
-func (s *simulation) probe(at int) {
-	e := &s.endpoints[at]
+// checkHealth simulates a health check and reports its result to the router after a while.
+func (s *simulation) checkHealth(index int) {
+	e := &s.endpoints[index]
 	elapsed := s.between(0.0005, 0.02)
-	result, position := router.Answered, e.position(s.now, s.config.PositionEpoch)
+	result, position := router.Answered, e.appliedPosition(s.now, s.config.PositionEpoch)
 	switch e.condition {
 	case unreachable, hung:
-		result, elapsed = s.failedProbe(), s.config.ConnectTimeout
+		result, elapsed = s.failedHealthCheck(), s.config.ConnectTimeout
 	case refusing:
 		result = router.Overloaded
 	case erring:
@@ -252,27 +253,27 @@
 		position = -1
 	}
 	primary := e.primary
-	s.after(elapsed, func() {
-		s.note(callHealthChecked, s.now, float64(at), float64(result), elapsed, position, flagged(primary))
-		s.router.HealthChecked(s.now, at, result, elapsed, position, primary)
+	s.schedule(elapsed, func() {
+		s.record(callHealthChecked, s.now, float64(index), float64(result), elapsed, position, boolValue(primary))
+		s.router.HealthChecked(s.now, index, result, elapsed, position, primary)
 	})
 }
 
-func (s *simulation) failedProbe() router.Result {
+func (s *simulation) failedHealthCheck() router.Result {
 	if s.chance(0.5) {
 		return router.TimedOut
 	}
 	return router.ConnectFailed
 }
 
-// switchRouter puts other settings in force.
+// switchRouter switches to a router with newly drawn settings.
 func (s *simulation) switchRouter() {
 	s.config = s.drawConfig()
 	seed := s.next()
-	s.note(callSwitchRouter, s.now, float64(seed>>11)) // what a float64 holds of it
+	s.record(callSwitchRouter, s.now, float64(seed>>11)) // the bits that a float64 can represent exactly
 	s.router = router.New(s.config, seed)
 	s.tracker.SwitchRouter(s.now, s.router)
 	if s.chance(0.5) {
-		s.after(s.of(0.2, 2, 20), s.switchRouter)
+		s.schedule(s.choose(0.2, 2, 20), s.switchRouter)
 	}
 }
--- a/internal/inflight/simulation_traffic_test.go
+++ b/internal/inflight/simulation_traffic_test.go
@@ -6,17 +6,17 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// drawConfig draws settings, among them those at the edges of what is allowed.
+// drawConfig draws settings, including ones at the limits of what is allowed.
 func (s *simulation) drawConfig() router.Config {
 	config := router.Config{
-		TotalWeight: s.of(0, 1, 1), WorstGroupWeight: s.of(0, 0.5, 2),
-		RouterCount: int(s.of(0, 1, 1, 3, 20, 300)), Instance: s.intn(20), Zone: s.intn(4) - 1,
-		BatchInterval: s.of(0, 0.001, 0.005, 0.02), PositionEpoch: s.of(0, 50),
+		TotalWeight: s.choose(0, 1, 1), WorstGroupWeight: s.choose(0, 0.5, 2),
+		RouterCount: int(s.choose(0, 1, 1, 3, 20, 300)), Instance: s.intn(20), Zone: s.intn(4) - 1,
+		BatchInterval: s.choose(0, 0.001, 0.005, 0.02), PositionEpoch: s.choose(0, 50),
 		ClientTokens: s.chance(0.3), ReplicasCheckReads: s.chance(0.3), LoadReports: s.chance(0.8),
-		PollList: s.chance(0.5), PollWindow: s.of(0, 1, 8, 30), SoftRemoval: s.chance(0.2),
-		CanCancel: s.chance(0.8), HealthChecks: s.chance(0.8), RetryAfterAllowed: s.chance(0.5), MaxRetryAfter: s.of(0.2, 1),
-		MaxAttempts: int(s.of(0, 1, 2, 3, 6)), ConnectTimeout: s.of(0.05, 0.25), SlowStartFloor: s.of(0.05, 0.2, 1),
-		SlowStart: s.of(0.5, 2, 10), OverloadFactor: s.of(1.2, 2), OverloadWindow: s.of(0.2, 2),
+		PollList: s.chance(0.5), PollWindow: s.choose(0, 1, 8, 30), SoftRemoval: s.chance(0.2),
+		CanCancel: s.chance(0.8), HealthChecks: s.chance(0.8), RetryAfterAllowed: s.chance(0.5), MaxRetryAfter: s.choose(0.2, 1),
+		MaxAttempts: int(s.choose(0, 1, 2, 3, 6)), ConnectTimeout: s.choose(0.05, 0.25), SlowStartFloor: s.choose(0.05, 0.2, 1),
+		SlowStart: s.choose(0.5, 2, 10), OverloadFactor: s.choose(1.2, 2), OverloadWindow: s.choose(0.2, 2),
 	}
 	for range 2 + s.intn(6) {
 		config.CommandGroups = append(config.CommandGroups, s.drawGroup())
@@ -28,30 +28,30 @@
 	g := router.CommandGroup{
 		Consistency: router.Consistency(s.intn(5)),
 		Idempotency: router.Idempotency(s.intn(3)), KeyScope: router.KeyScope(s.intn(3)),
-		LatencyObjective: s.of(0.02, 0.1, 0.1, 0.5), PriorityWeight: s.of(0.5, 1, 1, 3, 10), LateValue: s.of(0, 0, 0.3),
-		MaxStaleness: s.of(0.02, 0.2, 1), IdempotencyWindow: s.of(0.3, 1, 5),
+		LatencyObjective: s.choose(0.02, 0.1, 0.1, 0.5), PriorityWeight: s.choose(0.5, 1, 1, 3, 10), LateValue: s.choose(0, 0, 0.3),
+		MaxStaleness: s.choose(0.02, 0.2, 1), IdempotencyWindow: s.choose(0.3, 1, 5),
 	}
-	g.ClientTimeout = g.LatencyObjective * s.of(1, 2, 4, 10)
+	g.ClientTimeout = g.LatencyObjective * s.choose(1, 2, 4, 10)
 	if g.Consistency == router.Eventual && s.chance(0.4) {
 		g.LatencyObjective, g.ClientTimeout = 2, 5 // heavy reads
 	}
 	return g
 }
 
-// drawTraffic says how many commands come, and from whom.
+// drawTraffic draws the rate of commands, the number of sessions and how clients and errors behave.
 func (s *simulation) drawTraffic() {
-	s.gap = s.of(0.001, 0.005, 0.02, 0.1)
-	s.leavers = s.of(0, 0.05, 0.3, 0.9)
-	s.sessions = int(s.of(1, 5, 50, 1000))
+	s.meanCommandGap = s.choose(0.001, 0.005, 0.02, 0.1)
+	s.leaveShare = s.choose(0, 0.05, 0.3, 0.9)
+	s.sessions = int(s.choose(1, 5, 50, 1000))
 	s.errorsAreFinal = s.chance(0.5)
 }
 
-// settleFlood has all servers serve for good, so that most commands are answered. Replicas are as far behind as the
-// sessions reach back that were let go.
-func (s *simulation) settleFlood() {
-	s.gap, s.leavers, s.turbulence = 0.0004, 0, math.Inf(1)
+// configureFlood makes all backends serve without failures, so that most commands are answered. The lag of the replicas is
+// about the age of the sessions that the router has to forget.
+func (s *simulation) configureFlood() {
+	s.meanCommandGap, s.leaveShare, s.meanChangeInterval = 0.0004, 0, math.Inf(1)
 	for i := range s.endpoints {
-		s.endpoints[i].condition, s.endpoints[i].work = serving, 0.1
+		s.endpoints[i].condition, s.endpoints[i].workFactor = serving, 0.1
 		s.endpoints[i].lag = s.between(10, 40)
 	}
 	write := router.CommandGroup{
@@ -64,72 +64,73 @@
 	s.config.PollList, s.config.ClientTokens, s.config.LoadReports = false, false, true
 }
 
-// arrive takes a command in.
+// arrive adds a command to the tracker and schedules the next one.
 func (s *simulation) arrive() {
-	s.after(s.exponential(s.gap), s.arrive)
+	s.schedule(s.exponential(s.meanCommandGap), s.arrive)
 	if !s.flood && s.chance(0.001) {
-		s.gap = s.of(0.001, 0.005, 0.02, 0.1) // traffic rises and falls
-	}
-	at := s.intn(len(s.config.CommandGroups))
-	g := &s.config.CommandGroups[at]
-	arrived := s.now - s.of(0, 0, 0.001, 0.02)
-	c := router.Command{
-		Group: at, Shard: s.intn(s.shards), ArrivedAt: arrived, ClientDeadline: arrived + g.ClientTimeout*s.of(1, 1, 1, 0.5),
+		s.meanCommandGap = s.choose(0.001, 0.005, 0.02, 0.1) // traffic rises and falls
+	}
+	groupIndex := s.intn(len(s.config.CommandGroups))
+	g := &s.config.CommandGroups[groupIndex]
+	arrivedAt := s.now - s.choose(0, 0, 0.001, 0.02)
+	command := router.Command{
+		Group: groupIndex, Shard: s.intn(s.shards),
+		ArrivedAt: arrivedAt, ClientDeadline: arrivedAt + g.ClientTimeout*s.choose(1, 1, 1, 0.5),
 		Session: uint64(s.intn(s.sessions + 1)), ClientRetry: s.chance(0.1),
 	}
 	if s.config.ClientTokens {
-		c.LastWriteAge = s.of(0, 0.01, 0.2, 3, -0.01)
+		command.LastWriteAge = s.choose(0, 0.01, 0.2, 3, -0.01)
 	}
 	if s.chance(0.002) {
-		c.Shard = s.intn(2)*100 - 1
+		command.Shard = s.intn(2)*100 - 1
 	}
 	s.nextID++
 	id := s.nextID
 	if s.flood {
-		c.Session = uint64(id)
+		command.Session = uint64(id)
 		if s.chance(0.2) {
-			c.Session = uint64(1 + s.intn(int(id)))
+			command.Session = uint64(1 + s.intn(int(id)))
 		}
 	}
-	s.note(callAdd, s.now, float64(id), float64(c.Group), float64(c.Shard), float64(c.Session),
-		c.ArrivedAt, c.ClientDeadline,
-		c.LastWriteAge, flagged(c.ClientRetry))
-	s.tracker.Add(s.now, id, c)
-	if s.chance(s.leavers) {
-		s.after(s.between(0, 1.2*g.ClientTimeout), func() {
-			s.note(callClientGone, s.now, float64(id))
+	s.record(callAdd, s.now, float64(id), float64(command.Group), float64(command.Shard), float64(command.Session),
+		command.ArrivedAt, command.ClientDeadline,
+		command.LastWriteAge, boolValue(command.ClientRetry))
+	s.tracker.Add(s.now, id, command)
+	if s.chance(s.leaveShare) {
+		s.schedule(s.between(0, 1.2*g.ClientTimeout), func() {
+			s.record(callClientGone, s.now, float64(id))
 			s.tracker.ClientGone(s.now, id)
 		})
 	}
 }
 
-// end hands in how an attempt ended, after a while.
-func (s *simulation) end(id uint32, o router.AttemptResult, delay float64) {
-	s.after(delay, func() {
-		s.note(callAttemptEnded, s.now, float64(id), float64(o.Attempt), float64(o.Result), o.Elapsed,
-			flagged(o.Final), o.Position,
-			float64(o.Role))
-		s.tracker.AttemptEnded(s.now, id, o)
+// scheduleAttemptEnd reports the result of an attempt to the tracker after a delay.
+func (s *simulation) scheduleAttemptEnd(id uint32, result router.AttemptResult, delay float64) {
+	s.schedule(delay, func() {
+		s.record(callAttemptEnded, s.now, float64(id), float64(result.Attempt), float64(result.Result), result.Elapsed,
+			boolValue(result.Final), result.Position,
+			float64(result.Role))
+		s.tracker.AttemptEnded(s.now, id, result)
 	})
 }
 
-// Dispatch sends an attempt to a simulated server.
-func (s *simulation) Forward(id uint32, attempt, node int, until float64) {
-	s.note(callForward, float64(id), float64(attempt), float64(node), until)
-	o := s.outcome(&s.endpoints[node])
-	o.Attempt = attempt
-	if left := until - s.now; o.Elapsed >= left {
-		o = router.AttemptResult{Attempt: attempt, Result: router.TimedOut, Elapsed: math.Max(0, left), Position: -1}
-	}
-	s.end(id, o, o.Elapsed)
+// Forward simulates an attempt at a backend. It implements inflight.Executor.
+func (s *simulation) Forward(id uint32, attempt, index int, deadline float64) {
+	s.record(callForward, float64(id), float64(attempt), float64(index), deadline)
+	result := s.drawResult(&s.endpoints[index])
+	result.Attempt = attempt
+	if remaining := deadline - s.now; result.Elapsed >= remaining {
+		result = router.AttemptResult{Attempt: attempt, Result: router.TimedOut, Elapsed: math.Max(0, remaining), Position: -1}
+	}
+	s.scheduleAttemptEnd(id, result, result.Elapsed)
 }
 
-// outcome draws how an attempt at a server ends.
-func (s *simulation) outcome(e *endpoint) router.AttemptResult {
+// drawResult draws the result of an attempt at a backend.
+func (s *simulation) drawResult(e *endpoint) router.AttemptResult {
 	failed := router.AttemptResult{Elapsed: s.between(0.0005, 0.01), Position: -1}
 	switch e.condition {
 	case unreachable:
-		failed.Result, failed.Elapsed = router.ConnectFailed, s.of(0.001, s.config.ConnectTimeout)
+		failed.Result, failed.Elapsed = router.ConnectFailed, s.choose(0.001, s.config.ConnectTimeout)
 		return failed
 	case hung:
 		failed.Result, failed.Elapsed = router.TimedOut, math.Inf(1)
@@ -152,42 +153,42 @@
 	return s.serve(e)
 }
 
-// serve has a server answer, when it is done with what it has.
+// serve returns the result of an attempt at a backend that works. The attempt waits for the commands before it.
 func (s *simulation) serve(e *endpoint) router.AttemptResult {
-	work := 0.01 * e.work * s.between(0.5, 2)
+	work := 0.01 * e.workFactor * s.between(0.5, 2)
 	if e.condition == slow || s.chance(0.01) {
-		work *= s.of(3, 30)
+		work *= s.choose(3, 30)
 	}
-	e.busyUntil = math.Max(e.busyUntil, s.now) + work/8 // it does eight at a time
-	o := router.AttemptResult{Result: router.Answered, Final: true, Elapsed: e.busyUntil - s.now + work, Position: -1}
-	if o.Elapsed > 1 {
+	e.busyUntil = math.Max(e.busyUntil, s.now) + work/8 // it runs eight commands at a time
+	result := router.AttemptResult{Result: router.Answered, Final: true, Elapsed: e.busyUntil - s.now + work, Position: -1}
+	if result.Elapsed > 1 {
 		return router.AttemptResult{Result: router.Overloaded, Elapsed: 0.001, Position: -1}
 	}
 	if s.config.LoadReports || s.chance(0.3) {
-		o.Position = e.position(s.now, s.config.PositionEpoch)
-		o.Role = router.RoleReplica
+		result.Position = e.appliedPosition(s.now, s.config.PositionEpoch)
+		result.Role = router.RoleReplica
 		if e.primary {
-			o.Role = router.RolePrimary
+			result.Role = router.RolePrimary
 		}
 	}
 	if !e.primary && s.chance(0.15) || s.chance(0.002) {
-		o.Result, o.Final = router.NotServed, false
+		result.Result, result.Final = router.NotServed, false
 	}
-	return o
+	return result
 }
 
-// Recall calls an attempt off: the server stops, or was quicker.
+// Cancel simulates the cancellation of an attempt. If the attempt ends on its own first, that result counts.
 func (s *simulation) Cancel(id uint32, attempt int) {
-	s.note(callCancel, float64(id), float64(attempt))
-	o := router.AttemptResult{Attempt: attempt, Result: router.Canceled, Position: -1}
-	o.Elapsed = s.between(0.001, 0.05)
-	s.end(id, o, s.between(0, 0.02))
+	s.record(callCancel, float64(id), float64(attempt))
+	result := router.AttemptResult{Attempt: attempt, Result: router.Canceled, Position: -1}
+	result.Elapsed = s.between(0.001, 0.05)
+	s.scheduleAttemptEnd(id, result, s.between(0, 0.02))
 }
 
-// Throttle turns a command away.
+// Reject records the rejection of a command.
 func (s *simulation) Reject(id uint32, retryAfter float64) {
-	s.note(callReject, float64(id), retryAfter)
+	s.record(callReject, float64(id), retryAfter)
 }
 
-// Fail ends a command with an error.
-func (s *simulation) Fail(id uint32) { s.note(callFail, float64(id)) }
+// Fail records the failure of a command.
+func (s *simulation) Fail(id uint32) { s.record(callFail, float64(id)) }
--- a/internal/inflight/tracker_test.go
+++ b/internal/inflight/tracker_test.go
@@ -15,7 +15,7 @@
 	nonIdempotent
 )
 
-// recorder counts what is carried out, and keeps the last attempt's deadline and endpoint.
+// recorder is an Executor that counts its calls and keeps the deadline and endpoint of the last attempt.
 type recorder struct {
 	forwarded, canceled, rejected, failed int
 	deadline                              float64
@@ -32,8 +32,8 @@
 func (r *recorder) Reject(uint32, float64) { r.rejected++ }
 func (r *recorder) Fail(uint32)            { r.failed++ }
 
-// newTracker returns a tracker with one idempotent and one non-idempotent group, and so many endpoints.
-func newTracker(endpoints int) (*Tracker, *recorder) {
+// newTracker returns a tracker with one idempotent and one non-idempotent group, and the given number of endpoints.
+func newTracker(endpointCount int) (*Tracker, *recorder) {
 	read := router.CommandGroup{
 		Consistency: router.Eventual, LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1,
 	}
@@ -44,12 +44,12 @@
 		CanCancel: true,
 	}, 7)
 	var list []router.EndpointInfo
-	for i := range endpoints {
+	for i := range endpointCount {
 		list = append(list, ready(i))
 	}
 	r.UpdateEndpoints(0, list, true, true)
-	out := &recorder{}
-	return New(r, out), out
+	executor := &recorder{}
+	return New(r, executor), executor
 }
 
 func ready(index int) router.EndpointInfo {
@@ -65,88 +65,89 @@
 }
 
 func TestAnsweredCommandIsForgotten(t *testing.T) {
-	tracker, out := newTracker(1)
+	tracker, executor := newTracker(1)
 	tracker.Add(1, 4, newCommand(idempotent))
-	assert.Equal(t, recorder{forwarded: 1, deadline: 1.5}, *out)
+	assert.Equal(t, recorder{forwarded: 1, deadline: 1.5}, *executor)
 	tracker.AttemptEnded(1.1, 4, router.AttemptResult{Result: router.Answered, Final: true, Position: -1})
 	assert.Zero(t, tracker.Len())
 	tracker.AttemptEnded(1.2, 4, router.AttemptResult{Result: router.ConnectionLost})
-	assert.Equal(t, recorder{forwarded: 1, deadline: 1.5}, *out, "a late result reaches nobody")
+	assert.Equal(t, recorder{forwarded: 1, deadline: 1.5}, *executor, "the late result has no effect")
 }
 
 func TestEndOfAnAttemptCountsOnce(t *testing.T) {
-	tracker, out := newTracker(2)
+	tracker, executor := newTracker(2)
 	tracker.Add(1, 4, newCommand(idempotent))
-	o := router.AttemptResult{Result: router.ConnectFailed, Position: -1}
-	tracker.AttemptEnded(1.1, 4, o)
-	tracker.AttemptEnded(1.1, 4, o)
-	assert.Equal(t, 2, out.forwarded, "the second end of the first attempt is passed over")
+	failure := router.AttemptResult{Result: router.ConnectFailed, Position: -1}
+	tracker.AttemptEnded(1.1, 4, failure)
+	tracker.AttemptEnded(1.1, 4, failure)
+	assert.Equal(t, 2, executor.forwarded, "the second result of the first attempt is ignored")
 	tracker.AttemptEnded(1.1, 4, router.AttemptResult{Attempt: 7})
 	assert.Equal(t, 1, tracker.Len())
 }
 
 func TestNonIdempotentCommandThatMayHaveRunFails(t *testing.T) {
-	tracker, out := newTracker(2)
+	tracker, executor := newTracker(2)
 	tracker.Add(1, 4, newCommand(nonIdempotent))
 	tracker.AttemptEnded(1.1, 4, router.AttemptResult{Result: router.ConnectionLost, Position: -1})
-	assert.Equal(t, 1, out.forwarded)
-	assert.Equal(t, 1, out.failed)
+	assert.Equal(t, 1, executor.forwarded)
+	assert.Equal(t, 1, executor.failed)
 	assert.Zero(t, tracker.Len())
 }
 
 func TestCommandOfAGoneClientIsCanceledAndKeptUntilItsAttemptEnds(t *testing.T) {
-	tracker, out := newTracker(1)
+	tracker, executor := newTracker(1)
 	tracker.Add(1, 4, newCommand(idempotent))
 	tracker.ClientGone(1.1, 4)
 	tracker.ClientGone(1.1, 4)
-	assert.Equal(t, 1, out.canceled)
+	assert.Equal(t, 1, executor.canceled)
 	assert.Equal(t, 1, tracker.Len())
 	tracker.AttemptEnded(1.1, 4, router.AttemptResult{Result: router.Canceled, Position: -1})
 	assert.Zero(t, tracker.Len())
-	assert.Equal(t, 1, out.forwarded, "nothing is sent for it afterwards")
-	assert.Zero(t, out.rejected+out.failed, "and nobody is answered")
+	assert.Equal(t, 1, executor.forwarded, "no attempt is sent after the client has gone")
+	assert.Zero(t, executor.rejected+executor.failed, "a client that has gone gets no answer")
 }
 
 func TestWaitingCommandIsReviewedUntilItIsRejected(t *testing.T) {
-	tracker, out := newTracker(0)
-	c := newCommand(idempotent)
-	c.Shard = -1
-	tracker.Add(1, 3, c)
-	assert.Equal(t, 1, out.rejected, "no list has named its shard")
+	tracker, executor := newTracker(0)
+	command := newCommand(idempotent)
+	command.Shard = -1
+	tracker.Add(1, 3, command)
+	assert.Equal(t, 1, executor.rejected, "no endpoint list contains the shard")
 
-	tracker, out = newTracker(1)
+	tracker, executor = newTracker(1)
 	tracker.router.UpdateEndpoints(1, []router.EndpointInfo{draining(0)}, false, false)
 	tracker.Add(1, 4, newCommand(idempotent))
-	assert.Zero(t, out.forwarded)
+	assert.Zero(t, executor.forwarded)
 	last := 0.0
 	for now := 1.0; tracker.Len() > 0 && now < 4; {
 		next, _ := tracker.ReviewDue(now)
 		assert.Greater(t, next, now)
 		last, now = now, next
 	}
-	assert.Equal(t, 1, out.rejected)
-	assert.Less(t, last, 3.0, "before its client timeout")
+	assert.Equal(t, 1, executor.rejected)
+	assert.Less(t, last, 3.0, "the command is rejected before its client's deadline")
 }
 
-// What is in flight at a switch ends by the router that took it, which hears of draining endpoints until then.
+// A command in flight at a switch stays with the router that received it. That router must still get updates of the
+// endpoint list.
 func TestCommandsInFlightAtASwitchEndAtTheirRouter(t *testing.T) {
-	const many = 20
-	tracker, out := newTracker(2)
-	for id := range uint32(many) {
+	const commandCount = 20
+	tracker, executor := newTracker(2)
+	for id := range uint32(commandCount) {
 		tracker.Add(1, id, newCommand(nonIdempotent))
 	}
 	groups := []router.CommandGroup{{LatencyObjective: 9, ClientTimeout: 9}}
-	later := router.New(router.Config{CommandGroups: groups, BatchInterval: 0.005, MaxAttempts: 1}, 7)
-	tracker.SwitchRouter(1.1, later)
+	secondRouter := router.New(router.Config{CommandGroups: groups, BatchInterval: 0.005, MaxAttempts: 1}, 7)
+	tracker.SwitchRouter(1.1, secondRouter)
 	tracker.UpdateEndpoints(1.2, []router.EndpointInfo{draining(0)}, false, false)
-	for id := range uint32(many) {
+	for id := range uint32(commandCount) {
 		tracker.AttemptEnded(1.3, id, router.AttemptResult{Result: router.NotServed, Position: -1})
-		assert.Equal(t, many+int(id)+1, out.forwarded, "by the attempts allowed when it came")
-		assert.Equal(t, 1, out.endpoint, "nothing to one that is draining")
+		assert.Equal(t, commandCount+int(id)+1, executor.forwarded, "the limit on attempts is that of the earlier router")
+		assert.Equal(t, 1, executor.endpoint, "the draining endpoint gets no attempt")
 	}
 	tracker.ReviewDue(1.9)
 	assert.Len(t, tracker.earlierRouters, 1)
-	for id := range uint32(many) {
+	for id := range uint32(commandCount) {
 		tracker.AttemptEnded(1.9, id, router.AttemptResult{Attempt: 1, Result: router.Answered, Final: true, Position: -1})
 	}
 	tracker.ReviewDue(1.9)
@@ -161,26 +162,26 @@
 		},
 		{Consistency: router.SessionConsistent, LatencyObjective: 0.5, ClientTimeout: 2, PriorityWeight: 1},
 	}
-	fresh := func() *router.Router {
+	newRouter := func() *router.Router {
 		return router.New(router.Config{CommandGroups: groups, BatchInterval: 0.005, MaxAttempts: 2, LoadReports: true}, 7)
 	}
-	out := &recorder{}
-	tracker := New(fresh(), out)
+	executor := &recorder{}
+	tracker := New(newRouter(), executor)
 	tracker.UpdateEndpoints(0, []router.EndpointInfo{
 		{Index: 0, State: router.Ready, StartedAt: math.Inf(-1), Primary: true},
 		ready(1),
 	}, true, true)
 	tracker.Add(10, 1, router.Command{Group: 0, Session: 9, ArrivedAt: 10, ClientDeadline: 12})
-	later := fresh()
-	tracker.SwitchRouter(10.1, later)
+	secondRouter := newRouter()
+	tracker.SwitchRouter(10.1, secondRouter)
 	tracker.AttemptEnded(10.2, 1, router.AttemptResult{
 		Result: router.Answered, Final: true, Elapsed: 0.2, Position: 10.15, Role: router.RolePrimary,
 	})
-	later.HealthChecked(10.25, 1, router.Answered, 0, 10.1, false)
+	secondRouter.HealthChecked(10.25, 1, router.Answered, 0, 10.1, false)
 	tracker.Add(10.3, 2, router.Command{Group: 1, Session: 9, ArrivedAt: 10.3, ClientDeadline: 12.3})
-	assert.Equal(t, 1, out.forwarded, "the replica does not cover it yet")
-	later.HealthChecked(10.31, 1, router.Answered, 0, 10.2, false)
+	assert.Equal(t, 1, executor.forwarded, "the replica has not applied the write yet")
+	secondRouter.HealthChecked(10.31, 1, router.Answered, 0, 10.2, false)
 	tracker.ReviewDue(10.32)
-	assert.Equal(t, 2, out.forwarded)
-	assert.Equal(t, 1, out.endpoint)
+	assert.Equal(t, 2, executor.forwarded)
+	assert.Equal(t, 1, executor.endpoint)
 }
