--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -26,7 +26,7 @@
 
 	f.send("d=99 again", distantDeadline)
 	f.receive(c, 5)
-	assert.Equal(t, 1, f.pool.ConnectionCount(), "the connection is used again")
+	assert.Equal(t, 1, f.pool.ConnectionCount(), "the connection is reused")
 }
 
 func TestTimeoutBeforeTheLastByteIsConnectFailed(t *testing.T) {
@@ -36,10 +36,10 @@
 	c, err := f.backend.Accept()
 	require.NoError(t, err)
 	_ = c.Close()
-	d := f.send("d=99"+string(make([]byte, 32<<20)), distantDeadline)
+	attempt := f.send("d=99"+string(make([]byte, 32<<20)), distantDeadline)
 	c = f.accept()
 	f.receive(c, 5)
-	d.conn.timerExpired() // its deadline passes while the backend reads no more
+	attempt.conn.timerExpired() // the deadline passes while the backend has stopped reading
 	assert.Equal(t, []router.Result{router.ConnectFailed, router.ConnectFailed}, f.results)
 	assert.Zero(t, f.pool.ConnectionCount())
 }
@@ -57,13 +57,13 @@
 	f.receive(c, 5)
 	require.False(t, short.Unsent())
 	f.pool.Cancel(short)
-	assert.Equal(t, []router.Result{router.NeverSent, router.Canceled}, f.results, "which blames no endpoint")
+	assert.Equal(t, []router.Result{router.NeverSent, router.Canceled}, f.results, "neither result counts against the endpoint")
 	_, err := io.Copy(io.Discard, c)
-	require.NoError(t, err, "the connection was closed at once")
+	require.NoError(t, err, "canceling closes the connection")
 	assert.Zero(t, f.pool.ConnectionCount())
 }
 
-func TestSilenceAfterTheLastByteIsTimedOut(t *testing.T) {
+func TestMissingAnswerIsTimedOut(t *testing.T) {
 	f := newFixture(t)
 	f.send("d=99", 0.3)
 	f.accept()
@@ -73,31 +73,34 @@
 }
 
 func TestResultFollowsTheAnswer(t *testing.T) {
-	fail := func(code string, fatal bool) []byte { return pg.AppendErrorResponse(nil, fatal, code, "", "") }
-	for name, k := range map[string]struct {
+	errorResponse := func(code string, fatal bool) []byte { return pg.AppendErrorResponse(nil, fatal, code, "", "") }
+	for name, test := range map[string]struct {
 		sent   []byte
 		result router.Result
 		open   int
 	}{
-		"full":           {pg.AppendReadyForQuery(fail(pg.CodeTooManyConnections, false)), router.Overloaded, 1},
-		"full and ended": {fail(pg.CodeTooManyConnections, true), router.Overloaded, 0},
-		"no primary":     {pg.AppendReadyForQuery(fail(pg.CodeReadOnlyTransaction, false)), router.NotServed, 1},
-		"too far behind": {pg.AppendReadyForQuery(fail(pg.CodeSnapshotTooOld, false)), router.NotServed, 1},
-		"error":          {pg.AppendReadyForQuery(fail("XX000", false)), router.Errored, 1},
-		"no row":         {pg.AppendReadyForQuery(nil), router.Errored, 1},
-		"3 GB promised":  {[]byte("D\xb2\xd0\x5e\x00"), router.Errored, 0},
-		"full in a row":  {pg.AppendReadyForQuery(pg.AppendErrorResponse(answer("x")[:41], false, pg.CodeTooManyConnections, "", "")), router.Errored, 1},
-		"nonsense":       {[]byte("HTTP/1.1 400 Bad Request\r\n\r\n"), router.Errored, 0},
-		"too much":       {append(answer("x"), answer("y")...), router.Answered, 0},
+		"overloaded":            {pg.AppendReadyForQuery(errorResponse(pg.CodeTooManyConnections, false)), router.Overloaded, 1},
+		"overloaded and closed": {errorResponse(pg.CodeTooManyConnections, true), router.Overloaded, 0},
+		"no primary":            {pg.AppendReadyForQuery(errorResponse(pg.CodeReadOnlyTransaction, false)), router.NotServed, 1},
+		"replica behind":        {pg.AppendReadyForQuery(errorResponse(pg.CodeSnapshotTooOld, false)), router.NotServed, 1},
+		"error":                 {pg.AppendReadyForQuery(errorResponse("XX000", false)), router.Errored, 1},
+		"no row":                {pg.AppendReadyForQuery(nil), router.Errored, 1},
+		"3 GB announced":        {[]byte("D\xb2\xd0\x5e\x00"), router.Errored, 0},
+		"overloaded after a row": {
+			pg.AppendReadyForQuery(pg.AppendErrorResponse(answer("x")[:41], false, pg.CodeTooManyConnections, "", "")),
+			router.Errored, 1,
+		},
+		"another protocol": {[]byte("HTTP/1.1 400 Bad Request\r\n\r\n"), router.Errored, 0},
+		"two answers":      {append(answer("x"), answer("y")...), router.Answered, 0},
 	} {
 		f := newFixture(t)
 		f.send("d=99", distantDeadline)
 		c := f.accept()
 		f.receive(c, 5)
-		_, _ = c.Write(k.sent)
+		_, _ = c.Write(test.sent)
 		f.run(f.hasResults(1))
-		assert.Equal(t, k.result, f.results[0], name)
-		assert.Equal(t, k.open, f.pool.ConnectionCount(), name)
+		assert.Equal(t, test.result, f.results[0], name)
+		assert.Equal(t, test.open, f.pool.ConnectionCount(), name)
 	}
 	f := newFixture(t)
 	f.send("d=99", distantDeadline)
@@ -106,11 +109,12 @@
 	_, _ = c.Write(answer("cut short")[:20])
 	_ = c.Close()
 	f.run(f.hasResults(1))
-	assert.Equal(t, router.ConnectionLost, f.results[0], "an incomplete answer is not passed on")
+	assert.Equal(t, router.ConnectionLost, f.results[0], "an incomplete answer is not reported")
 	assert.Empty(t, f.values)
 }
 
-// The router was held up between its poll and the sending: the statement says what is left by then.
+// If the router is delayed between its poll and the sending, the statement must contain the waiting time that remains when
+// it is sent.
 func TestStatementTellsWhatIsLeftAfterALongTurn(t *testing.T) {
 	f := newFixture(t)
 	f.send("d=99", 1000)
@@ -126,7 +130,8 @@
 	assert.Regexp(t, `d=[67]\d\d\x00$`, got)
 }
 
-// A backend reads slowly: what a statement says of the time left would be over long before its last byte came.
+// If a backend reads so slowly that writing the statement exceeds its timeout, the rest is not written. The waiting time in
+// the statement would be over long before its last byte arrived.
 func TestStatementThatIsTakenTooSlowlyIsNeverComplete(t *testing.T) {
 	f := newFixture(t)
 	f.pool.limits.Durations.StatementWriteTimeout = 0.1
@@ -134,13 +139,13 @@
 	c := f.accept()
 	f.receive(c, 5)
 	f.run(f.hasResults(1))
-	assert.Equal(t, []router.Result{router.ConnectFailed}, f.results, "it has not run")
+	assert.Equal(t, []router.Result{router.ConnectFailed}, f.results, "the backend cannot have run a part of a statement")
 	read, err := io.Copy(io.Discard, c)
 	require.NoError(t, err)
 	assert.Less(t, read, int64(32<<20))
 }
 
-// The client left while its attempt's connection came up, or while the statement was being written.
+// An attempt must not be written if its client leaves while the connection is being opened.
 func TestAttemptWhoseClientHasLeftIsNotWritten(t *testing.T) {
 	f := newFixture(t)
 	f.send("d=99", distantDeadline)
@@ -150,11 +155,11 @@
 	assert.Equal(t, []router.Result{router.NeverSent}, f.results)
 	f.clientsGone = false
 	f.send("d=98", distantDeadline)
-	assert.Contains(t, f.receive(c, 10), "d=", "the connection was kept, and the first statement never came on it")
+	assert.Contains(t, f.receive(c, 10), "d=", "the connection is kept, and the first statement was not written to it")
 	assert.EqualValues(t, 1, f.counters.BackendConnects)
 }
 
-// No connection was made for reasons of this machine, or of the endpoint.
+// A lack of descriptors at the router is reported as NeverSent, and an endpoint without an address as ConnectFailed.
 func TestLocalFailureIsNotTheEndpoints(t *testing.T) {
 	f := newFixture(t)
 	f.pool.limits.Counts.BackendConnections = 0
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -10,31 +10,32 @@
 )
 
 func TestBadStartupAnswerIsConnectFailedOrOverloaded(t *testing.T) {
-	for name, k := range map[string]struct {
+	for name, test := range map[string]struct {
 		sent   []byte
 		result router.Result
 	}{
-		"a row":           {answer("x"), router.ConnectFailed},
-		"nonsense":        {[]byte("SSH-2.0-x\r\n"), router.ConnectFailed},
-		"an error":        {pg.AppendErrorResponse(nil, true, "57P03", "", ""), router.ConnectFailed},
-		"too many of us":  {pg.AppendErrorResponse(nil, true, pg.CodeTooManyConnections, "", ""), router.Overloaded},
-		"a password, pls": {pg.AppendMessage(nil, 'R', []byte{0, 0, 0, 3}), router.ConnectFailed},
-		"one byte more":   {append(pg.AppendStartupReply(nil, pg.CancelKey{}), 'N'), router.ConnectFailed},
+		"a row":                {answer("x"), router.ConnectFailed},
+		"another protocol":     {[]byte("SSH-2.0-x\r\n"), router.ConnectFailed},
+		"an error":             {pg.AppendErrorResponse(nil, true, "57P03", "", ""), router.ConnectFailed},
+		"too many connections": {pg.AppendErrorResponse(nil, true, pg.CodeTooManyConnections, "", ""), router.Overloaded},
+		"a password request":   {pg.AppendMessage(nil, 'R', []byte{0, 0, 0, 3}), router.ConnectFailed},
+		"an extra byte":        {append(pg.AppendStartupReply(nil, pg.CancelKey{}), 'N'), router.ConnectFailed},
 	} {
 		f := newFixture(t)
-		d := f.send("d=99", distantDeadline)
+		attempt := f.send("d=99", distantDeadline)
 		c, err := f.backend.Accept()
 		require.NoError(t, err)
-		_, _ = c.Write(k.sent)
+		_, _ = c.Write(test.sent)
 		f.run(f.hasResults(1))
 		_ = c.Close()
-		assert.Equal(t, k.result, f.results[0], name)
-		d.Statement.Free()
+		assert.Equal(t, test.result, f.results[0], name)
+		attempt.Statement.Free()
 		assert.Zero(t, f.blocks.BlocksInUse(), name)
 	}
 }
 
-// The order that matters: an answer, the next attempt, then data that belongs to no attempt.
+// Data that a backend sends after its answer must not become the answer to the next attempt, which goes over another
+// connection until the reuse delay is over.
 func TestUnsolicitedDataReachesNoOtherCommand(t *testing.T) {
 	f := newFixture(t)
 	f.pool.limits.Durations.ReuseDelay = 1000
@@ -42,7 +43,7 @@
 	c := f.accept()
 	f.reply(c, "one")
 	f.send("d=99", distantDeadline)
-	_, _ = c.Write(answer("one")) // a second copy, while the next attempt is in flight
+	_, _ = c.Write(answer("one")) // a second copy of the answer, while the next attempt is in flight
 	other := f.accept()
 	f.reply(other, "two")
 	f.run(func() bool { return f.counters.BackendUnsolicited == 1 })
@@ -50,5 +51,5 @@
 	f.pool.limits.Durations.ReuseDelay = 0
 	_, _ = other.Write([]byte("noise"))
 	f.run(func() bool { return f.counters.BackendUnsolicited == 2 })
-	assert.Zero(t, f.pool.ConnectionCount(), "neither connection is used again")
+	assert.Zero(t, f.pool.ConnectionCount(), "neither connection is reused")
 }
--- a/internal/backend/health_check_test.go
+++ b/internal/backend/health_check_test.go
@@ -9,7 +9,8 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// An endpoint is released and its index goes to another while a health check of it is in flight.
+// The result of a health check must be dropped if the endpoint was released during the check, because its index may belong
+// to another endpoint by then.
 func TestLoadReportOfAReleasedEndpointIsDropped(t *testing.T) {
 	for name, sent := range map[string][]byte{"report": answer("x0=5,x1=1"), "unreadable": []byte("?"), "closed": nil} {
 		f := newFixture(t)
@@ -34,7 +35,7 @@
 		f.setAddress(f.backend)
 		_, _ = c.Write(answer("x0=5,x1=1"))
 		f.run(func() bool { return f.pool.ConnectionCount() == 0 })
-		assert.Empty(t, f.checks, "at the same address too, and the connection is not kept")
+		assert.Empty(t, f.checks, "the same holds if the new endpoint has the same address; the connection is not kept")
 	}
 }
 
@@ -54,7 +55,7 @@
 	f.pool.CheckHealth(0)
 	f.run(func() bool { return len(f.checks) == 3 })
 	assert.Equal(t, []router.Result{router.Answered, router.Errored, router.TimedOut}, f.checks)
-	assert.Zero(t, f.pool.ConnectionCount(), "one that was not answered is closed")
+	assert.Zero(t, f.pool.ConnectionCount(), "the connection of a check without an answer is closed")
 }
 
 func TestUnreadableLoadReportIsErrored(t *testing.T) {
@@ -70,15 +71,17 @@
 	assert.Zero(t, f.pool.ConnectionCount())
 }
 
-// Regression: a load report was taken from a row that an error followed, so that a position which no backend had
-// reported made a replica serve reads that it was too stale for.
+// Regression test: a load report was read from a row that was followed by an error. Its invalid position let a replica
+// serve reads for which its data were too old.
 func TestLoadReportBeforeAnErrorIsDropped(t *testing.T) {
 	f := newFixture(t)
 	f.pool.CheckHealth(0)
 	c := f.accept()
 	f.receive(c, 5)
 	complete := answer("x0=5,x1=1")
-	failed := append(bytes.Clone(complete[:len(complete)-6]), pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, "XX000", "", ""))...) // ahead of ReadyForQuery
+	// Insert an error before the final ReadyForQuery, which has 6 bytes.
+	failed := append(bytes.Clone(complete[:len(complete)-6]),
+		pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, "XX000", "", ""))...)
 	_, _ = c.Write(failed)
 	f.run(func() bool { return len(f.checks) == 1 })
 	assert.Equal(t, []router.Result{router.Errored}, f.checks)
--- a/internal/backend/helper_test.go
+++ b/internal/backend/helper_test.go
@@ -17,7 +17,8 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// fixture is a Pool with one endpoint, whose listener the test serves itself, and the results that the Pool reported.
+// fixture holds a Pool with one endpoint, the listener on which the test acts as the backend, and the results that the Pool
+// has reported.
 type fixture struct {
 	t           *testing.T
 	pool        *Pool
@@ -25,11 +26,11 @@
 	blocks      *buffer.Pool
 	counters    metrics.Counters
 	backend     net.Listener
-	results     []router.Result // of attempts
-	values      []string        // of answers to attempts
-	checks      []router.Result // of health checks
-	reports     []string        // of health checks
-	clientsGone bool            // the commands of attempts have lost their clients
+	results     []router.Result // results of attempts
+	values      []string        // values in the answers to attempts
+	checks      []router.Result // results of health checks
+	reports     []string        // load reports from health checks
+	clientsGone bool            // the clients of all attempts have gone
 }
 
 // AttemptEnded implements ResultHandler.
@@ -50,21 +51,21 @@
 	f.reports = append(f.reports, report)
 }
 
-// listen returns a listener with small receive buffers, so that a long statement cannot be written completely to a
-// backend that does not read.
+// listen returns a listener with small receive buffers. They keep a long statement from being written completely while the
+// backend does not read.
 func listen(t *testing.T) net.Listener {
-	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+	listenConfig := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 		})
 	}}
-	n, err := small.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	listener, err := listenConfig.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = n.Close() })
-	return n
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener
 }
 
-// newFixture returns a Pool whose endpoint 0 is the fixture's listener.
+// newFixture returns a fixture whose endpoint 0 has the address of the fixture's listener.
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{t: t, blocks: buffer.NewPool(4096, 1<<20), backend: listen(t)}
 	var err error
@@ -86,12 +87,12 @@
 	return f
 }
 
-// setAddress gives endpoint 0 the address of a listener.
-func (f *fixture) setAddress(n net.Listener) {
-	f.pool.SetAddress(0, netip.MustParseAddrPort(n.Addr().String()), false)
+// setAddress sets the address of endpoint 0 to that of a listener.
+func (f *fixture) setAddress(listener net.Listener) {
+	f.pool.SetAddress(0, netip.MustParseAddrPort(listener.Addr().String()), false)
 }
 
-// send sends a statement whose waiting time is the two digits after its first two bytes.
+// send sends a statement. Its bytes 2 and 3 must be the digits of the waiting time.
 func (f *fixture) send(text string, deadline float64) *Attempt {
 	c := f.blocks.NewChain()
 	c.Write([]byte(text + "\x00"))
@@ -100,20 +101,20 @@
 	return attempt
 }
 
-// run runs the event loop until the condition holds.
-func (f *fixture) run(until func() bool) {
+// run runs the event loop until the condition holds. It fails the test after 20 seconds.
+func (f *fixture) run(condition func() bool) {
 	f.t.Helper()
-	late := time.Now().Add(20 * time.Second)
+	giveUpAt := time.Now().Add(20 * time.Second)
 	require.NoError(f.t, f.loop.Run(func(now float64) float64 {
-		if until() || time.Now().After(late) {
+		if condition() || time.Now().After(giveUpAt) {
 			f.loop.Stop()
 		}
 		return now + 0.002
 	}))
-	require.True(f.t, until(), "waited for in vain")
+	require.True(f.t, condition(), "the condition did not hold in time")
 }
 
-// hasResults returns the condition that so many attempts have ended.
+// hasResults returns the condition that n attempts have ended.
 func (f *fixture) hasResults(n int) func() bool { return func() bool { return len(f.results) == n } }
 
 // accept accepts a connection as the backend and answers its start-up packet.
@@ -140,7 +141,7 @@
 	return c
 }
 
-// receive reads n bytes as the backend.
+// receive reads n bytes at the backend's end of a connection.
 func (f *fixture) receive(c net.Conn, n int) string {
 	f.t.Helper()
 	got := make(chan string, 1)
@@ -160,7 +161,7 @@
 	return text
 }
 
-// reply answers an attempt once it has come.
+// reply receives the beginning of an attempt, answers it, and waits for its result.
 func (f *fixture) reply(c net.Conn, value string) {
 	f.t.Helper()
 	f.receive(c, 5)
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -14,7 +14,7 @@
 	c := f.accept()
 	f.reply(c, "one")
 	_ = c.Close()
-	f.send("d=99", distantDeadline) // before the loop has seen the end
+	f.send("d=99", distantDeadline) // before the event loop has noticed the end of the connection
 	f.reply(f.accept(), "two")
 	assert.Equal(t, []router.Result{router.Answered, router.Answered}, f.results)
 	assert.EqualValues(t, 2, f.counters.BackendConnects)
@@ -26,12 +26,12 @@
 	f.reply(f.accept(), "one")
 	f.backend = listen(t)
 	f.setAddress(f.backend)
-	assert.Zero(t, f.pool.ConnectionCount(), "the idle one is closed")
+	assert.Zero(t, f.pool.ConnectionCount(), "the idle connection is closed")
 	f.send("d=98", distantDeadline)
 	c := f.accept()
 	f.backend = listen(t)
 	f.setAddress(f.backend)
-	assert.Equal(t, 1, f.pool.ConnectionCount(), "the busy one ends first")
+	assert.Equal(t, 1, f.pool.ConnectionCount(), "the busy connection stays open until its query has ended")
 	f.reply(c, "two")
 	assert.Zero(t, f.pool.ConnectionCount())
 	f.send("d=97", distantDeadline)
@@ -42,11 +42,11 @@
 func TestIdleConnectionIsClosedForANewOne(t *testing.T) {
 	f := newFixture(t)
 	f.pool.limits.Counts.BackendConnections = 1
-	f.pool.limits.Counts.SharedDescriptors = 2 // the event loop's own and one
+	f.pool.limits.Counts.SharedDescriptors = 2 // one for the event loop, one for a connection
 	f.send("d=99", distantDeadline)
 	c := f.accept()
 	f.pool.CheckHealth(0)
-	assert.Equal(t, []router.Result{router.NeverSent}, f.checks, "the one descriptor is in use, which is not the endpoint's fault")
+	assert.Equal(t, []router.Result{router.NeverSent}, f.checks, "a lack of descriptors does not count against the endpoint")
 	f.reply(c, "one")
 	other := listen(t)
 	f.pool.SetAddress(1, netip.MustParseAddrPort(other.Addr().String()), false)
@@ -55,7 +55,7 @@
 	assert.Equal(t, 1, f.pool.ConnectionCount())
 	f.pool.limits.Counts.SharedDescriptors = 3
 	f.pool.CheckHealth(1)
-	assert.Equal(t, 2, f.pool.ConnectionCount(), "beyond its own where descriptors are free")
+	assert.Equal(t, 2, f.pool.ConnectionCount(), "shared descriptors are used if they are free")
 }
 
 func TestReleasedEndpointKeepsNoConnection(t *testing.T) {
@@ -66,7 +66,7 @@
 	f.send("d=98", distantDeadline)
 	f.pool.Release(0)
 	f.reply(c, "late")
-	assert.Zero(t, f.pool.ConnectionCount(), "one that was busy is not kept for whoever has the row next")
+	assert.Zero(t, f.pool.ConnectionCount(), "the busy connection is not kept for the next endpoint in the row")
 	f.pool.CheckHealth(0)
-	assert.Equal(t, []router.Result{router.ConnectFailed}, f.checks, "no address is left")
+	assert.Equal(t, []router.Result{router.ConnectFailed}, f.checks, "the row has no address any more")
 }
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -21,7 +21,7 @@
 
 const testShardNumber = 7
 
-// recorder is a Responder that notes the final answers that commands get.
+// recorder is a Responder that records the final answers of commands.
 type recorder []string
 
 func (r *recorder) Answer(_ *Command, row *buffer.Chain) {
@@ -36,7 +36,8 @@
 	return endpoint.List{Complete: true, Endpoints: []endpoint.Endpoint{{ID: "a", Shard: testShardNumber, State: endpoint.StateReady}}}
 }
 
-// newTestDispatcher returns a dispatcher that knows one endpoint, which has no address, and its buffers.
+// newTestDispatcher returns a dispatcher, and the buffer pool that it uses. The dispatcher knows one endpoint, which has no
+// address.
 func newTestDispatcher(t *testing.T) (*Dispatcher, *buffer.Pool) {
 	t.Helper()
 	events, err := eventloop.New(16)
@@ -67,7 +68,7 @@
 	return d, buffers
 }
 
-// submit submits a command of the cluster that newTestDispatcher knows.
+// submit submits a command for the shard that newTestDispatcher knows.
 func submit(d *Dispatcher, buffers *buffer.Pool, responder Responder) *Command {
 	shard, _ := d.LookupShard(testShardNumber)
 	command := &Command{ID: "9b1f", Shard: shard, ClientDeadline: 1, Statement: buffers.NewChain(), Responder: responder}
@@ -76,7 +77,7 @@
 	return command
 }
 
-func TestShardsAreKnownByTheList(t *testing.T) {
+func TestShardIsKnownOnceAListContainsIt(t *testing.T) {
 	d, _ := newTestDispatcher(t)
 	_, ok := d.LookupShard(testShardNumber)
 	assert.True(t, ok)
@@ -84,7 +85,7 @@
 	assert.False(t, ok)
 }
 
-func TestClientGoneInTheSameTurnHasNothingSent(t *testing.T) {
+func TestNothingIsSentForAClientThatLeavesInTheSameTurn(t *testing.T) {
 	d, buffers := newTestDispatcher(t)
 	var answers recorder
 	command := submit(d, buffers, &answers)
@@ -96,13 +97,13 @@
 	assert.Zero(t, buffers.BlocksInUse())
 }
 
-func TestNothingIsSentForACommandThatIsOver(t *testing.T) {
+func TestAttemptIsNotSentAfterItsCommandWasAbandoned(t *testing.T) {
 	d, buffers := newTestDispatcher(t)
 	var answers recorder
 	command := submit(d, buffers, &answers)
 	d.deliverEvents(0.1)
 	require.Len(t, d.pendingDecisions.sends, 1)
-	d.ClientGone([]*Command{command}) // before the attempt was sent
+	d.ClientGone([]*Command{command}) // after the router's decision and before the attempt is sent
 	d.deliverEvents(0.1)
 	d.executeDecisions()
 	assert.Zero(t, d.counters.Attempts)
@@ -127,14 +128,14 @@
 	d.AttemptEnded(attempt, router.Answered, 0.1, newAnswer())
 	d.RunTurn(0.2)
 	assert.Equal(t, recorder{"answered"}, answers)
-	assert.Zero(t, buffers.BlocksInUse(), "every block is given back")
+	assert.Zero(t, buffers.BlocksInUse(), "every block is returned to the pool")
 	d.AttemptEnded(&backend.Attempt{CommandID: 99}, router.ConnectionLost, 0, nil)
 	d.RunTurn(0.3)
 }
 
 func TestEndpointsThatComeAndGoLeaveNoRows(t *testing.T) {
 	d, _ := newTestDispatcher(t)
-	mostKnown := 0
+	maxKnown := 0
 	for i := range 500 {
 		d.HandleList(endpoint.List{Endpoints: []endpoint.Endpoint{
 			{ID: fmt.Sprint("m", i), Shard: testShardNumber, State: endpoint.StateReady},
@@ -142,14 +143,14 @@
 		}})
 		d.RunTurn(float64(i))
 		known, _ := d.EndpointRows()
-		mostKnown = max(mostKnown, known)
+		maxKnown = max(maxKnown, known)
 	}
 	_, rows := d.EndpointRows()
-	assert.Less(t, mostKnown, 30, "rows level off")
+	assert.Less(t, maxKnown, 30, "the number of rows stays bounded")
 	assert.Less(t, rows, 30)
 	d.RunTurn(2000)
 	known, _ := d.EndpointRows()
-	assert.Equal(t, 2, known, "those that are listed")
+	assert.Equal(t, 2, known, "only the endpoints of the list at the start and of the last update remain")
 }
 
 func TestClientIDsAreInFlightUntilTheFinalAnswer(t *testing.T) {
@@ -163,8 +164,8 @@
 	assert.Empty(t, d.commands.clientIDs)
 }
 
-// A router that was held up for 8 ms between its poll and its reading took a linearizable read for one of the poll's
-// time, and a position reported for that time covered it.
+// Regression test: a router that was delayed for 8 ms between its poll and its reading treated a linearizable read as if it
+// had arrived at the time of the poll. A position reported for that time then covered the read, although it was too old.
 func TestLinearizableReadCountsFromItsReadingNotFromThePoll(t *testing.T) {
 	d, buffers := newTestDispatcher(t)
 	d.settings.CommandGroups[0].Consistency, d.settings.LoadReports, d.clock.maxSkewSeconds = router.Linearizable, true, 1
@@ -176,10 +177,10 @@
 	d.HealthChecked(0, router.Answered, 0, fmt.Sprintf("x0=%.6f,x1=0", reported))
 	submit(d, buffers, &recorder{})
 	d.deliverEvents(polled)
-	assert.Empty(t, d.pendingDecisions.sends, "a position of 5 ms after the poll does not cover what came 20 ms after it")
+	assert.Empty(t, d.pendingDecisions.sends, "a position of 5 ms after the poll does not cover a read of 20 ms after the poll")
 	time.Sleep(50 * time.Millisecond)
 	d.HealthChecked(0, router.Answered, 0, fmt.Sprintf("x0=%.6f,x1=0", reported+0.05))
 	d.deliverEvents(polled)
 	d.tracker.ReviewDue(polled + 0.05)
-	assert.Len(t, d.pendingDecisions.sends, 1, "one of later does")
+	assert.Len(t, d.pendingDecisions.sends, 1, "a later position covers the read")
 }
--- a/internal/dispatcher/report_test.go
+++ b/internal/dispatcher/report_test.go
@@ -15,18 +15,18 @@
 	report := d.readReport(fmt.Sprintf("x1=1, x0=%.3f", unixSeconds))
 	assert.InDelta(t, 3600, report.position, 0.01)
 	assert.True(t, report.primary)
-	assert.InDelta(t, 0, d.clock.positionEpoch+report.position, 0.01, "which is when the loop's clock read 0")
-	for _, nonsense := range []string{
+	assert.InDelta(t, 0, d.clock.positionEpoch+report.position, 0.01, "the position stands for loop time 0")
+	for _, invalid := range []string{
 		"", "x0", "x0=soon", "x0=NaN", "x0=-Inf", "util=0.5", "x0=-5", "x0=1e18",
 		fmt.Sprintf("x0=%.3f", unixSeconds+60),
 		fmt.Sprintf("x0=%.3f,x1=perhaps", unixSeconds),
 		fmt.Sprintf("x0=%.3f,x1=7", unixSeconds),
 	} {
-		assert.Negative(t, d.readReport(nonsense).position, nonsense)
+		assert.Negative(t, d.readReport(invalid).position, invalid)
 	}
 }
 
-func TestReportFieldsThatCannotBeReadAreTypedErrors(t *testing.T) {
+func TestInvalidReportFieldsReturnTypedErrors(t *testing.T) {
 	field, err := parseReportField(" x0=1.5")
 	require.NoError(t, err)
 	assert.Equal(t, reportField{name: positionField, value: 1.5}, field)
--- a/internal/inflight/tracker_test.go
+++ b/internal/inflight/tracker_test.go
@@ -64,7 +64,7 @@
 	return router.Command{Group: group, ArrivedAt: 1, ClientDeadline: 3}
 }
 
-func TestAnsweredCommandIsForgotten(t *testing.T) {
+func TestAnsweredCommandIsRemoved(t *testing.T) {
 	tracker, executor := newTracker(1)
 	tracker.Add(1, 4, newCommand(idempotent))
 	assert.Equal(t, recorder{forwarded: 1, deadline: 1.5}, *executor)
@@ -130,7 +130,7 @@
 
 // A command in flight at a switch stays with the router that received it. That router must still get updates of the
 // endpoint list.
-func TestCommandsInFlightAtASwitchEndAtTheirRouter(t *testing.T) {
+func TestCommandsInFlightAtASwitchStayWithTheirRouter(t *testing.T) {
 	const commandCount = 20
 	tracker, executor := newTracker(2)
 	for id := range uint32(commandCount) {
