--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -85,7 +85,7 @@
 // shouldWrite reports whether the query should still be written. It returns true for a health check, and for an attempt
 // whose deadline has not passed and whose client is still there.
 func (c *conn) shouldWrite() bool {
-	return c.attempt == nil || c.pool.loop.Clock() < c.attempt.Deadline && c.pool.results.Wanted(c.attempt)
+	return c.attempt == nil || c.pool.loop.Clock() < c.attempt.Deadline && c.pool.results.ClientPresent(c.attempt)
 }
 
 // reportNeverSent reports the attempt as router.NeverSent before any of it was written, and keeps the connection.
--- a/internal/backend/helper_test.go
+++ b/internal/backend/helper_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Wanted implements ResultHandler.
-func (f *fixture) Wanted(*Attempt) bool { return !f.clientsGone }
+// ClientPresent implements ResultHandler.
+func (f *fixture) ClientPresent(*Attempt) bool { return !f.clientsGone }
 
 // HealthChecked implements ResultHandler.
 func (f *fixture) HealthChecked(_ int, result router.Result, _ float64, report string) {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -23,9 +23,9 @@
 	// AttemptEnded receives the result of an attempt. The answer is nil unless the backend sent a complete one; the
 	// handler must free the answer's Row.
 	AttemptEnded(attempt *Attempt, result router.Result, elapsed float64, answer *pg.Answer)
-	// Wanted reports whether the client of the attempt's command is still there. The Pool calls it just before it writes
+	// ClientPresent reports whether the client of the command is still there. The Pool calls it just before it writes
 	// the attempt's statement or the rest of it, and does not write if the client has gone.
-	Wanted(attempt *Attempt) bool
+	ClientPresent(attempt *Attempt) bool
 	// HealthChecked receives the result of a health check. The report is empty unless the result is router.Answered.
 	HealthChecked(endpoint int, result router.Result, elapsed float64, report string)
 }
@@ -76,9 +76,9 @@
 	}
 }
 
-// StopOpening closes the connections to an endpoint that are still being opened, because the endpoint must not receive
+// AbortConnecting closes the connections to an endpoint that are still being opened, because the endpoint must not receive
 // anything new. Their attempts and health checks end as router.NeverSent.
-func (p *Pool) StopOpening(index int) {
+func (p *Pool) AbortConnecting(index int) {
 	for _, c := range slices.Clone(p.endpoints[index].connecting) {
 		c.fail(router.NeverSent)
 	}
--- a/internal/dispatcher/attempt.go
+++ b/internal/dispatcher/attempt.go
@@ -16,11 +16,11 @@
 var rolesByRecovery = map[string]router.Role{"off": router.RolePrimary, "on": router.RoleReplica}
 
 // maxTurnAge is the age of a turn, in seconds, up to which the turn's poll is recent enough to tell whether a client is
-// still there. In an older turn, Wanted asks the client's Responder.
+// still there. In an older turn, ClientPresent asks the client's Responder.
 const maxTurnAge = 0.01
 
-// Wanted implements backend.ResultHandler.
-func (d *Dispatcher) Wanted(attempt *backend.Attempt) bool {
+// ClientPresent implements backend.ResultHandler.
+func (d *Dispatcher) ClientPresent(attempt *backend.Attempt) bool {
 	command := d.commands.get(attempt.CommandID)
 	if command == nil || command.clientGone {
 		return false
--- a/internal/dispatcher/list.go
+++ b/internal/dispatcher/list.go
@@ -99,7 +99,7 @@
 	for index := range d.backends.EndpointRows() {
 		isReady, listed := ready[index]
 		if listed && !isReady || complete && !listed {
-			d.backends.StopOpening(index)
+			d.backends.AbortConnecting(index)
 		}
 	}
 }
--- a/internal/modelcheck/models/member.go
+++ b/internal/modelcheck/models/member.go
@@ -111,8 +111,8 @@
 // memberSink is told how dispatches end.
 type memberSink struct{ *members }
 
-// Wanted implements backend.ResultHandler.
-func (memberSink) Wanted(*backend.Attempt) bool { return true }
+// ClientPresent implements backend.ResultHandler.
+func (memberSink) ClientPresent(*backend.Attempt) bool { return true }
 
 // AttemptEnded implements backend.ResultHandler.
 func (s memberSink) AttemptEnded(d *backend.Attempt, e router.Result, _ float64, a *pg.Answer) {
