--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -213,14 +213,14 @@
 // the answer.
 func (c *conn) handleQueryAnswer(answer *pg.Answer, reusable bool) {
 	now := c.pool.loop.Now()
-	attempt, checking := c.attempt, c.carriesHealthCheck
+	attempt, carriesHealthCheck := c.attempt, c.carriesHealthCheck
 	c.attempt, c.carriesHealthCheck = nil, false
 	if reusable {
 		c.returnToPool(now)
 	} else {
 		c.close()
 	}
-	if checking {
+	if carriesHealthCheck {
 		c.handleHealthCheckAnswer(answer, now-c.checkStartedAt)
 		return
 	}
@@ -264,10 +264,10 @@
 		c.pool.counters.BackendConnectFailures++
 	}
 	now := c.pool.loop.Now()
-	attempt, checking := c.attempt, c.carriesHealthCheck
+	attempt, carriesHealthCheck := c.attempt, c.carriesHealthCheck
 	c.attempt, c.carriesHealthCheck = nil, false
 	c.close()
-	if checking {
+	if carriesHealthCheck {
 		c.reportHealthCheck(result, now-c.checkStartedAt, "")
 	}
 	if attempt != nil {
--- a/internal/dispatcher/attempt.go
+++ b/internal/dispatcher/attempt.go
@@ -143,7 +143,8 @@
 	d.commands.remove(command)
 }
 
-// executeDecisions cancels and sends attempts as the router decided. It cancels first.
+// executeDecisions cancels and sends attempts as the router decided. It closes the connections of canceled attempts before
+// it sends anything new.
 func (d *Dispatcher) executeDecisions() {
 	for _, attempt := range d.pendingDecisions.cancels {
 		d.backends.Cancel(attempt)
--- a/internal/dispatcher/turn.go
+++ b/internal/dispatcher/turn.go
@@ -39,8 +39,8 @@
 }
 
 // RunTurn delivers the pending events to the router, runs the reviews and the maintenance that are due, and executes the
-// router's decisions. It repeats this until executing the decisions has caused no new events. It returns the loop time by
-// which the caller must call it again.
+// router's decisions. It repeats this until no new events come up. It returns the loop time by which the caller must call
+// it again.
 func (d *Dispatcher) RunTurn(now float64) float64 {
 	for {
 		d.deliverEvents(now)
@@ -72,21 +72,21 @@
 // new commands take them into account. Answers given meanwhile may make the frontend submit more commands; these stay
 // pending until the next call.
 func (d *Dispatcher) deliverEvents(now float64) {
-	pending := d.pendingEvents
+	pendingEvents := d.pendingEvents
 	d.pendingEvents = events{}
-	for _, update := range pending.listUpdates {
+	for _, update := range pendingEvents.listUpdates {
 		d.deliverList(now, update)
 	}
-	for _, check := range pending.healthChecks {
+	for _, check := range pendingEvents.healthChecks {
 		d.deliverHealthCheck(now, check)
 	}
-	for i := range pending.endedAttempts {
-		d.deliverAttempt(now, &pending.endedAttempts[i])
+	for i := range pendingEvents.endedAttempts {
+		d.deliverAttempt(now, &pendingEvents.endedAttempts[i])
 	}
-	for _, commands := range pending.goneClients {
+	for _, commands := range pendingEvents.goneClients {
 		d.deliverGoneClient(now, commands)
 	}
-	d.deliverReceived(now, pending.received)
+	d.deliverReceived(now, pendingEvents.received)
 }
 
 // deliverHealthCheck passes the result of a health check to the router. The position in its load report is also used as a
--- a/internal/inflight/simulation_test.go
+++ b/internal/inflight/simulation_test.go
@@ -174,9 +174,9 @@
 	return s.lines
 }
 
-func (s *simulation) schedule(delay float64, do func()) {
+func (s *simulation) schedule(delay float64, action func()) {
 	s.order++
-	heap.Push(&s.queue, event{at: s.now + delay, order: s.order, action: do})
+	heap.Push(&s.queue, event{at: s.now + delay, order: s.order, action: action})
 }
 
 // step calls ReviewDue if it is due, and then executes the next event or advances the clock to the next review.
