--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -131,9 +131,9 @@
 // has nothing to do with the endpoint.
 //
 // acquire closes an idle connection that the backend has closed or has sent data on. A statement written to such a
-// connection could count as possibly run although it was never received, or could get the data as its answer, which
-// belongs to an earlier command. The end of the connection or the data may still be on its way just after an answer;
-// the reuse delay leaves time for it to arrive.
+// connection could count as possibly run although it was never received, or could be answered with the data, which belong
+// to an earlier command. Just after an answer, such data or the end of the connection may still be on their way; the
+// reuse delay leaves time for them to arrive.
 func (p *Pool) acquire(index int) (*conn, router.Result) {
 	e := &p.endpoints[index]
 	now := p.loop.Now()
