--- a/internal/buffer/chain.go
+++ b/internal/buffer/chain.go
@@ -1,18 +1,18 @@
 package buffer
 
-// Chain is a queue of bytes in blocks: written at its end, read from its start. It must not be copied while in use, but
-// for handing it on. An empty chain holds no block.
+// Chain is a byte queue that is stored in blocks of a Pool. Bytes are appended at its end and read from its start. An
+// empty chain holds no block. Copying a Chain value passes it on: only the copy may be used afterwards.
 type Chain struct {
 	pool   *Pool
 	blocks [][]byte
-	offset int // bytes of the first block that were read
-	length int // bytes to read
+	offset int // bytes of the first block that have been read
+	length int // unread bytes
 }
 
-// Len returns the number of bytes to read.
+// Len returns the number of unread bytes.
 func (c *Chain) Len() int { return c.length }
 
-// Reserve returns free space at the end, at least one byte. Commit must follow before any other call.
+// Reserve returns free space of at least one byte at the end. The next call on the chain must be Commit.
 func (c *Chain) Reserve() []byte {
 	last := len(c.blocks) - 1
 	if last < 0 || len(c.blocks[last]) == cap(c.blocks[last]) {
@@ -22,7 +22,7 @@
 	return block[len(block):cap(block)]
 }
 
-// Commit appends the first n bytes of what Reserve returned.
+// Commit appends the first n bytes of the space that Reserve returned.
 func (c *Chain) Commit(n int) {
 	last := len(c.blocks) - 1
 	c.blocks[last] = c.blocks[last][:len(c.blocks[last])+n]
@@ -30,8 +30,8 @@
 	c.releaseEmptyTail()
 }
 
-// ReserveBlocks returns free space at the end in so many blocks, the last block in use among them if it has any.
-// CommitBlocks must follow before any other call.
+// ReserveBlocks returns free space at the end, in count blocks. The first of them is the chain's last block if that has
+// space. The next call on the chain must be CommitBlocks.
 func (c *Chain) ReserveBlocks(count int) [][]byte {
 	spaces := [][]byte{c.Reserve()}
 	for len(spaces) < count {
@@ -40,7 +40,8 @@
 	return spaces
 }
 
-// CommitBlocks appends the first n bytes of what ReserveBlocks returned. Blocks that stayed empty go back to the pool.
+// CommitBlocks appends the first n bytes of the space that ReserveBlocks returned, and releases the blocks that stayed
+// empty to the pool.
 func (c *Chain) CommitBlocks(spaces [][]byte, n int) {
 	c.length += n
 	next := len(c.blocks) - len(spaces)
@@ -55,7 +56,7 @@
 	}
 }
 
-// Write appends bytes.
+// Write appends p.
 func (c *Chain) Write(p []byte) {
 	for len(p) > 0 {
 		n := copy(c.Reserve(), p)
@@ -64,7 +65,7 @@
 	}
 }
 
-// FirstPiece returns the first bytes to read, as many as lie in one piece; nil if there are none.
+// FirstPiece returns the unread bytes of the first block, or nil if the chain is empty.
 func (c *Chain) FirstPiece() []byte {
 	if c.length == 0 {
 		return nil
@@ -72,7 +73,7 @@
 	return c.blocks[0][c.offset:]
 }
 
-// Pieces returns the bytes to read in pieces, at most so many.
+// Pieces returns the unread bytes block by block, from at most maxPieces blocks.
 func (c *Chain) Pieces(maxPieces int) [][]byte {
 	var pieces [][]byte
 	c.EachPiece(0, c.length, func(piece []byte) {
@@ -83,14 +84,14 @@
 	return pieces
 }
 
-// Peek copies bytes from the start without taking them off, and returns how many there were.
+// Peek copies unread bytes from the start into p without discarding them, and returns the number of bytes copied.
 func (c *Chain) Peek(p []byte) int {
 	copied := 0
 	c.EachPiece(0, min(len(p), c.length), func(piece []byte) { copied += copy(p[copied:], piece) })
 	return copied
 }
 
-// EachPiece calls visit with n bytes from an offset on, piece by piece.
+// EachPiece calls visit for the n unread bytes that begin at offset, block by block.
 func (c *Chain) EachPiece(offset, n int, visit func(piece []byte)) {
 	offset += c.offset
 	for _, block := range c.blocks {
@@ -108,13 +109,13 @@
 	}
 }
 
-// CopyTo appends n bytes from an offset on to another chain.
+// CopyTo appends the n unread bytes that begin at offset to destination. This chain does not change.
 func (c *Chain) CopyTo(destination *Chain, offset, n int) {
 	c.EachPiece(offset, n, destination.Write)
 }
 
-// MoveTo appends all bytes to another chain and leaves this one empty. Into an empty chain of the same pool the blocks
-// move without being copied.
+// MoveTo appends all unread bytes to destination and empties this chain. If destination is empty and of the same pool,
+// it gets the blocks themselves and no byte is copied.
 func (c *Chain) MoveTo(destination *Chain) {
 	if destination.length == 0 && destination.pool == c.pool {
 		*c, *destination = *destination, *c
@@ -124,7 +125,8 @@
 	c.Free()
 }
 
-// Discard takes n bytes off the start, or all if there are fewer. Blocks that are used up go back to the pool.
+// Discard removes n bytes from the start, or all bytes if there are fewer. Blocks that are read completely go back to the
+// pool.
 func (c *Chain) Discard(n int) {
 	n = min(n, c.length)
 	c.length -= n
@@ -140,13 +142,13 @@
 	}
 }
 
-// isUsedUp reports whether nothing of the block at the start is left to read. An empty block counts only in an empty
-// chain.
+// isUsedUp reports whether all of block, the first one, has been read. An empty first block is used up only if the chain
+// is empty.
 func (c *Chain) isUsedUp(block []byte) bool {
 	return c.offset >= len(block) && (c.offset > 0 || c.length == 0)
 }
 
-// Free empties the chain.
+// Free empties the chain and releases its blocks to the pool.
 func (c *Chain) Free() {
 	for _, block := range c.blocks {
 		c.pool.put(block)
@@ -156,14 +158,14 @@
 	c.length = 0
 }
 
-// appendBlock appends a block and returns its space.
+// appendBlock appends an empty block and returns its space.
 func (c *Chain) appendBlock() []byte {
 	block := c.pool.get()
 	c.blocks = append(c.blocks, block)
 	return block[:cap(block)]
 }
 
-// releaseEmptyTail gives the only block of an empty chain back.
+// releaseEmptyTail releases the last block to the pool if the chain is empty and the block is unused.
 func (c *Chain) releaseEmptyTail() {
 	last := len(c.blocks) - 1
 	if last >= 0 && c.length == 0 && c.offset == 0 && len(c.blocks[last]) == 0 {
@@ -171,7 +173,7 @@
 	}
 }
 
-// releaseLast gives the last block back.
+// releaseLast releases the last block to the pool.
 func (c *Chain) releaseLast() {
 	last := len(c.blocks) - 1
 	c.pool.put(c.blocks[last])
--- a/internal/buffer/chain_test.go
+++ b/internal/buffer/chain_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// all returns the bytes of a chain.
+// all returns the unread bytes of a chain.
 func all(c *Chain) []byte {
 	b := make([]byte, c.Len())
 	c.Peek(b)
@@ -53,7 +53,7 @@
 	a.Discard(2)
 	a.CopyTo(&b, 3, 6)
 	assert.Equal(t, "defghi", string(all(&b)))
-	assert.Equal(t, "abcdefghij", string(all(&a)), "the source is as it was")
+	assert.Equal(t, "abcdefghij", string(all(&a)), "the source is unchanged")
 }
 
 func TestMoveToMovesAllBytes(t *testing.T) {
@@ -63,7 +63,7 @@
 	a.Discard(2)
 	first := &a.FirstPiece()[0]
 	a.MoveTo(&b)
-	assert.Same(t, first, &b.FirstPiece()[0], "blocks move into an empty chain without a copy")
+	assert.Same(t, first, &b.FirstPiece()[0], "blocks move to an empty chain without being copied")
 	assert.Zero(t, a.Len())
 	a.Write([]byte("ghi"))
 	a.MoveTo(&b)
--- a/internal/buffer/pool.go
+++ b/internal/buffer/pool.go
@@ -1,34 +1,34 @@
-// Package buffer keeps bytes in blocks of one size that are reused through a pool. What is longer than a block is a chain
-// of blocks.
+// Package buffer stores bytes in blocks of one size, which a pool reuses. Data longer than a block is a chain of blocks.
 package buffer
 
-// Pool hands out blocks and takes them back. It belongs to one event loop and has no lock.
+// Pool allocates blocks and reuses those that are released. It belongs to one event loop and has no lock.
 type Pool struct {
 	blockSize int // bytes
-	scarceAt  int // blocks in use
-	inUse     int // blocks
+	scarceAt  int // number of blocks in use from which the pool is scarce
+	inUse     int // number of blocks in use
 	free      [][]byte
 }
 
-// keptDivisor says which part of the blocks at which a pool is scarce it keeps when they are free; the others are left to
-// the garbage collector.
+// keptDivisor limits the free blocks that a pool keeps to scarceAt/keptDivisor+1. Other released blocks are left to the
+// garbage collector.
 const keptDivisor = 4
 
-// NewPool returns a pool of blocks of so many bytes, which is scarce while scarceAt of them are in use.
+// NewPool returns a pool of blocks of blockSize bytes. The pool is scarce while scarceAt or more of them are in use.
 func NewPool(blockSize, scarceAt int) *Pool {
 	return &Pool{blockSize: blockSize, scarceAt: scarceAt}
 }
 
-// Scarce reports whether so many blocks are in use that nothing new should be read. Blocks are handed out all the same.
+// Scarce reports whether so many blocks are in use that callers should stop reading input. The pool itself still allocates
+// blocks.
 func (p *Pool) Scarce() bool { return p.inUse >= p.scarceAt }
 
 // BlocksInUse returns the number of blocks in use.
 func (p *Pool) BlocksInUse() int { return p.inUse }
 
-// NewChain returns an empty chain, which holds no block.
+// NewChain returns an empty chain whose blocks come from the pool.
 func (p *Pool) NewChain() Chain { return Chain{pool: p} }
 
-// get returns an empty block.
+// get returns an empty block, a free one if there is any.
 func (p *Pool) get() []byte {
 	p.inUse++
 	last := len(p.free) - 1
@@ -40,7 +40,7 @@
 	return block
 }
 
-// put takes a block back.
+// put releases a block, which is kept for reuse or left to the garbage collector.
 func (p *Pool) put(block []byte) {
 	p.inUse--
 	if len(p.free) < p.scarceAt/keptDivisor+1 {
