--- a/internal/idtable/index.go
+++ b/internal/idtable/index.go
@@ -1,12 +1,13 @@
-// Package idtable interns keys: it maps names and addresses to the small, dense ids by which package router knows
-// endpoints, shards and zones. Ids that were released are used again, so that tables indexed by them stay small.
+// Package idtable interns keys: it maps names and addresses to the small, dense ids with which package router identifies
+// endpoints, shards and zones. Released ids are reused, so that tables indexed by id stay small.
 package idtable
 
-// Table maps keys to ids from 0 up. It has as many rows as keys were held at once. It is not safe for concurrent use.
+// Table maps keys to ids, counted from 0. The number of its rows is the highest number of keys that have had an id at the
+// same time. It is not safe for concurrent use.
 type Table[K comparable] struct {
 	ids      map[K]int
-	keys     []K // by id; the zero value where the id is released
-	released []int
+	keys     []K   // by id; the zero value for a released id
+	released []int // ids without a key, the one released last at the end
 }
 
 // New returns an empty table.
@@ -21,7 +22,7 @@
 	return id, ok
 }
 
-// Intern returns the key's id and gives it one if it has none: the id that was released last, or else the next new one.
+// Intern returns the key's id. A key without one gets the id that was released last, or a new one if none is released.
 func (t *Table[K]) Intern(key K) int {
 	if id, ok := t.ids[key]; ok {
 		return id
@@ -32,12 +33,12 @@
 	return id
 }
 
-// unusedID returns a released id, or a new one with a row of its own.
+// unusedID returns the id that was released last, or a new id, for which it appends a row.
 func (t *Table[K]) unusedID() int {
 	last := len(t.released) - 1
 	if last < 0 {
-		var none K
-		t.keys = append(t.keys, none)
+		var zero K
+		t.keys = append(t.keys, zero)
 		return len(t.keys) - 1
 	}
 	id := t.released[last]
@@ -45,14 +46,14 @@
 	return id
 }
 
-// Key returns the key that has the id.
+// Key returns the key of an id, or the zero value if the id is released.
 func (t *Table[K]) Key(id int) K { return t.keys[id] }
 
-// Release takes the id from its key, so that another key may get it. The id must be held, and whatever its users
-// keep under it must be cleared first.
+// Release removes an id and its key from the table, so that another key can get the id. The id must belong to a key, and
+// the caller must first clear all data that it keeps under the id.
 func (t *Table[K]) Release(id int) {
-	var none K
+	var zero K
 	delete(t.ids, t.keys[id])
-	t.keys[id] = none
+	t.keys[id] = zero
 	t.released = append(t.released, id)
 }
--- a/internal/idtable/index_test.go
+++ b/internal/idtable/index_test.go
@@ -15,6 +15,6 @@
 	assert.False(t, ok)
 	assert.Equal(t, 1, table.Intern("d"))
 	assert.Equal(t, "d", table.Key(1))
-	assert.Equal(t, 3, table.Intern("b"), "which is a new one")
+	assert.Equal(t, 3, table.Intern("b"), "no id is released, so the key gets a new one")
 	assert.Equal(t, 4, table.Len())
 }
