--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -1,8 +1,9 @@
-// Package http1 writes GET requests and parses their responses in HTTP/1.1 (and HTTP/1.0), with Content-Length, chunked
-// bodies and bodies that last until the connection ends. It does no I/O.
+// Package http1 formats HTTP/1.1 GET requests and parses the responses, in HTTP/1.1 or HTTP/1.0: bodies with a
+// Content-Length, chunked bodies, and bodies that end with the connection. It does no I/O.
 package http1
 
-// GetRequest returns a request for a path on a connection that is kept open.
+// GetRequest returns a GET request for a path. It asks the server to keep the connection open, as HTTP/1.1 does by
+// default.
 func GetRequest(host, path string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n"
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -9,15 +9,15 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// ErrMalformedResponse is the cause of all errors of Response.Take.
+// ErrMalformedResponse is wrapped by all errors of Response.Take.
 var ErrMalformedResponse = errors.New("malformed response")
 
-// ResponseError says which part of a response is malformed or too long. It wraps ErrMalformedResponse.
+// ResponseError is the error for a response that is malformed or too long. It wraps ErrMalformedResponse.
 type ResponseError struct {
-	Reason string // the part, and the beginning of what stood there or the limit
+	Reason string // the part at fault, with the beginning of its text or the limit that it exceeds
 }
 
-// Error returns the cause and the reason.
+// Error returns the text of ErrMalformedResponse and the reason.
 func (e *ResponseError) Error() string { return ErrMalformedResponse.Error() + ": " + e.Reason }
 
 // Unwrap returns ErrMalformedResponse.
@@ -28,63 +28,64 @@
 	return &ResponseError{Reason: fmt.Sprintf(format, arguments...)}
 }
 
-// versions are the protocol versions that are accepted, with whether the connection ends after a response unless its
-// headers say otherwise.
+// versions are the accepted protocol versions. The value is true if the server closes the connection after a response by
+// default, that is unless a Connection header says otherwise.
 var versions = map[string]bool{"HTTP/1.0": true, "HTTP/1.1": false}
 
-// Status codes that decide what follows the headers.
+// Status codes that determine what follows the headers.
 const (
 	minStatus         = 100
 	maxStatus         = 999
-	firstFinalStatus  = 200 // those below are informational: another response follows
+	firstFinalStatus  = 200 // lower codes are informational: another response follows
 	statusNoContent   = 204
 	statusNotModified = 304
 )
 
-// Response is one response, parsed as its bytes come. The zero value is ready for Take. The exported fields are complete
-// once Take or ConnectionEnded has reported that the response is.
+// Response is one response, parsed incrementally as its bytes arrive. The zero value is ready for Take. The exported
+// fields are complete once Take or ConnectionEnded has returned true.
 type Response struct {
 	Status int
 	Body   []byte
-	Close  bool // the server ends the connection after this response
+	Close  bool // the server closes the connection after this response
 
-	maxLine   int // bytes
+	maxLine   int // longest accepted line, in bytes
 	step      step
-	line      []byte // the line that is being read
-	remaining int    // bytes of the body or chunk still to come
-	chunked   bool
-	hasLength bool
+	line      []byte // the current line, as far as it has arrived
+	remaining int    // bytes of the body or chunk that have not arrived yet
+	chunked   bool   // a Transfer-Encoding header announced chunks
+	hasLength bool   // a Content-Length header was parsed
 }
 
-// step is the part of a response that comes next.
+// step is the part of a response that is parsed next.
 type step int
 
 const (
 	stepStatusLine step = iota
 	stepHeader
-	stepBody      // a body or chunk whose length is known
-	stepChunkSize // the line before a chunk
+	stepBody      // a body or chunk of known length
+	stepChunkSize // the line with the size of the next chunk
 	stepChunkEnd  // the empty line after a chunk
 	stepTrailer   // the lines after the last chunk
-	stepBodyToEnd // a body that lasts until the connection ends
+	stepBodyToEnd // a body that ends with the connection
 	stepComplete
 )
 
-// Take takes bytes off a chain and reports whether the response is complete; what follows it stays. The body may have
-// maxBody bytes and each line maxLine. Its errors are of the type *ResponseError.
-func (r *Response) Take(in *buffer.Chain, maxBody, maxLine int) (complete bool, err error) {
+// Take consumes bytes of input and reports whether the response is complete. Bytes after the response stay in input. The
+// body may have at most maxBody bytes, and each line at most maxLine. Errors are of type *ResponseError.
+func (r *Response) Take(input *buffer.Chain, maxBody, maxLine int) (complete bool, err error) {
 	r.maxLine = maxLine
-	for in.Len() > 0 && r.step != stepComplete {
-		consumed, err := r.takePiece(in.FirstPiece(), maxBody)
+	for input.Len() > 0 && r.step != stepComplete {
+		consumed, err := r.parsePiece(input.FirstPiece(), maxBody)
 		if err != nil {
 			return false, err
 		}
-		in.Discard(consumed)
+		input.Discard(consumed)
 	}
 	return r.step == stepComplete, nil
 }
 
-// ConnectionEnded takes in that the server closed the connection, and reports whether the response is complete.
+// ConnectionEnded must be called when the server has closed the connection. It reports whether the response is complete. A
+// body that ends with the connection is then complete as well.
 func (r *Response) ConnectionEnded() bool {
 	if r.step == stepBodyToEnd {
 		r.step = stepComplete
@@ -92,34 +93,34 @@
 	return r.step == stepComplete
 }
 
-// takePiece takes in bytes that lie in one piece, and returns how many of them it took.
-func (r *Response) takePiece(piece []byte, maxBody int) (int, error) {
+// parsePiece parses contiguous bytes up to the end of a line or body, and returns the number of bytes that it consumed.
+func (r *Response) parsePiece(piece []byte, maxBody int) (int, error) {
 	if r.step == stepBody || r.step == stepBodyToEnd {
-		return r.takeBody(piece, maxBody)
+		return r.parseBody(piece, maxBody)
 	}
 	for i, c := range piece {
 		if c != '\n' {
 			if len(r.line) >= r.maxLine {
-				return 0, malformed("line over %d bytes", r.maxLine)
+				return 0, malformed("line longer than %d bytes", r.maxLine)
 			}
 			r.line = append(r.line, c)
 			continue
 		}
 		line := strings.TrimSuffix(string(r.line), "\r")
 		r.line = r.line[:0]
-		return i + 1, r.takeLine(line, maxBody)
+		return i + 1, r.parseLine(line, maxBody)
 	}
 	return len(piece), nil
 }
 
-// takeBody takes in bytes of the body.
-func (r *Response) takeBody(piece []byte, maxBody int) (int, error) {
+// parseBody appends bytes to the body and returns their number.
+func (r *Response) parseBody(piece []byte, maxBody int) (int, error) {
 	if r.step == stepBody {
 		piece = piece[:min(len(piece), r.remaining)]
 		r.remaining -= len(piece)
 	}
 	if len(r.Body)+len(piece) > maxBody {
-		return 0, malformed("body over %d bytes", maxBody)
+		return 0, malformed("body longer than %d bytes", maxBody)
 	}
 	r.Body = append(r.Body, piece...)
 	if r.step == stepBody && r.remaining == 0 {
@@ -131,8 +132,8 @@
 	return len(piece), nil
 }
 
-// takeLine takes in one line, without its end.
-func (r *Response) takeLine(line string, maxBody int) error {
+// parseLine parses one line, which is passed without its line break.
+func (r *Response) parseLine(line string, maxBody int) error {
 	switch r.step {
 	case stepStatusLine:
 		return r.parseStatusLine(line)
@@ -145,26 +146,26 @@
 		return r.parseChunkSize(line, maxBody)
 	case stepChunkEnd:
 		if line != "" {
-			return malformed("chunk without end")
+			return malformed("no line break after the chunk data")
 		}
 		r.step = stepChunkSize
 	case stepTrailer:
 		if line == "" {
 			r.step = stepComplete
 		}
-	case stepBody, stepBodyToEnd, stepComplete: // none of these is read by lines
+	case stepBody, stepBodyToEnd, stepComplete: // these are not parsed line by line
 	}
 	return nil
 }
 
-// parseStatusLine takes in the version and the status.
+// parseStatusLine parses the protocol version and the status code.
 func (r *Response) parseStatusLine(line string) error {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	closes, isKnown := versions[version]
 	status, err := strconv.Atoi(code)
 	if err != nil || status < minStatus || status > maxStatus || !isKnown {
-		return malformed("status line %.40q", line)
+		return malformed("invalid status line %.40q", line)
 	}
 	r.Status = status
 	r.Close = closes
@@ -172,24 +173,24 @@
 	return nil
 }
 
-// parseHeader takes in the headers that decide how long the body and the connection last, and ignores others.
+// parseHeader parses the headers that determine the end of the body and of the connection, and ignores all others.
 func (r *Response) parseHeader(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || strings.ContainsAny(name, " \t") {
-		return malformed("header %.40q", line)
+		return malformed("invalid header line %.40q", line)
 	}
 	value = strings.ToLower(strings.TrimSpace(value))
 	switch strings.ToLower(name) {
 	case "content-length":
 		length, err := strconv.ParseUint(value, 10, 31)
 		if err != nil || r.hasLength && int(length) != r.remaining {
-			return malformed("length %.20q", value)
+			return malformed("invalid or contradictory Content-Length %.20q", value)
 		}
 		r.hasLength = true
 		r.remaining = int(length)
 	case "transfer-encoding":
 		if value != "chunked" {
-			return malformed("encoding %.20q", value)
+			return malformed("unsupported Transfer-Encoding %.20q", value)
 		}
 		r.chunked = true
 	case "connection":
@@ -198,7 +199,7 @@
 	return nil
 }
 
-// startBody decides by the headers what follows them.
+// startBody sets the step after the headers, as the status and the headers determine it.
 func (r *Response) startBody(maxBody int) error {
 	switch {
 	case r.Status < firstFinalStatus:
@@ -209,7 +210,7 @@
 	case r.hasNoBody():
 		r.step = stepComplete
 	case r.hasLength && r.remaining > maxBody:
-		return malformed("body of %d bytes", r.remaining)
+		return malformed("body of %d bytes is longer than %d bytes", r.remaining, maxBody)
 	case r.hasLength:
 		r.step = stepBody
 	default:
@@ -219,17 +220,17 @@
 	return nil
 }
 
-// hasNoBody reports whether the status or the length says that there is no body.
+// hasNoBody reports whether the response has no body, by its status or its Content-Length.
 func (r *Response) hasNoBody() bool {
 	return r.Status == statusNoContent || r.Status == statusNotModified || r.hasLength && r.remaining == 0
 }
 
-// parseChunkSize takes in the length of the next chunk; 0 stands for the last.
+// parseChunkSize parses the size of the next chunk. Size 0 marks the end of the body.
 func (r *Response) parseChunkSize(line string, maxBody int) error {
 	digits, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 	if err != nil || len(r.Body)+int(size) > maxBody {
-		return malformed("chunk of %.20q", line)
+		return malformed("chunk size %.20q is invalid or exceeds the body limit", line)
 	}
 	r.remaining = int(size)
 	r.step = stepBody
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -10,7 +10,7 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// chain returns a chain of blocks of seven bytes, so that no line lies in one piece.
+// chain returns a chain with blocks of seven bytes, so that nearly every line spans several blocks.
 func chain(text string) *buffer.Chain {
 	c := buffer.NewPool(7, 1<<20).NewChain()
 	c.Write([]byte(text))
@@ -22,7 +22,7 @@
 	chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6;x=y\r\nhello \r\n5\r\nthere\r\n0\r\nT: 1\r\n\r\n"
 )
 
-func TestResponseIsTakenOnceComplete(t *testing.T) {
+func TestResponseIsCompleteWithItsLastByte(t *testing.T) {
 	for _, text := range []string{sized, chunked, "HTTP/1.1 100 Continue\r\n\r\n" + sized} {
 		for n := range text {
 			in, r := chain(text[:n]), Response{}
@@ -36,7 +36,7 @@
 			require.Equal(t, 200, r.Status)
 			require.Equal(t, "hello there", string(r.Body))
 			require.False(t, r.Close)
-			require.Equal(t, 4, in.Len(), "the next response stays")
+			require.Equal(t, 4, in.Len(), "the bytes of the next response stay in the chain")
 		}
 	}
 }
@@ -52,7 +52,7 @@
 	r = Response{}
 	_, err = r.Take(chain(sized[:len(sized)-1]), 100, 200)
 	require.NoError(t, err)
-	assert.False(t, r.ConnectionEnded(), "a body cut short is not complete")
+	assert.False(t, r.ConnectionEnded(), "a truncated body is not complete")
 }
 
 func TestMalformedResponseIsAnError(t *testing.T) {
