--- a/internal/frontend/cancel.go
+++ b/internal/frontend/cancel.go
@@ -5,33 +5,34 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// takeWaiting reads what the client has sent before its cancel request, which came on another connection and may have
-// overtaken it.
-func (c *conn) takeWaiting() {
+// readWaitingInput reads the input that waits in the socket, before a cancel request is carried out. The request arrives on
+// another connection and may overtake a query that the client sent earlier.
+func (c *conn) readWaitingInput() {
 	if c.wantsInput() && !c.server.loop.NothingToRead(c.fd) && !c.server.loop.PeerClosed(c.fd) {
 		c.read()
 	}
 }
 
-// newCancelKey gives a connection the key by which its client may cancel its commands.
+// newCancelKey returns a new key with which the client of c can cancel its commands, and registers c under it.
 func (s *Server) newCancelKey(c *conn) pg.CancelKey {
 	for {
 		key := s.drawCancelKey()
-		if _, taken := s.cancelable[key]; !taken {
-			s.cancelable[key] = c
+		if _, taken := s.connsByCancelKey[key]; !taken {
+			s.connsByCancelKey[key] = c
 			return key
 		}
 	}
 }
 
-// cancelCommands cancels all commands in flight of the connection that a key names, if there is one. Nothing new is sent
-// for them, and each gets its final answer at once: whether it has run is not known. The connection stays open.
+// cancelCommands cancels all commands in flight on the connection that has the key, if there is one. The router begins no
+// further attempt for them, and answers each at once with an error that leaves open whether the command ran. The
+// connection stays open.
 func (s *Server) cancelCommands(key pg.CancelKey) {
-	c := s.cancelable[key]
+	c := s.connsByCancelKey[key]
 	if c == nil {
 		return
 	}
-	c.takeWaiting()
+	c.readWaitingInput()
 	var canceled []*dispatcher.Command
 	for _, r := range c.replies {
 		if r.command == nil || r.complete {
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -9,14 +9,14 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// connState is what a connection does with what its client sends.
+// connState determines how a connection handles the input of its client.
 type connState int
 
 const (
-	stateStartup        connState = iota // waits for the start-up packet
-	stateOpen                            // takes queries
-	stateSkippingToSync                  // ignores messages of a failed extended query, until Sync or a simple query
-	stateClosing                         // sends nothing more, and is not read, until the client closes
+	stateStartup        connState = iota // expects the start-up packet
+	stateOpen                            // accepts queries
+	stateSkippingToSync                  // ignores the messages of a rejected extended query, until Sync or a simple query
+	stateClosing                         // sends and reads nothing, and waits for the client to close
 	stateClosed
 )
 
@@ -26,34 +26,34 @@
 	fd     int
 	state  connState
 	phase  phase
-	timer  *eventloop.Timer // ends the phase; internal/modelcheck/models finds it by this name
+	timer  *eventloop.Timer // the phase's timeout; internal/modelcheck/models finds the field by this name
 
-	input   buffer.Chain // read, and not yet processed
-	output  buffer.Chain // to be written
-	replies []*reply     // owed, in the order of the queries
+	input   buffer.Chain // bytes read from the client and not processed yet
+	output  buffer.Chain // bytes to be written to the client
+	replies []*reply     // outstanding replies, in the order of the queries
 
-	key               pg.CancelKey // names it in a request to cancel its commands; zero before its start-up
-	hasQueried        bool         // a complete query came
-	closeAfterReplies bool         // it ends once the replies that are owed are written
-	rejectedQueries   int
+	cancelKey         pg.CancelKey // identifies the connection in a cancel request; zero before start-up
+	hasQueried        bool         // the client has sent a complete query
+	closeAfterReplies bool         // the connection ends once the outstanding replies are written
+	rejectedQueries   int          // number of queries rejected so far
 
-	// Why it is not read, and when its input may have come.
-	awaitsBuffers   bool    // it is in Server.awaitingBuffers
-	hasPending      bool    // it is in Server.pending
-	readSuspended   bool    // not watched for input at present
-	earliestArrival float64 // the earliest time at which what was read last may have come
-	messageSince    float64 // when the first part of the message that is not complete yet was there; 0: there is none
-	acceptedAt      float64
+	// Reasons for which the connection is not read, and the times of its input.
+	awaitsBuffers      bool    // the connection is in Server.awaitingBuffers
+	hasPendingMessages bool    // the connection is in Server.pending
+	readSuspended      bool    // the descriptor is not watched for input
+	earliestArrival    float64 // the earliest time at which the input read last can have arrived
+	incompleteSince    float64 // since when the first message in the input has been incomplete; 0 if there is none
+	acceptedAt         float64
 
-	// Its place among the connections that may be closed to free a descriptor.
-	shedQueue   *list.List    // nil: it is in none
-	shedElement *list.Element // in shedQueue
-	queuedAt    float64       // when it entered shedQueue
+	// The queue of connections that may be closed to free a descriptor, and the place in it.
+	shedQueue   *list.List    // nil if the connection is in no queue
+	shedElement *list.Element // the connection's element of shedQueue
+	queuedAt    float64       // when the connection entered shedQueue
 }
 
 var _ eventloop.HangupHandler = (*conn)(nil)
 
-// newConn returns the state of a connection that has just been accepted.
+// newConn returns a conn for a descriptor that has just been accepted.
 func newConn(s *Server, fd int) *conn {
 	c := &conn{
 		server:     s,
@@ -66,8 +66,8 @@
 	return c
 }
 
-// HungUp implements eventloop.HangupHandler. Nobody waits any more for what the client has asked for, so nothing is read before the
-// connection is closed.
+// HungUp implements eventloop.HangupHandler. The client is gone and expects no more replies, so the connection is closed
+// without reading the input that waits in the socket.
 func (c *conn) HungUp() { c.close() }
 
 // Ready implements eventloop.Handler.
@@ -83,17 +83,17 @@
 	}
 }
 
-// read reads what the socket holds, up to the limit of a turn, and processes it.
+// read reads input from the socket, up to the limit per turn, and processes it.
 func (c *conn) read() {
 	limit := c.server.limits.Sizes.ReadPerTurn
 	if c.server.buffers.Scarce() {
 		limit = c.server.limits.Sizes.BufferBlock
-		if c.input.Len() >= limit { // short commands are taken all the same
+		if c.input.Len() >= limit { // short commands are still read
 			c.awaitBuffers()
 			return
 		}
 	}
-	if !c.readSuspended { // otherwise the input has waited since reading was suspended
+	if !c.readSuspended { // else the input may have arrived at any time since reading was suspended
 		c.earliestArrival = c.server.loop.ReadySince()
 	}
 	c.readSuspended = false
@@ -104,7 +104,7 @@
 	}
 }
 
-// awaitBuffers suspends reading until buffers are free.
+// awaitBuffers suspends reading until buffers are no longer scarce.
 func (c *conn) awaitBuffers() {
 	if !c.awaitsBuffers {
 		c.awaitsBuffers = true
@@ -119,11 +119,11 @@
 	}
 }
 
-// process does all that can be done now: processes messages, ends the connection if that is due, and sets what is waited
-// for next.
+// process processes the messages in the input, ends the connection if that is due, and otherwise updates the events and
+// the timeout that the connection waits for.
 func (c *conn) process() {
 	c.processMessages()
-	c.noteIncompleteMessage()
+	c.trackIncompleteMessage()
 	if c.state != stateClosed && c.state != stateClosing {
 		c.closeIfDue()
 	}
@@ -132,51 +132,54 @@
 	}
 }
 
-// processMessages processes the messages of the input, so many at the most that other clients have their turn.
+// processMessages processes the complete messages in the input, at most MessagesPerTurn of them, so that other clients are
+// served in the same turn.
 func (c *conn) processMessages() {
-	for n := 0; c.takesMessages(); n++ {
+	for n := 0; c.mayProcessMessage(); n++ {
 		if n == c.server.limits.Counts.MessagesPerTurn {
-			c.hasPending = true
+			c.hasPendingMessages = true
 			c.server.pending = append(c.server.pending, c)
 			return
 		}
 		if more := c.processMessage(); !more {
 			return
 		}
-		c.phase = phaseUnset // the next message has a timeout of its own
-		c.messageSince = 0
+		c.phase = phaseUnset // so that the next message gets its own timeout
+		c.incompleteSince = 0
 	}
 }
 
-// noteIncompleteMessage notes since when a message has been incomplete. Its time runs also while the answers to the
-// commands before it are owed.
-func (c *conn) noteIncompleteMessage() {
+// trackIncompleteMessage records since when the first message in the input has been incomplete. Its timeout also runs
+// while replies to earlier commands are outstanding.
+func (c *conn) trackIncompleteMessage() {
 	switch {
-	case c.input.Len() == 0 || !c.takesMessages():
-		c.messageSince = 0
-	case c.messageSince == 0:
-		c.messageSince = c.server.loop.Now()
+	case c.input.Len() == 0 || !c.mayProcessMessage():
+		c.incompleteSince = 0
+	case c.incompleteSince == 0:
+		c.incompleteSince = c.server.loop.Now()
 	}
 }
 
-// takesMessages reports whether another message may be processed now.
-func (c *conn) takesMessages() bool {
+// mayProcessMessage reports whether the connection may process another message now.
+func (c *conn) mayProcessMessage() bool {
 	if c.state == stateClosing || c.state == stateClosed {
 		return false
 	}
-	return !c.closeAfterReplies && !c.hasPending && !c.atCapacity()
+	return !c.closeAfterReplies && !c.hasPendingMessages && !c.atCapacity()
 }
 
-// atCapacity reports whether the connection owes so much that no more is taken from it.
+// atCapacity reports whether the connection has so many outstanding replies or so much unsent output that it accepts no
+// further messages.
 func (c *conn) atCapacity() bool {
 	return len(c.replies) >= c.server.limits.Counts.PipelinedCommands ||
 		c.output.Len() > c.server.limits.Sizes.UnsentAnswers
 }
 
-// owesReplies reports whether the client has a reply to get or to take.
-func (c *conn) owesReplies() bool { return len(c.replies) > 0 || c.output.Len() > 0 }
+// hasOutstandingReplies reports whether any reply to the client is incomplete or not completely written.
+func (c *conn) hasOutstandingReplies() bool { return len(c.replies) > 0 || c.output.Len() > 0 }
 
-// updateWatch sets what the descriptor is watched for, the phase and its timer by the state of the connection.
+// updateWatch sets the events that the descriptor is watched for, the phase and its timer to match the state of the
+// connection.
 func (c *conn) updateWatch() {
 	reads := c.wantsInput()
 	if !reads && !c.readSuspended {
@@ -187,24 +190,25 @@
 	c.enterPhase(c.currentPhase())
 }
 
-// wantsInput reports whether the client is read at present.
+// wantsInput reports whether the connection reads input now.
 func (c *conn) wantsInput() bool {
 	if c.awaitsBuffers || c.server.deadlinePassed {
 		return false
 	}
-	return c.takesMessages()
+	return c.mayProcessMessage()
 }
 
-// beginClosing ends the connection between commands. Closing with unread input would reset the connection under a reply
-// just written, so only sending ends until the client closes. What it still sends is left unread: a command that crosses
-// the end was not taken, and its client sends it elsewhere.
+// beginClosing ends the connection between commands. Closing the socket while input is unread would reset the connection,
+// and the client could lose a reply that was just written. So only the sending side is closed until the client closes.
+// Whatever the client still sends stays unread: a command sent at the same moment has not been accepted, and the client
+// sends it to another router.
 func (c *conn) beginClosing() {
 	c.state = stateClosing
 	c.input.Free()
 	c.server.loop.CloseWrite(c.fd)
 }
 
-// close closes the connection and notifies the dispatcher that the commands in flight have lost their client.
+// close closes the connection and notifies the dispatcher that the client of its commands in flight is gone.
 func (c *conn) close() {
 	if c.state == stateClosed {
 		return
@@ -212,7 +216,7 @@
 	c.state = stateClosed
 	c.leaveShedQueue()
 	delete(c.server.conns, c)
-	delete(c.server.cancelable, c.key)
+	delete(c.server.connsByCancelKey, c.cancelKey)
 	if c.server.listenerClosed && len(c.server.conns) == 0 {
 		c.server.loop.StopTimer(c.server.drainTimer)
 	}
@@ -223,7 +227,7 @@
 	c.abandonReplies()
 }
 
-// abandonReplies frees the replies that are owed and hands their commands back to the dispatcher.
+// abandonReplies frees the outstanding replies and notifies the dispatcher that nobody waits for their commands.
 func (c *conn) abandonReplies() {
 	var abandoned []*dispatcher.Command
 	for _, r := range c.replies {
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -6,10 +6,10 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// Shutdown begins a graceful shutdown: the listener is closed once the waiting connections are accepted, and connections
-// are closed between commands. Clients that have not sent a query yet, or are in the middle of a message, have until the
-// drain deadline. Calling it again changes nothing. The shutdown is complete once ListenerClosed reports true and
-// OpenConnections returns 0.
+// Shutdown begins a graceful shutdown: the listener is closed once the connections in its backlog are accepted, and client
+// connections are closed between commands. Clients that have not sent a query yet, or have sent part of a message, have
+// until the drain deadline to send it. Calling Shutdown again has no effect. The shutdown is complete once ListenerClosed
+// returns true and OpenConnections returns 0.
 func (s *Server) Shutdown() {
 	if s.drainDeadline > 0 {
 		return
@@ -18,7 +18,7 @@
 	s.continueDrain()
 }
 
-// continueDrain does the part of the shutdown that is due.
+// continueDrain carries out the steps of the shutdown that are due.
 func (s *Server) continueDrain() {
 	now := s.loop.Now()
 	if !s.listenerClosed && !s.closeListener(now) {
@@ -33,9 +33,9 @@
 	}
 }
 
-// closeListener accepts the waiting connections and closes the listener. It reports whether it is closed now: a listener
-// that is closed resets whom it has not accepted, so where descriptors are lacking it stays open until one is free, at
-// the latest until the drain deadline.
+// closeListener accepts the connections in the backlog, closes the listener and reports whether it did. Closing a listener
+// resets the connections that it has not accepted. If there are no descriptors for them, the listener stays open until one
+// is free, but not beyond the drain deadline.
 func (s *Server) closeListener(now float64) bool {
 	s.accept(s.limits.Counts.ListenBacklog)
 	if s.loop.HasBacklog(s.listener) && now < s.drainDeadline {
@@ -49,10 +49,10 @@
 	return true
 }
 
-// closeIfDue ends the connection if a shutdown or an error asks for it and the client is owed nothing any more. A client
-// that the drain deadline finds about to send a query is told so first.
+// closeIfDue ends the connection if a shutdown or an error requires it and no reply is outstanding. A client that is still
+// to send a query when the drain deadline passes gets an error first.
 func (c *conn) closeIfDue() {
-	if c.isCutOff() {
+	if c.isCutOffByDeadline() {
 		c.finalError(pg.CodeCannotConnectNow, "the router is ending")
 	}
 	if c.state != stateClosed && c.mayClose() {
@@ -60,28 +60,29 @@
 	}
 }
 
-// isCutOff reports whether the drain deadline finds the client about to send a query, which it may send elsewhere.
-func (c *conn) isCutOff() bool {
-	if !c.server.deadlinePassed || c.hasPending {
+// isCutOffByDeadline reports whether the drain deadline has passed while the client has yet to send its first query or
+// the rest of a message. It may send that query to another router.
+func (c *conn) isCutOffByDeadline() bool {
+	if !c.server.deadlinePassed || c.hasPendingMessages {
 		return false
 	}
-	if c.closeAfterReplies || c.owesReplies() {
+	if c.closeAfterReplies || c.hasOutstandingReplies() {
 		return false
 	}
 	return !c.hasQueried || c.input.Len() > 0
 }
 
-// mayClose reports whether the connection has to end and the client is owed nothing any more.
+// mayClose reports whether the connection has to end and no reply is outstanding.
 func (c *conn) mayClose() bool {
 	switch {
-	case c.owesReplies():
+	case c.hasOutstandingReplies():
 		return false
 	case c.closeAfterReplies:
 		return true
-	case c.server.deadlinePassed && !c.hasPending:
+	case c.server.deadlinePassed && !c.hasPendingMessages:
 		return true
 	case c.server.listenerClosed:
-		// What waits in the socket was sent in time: it is read next.
+		// Input that waits in the socket was sent in time, and is read next.
 		return c.hasQueried && c.input.Len() == 0 && c.server.loop.NothingToRead(c.fd)
 	}
 	return false
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -6,13 +6,13 @@
 	"stoatdale.example/stoatdale/internal/eventloop"
 )
 
-// noDescriptor stands for the descriptor of a closed listener.
+// noDescriptor is the value of Server.listener once the listener is closed.
 const noDescriptor = -1
 
 // Ready implements eventloop.Handler for the listener.
 func (s *Server) Ready(bool, bool) { s.accept(s.limits.Counts.AcceptsPerTurn) }
 
-// accept accepts waiting connections, so many at the most.
+// accept accepts at most limit connections from the backlog.
 func (s *Server) accept(limit int) {
 	for range limit {
 		if !s.reserveDescriptor() || !s.acceptOne() {
@@ -21,8 +21,9 @@
 	}
 }
 
-// reserveDescriptor makes sure that one more connection may be accepted, and closes a spare connection for it if need
-// be. Where there is none to spare accepting pauses, since the listener would stay ready and spin the event loop.
+// reserveDescriptor reports whether one more connection may be accepted. At the limit of clients or descriptors it closes a
+// connection that can be spared, if another client waits in the backlog. If none can be spared, it pauses accepting;
+// otherwise the listener would stay ready and the event loop would spin.
 func (s *Server) reserveDescriptor() bool {
 	clientsFull := len(s.conns) >= s.limits.Counts.ClientConnections
 	descriptorsFull := s.loop.OpenDescriptors() >= s.limits.Counts.SharedDescriptors
@@ -40,11 +41,11 @@
 	return false
 }
 
-// acceptOne accepts and reads one connection. It reports whether another may follow.
+// acceptOne accepts one connection and reads from it. It reports whether the caller may try to accept another.
 func (s *Server) acceptOne() bool {
 	fd, ok, err := s.loop.Accept(s.listener)
 	if err != nil {
-		s.log.Warn().Err(err).Msg("client not accepted")
+		s.log.Warn().Err(err).Msg("accepting a client connection failed")
 		if eventloop.IsOutOfDescriptors(err) {
 			s.shedOne()
 		}
@@ -61,7 +62,7 @@
 	}
 	s.counters.ClientsAccepted++
 	s.conns[c] = true
-	if s.loop.PeerClosed(fd) { // it left while it waited to be accepted: what it sent is not read
+	if s.loop.PeerClosed(fd) { // the client left while it was in the backlog: its input is not read
 		c.close()
 		return true
 	}
@@ -69,21 +70,21 @@
 	return true
 }
 
-// setAccepting watches the listener for new connections, or stops doing so.
+// setAccepting sets whether the event loop watches the listener for new connections.
 func (s *Server) setAccepting(on bool) {
 	if s.listener != noDescriptor {
 		s.loop.SetInterest(s.listener, on, false)
 	}
 }
 
-// pauseAccepting leaves new connections in the backlog for a moment.
+// pauseAccepting leaves new connections in the backlog for the time of ShedGrace.
 func (s *Server) pauseAccepting() {
 	s.setAccepting(false)
 	s.loop.SetTimer(s.resumeTimer, s.loop.Now()+s.limits.Durations.ShedGrace)
 }
 
-// shedOne closes one connection to free its descriptor, and reports whether there was one: one that is closing anyway,
-// else one that has not sent a query, else the one that has been idle for the longest.
+// shedOne closes one connection to free its descriptor, and reports whether it found one. It takes a connection that is
+// closing anyway, else one that has not sent a query, else the one that has been idle the longest.
 func (s *Server) shedOne() bool {
 	if oldest := s.closing.Front(); oldest != nil {
 		oldest.Value.(*conn).close()
@@ -92,8 +93,8 @@
 	return s.shedFirstOf(&s.silent) || s.shedFirstOf(&s.idle)
 }
 
-// shedFirstOf closes the first connection of a queue that is past its grace period and has sent nothing that is not read
-// yet. It reports whether there was one.
+// shedFirstOf closes the first connection of a queue that is past its grace period and has no unread input in its socket.
+// It reports whether there was one.
 func (s *Server) shedFirstOf(queue *list.List) bool {
 	for e := queue.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*conn)
--- a/internal/frontend/message.go
+++ b/internal/frontend/message.go
@@ -6,17 +6,17 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// Types of the frontend messages that are told apart, by the protocol's first byte.
+// Message types that are handled differently from others. The type is the first byte of a message.
 const (
 	messageQuery     = 'Q'
 	messageTerminate = 'X'
 	messageSync      = 'S'
 )
 
-// messageHeader is the size of a message's type and length, in bytes.
+// messageHeader is the size of the header of a message, its type and its length, in bytes.
 const messageHeader = 5
 
-// processMessage processes one message of the input, and reports whether there may be another.
+// processMessage processes the first message in the input if it is complete. It reports whether another may follow.
 func (c *conn) processMessage() (more bool) {
 	if c.state == stateStartup {
 		return c.processStartup()
@@ -45,8 +45,8 @@
 	return true
 }
 
-// handleMessage carries a complete message out. Only simple queries are served: an extended query gets one error, and
-// its other messages are ignored until Sync.
+// handleMessage handles a complete message. Only simple queries are supported: the first message of an extended query gets
+// an error, and its other messages are ignored until Sync.
 func (c *conn) handleMessage(kind byte, size int) {
 	switch {
 	case kind == messageQuery:
@@ -67,7 +67,7 @@
 	return kind == messageQuery || kind == messageTerminate || isExtendedQuery(kind)
 }
 
-// isExtendedQuery reports whether a message belongs to the extended query protocol.
+// isExtendedQuery reports whether a message type belongs to the extended query protocol.
 func isExtendedQuery(kind byte) bool {
 	switch kind {
 	case 'P', 'B', 'E', 'D', 'C', 'H', messageSync: // Parse, Bind, Execute, Describe, Close, Flush
@@ -76,8 +76,8 @@
 	return false
 }
 
-// processStartup processes what comes before the first message: the start-up packet, or a request for encryption or
-// cancellation.
+// processStartup processes a packet that precedes the first message: the start-up packet, an encryption request or a cancel
+// request. It reports whether another packet or message may follow.
 func (c *conn) processStartup() (more bool) {
 	startup, ok, err := pg.ReadStartup(&c.input, c.server.limits.Sizes.StartupPacket)
 	switch {
@@ -95,12 +95,12 @@
 		return false
 	}
 	c.state = stateOpen
-	c.key = c.server.newCancelKey(c)
-	c.send(pg.AppendStartupReply(nil, c.key))
+	c.cancelKey = c.server.newCancelKey(c)
+	c.send(pg.AppendStartupReply(nil, c.cancelKey))
 	return true
 }
 
-// protocolError sends an error and ends the connection after the replies that are owed.
+// protocolError sends an error after the outstanding replies, and then ends the connection.
 func (c *conn) protocolError(code, message string) {
 	c.server.counters.InvalidQueries++
 	c.finalError(code, message)
--- a/internal/frontend/phase.go
+++ b/internal/frontend/phase.go
@@ -7,30 +7,30 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// phase is what a connection waits for. Each phase has a timeout of its own.
+// phase is what a connection waits for. Most phases have a timeout of their own, see phaseEnd.
 type phase int
 
 const (
-	phaseUnset phase = iota // the next call of enterPhase begins a phase anew
+	phaseUnset phase = iota // the next call of enterPhase restarts the timeout, whatever the phase
 	phaseCommandsInFlight
 	phaseAwaitingFirstQuery
-	phaseReadingMessage // the first part of a message has come
-	phaseWritingAnswer  // the client has a reply to take
+	phaseReadingMessage // part of a message has arrived
+	phaseWritingAnswer  // the client has not taken all of a reply
 	phaseIdle           // between commands
 	phaseClosing
 )
 
-// noTimeout is the end of a phase without a timeout.
+// noTimeout is the result of phaseEnd for a phase without a timeout.
 var noTimeout = math.Inf(1)
 
-// currentPhase returns the phase that the state of the connection amounts to.
+// currentPhase returns the phase that follows from the state of the connection.
 func (c *conn) currentPhase() phase {
 	switch {
 	case c.state == stateClosing:
 		return phaseClosing
 	case c.output.Len() > 0:
 		return phaseWritingAnswer
-	case len(c.replies) > 0 || c.hasPending || c.closeAfterReplies:
+	case len(c.replies) > 0 || c.hasPendingMessages || c.closeAfterReplies:
 		return phaseCommandsInFlight
 	case !c.hasQueried:
 		return phaseAwaitingFirstQuery
@@ -40,8 +40,8 @@
 	return phaseIdle
 }
 
-// enterPhase begins a phase, unless the connection is in it already: input does not renew a timeout, or a client that
-// drips its bytes would stay for good.
+// enterPhase begins a phase and its timeout, unless the connection is in that phase already. So input does not renew a
+// timeout. Otherwise a client that sends a byte now and then could keep its connection for ever.
 func (c *conn) enterPhase(p phase) {
 	if p == c.phase {
 		return
@@ -49,16 +49,17 @@
 	c.phase = p
 	c.moveToShedQueue(c.shedQueueFor(p))
 	c.server.loop.StopTimer(c.timer)
-	if timeout := c.phaseEnd(p); timeout != noTimeout {
-		c.server.loop.SetTimer(c.timer, timeout)
+	if end := c.phaseEnd(p); end != noTimeout {
+		c.server.loop.SetTimer(c.timer, end)
 	}
-	// Clients that send one query and stay exhaust the descriptors of their own side long before those of this one.
+	// Without this limit, clients that send one query and keep their connection open would exhaust the descriptors of the
+	// client machine long before those of the router.
 	if p == phaseIdle && c.server.idle.Len() > c.server.limits.Counts.IdleClients {
 		c.server.shedFirstOf(&c.server.idle)
 	}
 }
 
-// phaseEnd returns when a phase that begins now times out.
+// phaseEnd returns the time at which a phase that begins now times out, or noTimeout.
 func (c *conn) phaseEnd(p phase) float64 {
 	durations := &c.server.limits.Durations
 	now := c.server.loop.Now()
@@ -66,19 +67,19 @@
 	case phaseAwaitingFirstQuery:
 		return c.acceptedAt + durations.FirstQueryTimeout
 	case phaseReadingMessage:
-		return max(now, c.messageSince+durations.MessageTimeout)
+		return max(now, c.incompleteSince+durations.MessageTimeout)
 	case phaseWritingAnswer:
 		return now + durations.WriteStallTimeout
 	case phaseIdle:
 		return now + durations.IdleTimeout
 	case phaseClosing:
 		return now + durations.CloseLinger
-	case phaseCommandsInFlight, phaseUnset: // the commands have timeouts of their own
+	case phaseCommandsInFlight, phaseUnset: // commands have their own timeouts
 	}
 	return noTimeout
 }
 
-// shedQueueFor returns the queue of connections that may be closed in a phase, or nil.
+// shedQueueFor returns the shed queue for connections in a phase, or nil if they must not be shed.
 func (c *conn) shedQueueFor(p phase) *list.List {
 	switch p {
 	case phaseAwaitingFirstQuery:
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// moveToShedQueue puts the connection into a queue, or into none. It keeps its place if it is there already, except
-// among the idle ones, where it goes to the end.
+// moveToShedQueue moves the connection to a shed queue, or out of all of them if queue is nil. A connection that is in the
+// queue already keeps its place, except in the idle queue, where it moves to the end.
 func (c *conn) moveToShedQueue(queue *list.List) {
 	if queue == c.shedQueue && queue != &c.server.idle {
 		return
@@ -114,12 +115,11 @@
 	}
 }
 
-// timerExpired ends the connection of a client that has exceeded the timeout of its phase, with an error if it has begun
-// a message and not completed it.
+// timerExpired ends the connection when its phase has timed out. The client gets an error if it has sent part of a message.
 func (c *conn) timerExpired() {
 	switch {
 	case c.expectsInput() && !c.awaitsBuffers && !c.server.loop.NothingToRead(c.fd):
-		// Its input has come and is read next.
+		// Input has arrived in time and is read next.
 		c.server.loop.SetTimer(c.timer, c.server.loop.Now()+c.server.limits.Durations.MinBackoff)
 	case c.expectsInput() && c.phase != phaseIdle && c.input.Len() > 0:
 		c.server.counters.MessageTimeouts++
@@ -131,12 +131,12 @@
 	}
 }
 
-// expectsInput reports whether the connection is in a phase that input of the client ends.
+// expectsInput reports whether the connection waits for input from the client.
 func (c *conn) expectsInput() bool {
 	return c.phase == phaseAwaitingFirstQuery || c.phase == phaseReadingMessage || c.phase == phaseIdle
 }
 
-// countTimeout counts a timeout by the phase that it ends.
+// countTimeout increments the timeout counter of the current phase, if it has one.
 func (c *conn) countTimeout() {
 	switch c.phase {
 	case phaseAwaitingFirstQuery:
--- a/internal/frontend/query.go
+++ b/internal/frontend/query.go
@@ -10,18 +10,19 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// rejection is why a query is not taken as a command, as the client gets it.
+// rejection is the reason for which a query is not accepted as a command, as it is sent to the client.
 type rejection struct {
 	code    string // SQLSTATE
 	message string
 }
 
-// invalidValue rejects a query for a value in its comment.
+// invalidValue returns a rejection for an invalid value in the comment of a query.
 func invalidValue(format string, arguments ...any) *rejection {
 	return &rejection{code: pg.CodeInvalidParameterValue, message: fmt.Sprintf(format, arguments...)}
 }
 
-// processQuery processes a simple query: a command for the dispatcher, or something that gets its reply here.
+// processQuery processes a simple query. It forwards a valid command to the dispatcher, and replies to an empty or invalid
+// query itself.
 func (c *conn) processQuery(size int) {
 	body := size - messageHeader
 	statement, err := pg.ParseStatement(&c.input, messageHeader, body, c.server.limits.Sizes.StatementComment)
@@ -44,7 +45,8 @@
 	c.forward(command)
 }
 
-// newCommand makes a command of a statement, all but its text and its deadline.
+// newCommand returns a command for a statement, without its text, its deadline and its owner, or why the statement is
+// rejected.
 func (s *Server) newCommand(statement *pg.Statement) (*dispatcher.Command, *rejection) {
 	group, ok := s.groups[statement.Group]
 	if !ok {
@@ -69,13 +71,13 @@
 		Responder:   s,
 	}
 	if statement.LastWriteAt > 0 {
-		// A write of this very moment must not look like none.
+		// Age 0 would mean that the last write is not known. A write at this very moment gets a tiny negative age instead.
 		command.LastWriteAge = cmp.Or(s.dispatcher.SecondsSince(statement.LastWriteAt), -math.SmallestNonzeroFloat64)
 	}
 	return command, nil
 }
 
-// checkStatement returns why backends must not see a statement, or nil.
+// checkStatement returns the reason for which a statement must not be sent to a backend, or nil.
 func (s *Server) checkStatement(statement *pg.Statement, group int) *rejection {
 	needsKey := s.settings.CommandGroups[group].Idempotency == router.IdempotentWithKey
 	switch {
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// forward hands a command to the dispatcher and keeps its place among the replies.
+// forward appends an outstanding reply for a command and submits the command to the dispatcher.
 func (c *conn) forward(command *dispatcher.Command) {
 	r := &reply{command: command, data: c.server.buffers.NewChain()}
 	c.replies = append(c.replies, r)
@@ -98,8 +100,8 @@
 	c.server.dispatcher.Submit(command)
 }
 
-// rejectQuery sends the client why its query is rejected. A client that goes on sending such queries is closed: one that
-// repeats a query as soon as it is rejected would keep the router busy.
+// rejectQuery sends a rejection to the client. It ends the connection after InvalidQueries rejections. Otherwise a client
+// that repeats a query as soon as it is rejected would keep the router busy.
 func (c *conn) rejectQuery(rejected *rejection) {
 	c.rejectedQueries++
 	if c.rejectedQueries >= c.server.limits.Counts.InvalidQueries {
--- a/internal/frontend/reply.go
+++ b/internal/frontend/reply.go
@@ -9,27 +9,27 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// reply is one that a connection owes to its client.
+// reply is an outstanding reply to a client.
 type reply struct {
-	command  *dispatcher.Command // nil: the reply to a message that is no command
-	data     buffer.Chain
-	complete bool
+	command  *dispatcher.Command // nil if the reply is to a message that is not a command
+	data     buffer.Chain        // encoded messages that wait for earlier replies
+	complete bool                // data holds the whole reply
 }
 
-// owner is a command's dispatcher.Command.Owner: where its result goes.
+// owner is the value of dispatcher.Command.Owner. It identifies the reply to which the command's result is written.
 type owner struct {
 	conn  *conn
 	reply *reply
 }
 
-// finalError sends an error behind the replies that are owed; the connection ends after it.
+// finalError sends an error after the outstanding replies, and then ends the connection.
 func (c *conn) finalError(code, message string) {
 	c.closeAfterReplies = true
 	c.input.Free()
 	c.send(pg.AppendErrorResponse(nil, true, code, message, ""))
 }
 
-// send sends a complete reply behind those that are owed.
+// send sends a complete reply after the outstanding ones.
 func (c *conn) send(message []byte) {
 	if len(c.replies) == 0 {
 		c.output.Write(message)
@@ -41,7 +41,7 @@
 	c.replies = append(c.replies, r)
 }
 
-// flush writes as much of the output as the socket takes.
+// flush writes as much of the output as the socket accepts.
 func (c *conn) flush() {
 	unsent := c.output.Len()
 	if err := c.server.loop.Write(c.fd, &c.output); err != nil {
@@ -49,22 +49,22 @@
 		return
 	}
 	progressed := c.output.Len() < unsent
-	if c.phase == phaseWritingAnswer && progressed { // a reply may be taken slowly: each part renews the timeout
+	if c.phase == phaseWritingAnswer && progressed { // a client may read a reply slowly: each part that it reads renews the timeout
 		c.phase = phaseUnset
 	}
 }
 
-// Answer implements dispatcher.Responder: it sends a row and frees it.
+// Answer implements dispatcher.Responder: it sends the row of an answer and frees it.
 func (s *Server) Answer(command *dispatcher.Command, row *buffer.Chain) {
-	if to := command.Owner.(owner); to.conn.state != stateClosed && !to.reply.complete {
-		row.MoveTo(&to.reply.data)
+	if target := command.Owner.(owner); target.conn.state != stateClosed && !target.reply.complete {
+		row.MoveTo(&target.reply.data)
 	}
 	row.Free()
 	s.complete(command, pg.AppendReadyForQuery(nil))
 }
 
-// Reject implements dispatcher.Responder: it sends an error upon which the client may retry, after so many seconds if it is
-// above 0.
+// Reject implements dispatcher.Responder: it sends an error after which the client may retry. If retryAfter is above 0, the
+// error asks the client to wait that many seconds first.
 func (s *Server) Reject(command *dispatcher.Command, retryAfter float64) {
 	const millisecondsPerSecond = 1000
 	detail := ""
@@ -75,32 +75,32 @@
 	s.complete(command, pg.AppendReadyForQuery(message))
 }
 
-// Fail implements dispatcher.Responder: it sends an error upon which the client cannot know whether the command ran.
+// Fail implements dispatcher.Responder: it sends an error that leaves open whether the command ran.
 func (s *Server) Fail(command *dispatcher.Command) {
 	message := pg.AppendErrorResponse(nil, false, pg.CodeSystemError, "failed: it is not known whether the command ran", "")
 	s.complete(command, pg.AppendReadyForQuery(message))
 }
 
-// ClientPresent implements dispatcher.Responder.
+// ClientPresent implements dispatcher.Responder: it reports whether the command's client is still connected.
 func (s *Server) ClientPresent(command *dispatcher.Command) bool {
-	to := command.Owner.(owner)
-	return to.conn.state != stateClosed && !s.loop.PeerClosed(to.conn.fd)
+	target := command.Owner.(owner)
+	return target.conn.state != stateClosed && !s.loop.PeerClosed(target.conn.fd)
 }
 
-// complete appends the last part of a command's reply, and sends the replies that are due by now.
+// complete appends the last part of a command's reply, and sends all replies that can now be sent in order.
 func (s *Server) complete(command *dispatcher.Command, last []byte) {
-	to := command.Owner.(owner)
-	if to.conn.state == stateClosed || to.reply.complete { // its client has left or canceled it
+	target := command.Owner.(owner)
+	if target.conn.state == stateClosed || target.reply.complete { // the client has left or canceled the command
 		return
 	}
-	to.reply.data.Write(last)
-	to.reply.complete = true
-	if to.conn.replies[0] == to.reply {
-		to.conn.sendCompleted()
+	target.reply.data.Write(last)
+	target.reply.complete = true
+	if target.conn.replies[0] == target.reply {
+		target.conn.sendCompleted()
 	}
 }
 
-// sendCompleted sends the complete replies up to the first that is not, and goes on with the input.
+// sendCompleted sends the replies up to the first that is incomplete, and then processes the input that may have waited.
 func (c *conn) sendCompleted() {
 	for len(c.replies) > 0 && c.replies[0].complete {
 		first := c.replies[0]
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,7 +1,7 @@
-// Package frontend accepts clients over PostgreSQL's wire protocol. It hands their commands to a dispatcher and writes the
-// results back in the order of the commands; it decides nothing about routing.
+// Package frontend accepts client connections that use PostgreSQL's wire protocol. It submits their commands to a
+// dispatcher and writes the results to the clients in the order of the commands. It makes no routing decisions.
 //
-// Everything in it belongs to the goroutine of the event loop. Times are seconds on the event loop's clock.
+// All its code runs on the goroutine of the event loop. Times are seconds on the event loop's clock.
 package frontend
 
 import (
@@ -19,23 +19,23 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// Dispatcher carries out the commands that clients send.
+// Dispatcher executes the commands that clients send.
 type Dispatcher interface {
-	// LookupShard returns the index of the shard that a client's cluster number names, and false if there is none.
+	// LookupShard returns the index of the shard with the cluster number that clients use, and false if there is none.
 	LookupShard(cluster int) (shard int, ok bool)
-	// IsInFlight reports whether a command of this name is in flight.
-	IsInFlight(name string) bool
-	// Submit takes a command over. It gives the command one result by way of the command's Responder.
+	// IsInFlight reports whether a command with this id of a client is in flight.
+	IsInFlight(clientID string) bool
+	// Submit starts a command and takes ownership of it. The dispatcher later passes one result to the command's Responder.
 	Submit(command *dispatcher.Command)
-	// ClientGone notifies the dispatcher that the client of these commands has gone: no result is expected any more.
+	// ClientGone notifies the dispatcher that the client of these commands is gone and expects no results any more.
 	ClientGone(commands []*dispatcher.Command)
-	// CloseIdleBackend closes an idle connection to a backend, and reports whether there was one to spare.
+	// CloseIdleBackend closes an idle connection to a backend, and reports whether there was one that could be spared.
 	CloseIdleBackend() bool
-	// SecondsSince returns how many seconds ago a Unix time in seconds was; negative if it lies in the future.
+	// SecondsSince returns the seconds that have passed since a Unix time in seconds. It is negative for a time in the future.
 	SecondsSince(unix float64) float64
 }
 
-// Options are what a server works with. All of it must outlive the server.
+// Options are the dependencies and settings of a server. All that they refer to must outlive the server.
 type Options struct {
 	Limits     *config.Limits
 	Settings   *config.Settings // names and properties of the command groups; see Server.ReloadGroups
@@ -43,13 +43,13 @@
 	Dispatcher Dispatcher
 	Counters   *metrics.Counters
 	Log        zerolog.Logger
-	// DrawCancelKey draws a key that nobody can guess.
+	// DrawCancelKey returns a random key that nobody can guess.
 	DrawCancelKey func() pg.CancelKey
 }
 
-// Server is a client listener and its connections.
+// Server is the client listener and the client connections.
 type Server struct {
-	Address netip.AddrPort // where it listens, with the port that the kernel chose if none was given
+	Address netip.AddrPort // the listening address, with the port that the kernel chose if none was given
 
 	loop       eventloop.ServerNetwork
 	limits     *config.Limits
@@ -59,34 +59,35 @@
 	counters   *metrics.Counters
 	log        zerolog.Logger
 
-	groups      map[string]int   // indices of the command groups by name
-	listener    int              // descriptor; noDescriptor once it is closed
-	resumeTimer *eventloop.Timer // ends a pause in accepting
+	groups      map[string]int   // index of each command group, by name
+	listener    int              // descriptor, or noDescriptor once it is closed
+	resumeTimer *eventloop.Timer // ends a pause of accepting
 	conns       map[*conn]bool
 
-	drawCancelKey func() pg.CancelKey
-	cancelable    map[pg.CancelKey]*conn // connections by their keys
+	drawCancelKey    func() pg.CancelKey
+	connsByCancelKey map[pg.CancelKey]*conn
 
-	// Connections that may be closed to free a descriptor, in the order in which the queues are tried. Each holds
-	// the connection first that has been in it for the longest.
-	closing list.List // the server has ended them and waits for the client to close
-	silent  list.List // have not sent a query since they were accepted
+	// Shed queues: connections that may be closed to free a descriptor. The queues are tried in this order, and in each
+	// the connection that has been there the longest is first.
+	closing list.List // in stateClosing: the server waits for the client to close
+	silent  list.List // have never sent a query
 	idle    list.List // between commands
 
 	awaitingBuffers []*conn // not read because buffers are scarce
-	pending         []*conn // have messages left for the next turn
+	pending         []*conn // have unprocessed messages for the next turn
 
-	// The graceful shutdown: the listener is closed first, and after the deadline clients are no longer read.
+	// State of the graceful shutdown. The listener is closed first. After the deadline clients are no longer read.
 	listenerClosed bool
 	deadlinePassed bool
-	drainDeadline  float64          // 0: Shutdown has not been called
-	drainTimer     *eventloop.Timer // goes on with the shutdown
+	drainDeadline  float64          // 0 if Shutdown has not been called
+	drainTimer     *eventloop.Timer // calls continueDrain
 }
 
-// Listen opens a server on one address and watches it by the event loop. It fails if the address cannot be listened on.
-func Listen(address netip.AddrPort, events eventloop.ServerNetwork, options Options) (*Server, error) {
+// Listen opens a server on an address and adds its listener to the event loop. It fails if the address cannot be listened
+// on.
+func Listen(address netip.AddrPort, loop eventloop.ServerNetwork, options Options) (*Server, error) {
 	s := &Server{
-		loop:       events,
+		loop:       loop,
 		limits:     options.Limits,
 		settings:   options.Settings,
 		buffers:    options.Buffers,
@@ -96,40 +97,41 @@
 		groups:     map[string]int{},
 		conns:      map[*conn]bool{},
 
-		drawCancelKey: options.DrawCancelKey,
-		cancelable:    map[pg.CancelKey]*conn{},
+		drawCancelKey:    options.DrawCancelKey,
+		connsByCancelKey: map[pg.CancelKey]*conn{},
 	}
 	s.ReloadGroups()
 	s.resumeTimer = eventloop.NewTimer(func() { s.setAccepting(true) })
 	s.drainTimer = eventloop.NewTimer(s.continueDrain)
 	var err error
-	if s.listener, err = s.listenPatiently(address); err != nil {
+	if s.listener, err = s.listenWithRetries(address); err != nil {
 		return nil, err
 	}
-	if s.Address, err = events.LocalAddress(s.listener); err != nil {
+	if s.Address, err = loop.LocalAddress(s.listener); err != nil {
 		return nil, err
 	}
-	return s, events.Add(s.listener, s, true, false)
+	return s, loop.Add(s.listener, s, true, false)
 }
 
-// Times of a start whose machine refuses a socket.
+// Retries of the listening socket, if the machine has no resources for it.
 const (
-	listenPatience = time.Second
-	listenPause    = 10 * time.Millisecond
+	listenRetryTime     = time.Second
+	listenRetryInterval = 10 * time.Millisecond
 )
 
-// listenPatiently opens the listening socket. It waits out a moment in which the machine has none to give.
-func (s *Server) listenPatiently(address netip.AddrPort) (listener int, err error) {
-	for began := time.Now(); ; time.Sleep(listenPause) {
+// listenWithRetries opens the listening socket. While the machine lacks the resources for one, it retries for
+// listenRetryTime. Other errors are returned at once.
+func (s *Server) listenWithRetries(address netip.AddrPort) (listener int, err error) {
+	for start := time.Now(); ; time.Sleep(listenRetryInterval) {
 		listener, err = s.loop.Listen(address, s.limits.Counts.ListenBacklog)
-		if !eventloop.IsLocalFailure(err) || time.Since(began) > listenPatience {
+		if !eventloop.IsLocalFailure(err) || time.Since(start) > listenRetryTime {
 			return listener, err
 		}
 	}
 }
 
-// ReloadGroups takes the names of the command groups from the settings as they are now. It is called after the settings
-// have changed.
+// ReloadGroups rebuilds the index of command groups from the current settings. It must be called after the settings have
+// changed.
 func (s *Server) ReloadGroups() {
 	clear(s.groups)
 	for i, name := range s.settings.GroupNames {
@@ -140,16 +142,17 @@
 // OpenConnections returns the number of client connections.
 func (s *Server) OpenConnections() int { return len(s.conns) }
 
-// ListenerClosed reports whether a shutdown has closed the listener: no new clients are accepted.
+// ListenerClosed reports whether a shutdown has closed the listener, so that no new clients are accepted.
 func (s *Server) ListenerClosed() bool { return s.listenerClosed }
 
-// ProcessPending processes messages that were left over in the last turn, and resumes reading where buffers were scarce.
-// It is called once a turn, and reports whether messages are left again, so that the event loop should not wait.
+// ProcessPending processes messages that remained from the last turn, and resumes reading on connections that waited for
+// buffers. It must be called once per turn. It reports whether messages remain for the next turn, in which case the event
+// loop should not wait.
 func (s *Server) ProcessPending() bool {
 	pending := s.pending
 	s.pending = nil
 	for _, c := range pending {
-		c.hasPending = false
+		c.hasPendingMessages = false
 		c.processUnlessClosed()
 	}
 	if len(s.awaitingBuffers) > 0 && !s.buffers.Scarce() {
