--- a/internal/buffer/chain_test.go
+++ b/internal/buffer/chain_test.go
@@ -46,7 +46,7 @@
 	assert.Zero(t, p.BlocksInUse())
 }
 
-func TestCopyToLeavesTheChainAsItWas(t *testing.T) {
+func TestCopyToDoesNotChangeItsSource(t *testing.T) {
 	p := NewPool(4, 100)
 	a, b := p.NewChain(), p.NewChain()
 	a.Write([]byte("xxabcdefghij"))
--- a/internal/frontend/backend_test.go
+++ b/internal/frontend/backend_test.go
@@ -11,23 +11,23 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// fakeBackend is the harness's endpoint. A test decides when it goes on, and how it answers.
+// fakeBackend is the backend of the harness's endpoint. A test controls when it greets and reads, and what it answers.
 type fakeBackend struct {
-	greeting   chan struct{}          // connections are greeted once it is closed
-	accepting  chan struct{}          // statements are read to their end once it is closed
-	clientGone chan struct{}          // closed by the test once its client has gone
-	answered   chan struct{}          // gets one for each answer, if not nil
-	answer     func(id string) []byte // nil: the statement gets no answer
+	greeting   chan struct{}          // connections are greeted once this is closed
+	accepting  chan struct{}          // statements are read beyond their first byte once this is closed
+	clientGone chan struct{}          // closed by the test once its client is gone
+	answered   chan struct{}          // gets a value for each answer sent; may be nil
+	answer     func(id string) []byte // returns nil for a statement that gets no answer
 
 	mu       sync.Mutex
-	received []string // ids of the statements that came complete
-	started  int      // statements whose first byte came
+	received []string // ids of the statements that arrived completely
+	started  int      // number of statements whose first byte arrived
 }
 
 var statementID = regexp.MustCompile(`id=([0-9a-f]+),`)
 
-// startBackend serves the endpoint by a backend that greets, accepts and answers nothing unless a test changes it. It
-// ends with the listener, at the end of the test.
+// startBackend starts the endpoint's backend. Unless change alters it, the backend greets, reads statements and answers
+// none of them. It ends when the listener is closed, at the end of the test.
 func (h *harness) startBackend(change func(*fakeBackend)) *fakeBackend {
 	opened := make(chan struct{})
 	close(opened)
@@ -70,7 +70,7 @@
 	}
 }
 
-// greet reads the start-up packet and greets.
+// greet reads the start-up packet and sends the greeting. It reports whether it succeeded.
 func (b *fakeBackend) greet(conn net.Conn) bool {
 	var length uint32
 	if binary.Read(conn, binary.BigEndian, &length) != nil {
@@ -84,7 +84,7 @@
 	return err == nil
 }
 
-// receive reads one statement and returns its id.
+// receive reads one statement and returns its id. It returns false once the connection has ended.
 func (b *fakeBackend) receive(reader *bufio.Reader) (id string, ok bool) {
 	kind, err := reader.ReadByte()
 	if err != nil || kind != messageQuery {
@@ -109,7 +109,7 @@
 	return id, true
 }
 
-// resume lets the backend greet and accept, if a test held it up.
+// resume makes the backend greet and read statements, if the test has stopped it from doing so.
 func (b *fakeBackend) resume() {
 	for _, held := range []chan struct{}{b.greeting, b.accepting} {
 		select {
@@ -120,7 +120,7 @@
 	}
 }
 
-// hasStarted is the condition that the first byte of so many statements came.
+// hasStarted returns the condition that the first byte of n statements has arrived.
 func (b *fakeBackend) hasStarted(n int) func() bool {
 	return func() bool {
 		b.mu.Lock()
@@ -129,19 +129,19 @@
 	}
 }
 
-// hasReceived is the condition that so many statements came complete.
+// hasReceived returns the condition that n statements have arrived completely.
 func (b *fakeBackend) hasReceived(n int) func() bool {
 	return func() bool { return len(b.ids()) == n }
 }
 
-// ids returns the ids of the statements that came complete.
+// ids returns the ids of the statements that have arrived completely.
 func (b *fakeBackend) ids() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]string(nil), b.received...)
 }
 
-// valueRow is an answer of one value.
+// valueRow returns an answer with one row, which has one value.
 func valueRow(id string) []byte {
 	value := "value of " + id
 	column := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value)))
@@ -150,7 +150,7 @@
 	return pg.AppendReadyForQuery(pg.AppendMessage(message, 'C', []byte("SELECT 1\x00")))
 }
 
-// valueRowAfter answers with valueRow once a channel is closed.
+// valueRowAfter returns an answer function that returns valueRow once release is closed.
 func valueRowAfter(release <-chan struct{}) func(id string) []byte {
 	return func(id string) []byte {
 		<-release
@@ -158,7 +158,7 @@
 	}
 }
 
-// overloaded is an answer that rejects a command unseen.
+// overloaded returns an answer that rejects a command without executing it.
 func overloaded(string) []byte {
 	return pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, pg.CodeTooManyConnections, "full", ""))
 }
--- a/internal/frontend/client_gone_test.go
+++ b/internal/frontend/client_gone_test.go
@@ -15,16 +15,16 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// The tests of this package make two events cross on real connections in the worse order, every time: the backend holds
-// its answers back until it is notified, and the loop turns only until what was waited for has happened.
+// Tests of this package produce races between two events on real connections, and always in the worse order: the backend
+// withholds its answers until the test releases them, and the event loop runs only until an awaited condition holds.
 
-// goneClient is a client that leaves while its command waits.
+// goneClient is a case of TestNothingIsForwardedForAGoneClient: a client that leaves while its command waits.
 type goneClient struct {
 	limits     func(*config.Limits)
 	backend    func(*fakeBackend)
 	arrange    func(*harness, *fakeBackend) net.Conn // returns once the command waits
-	sentBefore []string                              // ids that came to the backend before
-	commands   int                                   // commands that were taken
+	sentBefore []string                              // ids that reach the backend before the client leaves
+	commands   int                                   // number of the client's commands that are accepted
 }
 
 func noChange(*config.Limits)      {}
@@ -32,7 +32,7 @@
 func holdGreeting(b *fakeBackend)  { b.greeting = make(chan struct{}) }
 func holdAccepting(b *fakeBackend) { b.accepting = make(chan struct{}) }
 
-// goneClients are the ways in which a command may wait, by name.
+// goneClients are the situations in which a command may wait, by subtest name.
 var goneClients = map[string]goneClient{
 	"held by the module": {
 		limits: noChange, backend: noAnswers, arrange: commandHeld, commands: 1,
@@ -67,14 +67,14 @@
 		backend: noAnswers, arrange: commandsUnread, commands: 1,
 	},
 	"with its last answer owed": {
-		limits: noChange, backend: noAnswers, arrange: lastAnswerOwed, commands: 1,
+		limits: noChange, backend: noAnswers, arrange: lastReplyOutstanding, commands: 1,
 	},
 	"with answers that it does not take": {
 		limits: func(l *config.Limits) {
 			l.Sizes.UnsentAnswers = 4096
 			l.Counts.InvalidQueries = 1 << 30
 		},
-		backend: noAnswers, arrange: answersNotTaken, commands: 0,
+		backend: noAnswers, arrange: repliesNotRead, commands: 0,
 	},
 	"unread for want of buffers": {
 		limits:  func(l *config.Limits) { l.Counts.BufferBlocks = 1 << 10 },
@@ -133,7 +133,7 @@
 	return conn
 }
 
-func lastAnswerOwed(h *harness, _ *fakeBackend) net.Conn {
+func lastReplyOutstanding(h *harness, _ *fakeBackend) net.Conn {
 	h.publishState(endpoint.StateDraining)
 	unknownMessage := []byte("?\x00\x00\x00\x04")
 	conn, _ := h.client(startupThen(patientQuery("a1"), unknownMessage))
@@ -141,7 +141,7 @@
 	return conn
 }
 
-func answersNotTaken(h *harness, _ *fakeBackend) net.Conn {
+func repliesNotRead(h *harness, _ *fakeBackend) net.Conn {
 	h.publishState(endpoint.StateDraining)
 	conn := h.dial()
 	invalid := []byte(strings.Repeat(string(pg.AppendQuery(nil, "SELECT 1")), 100_000))
@@ -159,14 +159,14 @@
 	h.publishState(endpoint.StateDraining)
 	conn, _ := h.client(startupThen(patientQuery("a1")))
 	h.runUntil(h.acceptedCommands(1))
-	hoard := h.buffers.NewChain()
-	hoard.Write(make([]byte, testBlockSize<<10))
+	heldBuffers := h.buffers.NewChain()
+	heldBuffers.Write(make([]byte, testBlockSize<<10))
 	_, err := conn.Write(pg.AppendQuery(nil, strings.Repeat("z", 60_000))[:9000])
 	require.NoError(h.t, err)
 	h.runUntil(func() bool { return len(h.server.awaitingBuffers) == 1 })
 	go func() {
 		<-backend.clientGone
-		h.loop.Post(hoard.Free)
+		h.loop.Post(heldBuffers.Free)
 	}()
 	return conn
 }
@@ -174,7 +174,7 @@
 func routerDrains(h *harness, _ *fakeBackend) net.Conn {
 	h.publishState(endpoint.StateDraining)
 	conn, _ := h.client(startupThen(patientQuery("a1")))
-	other := h.dial() // for the command that comes after, taken before the shutdown
+	other := h.dial() // sends the later command, which has to be accepted before the shutdown
 	_, err := other.Write(startupThen(patientQuery("b1")))
 	require.NoError(h.t, err)
 	h.runUntil(h.acceptedCommands(2))
@@ -182,11 +182,12 @@
 	return conn
 }
 
-// closings are the ways in which a client closes its connection, as the linger that makes it so.
+// closings are the ways in which a client closes its connection. The value is the argument of SetLinger, in seconds: -1
+// closes the connection as usual, 0 resets it.
 var closings = map[string]int{"closes": -1, "resets": 0}
 
-// A client that leaves while its command waits has nothing sent for it any more, in whatever way it waits. Its leaving
-// was once unseen wherever it was not read: epoll reported an end only with bytes to read.
+// Once a client has left, none of its waiting commands is forwarded. The router once missed the end of connections that it
+// was not reading, because epoll reported the end only together with bytes to read.
 func TestNothingIsForwardedForAGoneClient(t *testing.T) {
 	for waiting, client := range goneClients {
 		for closing, linger := range closings {
@@ -205,10 +206,10 @@
 	_ = conn.Close()
 	h.runUntil(func() bool { return h.server.OpenConnections() == open-1 })
 	assert.EqualValues(t, client.commands, h.counters.Abandoned)
-	assert.EqualValues(t, min(client.commands, 1), h.counters.ClientsLeftUnsent, "clients noticed gone with a command unsent")
+	assert.EqualValues(t, min(client.commands, 1), h.counters.ClientsLeftUnsent, "clients noticed gone while a command was unsent")
 	close(backend.clientGone)
 
-	// The command that comes after it arrives, and nothing else.
+	// A later command of another client reaches the backend, and nothing else does.
 	backend.resume()
 	h.publishState(endpoint.StateReady)
 	if !h.server.ListenerClosed() {
@@ -218,8 +219,8 @@
 	assert.Equal(t, append(client.sentBefore, "b1"), backend.ids())
 }
 
-// The command of a gone client is at a backend already: it may run there, and is not retried whatever the backend
-// answers.
+// A client leaves after its command has reached a backend. The command may run there, and is not retried even if the
+// backend rejects it.
 func TestForwardedCommandOfAGoneClientIsNotRetried(t *testing.T) {
 	h := newHarness(t, noChange)
 	release := make(chan struct{})
@@ -241,8 +242,9 @@
 	assert.Equal(t, "b1", backend.ids()[1])
 }
 
-// Pipelined commands and the end of the connection lie in the socket together: nobody waits for the commands any more.
-func TestPipelineOfAGoneClientIsNotDispatched(t *testing.T) {
+// The router finds a command and the end of its connection in the socket in the same turn. Nobody waits for the command
+// any more, so no attempt begins.
+func TestPipelineOfAGoneClientIsNotForwarded(t *testing.T) {
 	h := newHarness(t, noChange)
 	conn := h.dial()
 	h.runUntil(func() bool { return h.counters.ClientsAccepted == 1 })
@@ -253,7 +255,7 @@
 	assert.Zero(t, h.counters.Attempts)
 }
 
-// A client sends a query and leaves while it waits to be accepted: the query is not forwarded once there is capacity.
+// A client sends a query and leaves while it is in the listener's backlog. Its query is not read once it is accepted.
 func TestClientGoneBeforeItIsAcceptedIsNotRead(t *testing.T) {
 	for closing, linger := range closings {
 		h := newHarness(t, noChange)
@@ -262,7 +264,7 @@
 		_, err := conn.Write(startupThen(patientQuery("a1")))
 		require.NoError(t, err)
 		require.NoError(t, conn.(*net.TCPConn).SetLinger(linger))
-		require.NoError(t, conn.Close()) // the loop has not turned yet
+		require.NoError(t, conn.Close()) // the event loop has not run yet
 		h.client(startupThen(patientQuery("b1")))
 		h.runUntil(backend.hasReceived(1))
 		assert.Equal(t, []string{"b1"}, backend.ids(), closing)
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -10,8 +10,8 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// A client whose connection was accepted just before the shutdown has not sent its query yet: it has until the drain
-// deadline. Closing it without an error would count as a refused connection.
+// A client that is accepted just before the shutdown has until the drain deadline to send its first query. If its
+// connection were closed without an error, the client would count it as refused.
 func TestClientAcceptedJustBeforeShutdownIsServed(t *testing.T) {
 	for sent, first := range map[string][]byte{
 		"nothing":              nil,
@@ -40,7 +40,8 @@
 	}
 }
 
-// A client that has not sent a complete query by the drain deadline gets an error that allows a retry, and is closed.
+// A client that has not completed its query by the drain deadline gets an error that allows a retry, and its connection is
+// closed.
 func TestClientWithoutQueryAtTheDrainDeadlineGetsAnError(t *testing.T) {
 	for sent, first := range map[string][]byte{
 		"nothing":              nil,
@@ -58,8 +59,8 @@
 	}
 }
 
-// All descriptors are taken by clients in their grace period, and one more waits to be accepted: closing the listener
-// then would reset it.
+// At the shutdown all client connections are in use by clients in their grace period, and one more client is in the
+// backlog. Closing the listener at once would reset that client's connection.
 func TestClientInTheBacklogAtShutdownIsServed(t *testing.T) {
 	h := newDrainHarness(t, func(l *config.Limits) {
 		l.Counts.ClientConnections = 2
@@ -76,7 +77,7 @@
 	assert.Contains(t, h.readAll(received), string(pg.AppendEmptyQueryResponse(nil)))
 }
 
-// Where no connection can be shed the listener is closed at the drain deadline all the same.
+// If no connection can be shed, the listener is still closed at the drain deadline.
 func TestShutdownEndsWithoutAFreeDescriptor(t *testing.T) {
 	h := newHarness(t, func(l *config.Limits) {
 		l.Counts.ClientConnections = 1
@@ -95,7 +96,8 @@
 	h.runUntil(func() bool { return h.server.OpenConnections() == 0 })
 }
 
-// A command lies in the socket when its connection would be closed: it was sent in time, and is answered.
+// A command is still unread in the socket when the shutdown would close its connection. It was sent in time, so it is
+// answered.
 func TestCommandInTheSocketAtShutdownIsAnswered(t *testing.T) {
 	h := newDrainHarness(t, noChange)
 	backend := h.startBackend(func(b *fakeBackend) { b.answer = overloaded })
@@ -103,13 +105,13 @@
 	h.runUntil(func() bool { return h.server.idle.Len() == 1 })
 	_, err := conn.Write(query("a1", "c=look,d=300"))
 	require.NoError(t, err)
-	h.server.Shutdown() // the loop has not turned since it was written
+	h.server.Shutdown() // the event loop has not run since the query was written
 	assert.Contains(t, h.readAll(received), pg.CodeTooManyConnections)
 	assert.Contains(t, backend.ids(), "a1")
 }
 
-// A command comes behind the answer to the one before, which is the moment at which a draining connection is closed: in
-// the turn of the answer, too late to be among what is ready in it.
+// During the shutdown a connection is closed once its last command is answered. Here the next command arrives in the turn
+// of that answer, but too late to be among the turn's events. It must be answered all the same.
 func TestCommandBehindAnAnswerDuringShutdownIsAnswered(t *testing.T) {
 	h := newDrainHarness(t, noChange)
 	release := make(chan struct{})
@@ -122,7 +124,7 @@
 	h.runUntil(backend.hasReceived(1))
 	h.server.Shutdown()
 	close(release)
-	<-answered // the answer lies in the router's socket
+	<-answered // the answer is in the router's socket
 	h.loop.Post(func() {
 		_, err := conn.Write(patientQuery("a2"))
 		require.NoError(t, err)
@@ -132,8 +134,8 @@
 	assert.Contains(t, answers, "value of a2")
 }
 
-// A client that goes on sending queries before it is answered is not read after the drain deadline: what was taken is
-// answered and the connection ends, so that the client may send its later queries elsewhere.
+// A client that keeps sending queries before it gets its answers is not read after the drain deadline. Accepted commands
+// are answered, then the connection ends, and the client can send its later queries to another router.
 func TestPipeliningClientIsNotReadAfterTheDrainDeadline(t *testing.T) {
 	h := newHarness(t, func(l *config.Limits) {
 		l.Durations.DrainDeadline = 0.05
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -26,13 +26,13 @@
 const (
 	testShard     = 2
 	testBlockSize = 4096
-	// testDeadline bounds each wait for a condition.
+	// testDeadline is the longest wait for a condition.
 	testDeadline = 20 * time.Second
-	// never is a timeout in seconds that no test reaches.
+	// never is a timeout that no test reaches, in seconds.
 	never = 100
 )
 
-// harness is a server on an event loop that turns only while a test waits, with one endpoint.
+// harness is a server and a dispatcher with one endpoint. Their event loop runs only while a test waits for a condition.
 type harness struct {
 	t          *testing.T
 	server     *Server
@@ -40,13 +40,13 @@
 	dispatcher *dispatcher.Dispatcher
 	counters   metrics.Counters
 	buffers    *buffer.Pool
-	lastKey    byte // first byte of the cancel key drawn last
+	lastKey    byte // first byte of the cancel key returned last
 
 	endpoint        endpoint.Endpoint
-	backendListener net.Listener // the endpoint's; it says nothing before startBackend
+	backendListener net.Listener // the endpoint's listener; accepts no connection before startBackend
 }
 
-// newHarness returns a harness with limits that no test reaches, changed by the test.
+// newHarness returns a harness whose limits no test reaches, except those that change sets.
 func newHarness(t *testing.T, change func(*config.Limits)) *harness {
 	t.Helper()
 	h := &harness{t: t, counters: metrics.Counters{ReceivedByGroup: make([]uint64, 2)}, backendListener: newSilentListener(t)}
@@ -82,7 +82,7 @@
 	return h
 }
 
-// newDrainHarness returns a harness whose drain deadline does not pass within a test.
+// newDrainHarness returns a harness whose drain deadline does not pass during a test.
 func newDrainHarness(t *testing.T, change func(*config.Limits)) *harness {
 	t.Helper()
 	return newHarness(t, func(l *config.Limits) {
@@ -91,7 +91,7 @@
 	})
 }
 
-// testConfig returns a configuration with two command groups: look may be repeated, order bears idempotency keys.
+// testConfig returns a configuration with two command groups: look is idempotent, order is idempotent with a key.
 func testConfig() *config.Config {
 	config := &config.Config{Limits: testLimits()}
 	config.Settings.GroupNames = []string{"look", "order"}
@@ -127,7 +127,7 @@
 	}
 }
 
-// newSilentListener returns a listener whose connections nobody accepts.
+// newSilentListener returns a listener that does not accept connections by itself.
 func newSilentListener(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -136,7 +136,7 @@
 	return listener
 }
 
-// limitReceiveBuffer sets the receive buffer of a listener and of the connections that it accepts.
+// limitReceiveBuffer sets the size of the receive buffer, in bytes, of the connections that a listener accepts.
 func limitReceiveBuffer(t *testing.T, listener net.Listener, size int) {
 	t.Helper()
 	raw, err := listener.(*net.TCPListener).SyscallConn()
@@ -147,7 +147,7 @@
 	require.NoError(t, err)
 }
 
-// runUntil turns the loop until a condition holds.
+// runUntil runs the event loop until the condition holds. It fails the test after testDeadline.
 func (h *harness) runUntil(condition func() bool) {
 	h.t.Helper()
 	deadline := time.Now().Add(testDeadline)
@@ -159,10 +159,10 @@
 		}
 		return now + 0.002
 	}))
-	require.True(h.t, condition(), "waited for in vain")
+	require.True(h.t, condition(), "the condition did not hold within testDeadline")
 }
 
-// dial connects to the server. What the server sends is left unread.
+// dial connects to the server. Nothing reads from the connection.
 func (h *harness) dial() net.Conn {
 	h.t.Helper()
 	conn, err := net.Dial("tcp", h.server.Address.String())
@@ -171,7 +171,7 @@
 	return conn
 }
 
-// client connects and sends messages. All that it receives until the connection ends comes by the channel.
+// client connects and sends messages. The channel gets all bytes that the client received, once the connection has ended.
 func (h *harness) client(messages ...[]byte) (net.Conn, <-chan string) {
 	h.t.Helper()
 	conn := h.dial()
@@ -187,7 +187,7 @@
 	return conn, received
 }
 
-// readAll turns the loop until a client's connection has ended, and returns what it received.
+// readAll runs the event loop until the connection of a client has ended, and returns what the client received.
 func (h *harness) readAll(received <-chan string) string {
 	h.t.Helper()
 	var all string
@@ -203,19 +203,19 @@
 	return all
 }
 
-// acceptedCommands is the condition that so many commands were taken.
+// acceptedCommands returns the condition that the server has accepted n commands.
 func (h *harness) acceptedCommands(n int) func() bool {
 	return func() bool { return h.counters.Received == uint64(n) }
 }
 
-// publishState publishes an endpoint list in which the endpoint has a state.
+// publishState passes an endpoint list to the dispatcher in which the endpoint is in the given state.
 func (h *harness) publishState(state endpoint.State) {
 	h.endpoint.State = state
 	h.dispatcher.HandleList(endpoint.List{Generation: 9, Endpoints: []endpoint.Endpoint{h.endpoint}})
 	h.dispatcher.RunTurn(h.loop.Now())
 }
 
-// startupThen returns the start-up packet and messages after it.
+// startupThen returns the start-up packet followed by messages.
 func startupThen(messages ...[]byte) []byte {
 	sent := pg.AppendStartupMessage(nil)
 	for _, message := range messages {
@@ -224,20 +224,21 @@
 	return sent
 }
 
-// query returns a query whose comment bears an id and other names.
-func query(id, names string) []byte {
-	return pg.AppendQuery(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = 'k' /* id=%s,cluster=2,%s */", id, names))
+// query returns a query for testShard, with an id and other fields in its routing comment.
+func query(id, fields string) []byte {
+	return pg.AppendQuery(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = 'k' /* id=%s,cluster=2,%s */", id, fields))
 }
 
-// patientQuery is a query whose client waits for longer than any test runs.
+// patientQuery returns a query whose client waits for longer than any test runs.
 func patientQuery(id string) []byte { return query(id, "c=look,d=300000") }
 
-// longQuery is a patient query of nearly a kilobyte, the limit of a comment.
+// longQuery returns a patient query of nearly a kilobyte, the limit of a comment.
 func longQuery(id string) []byte {
 	return query(id, "c=look,d=300000,x="+strings.Repeat("y", 900))
 }
 
-// hugeQuery is a patient query that the sockets on the way to the backend cannot hold: its receive buffer is small.
+// hugeQuery returns a patient query too large for the socket buffers between the router and the backend, whose receive
+// buffer is small.
 func hugeQuery(id string) []byte {
 	return pg.AppendQuery(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = '%s' /* id=%s,cluster=2,c=look,d=300000 */",
 		strings.Repeat("y", 6<<20), id))
--- a/internal/frontend/late_attempt_test.go
+++ b/internal/frontend/late_attempt_test.go
@@ -10,12 +10,12 @@
 	"stoatdale.example/stoatdale/internal/endpoint"
 )
 
-// longHold is how long a router may be held up within a turn, and more than the 0.1 s after a client's leaving in which an
-// attempt may still begin.
+// longHold is the time for which the tests block the router within a turn. It is longer than 0.1 s, the time after a
+// client's leaving in which an attempt may still begin.
 const longHold = 150 * time.Millisecond
 
-// While the router is held up, the connection that an attempt waits for comes up, and then the attempt's client leaves:
-// the next turn finds both.
+// While the router is blocked, the backend connection that an attempt waits for comes up, and then the client of the
+// attempt leaves. The next turn sees both events, and must not begin the attempt.
 func TestAttemptIsNotBegunWhenItsConnectionComesUpJustBeforeItsClientLeaves(t *testing.T) {
 	h := newHarness(t, noChange)
 	backend := h.startBackend(holdGreeting)
@@ -31,11 +31,11 @@
 	assert.Empty(t, backend.ids())
 }
 
-// The router has polled and read a command, and is held up before it sends it. The client leaves meanwhile.
+// The router is blocked between reading a command and sending it, and the client leaves in that time.
 func TestAttemptIsNotBegunForAClientThatLeftDuringALongTurn(t *testing.T) {
 	h := newHarness(t, noChange)
 	backend := h.startBackend(func(b *fakeBackend) { b.answer = valueRow })
-	h.client(startupThen(patientQuery("a0"))) // its connection to the backend stands
+	h.client(startupThen(patientQuery("a0"))) // leaves an open connection to the backend
 	h.runUntil(func() bool { return h.counters.Answered == 1 })
 	conn, _ := h.client(startupThen(patientQuery("a1")))
 	held := false
@@ -57,8 +57,8 @@
 	assert.Equal(t, []string{"a0"}, backend.ids())
 }
 
-// A connection that comes up after the list has said that its endpoint drains takes no attempt, however long the time
-// for connecting is.
+// A connection that comes up after an endpoint list has reported its endpoint as draining or gone gets no attempt, even if
+// the connect timeout is long.
 func TestAttemptIsNotBegunAtAnEndpointThatDrainsMeanwhile(t *testing.T) {
 	for _, state := range []endpoint.State{endpoint.StateDraining, endpoint.StateGone} {
 		h := newHarness(t, noChange)
@@ -70,6 +70,6 @@
 		end := time.Now().Add(longHold)
 		h.runUntil(func() bool { return time.Now().After(end) })
 		assert.Empty(t, backend.ids())
-		assert.Equal(t, 1, h.dispatcher.InFlight(), "it waits for another endpoint")
+		assert.Equal(t, 1, h.dispatcher.InFlight(), "the command waits for another endpoint")
 	}
 }
--- a/internal/frontend/listen_test.go
+++ b/internal/frontend/listen_test.go
@@ -12,11 +12,11 @@
 	"stoatdale.example/stoatdale/internal/eventloop"
 )
 
-// failingListener is an event loop whose machine refuses a listening socket for a while.
+// failingListener is an event loop on which the first calls of Listen fail with an error code of the operating system.
 type failingListener struct {
 	*eventloop.Loop
 	code     unix.Errno
-	failures int // still to come
+	failures int // number of calls that are still to fail
 }
 
 // Listen implements eventloop.ServerNetwork.
@@ -34,7 +34,7 @@
 	})
 }
 
-// A machine that has no socket to give for a moment is no reason to refuse the start.
+// The router starts even if the machine has no resources for a listening socket for a moment.
 func TestStartOutlastsAMomentWithoutASocket(t *testing.T) {
 	h := newHarness(t, noChange)
 	for _, code := range []unix.Errno{unix.ENOBUFS, unix.ENFILE, unix.ENOMEM} {
@@ -44,5 +44,5 @@
 		assert.NotZero(t, server.Address.Port())
 	}
 	_, err := h.listenOn(&failingListener{Loop: h.loop, code: unix.EADDRINUSE, failures: 1})
-	require.ErrorIs(t, err, unix.EADDRINUSE, "which another process accounts for")
+	require.ErrorIs(t, err, unix.EADDRINUSE, "an address in use is not retried")
 }
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -18,7 +18,7 @@
 	h.client()
 	h.readAll(silent)
 	assert.EqualValues(t, 1, h.counters.ClientsShed)
-	assert.Empty(t, idle, "it sent a query, and stays")
+	assert.Empty(t, idle, "the client that sent a query stays connected")
 }
 
 func TestOldestIdleClientIsShedAboveTheLimit(t *testing.T) {
--- a/internal/frontend/message_test.go
+++ b/internal/frontend/message_test.go
@@ -40,7 +40,7 @@
 	invalid := query("b", "c=gaze,d=300")
 	conn, received := h.client(pg.AppendStartupMessage(nil), invalid, invalid, invalid, invalid)
 	h.runUntil(func() bool { return h.server.closing.Len() == 1 })
-	go func() { _, _ = conn.Write(make([]byte, 64<<20)) }() // far more than the sockets hold, and none of it is read
+	go func() { _, _ = conn.Write(make([]byte, 64<<20)) }() // far more than the socket buffers hold; the router reads none of it
 	assert.Equal(t, 3, strings.Count(h.readAll(received), pg.CodeInvalidParameterValue))
 	h.runUntil(func() bool { return h.server.OpenConnections() == 0 })
 }
--- a/internal/frontend/phase_test.go
+++ b/internal/frontend/phase_test.go
@@ -23,7 +23,7 @@
 	}
 	h := newHarness(t, func(l *config.Limits) { l.Durations.MessageTimeout = 0.05 })
 	conn, received := h.client(pg.AppendStartupMessage(nil), pg.AppendQuery(nil, ""))
-	go func() { // sends byte by byte, which does not renew the timeout
+	go func() { // single bytes do not renew the timeout
 		for _, b := range query("1", "c=look,d=300") {
 			if _, err := conn.Write([]byte{b}); err != nil {
 				return
@@ -37,16 +37,16 @@
 
 func TestClientWithoutQueryTimesOut(t *testing.T) {
 	h := newHarness(t, func(l *config.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
-	_, nothing := h.client()
-	_, hello := h.client(pg.AppendStartupMessage(nil))
-	assert.Empty(t, h.readAll(nothing))
-	assert.NotEmpty(t, h.readAll(hello), "the welcome")
+	_, silent := h.client()
+	_, startedUp := h.client(pg.AppendStartupMessage(nil))
+	assert.Empty(t, h.readAll(silent))
+	assert.NotEmpty(t, h.readAll(startedUp), "the reply to the start-up packet")
 	assert.EqualValues(t, 2, h.counters.FirstQueryTimeouts)
 	assert.Zero(t, h.server.OpenConnections())
 	assert.Zero(t, h.server.silent.Len()+h.server.idle.Len()+h.server.closing.Len())
 }
 
-// The rest of a message comes in the turn in which its timeout ends: it was complete in time.
+// The rest of a message arrives in the turn in which its timeout expires. The message was complete in time.
 func TestMessageInTheSocketDoesNotTimeOut(t *testing.T) {
 	h := newHarness(t, noChange)
 	h.startBackend(func(b *fakeBackend) { b.answer = valueRow })
@@ -70,8 +70,8 @@
 	assert.Contains(t, h.readAll(received), "value of a1")
 }
 
-// A client stops in the middle of a message while the command before it is in flight. The message's time runs all the
-// same: the error comes right behind the answer.
+// A client stops in the middle of a message while its previous command is in flight. The timeout of the message runs in
+// that time too, so the error follows right after the answer.
 func TestIncompleteMessageBehindACommandInFlightTimesOutInItsTime(t *testing.T) {
 	h := newHarness(t, func(l *config.Limits) { l.Durations.MessageTimeout = 0.3 })
 	release := make(chan struct{})
@@ -82,7 +82,7 @@
 	h.runUntil(func() bool { return h.loop.Now() > sentAt+0.25 })
 	close(release)
 	got := h.readAll(received)
-	assert.Less(t, h.loop.Now(), sentAt+0.5, "not a whole timeout after the answer")
+	assert.Less(t, h.loop.Now(), sentAt+0.5, "the timeout did not start over with the answer")
 	assert.Contains(t, got, "value of a1")
 	assert.Contains(t, got, pg.CodeProtocolViolation)
 }
