--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -104,7 +104,7 @@
 	if received > 0 {
 		w.extendTimer()
 	}
-	complete, err := w.reply.Take(&w.in, w.limits.Sizes.DiscoveryReply, w.limits.Sizes.DiscoveryLine)
+	complete, err := w.reply.Parse(&w.in, w.limits.Sizes.DiscoveryReply, w.limits.Sizes.DiscoveryLine)
 	if err != nil {
 		w.fail(err)
 		return
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -9,7 +9,7 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// ErrMalformedResponse is wrapped by all errors of Response.Take.
+// ErrMalformedResponse is wrapped by all errors of Response.Parse.
 var ErrMalformedResponse = errors.New("malformed response")
 
 // ResponseError is the error for a response that is malformed or too long. It wraps ErrMalformedResponse.
@@ -41,8 +41,8 @@
 	statusNotModified = 304
 )
 
-// Response is one response, parsed incrementally as its bytes arrive. The zero value is ready for Take. The exported
-// fields are complete once Take or ConnectionEnded has returned true.
+// Response is one response, parsed incrementally as its bytes arrive. The zero value is ready for Parse. The exported
+// fields are complete once Parse or ConnectionEnded has returned true.
 type Response struct {
 	Status int
 	Body   []byte
@@ -70,9 +70,9 @@
 	stepComplete
 )
 
-// Take consumes bytes of input and reports whether the response is complete. Bytes after the response stay in input. The
+// Parse consumes bytes of input and reports whether the response is complete. Bytes after the response stay in input. The
 // body may have at most maxBody bytes, and each line at most maxLine. Errors are of type *ResponseError.
-func (r *Response) Take(input *buffer.Chain, maxBody, maxLine int) (complete bool, err error) {
+func (r *Response) Parse(input *buffer.Chain, maxBody, maxLine int) (complete bool, err error) {
 	r.maxLine = maxLine
 	for input.Len() > 0 && r.step != stepComplete {
 		consumed, err := r.parsePiece(input.FirstPiece(), maxBody)
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -26,11 +26,11 @@
 	for _, text := range []string{sized, chunked, "HTTP/1.1 100 Continue\r\n\r\n" + sized} {
 		for n := range text {
 			in, r := chain(text[:n]), Response{}
-			done, err := r.Take(in, 100, 200)
+			done, err := r.Parse(in, 100, 200)
 			require.NoError(t, err)
 			require.False(t, done, "%q", text[:n])
 			in.Write([]byte(text[n:] + "HTTP"))
-			done, err = r.Take(in, 100, 200)
+			done, err = r.Parse(in, 100, 200)
 			require.NoError(t, err)
 			require.True(t, done)
 			require.Equal(t, 200, r.Status)
@@ -43,14 +43,14 @@
 
 func TestConnectionEndCompletesABodyWithoutLength(t *testing.T) {
 	r := Response{}
-	done, err := r.Take(chain("HTTP/1.0 200 OK\r\n\r\nhello"), 100, 200)
+	done, err := r.Parse(chain("HTTP/1.0 200 OK\r\n\r\nhello"), 100, 200)
 	require.NoError(t, err)
 	assert.False(t, done)
 	assert.True(t, r.ConnectionEnded())
 	assert.True(t, r.Close)
 	assert.Equal(t, "hello", string(r.Body))
 	r = Response{}
-	_, err = r.Take(chain(sized[:len(sized)-1]), 100, 200)
+	_, err = r.Parse(chain(sized[:len(sized)-1]), 100, 200)
 	require.NoError(t, err)
 	assert.False(t, r.ConnectionEnded(), "a truncated body is not complete")
 }
@@ -65,7 +65,7 @@
 		head + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", head + strings.Repeat("x", 201),
 		"HTTP/1.0 200 OK\r\n\r\n" + strings.Repeat("x", 101),
 	} {
-		_, err := new(Response).Take(chain(text), 100, 200)
+		_, err := new(Response).Parse(chain(text), 100, 200)
 		require.ErrorIs(t, err, ErrMalformedResponse, text)
 		var bad *ResponseError
 		require.ErrorAs(t, err, &bad, text)
@@ -82,13 +82,13 @@
 	f.Add("HTTP/1.1 204 No\r\n\r\n", 3)
 	f.Fuzz(func(t *testing.T, text string, cut int) {
 		var one, two Response
-		done, err := one.Take(chain(text), 1000, 200)
+		done, err := one.Parse(chain(text), 1000, 200)
 		cut = min(max(0, cut), len(text))
 		in := chain(text[:cut])
-		done2, err2 := two.Take(in, 1000, 200)
+		done2, err2 := two.Parse(in, 1000, 200)
 		if !done2 && err2 == nil {
 			in.Write([]byte(text[cut:]))
-			done2, err2 = two.Take(in, 1000, 200)
+			done2, err2 = two.Parse(in, 1000, 200)
 		}
 		require.Equal(t, done, done2)
 		require.Equal(t, err == nil, err2 == nil)
