--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -42,7 +42,7 @@
 	hasPendingMessages bool    // the connection is in Server.pending
 	readSuspended      bool    // the descriptor is not watched for input
 	earliestArrival    float64 // the earliest time at which the input read last can have arrived
-	incompleteSince    float64 // since when the first message in the input has been incomplete; 0 if there is none
+	incompleteSince    float64 // since when the first message in the input has been incomplete; 0 if none is incomplete
 	acceptedAt         float64
 
 	// The queue of connections that may be closed to free a descriptor, and the place in it.
@@ -190,7 +190,7 @@
 	c.enterPhase(c.currentPhase())
 }
 
-// wantsInput reports whether the connection reads input now.
+// wantsInput reports whether the connection should read input now.
 func (c *conn) wantsInput() bool {
 	if c.awaitsBuffers || c.server.deadlinePassed {
 		return false
--- a/internal/frontend/phase_test.go
+++ b/internal/frontend/phase_test.go
@@ -37,9 +37,9 @@
 
 func TestClientWithoutQueryTimesOut(t *testing.T) {
 	h := newHarness(t, func(l *config.Limits) { l.Durations.FirstQueryTimeout = 0.05 })
-	_, silent := h.client()
+	_, notStarted := h.client()
 	_, startedUp := h.client(pg.AppendStartupMessage(nil))
-	assert.Empty(t, h.readAll(silent))
+	assert.Empty(t, h.readAll(notStarted))
 	assert.NotEmpty(t, h.readAll(startedUp), "the reply to the start-up packet")
 	assert.EqualValues(t, 2, h.counters.FirstQueryTimeouts)
 	assert.Zero(t, h.server.OpenConnections())
--- a/internal/frontend/reply.go
+++ b/internal/frontend/reply.go
@@ -12,7 +12,7 @@
 // reply is an outstanding reply to a client.
 type reply struct {
 	command  *dispatcher.Command // nil if the reply is to a message that is not a command
-	data     buffer.Chain        // encoded messages that wait for earlier replies
+	data     buffer.Chain        // encoded messages that are not in the connection's output yet
 	complete bool                // data holds the whole reply
 }
 
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -85,9 +85,9 @@
 
 // Listen opens a server on an address and adds its listener to the event loop. It fails if the address cannot be listened
 // on.
-func Listen(address netip.AddrPort, loop eventloop.ServerNetwork, options Options) (*Server, error) {
+func Listen(address netip.AddrPort, network eventloop.ServerNetwork, options Options) (*Server, error) {
 	s := &Server{
-		loop:       loop,
+		loop:       network,
 		limits:     options.Limits,
 		settings:   options.Settings,
 		buffers:    options.Buffers,
@@ -107,10 +107,10 @@
 	if s.listener, err = s.listenWithRetries(address); err != nil {
 		return nil, err
 	}
-	if s.Address, err = loop.LocalAddress(s.listener); err != nil {
+	if s.Address, err = network.LocalAddress(s.listener); err != nil {
 		return nil, err
 	}
-	return s, loop.Add(s.listener, s, true, false)
+	return s, network.Add(s.listener, s, true, false)
 }
 
 // Retries of the listening socket, if the machine has no resources for it.
