--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -10,7 +10,7 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// chain returns a chain of blocks of seven bytes, so that no line lies in one piece.
+// chain returns a chain with blocks of seven bytes, so that nearly every line spans several blocks.
 func chain(text string) *buffer.Chain {
 	c := buffer.NewPool(7, 1<<20).NewChain()
 	c.Write([]byte(text))
@@ -22,37 +22,37 @@
 	chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6;x=y\r\nhello \r\n5\r\nthere\r\n0\r\nT: 1\r\n\r\n"
 )
 
-func TestResponseIsTakenOnceComplete(t *testing.T) {
+func TestResponseIsCompleteWithItsLastByte(t *testing.T) {
 	for _, text := range []string{sized, chunked, "HTTP/1.1 100 Continue\r\n\r\n" + sized} {
 		for n := range text {
 			in, r := chain(text[:n]), Response{}
-			done, err := r.Take(in, 100, 200)
+			done, err := r.Parse(in, 100, 200)
 			require.NoError(t, err)
 			require.False(t, done, "%q", text[:n])
 			in.Write([]byte(text[n:] + "HTTP"))
-			done, err = r.Take(in, 100, 200)
+			done, err = r.Parse(in, 100, 200)
 			require.NoError(t, err)
 			require.True(t, done)
 			require.Equal(t, 200, r.Status)
 			require.Equal(t, "hello there", string(r.Body))
 			require.False(t, r.Close)
-			require.Equal(t, 4, in.Len(), "the next response stays")
+			require.Equal(t, 4, in.Len(), "the bytes of the next response stay in the chain")
 		}
 	}
 }
 
 func TestConnectionEndCompletesABodyWithoutLength(t *testing.T) {
 	r := Response{}
-	done, err := r.Take(chain("HTTP/1.0 200 OK\r\n\r\nhello"), 100, 200)
+	done, err := r.Parse(chain("HTTP/1.0 200 OK\r\n\r\nhello"), 100, 200)
 	require.NoError(t, err)
 	assert.False(t, done)
 	assert.True(t, r.ConnectionEnded())
 	assert.True(t, r.Close)
 	assert.Equal(t, "hello", string(r.Body))
 	r = Response{}
-	_, err = r.Take(chain(sized[:len(sized)-1]), 100, 200)
+	_, err = r.Parse(chain(sized[:len(sized)-1]), 100, 200)
 	require.NoError(t, err)
-	assert.False(t, r.ConnectionEnded(), "a body cut short is not complete")
+	assert.False(t, r.ConnectionEnded(), "a truncated body is not complete")
 }
 
 func TestMalformedResponseIsAnError(t *testing.T) {
@@ -65,7 +65,7 @@
 		head + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", head + strings.Repeat("x", 201),
 		"HTTP/1.0 200 OK\r\n\r\n" + strings.Repeat("x", 101),
 	} {
-		_, err := new(Response).Take(chain(text), 100, 200)
+		_, err := new(Response).Parse(chain(text), 100, 200)
 		require.ErrorIs(t, err, ErrMalformedResponse, text)
 		var bad *ResponseError
 		require.ErrorAs(t, err, &bad, text)
@@ -82,13 +82,13 @@
 	f.Add("HTTP/1.1 204 No\r\n\r\n", 3)
 	f.Fuzz(func(t *testing.T, text string, cut int) {
 		var one, two Response
-		done, err := one.Take(chain(text), 1000, 200)
+		done, err := one.Parse(chain(text), 1000, 200)
 		cut = min(max(0, cut), len(text))
 		in := chain(text[:cut])
-		done2, err2 := two.Take(in, 1000, 200)
+		done2, err2 := two.Parse(in, 1000, 200)
 		if !done2 && err2 == nil {
 			in.Write([]byte(text[cut:]))
-			done2, err2 = two.Take(in, 1000, 200)
+			done2, err2 = two.Parse(in, 1000, 200)
 		}
 		require.Equal(t, done, done2)
 		require.Equal(t, err == nil, err2 == nil)
