--- a/internal/eventloop/log.go
+++ b/internal/eventloop/log.go
@@ -2,8 +2,8 @@
 
 import "golang.org/x/sys/unix"
 
-// DroppingWriter writes whole lines to the descriptor that it is. A line that would have to wait for a slow reader is
-// dropped: a log must not block the event loop.
+// DroppingWriter is a descriptor to which it writes whole lines. It drops a line if the descriptor is not ready for writing:
+// a slow reader of the log must not block the event loop.
 type DroppingWriter int
 
 // Write implements io.Writer. It never fails and always reports all of line as written.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,7 +1,8 @@
-// Package eventloop is the event loop of a router: epoll, timers, sockets, and calls posted from other goroutines. A turn
-// handles the ready descriptors and the due timers, and then calls once for what they add up to.
+// Package eventloop implements the event loop of a router: epoll, timers, sockets, and function calls posted from other
+// goroutines. Each turn handles the ready descriptors and the due timers, and then calls a function that acts on all of
+// these events together.
 //
-// Times are seconds on the loop's clock, which reads 0 when the loop is made.
+// Times are in seconds on the loop's clock, which is 0 when the loop is created.
 package eventloop
 
 import (
@@ -16,20 +17,21 @@
 
 // Handler handles the events of a descriptor.
 type Handler interface {
-	// Ready is called when the descriptor is ready for something that it is watched for. A hang-up counts as
-	// readable, an error as both.
+	// Ready is called when the descriptor is ready for reading or writing, as requested. A hang-up is reported as
+	// readable, an error as both readable and writable.
 	Ready(readable, writable bool)
 }
 
-// HangupHandler is a Handler that handles a hang-up or an error of the other side apart: also while the descriptor is
-// watched for nothing, and with bytes ahead of the end that were not read.
+// HangupHandler is a Handler with a separate method for a hang-up or an error of the connection. The loop calls that
+// method even if the descriptor is watched for neither reading nor writing, and even if unread bytes precede the end.
 type HangupHandler interface {
 	Handler
-	// HungUp is called in place of Ready. It has to close the descriptor, which would be ready for good.
+	// HungUp is called instead of Ready. It has to close the descriptor, which would otherwise stay ready forever.
 	HungUp()
 }
 
-// registration is a watched descriptor. Its generation tells it from an earlier one under the same number.
+// registration describes a watched descriptor. The kernel reuses descriptor numbers; the generation distinguishes this
+// descriptor from an earlier one with the same number.
 type registration struct {
 	handler    Handler
 	generation int32
@@ -37,82 +39,84 @@
 	write      bool
 }
 
-// Loop is an event loop. It belongs to the goroutine that calls Run; only Post may be called from others.
+// Loop is an event loop. It belongs to the goroutine that calls Run; only Post may be called from other goroutines.
 type Loop struct {
 	Sockets
 
 	eventsPerTurn int
-	epoll         int // descriptor
-	wakeup        int // descriptor of the eventfd that a posted call makes ready
+	epoll         int // descriptor of the epoll instance
+	wakeup        int // descriptor of the eventfd that Post makes ready
 
 	registered     map[int]*registration // by descriptor
 	lastGeneration int32
 	timers         timerHeap
 	stopped        bool
 
-	start       time.Time // when the clock read 0
-	now         float64
-	lastPoll    float64 // when the wait of the last turn ended
-	readySince  float64
-	longestTurn float64 // seconds
+	start       time.Time // wall time at which the clock was 0
+	now         float64   // time of this turn
+	lastPoll    float64   // when epoll_wait last returned
+	readySince  float64   // see ReadySince
+	longestTurn float64   // seconds
 
 	mu     sync.Mutex // guards posted
-	posted []func()
+	posted []func()   // functions to call in the next turn
 }
 
 const (
-	// briefWait is the wait, in seconds, up to which descriptors may have become ready before it.
+	// briefWait is a duration in seconds. If epoll_wait returns sooner, descriptors may have been ready before the call.
 	briefWait = 0.001
-	// maxWait bounds the wait for events, in seconds.
+	// maxWait is the longest wait for events, in seconds.
 	maxWait = 60
 )
 
-// New returns a loop that handles at most so many events a turn, so that no turn grows long. Wall time is read once; the
-// clock then goes on by monotonic time.
+// New returns a loop that handles at most eventsPerTurn events in each turn, which keeps turns short. It reads the wall
+// time once; afterwards the clock follows monotonic time.
 func New(eventsPerTurn int) (*Loop, error) {
 	l := &Loop{eventsPerTurn: eventsPerTurn, start: time.Now(), registered: map[int]*registration{}}
 	var err error
 	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+		return nil, fmt.Errorf("creating the epoll instance: %w", err)
 	}
 	if l.wakeup, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
-		return nil, fmt.Errorf("eventfd: %w", err)
+		return nil, fmt.Errorf("creating the eventfd: %w", err)
 	}
 	return l, l.Add(l.wakeup, wakeupHandler{l}, true, false)
 }
 
-// StartedAt returns the wall time at which the clock read 0.
+// StartedAt returns the wall time at which the clock was 0.
 func (l *Loop) StartedAt() time.Time { return l.start }
 
-// Now returns the time of this turn.
+// Now returns the time of this turn: the time at which its poll returned.
 func (l *Loop) Now() float64 { return l.now }
 
-// Clock reads the clock anew: what was read in this turn may have come after its poll.
+// Clock reads the clock and returns the current time. Bytes that are read in this turn may have arrived after its poll, so
+// that Now would be too early for them.
 func (l *Loop) Clock() float64 { return time.Since(l.start).Seconds() }
 
-// ReadySince returns the earliest time at which what is ready in this turn may have become so: bytes that came during the
-// last turn have waited since that turn's poll.
+// ReadySince returns the earliest time at which the descriptors that are ready in this turn may have become ready. Bytes
+// that arrived during the last turn may have waited since that turn's poll.
 func (l *Loop) ReadySince() float64 { return l.readySince }
 
-// OpenDescriptors returns the number of descriptors that the loop watches, its own included.
+// OpenDescriptors returns the number of descriptors that the loop watches, including its own eventfd.
 func (l *Loop) OpenDescriptors() int { return len(l.registered) }
 
 // LongestTurn returns the duration of the longest turn so far, in seconds.
 func (l *Loop) LongestTurn() float64 { return l.longestTurn }
 
-// Add watches a descriptor for being readable, writable, both or neither.
+// Add starts watching a descriptor for being readable, writable, both or neither. Hang-ups are always watched for.
 func (l *Loop) Add(fd int, handler Handler, read, write bool) error {
 	l.lastGeneration++
 	r := &registration{handler: handler, generation: l.lastGeneration, read: read, write: write}
 	event := r.event(fd)
 	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
-		return fmt.Errorf("watching a descriptor: %w", err)
+		return fmt.Errorf("watching descriptor %d: %w", fd, err)
 	}
 	l.registered[fd] = r
 	return nil
 }
 
-// SetInterest changes what a descriptor is watched for. One that is not watched is passed over.
+// SetInterest changes whether a descriptor is watched for being readable and writable. It does nothing if the descriptor
+// is not watched.
 func (l *Loop) SetInterest(fd int, read, write bool) {
 	r := l.registered[fd]
 	if r == nil || r.read == read && r.write == write {
@@ -124,8 +128,8 @@
 	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &event)
 }
 
-// event returns what epoll is asked for. Hang-ups are always part of it: epoll would report them only together with
-// bytes to read, and a peer that is not read at present may leave all the same.
+// event returns the event mask and data to register with epoll. The mask always includes hang-ups: otherwise epoll would
+// report a hang-up only as readable, which misses a peer that disconnects while the router does not read from it.
 func (r *registration) event(fd int) unix.EpollEvent {
 	mask := uint32(unix.EPOLLRDHUP)
 	if r.read {
@@ -137,7 +141,7 @@
 	return unix.EpollEvent{Events: mask, Fd: int32(fd), Pad: r.generation}
 }
 
-// Close closes a watched descriptor. Events of this turn that were not handled yet are dropped.
+// Close closes a watched descriptor. Its events of this turn that have not been handled yet are dropped.
 func (l *Loop) Close(fd int) {
 	if _, ok := l.registered[fd]; ok {
 		delete(l.registered, fd)
@@ -145,12 +149,12 @@
 	}
 }
 
-// Stop has Run return after this turn.
+// Stop makes Run return at the end of this turn.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run turns until Stop is called, and may be called again. Each turn handles the hang-ups of clients, the other ready
-// descriptors and the due timers, in this order, and then calls afterEvents, which returns the time of the next turn at
-// the latest. It fails only if the kernel refuses to wait.
+// Run runs the loop until Stop is called; it may be called again afterwards. Each turn first handles the hang-ups that a
+// HangupHandler is registered for, then the other ready descriptors, then the due timers, and finally calls afterEvents,
+// which returns the latest time at which the next turn has to start. Run fails only if epoll_wait fails.
 func (l *Loop) Run(afterEvents func(now float64) float64) error {
 	ready := make([]unix.EpollEvent, l.eventsPerTurn)
 	next := 0.0
@@ -174,14 +178,14 @@
 	return nil
 }
 
-// poll waits for events until a time at the latest, and returns how many there are.
+// poll waits for events, but not beyond the time until, and returns the number of events that it stored in ready.
 func (l *Loop) poll(ready []unix.EpollEvent, until float64) (int, error) {
 	l.readClock()
 	l.longestTurn = math.Max(l.longestTurn, l.now-l.lastPoll)
 	waitStart := l.now
 	n, err := unix.EpollWait(l.epoll, ready, l.waitMilliseconds(until))
 	if err != nil && !errors.Is(err, unix.EINTR) {
-		return 0, fmt.Errorf("waiting: %w", err)
+		return 0, fmt.Errorf("waiting for epoll events: %w", err)
 	}
 	l.readClock()
 	l.readySince = l.now
@@ -192,8 +196,8 @@
 	return max(0, n), nil
 }
 
-// handleHangup calls the handler of a hang-up that is handled apart. It comes before all other events of the turn: nothing
-// that they lead to may be done for whoever has left already.
+// handleHangup calls the HangupHandler of the event's descriptor if the event is a hang-up. Hang-ups are handled before
+// all other events of the turn, so that these events cause no work for a client that has already disconnected.
 func (l *Loop) handleHangup(event unix.EpollEvent) {
 	r := l.registrationOf(event)
 	if r == nil || !isHangup(event) {
@@ -204,7 +208,7 @@
 	}
 }
 
-// registrationOf returns the descriptor that an event belongs to, or nil if it has been closed meanwhile.
+// registrationOf returns the registration that an event belongs to, or nil if its descriptor has been closed since.
 func (l *Loop) registrationOf(event unix.EpollEvent) *registration {
 	r := l.registered[int(event.Fd)]
 	if r == nil || r.generation != event.Pad {
@@ -213,13 +217,15 @@
 	return r
 }
 
+// hasFailed reports whether an event is an error, or a hang-up in both directions.
 func hasFailed(event unix.EpollEvent) bool { return event.Events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 }
 
+// isHangup reports whether an event is an error, or the other side has at least stopped sending.
 func isHangup(event unix.EpollEvent) bool {
 	return hasFailed(event) || event.Events&unix.EPOLLRDHUP != 0
 }
 
-// handle calls the handler of an event, unless the descriptor has been closed meanwhile.
+// handle calls the handler of an event, unless its descriptor has been closed since.
 func (l *Loop) handle(event unix.EpollEvent) {
 	r := l.registrationOf(event)
 	if r == nil {
@@ -227,7 +233,7 @@
 	}
 	failed, hungUp := hasFailed(event), isHangup(event)
 	if handler, ok := r.handler.(HangupHandler); ok && hungUp {
-		handler.HungUp() // it came to this descriptor during the turn
+		handler.HungUp() // reached only if the call by handleHangup left the descriptor open
 		return
 	}
 	readable := hungUp || event.Events&unix.EPOLLIN != 0
@@ -237,7 +243,8 @@
 
 func (l *Loop) readClock() { l.now = l.Clock() }
 
-// waitMilliseconds returns how long to wait until a time or the first timer, rounded up so that it is due then.
+// waitMilliseconds returns the wait until the given time or the first timer, whichever is earlier, but at most maxWait. It
+// is rounded up so that the timer is due when the wait ends.
 func (l *Loop) waitMilliseconds(until float64) int {
 	const millisecondsPerSecond = 1000
 	if len(l.timers) > 0 {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -17,7 +17,7 @@
 	return l
 }
 
-// handlerFunc is a Handler that is a function.
+// handlerFunc makes a function a Handler.
 type handlerFunc func(readable, writable bool)
 
 func (f handlerFunc) Ready(readable, writable bool) { f(readable, writable) }
@@ -50,7 +50,7 @@
 		closeOther := handlerFunc(func(_, writable bool) {
 			calls++
 			assert.True(t, writable)
-			l.Close(fds[1-i]) // both are ready in this turn
+			l.Close(fds[1-i]) // its event of this turn has not been handled yet
 			l.Stop()
 		})
 		require.NoError(t, l.Add(fds[i], closeOther, false, true))
@@ -72,7 +72,9 @@
 		}
 		slowTurn = now
 		time.Sleep(20 * time.Millisecond)
-		l.Post(func() { assert.LessOrEqual(t, l.ReadySince(), slowTurn, "what came in the slow turn") })
+		l.Post(func() {
+			assert.LessOrEqual(t, l.ReadySince(), slowTurn, "bytes that arrived during the slow turn count from its start")
+		})
 		return now
 	}))
 	assert.GreaterOrEqual(t, l.LongestTurn(), 0.02)
--- a/internal/eventloop/network.go
+++ b/internal/eventloop/network.go
@@ -6,39 +6,40 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// Network is what connections need of an event loop: its clock, its timers, its descriptors and its sockets. Loop is one;
-// others drive the same connections without sockets.
+// Network is the part of an event loop that connections use: clock, timers, descriptors and sockets. Loop implements it;
+// other implementations run the same connections without sockets.
 type Network interface {
-	// Now returns the time of this turn.
+	// Now returns the time of this turn, in seconds.
 	Now() float64
-	// Clock reads the clock anew: a turn may have been held up since its poll.
+	// Clock reads the clock and returns the current time. Now may be earlier, since a turn takes time after its poll.
 	Clock() float64
-	// SetTimer has a timer fire at a time, in place of any that it was set to.
+	// SetTimer makes a timer fire at the given time. It replaces the time to which the timer was set before.
 	SetTimer(t *Timer, at float64)
-	// StopTimer keeps a timer from firing.
+	// StopTimer prevents a timer from firing. It does nothing if the timer is not set.
 	StopTimer(t *Timer)
 
-	// OpenDescriptors returns the number of descriptors that are watched.
+	// OpenDescriptors returns the number of watched descriptors.
 	OpenDescriptors() int
-	// Add watches a descriptor.
+	// Add starts watching a descriptor for being readable, writable, both or neither.
 	Add(fd int, handler Handler, read, write bool) error
-	// SetInterest changes what a descriptor is watched for.
+	// SetInterest changes whether a descriptor is watched for being readable and writable.
 	SetInterest(fd int, read, write bool)
 	// Close closes a watched descriptor.
 	Close(fd int)
 	// CloseUnwatched closes a descriptor that is not watched.
 	CloseUnwatched(fd int)
 
-	// Dial starts to connect. The descriptor is writable once the attempt has ended; ConnectError tells how.
+	// Dial starts connecting. The descriptor becomes writable when the connection is open or has failed; ConnectError
+	// then returns which.
 	Dial(address netip.AddrPort) (fd int, err error)
-	// ConnectError returns how an attempt to connect has ended; nil: the connection is up.
+	// ConnectError returns the error with which connecting has failed, or nil if the connection is open.
 	ConnectError(fd int) error
-	// NothingToRead reports whether a connection is open and has nothing to read.
+	// NothingToRead reports whether a connection is open and there are no bytes to read from it.
 	NothingToRead(fd int) bool
-	// Read appends about limit bytes at the most to a chain, and returns their number. More may wait then. The error
-	// is ErrPeerClosed at the end of the connection; bytes may come with it.
+	// Read reads bytes and appends them to a chain, and returns their number. It stops at about limit bytes, although
+	// more may be available. At the end of the connection it returns ErrPeerClosed, possibly together with bytes.
 	Read(fd int, into *buffer.Chain, limit int) (n int, err error)
-	// Write writes what the socket takes and removes that from the chain.
+	// Write writes as many bytes of a chain as the socket accepts and removes them from the chain.
 	Write(fd int, from *buffer.Chain) error
 }
 
@@ -46,20 +47,21 @@
 type ServerNetwork interface {
 	Network
 
-	// ReadySince returns the earliest time at which what is ready in this turn may have become so.
+	// ReadySince returns the earliest time at which the descriptors that are ready in this turn may have become ready.
 	ReadySince() float64
-	// Listen opens a listening socket on one address.
+	// Listen opens a listening socket on one address. The kernel queues at most backlog connections that have not been
+	// accepted yet.
 	Listen(address netip.AddrPort, backlog int) (listener int, err error)
-	// LocalAddress returns the address that a listener got.
+	// LocalAddress returns the address that a listener is bound to.
 	LocalAddress(listener int) (netip.AddrPort, error)
-	// HasBacklog reports whether a connection waits to be accepted.
+	// HasBacklog reports whether a connection is waiting to be accepted.
 	HasBacklog(listener int) bool
-	// Accept accepts a connection; false: none waits. An error is a lack of descriptors or memory; see
-	// IsOutOfDescriptors.
+	// Accept accepts a connection. ok is false if no connection is waiting. An error means that descriptors or memory
+	// are lacking; see IsOutOfDescriptors.
 	Accept(listener int) (fd int, ok bool, err error)
-	// PeerClosed reports whether the other side has closed, also with bytes ahead of the end that were not read.
+	// PeerClosed reports whether the other side has closed the connection, even if unread bytes precede the end.
 	PeerClosed(fd int) bool
-	// CloseWrite ends sending; the connection can still be read.
+	// CloseWrite closes the sending side of a connection, which can still be read from.
 	CloseWrite(fd int)
 }
 
--- a/internal/eventloop/post.go
+++ b/internal/eventloop/post.go
@@ -2,17 +2,17 @@
 
 import "golang.org/x/sys/unix"
 
-// Post has a function called in the loop's next turn. It may be called from any goroutine. Functions are called in the
-// order in which they were posted; after Run has returned they wait for it to be called again.
+// Post schedules a function to be called in the loop's next turn. Post may be called from any goroutine. Functions are
+// called in the order in which they were posted. If Run has returned, they are called when it is called again.
 func (l *Loop) Post(call func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, call)
 	l.mu.Unlock()
-	one := []byte{1, 0, 0, 0, 0, 0, 0, 0} // eventfd takes a number of the machine's byte order, any but 0
+	one := []byte{1, 0, 0, 0, 0, 0, 0, 0} // eventfd expects 8 bytes in the machine's byte order; any number but 0 will do
 	_, _ = unix.Write(l.wakeup, one)
 }
 
-// wakeupHandler calls what was posted.
+// wakeupHandler calls the posted functions when the eventfd is ready.
 type wakeupHandler struct{ loop *Loop }
 
 // Ready implements Handler.
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -9,26 +9,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sockets are the non-blocking TCP sockets of the kernel: the part of a ServerNetwork that does not depend on a loop.
-// Its methods may be called from any goroutine. System errors are wrapped: they match unix.Errno.
+// Sockets makes the system calls of non-blocking TCP sockets: the part of a ServerNetwork that does not depend on a loop.
+// Its methods may be called from any goroutine. They wrap system errors, which errors.As finds as unix.Errno.
 type Sockets struct{}
 
-// noDescriptor is returned in place of a descriptor with an error.
+// noDescriptor is the descriptor that is returned together with an error.
 const noDescriptor = -1
 
 // ErrPeerClosed is returned by Read when the other side has closed the connection.
-var ErrPeerClosed = errors.New("connection ended")
+var ErrPeerClosed = errors.New("the other side closed the connection")
 
 // errUnknownFamily is returned for the address of a socket that is not TCP over IP.
-var errUnknownFamily = errors.New("asking for the address: unknown family")
+var errUnknownFamily = errors.New("reading a socket's address: it is neither IPv4 nor IPv6")
 
-// Listen opens a listening socket on one address only, so many connections at the most waiting to be accepted.
+// Listen opens a listening socket on one address. The kernel queues at most backlog connections that have not been accepted
+// yet.
 func (Sockets) Listen(address netip.AddrPort, backlog int) (listener int, err error) {
 	fd, socketAddress, err := newSocket(address)
 	if err != nil {
 		return noDescriptor, fmt.Errorf("opening a socket: %w", err)
 	}
-	// A router that restarts must get its address back while connections of the earlier one are in TIME_WAIT.
+	// A restarted router must be able to bind its address while connections of the earlier process are in TIME_WAIT.
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err = unix.Bind(fd, socketAddress); err == nil {
 		err = unix.Listen(fd, backlog)
@@ -40,11 +41,11 @@
 	return fd, nil
 }
 
-// LocalAddress returns the address that a listening socket got.
+// LocalAddress returns the address that a listening socket is bound to.
 func (Sockets) LocalAddress(listener int) (netip.AddrPort, error) {
 	socketAddress, err := unix.Getsockname(listener)
 	if err != nil {
-		return netip.AddrPort{}, fmt.Errorf("asking for the address: %w", err)
+		return netip.AddrPort{}, fmt.Errorf("reading a socket's address: %w", err)
 	}
 	switch a := socketAddress.(type) {
 	case *unix.SockaddrInet4:
@@ -55,20 +56,21 @@
 	return netip.AddrPort{}, errUnknownFamily
 }
 
-// HasBacklog reports whether a connection waits to be accepted.
+// HasBacklog reports whether a connection is waiting to be accepted.
 func (Sockets) HasBacklog(listener int) bool { return isReady(listener, unix.POLLIN) }
 
-// PeerClosed reports whether the other side has closed, also with bytes ahead of the end that were not read.
+// PeerClosed reports whether the other side has closed the connection, even if unread bytes precede the end.
 func (Sockets) PeerClosed(fd int) bool { return isReady(fd, unix.POLLRDHUP) }
 
-// isReady reports whether a descriptor is ready for something now, or has failed.
+// isReady reports whether any of the given poll events applies to a descriptor now, or the descriptor has failed.
 func isReady(fd int, events int16) bool {
 	polled := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	n, err := unix.Poll(polled, 0)
 	return n == 1 && err == nil
 }
 
-// Accept accepts a connection; false: none waits. An error is a lack of descriptors or memory.
+// Accept accepts a connection. ok is false if no connection is waiting. An error means that descriptors or memory are
+// lacking.
 func (Sockets) Accept(listener int) (fd int, ok bool, err error) {
 	for {
 		fd, _, err = unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -78,49 +80,51 @@
 			return fd, true, nil
 		case errors.Is(err, unix.EAGAIN):
 			return noDescriptor, false, nil
-		case errors.Is(err, unix.EINTR), isAny(err, lostWhileWaiting):
+		case errors.Is(err, unix.EINTR), isAny(err, backlogErrors):
 		default:
-			return noDescriptor, false, fmt.Errorf("accepting: %w", err)
+			return noDescriptor, false, fmt.Errorf("accepting a connection: %w", err)
 		}
 	}
 }
 
-// lostWhileWaiting are the errors by which Linux tells of a connection that failed while it waited to be accepted. They
-// say nothing of the listener: the next connection may be accepted.
-var lostWhileWaiting = []unix.Errno{
+// backlogErrors are the errors with which accept reports on Linux that a connection failed while it waited to be accepted.
+// The listener is not at fault: the next connection may be accepted.
+var backlogErrors = []unix.Errno{
 	unix.ECONNABORTED, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP,
 	unix.ENETDOWN, unix.ENETUNREACH, unix.ETIMEDOUT, unix.EPERM,
 }
 
-// localFailures are the errors of opening a socket or of connecting it that this machine alone accounts for.
+// localFailures are the errors of opening or connecting a socket whose cause lies on this machine, not on the other side.
 var localFailures = []unix.Errno{
 	unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN, unix.ENETUNREACH, unix.ENETDOWN,
 	unix.EPERM, unix.EACCES, unix.EINTR,
 }
 
-// outOfDescriptors are the errors that a closed descriptor helps against.
+// outOfDescriptors are the errors that closing another descriptor can remedy.
 var outOfDescriptors = []unix.Errno{unix.EMFILE, unix.ENFILE}
 
-// IsLocalFailure reports whether an error of Dial says nothing of the other side: this machine lacks a descriptor, memory, a
-// port or a route.
+// IsLocalFailure reports whether an error of Dial has a local cause: this machine lacks a descriptor, memory, a port or a
+// route, or does not permit the connection. Such an error is no evidence about the other side.
 func IsLocalFailure(err error) bool { return isAny(err, localFailures) }
 
-// IsOutOfDescriptors reports whether an error says that the process or the machine has no descriptor left.
+// IsOutOfDescriptors reports whether an error means that the process or the machine has no free descriptor.
 func IsOutOfDescriptors(err error) bool { return isAny(err, outOfDescriptors) }
 
+// isAny reports whether an error wraps one of the given system errors.
 func isAny(err error, codes []unix.Errno) bool {
 	var code unix.Errno
 	return errors.As(err, &code) && slices.Contains(codes, code)
 }
 
-// Dial starts to connect. The descriptor is writable once the attempt has ended; ConnectError tells how.
+// Dial starts connecting. The descriptor becomes writable when the connection is open or has failed; ConnectError then
+// returns which.
 func (Sockets) Dial(address netip.AddrPort) (fd int, err error) {
 	fd, socketAddress, err := newSocket(address)
 	if err != nil {
 		return noDescriptor, fmt.Errorf("opening a socket: %w", err)
 	}
 	setNoDelay(fd)
-	// A connect that a signal interrupts goes on in the background like any other.
+	// If a signal interrupts connect, the connection is still established in the background, as with EINPROGRESS.
 	if err = unix.Connect(fd, socketAddress); err != nil && !isAny(err, []unix.Errno{unix.EINPROGRESS, unix.EINTR}) {
 		_ = unix.Close(fd)
 		return noDescriptor, fmt.Errorf("connecting to %s: %w", address, err)
@@ -128,7 +132,7 @@
 	return fd, nil
 }
 
-// ConnectError returns how an attempt to connect has ended; nil: the connection is up.
+// ConnectError returns the error with which connecting has failed, or nil if the connection is open.
 func (Sockets) ConnectError(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
@@ -140,27 +144,27 @@
 	return nil
 }
 
-// NothingToRead reports whether a connection is open and has nothing to read.
+// NothingToRead reports whether a connection is open and there are no bytes to read from it.
 func (Sockets) NothingToRead(fd int) bool {
 	var peeked [1]byte
 	_, _, err := unix.Recvfrom(fd, peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// CloseWrite ends sending; the connection can still be read.
+// CloseWrite closes the sending side of a connection, which can still be read from.
 func (Sockets) CloseWrite(fd int) { _ = unix.Shutdown(fd, unix.SHUT_WR) }
 
 // CloseUnwatched closes a descriptor that no loop watches.
 func (Sockets) CloseUnwatched(fd int) { _ = unix.Close(fd) }
 
-// newSocket opens a socket for an address.
+// newSocket opens a non-blocking TCP socket of the address's family. It also returns the address in the kernel's form.
 func newSocket(address netip.AddrPort) (int, unix.Sockaddr, error) {
 	family, socketAddress := toSocketAddress(address)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	return fd, socketAddress, err
 }
 
-// toSocketAddress returns an address as the kernel takes it, and its family.
+// toSocketAddress converts an address to the kernel's form and returns it with its family.
 func toSocketAddress(address netip.AddrPort) (family int, socketAddress unix.Sockaddr) {
 	port := int(address.Port())
 	if a := address.Addr().Unmap(); a.Is4() {
@@ -169,5 +173,5 @@
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: port, Addr: address.Addr().As16()}
 }
 
-// setNoDelay has small messages sent at once.
+// setNoDelay makes the kernel send small messages without delay, by turning Nagle's algorithm off.
 func setNoDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -21,7 +21,7 @@
 	defer sockets.CloseUnwatched(listener)
 	_, ok, err := sockets.Accept(listener)
 	require.NoError(t, err)
-	require.False(t, ok, "nobody waits")
+	require.False(t, ok, "no connection is waiting")
 	address, err := sockets.LocalAddress(listener)
 	require.NoError(t, err)
 	client, err := net.Dial("tcp", address.String())
@@ -49,15 +49,16 @@
 	_ = client.Close()
 	_, err = sockets.Read(fd, &chain, 100)
 	require.ErrorIs(t, err, ErrPeerClosed)
-	assert.False(t, sockets.NothingToRead(fd), "there is the end of the connection to read")
+	assert.False(t, sockets.NothingToRead(fd), "the end of the connection counts as something to read")
 }
 
-// What Linux hands on from a connection that failed in the backlog is no fault of the listener, nor of the machine.
+// On Linux, accept may return the error of a connection that failed in the backlog. Such an error must not be taken for a
+// failure of the listener or for a lack of descriptors.
 func TestErrorsOfSystemCallsAreToldApart(t *testing.T) {
 	for _, code := range []unix.Errno{
 		unix.ECONNABORTED, unix.EPROTO, unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTDOWN, unix.EHOSTUNREACH, unix.ETIMEDOUT,
 	} {
-		assert.True(t, isAny(code, lostWhileWaiting), code)
+		assert.True(t, isAny(code, backlogErrors), code)
 		assert.False(t, IsOutOfDescriptors(code), code)
 	}
 	for _, code := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOMEM} {
--- a/internal/eventloop/stream.go
+++ b/internal/eventloop/stream.go
@@ -9,18 +9,19 @@
 	"stoatdale.example/stoatdale/internal/buffer"
 )
 
-// maxVectors is how many blocks of a chain one system call reads or writes: a large value would cost a call a block.
+// maxVectors is the largest number of a chain's blocks that one system call reads or writes. Without vectors, a large value
+// would take one call for each block.
 const maxVectors = 16
 
-// Read appends about limit bytes at the most to a chain, and returns their number. More may wait then. The error is
-// ErrPeerClosed at the end of the connection; bytes may come with it.
+// Read reads bytes and appends them to a chain, and returns their number. It stops at about limit bytes, although more may
+// be available. At the end of the connection it returns ErrPeerClosed, possibly together with bytes.
 func (Sockets) Read(fd int, into *buffer.Chain, limit int) (total int, err error) {
 	for total < limit {
 		n, room, err := readOnce(fd, into, total == 0)
 		switch {
 		case n > 0:
 			total += n
-			if n < room { // that was all
+			if n < room { // the socket's buffer is empty
 				return total, nil
 			}
 		case err == nil:
@@ -28,14 +29,14 @@
 		case errors.Is(err, unix.EAGAIN):
 			return total, nil
 		case !errors.Is(err, unix.EINTR):
-			return total, fmt.Errorf("reading: %w", err)
+			return total, fmt.Errorf("reading from a connection: %w", err)
 		}
 	}
 	return total, nil
 }
 
-// readOnce makes one system call, and returns how much it read of how much there was room for. The first call reads into
-// one block, as most of what comes is short.
+// readOnce makes one system call. It returns the number of bytes that it read and the number of bytes that it had room for.
+// The first call of a Read uses one block only, as most messages are short.
 func readOnce(fd int, into *buffer.Chain, first bool) (n, room int, err error) {
 	if first {
 		block := into.Reserve()
@@ -52,7 +53,7 @@
 	return n, room, err
 }
 
-// Write writes what the socket takes and removes that from the chain.
+// Write writes as many bytes of a chain as the socket accepts and removes them from the chain.
 func (Sockets) Write(fd int, from *buffer.Chain) error {
 	for from.Len() > 0 {
 		n, err := writeOnce(fd, from)
@@ -62,13 +63,13 @@
 		case errors.Is(err, unix.EAGAIN):
 			return nil
 		case !errors.Is(err, unix.EINTR):
-			return fmt.Errorf("writing: %w", err)
+			return fmt.Errorf("writing to a connection: %w", err)
 		}
 	}
 	return nil
 }
 
-// writeOnce makes one system call, and returns how much it wrote.
+// writeOnce makes one system call and returns the number of bytes that it wrote.
 func writeOnce(fd int, from *buffer.Chain) (n int, err error) {
 	if first := from.FirstPiece(); len(first) == from.Len() {
 		return unix.SendmsgN(fd, first, nil, nil, unix.MSG_NOSIGNAL)
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -19,7 +19,7 @@
 	l.SetTimer(first, 0.001)
 	l.SetTimer(second, 0.002)
 	l.SetTimer(stopped, 0.002)
-	l.SetTimer(moved, 0) // in place of the earlier time
+	l.SetTimer(moved, 0) // replaces the time set before
 	l.StopTimer(stopped)
 	l.StopTimer(stopped)
 	require.NoError(t, l.Run(func(now float64) float64 {
