--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -9,10 +9,11 @@
 	"stoatdale.example/stoatdale/internal/http1"
 )
 
-// listPath is the path at which discovery serves the list.
+// listPath is the HTTP path of the endpoint list.
 const listPath = "/registry/instances"
 
-// HTTP statuses; net/http would be linked into the router for these constants alone.
+// HTTP status codes. The constants of net/http are not used, since that package would be linked into the router for them
+// alone.
 const (
 	statusOK                 = 200
 	statusServiceUnavailable = 503
@@ -20,7 +21,7 @@
 
 const millisecondsPerSecond = 1000
 
-// connect begins to open a connection. Ready is called when it is open or has failed.
+// connect starts opening a connection. The event loop calls Ready when the connection is open or has failed.
 func (w *Watch) connect() error {
 	fd, err := w.loop.Dial(w.address)
 	if err != nil {
@@ -34,19 +35,19 @@
 	return nil
 }
 
-// disconnect closes the connection if there is one, and drops all that was sent or received in part.
+// disconnect closes the connection, if there is one, stops the timer, and discards partly sent and partly received messages.
 func (w *Watch) disconnect() {
 	w.loop.StopTimer(w.timer)
 	if w.fd != noSocket {
 		w.loop.Close(w.fd)
 		w.fd = noSocket
 	}
-	w.in.Free()
-	w.out.Free()
+	w.input.Free()
+	w.output.Free()
 	w.resetReply()
 }
 
-// resetReply has the next byte that is received begin a new reply.
+// resetReply discards the current reply, so that the next byte received begins a new one.
 func (w *Watch) resetReply() {
 	w.reply = http1.Response{}
 	w.replyDeadline = 0
@@ -58,7 +59,7 @@
 		w.finishConnect()
 		return
 	}
-	if writable && w.out.Len() > 0 {
+	if writable && w.output.Len() > 0 {
 		w.flush()
 	}
 	if readable && w.fd != noSocket {
@@ -66,7 +67,7 @@
 	}
 }
 
-// finishConnect learns whether the connection is open, and sends the first request on it.
+// finishConnect sends the first request if the connection is open, and fails the call if it could not be opened.
 func (w *Watch) finishConnect() {
 	if err := w.loop.ConnectError(w.fd); err != nil {
 		w.fail(err)
@@ -76,7 +77,8 @@
 	w.sendRequest()
 }
 
-// sendRequest asks for the complete list, or for changes after the last one, for which discovery may hold the call.
+// sendRequest requests the complete list if the watch has no list. Otherwise it requests the changes after the last list, and
+// the discovery service may hold the call for LongPollHold until there are any.
 func (w *Watch) sendRequest() {
 	path, timeout := listPath, w.limits.Durations.SilenceTimeout
 	if w.hasList() {
@@ -84,32 +86,32 @@
 		path += "?from=" + strconv.FormatInt(w.generation, 10) + "&hold_ms=" + strconv.Itoa(int(hold*millisecondsPerSecond))
 		timeout += hold
 	}
-	w.out.Write([]byte(http1.GetRequest(w.address.String(), path)))
+	w.output.Write([]byte(http1.GetRequest(w.address.String(), path)))
 	w.loop.SetTimer(w.timer, w.loop.Now()+timeout)
 	w.flush()
 }
 
-// flush writes what the socket takes of the request, and waits for the rest.
+// flush writes as much of the request as the socket accepts. If some is left, it waits until the socket is writable.
 func (w *Watch) flush() {
-	if err := w.loop.Write(w.fd, &w.out); err != nil {
+	if err := w.loop.Write(w.fd, &w.output); err != nil {
 		w.fail(err)
 		return
 	}
-	w.loop.SetInterest(w.fd, true, w.out.Len() > 0)
+	w.loop.SetInterest(w.fd, true, w.output.Len() > 0)
 }
 
 // receive reads from the connection and handles the reply once it is complete.
 func (w *Watch) receive() {
-	received, readErr := w.loop.Read(w.fd, &w.in, w.limits.Sizes.ReadPerTurn)
+	received, readErr := w.loop.Read(w.fd, &w.input, w.limits.Sizes.ReadPerTurn)
 	if received > 0 {
 		w.extendTimer()
 	}
-	complete, err := w.reply.Take(&w.in, w.limits.Sizes.DiscoveryReply, w.limits.Sizes.DiscoveryLine)
+	complete, err := w.reply.Take(&w.input, w.limits.Sizes.DiscoveryReply, w.limits.Sizes.DiscoveryLine)
 	if err != nil {
 		w.fail(err)
 		return
 	}
-	if errors.Is(readErr, eventloop.ErrPeerClosed) { // and not a reset, before which bytes may be missing
+	if errors.Is(readErr, eventloop.ErrPeerClosed) { // after a reset, by contrast, bytes may be missing
 		complete = w.reply.ConnectionEnded() || complete
 	}
 	switch {
@@ -120,8 +122,8 @@
 	}
 }
 
-// extendTimer is called when a part of a reply was received: more must come within the silence timeout, and the whole
-// reply within the reply timeout.
+// extendTimer sets the timer after a part of a reply was received: the next part must come within SilenceTimeout, and the
+// whole reply within ReplyTimeout.
 func (w *Watch) extendTimer() {
 	now := w.loop.Now()
 	if w.replyDeadline == 0 {
@@ -130,8 +132,8 @@
 	w.loop.SetTimer(w.timer, min(w.replyDeadline, now+w.limits.Durations.SilenceTimeout))
 }
 
-// handleReply hands a complete reply on and begins the next call at once, on the same connection if that is open and
-// nothing else was received on it.
+// handleReply passes the list of a complete reply to the handler and starts the next call immediately. It reuses the
+// connection if that is still open and no bytes followed the reply.
 func (w *Watch) handleReply(open bool) {
 	reply := w.reply
 	w.resetReply()
@@ -143,7 +145,7 @@
 	w.generation = list.Generation
 	w.backoff = w.limits.Durations.MinBackoff
 	w.handler.HandleList(list)
-	if open && !reply.Close && w.in.Len() == 0 {
+	if open && !reply.Close && w.input.Len() == 0 {
 		w.sendRequest()
 		return
 	}
@@ -151,8 +153,8 @@
 	w.Poll()
 }
 
-// parseReply returns the list in a reply if it is complete or follows from the last one. A complete list may go back to
-// an earlier generation.
+// parseReply returns the list in a reply. The list has to be complete, or hold changes that follow the last list. A complete
+// list may have an earlier generation than the last one.
 func (w *Watch) parseReply(reply *http1.Response) (endpoint.List, error) {
 	if reply.Status != statusOK {
 		return endpoint.List{}, &StatusError{Status: reply.Status}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -24,40 +24,43 @@
 )
 
 const (
-	closeConnection = ""        // a scripted reply: the connection is closed in its place
-	silence         = "silence" // a scripted reply: nothing is sent
-	resetSuffix     = "reset"   // ends a scripted reply after which the connection is reset, once it was read
+	closeConnection = ""        // scripted reply: closes the connection without a reply
+	silence         = "silence" // scripted reply: sends nothing
+	resetSuffix     = "reset"   // suffix of a scripted reply: resets the connection once the watch has read the reply
 )
 
 const (
 	completePath  = "/registry/instances"
-	callFailed    = "failed" // an event of harness
+	callFailed    = "failed" // the event that harness records for a failed call
 	testTimeout   = 20 * time.Second
 	unusedAddress = "127.0.0.1:1"
 )
 
-// harness runs one watch against a stand-in of discovery, and notes what the watch hands on.
+// harness runs one watch against a fake discovery service, and records the calls of its handler.
 type harness struct {
 	watch     *Watch
 	loop      *eventloop.Loop
-	requests  chan string   // paths that discovery was asked for
-	replyRead chan struct{} // gets one when the reply before a reset was read
+	requests  chan string   // request URIs that the fake service has received
+	replyRead chan struct{} // receives a value when the watch has read the reply that precedes a reset
 	log       bytes.Buffer
-	events    []string
-	stopAfter int // events
+	events    []string // "generation complete" for each list, callFailed for each failed call
+	stopAfter int      // number of events at which the loop stops
 }
 
-func (h *harness) note(event string) {
+func (h *harness) record(event string) {
 	h.events = append(h.events, event)
 	if len(h.events) == h.stopAfter {
 		h.loop.Stop()
 	}
 }
 
-func (h *harness) HandleList(l endpoint.List) { h.note(fmt.Sprint(l.Generation, " ", l.Complete)) }
-func (h *harness) HandleCallFailure()         { h.note(callFailed) }
+func (h *harness) HandleList(list endpoint.List) {
+	h.record(fmt.Sprint(list.Generation, " ", list.Complete))
+}
+func (h *harness) HandleCallFailure() { h.record(callFailed) }
 
-// newHarness starts a stand-in that gives the scripted replies one after the other, and then holds all calls.
+// newHarness starts a fake discovery service that sends the scripted replies one after the other, and afterwards holds all
+// calls.
 func newHarness(t *testing.T, onDemand bool, replies ...string) *harness {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -88,7 +91,7 @@
 	}
 }
 
-// serveConnection answers calls until the script or the client ends the connection. It returns the replies that are left.
+// serveConnection answers calls until the script or the client ends the connection. It returns the remaining replies.
 func (h *harness) serveConnection(connection net.Conn, replies []string) []string {
 	reader := bufio.NewReader(connection)
 	for {
@@ -118,13 +121,13 @@
 	}
 }
 
-// run turns the loop until the watch has handed on so many events in all, and returns these.
+// run runs the loop until the given total number of events has been recorded, and returns all events.
 func (h *harness) run(t *testing.T, events int) []string {
 	t.Helper()
 	return h.runWith(t, events, func() {})
 }
 
-// runWith is run with a function that is called in each turn.
+// runWith does the same as run and calls eachTurn in each turn.
 func (h *harness) runWith(t *testing.T, events int, eachTurn func()) []string {
 	t.Helper()
 	h.stopAfter = events
@@ -151,7 +154,7 @@
 func TestWatchPollsFromTheLastGeneration(t *testing.T) {
 	h := newHarness(t, false, listReply(4, true), listReply(6, false), listReply(2, true))
 	h.watch.Poll()
-	assert.Equal(t, []string{"4 true", "6 false", "2 true"}, h.run(t, 3), "a complete list may go back")
+	assert.Equal(t, []string{"4 true", "6 false", "2 true"}, h.run(t, 3), "a complete list may have an earlier generation")
 	assert.Equal(t, completePath, <-h.requests)
 	assert.Equal(t, "/registry/instances?from=4&hold_ms=60000", <-h.requests)
 	assert.Equal(t, "/registry/instances?from=6&hold_ms=60000", <-h.requests)
@@ -159,17 +162,17 @@
 }
 
 func TestFailedCallIsReportedAndRetriedForTheCompleteList(t *testing.T) {
-	for what, failing := range map[string]string{
+	for name, failing := range map[string]string{
 		"closed": closeConnection, "silent": silence, "nonsense": "SSH-2.0-x\r\n",
 		"status": statusReply(503), "no list": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
 		"changes of nothing": listReply(3, false),
 	} {
 		h := newHarness(t, false, failing, listReply(5, true), listReply(4, false), listReply(7, true))
 		h.watch.Poll()
-		h.watch.Poll() // a call is out already
-		assert.Equal(t, []string{callFailed, "5 true", callFailed, "7 true"}, h.run(t, 4), what)
+		h.watch.Poll() // no effect: a call is in progress
+		assert.Equal(t, []string{callFailed, "5 true", callFailed, "7 true"}, h.run(t, 4), name)
 		for range 2 {
-			assert.Equal(t, completePath, <-h.requests, what)
+			assert.Equal(t, completePath, <-h.requests, name)
 		}
 	}
 }
@@ -181,19 +184,20 @@
 	assert.Contains(t, h.log.String(), h.watch.address.String()+": status 503")
 }
 
-// A reply that has begun and goes on for good, or stops, is given up long before the call's own time.
+// The watch must not wait for the end of the long poll when a reply has begun but then stops or never ends.
 func TestReplyThatNeverEndsCostsItsConnection(t *testing.T) {
 	begun := strings.SplitAfter(listReply(6, false), "{")[0]
-	for what, timeouts := range map[string]struct{ silence, reply float64 }{"stops": {0.05, 60}, "goes on": {60, 0.05}} {
+	for name, timeouts := range map[string]struct{ silence, reply float64 }{"stops": {0.05, 60}, "goes on": {60, 0.05}} {
 		h := newHarness(t, false, listReply(5, true), begun, listReply(7, true))
 		h.watch.limits.Durations.SilenceTimeout = timeouts.silence
 		h.watch.limits.Durations.ReplyTimeout = timeouts.reply
 		h.watch.Poll()
-		assert.Equal(t, []string{"5 true", callFailed, "7 true"}, h.run(t, 3), what)
+		assert.Equal(t, []string{"5 true", callFailed, "7 true"}, h.run(t, 3), name)
 	}
 }
 
-// A reply that tells no length ends with its connection, but for a reset, before which anything may be missing.
+// A reply without a length ends when the connection is closed. If the connection is reset, bytes may be missing, so the reply
+// must not be used.
 func TestResetEndsNoReply(t *testing.T) {
 	noLength := "HTTP/1.1 200 OK\r\n\r\n" + `{"generation":6,"reset":true,"instances":[]}`
 	h := newHarness(t, false, noLength+resetSuffix, listReply(7, true))
@@ -211,12 +215,13 @@
 	h.watch.Poll()
 	assert.Equal(t, []string{"4 true", callFailed}, h.run(t, 2))
 	assert.Equal(t, noSocket, h.watch.fd)
-	assert.False(t, h.watch.timer.IsSet(), "the next call waits for Poll")
+	assert.False(t, h.watch.timer.IsSet(), "there is no further call until Poll is called")
 	h.watch.Poll()
 	assert.Equal(t, "5 true", h.run(t, 3)[2])
 }
 
-// A refused call is a cost to the discovery service, which all routers share: the next one asks only for what follows.
+// All routers share the discovery service. After it has refused a call because it is overloaded, the next call on demand must
+// request only the changes, since requesting the complete list takes two calls.
 func TestRefusedCallOnDemandIsFollowedByAPollForWhatFollows(t *testing.T) {
 	for _, refused := range []struct {
 		name     string
@@ -247,7 +252,7 @@
 	h := newHarness(t, false)
 	h.watch.address = netip.MustParseAddrPort(unusedAddress)
 	h.watch.Poll()
-	assert.Equal(t, []string{callFailed, callFailed, callFailed}, h.run(t, 3), "it connects again and again")
+	assert.Equal(t, []string{callFailed, callFailed, callFailed}, h.run(t, 3), "the watch keeps trying to connect")
 	h.watch.Close()
 	h.watch.Poll()
 	assert.Equal(t, noSocket, h.watch.fd)
@@ -255,20 +260,20 @@
 
 func TestSetAddressCallsTheNewAddressAtOnce(t *testing.T) {
 	h := newHarness(t, false, listReply(5, true), listReply(4, true), listReply(4, true))
-	standIn := h.watch.address
+	serviceAddress := h.watch.address
 	durations := &h.watch.limits.Durations
 	durations.MinBackoff, durations.MaxBackoff, durations.SilenceTimeout = 60, 60, 60
 	h.watch.address = netip.MustParseAddrPort(unusedAddress)
 	h.watch.Poll()
 	assert.Equal(t, []string{callFailed}, h.run(t, 1))
-	h.watch.SetAddress(standIn) // a backoff of a minute is left
+	h.watch.SetAddress(serviceAddress) // during a backoff of a minute
 	assert.Equal(t, "5 true", h.run(t, 2)[1])
-	h.watch.SetAddress(standIn) // a call is out
-	assert.Equal(t, "4 true", h.run(t, 3)[2], "the complete list is asked for again, and may go back")
+	h.watch.SetAddress(serviceAddress) // while a call is in progress
+	assert.Equal(t, "4 true", h.run(t, 3)[2], "the complete list is requested again, and may have an earlier generation")
 	h.watch.Close()
-	h.watch.SetAddress(standIn)
+	h.watch.SetAddress(serviceAddress)
 	assert.Equal(t, noSocket, h.watch.fd)
-	assert.Equal(t, 1, h.loop.OpenDescriptors(), "no descriptor is left but the loop's own")
+	assert.Equal(t, 1, h.loop.OpenDescriptors(), "only the loop's own descriptor is open")
 }
 
 func TestRepliesWithoutAUsableListAreTypedErrors(t *testing.T) {
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -6,14 +6,15 @@
 	"net/netip"
 )
 
-// ErrNoReply is the cause of a call's failure where discovery accepts no connection, begins no reply or ends none in
-// time.
+// ErrNoReply is the cause of a CallError if the discovery service does not accept the connection, begin the reply or complete
+// it in time.
 var ErrNoReply = errors.New("no reply")
 
-// CallError is a call to discovery that failed.
+// CallError reports a failed call to the discovery service.
 type CallError struct {
-	Address netip.AddrPort // of discovery
-	Err     error          // of the network, of the reply's form, *endpoint.ParseError, *StatusError, *GenerationError or ErrNoReply
+	Address netip.AddrPort // address of the discovery service
+	// Err is a network error, an HTTP syntax error, an *endpoint.ParseError, *StatusError or *GenerationError, or ErrNoReply.
+	Err error
 }
 
 // Error implements error.
@@ -22,19 +23,19 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// StatusError is a reply whose HTTP status is not 200.
+// StatusError reports a reply whose HTTP status is not 200.
 type StatusError struct{ Status int }
 
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
-// GenerationError is a reply that holds changes which do not follow from the list that the watch has.
+// GenerationError reports a reply with changes that cannot be applied to the list that the watch has.
 type GenerationError struct {
-	Got  int64
-	Have int64 // NoGeneration: the watch has no list and asked for a complete one
+	Got  int64 // generation of the reply
+	Have int64 // generation of the watch's list; NoGeneration if it has none and requested the complete list
 }
 
 // Error implements error.
 func (e *GenerationError) Error() string {
-	return fmt.Sprintf("changes up to %d after %d", e.Got, e.Have)
+	return fmt.Sprintf("changes up to generation %d do not follow generation %d", e.Got, e.Have)
 }
--- a/internal/endpoint/roster.go
+++ b/internal/endpoint/roster.go
@@ -1,4 +1,4 @@
-// Package endpoint defines the endpoint list that discovery serves and reads it from JSON.
+// Package endpoint defines the endpoint list that the discovery service serves, and parses it from JSON.
 package endpoint
 
 import (
@@ -8,48 +8,48 @@
 	"net/netip"
 )
 
-// State is the lifecycle state that a list gives an endpoint.
+// State is the lifecycle state of an endpoint according to the endpoint list.
 type State int
 
-// The lifecycle states. A list spells them "gone", "ready" and "draining".
+// The lifecycle states. In JSON they are written "gone", "ready" and "draining".
 const (
-	StateGone     State = iota // no longer running; it may have no address
-	StateReady                 // takes requests
-	StateDraining              // shuts down gracefully: takes no new requests
+	StateGone     State = iota // no longer running; may have no address
+	StateReady                 // accepts requests
+	StateDraining              // shutting down gracefully; accepts no new requests
 )
 
-// Endpoint is one database server as a list describes it.
+// Endpoint is one row of the endpoint list; it describes a database server.
 type Endpoint struct {
-	ID            string         // stable over the endpoint's life, and unique in the list
-	Address       netip.AddrPort // not valid if the endpoint is gone and was listed without an address
+	ID            string         // stays the same for the endpoint's life; unique in the list
+	Address       netip.AddrPort // invalid if the endpoint is gone and was listed without an address
 	Zone          string
 	Shard         int
 	State         State
-	StartedUnixMs int64 // when it started, in Unix milliseconds; 0: long ago
-	Primary       bool  // the shard's primary at the time of the list
+	StartedUnixMs int64 // start time in Unix milliseconds; 0 means long ago
+	Primary       bool  // the endpoint was its shard's primary when the list was made
 }
 
-// List is the whole endpoint list or the endpoints that have changed since an earlier generation.
+// List is the complete endpoint list, or the endpoints that have changed since an earlier generation.
 type List struct {
 	Generation int64
-	Complete   bool // Endpoints is the whole list, so that what is not in it is gone
+	Complete   bool // Endpoints is the complete list: an endpoint that is not in it is gone
 	Endpoints  []Endpoint
 }
 
-// ParseError says which part of a list could not be read.
+// ParseError reports a part of a list that could not be parsed.
 type ParseError struct {
-	Entry int    // index of the entry at fault, or WholeDocument
-	Key   string // JSON key at fault; empty if the document is not JSON of the right types
+	Entry int    // index of the invalid entry, or WholeDocument
+	Key   string // invalid or missing JSON key; empty if the document is not JSON or has a value of the wrong type
 	Err   error
 }
 
-// WholeDocument is the Entry of an error that belongs to no single entry of the list.
+// WholeDocument is the Entry of an error that does not concern a single entry of the list.
 const WholeDocument = -1
 
-// ErrMissing is the cause of a ParseError for a key that a list must have.
+// ErrMissing is the cause of a ParseError for a required key that is missing.
 var ErrMissing = errors.New("is missing")
 
-// Error implements error. It names the entry and the key.
+// Error implements error. The text names the entry and the key.
 func (e *ParseError) Error() string {
 	place := e.Key
 	if e.Entry != WholeDocument {
@@ -68,7 +68,7 @@
 // Unwrap returns the cause.
 func (e *ParseError) Unwrap() error { return e.Err }
 
-// document is a list's JSON form.
+// document is the JSON form of a list.
 type document struct {
 	Generation *int64  `json:"generation"`
 	Reset      bool    `json:"reset"`
@@ -86,12 +86,13 @@
 	Recovery    string `json:"recovery"`
 }
 
-// recoveryOff is the value of the key recovery for a primary: a server in recovery applies another server's log.
+// recoveryOff is the value of the key recovery for a primary. A replica is in recovery: it applies the log of another server.
 const recoveryOff = "off"
 
+// statesByLifecycle maps the values of the key lifecycle to states.
 var statesByLifecycle = map[string]State{"gone": StateGone, "ready": StateReady, "draining": StateDraining}
 
-// Parse reads a list from JSON and ignores keys that it does not know. Its errors are of type *ParseError.
+// Parse parses a list from JSON. It ignores unknown keys. Its errors are of type *ParseError.
 func Parse(raw []byte) (List, error) {
 	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -111,7 +112,7 @@
 	return list, nil
 }
 
-// endpoint checks the entry, which has the given index in the list, and converts it.
+// endpoint validates the entry and converts it to an Endpoint. index is the entry's index in the list, for errors.
 func (e *entry) endpoint(index int) (Endpoint, error) {
 	if e.ID == "" {
 		return Endpoint{}, &ParseError{Entry: index, Key: "instanceId", Err: ErrMissing}
--- a/internal/endpoint/roster_test.go
+++ b/internal/endpoint/roster_test.go
@@ -23,7 +23,7 @@
 	assert.Equal(t, "10.1.0.18:5432", first.Address.String())
 	first.Address = gone.Address
 	assert.Equal(t, Endpoint{ID: "s-1", Zone: "a", Shard: 3, State: StateReady, StartedUnixMs: 7, Primary: true}, first)
-	assert.Equal(t, StateGone, gone.State, "one that is gone needs no address")
+	assert.Equal(t, StateGone, gone.State, "an endpoint that is gone needs no address")
 	assert.False(t, gone.Primary)
 }
 
