--- a/internal/eventloop/post.go
+++ b/internal/eventloop/post.go
@@ -8,8 +8,8 @@
 	l.mu.Lock()
 	l.posted = append(l.posted, call)
 	l.mu.Unlock()
-	one := []byte{1, 0, 0, 0, 0, 0, 0, 0} // eventfd expects 8 bytes in the machine's byte order; any number but 0 will do
-	_, _ = unix.Write(l.wakeup, one)
+	increment := []byte{1, 0, 0, 0, 0, 0, 0, 0} // eventfd expects 8 bytes in the machine's byte order; any number but 0 will do
+	_, _ = unix.Write(l.wakeup, increment)
 }
 
 // wakeupHandler calls the posted functions when the eventfd is ready.
--- a/internal/pg/answer_test.go
+++ b/internal/pg/answer_test.go
@@ -14,22 +14,22 @@
 	b = AppendParameterStatus(AppendMessage(b, 'N', []byte("note")), "lsn_ms", "1767225600123")
 	b = AppendReadyForQuery(AppendParameterStatus(AppendParameterStatus(b, "recovery", "on"), "health", "x0=1"))
 	for n := range b {
-		in, a := chain(b[:n]), Answer{Row: *chain(nil)}
-		done, err := a.Take(in, 1024, 1024)
+		in, answer := chain(b[:n]), Answer{Row: *chain(nil)}
+		done, err := answer.Take(in, 1024, 1024)
 		require.NoError(t, err)
 		require.False(t, done, "the answer is incomplete")
-		require.False(t, a.HasRow())
+		require.False(t, answer.HasRow())
 		in.Write(b[n:])
-		done, err = a.Take(in, 1024, 1024)
+		done, err = answer.Take(in, 1024, 1024)
 		require.NoError(t, err)
 		require.True(t, done)
-		require.True(t, a.HasRow())
-		require.Equal(t, int64(1767225600123), a.PositionMs)
-		require.Equal(t, "on", a.Role)
-		require.Equal(t, "x0=1", a.LoadReport)
-		require.Equal(t, "a value", a.Value())
-		got := make([]byte, a.Row.Len())
-		a.Row.Peek(got)
+		require.True(t, answer.HasRow())
+		require.Equal(t, int64(1767225600123), answer.PositionMs)
+		require.Equal(t, "on", answer.Role)
+		require.Equal(t, "x0=1", answer.LoadReport)
+		require.Equal(t, "a value", answer.Value())
+		got := make([]byte, answer.Row.Len())
+		answer.Row.Peek(got)
 		require.Equal(t, rows, got, "the row is passed on byte for byte")
 	}
 }
--- a/internal/pg/message_test.go
+++ b/internal/pg/message_test.go
@@ -34,12 +34,12 @@
 	_, body, err = ReceiveMessage(r, 100)
 	require.NoError(t, err)
 	assert.Equal(t, "abc\x00", string(body))
-	for text, says := range map[string]string{
+	for text, want := range map[string]string{
 		"": "EOF", "Q\x00": "unexpected EOF", "Q\x00\x00\x00\x08a": "unexpected EOF",
 		"Q\x00\x00\x00\x03": "its length is -1", "Q\x00\x00\x01\x00": "100 at most", "Q\xff\xff\xff\xff": "100 at most",
 	} {
 		_, _, err := ReceiveMessage(bytes.NewReader([]byte(text)), 100)
-		require.ErrorContains(t, err, says, "%q", text)
+		require.ErrorContains(t, err, want, "%q", text)
 	}
 	_, _, err = ReceiveMessage(bytes.NewReader([]byte("Q\x00\x00\x00\x03")), 100)
 	assert.ErrorIs(t, err, ErrMessageLength)
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -35,19 +35,19 @@
 	if !endsWithZero(in, offset, size) {
 		return Statement{}, syntaxError(size, "the query does not end with a zero byte")
 	}
-	s := scanner{maxCommentSize: maxComment}
-	in.EachPiece(offset, size-1, s.scan)
-	if !s.hasText && s.context == contextPlain {
+	textScanner := scanner{maxCommentSize: maxComment}
+	in.EachPiece(offset, size-1, textScanner.scan)
+	if !textScanner.hasText && textScanner.context == contextPlain {
 		return Statement{Empty: true}, nil
 	}
-	if err := s.check(); err != nil {
+	if err := textScanner.check(); err != nil {
 		return Statement{}, err
 	}
 	statement := Statement{}
-	if s.stringCount > 0 {
-		statement.Session = max(1, s.stringHash)
+	if textScanner.stringCount > 0 {
+		statement.Session = max(1, textScanner.stringHash)
 	}
-	return statement, statement.parseParameters(string(s.comment), s.commentOffset)
+	return statement, statement.parseParameters(string(textScanner.comment), textScanner.commentOffset)
 }
 
 // endsWithZero reports whether the last of the size bytes that begin at offset is zero.
--- a/internal/pg/statement_test.go
+++ b/internal/pg/statement_test.go
@@ -20,24 +20,24 @@
 }
 
 func TestStatementParametersAreParsed(t *testing.T) {
-	s, err := parse(readStatement)
+	read, err := parse(readStatement)
 	require.NoError(t, err)
-	assert.Equal(t, "basket", s.Group)
-	assert.Equal(t, 2, s.Shard)
-	assert.InDelta(t, 0.48, s.Wait, 1e-9)
-	assert.InDelta(t, 1767225600.123, s.LastWriteAt, 1e-6)
-	assert.True(t, s.ClientRetry)
-	assert.Equal(t, "480", readStatement[s.WaitStart:s.WaitEnd], "the place of the waiting time")
-	assert.NotZero(t, s.Session)
+	assert.Equal(t, "basket", read.Group)
+	assert.Equal(t, 2, read.Shard)
+	assert.InDelta(t, 0.48, read.Wait, 1e-9)
+	assert.InDelta(t, 1767225600.123, read.LastWriteAt, 1e-6)
+	assert.True(t, read.ClientRetry)
+	assert.Equal(t, "480", readStatement[read.WaitStart:read.WaitEnd], "the place of the waiting time")
+	assert.NotZero(t, read.Session)
 
-	w, err := parse(`INSERT INTO items (id, doc) VALUES ('7f3a9c21e0b4d655', '\x9f03') RETURNING doc ` +
+	write, err := parse(`INSERT INTO items (id, doc) VALUES ('7f3a9c21e0b4d655', '\x9f03') RETURNING doc ` +
 		"/* id=02,c=order , d=7,k=5c0f,cluster=2*/ ; ")
 	require.NoError(t, err)
-	assert.Equal(t, s.Session, w.Session, "the first quoted value names the session")
-	assert.False(t, w.ClientRetry)
+	assert.Equal(t, read.Session, write.Session, "the first quoted value names the session")
+	assert.False(t, write.ClientRetry)
 	other, err := parse(strings.Replace(readStatement, "7f3a", "7f3b", 1))
 	require.NoError(t, err)
-	assert.NotEqual(t, s.Session, other.Session)
+	assert.NotEqual(t, read.Session, other.Session)
 }
 
 func TestQuotesAndCommentsHideTheirContents(t *testing.T) {
@@ -64,7 +64,7 @@
 }
 
 func TestSyntaxErrorSaysWhatIsWrong(t *testing.T) {
-	for text, says := range map[string]string{
+	for text, want := range map[string]string{
 		"SELECT 1":                                       "comment",
 		"SELECT 1 /*id=1,d=5,cluster=1*/":                "c, the command group",
 		"SELECT 1 /*id=1,c=a,cluster=1*/":                "d, the time",
@@ -87,7 +87,7 @@
 		"SELECT 1 /*" + strings.Repeat("x", 2000) + "*/": "longer",
 	} {
 		_, err := parse(text)
-		require.ErrorContains(t, err, says, text)
+		require.ErrorContains(t, err, want, text)
 		var bad *SyntaxError
 		require.ErrorAs(t, err, &bad, text)
 	}
