--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads a router's configuration, checks it and completes it: the settings of the deployment, which a
-// document or the simulator hands over, the environment variables, and the limits that follow from them.
+// Package config reads, validates and completes the configuration of a router: the settings of its deployment, from a
+// configuration document or the simulator, the environment variables, and the limits that follow from the settings.
 package config
 
 import (
@@ -12,27 +12,27 @@
 	"stoatdale.example/stoatdale/internal/endpoint"
 )
 
-// Config is what a router on sockets is started with. Every value in it has been checked.
+// Config is the configuration of a router on sockets. All its values have been validated.
 type Config struct {
-	Name      string         // of this router
-	Listen    netip.AddrPort // where clients connect
-	Discovery netip.AddrPort // the discovery service
-	Seed      uint64         // of the router's random choices
-	KnownList endpoint.List  // the endpoint list as this router had it last
+	Name      string         // name of this router
+	Listen    netip.AddrPort // address to which clients connect
+	Discovery netip.AddrPort // address of the discovery service
+	Seed      uint64         // seed of the router's random choices
+	KnownList endpoint.List  // the last endpoint list that this router had
 	Settings  Settings
-	Migrate   bool // a running router shall take changed settings over without a restart
+	Migrate   bool // a running router adopts changed settings without a restart
 	Limits    Limits
 }
 
-// Environment variables. Each but the last stands in for the document's key of the same meaning.
+// Environment variables. Each except GW_CONFIG may be set in place of a key of the document.
 const (
 	nameVariable      = "GW_NAME"
 	listenVariable    = "GW_LISTEN"
 	discoveryVariable = "GW_DISCOVERY"
-	fileVariable      = "GW_CONFIG" // the document's path
+	fileVariable      = "GW_CONFIG" // path of the document
 )
 
-// Keys of the document that errors and RestartKeys name.
+// Keys of the document that appear in errors and in the result of RestartKeys.
 const (
 	nameKey      = "name"
 	listenKey    = "listen"
@@ -45,9 +45,9 @@
 	socketsKey   = "limits.sockets"
 )
 
-const missing = "is missing"
+const reasonMissing = "is missing"
 
-// document is the file that GW_CONFIG names.
+// document is the JSON form of the configuration file whose path is in GW_CONFIG.
 type document struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -62,32 +62,34 @@
 	Migrate  bool            `json:"move"`
 }
 
-// environment looks a variable up; one that is not set is empty.
+// environment returns the value of an environment variable, or an empty string if it is not set.
 type environment func(name string) string
 
-// conflictRule says what holds where a variable and the document differ.
+// conflictRule specifies what happens if an environment variable and the document have different values.
 type conflictRule int
 
 const (
-	conflictIsError conflictRule = iota
-	documentWins
+	conflictIsError conflictRule = iota // reading the configuration fails
+	documentWins                        // the document's value is used
 )
 
-// Load reads the variables GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_CONFIG by way of env, and the document that the
-// last one names. A variable and the document must not differ; either may be left out but GW_CONFIG. Its errors are
-// of type *Error.
+// Load reads the variables GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_CONFIG with env, and the document whose path is in
+// GW_CONFIG. GW_CONFIG is required. The other values may be set in a variable, in the document, or the same in both. Its
+// errors are of type *Error.
 func Load(env func(string) string) (Config, error) { return loadFile(env, conflictIsError) }
 
-// Reload reads them again by the same checks, except that the document wins where it differs from a variable, since
-// the environment still holds what the process was started with. Its errors are of type *Error.
+// Reload reads the configuration again with the same checks as Load. If a variable and the document differ, however, the
+// document's value is used, since the environment still has the values with which the process was started. Its errors are
+// of type *Error.
 func Reload(env func(string) string) (Config, error) { return loadFile(env, documentWins) }
 
-// Parse checks a document as Load does, with nothing from the environment. It is for those who write documents for
-// routers. Its errors are of type *Error.
+// Parse parses and validates a document as Load does, but without the environment. It is for programs that write
+// configuration documents for routers. Its errors are of type *Error.
 func Parse(raw []byte) (Config, error) {
 	return parse(raw, func(string) string { return "" }, conflictIsError)
 }
 
+// loadFile reads the configuration from the environment and the document whose path is in GW_CONFIG.
 func loadFile(env environment, rule conflictRule) (Config, error) {
 	path := env(fileVariable)
 	if path == "" {
@@ -101,6 +103,7 @@
 	return config, inFile(path, err)
 }
 
+// parse parses a document, completes it from the environment and validates it.
 func parse(raw []byte, env environment, rule conflictRule) (Config, error) {
 	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -112,7 +115,7 @@
 	return doc.check()
 }
 
-// complete fills keys that the document leaves out from the environment.
+// complete sets the keys that the document leaves out from the environment.
 func (d *document) complete(env environment, rule conflictRule) error {
 	for _, pair := range []struct {
 		variable, key string
@@ -132,21 +135,21 @@
 			*pair.value = fromEnvironment
 		}
 		if *pair.value == "" {
-			reason := fmt.Sprintf("%s: set %s or %s in %s", missing, pair.variable, pair.key, fileVariable)
+			reason := fmt.Sprintf("%s: set %s or %s in %s", reasonMissing, pair.variable, pair.key, fileVariable)
 			return &Error{Key: pair.key, Reason: reason}
 		}
 	}
 	return nil
 }
 
-// check turns a complete document into a configuration.
+// check validates a complete document and converts it to a configuration.
 func (d *document) check() (Config, error) {
 	config := Config{Name: d.Name, Migrate: d.Migrate}
 	if err := d.checkAddresses(&config); err != nil {
 		return Config{}, err
 	}
 	if len(d.Settings) == 0 {
-		return Config{}, &Error{Key: settingsKey, Reason: missing}
+		return Config{}, &Error{Key: settingsKey, Reason: reasonMissing}
 	}
 	var err error
 	if config.Settings, err = ParseSettings(d.Settings); err != nil {
@@ -159,7 +162,7 @@
 		return Config{}, err
 	}
 	if len(d.Known) == 0 {
-		return Config{}, &Error{Key: knownKey, Reason: missing}
+		return Config{}, &Error{Key: knownKey, Reason: reasonMissing}
 	}
 	if config.KnownList, err = endpoint.Parse(d.Known); err != nil {
 		return Config{}, &Error{Key: knownKey, Err: err}
@@ -167,7 +170,7 @@
 	return config, nil
 }
 
-// checkAddresses reads the two addresses and the seed.
+// checkAddresses parses the two addresses and the seed.
 func (d *document) checkAddresses(config *Config) error {
 	var err error
 	if config.Listen, err = netip.ParseAddrPort(d.Listen); err != nil {
@@ -182,7 +185,7 @@
 	return nil
 }
 
-// limits computes the limits of a process that may use as much memory and as many sockets as the document says.
+// limits computes the limits of a router from the memory and the number of sockets that the document allows it.
 func (d *document) limits(settings *Settings) (Limits, error) {
 	memoryMB, err := atLeast(memoryKey, d.Limits.MemoryMB, defaultMemoryMB, minMemoryMB)
 	if err != nil {
@@ -195,13 +198,14 @@
 	return newLimits(memoryMB, sockets, settings), nil
 }
 
-// atLeast returns a value of the document, or its default where the document leaves it out.
-func atLeast(key string, value *int, byDefault, minimum int) (int, error) {
+// atLeast returns a value of the document, or its default if the document leaves it out. It returns an error if the value is
+// below the minimum.
+func atLeast(key string, value *int, defaultValue, minimum int) (int, error) {
 	if value == nil {
-		return byDefault, nil
+		return defaultValue, nil
 	}
 	if *value < minimum {
-		return 0, &Error{Key: key, Reason: fmt.Sprintf("is %d, and must be %d at least", *value, minimum)}
+		return 0, &Error{Key: key, Reason: fmt.Sprintf("is %d, but must be at least %d", *value, minimum)}
 	}
 	return *value, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -36,20 +36,20 @@
 }
 
 func TestConfigurationIsRead(t *testing.T) {
-	s, err := load(t, configText, map[string]string{"GW_NAME": "n3"})
+	config, err := load(t, configText, map[string]string{"GW_NAME": "n3"})
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.0.4:5432", s.Listen.String())
-	assert.Equal(t, uint64(0x8c1f30d27a5be964), s.Seed)
-	assert.Equal(t, int64(41), s.KnownList.Generation)
-	assert.Equal(t, []string{"basket", "order"}, s.Settings.GroupNames)
-	assert.Equal(t, 2, s.Settings.Instance)
-	assert.True(t, s.Settings.LoadReports)
-	assert.Equal(t, router.PrimaryOnly, s.Settings.CommandGroups[1].Consistency)
-	assert.InDelta(t, 0.25, s.Limits.Durations.ConnectTimeout, 1e-9)
-	assert.Less(t, s.Limits.Durations.BackendIdleTimeout, 0.8*15, "closed well before the backend does")
-	assert.Greater(t, s.Limits.Sizes.BackendMessage, 2*(64<<10)+100, "the largest value, written in hexadecimal")
-	assert.Less(t, s.Limits.Counts.ClientConnections+s.Limits.Counts.BackendConnections, 600, "some descriptors are kept back")
-	assert.Less(t, int64(s.Limits.Counts.BufferBlocks*s.Limits.Sizes.BufferBlock), s.Limits.Sizes.Memory)
+	assert.Equal(t, "127.0.0.4:5432", config.Listen.String())
+	assert.Equal(t, uint64(0x8c1f30d27a5be964), config.Seed)
+	assert.Equal(t, int64(41), config.KnownList.Generation)
+	assert.Equal(t, []string{"basket", "order"}, config.Settings.GroupNames)
+	assert.Equal(t, 2, config.Settings.Instance)
+	assert.True(t, config.Settings.LoadReports)
+	assert.Equal(t, router.PrimaryOnly, config.Settings.CommandGroups[1].Consistency)
+	assert.InDelta(t, 0.25, config.Limits.Durations.ConnectTimeout, 1e-9)
+	assert.Less(t, config.Limits.Durations.BackendIdleTimeout, 0.8*15, "closed well before the backend closes it")
+	assert.Greater(t, config.Limits.Sizes.BackendMessage, 2*(64<<10)+100, "the largest value fits in hexadecimal form")
+	assert.Less(t, config.Limits.Counts.ClientConnections+config.Limits.Counts.BackendConnections, 600, "some are reserved")
+	assert.Less(t, int64(config.Limits.Counts.BufferBlocks*config.Limits.Sizes.BufferBlock), config.Limits.Sizes.Memory)
 }
 
 func TestFaultsNameTheKey(t *testing.T) {
@@ -89,9 +89,9 @@
 func TestVariablesAndFileMustAgree(t *testing.T) {
 	_, err := load(t, configText, map[string]string{"GW_LISTEN": "127.0.0.9:1"})
 	require.ErrorContains(t, err, "GW_LISTEN")
-	s, err := load(t, strings.Replace(configText, `"listen"`, `"other"`, 1), map[string]string{"GW_LISTEN": "127.0.0.9:1"})
-	require.NoError(t, err, "a variable stands in for a key that is not there")
-	assert.Equal(t, "127.0.0.9:1", s.Listen.String())
+	config, err := load(t, strings.Replace(configText, `"listen"`, `"other"`, 1), map[string]string{"GW_LISTEN": "127.0.0.9:1"})
+	require.NoError(t, err, "a variable replaces a missing key")
+	assert.Equal(t, "127.0.0.9:1", config.Listen.String())
 	_, err = Load(func(string) string { return "" })
 	require.ErrorContains(t, err, "GW_CONFIG is not set")
 	_, err = Load(func(string) string { return "/nowhere/at/all" })
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -2,17 +2,18 @@
 
 import "errors"
 
-// Error is a fault in a router's configuration. Its text names the key at fault and never spans more than one line.
-// Callers match it by errors.As; errors.Is finds what caused it, such as fs.ErrNotExist.
+// Error reports an invalid value in a router's configuration. Its text names the invalid key and is a single line. Callers
+// detect it with errors.As; errors.Is finds the cause, such as fs.ErrNotExist.
 type Error struct {
-	File    string // path of the document, empty where it was handed over in memory
-	Section string // the part of the document that Key lies in, empty for its top level
-	Key     string // the key or environment variable at fault, empty where a section cannot be read at all
-	Reason  string // what is wrong, worded to follow the key; empty where Err says it
+	File    string // path of the document; empty if the document was not read from a file
+	Section string // section of the document that contains Key; empty for the top level
+	Key     string // invalid key or environment variable; empty if a section cannot be parsed
+	Reason  string // description of the fault, which follows the key in the text; empty if Err describes it
 	Err     error  // the cause, or nil
 }
 
-// Error returns the section, the key and what is wrong. The file is left out: operators know it by GW_CONFIG.
+// Error implements error. The text consists of the section, the key, the reason and the cause. It leaves the file out, since
+// operators know it from GW_CONFIG.
 func (e *Error) Error() string {
 	text := e.Key
 	if e.Section != "" && e.Key != "" {
@@ -32,7 +33,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// inFile notes the document's path in a configuration error.
+// inFile sets the document's path in a configuration error and returns the error.
 func inFile(path string, err error) error {
 	var fault *Error
 	if errors.As(err, &fault) {
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -36,10 +36,10 @@
 
 	_, err = Parse([]byte(broken))
 	require.ErrorAs(t, err, &fault)
-	assert.Empty(t, fault.File, "handed over in memory")
+	assert.Empty(t, fault.File, "the document was not read from a file")
 
 	_, err = ParseSettings([]byte("nonsense"))
 	require.ErrorAs(t, err, &fault)
 	assert.Equal(t, "settings", fault.Section)
-	assert.Empty(t, fault.Key, "none is known")
+	assert.Empty(t, fault.Key, "the section cannot be parsed")
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -1,7 +1,7 @@
 package config
 
-// Limits holds every size, count and duration that a router keeps to. It is computed once from the settings and the
-// process limits; packages of the data plane read it and never change it.
+// Limits holds all sizes, counts and durations that limit a router. It is computed from the settings and the process limits,
+// once at the start and again when settings are adopted. Packages of the data plane only read it.
 type Limits struct {
 	Sizes     Sizes
 	Counts    Counts
@@ -11,67 +11,73 @@
 // Sizes are limits in bytes.
 type Sizes struct {
 	Memory           int64 // memory of the whole process
-	BufferBlock      int   // one block of the shared buffer pool
+	BufferBlock      int   // size of one block of the shared buffer pool
 	ClientMessage    int   // longest message accepted from a client
 	BackendMessage   int   // longest message accepted from a backend
-	InspectedMessage int   // longest message of a backend that is parsed rather than passed through
+	InspectedMessage int   // longest message of a backend that is parsed and not just passed on
 	DiscoveryReply   int   // longest reply body of the discovery service
 	DiscoveryLine    int   // longest header line of the discovery service's replies
 	StartupPacket    int   // longest start-up packet of a client
 	StatementComment int   // longest routing comment of a statement
-	ReadPerTurn      int   // read from one connection in one turn of the event loop
-	UnsentAnswers    int   // answers that a client may leave unread before it is no longer read from
+	ReadPerTurn      int   // most bytes read from one connection in one turn of the event loop
+	UnsentAnswers    int   // most bytes of answers that a client has not read, before the router stops reading from it
 }
 
-// Counts are limits of how many things may exist at once, or be done in one turn of the event loop.
+// Counts limit how many objects of a kind may exist at a time, or how many may be handled in one turn of the event loop.
 type Counts struct {
 	Sockets            int // file descriptors of the process
-	BufferBlocks       int // buffer blocks in use above which clients are no longer read from
-	EventsPerTurn      int // readiness events collected in one turn
+	BufferBlocks       int // buffer blocks in use above which the router stops reading from clients
+	EventsPerTurn      int // epoll events handled in one turn
 	AcceptsPerTurn     int // client connections accepted in one turn
 	ListenBacklog      int // connections that the kernel queues before they are accepted
-	MessagesPerTurn    int // messages taken from one client in one turn
+	MessagesPerTurn    int // messages handled for one client in one turn
 	PipelinedCommands  int // commands in flight on one client connection
-	InvalidQueries     int // queries without a valid command after which a client connection is closed
-	SharedDescriptors  int // file descriptors shared by client and backend connections
+	InvalidQueries     int // invalid queries after which a client connection is closed
+	SharedDescriptors  int // file descriptors for client and backend connections together
 	ClientConnections  int // client connections
 	IdleClients        int // client connections between commands
-	BackendConnections int // backend connections; more are allowed while descriptors are free
+	BackendConnections int // backend connections; the router may open more while descriptors are free
 }
 
 // Durations are time limits in seconds.
 type Durations struct {
-	PositionEpoch      float64 // before the start, the moment from which log positions count; core says why
-	AnswerMargin       float64 // reserved from a client's timeout for the answer's way back: one tick of the settings
-	MaxClientTimeout   float64 // longest timeout that a command may name
-	FirstQueryTimeout  float64 // from accepting a client to its first complete query
+	// PositionEpoch is how long before the router's start the zero of log positions lies: long enough that no useful replica
+	// has a negative position, and short enough that rounding positions changes them by less than a millisecond.
+	PositionEpoch      float64
+	AnswerMargin       float64 // part of a client's timeout reserved for sending the answer; one tick of the settings
+	MaxClientTimeout   float64 // longest timeout that a command may request
+	FirstQueryTimeout  float64 // from accepting a client to the end of its first query
 	MessageTimeout     float64 // from the first byte of a client's message to its last
-	WriteStallTimeout  float64 // that a client may leave an answer unread
-	IdleTimeout        float64 // after which a client between commands is closed
-	ShedGrace          float64 // a client is spared from shedding this long; accepting pauses as long if none can be shed
+	WriteStallTimeout  float64 // longest time for which a client may leave an answer unread
+	IdleTimeout        float64 // time after which a client between commands is disconnected
+	ShedGrace          float64 // time for which a waiting client is not shed; accepting pauses as long if none can be shed
 	ConnectTimeout     float64 // for opening a backend connection
 	HealthCheckTimeout float64 // for one health check
-	// StatementWriteTimeout is for writing a statement: the time that it tells a backend counts from its first byte.
+	// StatementWriteTimeout is the time limit for writing a statement to a backend. The remaining wait that the statement
+	// contains counts from its first byte, so the rest must follow soon.
 	StatementWriteTimeout float64
-	BackendIdleTimeout    float64 // after which an unused backend connection is closed
-	ReuseDelay            float64 // that a backend connection rests before it is used again; member says why
-	MaxClockSkew          float64 // that a backend's position may lie in the future
-	ClockConfirmation     float64 // that positions are rejected until a primary has confirmed the wall clock
-	LongPollHold          float64 // that the discovery service may hold a poll
-	SilenceTimeout        float64 // silence of the discovery service after which a call has failed
-	ReplyTimeout          float64 // from the first byte of a discovery reply to its last
-	MinBackoff            float64 // first backoff before discovery is called again; doubled on each failure
-	MaxBackoff            float64 // upper bound of that backoff
-	// AcceptLinger is how long a router that was told to shut down goes on accepting clients: new ones keep coming for 0.4 s.
-	// With DrainDeadline it stays 0.15 s under the 0.7 s after which nothing may be taken: the router may be held up.
+	BackendIdleTimeout    float64 // time after which an unused backend connection is closed
+	// ReuseDelay is the time after an answer before its backend connection is used again. Until then, the backend's close or
+	// unexpected data may still be on their way.
+	ReuseDelay        float64
+	MaxClockSkew      float64 // how far in the future a backend's position may lie
+	ClockConfirmation float64 // longest time for which positions are rejected until a primary confirms the wall clock
+	LongPollHold      float64 // how long the discovery service may hold a call
+	SilenceTimeout    float64 // time without data from the discovery service after which a call fails; excludes the hold
+	ReplyTimeout      float64 // from the first byte of a discovery reply to its last
+	MinBackoff        float64 // first backoff before the discovery service is called again; doubled after each failure
+	MaxBackoff        float64 // upper bound of that backoff
+	// AcceptLinger is how long a router that is shutting down continues to accept clients, since new ones keep connecting for
+	// 0.4 s. The sum of AcceptLinger and DrainDeadline stays 0.15 s below the 0.7 s after which the router may accept no
+	// command, as the router may be delayed.
 	AcceptLinger  float64
-	DrainDeadline float64 // after that, for clients that have not sent a query or are in the middle of a message
-	CloseLinger   float64 // for a client to close its side of a connection that was ended
+	DrainDeadline float64 // time after AcceptLinger for clients that have sent no query, or only part of a message
+	CloseLinger   float64 // time for a client to close its side of a connection that the router has closed
 }
 
 const bytesPerMB = 1 << 20
 
-// Limits of the process.
+// Defaults and minimums of the process limits.
 const (
 	defaultMemoryMB = 192
 	minMemoryMB     = 16
@@ -82,28 +88,35 @@
 // Sizes and counts that hold for every deployment.
 const (
 	bufferBlockSize      = 4 << 10
-	bufferMemoryDivisor  = 3        // buffers may take one part in so many of the memory limit
-	maxValueSize         = 64 << 10 // of a database value
-	maxCharactersPerByte = 4        // characters that a byte of a value may be written with, in either direction
-	reservedDescriptors  = 24       // for discovery, the listener and the Go runtime
-	backendDivisor       = 3        // backends get one in so many of the other descriptors
-	idleClientDivisor    = 8        // one in so many descriptors may belong to a client between commands
+	bufferMemoryDivisor  = 3        // buffers may use 1/bufferMemoryDivisor of the memory limit
+	maxValueSize         = 64 << 10 // largest database value, in bytes
+	maxCharactersPerByte = 4        // most characters in which a query or an answer may represent one byte of a value
+	reservedDescriptors  = 24       // descriptors for discovery, the listener and the Go runtime
+	backendDivisor       = 3        // backend connections get 1/backendDivisor of the other descriptors
+	idleClientDivisor    = 8        // clients between commands may use 1/idleClientDivisor of all descriptors
 )
 
-// Times that hold for every deployment, and fractions of what its settings say.
+// Times that hold for every deployment, and factors for times in its settings.
 const (
-	backendIdleFraction   = 0.6   // of a backend's own idle timeout, so that it never closes first
-	silenceGraceFraction  = 0.25  // of the drain grace: a discovery call that falls silent
-	backoffGraceFraction  = 0.125 // of the drain grace: the backoff after it
-	maxSilence            = 1.0   // seconds
-	maxBackoff            = 1.0   // seconds
-	minBackoff            = 0.05  // seconds
-	pushHold              = 5.0   // seconds; what a silent call misses counts as notified 7 s after it
-	pollHold              = 1.0   // seconds; notified 6 s after it: calls that follow may be refused twice, or once and be slow
-	clientTimeoutMultiple = 10    // of the longest client timeout of the deployment: longer ones are a mistake
+	backendIdleFraction  = 0.6   // share of a backend's own idle timeout, so that the router closes the connection first
+	silenceGraceFraction = 0.25  // share of the drain grace for a silent discovery call
+	backoffGraceFraction = 0.125 // share of the drain grace for the backoff after a silent discovery call
+	maxSilence           = 1.0   // seconds
+	maxBackoff           = 1.0   // seconds
+	minBackoff           = 0.05  // seconds
+
+	// pushHold is the hold of a call, in seconds, if the endpoint list is pushed. The router counts as notified of changes that
+	// a silent call misses 7 s after the silence began.
+	pushHold = 5.0
+	// pollHold is the hold of a call, in seconds, if the endpoint list is polled. The router counts as notified of changes that
+	// a silent call misses 6 s after the silence began. Until then, the next calls may be refused twice, or be refused once
+	// and then be slow.
+	pollHold = 1.0
+
+	clientTimeoutMultiple = 10 // of the deployment's longest client timeout; a command with a longer timeout is a mistake
 )
 
-// newLimits computes the limits of a process with so much memory and so many sockets under the given settings.
+// newLimits computes the limits of a process with the given memory and number of sockets under the given settings.
 func newLimits(memoryMB, sockets int, settings *Settings) Limits {
 	memory := int64(memoryMB) * bytesPerMB
 	return Limits{
@@ -113,6 +126,7 @@
 	}
 }
 
+// newSizes computes the sizes for a process with the given memory, in bytes.
 func newSizes(memory int64) Sizes {
 	const longestText = maxCharactersPerByte * maxValueSize
 	return Sizes{
@@ -130,6 +144,7 @@
 	}
 }
 
+// newCounts computes the counts for a process with the given memory, in bytes, and number of sockets.
 func newCounts(memory int64, sockets int) Counts {
 	shared := sockets - reservedDescriptors
 	backends := shared / backendDivisor
@@ -149,6 +164,7 @@
 	}
 }
 
+// newDurations computes the durations under the given settings.
 func newDurations(settings *Settings) Durations {
 	longestTimeout := 0.0
 	for _, group := range settings.CommandGroups {
@@ -182,8 +198,8 @@
 	}
 }
 
-// connectTimeout is the deployment's, but a connection that comes up for a backend which was told to drain meanwhile
-// has to be made within the grace.
+// connectTimeout returns the deployment's connect timeout, but at most the drain grace. If a backend starts draining while a
+// connection to it is being opened, that connection has to be open within the grace.
 func connectTimeout(settings *Settings) float64 {
 	if settings.DrainGrace > 0 {
 		return min(settings.ConnectTimeout, settings.DrainGrace)
@@ -191,10 +207,11 @@
 	return settings.ConnectTimeout
 }
 
-// discoveryTimes returns the longest silence of a discovery call and the longest backoff after it, in seconds. Where
-// the endpoint list is pushed, what the discovery service has when it returns from a silence binds within the grace,
-// whatever call or backoff it meets: both have to be over well before. Where the list is polled, a crowded service
-// answers late, and giving its calls up early would add to its load.
+// discoveryTimes returns the longest silence of a discovery call and the longest backoff after it, in seconds.
+//
+// If the endpoint list is pushed, a router must follow the list within the drain grace after the discovery service returns
+// from a silence. A call or a backoff may be in progress at that moment, so both have to end well within the grace.
+// If the list is polled, an overloaded service replies late, and abandoning calls early would add to its load.
 func discoveryTimes(settings *Settings) (silence, backoff float64) {
 	if settings.PollList || settings.DrainGrace <= 0 {
 		return maxSilence, maxBackoff
@@ -204,7 +221,7 @@
 	return silence, backoff
 }
 
-// longPollHold is how long the discovery service may hold a call, in seconds.
+// longPollHold returns how long the discovery service may hold a call, in seconds.
 func longPollHold(settings *Settings) float64 {
 	if settings.PollList {
 		return pollHold
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -11,20 +11,21 @@
 )
 
 func TestLimitsHaveDefaults(t *testing.T) {
-	s, err := load(t, strings.Replace(configText, `"memory_mb":100,"sockets":600`, "", 1), nil)
+	config, err := load(t, strings.Replace(configText, `"memory_mb":100,"sockets":600`, "", 1), nil)
 	require.NoError(t, err)
-	assert.Equal(t, int64(defaultMemoryMB)<<20, s.Limits.Sizes.Memory)
-	assert.Equal(t, defaultSockets, s.Limits.Counts.Sockets)
+	assert.Equal(t, int64(defaultMemoryMB)<<20, config.Limits.Sizes.Memory)
+	assert.Equal(t, defaultSockets, config.Limits.Counts.Sockets)
 }
 
-// withDrainGrace is the test's document with a drain grace in seconds.
+// withDrainGrace returns configText with the given drain grace, in seconds.
 func withDrainGrace(seconds float64) string {
 	grace := fmt.Sprintf(`"stopSendingWithinNs":%g,"overloadFactor"`, seconds*1e9)
 	return strings.Replace(configText, `"overloadFactor"`, grace, 1)
 }
 
-// Whatever call or backoff the return of the discovery service meets is over well before its news binds, under any
-// settings; so is a connection that was begun when a backend was told to drain.
+// When the discovery service returns after a silence, a call or a backoff may be in progress. Under any settings, both have
+// to end well within the drain grace, in which the router must act on the service's list. A connection that was being opened
+// when its backend started draining has to end within the grace too.
 func TestDiscoveryAndConnectTimeoutsFitTheDrainGrace(t *testing.T) {
 	for _, grace := range []float64{0.05, 0.25, 0.5, 1, 2, 30} {
 		config, err := load(t, withDrainGrace(grace), nil)
@@ -49,15 +50,15 @@
 	require.NoError(t, err)
 	require.True(t, config.Settings.PollList)
 	durations := config.Limits.Durations
-	assert.InDelta(t, 1.0, durations.SilenceTimeout, 0, "a crowded discovery service answers late")
-	// A call that fell silent as it was made is given up, and repeated after a sixteenth of the poll window at the most;
-	// that one is refused, and repeated after an eighth; that one waits in the queue for as long as a call may be silent.
-	// What was missed counts as notified six seconds after the silence began, or two past the hold if that is later.
+	assert.InDelta(t, 1.0, durations.SilenceTimeout, 0, "an overloaded discovery service replies late")
+	// The first call gets no reply and fails. The second follows after at most 1/16 of the poll window and is refused. The
+	// third follows after at most 1/8 of the poll window and waits in the service's queue for as long as a call may be silent.
+	// The router counts as notified of the missed changes 6 s after the silence began, or 2 s after the hold if that is later.
 	const pollWindow = 10.0
 	notified := math.Max(6, durations.LongPollHold+2)
 	silent := durations.LongPollHold + durations.SilenceTimeout
 	assert.Less(t, silent+pollWindow/16+pollWindow/8+durations.SilenceTimeout, notified)
-	// Refused twice, it is in time with backoffs of their mean length, three quarters of the longest.
+	// If the third call is refused too, the fourth is in time if the backoffs have their mean length, 3/4 of the longest.
 	assert.Less(t, silent+0.75*(pollWindow/16+pollWindow/8+pollWindow/4), notified)
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,19 +12,19 @@
 
 const secondsPerNanosecond = 1e-9
 
-// Settings is what a router reads from the settings of its deployment.
+// Settings holds the settings of a deployment that a router uses.
 type Settings struct {
 	router.Config
 	GroupNames       []string // names of the command groups, in the order of Config.CommandGroups
-	Zones            []string // names of the zones, by the number that the settings give them
+	Zones            []string // names of the zones, indexed by zone number
 	ReportFields     []string // fields of a load report, in order
-	ReportsOnAnswers bool     // backends put load reports on their answers, not only on health checks
-	PositionZeroNs   float64  // the moment from which log positions count, nanoseconds on the settings' clock
+	ReportsOnAnswers bool     // backends send load reports with all answers, not only with those to health checks
+	PositionZeroNs   float64  // time from which log positions count, in nanoseconds on the clock of the settings
 	BackendIdle      float64  // seconds after which a backend closes an idle connection
-	DrainGrace       float64  // seconds in which a router must stop sending to a draining backend; 0: unknown
+	DrainGrace       float64  // seconds within which a router must stop sending to a draining backend; 0 if unknown
 }
 
-// settingsDocument is the part of the settings that is read; times are in nanoseconds.
+// settingsDocument is the JSON form of the settings that a router uses. Times are in nanoseconds.
 type settingsDocument struct {
 	Routers    int             `json:"balancers"`
 	Instance   int             `json:"me"`
@@ -68,7 +68,7 @@
 	} `json:"invariants"`
 }
 
-// classDocument describes one command group; times are in nanoseconds.
+// classDocument is the JSON form of one command group, which the document calls a class. Times are in nanoseconds.
 type classDocument struct {
 	Name              string  `json:"name"`
 	Effect            string  `json:"effect"`
@@ -80,58 +80,61 @@
 	IdempotencyWindow float64 `json:"memorySpanNs"`
 }
 
-// Words of the settings and what they mean.
+// Names of enumerated values in the settings, with the values that they stand for.
 var (
-	consistencyWords = map[string]router.Consistency{
+	consistencyByName = map[string]router.Consistency{
 		"mutate": router.PrimaryOnly, "strong": router.Linearizable,
 		"causal": router.SessionConsistent, "lag_bound": router.BoundedStaleness, "eventual": router.Eventual,
 	}
-	effectWords = map[string]router.Idempotency{
+	idempotencyByName = map[string]router.Idempotency{
 		"pure": router.Idempotent, "token": router.IdempotentWithKey,
 		"side_effect": router.NonIdempotent,
 	}
-	scopeWords = map[string]router.KeyScope{"cell": router.ShardScope, "zone": router.ZoneScope, "all": router.GlobalScope}
-	tokenWords = map[string]bool{"brought": true, "kept": false}
-	guardWords = map[string]bool{"none": false, "bounce": true, "await": true}
+	keyScopeByName = map[string]router.KeyScope{
+		"cell": router.ShardScope, "zone": router.ZoneScope, "all": router.GlobalScope,
+	}
+	clientTokensByName       = map[string]bool{"brought": true, "kept": false}
+	replicasCheckReadsByName = map[string]bool{"none": false, "bounce": true, "await": true}
 )
 
 const (
-	pollDiscovery = "ask"     // of discovery: the endpoint list comes only when it is polled
-	noReports     = "none"    // of loadInfo.source
-	answerReports = "answers" // of loadInfo.source
+	pollDiscovery = "ask"     // value of discovery: the discovery service sends the endpoint list only when polled
+	noReports     = "none"    // value of loadInfo.source: backends send no load reports
+	answerReports = "answers" // value of loadInfo.source: backends send load reports with their answers
 )
 
-// Names that Settings.ReportFields gives the fields of a load report which routers use.
+// Names in Settings.ReportFields of the load report fields that routers use.
 const (
 	PositionReportField = "x0" // the backend's log position, in seconds
-	PrimaryReportField  = "x1" // 1 from the primary
+	PrimaryReportField  = "x1" // 1 if the backend is the primary
 )
 
+// errClassTimes is the cause of an Error for a command group without a latency objective or a client timeout.
 var errClassTimes = errors.New("targetNs and deadlineNs must be above 0")
 
-// settingsError is a fault at one key of the settings.
+// settingsError returns the Error for one key of the settings.
 func settingsError(key, reason string, err error) *Error {
 	return &Error{Section: settingsKey, Key: key, Reason: reason, Err: err}
 }
 
-// outOfRange is the fault of a number that no router can work with.
-func outOfRange(key string) *Error { return settingsError(key, "is out of range", nil) }
+// outOfRangeError returns the Error for a number with which no router can work.
+func outOfRangeError(key string) *Error { return settingsError(key, "is out of range", nil) }
 
-// vocabulary translates words of the settings. It keeps the first unknown word: later faults of other kinds are
-// reported before it.
-type vocabulary struct{ firstUnknown error }
+// enumDecoder decodes the enumerated values of the settings. It stores the error for the first unknown name, so that other
+// errors that are found later are reported in preference to it.
+type enumDecoder struct{ firstError error }
 
-// translate looks up the word that stands at a key.
-func translate[T any](v *vocabulary, key, word string, meanings map[string]T) T {
-	meaning, known := meanings[word]
-	if !known && v.firstUnknown == nil {
-		v.firstUnknown = settingsError(key, "", fmt.Errorf("unknown word %q", word))
+// decodeEnum returns the value that the given name of a key stands for, or the zero value if the name is unknown.
+func decodeEnum[T any](decoder *enumDecoder, key, name string, values map[string]T) T {
+	value, known := values[name]
+	if !known && decoder.firstError == nil {
+		decoder.firstError = settingsError(key, "", fmt.Errorf("unknown value %q", name))
 	}
-	return meaning
+	return value
 }
 
-// ParseSettings decodes the settings of a deployment. Unknown keys are skipped. Its errors are of type *Error and
-// name the key at fault. What only a router on sockets needs is checked by Validate.
+// ParseSettings parses the settings of a deployment. It ignores unknown keys. Its errors are of type *Error and name the
+// invalid key. Validate checks the values that only a router on sockets needs.
 func ParseSettings(raw []byte) (Settings, error) {
 	doc := settingsDocument{Zone: -1}
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -141,12 +144,12 @@
 		return Settings{}, settingsError("classes", "is missing or empty", nil)
 	}
 	if len(doc.Family.Needs) != len(doc.Classes) {
-		reason := fmt.Sprintf("holds %d of %d classes", len(doc.Family.Needs), len(doc.Classes))
+		reason := fmt.Sprintf("has %d entries for %d classes", len(doc.Family.Needs), len(doc.Classes))
 		return Settings{}, settingsError("familyInfo.needsByClass", reason, nil)
 	}
-	words := &vocabulary{}
+	decoder := &enumDecoder{}
 	settings := Settings{
-		Config:           doc.routerSettings(words),
+		Config:           doc.routerSettings(decoder),
 		Zones:            doc.Zones,
 		ReportFields:     doc.Load.Fields,
 		ReportsOnAnswers: doc.Load.Source == answerReports,
@@ -155,18 +158,18 @@
 		DrainGrace:       doc.Invariants.DrainGrace * secondsPerNanosecond,
 	}
 	for i, class := range doc.Classes {
-		group, err := doc.commandGroup(words, i)
+		group, err := doc.commandGroup(decoder, i)
 		if err != nil {
 			return Settings{}, err
 		}
 		settings.GroupNames = append(settings.GroupNames, class.Name)
 		settings.CommandGroups = append(settings.CommandGroups, group)
 	}
-	return settings, words.firstUnknown
+	return settings, decoder.firstError
 }
 
-// routerSettings is what the routing decisions take from the settings, but for the command groups.
-func (d *settingsDocument) routerSettings(words *vocabulary) router.Config {
+// routerSettings returns the settings that routing decisions use, without the command groups.
+func (d *settingsDocument) routerSettings(decoder *enumDecoder) router.Config {
 	return router.Config{
 		RouterCount:        d.Routers,
 		Instance:           d.Instance,
@@ -174,8 +177,8 @@
 		TotalWeight:        d.ScoreParts.Whole,
 		WorstGroupWeight:   d.ScoreParts.WorstClass,
 		BatchInterval:      d.Tick * secondsPerNanosecond,
-		ClientTokens:       translate(words, "familyInfo.tokens", d.Family.Tokens, tokenWords),
-		ReplicasCheckReads: translate(words, "familyInfo.guards", d.Family.Guards, guardWords),
+		ClientTokens:       decodeEnum(decoder, "familyInfo.tokens", d.Family.Tokens, clientTokensByName),
+		ReplicasCheckReads: decodeEnum(decoder, "familyInfo.guards", d.Family.Guards, replicasCheckReadsByName),
 		LoadReports:        d.hasReports(),
 		PollList:           d.Discovery == pollDiscovery,
 		PollWindow:         d.Invariants.PollWindow * secondsPerNanosecond,
@@ -193,21 +196,21 @@
 	}
 }
 
-// hasReports reports whether load reports carry both the position and the role.
+// hasReports reports whether backends send load reports and these contain both the position and the role.
 func (d *settingsDocument) hasReports() bool {
 	return d.Load.Source != noReports &&
 		slices.Contains(d.Load.Fields, PositionReportField) && slices.Contains(d.Load.Fields, PrimaryReportField)
 }
 
-// commandGroup is the command group of one class.
-func (d *settingsDocument) commandGroup(words *vocabulary, number int) (router.CommandGroup, error) {
-	class, key := d.Classes[number], fmt.Sprintf("classes[%d]", number)
+// commandGroup returns the command group for the class with the given index.
+func (d *settingsDocument) commandGroup(decoder *enumDecoder, index int) (router.CommandGroup, error) {
+	class, key := d.Classes[index], fmt.Sprintf("classes[%d]", index)
 	if class.LatencyObjective <= 0 || class.ClientTimeout <= 0 {
 		return router.CommandGroup{}, settingsError(key, "", errClassTimes)
 	}
 	group := router.CommandGroup{
-		Consistency:       translate(words, "familyInfo.needsByClass", d.Family.Needs[number], consistencyWords),
-		Idempotency:       translate(words, key+".effect", class.Effect, effectWords),
+		Consistency:       decodeEnum(decoder, "familyInfo.needsByClass", d.Family.Needs[index], consistencyByName),
+		Idempotency:       decodeEnum(decoder, key+".effect", class.Effect, idempotencyByName),
 		LatencyObjective:  class.LatencyObjective * secondsPerNanosecond,
 		ClientTimeout:     class.ClientTimeout * secondsPerNanosecond,
 		PriorityWeight:    class.PriorityWeight,
@@ -215,64 +218,66 @@
 		IdempotencyWindow: class.IdempotencyWindow * secondsPerNanosecond,
 	}
 	if group.Idempotency == router.IdempotentWithKey {
-		group.KeyScope = translate(words, key+".keyScope", class.KeyScope, scopeWords)
+		group.KeyScope = decodeEnum(decoder, key+".keyScope", class.KeyScope, keyScopeByName)
 	}
-	if number < len(d.Family.Bounds) {
-		group.MaxStaleness = d.Family.Bounds[number] * secondsPerNanosecond
+	if index < len(d.Family.Bounds) {
+		group.MaxStaleness = d.Family.Bounds[index] * secondsPerNanosecond
 	}
 	return group, nil
 }
 
-// Validate returns the first value that a router on sockets cannot work with, as an *Error, or nil. The simulator's
-// settings need not pass it.
+// Validate returns an *Error for the first value with which a router on sockets cannot work, or nil. The simulator's settings
+// need not pass this check.
 func (s *Settings) Validate() error {
 	if err := s.validateGroupNames(); err != nil {
 		return err
 	}
-	for _, number := range s.numbers() {
+	for _, number := range s.numericSettings() {
 		if !number.inRange() {
-			return outOfRange(number.key)
+			return outOfRangeError(number.key)
 		}
 	}
 	return nil
 }
 
-// validateGroupNames checks that clients can name each command group.
+// validateGroupNames returns an error if a command group has no name or two have the same name. Clients select a command
+// group by its name.
 func (s *Settings) validateGroupNames() error {
 	seen := map[string]bool{}
 	for i, name := range s.GroupNames {
 		if name == "" || seen[name] {
-			return settingsError(fmt.Sprintf("classes[%d].name", i), "is missing or a repeat", nil)
+			return settingsError(fmt.Sprintf("classes[%d].name", i), "is missing or not unique", nil)
 		}
 		seen[name] = true
 	}
 	return nil
 }
 
-// number is a number of the settings and the range that it has to lie in.
-type number struct {
+// numericSetting is a number in the settings with its valid range.
+type numericSetting struct {
 	key      string
 	value    float64
-	positive bool // 0 itself is out of range
-	maximum  float64
+	positive bool    // 0 is out of range; negative values always are
+	maximum  float64 // largest valid value
 }
 
-func (n number) inRange() bool {
+// inRange reports whether the value is within the valid range.
+func (n numericSetting) inRange() bool {
 	if n.positive && n.value == 0 {
 		return false
 	}
 	return n.value >= 0 && n.value <= n.maximum
 }
 
-// numbers lists the numbers to check, in the order in which faults are reported.
-func (s *Settings) numbers() []number {
+// numericSettings returns the numbers to validate, in the order in which errors are reported.
+func (s *Settings) numericSettings() []numericSetting {
 	unbounded := math.Inf(1)
-	return []number{
+	return []numericSetting{
 		{"limits.dialTimeoutNs", s.ConnectTimeout, true, unbounded},
 		{"limits.connIdleNs", s.BackendIdle, true, unbounded},
 		{"limits.mostTries", float64(s.MaxAttempts), true, unbounded},
 		{"me", float64(s.Instance), false, unbounded},
-		{"zone", float64(s.Zone + 1), false, float64(len(s.Zones))}, // -1: unknown
+		{"zone", float64(s.Zone + 1), false, float64(len(s.Zones))}, // -1 means unknown
 		{"tickNs", s.BatchInterval, false, 1},
 		{"limits.maxRetryAfterNs", s.MaxRetryAfter, false, unbounded},
 		{"invariants.stopSendingWithinNs", s.DrainGrace, false, unbounded},
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -9,12 +9,12 @@
 )
 
 func TestZoneIsOptionalAndChecked(t *testing.T) {
-	s, err := load(t, configText, nil)
+	config, err := load(t, configText, nil)
 	require.NoError(t, err)
-	assert.Equal(t, -1, s.Settings.Zone, "unknown: zones are not regarded")
-	s, err = load(t, strings.Replace(configText, `"me":2`, `"me":2,"zone":1`, 1), nil)
+	assert.Equal(t, -1, config.Settings.Zone, "unknown: zones are ignored")
+	config, err = load(t, strings.Replace(configText, `"me":2`, `"me":2,"zone":1`, 1), nil)
 	require.NoError(t, err)
-	assert.Equal(t, 1, s.Settings.Zone)
+	assert.Equal(t, 1, config.Settings.Zone)
 	for _, zone := range []string{"2", "-2", `"h1"`} {
 		_, err = load(t, strings.Replace(configText, `"me":2`, `"me":2,"zone":`+zone, 1), nil)
 		assert.ErrorContains(t, err, "zone", zone)
