--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -19,7 +19,7 @@
 	Zones            []string // names of the zones, indexed by zone number
 	ReportFields     []string // fields of a load report, in order
 	ReportsOnAnswers bool     // backends send load reports with all answers, not only with those to health checks
-	PositionZeroNs   float64  // time from which log positions count, in nanoseconds on the clock of the settings
+	PositionEpochNs  float64  // time from which log positions count, in nanoseconds on the clock of the settings
 	BackendIdle      float64  // seconds after which a backend closes an idle connection
 	DrainGrace       float64  // seconds within which a router must stop sending to a draining backend; 0 if unknown
 }
@@ -153,7 +153,7 @@
 		Zones:            doc.Zones,
 		ReportFields:     doc.Load.Fields,
 		ReportsOnAnswers: doc.Load.Source == answerReports,
-		PositionZeroNs:   doc.Family.Zero,
+		PositionEpochNs:  doc.Family.Zero,
 		BackendIdle:      doc.Limits.BackendIdle * secondsPerNanosecond,
 		DrainGrace:       doc.Invariants.DrainGrace * secondsPerNanosecond,
 	}
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -49,7 +49,7 @@
 		i.fault = err.Error()
 		return i
 	}
-	settings.PositionEpoch = seconds(int64(settings.PositionZeroNs) - int64(clock))
+	settings.PositionEpoch = seconds(int64(settings.PositionEpochNs) - int64(clock))
 	i.reportFields = settings.ReportFields
 	i.groupCount = len(settings.CommandGroups)
 	i.router = router.New(settings.Config, seed)
