--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -30,12 +30,12 @@
 }
 
 // ParseStatement parses the text of a query: size bytes of a chain, including the final zero byte, that begin at offset. The
-// comment with the parameters may have at most maxComment bytes. Its errors are of the type *SyntaxError.
-func ParseStatement(in *buffer.Chain, offset, size, maxComment int) (Statement, error) {
+// comment with the parameters may have at most maxCommentSize bytes. Its errors are of the type *SyntaxError.
+func ParseStatement(in *buffer.Chain, offset, size, maxCommentSize int) (Statement, error) {
 	if !endsWithZero(in, offset, size) {
 		return Statement{}, syntaxError(size, "the query does not end with a zero byte")
 	}
-	textScanner := scanner{maxCommentSize: maxComment}
+	textScanner := scanner{maxCommentSize: maxCommentSize}
 	in.EachPiece(offset, size-1, textScanner.scan)
 	if !textScanner.hasText && textScanner.context == contextPlain {
 		return Statement{Empty: true}, nil
