--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -144,7 +144,7 @@
 		return Settings{}, settingsError("classes", "is missing or empty", nil)
 	}
 	if len(doc.Family.Needs) != len(doc.Classes) {
-		reason := fmt.Sprintf("has %d entries for %d classes", len(doc.Family.Needs), len(doc.Classes))
+		reason := fmt.Sprintf("holds %d of %d classes", len(doc.Family.Needs), len(doc.Classes))
 		return Settings{}, settingsError("familyInfo.needsByClass", reason, nil)
 	}
 	decoder := &enumDecoder{}
