--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -62,7 +62,7 @@
 	assert.Less(t, silent+0.75*(pollWindow/16+pollWindow/8+pollWindow/4), notified)
 }
 
-func TestNegativeDrainGraceIsAFault(t *testing.T) {
+func TestNegativeDrainGraceIsAnError(t *testing.T) {
 	_, err := load(t, withDrainGrace(-1e-9), nil)
 	assert.ErrorContains(t, err, "invariants.stopSendingWithinNs")
 }
--- a/internal/eventloop/log_test.go
+++ b/internal/eventloop/log_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDroppingWriterDropsLinesInPlaceOfWaiting(t *testing.T) {
+func TestDroppingWriterDropsLinesInsteadOfWaiting(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	defer func() { _ = reader.Close() }()
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -17,8 +17,8 @@
 
 // Handler handles the events of a descriptor.
 type Handler interface {
-	// Ready is called when the descriptor is ready for reading or writing, as requested. A hang-up is reported as
-	// readable, an error as both readable and writable.
+	// Ready is called when the descriptor is readable or writable and watched for that, and on a hang-up or an error. A
+	// hang-up is reported as readable, an error as both readable and writable.
 	Ready(readable, writable bool)
 }
 
@@ -178,7 +178,8 @@
 	return nil
 }
 
-// poll waits for events, but not beyond the time until, and returns the number of events that it stored in ready.
+// poll waits for events, but not beyond the time until or the first timer. It returns the number of events that it stored in
+// ready.
 func (l *Loop) poll(ready []unix.EpollEvent, until float64) (int, error) {
 	l.readClock()
 	l.longestTurn = math.Max(l.longestTurn, l.now-l.lastPoll)
--- a/internal/pg/startup_test.go
+++ b/internal/pg/startup_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestStartupErrorSaysWhatIsWrong(t *testing.T) {
+func TestStartupErrorsDescribeTheFault(t *testing.T) {
 	_, _, err := ReadStartup(chain([]byte("\x00\x00\x00\x07")), 10000)
 	var badLength *StartupLengthError
 	require.ErrorAs(t, err, &badLength)
--- a/internal/pg/statement_test.go
+++ b/internal/pg/statement_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestSyntaxErrorSaysWhatIsWrong(t *testing.T) {
+func TestSyntaxErrorsDescribeTheFault(t *testing.T) {
 	for text, want := range map[string]string{
 		"SELECT 1":                                       "comment",
 		"SELECT 1 /*id=1,d=5,cluster=1*/":                "c, the command group",
