--- a/internal/pg/answer_test.go
+++ b/internal/pg/answer_test.go
@@ -14,22 +14,22 @@
 	b = AppendParameterStatus(AppendMessage(b, 'N', []byte("note")), "lsn_ms", "1767225600123")
 	b = AppendReadyForQuery(AppendParameterStatus(AppendParameterStatus(b, "recovery", "on"), "health", "x0=1"))
 	for n := range b {
-		in, a := chain(b[:n]), Answer{Row: *chain(nil)}
-		done, err := a.Take(in, 1024, 1024)
+		in, answer := chain(b[:n]), Answer{Row: *chain(nil)}
+		done, err := answer.Take(in, 1024, 1024)
 		require.NoError(t, err)
-		require.False(t, done, "an answer is not taken before it is complete")
-		require.False(t, a.HasRow())
+		require.False(t, done, "the answer is incomplete")
+		require.False(t, answer.HasRow())
 		in.Write(b[n:])
-		done, err = a.Take(in, 1024, 1024)
+		done, err = answer.Take(in, 1024, 1024)
 		require.NoError(t, err)
 		require.True(t, done)
-		require.True(t, a.HasRow())
-		require.Equal(t, int64(1767225600123), a.PositionMs)
-		require.Equal(t, "on", a.Role)
-		require.Equal(t, "x0=1", a.LoadReport)
-		require.Equal(t, "a value", a.Value())
-		got := make([]byte, a.Row.Len())
-		a.Row.Peek(got)
+		require.True(t, answer.HasRow())
+		require.Equal(t, int64(1767225600123), answer.PositionMs)
+		require.Equal(t, "on", answer.Role)
+		require.Equal(t, "x0=1", answer.LoadReport)
+		require.Equal(t, "a value", answer.Value())
+		got := make([]byte, answer.Row.Len())
+		answer.Row.Peek(got)
 		require.Equal(t, rows, got, "the row is passed on byte for byte")
 	}
 }
@@ -42,12 +42,12 @@
 	assert.True(t, done)
 	assert.False(t, a.HasRow())
 	assert.Equal(t, CodeReadOnlyTransaction, a.ErrorCode)
-	assert.Equal(t, "on", a.Role, "what follows the error counts")
+	assert.Equal(t, "on", a.Role, "parameters after the error are used")
 
 	a = Answer{Row: *chain(nil)}
 	done, err = a.Take(chain(AppendErrorResponse(nil, true, CodeTooManyConnections, "too many", "")), 1024, 1024)
 	require.NoError(t, err)
-	assert.True(t, done, "nothing follows a fatal error")
+	assert.True(t, done, "the answer ends with a fatal error")
 	assert.True(t, a.Fatal)
 }
 
@@ -87,7 +87,7 @@
 	done, err := a.Take(chain(AppendReadyForQuery(nil)), 1024, 1024)
 	require.NoError(t, err)
 	assert.True(t, done)
-	assert.False(t, a.HasRow(), "ReadyForQuery without a row is no answer")
+	assert.False(t, a.HasRow(), "a ReadyForQuery without a row is not a row")
 }
 
 func FuzzAnswer(f *testing.F) {
--- a/internal/pg/startup_test.go
+++ b/internal/pg/startup_test.go
@@ -22,7 +22,7 @@
 		require.NoError(t, err)
 		require.True(t, ok)
 		assert.Equal(t, kind, got.Kind)
-		assert.Equal(t, 4, c.Len(), "what follows stays")
+		assert.Equal(t, 4, c.Len(), "bytes after the packet stay on the chain")
 	}
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestStartupErrorSaysWhatIsWrong(t *testing.T) {
+func TestStartupErrorsDescribeTheFault(t *testing.T) {
 	_, _, err := ReadStartup(chain([]byte("\x00\x00\x00\x07")), 10000)
 	var badLength *StartupLengthError
 	require.ErrorAs(t, err, &badLength)
