--- a/internal/lab/invariant/client.go
+++ b/internal/lab/invariant/client.go
@@ -2,66 +2,68 @@
 
 import "fmt"
 
-// Names of the properties of client connections, in words.
+// Properties of client connections. Stored traces hold these texts.
 const (
 	InOrder   = "answers come in the order of the questions, each its own and whole"
 	EndsOrLet = "a command that was taken is answered or let go, once"
 )
 
-// Clients watches what clients asked and were answered, and what became of commands that were taken.
+// Clients checks the answers that clients receive and how often each received command ends. The zero value is ready to use.
 type Clients struct {
-	broken string
-	how    string
-	ends   map[string]int
+	violated  string
+	detail    string
+	endCounts map[string]int
 }
 
-// Broken names the first property that was broken, and how.
-func (c *Clients) Broken() (property, how string) { return c.broken, c.how }
+// Broken returns the first property that was violated and the details; both are empty if none was.
+func (c *Clients) Broken() (property, detail string) { return c.violated, c.detail }
 
-func (c *Clients) breaks(property, format string, args ...any) {
-	if c.broken == "" {
-		c.broken, c.how = property, fmt.Sprintf(format, args...)
+func (c *Clients) recordViolation(property, format string, args ...any) {
+	if c.violated == "" {
+		c.violated, c.detail = property, fmt.Sprintf(format, args...)
 	}
 }
 
-// Answer is what a client was sent for one question; Garbled if it could not be read.
+// Answer is the parsed response to one client message.
 type Answer struct {
-	Value   string
-	Code    string
-	Empty   bool
-	Garbled bool
+	Value   string // of the row; empty without one
+	Code    string // SQLSTATE of an error
+	Empty   bool   // response to an empty query
+	Garbled bool   // the bytes are not a valid message
 }
 
-// Read notes all that a client was sent so far, and what each of its questions may be answered with.
-func (c *Clients) Read(client int, got []Answer, may []func(Answer) bool) {
-	for i, a := range got {
+// Read checks all answers that a client has received so far. allowed holds one predicate for each message that the client
+// has sent, in order: whether an answer to it is allowed.
+func (c *Clients) Read(client int, answers []Answer, allowed []func(Answer) bool) {
+	for i, answer := range answers {
 		switch {
-		case a.Garbled:
-			c.breaks(InOrder, "client %d cannot read answer %d", client, i)
-		case i >= len(may):
-			c.breaks(InOrder, "client %d has answer %d, and asked %d questions", client, i, len(may))
-		case !may[i](a):
-			c.breaks(InOrder, "client %d has %+v as answer %d", client, a, i)
+		case answer.Garbled:
+			c.recordViolation(InOrder, "client %d cannot parse answer %d", client, i)
+		case i >= len(allowed):
+			c.recordViolation(InOrder, "client %d has received answer %d, but has sent %d messages", client, i, len(allowed))
+		case !allowed[i](answer):
+			c.recordViolation(InOrder, "client %d has received %+v as answer %d, which its message does not allow", client, answer, i)
 		}
 	}
 }
 
-// Ended notes that a taken command was answered, or that the core was told that its client left.
-func (c *Clients) Ended(name string) {
-	if c.ends == nil {
-		c.ends = map[string]int{}
+// Ended records the end of a received command: it was answered, or the frontend reported that its client is gone.
+func (c *Clients) Ended(command string) {
+	if c.endCounts == nil {
+		c.endCounts = map[string]int{}
 	}
-	if c.ends[name]++; c.ends[name] > 1 {
-		c.breaks(EndsOrLet, "command %s has ended before", name)
+	if c.endCounts[command]++; c.endCounts[command] > 1 {
+		c.recordViolation(EndsOrLet, "command %s ends again", command)
 	}
 }
 
-// Left notes what is held when all clients are gone, and how many commands are still in hand.
+// Left checks that nothing is held once all clients are gone: numbers of open descriptors, set timers, buffer blocks in use
+// and commands in flight.
 func (c *Clients) Left(descriptors, timers, blocks, commands int) {
 	if descriptors+timers+blocks > 0 {
-		c.breaks(NoneIsLeft, "%d descriptors, %d timers and %d blocks are held", descriptors, timers, blocks)
+		c.recordViolation(NoneIsLeft, "%d descriptors, %d timers and %d buffer blocks are still held", descriptors, timers, blocks)
 	}
 	if commands > 0 {
-		c.breaks(EndsOrLet, "%d commands are in hand, and no client is left", commands)
+		c.recordViolation(EndsOrLet, "%d commands are in flight although all clients are gone", commands)
 	}
 }
--- a/internal/lab/invariant/command.go
+++ b/internal/lab/invariant/command.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Names of the properties of commands, in words.
+// Properties of commands and their attempts. Stored traces hold these texts.
 const (
 	OneAnswer  = "every command gets exactly one final answer"
 	InTime     = "the final answer comes before the client timeout"
@@ -15,116 +15,116 @@
 	NotBack    = "no read of a session is older than one before it at the same router"
 )
 
-// Effect of a command, as in the deployment's settings.
+// Effect is what a second run of a command does; the values are in the order of router.Idempotency.
 type Effect int
 
-// Effects.
+// Values of Effect.
 const (
-	Replayable Effect = iota
-	Keyed
-	Mutating
+	Replayable Effect = iota // a second run does no harm
+	Keyed                    // a second run is recognized by its key, in one shard and for a time
+	Mutating                 // a second run may have its effect twice
 )
 
-// Command is what is known of one from outside.
+// Command is what the checker knows of a command. Times and positions are in seconds.
 type Command struct {
 	Effect Effect
-	GiveUp float64 // its client stops waiting, seconds
-	Memory float64 // seconds that a repeat is known
-	Needs  float64 // position that its data must cover
-	Seen   float64 // position that its session has seen at this router
-
-	answers  int
-	ended    bool // its client left, or the router that held it is gone
-	out      int
-	mayRan   bool
-	ranFirst float64 // when the first dispatch that may have run was sent
-	ranSet   int
+	GiveUp float64 // when its client stops waiting
+	Memory float64 // how long a shard recognizes a Keyed command's key
+	Needs  float64 // position that an answering backend must have applied: the session's last write
+	Seen   float64 // highest position that earlier reads of its session have shown at this router
+
+	answers        int
+	abandoned      bool // its client is gone, or the router that had it has stopped
+	inFlight       int
+	mayHaveRun     bool
+	firstRunSentAt float64 // of the first attempt that may have run
+	firstRunShard  int
 }
 
-// Member is what is true of one, whatever anybody was told.
+// Member is the true state of a backend, which routers may not know yet. Times and positions are in seconds.
 type Member struct {
 	Set       int
 	Away      bool    // draining or gone
-	AwaySince float64 // when the router was told
-	Covers    float64 // position up to which its data goes
+	AwaySince float64 // when the router learned that
+	Covers    float64 // position that its data has applied
 }
 
-// Commands watches commands, their dispatches and answers.
+// Commands checks the attempts and answers of commands. Times are in seconds.
 type Commands struct {
-	Grace  float64 // seconds after a draining notice
-	broken string
-	how    string
+	Grace    float64 // time after a draining notice in which attempts may still be sent
+	violated string
+	detail   string
 }
 
-// Broken names the first property that was broken, and how.
-func (c *Commands) Broken() (property, how string) { return c.broken, c.how }
+// Broken returns the first property that was violated and the details; both are empty if none was.
+func (c *Commands) Broken() (property, detail string) { return c.violated, c.detail }
 
-func (c *Commands) breaks(property, format string, args ...any) {
-	if c.broken == "" {
-		c.broken, c.how = property, fmt.Sprintf(format, args...)
+func (c *Commands) recordViolation(property, format string, args ...any) {
+	if c.violated == "" {
+		c.violated, c.detail = property, fmt.Sprintf(format, args...)
 	}
 }
 
-// Sent notes that a dispatch goes out.
-func (c *Commands) Sent(now float64, name string, cmd *Command, member int, m *Member) {
+// Sent checks and records that an attempt of a command is sent to a backend, which is in this state.
+func (c *Commands) Sent(now float64, name string, cmd *Command, backend int, state *Member) {
 	switch {
-	case cmd.answers > 0 || cmd.ended:
-		c.breaks(NotAfter, "%s is sent to member %d after its end", name, member)
+	case cmd.answers > 0 || cmd.abandoned:
+		c.recordViolation(NotAfter, "%s is sent to backend %d after its end", name, backend)
 	case now > cmd.GiveUp:
-		c.breaks(NotAfter, "%s is sent to member %d at %.3f s, and its client waited until %.3f s", name, member, now, cmd.GiveUp)
-	case cmd.out > 0:
-		c.breaks(OneOut, "%s is sent to member %d while another dispatch is out", name, member)
-	case cmd.Effect == Mutating && cmd.mayRan:
-		c.breaks(NoRepeat, "%s is sent again to member %d, and may have run", name, member)
-	case cmd.Effect == Keyed && cmd.mayRan && m.Set != cmd.ranSet:
-		c.breaks(InMemory, "%s may have run in set %d and is sent again in set %d", name, cmd.ranSet, m.Set)
-	case cmd.Effect == Keyed && cmd.mayRan && now-cmd.ranFirst > cmd.Memory:
-		c.breaks(InMemory, "%s is sent again %.3f s after it may have run, and is known for %.3f s", name, now-cmd.ranFirst, cmd.Memory)
-	case m.Away && now-m.AwaySince > c.Grace:
-		c.breaks(NoDraining, "%s is sent to member %d at %.3f s, which was told to be away at %.3f s", name, member, now, m.AwaySince)
+		c.recordViolation(NotAfter, "%s is sent to backend %d at %.3f s, but its client waited only until %.3f s", name, backend, now, cmd.GiveUp)
+	case cmd.inFlight > 0:
+		c.recordViolation(OneOut, "%s is sent to backend %d while another attempt is in flight", name, backend)
+	case cmd.Effect == Mutating && cmd.mayHaveRun:
+		c.recordViolation(NoRepeat, "%s is sent again to backend %d although it may have run", name, backend)
+	case cmd.Effect == Keyed && cmd.mayHaveRun && state.Set != cmd.firstRunShard:
+		c.recordViolation(InMemory, "%s may have run in shard %d and is sent again to shard %d", name, cmd.firstRunShard, state.Set)
+	case cmd.Effect == Keyed && cmd.mayHaveRun && now-cmd.firstRunSentAt > cmd.Memory:
+		c.recordViolation(InMemory, "%s is sent again %.3f s after it may have run, but its key is recognized for only %.3f s", name, now-cmd.firstRunSentAt, cmd.Memory)
+	case state.Away && now-state.AwaySince > c.Grace:
+		c.recordViolation(NoDraining, "%s is sent to backend %d at %.3f s, but the router learned at %.3f s that it is draining or gone", name, backend, now, state.AwaySince)
 	}
-	cmd.out++
+	cmd.inFlight++
 }
 
-// Back notes that a dispatch, sent at a time to a set, has ended, and whether it may have run.
-func (c *Commands) Back(cmd *Command, sent float64, set int, mayRan bool) {
-	cmd.out--
-	if mayRan && !cmd.mayRan {
-		cmd.mayRan, cmd.ranFirst, cmd.ranSet = true, sent, set
+// Back records that an attempt, sent to a shard at sentAt, has ended, and whether the command may have run.
+func (c *Commands) Back(cmd *Command, sentAt float64, shard int, mayHaveRun bool) {
+	cmd.inFlight--
+	if mayHaveRun && !cmd.mayHaveRun {
+		cmd.mayHaveRun, cmd.firstRunSentAt, cmd.firstRunShard = true, sentAt, shard
 	}
 }
 
-// Served notes that a member answers a read from its data.
-func (c *Commands) Served(name string, cmd *Command, member int, m *Member) {
+// Served checks that a backend that answers a read has applied the positions that the command needs.
+func (c *Commands) Served(name string, cmd *Command, backend int, state *Member) {
 	switch {
-	case m.Covers < cmd.Needs:
-		c.breaks(NotStale, "%s is answered by member %d, whose data goes to %.3f s, and needs %.3f s", name, member, m.Covers, cmd.Needs)
-	case m.Covers < cmd.Seen:
-		c.breaks(NotBack, "%s is answered by member %d, whose data goes to %.3f s, and its session has seen %.3f s", name, member, m.Covers,
+	case state.Covers < cmd.Needs:
+		c.recordViolation(NotStale, "%s is answered by backend %d, which has applied %.3f s, but needs %.3f s", name, backend, state.Covers, cmd.Needs)
+	case state.Covers < cmd.Seen:
+		c.recordViolation(NotBack, "%s is answered by backend %d, which has applied %.3f s, but its session has seen %.3f s", name, backend, state.Covers,
 			cmd.Seen)
 	}
 }
 
-// Answered notes a final answer.
+// Answered checks and records a command's final answer.
 func (c *Commands) Answered(now float64, name string, cmd *Command) {
 	cmd.answers++
 	switch {
 	case cmd.answers > 1:
-		c.breaks(OneAnswer, "%s gets %d", name, cmd.answers)
+		c.recordViolation(OneAnswer, "%s gets %d answers", name, cmd.answers)
 	case now > cmd.GiveUp:
-		c.breaks(InTime, "%s is answered at %.3f s, and its client waited until %.3f s", name, now, cmd.GiveUp)
+		c.recordViolation(InTime, "%s is answered at %.3f s, but its client waited only until %.3f s", name, now, cmd.GiveUp)
 	}
 }
 
-// Ended notes that a command's client has gone, or its router.
-func (c *Commands) Ended(cmd *Command) { cmd.ended = true }
+// Ended records that a command needs no answer: its client is gone, or its router has stopped.
+func (c *Commands) Ended(cmd *Command) { cmd.abandoned = true }
 
-// Overdue notes the time: a command whose client stopped waiting must have had its answer.
+// Overdue checks that a command whose client has stopped waiting has been answered.
 func (c *Commands) Overdue(now float64, name string, cmd *Command) {
-	if cmd.answers == 0 && !cmd.ended && now > cmd.GiveUp {
-		c.breaks(OneAnswer, "%s has none at %.3f s, and its client waited until %.3f s", name, now, cmd.GiveUp)
+	if cmd.answers == 0 && !cmd.abandoned && now > cmd.GiveUp {
+		c.recordViolation(OneAnswer, "%s has no answer at %.3f s, and its client waited until %.3f s", name, now, cmd.GiveUp)
 	}
 }
 
-// Open tells whether a command still waits for its answer.
-func (cmd *Command) Open() bool { return cmd.answers == 0 && !cmd.ended }
+// Open reports whether the command still waits for its answer.
+func (cmd *Command) Open() bool { return cmd.answers == 0 && !cmd.abandoned }
--- a/internal/lab/invariant/fleet.go
+++ b/internal/lab/invariant/fleet.go
@@ -1,10 +1,10 @@
-// Package invariant holds the properties that must hold whatever happens, each written once, in words and in
-// code. They look at what was seen from outside, never at what a part says of itself, and have no I/O.
+// Package invariant holds the properties that must hold whatever happens, each once, as a text and as a checker. A checker
+// records events as seen from outside a component, never what the component reports of itself, and does no I/O.
 package invariant
 
 import "fmt"
 
-// Names of the properties, in words.
+// Properties of rollouts. Stored traces hold these texts; in them, a hall is a zone.
 const (
 	OneInstance = "one instance at a time is in a step"
 	OneHolder   = "an epoch has one holder, and only it acts"
@@ -13,67 +13,67 @@
 	Resolved    = "what was begun is on record before it is begun"
 )
 
-// Fleet watches the steps of a rollout as agents begin and end them.
+// Fleet checks the steps of a rollout as agents begin and end them.
 type Fleet struct {
-	Floor   int
-	open    map[int]string
-	holders map[uint64]string
-	broken  string
-	how     string
+	Floor     int // instances that must serve at all times
+	openSteps map[int]string
+	holders   map[uint64]string
+	violated  string
+	detail    string
 }
 
-// NewFleet watches a fleet with a floor of serving instances.
-func NewFleet(floor int) *Fleet {
-	return &Fleet{Floor: floor, open: map[int]string{}, holders: map[uint64]string{}}
+// NewFleet returns a checker of a fleet in which at least minAvailable instances must serve.
+func NewFleet(minAvailable int) *Fleet {
+	return &Fleet{Floor: minAvailable, openSteps: map[int]string{}, holders: map[uint64]string{}}
 }
 
-// Broken names the first property that was broken, and how.
-func (f *Fleet) Broken() (property, how string) { return f.broken, f.how }
+// Broken returns the first property that was violated and the details; both are empty if none was.
+func (f *Fleet) Broken() (property, detail string) { return f.violated, f.detail }
 
-func (f *Fleet) breaks(property, format string, args ...any) {
-	if f.broken == "" {
-		f.broken, f.how = property, fmt.Sprintf(format, args...)
+func (f *Fleet) recordViolation(property, format string, args ...any) {
+	if f.violated == "" {
+		f.violated, f.detail = property, fmt.Sprintf(format, args...)
 	}
 }
 
-// Acted notes that an agent let a holder act under an epoch.
+// Acted records that an agent granted a change to a lease holder under an epoch.
 func (f *Fleet) Acted(epoch uint64, holder string) {
-	if h, taken := f.holders[epoch]; taken && h != holder {
-		f.breaks(OneHolder, "epoch %d was %s's and is %s's", epoch, h, holder)
+	if previous, known := f.holders[epoch]; known && previous != holder {
+		f.recordViolation(OneHolder, "epoch %d was held by %s and is now held by %s", epoch, previous, holder)
 	}
 	f.holders[epoch] = holder
 }
 
-// Begun notes that an instance's step begins.
+// Begun checks and records that an instance's step begins.
 func (f *Fleet) Begun(instance int, step string) {
-	for other, s := range f.open {
+	for other, otherStep := range f.openSteps {
 		if other != instance {
-			f.breaks(OneInstance, "instance %d begins %s while instance %d is in %s", instance, step, other, s)
+			f.recordViolation(OneInstance, "instance %d begins step %s while instance %d is in step %s", instance, step, other, otherStep)
 		}
 	}
-	f.open[instance] = step
+	f.openSteps[instance] = step
 }
 
-// Ended notes that an instance's step has ended.
-func (f *Fleet) Ended(instance int) { delete(f.open, instance) }
+// Ended records that an instance's step has ended.
+func (f *Fleet) Ended(instance int) { delete(f.openSteps, instance) }
 
-// Taken notes that a serving router is told to end, and how many others serve.
-func (f *Fleet) Taken(instance, others int) {
-	if others < f.Floor {
-		f.breaks(NoFloor, "instance %d is taken out of service with %d others serving, and the floor is %d", instance, others, f.Floor)
+// Taken checks the stop of a serving router, given how many other routers serve.
+func (f *Fleet) Taken(instance, othersServing int) {
+	if othersServing < f.Floor {
+		f.recordViolation(NoFloor, "instance %d is taken out of service while only %d others serve, and at least %d must", instance, othersServing, f.Floor)
 	}
 }
 
-// Started notes that a process is started where so many run already.
+// Started checks the start of an instance's process, given how many processes of the instance run already.
 func (f *Fleet) Started(instance, running int) {
 	if running > 0 {
-		f.breaks(OneProcess, "instance %d has %d processes and gets another", instance, running)
+		f.recordViolation(OneProcess, "instance %d has %d processes and another is started", instance, running)
 	}
 }
 
-// Sent notes that a step is sent, and whether a majority keeps its record.
-func (f *Fleet) Sent(step string, kept bool) {
-	if !kept {
-		f.breaks(Resolved, "%s is sent, and no majority keeps its record", step)
+// Sent checks that a majority of agents had stored a step's record when the step is sent.
+func (f *Fleet) Sent(step string, recorded bool) {
+	if !recorded {
+		f.recordViolation(Resolved, "step %s is sent although no majority has stored its record", step)
 	}
 }
--- a/internal/lab/invariant/member.go
+++ b/internal/lab/invariant/member.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Names of the properties of connections to members, in words.
+// Properties of attempts over backend connections. Stored traces hold these texts; in them, a dispatch is an attempt.
 const (
 	EndsOnce   = "a dispatch ends exactly once"
 	LastByte   = "a dispatch counts as one that never ran if and only if its last byte was not written"
@@ -10,49 +10,51 @@
 	NoneIsLeft = "no descriptor, timer or block is left behind"
 )
 
-// Dispatches watches dispatches over connections.
+// Dispatches checks attempts over backend connections. The zero value is ready to use.
 type Dispatches struct {
-	broken string
-	how    string
-	ended  map[int]bool
+	violated string
+	detail   string
+	ended    map[int]bool
 }
 
-// Broken names the first property that was broken, and how.
-func (d *Dispatches) Broken() (property, how string) { return d.broken, d.how }
+// Broken returns the first property that was violated and the details; both are empty if none was.
+func (d *Dispatches) Broken() (property, detail string) { return d.violated, d.detail }
 
-func (d *Dispatches) breaks(property, format string, args ...any) {
-	if d.broken == "" {
-		d.broken, d.how = property, fmt.Sprintf(format, args...)
+func (d *Dispatches) recordViolation(property, format string, args ...any) {
+	if d.violated == "" {
+		d.violated, d.detail = property, fmt.Sprintf(format, args...)
 	}
 }
 
-// Ended notes how a dispatch ended: as one that never ran or may have, and what the wire saw of it.
-func (d *Dispatches) Ended(id int, never, whole bool) {
+// Ended checks and records the end of an attempt: neverRan is what its result claims, fullyWritten whether the network took
+// the last byte of its statement.
+func (d *Dispatches) Ended(id int, neverRan, fullyWritten bool) {
 	if d.ended == nil {
 		d.ended = map[int]bool{}
 	}
 	if d.ended[id] {
-		d.breaks(EndsOnce, "dispatch %d has ended before", id)
+		d.recordViolation(EndsOnce, "attempt %d ends again", id)
 	}
 	d.ended[id] = true
-	if never && whole {
-		d.breaks(LastByte, "dispatch %d is told to have never run, and all of it was written", id)
+	if neverRan && fullyWritten {
+		d.recordViolation(LastByte, "attempt %d is reported as never run, but all of its statement was written", id)
 	}
-	if !never && !whole {
-		d.breaks(LastByte, "dispatch %d is told to have perhaps run, and its last byte was not written", id)
+	if !neverRan && !fullyWritten {
+		d.recordViolation(LastByte, "attempt %d is reported as possibly run, but the last byte of its statement was not written", id)
 	}
 }
 
-// Answered notes whose answer a dispatch got.
-func (d *Dispatches) Answered(id int, value string, own string) {
-	if value != own {
-		d.breaks(OwnAnswer, "dispatch %d got %q, and its own is %q", id, value, own)
+// Answered checks that the value that an attempt got is the answer to its own command.
+func (d *Dispatches) Answered(id int, got string, want string) {
+	if got != want {
+		d.recordViolation(OwnAnswer, "attempt %d got %q, but its own answer is %q", id, got, want)
 	}
 }
 
-// Left notes what is held when nothing is under way any more.
+// Left checks that nothing is held once all attempts have ended: numbers of open descriptors, set timers and buffer blocks
+// in use.
 func (d *Dispatches) Left(descriptors, timers, blocks int) {
 	if descriptors+timers+blocks > 0 {
-		d.breaks(NoneIsLeft, "%d descriptors, %d timers and %d blocks are held", descriptors, timers, blocks)
+		d.recordViolation(NoneIsLeft, "%d descriptors, %d timers and %d buffer blocks are still held", descriptors, timers, blocks)
 	}
 }
--- a/internal/lab/invariant/promise.go
+++ b/internal/lab/invariant/promise.go
@@ -1,6 +1,6 @@
 package invariant
 
-// Promises, in words: what comes once nobody is against it any more. They hold from every state.
+// Liveness properties: what follows from every state once no more faults are injected. Stored traces hold these texts.
 const (
 	ComesToEnd  = "left alone, what was begun comes to its end and leaves nothing behind"
 	ServesAgain = "left alone, commands are served again"
--- a/internal/lab/invariant/watch.go
+++ b/internal/lab/invariant/watch.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Names of the properties of the list's watch, in words.
+// Properties of the watch of the endpoint list. Stored traces hold these texts; in them, a whole list is a complete one.
 const (
 	ListFollows = "a list is whole, or follows the one before it"
 	ListFrom    = "after a move no list of the address before is taken"
@@ -10,50 +10,50 @@
 	OneCall     = "one call of the list is out at a time"
 )
 
-// Lists watches calls for the list and what is handed on.
+// Lists checks the calls to discovery for the endpoint list and the lists that the watch delivers.
 type Lists struct {
-	Members int // of a whole list
-	broken  string
-	how     string
-	last    int64
-	known   bool
+	Members        int // endpoints in a complete list
+	violated       string
+	detail         string
+	lastGeneration int64
+	listKnown      bool
 }
 
-// Broken names the first property that was broken, and how.
-func (l *Lists) Broken() (property, how string) { return l.broken, l.how }
+// Broken returns the first property that was violated and the details; both are empty if none was.
+func (l *Lists) Broken() (property, detail string) { return l.violated, l.detail }
 
-func (l *Lists) breaks(property, format string, args ...any) {
-	if l.broken == "" {
-		l.broken, l.how = property, fmt.Sprintf(format, args...)
+func (l *Lists) recordViolation(property, format string, args ...any) {
+	if l.violated == "" {
+		l.violated, l.detail = property, fmt.Sprintf(format, args...)
 	}
 }
 
-// Called notes a call: for the whole list, or for what comes after a generation.
-func (l *Lists) Called(whole bool, after int64) {
-	if !l.known && !whole {
-		l.breaks(WholeAsked, "changes after %d are asked for, and no whole list is known", after)
+// Called checks a call: for the complete list, or for the changes after a generation.
+func (l *Lists) Called(complete bool, after int64) {
+	if !l.listKnown && !complete {
+		l.recordViolation(WholeAsked, "a call asks for the changes after generation %d, but no complete list is known", after)
 	}
 }
 
-// Lost notes that what is known no longer counts: a call failed, or the address changed.
-func (l *Lists) Lost() { l.known = false }
+// Lost records that the known list no longer counts: a call failed, or the address changed.
+func (l *Lists) Lost() { l.listKnown = false }
 
-// Open notes how many connections are open.
-func (l *Lists) Open(n int) {
-	if n > 1 {
-		l.breaks(OneCall, "%d connections are open", n)
+// Open checks the number of open connections.
+func (l *Lists) Open(connections int) {
+	if connections > 1 {
+		l.recordViolation(OneCall, "%d connections are open at the same time", connections)
 	}
 }
 
-// Handed notes a list that is handed on: from which address, and which is watched.
-func (l *Lists) Handed(whole bool, generation int64, members int, from, watched string) {
+// Handed checks and records a list that the watch delivers: the address that sent it, and the address that is watched.
+func (l *Lists) Handed(complete bool, generation int64, endpoints int, from, watched string) {
 	switch {
 	case from != watched:
-		l.breaks(ListFrom, "a list from %s is taken while %s is watched", from, watched)
-	case whole && members != l.Members:
-		l.breaks(ListFollows, "a whole list has %d members of %d", members, l.Members)
-	case !whole && (!l.known || generation < l.last):
-		l.breaks(ListFollows, "changes up to %d come after %d (whole list known: %v)", generation, l.last, l.known)
+		l.recordViolation(ListFrom, "a list from address %s is delivered while address %s is watched", from, watched)
+	case complete && endpoints != l.Members:
+		l.recordViolation(ListFollows, "a complete list has %d endpoints of %d", endpoints, l.Members)
+	case !complete && (!l.listKnown || generation < l.lastGeneration):
+		l.recordViolation(ListFollows, "changes up to generation %d come after generation %d (complete list known: %v)", generation, l.lastGeneration, l.listKnown)
 	}
-	l.known, l.last = true, generation
+	l.listKnown, l.lastGeneration = true, generation
 }
