--- a/internal/modelcheck/models/chart.go
+++ b/internal/modelcheck/models/chart.go
@@ -41,7 +41,7 @@
 		y := top + high*i + high/2
 		fmt.Fprintf(&b, `<text x="8" y="%d">%d  %s</text>`+"\n", y+4, i+1, html.EscapeString(step))
 		var at []int
-		for _, p := range partsOf(t, step) {
+		for _, p := range partiesOf(t, step) {
 			for k, name := range parties {
 				if name == p {
 					at = append(at, left+wide*k+wide/2)
@@ -60,8 +60,8 @@
 	return b.Bytes()
 }
 
-// partsOf names the parties of a step.
-func partsOf(t Trace, step string) []string {
+// partiesOf names the parties of a step.
+func partiesOf(t Trace, step string) []string {
 	words := strings.Fields(step)
 	number := -1 // of the party that the step names first
 	if len(words) > 1 {
--- a/internal/modelcheck/models/client.go
+++ b/internal/modelcheck/models/client.go
@@ -34,32 +34,32 @@
 		"unheard":    {"a client that leaves is not told to the core", Bounds{Clients: 1, Commands: []string{"look"}, Faults: 2}},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
-		return func() modelcheck.System { return newClient(b, fault) }
+		return func() modelcheck.System { return newClientSystem(b, fault) }
 	},
 }
 
-// clients is the system: a front and its clients; the core is the adversary's.
-type clients struct {
-	bounds   Bounds
-	fault    string
-	wire     *listening
-	front    *frontend.Server
-	blocks   *buffer.Pool
-	check    invariant.Clients
-	clients  []*scriptedClient
-	received []*receivedCommand
-	faults   int
-	ticks    int
-	drained  bool
-	keys     byte // cancel keys drawn
+// clientSystem is the system: a front and its clientSystem; the core is the adversary's.
+type clientSystem struct {
+	bounds     Bounds
+	fault      string
+	network    *fakeServerNetwork
+	frontend   *frontend.Server
+	buffers    *buffer.Pool
+	checker    invariant.Clients
+	clients    []*scriptedClient
+	received   []*receivedCommand
+	faults     int
+	ticks      int
+	drained    bool
+	cancelKeys byte // cancel keys drawn
 }
 
-// listening is a wire with a listener.
-type listening struct {
-	*wire
-	listener int
-	coming   []int // clients that wait to be accepted
-	fds      map[int]int
+// fakeServerNetwork is a wire with a listener.
+type fakeServerNetwork struct {
+	*fakeNetwork
+	listener          int
+	backlog           []int // clients that wait to be accepted
+	clientDescriptors map[int]int
 }
 
 // scriptedClient is one client: what it says, in order, and how much of that it has said.
@@ -74,14 +74,14 @@
 
 // receivedCommand is a command that the front took.
 type receivedCommand struct {
-	c    *dispatcher.Command
-	name string
-	open bool
+	command *dispatcher.Command
+	name    string
+	open    bool
 }
 
-func newClient(b Bounds, fault string) *clients {
-	s := &clients{bounds: b, fault: fault, wire: &listening{wire: newWire(), fds: map[int]int{}}, blocks: buffer.NewPool(512, 1<<16)}
-	s.wire.keepOpen, s.wire.loseByte = fault == "unclosed", fault == "lost-byte"
+func newClientSystem(b Bounds, fault string) *clientSystem {
+	s := &clientSystem{bounds: b, fault: fault, network: &fakeServerNetwork{fakeNetwork: newFakeNetwork(), clientDescriptors: map[int]int{}}, buffers: buffer.NewPool(512, 1<<16)}
+	s.network.keepsOpen, s.network.losesLastByte = fault == "unclosed", fault == "lost-byte"
 	limits := &config.Limits{
 		Sizes: config.Sizes{
 			BufferBlock: 512, ClientMessage: 4096, StartupPacket: 1000, StatementComment: 512, ReadPerTurn: 1 << 16,
@@ -99,15 +99,15 @@
 	told := &config.Settings{GroupNames: []string{"look"}}
 	told.CommandGroups = []router.CommandGroup{{ClientTimeout: 1, LatencyObjective: 0.5}}
 	var err error
-	s.front, err = frontend.Listen(netip.MustParseAddrPort("127.0.0.1:5432"), s.wire, frontend.Options{
+	s.frontend, err = frontend.Listen(netip.MustParseAddrPort("127.0.0.1:5432"), s.network, frontend.Options{
 		Limits:     limits,
 		Settings:   told,
-		Buffers:    s.blocks,
-		Dispatcher: clientCore{s},
+		Buffers:    s.buffers,
+		Dispatcher: fakeDispatcher{s},
 		Counters:   &metrics.Counters{},
 		Log:        zerolog.New(io.Discard),
 
-		DrawCancelKey: func() pg.CancelKey { s.keys++; return pg.CancelKey{s.keys} },
+		DrawCancelKey: func() pg.CancelKey { s.cancelKeys++; return pg.CancelKey{s.cancelKeys} },
 	})
 	if err != nil {
 		panic(err) // the wire refuses nothing
@@ -119,63 +119,63 @@
 }
 
 // Listen implements eventloop.ServerNetwork, as the others do.
-func (l *listening) Listen(netip.AddrPort, int) (int, error) {
-	l.last++
-	l.listener = l.last
+func (l *fakeServerNetwork) Listen(netip.AddrPort, int) (int, error) {
+	l.lastDescriptor++
+	l.listener = l.lastDescriptor
 	return l.listener, nil
 }
-func (l *listening) LocalAddress(int) (netip.AddrPort, error) { return netip.AddrPort{}, nil }
-func (l *listening) HasBacklog(int) bool                      { return len(l.coming) > 0 }
-func (l *listening) PeerClosed(fd int) bool                   { return l.socks[fd].ended }
-func (l *listening) ReadySince() float64                      { return l.now }
-func (l *listening) CloseWrite(int)                           {}
-func (l *listening) Accept(int) (int, bool, error) {
-	if len(l.coming) == 0 {
+func (l *fakeServerNetwork) LocalAddress(int) (netip.AddrPort, error) { return netip.AddrPort{}, nil }
+func (l *fakeServerNetwork) HasBacklog(int) bool                      { return len(l.backlog) > 0 }
+func (l *fakeServerNetwork) PeerClosed(fd int) bool                   { return l.sockets[fd].peerClosed }
+func (l *fakeServerNetwork) ReadySince() float64                      { return l.now }
+func (l *fakeServerNetwork) CloseWrite(int)                           {}
+func (l *fakeServerNetwork) Accept(int) (int, bool, error) {
+	if len(l.backlog) == 0 {
 		return -1, false, nil
 	}
-	client := l.coming[0]
-	l.coming = l.coming[1:]
-	l.last++
-	l.fds[client] = l.last
-	return l.last, true, nil
+	client := l.backlog[0]
+	l.backlog = l.backlog[1:]
+	l.lastDescriptor++
+	l.clientDescriptors[client] = l.lastDescriptor
+	return l.lastDescriptor, true, nil
 }
 
-// clientCore is the core that the front speaks to: the adversary.
-type clientCore struct{ *clients }
+// fakeDispatcher is the core that the front speaks to: the adversary.
+type fakeDispatcher struct{ *clientSystem }
 
 // LookupShard implements frontend.Dispatcher, as the others do.
-func (clientCore) LookupShard(int) (int, bool) { return 0, true }
+func (fakeDispatcher) LookupShard(int) (int, bool) { return 0, true }
 
-func (s clientCore) IsInFlight(name string) bool {
+func (s fakeDispatcher) IsInFlight(name string) bool {
 	for _, t := range s.received {
-		if t.open && t.c.ID == name {
+		if t.open && t.command.ID == name {
 			return true
 		}
 	}
 	return false
 }
 
-func (s clientCore) Submit(c *dispatcher.Command) {
-	s.received = append(s.received, &receivedCommand{c: c, name: c.ID, open: true})
+func (s fakeDispatcher) Submit(c *dispatcher.Command) {
+	s.received = append(s.received, &receivedCommand{command: c, name: c.ID, open: true})
 }
 
-func (s clientCore) ClientGone(cs []*dispatcher.Command) {
+func (s fakeDispatcher) ClientGone(cs []*dispatcher.Command) {
 	for _, t := range s.received {
-		if slices.Contains(cs, t.c) && s.fault != "unheard" {
-			s.check.Ended(t.name)
+		if slices.Contains(cs, t.command) && s.fault != "unheard" {
+			s.checker.Ended(t.name)
 			t.open = s.fault == "left-twice"
-			t.c.Statement.Free()
+			t.command.Statement.Free()
 		}
 	}
 }
-func (clientCore) CloseIdleBackend() bool       { return false }
-func (clientCore) SecondsSince(float64) float64 { return 1 }
+func (fakeDispatcher) CloseIdleBackend() bool       { return false }
+func (fakeDispatcher) SecondsSince(float64) float64 { return 1 }
 
-// clientSays are the messages of clients in bounds, beside commands.
-var clientSays = []string{"empty", "bad", "extended", "quit", "garbage"}
+// clientMessages are the messages of clients in bounds, beside commands.
+var clientMessages = []string{"empty", "bad", "extended", "quit", "garbage"}
 
 // message is what a client says as its n-th, the start-up packet first.
-func (s *clients) message(client, n int) []byte {
+func (s *clientSystem) message(client, n int) []byte {
 	if n == 0 {
 		return pg.AppendStartupMessage(nil)
 	}
@@ -195,8 +195,8 @@
 	}
 }
 
-// may is what a client's n-th message may be answered with.
-func (s *clients) may(client, n int) func(invariant.Answer) bool {
+// allowedAnswer is what a client's n-th message allowedAnswer be answered with.
+func (s *clientSystem) allowedAnswer(client, n int) func(invariant.Answer) bool {
 	if n == 0 {
 		return func(a invariant.Answer) bool { return a == invariant.Answer{} }
 	}
@@ -216,8 +216,8 @@
 	}
 }
 
-// answers reads what a client was sent. What is not yet whole is left out; an error that is fatal needs no more.
-func answers(raw []byte) (out []invariant.Answer) {
+// parseAnswers reads what a client was sent. What is not yet whole is left out; an error that is fatal needs no more.
+func parseAnswers(raw []byte) (out []invariant.Answer) {
 	var a invariant.Answer
 	for len(raw) >= 5 {
 		n := 1 + int(binary.BigEndian.Uint32(raw[1:]))
@@ -253,7 +253,7 @@
 }
 
 // Steps implements modelcheck.System.
-func (s *clients) Steps() []string {
+func (s *clientSystem) Steps() []string {
 	var out stepList
 	for i, c := range s.clients {
 		if c.connected {
@@ -269,33 +269,33 @@
 			out.add("fail %d", i)
 		}
 	}
-	out.addIf(!s.drained && s.bounds.may("drain", s.faults), "drain")
-	_, hasTimer := s.wire.next()
+	out.addIf(!s.drained && s.bounds.mayInject("drain", s.faults), "drain")
+	_, hasTimer := s.network.nextTimer()
 	out.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
 	return out
 }
 
 // addClientSteps adds what a client may do that has come, and what may become of its connection.
-func (s *clients) addClientSteps(out *stepList, i int, c *scriptedClient) {
-	k := s.wire.socks[c.fd]
+func (s *clientSystem) addClientSteps(out *stepList, i int, c *scriptedClient) {
+	k := s.network.sockets[c.fd]
 	if k == nil || k.handler == nil {
 		return
 	}
-	may := func(kind string) bool { return s.bounds.may(kind, s.faults) }
-	out.addIf(len(k.in) > 0 && k.wantRead || k.ended, "see %d", i)
-	out.addIf(k.wantWrite && k.room == 0, "take %d", i)
-	if k.ended {
+	may := func(kind string) bool { return s.bounds.mayInject(kind, s.faults) }
+	out.addIf(len(k.unread) > 0 && k.wantRead || k.peerClosed, "see %d", i)
+	out.addIf(k.wantWrite && k.writable == 0, "take %d", i)
+	if k.peerClosed {
 		return
 	}
 	hasMore := c.messagesSent <= len(s.bounds.Commands)
 	out.addIf(hasMore, "say %d", i)
 	out.addIf(hasMore && !c.halfSent && may("half"), "half %d", i)
 	out.addIf(may("leave"), "leave %d", i)
-	out.addIf(k.room > 0 && may("stall"), "stall %d", i)
+	out.addIf(k.writable > 0 && may("stall"), "stall %d", i)
 }
 
 // Commute implements modelcheck.Commuter: what one client sends is nothing to the connection of another.
-func (s *clients) Commute(a, b string) bool {
+func (s *clientSystem) Commute(a, b string) bool {
 	if modelcheck.Kind(a) != "say" {
 		a, b = b, a
 	}
@@ -310,43 +310,43 @@
 }
 
 // Take implements modelcheck.System.
-func (s *clients) Take(step string) {
+func (s *clientSystem) Take(step string) {
 	kind, n, _ := parseStep(step)
 	switch kind {
 	case "drain":
 		s.faults++
 		s.drained = true
-		s.front.Shutdown()
+		s.frontend.Shutdown()
 	case "tick":
 		s.ticks++
-		s.wire.fire(s.order())
+		s.network.fireNextTimers(s.descriptors())
 	case "answer", "throttle", "fail":
-		s.core(kind, n)
+		s.endCommand(kind, n)
 	case "come":
-		s.come(n)
+		s.connect(n)
 	case "say", "half":
-		s.say(n, kind == "half")
+		s.sendMessage(n, kind == "half")
 	default:
-		s.onConnection(kind, s.wire.socks[s.clients[n].fd])
+		s.takeNetworkStep(kind, s.network.sockets[s.clients[n].fd])
 	}
-	s.front.ProcessPending()
-	s.judge()
+	s.frontend.ProcessPending()
+	s.checkClients()
 }
 
-// come has a client connect.
-func (s *clients) come(n int) {
+// connect has a client connect.
+func (s *clientSystem) connect(n int) {
 	c := s.clients[n]
 	c.connected = true
-	s.wire.coming = append(s.wire.coming, n)
-	s.front.Ready(true, false)
-	c.fd = s.wire.fds[n]
-	if k := s.wire.socks[c.fd]; k != nil {
-		k.room = 1 << 16
+	s.network.backlog = append(s.network.backlog, n)
+	s.frontend.Ready(true, false)
+	c.fd = s.network.clientDescriptors[n]
+	if k := s.network.sockets[c.fd]; k != nil {
+		k.writable = 1 << 16
 	}
 }
 
-// say has a client send its next message, the first half of it or the second.
-func (s *clients) say(n int, half bool) {
+// sendMessage has a client send its next message, the first half of it or the second.
+func (s *clientSystem) sendMessage(n int, half bool) {
 	c := s.clients[n]
 	m := s.message(n, c.messagesSent)
 	switch {
@@ -361,33 +361,33 @@
 	default:
 		c.messagesSent++
 	}
-	k := s.wire.socks[c.fd]
-	k.in = append(k.in, m...)
+	k := s.network.sockets[c.fd]
+	k.unread = append(k.unread, m...)
 }
 
-// onConnection is what the network and the client's side do to a connection.
-func (s *clients) onConnection(kind string, k *sock) {
+// takeNetworkStep is what the network and the client's side do to a connection.
+func (s *clientSystem) takeNetworkStep(kind string, k *fakeSocket) {
 	switch kind {
 	case "see":
-		if handler, ok := k.handler.(eventloop.HangupHandler); ok && k.ended {
+		if handler, ok := k.handler.(eventloop.HangupHandler); ok && k.peerClosed {
 			handler.HungUp()
 			return
 		}
 		k.handler.Ready(true, false)
 	case "stall":
 		s.faults++
-		k.room = 0
+		k.writable = 0
 	case "take":
-		k.room = 1 << 16
+		k.writable = 1 << 16
 		k.handler.Ready(false, true)
 	case "leave":
 		s.faults++
-		k.ended = true
+		k.peerClosed = true
 	}
 }
 
-// core is what the core does with a command that it has in hand.
-func (s *clients) core(what string, n int) {
+// endCommand is what the endCommand does with a command that it has in hand.
+func (s *clientSystem) endCommand(what string, n int) {
 	t := s.received[n]
 	to := t
 	if s.fault == "swapped" {
@@ -397,52 +397,52 @@
 			}
 		}
 	}
-	s.check.Ended(t.name)
+	s.checker.Ended(t.name)
 	t.open = false
 	switch what {
 	case "throttle":
-		s.front.Reject(t.c, 0)
+		s.frontend.Reject(t.command, 0)
 	case "fail":
-		s.front.Fail(t.c)
+		s.frontend.Fail(t.command)
 	default:
-		row := s.blocks.NewChain()
+		row := s.buffers.NewChain()
 		b := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
 		b = pg.AppendMessage(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(to.name))), []byte(to.name))
 		row.Write(pg.AppendMessage(b, 'C', []byte("SELECT 1\x00")))
-		s.front.Answer(t.c, &row)
+		s.frontend.Answer(t.command, &row)
 	}
-	t.c.Statement.Free()
+	t.command.Statement.Free()
 }
 
-// judge reads what clients were sent, and looks at what is left once all have gone.
-func (s *clients) judge() {
+// checkClients reads what clients were sent, and looks at what is left once all have gone.
+func (s *clientSystem) checkClients() {
 	for i, c := range s.clients {
-		if k := s.wire.socks[c.fd]; c.connected && k != nil {
-			c.received = append(c.received[:0], k.sent...)
+		if k := s.network.sockets[c.fd]; c.connected && k != nil {
+			c.received = append(c.received[:0], k.written...)
 		}
 		var may []func(invariant.Answer) bool
 		for n := range c.messagesSent {
-			own := s.may(i, n)
+			own := s.allowedAnswer(i, n)
 			may = append(may, func(a invariant.Answer) bool { return own(a) || c.wasSlow && a.Code == pg.CodeProtocolViolation })
 		}
 		if c.halfSent { // its own half message may be found wrong
 			may = append(may, func(a invariant.Answer) bool { return a.Code == pg.CodeProtocolViolation })
 		}
-		s.check.Read(i, answers(c.received), may)
+		s.checker.Read(i, parseAnswers(c.received), may)
 	}
-	if s.drained && s.front.OpenConnections() == 0 {
+	if s.drained && s.frontend.OpenConnections() == 0 {
 		open := 0
 		for _, t := range s.received {
 			if t.open {
 				open++
 			}
 		}
-		s.check.Left(len(s.wire.socks), len(s.wire.timers), s.blocks.BlocksInUse(), open)
+		s.checker.Left(len(s.network.sockets), len(s.network.timers), s.buffers.BlocksInUse(), open)
 	}
 }
 
-// order is the clients' connections.
-func (s *clients) order() (fds []int) {
+// descriptors is the clients' connections.
+func (s *clientSystem) descriptors() (fds []int) {
 	for _, c := range s.clients {
 		fds = append(fds, c.fd)
 	}
@@ -450,38 +450,38 @@
 }
 
 // Broken implements modelcheck.System.
-func (s *clients) Broken() (string, string) { return s.check.Broken() }
+func (s *clientSystem) Broken() (string, string) { return s.checker.Broken() }
 
 // Ended implements modelcheck.System: the front has drained.
-func (s *clients) Ended() bool { return s.drained && s.front.OpenConnections() == 0 }
+func (s *clientSystem) Ended() bool { return s.drained && s.frontend.OpenConnections() == 0 }
 
 // clientRules leave out the lists of those that may make room, for there is room for all, and what is the same in all
 // states or stands for the same thing elsewhere.
 var clientRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
-	"buffer.Chain":       {"pool"},
-	"dispatcher.Command": {"Owner", "Responder"},
-	"frontend.conn":      {"fd", "server", "shedElement", "shedQueue", "timer"},
-	"models.clients":     {"blocks", "bounds", "fault", "front", "wire"},
-	"models.sock":        {"handler"},
+	"buffer.Chain":        {"pool"},
+	"dispatcher.Command":  {"Owner", "Responder"},
+	"frontend.conn":       {"fd", "server", "shedElement", "shedQueue", "timer"},
+	"models.clientSystem": {"bounds", "buffers", "fault", "frontend", "network"},
+	"models.fakeSocket":   {"handler"},
 }}
 
 // Fingerprint implements modelcheck.System.
-func (s *clients) Fingerprint(h *modelcheck.Hash) {
+func (s *clientSystem) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = clientRules
-	h.Float(s.wire.now)
+	h.Float(s.network.now)
 	h.Value(s)
 	for _, c := range s.clients {
-		k := s.wire.socks[c.fd]
+		k := s.network.sockets[c.fd]
 		h.Value(k)
 		if k != nil && k.handler != nil {
 			h.Value(k.handler)
-			at, set := s.wire.timers[s.wire.timer(c.fd)]
+			at, set := s.network.timers[s.network.connectionTimer(c.fd)]
 			h.Value(set)
 			h.Float(at)
 		}
 	}
 	var rest []float64
-	for _, at := range s.wire.timers {
+	for _, at := range s.network.timers {
 		rest = append(rest, at)
 	}
 	sort.Float64s(rest)
--- a/internal/modelcheck/models/command.go
+++ b/internal/modelcheck/models/command.go
@@ -74,22 +74,22 @@
 		},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
-		return func() modelcheck.System { return newCommands(b, fault) }
+		return func() modelcheck.System { return newCommandSystem(b, fault) }
 	},
 }
 
 const (
-	cmdTick    = 0.25 // seconds of a step of time
-	cmdTimeout = 1.0
-	cmdMemory  = 0.4
-	cmdGrace   = 0.0
-	cmdIdle    = 8.5 // seconds in which the module turns its sessions over and lets rows of members go
+	commandTickSeconds       = 0.25 // seconds of a step of time
+	commandTimeoutSeconds    = 1.0
+	commandWindowSeconds     = 0.4
+	commandDrainGraceSeconds = 0.0
+	commandIdleSeconds       = 8.5 // seconds in which the module turns its sessions over and lets rows of members go
 )
 
 type commandGroup struct {
-	name string
-	g    router.CommandGroup
-	e    invariant.Effect
+	name        string
+	config      router.CommandGroup
+	idempotency invariant.Effect
 }
 
 // Names of command groups in bounds, and what they are.
@@ -100,8 +100,8 @@
 	{"keyed", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope}, invariant.Keyed},
 }
 
-// commands is the system: one router, one set whose member 0 is the primary at first, and one session.
-type commands struct {
+// commandSystem is the system: one router, one set whose member 0 is the primary at first, and one session.
+type commandSystem struct {
 	bounds            Bounds
 	fault             string
 	now               float64
@@ -111,12 +111,12 @@
 	tracker           *inflight.Tracker
 	nextReviewAt      float64
 	endpoints         []simulatedEndpoint
-	cmds              []*clientCommand
+	commands          []*clientCommand
 	healthChecks      map[int]bool // that the module waits for
-	check             invariant.Commands
-	lastWrite         float64  // position of the session's last write
+	checker           invariant.Commands
+	lastWritePosition float64  // position of the session's last write
 	readHighWaterMark float64  // the furthest position that its reads have shown at this router
-	starts            int      // of the router
+	routerStarts      int      // of the router
 	heldAnswers       []int    // commands whose answer is held back by a fault
 	freeRows          []int    // indices of members that the module has let go
 	endedEarly        [][2]int // dispatches that a fault has ended before they have
@@ -141,7 +141,7 @@
 	number, endpoint int
 	sentAt, deadline float64
 	canceled         bool
-	ghost            bool // its command was told that it ran out of time
+	timedOut         bool // its command was told that it ran out of time
 }
 
 // groupOf finds a command group, or returns -1.
@@ -149,9 +149,9 @@
 	return slices.IndexFunc(commandGroups, func(g commandGroup) bool { return g.name == name })
 }
 
-func newCommands(b Bounds, fault string) *commands {
-	c := &commands{
-		bounds: b, fault: fault, healthChecks: map[int]bool{}, check: invariant.Commands{Grace: cmdGrace}, lastWrite: math.Inf(-1),
+func newCommandSystem(b Bounds, fault string) *commandSystem {
+	c := &commandSystem{
+		bounds: b, fault: fault, healthChecks: map[int]bool{}, checker: invariant.Commands{Grace: commandDrainGraceSeconds}, lastWritePosition: math.Inf(-1),
 		readHighWaterMark: math.Inf(-1),
 	}
 	for range b.Members {
@@ -159,7 +159,7 @@
 	}
 	c.endpoints[0].primary = true
 	for i, name := range b.Commands {
-		c.cmds = append(c.cmds, &clientCommand{name: fmt.Sprint(name, " ", i), group: groupOf(name)})
+		c.commands = append(c.commands, &clientCommand{name: fmt.Sprint(name, " ", i), group: groupOf(name)})
 	}
 	c.now = 10
 	c.startRouter()
@@ -167,27 +167,27 @@
 }
 
 // startRouter starts the router, for the first time or anew: it knows only the list that it had last.
-func (c *commands) startRouter() {
+func (c *commandSystem) startRouter() {
 	s := router.Config{
 		RouterCount: 1, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
 		MaxAttempts: 3, ConnectTimeout: 0.05, SlowStartFloor: 0.2, SlowStart: 0.1, OverloadFactor: 2, OverloadWindow: 1,
 	}
 	for _, x := range commandGroups {
-		g := x.g
-		g.LatencyObjective, g.ClientTimeout, g.PriorityWeight, g.LateValue, g.IdempotencyWindow = cmdTimeout/2, cmdTimeout, 1, 0.5, cmdMemory
+		g := x.config
+		g.LatencyObjective, g.ClientTimeout, g.PriorityWeight, g.LateValue, g.IdempotencyWindow = commandTimeoutSeconds/2, commandTimeoutSeconds, 1, 0.5, commandWindowSeconds
 		if c.fault == "long-memory" {
-			g.IdempotencyWindow += cmdTick
+			g.IdempotencyWindow += commandTickSeconds
 		}
 		s.CommandGroups = append(s.CommandGroups, g)
 	}
-	c.starts++
-	c.router = router.New(s, uint64(c.starts)<<48) // a new seed with each start, that draws otherwise
+	c.routerStarts++
+	c.router = router.New(s, uint64(c.routerStarts)<<48) // a new seed with each start, that draws otherwise
 	c.tracker = inflight.New(c.router, c)
 	c.sendList(true)
-	c.settle()
+	c.runReviews()
 }
 
-func (c *commands) sendList(cached bool) {
+func (c *commandSystem) sendList(cached bool) {
 	var l []router.EndpointInfo
 	for i, m := range c.endpoints {
 		l = append(l, router.EndpointInfo{Index: i, State: m.listedState, StartedAt: math.Inf(-1), Primary: m.primary})
@@ -195,8 +195,8 @@
 	c.router.UpdateEndpoints(c.now, l, true, cached)
 }
 
-// settle lets the module go on by itself up to now.
-func (c *commands) settle() {
+// runReviews lets the module go on by itself up to now.
+func (c *commandSystem) runReviews() {
 	next, keep := c.tracker.ReviewDue(c.now)
 	for _, e := range c.endedEarly {
 		c.tracker.AttemptEnded(c.now, uint32(e[0]), router.AttemptResult{Attempt: e[1], Result: router.Canceled, Position: -1})
@@ -209,19 +209,19 @@
 }
 
 // Forward implements inflight.Executor.
-func (c *commands) Forward(id uint32, number, node int, until float64) {
-	x := c.cmds[id]
+func (c *commandSystem) Forward(id uint32, number, node int, until float64) {
+	x := c.commands[id]
 	m := c.endpoints[node].Member
 	if c.fault == "far-keyed" && number > 0 {
 		m.Set++
 	}
-	c.check.Sent(c.now, x.name, &x.Command, node, &m)
+	c.checker.Sent(c.now, x.name, &x.Command, node, &m)
 	x.attempts = append(x.attempts, &attempt{number: number, endpoint: node, sentAt: c.now, deadline: until})
 }
 
 // Cancel implements inflight.Executor.
-func (c *commands) Cancel(id uint32, number int) {
-	for _, l := range c.cmds[id].attempts {
+func (c *commandSystem) Cancel(id uint32, number int) {
+	for _, l := range c.commands[id].attempts {
 		if l.number == number {
 			l.canceled = true
 			if c.fault == "two-out" {
@@ -232,33 +232,33 @@
 }
 
 // Reject implements inflight.Executor.
-func (c *commands) Reject(id uint32, _ float64) { c.Fail(id) }
+func (c *commandSystem) Reject(id uint32, _ float64) { c.Fail(id) }
 
 // Fail implements inflight.Executor.
-func (c *commands) Fail(id uint32) {
+func (c *commandSystem) Fail(id uint32) {
 	if c.fault == "held-back" {
 		c.heldAnswers = append(c.heldAnswers, int(id))
 		return
 	}
-	c.check.Answered(c.now, c.cmds[id].name, &c.cmds[id].Command)
+	c.checker.Answered(c.now, c.commands[id].name, &c.commands[id].Command)
 }
 
 // Steps implements modelcheck.System.
-func (c *commands) Steps() []string {
+func (c *commandSystem) Steps() []string {
 	if c.Ended() && !c.hasAttemptsInFlight() && len(c.heldAnswers) == 0 {
 		return nil // nothing more can come of them
 	}
-	may := func(kind string) bool { return c.bounds.may(kind, c.faults) }
+	may := func(kind string) bool { return c.bounds.mayInject(kind, c.faults) }
 	var s stepList
-	for i, x := range c.cmds {
+	for i, x := range c.commands {
 		s.addIf(!x.received, "take %d", i)
 		s.addIf(x.received && x.Open() && may("leave"), "leave %d", i)
 		for k, l := range x.attempts {
-			c.addEndings(&s, l, i, k)
+			c.addAttemptSteps(&s, l, i, k)
 		}
 	}
 	for i := range c.endpoints {
-		c.addMemberSteps(&s, i)
+		c.addEndpointSteps(&s, i)
 	}
 	s.addIf(may("restart"), "restart")
 	s.addIf(slices.Contains(c.bounds.Only, "idle") && may("idle"), "idle") // costly, and of use in few bounds
@@ -266,33 +266,33 @@
 	return s
 }
 
-// addEndings adds how a dispatch may end.
-func (c *commands) addEndings(s *stepList, l *attempt, i, k int) {
-	s.addIf(l.canceled && !l.ghost, "recalled %d %d", i, k) // the race with its answer
+// addAttemptSteps adds how a dispatch may end.
+func (c *commandSystem) addAttemptSteps(s *stepList, l *attempt, i, k int) {
+	s.addIf(l.canceled && !l.timedOut, "recalled %d %d", i, k) // the race with its answer
 	s.add("answered %d %d", i, k)
-	if l.ghost || l.canceled {
+	if l.timedOut || l.canceled {
 		return
 	}
 	for _, kind := range []string{"errored", "full", "unreached", "broken"} {
-		s.addIf(c.bounds.may(kind, c.faults), "%s %d %d", kind, i, k)
+		s.addIf(c.bounds.mayInject(kind, c.faults), "%s %d %d", kind, i, k)
 	}
 }
 
-// addMemberSteps adds what a member may do, and what may become of it.
-func (c *commands) addMemberSteps(s *stepList, i int) {
-	may := func(kind string) bool { return c.bounds.may(kind, c.faults) }
+// addEndpointSteps adds what a member may do, and what may become of it.
+func (c *commandSystem) addEndpointSteps(s *stepList, i int) {
+	may := func(kind string) bool { return c.bounds.mayInject(kind, c.faults) }
 	m := &c.endpoints[i]
 	isReady, isReadyReplica := m.listedState == router.Ready, m.listedState == router.Ready && !m.primary
 	s.addIf(c.healthChecks[i], "report %d", i)
 	s.addIf(!m.primary && m.Covers < c.now && m.listedState != router.Removed, "apply %d", i)
 	s.addIf(may("drain") && isReady, "drain %d", i)
 	s.addIf(may("replace") && isReadyReplica, "replace %d", i)
-	s.addIf(may("promote") && isReadyReplica && m.Covers >= c.lastWrite, "promote %d", i)
+	s.addIf(may("promote") && isReadyReplica && m.Covers >= c.lastWritePosition, "promote %d", i)
 }
 
 // Commute implements modelcheck.Commuter: a replica that applies its log touches nothing but itself, and most steps
 // do not look at it.
-func (c *commands) Commute(a, b string) bool {
+func (c *commandSystem) Commute(a, b string) bool {
 	if modelcheck.Kind(a) != "apply" {
 		a, b = b, a
 	}
@@ -314,58 +314,58 @@
 }
 
 // Take implements modelcheck.System.
-func (c *commands) Take(step string) {
+func (c *commandSystem) Take(step string) {
 	kind, n, k := parseStep(step)
 	switch kind {
 	case "take":
-		c.take(n)
+		c.receiveCommand(n)
 	case "leave":
-		c.leave(n)
+		c.leaveClient(n)
 	case "report":
-		c.report(n)
+		c.answerHealthCheck(n)
 	case "apply":
 		c.endpoints[n].Covers = c.now
 	case "drain":
-		c.drain(n)
+		c.drainEndpoint(n)
 	case "replace":
 		c.faults++
-		c.replace(n)
+		c.replaceReplica(n)
 	case "promote":
-		c.promote(n)
+		c.promoteReplica(n)
 	case "restart":
-		c.restart()
+		c.restartRouter()
 	case "tick":
 		c.ticks++
-		c.passTime(cmdTick)
+		c.passTime(commandTickSeconds)
 	case "idle":
 		c.faults++
-		c.passTime(cmdIdle)
+		c.passTime(commandIdleSeconds)
 	default:
 		c.endAttempt(n, k, kind)
 	}
-	c.settle()
+	c.runReviews()
 }
 
-func (c *commands) leave(n int) {
+func (c *commandSystem) leaveClient(n int) {
 	c.faults++
-	c.check.Ended(&c.cmds[n].Command)
+	c.checker.Ended(&c.commands[n].Command)
 	if c.fault != "left-behind" {
 		c.tracker.ClientGone(c.now, uint32(n))
 	}
 }
 
-// report has a member answer a probe.
-func (c *commands) report(n int) {
+// answerHealthCheck has a member answer a probe.
+func (c *commandSystem) answerHealthCheck(n int) {
 	delete(c.healthChecks, n)
 	m := c.endpoints[n]
 	at := m.Covers
 	if c.fault == "spoilt-position" {
-		at += 2 * cmdTick
+		at += 2 * commandTickSeconds
 	}
 	c.router.HealthChecked(c.now, n, router.Answered, 0, at, m.primary)
 }
 
-func (c *commands) drain(n int) {
+func (c *commandSystem) drainEndpoint(n int) {
 	c.faults++
 	m := &c.endpoints[n]
 	m.listedState, m.Away, m.AwaySince = router.Draining, true, c.now
@@ -374,7 +374,7 @@
 	}
 }
 
-func (c *commands) promote(n int) {
+func (c *commandSystem) promoteReplica(n int) {
 	c.faults++
 	for i := range c.endpoints {
 		c.endpoints[i].primary = i == n
@@ -385,12 +385,12 @@
 	}
 }
 
-// restart has the router end and start anew; its clients' commands end with it.
-func (c *commands) restart() {
+// restartRouter has the router end and start anew; its clients' commands end with it.
+func (c *commandSystem) restartRouter() {
 	c.faults++
-	for _, x := range c.cmds {
+	for _, x := range c.commands {
 		if x.received {
-			c.check.Ended(&x.Command)
+			c.checker.Ended(&x.Command)
 			x.attempts = nil
 		}
 	}
@@ -398,9 +398,9 @@
 	c.startRouter()
 }
 
-// replace has a replica go for good, and another come that has nothing yet, under an index that the module has let go
+// replaceReplica has a replica go for good, and another come that has nothing yet, under an index that the module has let go
 // if there is one.
-func (c *commands) replace(n int) {
+func (c *commandSystem) replaceReplica(n int) {
 	m := &c.endpoints[n]
 	if c.fault == "reused-index" {
 		m.Covers = 0
@@ -416,8 +416,8 @@
 	c.sendList(false)
 }
 
-func (c *commands) hasAttemptsInFlight() bool {
-	for _, x := range c.cmds {
+func (c *commandSystem) hasAttemptsInFlight() bool {
+	for _, x := range c.commands {
 		if len(x.attempts) > 0 {
 			return true
 		}
@@ -425,50 +425,50 @@
 	return false
 }
 
-func (c *commands) take(n int) {
+func (c *commandSystem) receiveCommand(n int) {
 	if c.fault == "forgotten-mark" && !c.hasAttemptsInFlight() {
 		c.startRouter()
 	}
-	x := c.cmds[n]
+	x := c.commands[n]
 	x.received = true
 	g := commandGroups[x.group]
-	x.Effect, x.GiveUp, x.Memory, x.Needs = g.e, c.now+cmdTimeout, cmdMemory, math.Inf(-1)
+	x.Effect, x.GiveUp, x.Memory, x.Needs = g.idempotency, c.now+commandTimeoutSeconds, commandWindowSeconds, math.Inf(-1)
 	in := router.Command{Group: x.group, Session: 7, ArrivedAt: c.now, ClientDeadline: x.GiveUp}
 	x.Seen = math.Inf(-1)
-	if g.g.Consistency == router.SessionConsistent {
+	if g.config.Consistency == router.SessionConsistent {
 		x.Seen = c.readHighWaterMark
 	}
-	if g.g.Consistency == router.SessionConsistent && !math.IsInf(c.lastWrite, -1) {
-		x.Needs, in.LastWriteAge = c.lastWrite, cmp.Or(c.now-c.lastWrite, -math.SmallestNonzeroFloat64) // as the front makes it
+	if g.config.Consistency == router.SessionConsistent && !math.IsInf(c.lastWritePosition, -1) {
+		x.Needs, in.LastWriteAge = c.lastWritePosition, cmp.Or(c.now-c.lastWritePosition, -math.SmallestNonzeroFloat64) // as the front makes it
 		if c.fault == "no-age" {
-			in.LastWriteAge = math.Max(0, c.now-c.lastWrite)
+			in.LastWriteAge = math.Max(0, c.now-c.lastWritePosition)
 		}
 	}
 	c.tracker.Add(c.now, uint32(n), in)
 }
 
 // endAttempt has a dispatch endAttempt.
-func (c *commands) endAttempt(n, k int, kind string) {
-	x := c.cmds[n]
+func (c *commandSystem) endAttempt(n, k int, kind string) {
+	x := c.commands[n]
 	l := x.attempts[k]
-	if l.ghost {
-		c.check.Answered(c.now, x.name, &x.Command)
+	if l.timedOut {
+		c.checker.Answered(c.now, x.name, &x.Command)
 	}
-	if c.fault == "answers-twice" && kind == "timed" && !l.ghost {
-		l.ghost = true
+	if c.fault == "answers-twice" && kind == "timed" && !l.timedOut {
+		l.timedOut = true
 		defer func() { x.attempts = append(x.attempts, l) }()
 	}
 	x.attempts = slices.Delete(slices.Clone(x.attempts), k, k+1)
-	if isFault(kind) {
+	if isInjectedResult(kind) {
 		c.faults++
 	}
 	result := attemptResults[kind]
 	m := &c.endpoints[l.endpoint]
 	missed := result == router.Answered && x.consistency() == router.PrimaryOnly && !m.primary // a replica turns it away
-	c.check.Back(&x.Command, l.sentAt, m.Set, mayHaveRun(result) && !missed)
-	o := c.outcome(l, result, missed)
+	c.checker.Back(&x.Command, l.sentAt, m.Set, mayHaveRun(result) && !missed)
+	o := c.attemptResult(l, result, missed)
 	if o.Result == router.Answered {
-		c.serve(x, l, &o)
+		c.applyAnswer(x, l, &o)
 	}
 	wasOpen := x.Open()
 	if c.fault != "lost-end" || result != router.Canceled {
@@ -476,16 +476,18 @@
 	}
 	if o.Result == router.Answered && wasOpen {
 		x.answered = true
-		c.check.Answered(c.now, x.name, &x.Command)
+		c.checker.Answered(c.now, x.name, &x.Command)
 	}
 }
 
-// isFault tells whether an ending of a dispatch is a fault of the adversary's.
-func isFault(ending string) bool {
+// isInjectedResult tells whether an ending of a dispatch is a fault of the adversary's.
+func isInjectedResult(ending string) bool {
 	return ending != "answered" && ending != "recalled" && ending != "timed"
 }
 
-func (x *clientCommand) consistency() router.Consistency { return commandGroups[x.group].g.Consistency }
+func (x *clientCommand) consistency() router.Consistency {
+	return commandGroups[x.group].config.Consistency
+}
 
 // mayHaveRun tells whether a command may have run whose dispatch ended so.
 func mayHaveRun(result router.Result) bool {
@@ -497,8 +499,8 @@
 	}
 }
 
-// outcome is what the module is told of the end of a dispatch.
-func (c *commands) outcome(l *attempt, result router.Result, missed bool) router.AttemptResult {
+// attemptResult is what the module is told of the end of a dispatch.
+func (c *commandSystem) attemptResult(l *attempt, result router.Result, missed bool) router.AttemptResult {
 	o := router.AttemptResult{Attempt: l.number, Result: result, Elapsed: c.now - l.sentAt, Final: result == router.Answered, Position: -1}
 	hasAnswer := result == router.Answered || result == router.Errored
 	if hasAnswer && c.fault != "untold-primary" { // an answer says what its member is
@@ -516,16 +518,16 @@
 	return o
 }
 
-// serve has a member's answer take effect: a write moves its position, a read shows it.
-func (c *commands) serve(x *clientCommand, l *attempt, o *router.AttemptResult) {
+// applyAnswer has a member's answer take effect: a write moves its position, a read shows it.
+func (c *commandSystem) applyAnswer(x *clientCommand, l *attempt, o *router.AttemptResult) {
 	m := &c.endpoints[l.endpoint]
 	if x.consistency() == router.PrimaryOnly {
-		c.lastWrite, m.Covers = c.now, c.now
+		c.lastWritePosition, m.Covers = c.now, c.now
 		o.Position = c.now
 		return
 	}
 	o.Position = m.Covers
-	c.check.Served(x.name, &x.Command, l.endpoint, &m.Member)
+	c.checker.Served(x.name, &x.Command, l.endpoint, &m.Member)
 	if x.consistency() == router.SessionConsistent {
 		c.readHighWaterMark = math.Max(c.readHighWaterMark, m.Covers)
 	}
@@ -533,29 +535,29 @@
 
 // passTime lets time passTime. The module has its say at each moment that it asked for, and dispatches run out
 // of time at theirs.
-func (c *commands) passTime(span float64) {
+func (c *commandSystem) passTime(span float64) {
 	held := c.heldAnswers
 	c.heldAnswers = nil
 	end := c.now + span
 	for c.now < end {
 		at := math.Min(end, math.Max(c.nextReviewAt, c.now+0.001))
-		for _, x := range c.cmds {
+		for _, x := range c.commands {
 			for _, l := range x.attempts {
-				if !l.ghost {
+				if !l.timedOut {
 					at = math.Min(at, math.Max(l.deadline, c.now))
 				}
 			}
 		}
 		c.now = at
-		for i, x := range c.cmds {
+		for i, x := range c.commands {
 			for k := 0; k < len(x.attempts); k++ {
-				if x.attempts[k].deadline <= c.now && !x.attempts[k].ghost {
+				if x.attempts[k].deadline <= c.now && !x.attempts[k].timedOut {
 					c.endAttempt(i, k, "timed")
 					k--
 				}
 			}
 		}
-		c.settle()
+		c.runReviews()
 		for i := range c.endpoints {
 			if c.endpoints[i].primary {
 				c.endpoints[i].Covers = c.now
@@ -563,11 +565,11 @@
 		}
 	}
 	for _, n := range held {
-		c.check.Answered(c.now, c.cmds[n].name, &c.cmds[n].Command)
+		c.checker.Answered(c.now, c.commands[n].name, &c.commands[n].Command)
 	}
-	for _, x := range c.cmds {
+	for _, x := range c.commands {
 		if x.received {
-			c.check.Overdue(c.now, x.name, &x.Command)
+			c.checker.Overdue(c.now, x.name, &x.Command)
 		}
 	}
 }
@@ -581,27 +583,27 @@
 
 // Fingerprint implements modelcheck.System. Nothing of the module is left out, chance included; what the world
 // looks like follows from what is here.
-func (c *commands) Fingerprint(h *modelcheck.Hash) {
+func (c *commandSystem) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = commandRules
 	h.Float(c.now)
 	h.Uint(uint64(c.faults))
 	h.Value(c.tracker)
 	h.Value(c.endpoints)
-	h.Value(c.cmds)
+	h.Value(c.commands)
 	h.Value(c.healthChecks)
-	h.Value(c.check)
-	h.Float(c.lastWrite)
+	h.Value(c.checker)
+	h.Float(c.lastWritePosition)
 	h.Float(c.readHighWaterMark)
 	h.Value(c.heldAnswers)
 	h.Value(c.freeRows)
 }
 
 // Broken implements modelcheck.System.
-func (c *commands) Broken() (string, string) { return c.check.Broken() }
+func (c *commandSystem) Broken() (string, string) { return c.checker.Broken() }
 
 // Ended implements modelcheck.System: every command has had its end.
-func (c *commands) Ended() bool {
-	for _, x := range c.cmds {
+func (c *commandSystem) Ended() bool {
+	for _, x := range c.commands {
 		if !x.received || x.Open() {
 			return false
 		}
--- a/internal/modelcheck/models/member.go
+++ b/internal/modelcheck/models/member.go
@@ -17,7 +17,7 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-var memberKind = Kind{
+var backendKind = Kind{
 	Name: "member", Words: "connections to one member, with the member, the network below them and time as the adversary",
 	Faults: map[string]Fault{
 		"previous-reply": {
@@ -42,46 +42,46 @@
 		},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
-		return func() modelcheck.System { return newMember(b, fault) }
+		return func() modelcheck.System { return newBackendSystem(b, fault) }
 	},
 }
 
-// members is the system: dispatches to one member over the connections of package backend.
-type members struct {
-	bounds Bounds
-	fault  string
-	wire   *wire
-	m      *backend.Pool
-	blocks *buffer.Pool
-	sends  []*sending
-	faults int
-	ticks  int
-	check  invariant.Dispatches
-	order  []int // descriptors, in the order in which they came
-	closed bool
-	pg     map[int]*peer
+// backendSystem is the system: dispatches to one member over the connections of package backend.
+type backendSystem struct {
+	bounds      Bounds
+	fault       string
+	network     *fakeNetwork
+	pool        *backend.Pool
+	buffers     *buffer.Pool
+	attempts    []*backendAttempt
+	faults      int
+	ticks       int
+	checker     invariant.Dispatches
+	descriptors []int // descriptors, in the order in which they came
+	closed      bool
+	ends        map[int]*backendEnd
 }
 
-// sending is one command's dispatch.
-type sending struct {
-	d     *backend.Attempt
-	text  buffer.Chain
-	state int // 0: not yet sent, 1: out, 2: ended
+// backendAttempt is one command's dispatch.
+type backendAttempt struct {
+	attempt   *backend.Attempt
+	statement buffer.Chain
+	state     int // 0: not yet sent, 1: out, 2: ended
 }
 
-// peer is the member's end of a connection: what it has made of what was written.
-type peer struct {
-	greeted bool
-	read    int // bytes of sent that were understood
-	asked   []string
-	half    []byte // of an answer, still to come
-	last    []byte
+// backendEnd is the member's end of a connection: what it has made of what was written.
+type backendEnd struct {
+	startupRead  bool
+	parsedBytes  int // bytes of sent that were understood
+	queries      []string
+	unsentAnswer []byte // of an answer, still to come
+	written      []byte
 }
 
-const memberStatement = "SELECT doc FROM items WHERE id = '%c' /* id=%d,c=look,d=900,cluster=2 */\x00"
+const backendStatement = "SELECT doc FROM items WHERE id = '%c' /* id=%d,c=look,d=900,cluster=2 */\x00"
 
-func newMember(b Bounds, fault string) *members {
-	s := &members{bounds: b, fault: fault, wire: newWire(), blocks: buffer.NewPool(512, 1<<16), pg: map[int]*peer{}}
+func newBackendSystem(b Bounds, fault string) *backendSystem {
+	s := &backendSystem{bounds: b, fault: fault, network: newFakeNetwork(), buffers: buffer.NewPool(512, 1<<16), ends: map[int]*backendEnd{}}
 	limits := &config.Limits{
 		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, BackendMessage: 1 << 16, InspectedMessage: 1 << 10, BufferBlock: 4 << 10,
@@ -93,38 +93,38 @@
 			ConnectTimeout: 1, HealthCheckTimeout: 1, BackendIdleTimeout: 3, ReuseDelay: 0, StatementWriteTimeout: 1,
 		},
 	}
-	s.wire.deafQuiet, s.wire.earlyByte = fault == "previous-reply", fault == "early-write"
-	s.wire.lateByte, s.wire.keepOpen = fault == "late-write", fault == "kept"
-	s.m = backend.New(s.wire, limits, s.blocks, memberSink{s}, &metrics.Counters{})
-	s.m.SetAddress(0, netip.MustParseAddrPort("127.0.0.1:5432"), false)
+	s.network.alwaysQuiet, s.network.dropsLastByte = fault == "previous-reply", fault == "early-write"
+	s.network.countsLastByteUnsent, s.network.keepsOpen = fault == "late-write", fault == "kept"
+	s.pool = backend.New(s.network, limits, s.buffers, backendResults{s}, &metrics.Counters{})
+	s.pool.SetAddress(0, netip.MustParseAddrPort("127.0.0.1:5432"), false)
 	for i := range b.Commands {
-		x := &sending{text: s.blocks.NewChain()}
-		text := fmt.Sprintf(memberStatement, 'a'+i, i+1)
-		x.text.Write([]byte(text))
+		x := &backendAttempt{statement: s.buffers.NewChain()}
+		text := fmt.Sprintf(backendStatement, 'a'+i, i+1)
+		x.statement.Write([]byte(text))
 		from := strings.Index(text, "d=900") + 2
-		x.d = &backend.Attempt{CommandID: uint32(i), Statement: &x.text, WaitStart: from, WaitEnd: from + 3}
-		s.sends = append(s.sends, x)
+		x.attempt = &backend.Attempt{CommandID: uint32(i), Statement: &x.statement, WaitStart: from, WaitEnd: from + 3}
+		s.attempts = append(s.attempts, x)
 	}
 	return s
 }
 
-// memberSink is told how dispatches end.
-type memberSink struct{ *members }
+// backendResults is told how dispatches end.
+type backendResults struct{ *backendSystem }
 
 // Wanted implements backend.ResultHandler.
-func (memberSink) Wanted(*backend.Attempt) bool { return true }
+func (backendResults) Wanted(*backend.Attempt) bool { return true }
 
 // AttemptEnded implements backend.ResultHandler.
-func (s memberSink) AttemptEnded(d *backend.Attempt, e router.Result, _ float64, a *pg.Answer) {
-	x := s.sends[d.CommandID]
+func (s backendResults) AttemptEnded(d *backend.Attempt, e router.Result, _ float64, a *pg.Answer) {
+	x := s.attempts[d.CommandID]
 	x.state = 2
 	never := e == router.ConnectFailed || e == router.NeverSent
 	if e != router.Overloaded { // which says itself that it never ran
-		s.check.Ended(int(d.CommandID), never, s.written(int(d.CommandID)))
+		s.checker.Ended(int(d.CommandID), never, s.statementWritten(int(d.CommandID)))
 	}
 	if s.fault == "twice" && e == router.Canceled {
-		s.check.Ended(int(d.CommandID), false, s.written(int(d.CommandID)))
-		s.check.Ended(int(d.CommandID), false, s.written(int(d.CommandID)))
+		s.checker.Ended(int(d.CommandID), false, s.statementWritten(int(d.CommandID)))
+		s.checker.Ended(int(d.CommandID), false, s.statementWritten(int(d.CommandID)))
 	}
 	if a == nil {
 		return
@@ -140,19 +140,19 @@
 		if i := bytes.Index(row, []byte("value ")); i >= 0 && i+7 <= len(row) {
 			value = string(row[i+6 : i+7])
 		}
-		s.check.Answered(int(d.CommandID), value, string(rune('a'+int(d.CommandID))))
+		s.checker.Answered(int(d.CommandID), value, string(rune('a'+int(d.CommandID))))
 	}
 	a.Row.Free()
 }
 
 // HealthChecked implements backend.ResultHandler.
-func (memberSink) HealthChecked(int, router.Result, float64, string) {}
+func (backendResults) HealthChecked(int, router.Result, float64, string) {}
 
-// written tells whether a command's statement was written whole on any connection, ever.
-func (s *members) written(id int) bool {
+// statementWritten tells whether a command's statement was statementWritten whole on any connection, ever.
+func (s *backendSystem) statementWritten(id int) bool {
 	mark := []byte(fmt.Sprintf("id=%d,", id+1))
 	whole := false
-	for _, x := range s.seen() {
+	for _, x := range s.writtenData() {
 		if i := bytes.Index(x, mark); i >= 0 && bytes.IndexByte(x[i:], 0) >= 0 {
 			whole = true
 		}
@@ -160,43 +160,43 @@
 	return whole
 }
 
-// seen is what was written on each connection, those that were closed included.
-func (s *members) seen() [][]byte {
+// writtenData is what was written on each connection, those that were closed included.
+func (s *backendSystem) writtenData() [][]byte {
 	var out [][]byte
-	for _, fd := range s.order {
-		out = append(out, s.pg[fd].last)
+	for _, fd := range s.descriptors {
+		out = append(out, s.ends[fd].written)
 	}
 	return out
 }
 
-// look has the member take in what was written.
-func (s *members) look() {
-	for _, fd := range s.wire.fds() {
-		k := s.wire.socks[fd]
-		p := s.pg[fd]
+// parseWritten has the member take in what was written.
+func (s *backendSystem) parseWritten() {
+	for _, fd := range s.network.descriptors() {
+		k := s.network.sockets[fd]
+		p := s.ends[fd]
 		if p == nil {
-			p = &peer{}
-			s.pg[fd] = p
-			s.order = append(s.order, fd)
+			p = &backendEnd{}
+			s.ends[fd] = p
+			s.descriptors = append(s.descriptors, fd)
 		}
-		p.last = append([]byte{}, k.sent...)
+		p.written = append([]byte{}, k.written...)
 		for {
-			rest := k.sent[p.read:]
-			if !p.greeted {
+			rest := k.written[p.parsedBytes:]
+			if !p.startupRead {
 				if len(rest) < 4 || len(rest) < int(binary.BigEndian.Uint32(rest)) {
 					break
 				}
-				p.read += int(binary.BigEndian.Uint32(rest))
-				p.greeted = true
-				p.asked = append(p.asked, "")
+				p.parsedBytes += int(binary.BigEndian.Uint32(rest))
+				p.startupRead = true
+				p.queries = append(p.queries, "")
 				continue
 			}
 			if len(rest) < 5 || len(rest) < 1+int(binary.BigEndian.Uint32(rest[1:])) {
 				break
 			}
 			n := 1 + int(binary.BigEndian.Uint32(rest[1:]))
-			p.asked = append(p.asked, string(rest[5:n-1]))
-			p.read += n
+			p.queries = append(p.queries, string(rest[5:n-1]))
+			p.parsedBytes += n
 		}
 	}
 }
@@ -214,63 +214,63 @@
 }
 
 // Steps implements modelcheck.System.
-func (s *members) Steps() []string {
+func (s *backendSystem) Steps() []string {
 	var out stepList
-	for i, x := range s.sends {
+	for i, x := range s.attempts {
 		out.addIf(x.state == 0, "send %d", i)
-		out.addIf(x.state == 1 && s.bounds.may("recall", s.faults), "recall %d", i)
+		out.addIf(x.state == 1 && s.bounds.mayInject("recall", s.faults), "recall %d", i)
 	}
-	for _, fd := range s.wire.fds() {
+	for _, fd := range s.network.descriptors() {
 		s.addConnectionSteps(&out, fd)
 	}
-	_, hasTimer := s.wire.next()
+	_, hasTimer := s.network.nextTimer()
 	out.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
-	out.addIf(s.done() && !s.closed, "close")
+	out.addIf(s.allEnded() && !s.closed, "close")
 	return out
 }
 
 // addConnectionSteps adds what may happen on a connection.
-func (s *members) addConnectionSteps(out *stepList, fd int) {
-	k, at := s.wire.socks[fd], s.at(fd)
-	may := func(kind string) bool { return s.bounds.may(kind, s.faults) }
+func (s *backendSystem) addConnectionSteps(out *stepList, fd int) {
+	k, at := s.network.sockets[fd], s.ordinal(fd)
+	may := func(kind string) bool { return s.bounds.mayInject(kind, s.faults) }
 	if k.handler == nil { // closed, but for a fault
 		return
 	}
-	if !k.up {
+	if !k.connected {
 		out.add("up %d", at)
 		out.addIf(may("refuse"), "refuse %d", at)
 		return
 	}
-	out.addIf(len(k.in) > 0 || k.ended, "see %d", at)
-	if k.wantWrite && k.room == 0 {
+	out.addIf(len(k.unread) > 0 || k.peerClosed, "see %d", at)
+	if k.wantWrite && k.writable == 0 {
 		out.add("room %d", at)
 		out.add("most %d", at)
 	}
-	if k.ended {
+	if k.peerClosed {
 		return
 	}
-	s.addAnswers(out, s.pg[fd], at)
+	s.addAnswerSteps(out, s.ends[fd], at)
 	out.addIf(may("end"), "end %d", at)
 }
 
-// addAnswers adds what the member may say.
-func (s *members) addAnswers(out *stepList, p *peer, at int) {
+// addAnswerSteps adds what the member may say.
+func (s *backendSystem) addAnswerSteps(out *stepList, p *backendEnd, at int) {
 	switch {
-	case len(p.half) > 0:
+	case len(p.unsentAnswer) > 0:
 		out.add("rest %d", at)
-	case len(p.asked) > 0:
+	case len(p.queries) > 0:
 		out.add("answer %d", at)
 		for _, kind := range []string{"half", "full", "spoil", "double"} {
-			out.addIf(s.bounds.may(kind, s.faults), "%s %d", kind, at)
+			out.addIf(s.bounds.mayInject(kind, s.faults), "%s %d", kind, at)
 		}
 	default: // the protocol cannot tell a copy that comes later
-		out.addIf(p.greeted && s.bounds.may("echo", s.faults) && s.idle(), "echo %d", at)
+		out.addIf(p.startupRead && s.bounds.mayInject("echo", s.faults) && s.noneInFlight(), "echo %d", at)
 	}
 }
 
-// idle tells whether no dispatch is out.
-func (s *members) idle() bool {
-	for _, x := range s.sends {
+// noneInFlight tells whether no dispatch is out.
+func (s *backendSystem) noneInFlight() bool {
+	for _, x := range s.attempts {
 		if x.state == 1 {
 			return false
 		}
@@ -278,8 +278,8 @@
 	return true
 }
 
-func (s *members) done() bool {
-	for _, x := range s.sends {
+func (s *backendSystem) allEnded() bool {
+	for _, x := range s.attempts {
 		if x.state != 2 {
 			return false
 		}
@@ -287,10 +287,10 @@
 	return true
 }
 
-// at is a connection's place in the order in which they came: names of steps must not depend on numbers of
+// ordinal is a connection's place in the order in which they came: names of steps must not depend on numbers of
 // descriptors that were used before.
-func (s *members) at(fd int) int {
-	for i, x := range s.order {
+func (s *backendSystem) ordinal(fd int) int {
+	for i, x := range s.descriptors {
 		if x == fd {
 			return i
 		}
@@ -299,39 +299,39 @@
 }
 
 // Take implements modelcheck.System.
-func (s *members) Take(step string) {
+func (s *backendSystem) Take(step string) {
 	kind, n, _ := parseStep(step)
 	fd := 0
-	if n < len(s.order) {
-		fd = s.order[n]
+	if n < len(s.descriptors) {
+		fd = s.descriptors[n]
 	}
 	switch kind {
 	case "send":
-		x := s.sends[n]
-		x.state, x.d.Deadline = 1, s.wire.now+0.9
-		s.m.Send(x.d)
+		x := s.attempts[n]
+		x.state, x.attempt.Deadline = 1, s.network.now+0.9
+		s.pool.Send(x.attempt)
 	case "recall":
 		s.faults++
-		s.m.Cancel(s.sends[n].d)
+		s.pool.Cancel(s.attempts[n].attempt)
 	case "tick":
 		s.ticks++
-		s.wire.fire(s.order)
+		s.network.fireNextTimers(s.descriptors)
 	case "close":
 		s.close()
 	case "up", "refuse", "see", "room", "most":
-		s.onConnection(kind, fd)
+		s.takeNetworkStep(kind, fd)
 	default:
-		s.member(kind, fd, s.wire.socks[fd])
+		s.takeBackendStep(kind, fd, s.network.sockets[fd])
 	}
-	s.look()
+	s.parseWritten()
 }
 
-// onConnection is what the network does to a connection.
-func (s *members) onConnection(kind string, fd int) {
-	k := s.wire.socks[fd]
+// takeNetworkStep is what the network does to a connection.
+func (s *backendSystem) takeNetworkStep(kind string, fd int) {
+	k := s.network.sockets[fd]
 	switch kind {
 	case "up":
-		k.up, k.room = true, 60 // more than a start-up packet, less than a statement
+		k.connected, k.writable = true, 60 // more than a start-up packet, less than a statement
 		k.handler.Ready(false, true)
 	case "refuse":
 		s.faults++
@@ -340,109 +340,109 @@
 	case "see":
 		k.handler.Ready(true, false)
 	case "room":
-		k.room = 1 << 16
+		k.writable = 1 << 16
 		k.handler.Ready(false, true)
 	case "most":
-		s.takeMost(fd, k)
+		s.writeAllButOneByte(fd, k)
 	}
 }
 
-// takeMost takes all that a connection has to write but one byte.
-func (s *members) takeMost(fd int, k *sock) {
-	k.room = 1 << 16
-	if left := s.unwritten(fd); left > 1 {
-		k.room = left - 1
+// writeAllButOneByte takes all that a connection has to write but one byte.
+func (s *backendSystem) writeAllButOneByte(fd int, k *fakeSocket) {
+	k.writable = 1 << 16
+	if left := s.unwrittenBytes(fd); left > 1 {
+		k.writable = left - 1
 	}
 	k.handler.Ready(false, true)
-	if after := s.wire.socks[fd]; after != nil {
-		after.room = 0
+	if after := s.network.sockets[fd]; after != nil {
+		after.writable = 0
 	}
 }
 
-func (s *members) close() {
+func (s *backendSystem) close() {
 	s.closed = true
-	s.m.CloseIdle()
-	for _, x := range s.sends {
-		x.text.Free()
+	s.pool.CloseIdle()
+	for _, x := range s.attempts {
+		x.statement.Free()
 	}
-	s.check.Left(len(s.wire.socks), len(s.wire.timers), s.blocks.BlocksInUse())
+	s.checker.Left(len(s.network.sockets), len(s.network.timers), s.buffers.BlocksInUse())
 }
 
-// unwritten is how much of a statement a connection has still to write; a statement's length is known.
-func (s *members) unwritten(fd int) int {
-	k := s.wire.socks[fd]
-	return 5 + len(fmt.Sprintf(memberStatement, 'a', 1)) - len(k.sent[s.pg[fd].read:])
+// unwrittenBytes is how much of a statement a connection has still to write; a statement's length is known.
+func (s *backendSystem) unwrittenBytes(fd int) int {
+	k := s.network.sockets[fd]
+	return 5 + len(fmt.Sprintf(backendStatement, 'a', 1)) - len(k.written[s.ends[fd].parsedBytes:])
 }
 
-// member is what the member itself does.
-func (s *members) member(what string, fd int, k *sock) {
-	p := s.pg[fd]
+// takeBackendStep is what the takeBackendStep itself does.
+func (s *backendSystem) takeBackendStep(what string, fd int, k *fakeSocket) {
+	p := s.ends[fd]
 	if what != "answer" && what != "rest" {
 		s.faults++
 	}
 	question := ""
-	if len(p.asked) > 0 {
-		question = p.asked[0]
+	if len(p.queries) > 0 {
+		question = p.queries[0]
 	}
 	switch what {
 	case "rest":
-		k.in = append(k.in, p.half...)
-		p.half = nil
+		k.unread = append(k.unread, p.unsentAnswer...)
+		p.unsentAnswer = nil
 		return
 	case "echo":
-		k.in = append(k.in, answerTo(fmt.Sprintf(memberStatement, 'z', 9))...)
+		k.unread = append(k.unread, answerTo(fmt.Sprintf(backendStatement, 'z', 9))...)
 		return
 	case "end":
-		k.ended = true
+		k.peerClosed = true
 		return
 	}
 	a := answerTo(question)
-	p.asked = p.asked[1:]
+	p.queries = p.queries[1:]
 	switch what {
 	case "answer":
-		k.in = append(k.in, a...)
+		k.unread = append(k.unread, a...)
 	case "double":
-		k.in = append(append(k.in, a...), a...)
+		k.unread = append(append(k.unread, a...), a...)
 	case "half":
-		k.in = append(k.in, a[:len(a)/2]...)
-		p.half = a[len(a)/2:]
+		k.unread = append(k.unread, a[:len(a)/2]...)
+		p.unsentAnswer = a[len(a)/2:]
 	case "full":
-		k.in = append(k.in, pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, pg.CodeTooManyConnections, "no room", ""))...)
+		k.unread = append(k.unread, pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, pg.CodeTooManyConnections, "no room", ""))...)
 	case "spoil":
-		k.in = append(k.in, "D\xff\xff\xff\xff"...)
+		k.unread = append(k.unread, "D\xff\xff\xff\xff"...)
 	}
 }
 
-// memberRules leave out what is the same in all states or stands for the same thing elsewhere.
-var memberRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
-	"buffer.Chain":    {"pool"},
-	"backend.Attempt": {"conn"},
-	"backend.Pool":    {"blocks", "counters", "limits", "loop", "results"},
-	"backend.conn":    {"pool", "timer"},
-	"models.members":  {"blocks", "bounds", "fault"},
-	"models.sock":     {"handler"},
-	"models.wire":     {"timers"},
+// backendRules leave out what is the same in all states or stands for the same thing elsewhere.
+var backendRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
+	"buffer.Chain":         {"pool"},
+	"backend.Attempt":      {"conn"},
+	"backend.Pool":         {"blocks", "counters", "limits", "loop", "results"},
+	"backend.conn":         {"pool", "timer"},
+	"models.backendSystem": {"bounds", "buffers", "fault"},
+	"models.fakeSocket":    {"handler"},
+	"models.fakeNetwork":   {"timers"},
 }}
 
 // Fingerprint implements modelcheck.System. A connection stands for its handler; timers for their times.
-func (s *members) Fingerprint(h *modelcheck.Hash) {
-	h.Rules = memberRules
+func (s *backendSystem) Fingerprint(h *modelcheck.Hash) {
+	h.Rules = backendRules
 	h.Value(s)
-	for _, fd := range s.order {
-		if k := s.wire.socks[fd]; k != nil {
+	for _, fd := range s.descriptors {
+		if k := s.network.sockets[fd]; k != nil {
 			h.Value(k.handler)
-			at, set := s.wire.timers[s.wire.timer(fd)]
+			at, set := s.network.timers[s.network.connectionTimer(fd)]
 			h.Value(set)
 			h.Float(at)
 		}
 	}
-	for _, x := range s.sends {
+	for _, x := range s.attempts {
 		h.Uint(uint64(x.state))
 	}
 }
 
 // Broken implements modelcheck.System.
-func (s *members) Broken() (string, string) { return s.check.Broken() }
+func (s *backendSystem) Broken() (string, string) { return s.checker.Broken() }
 
 // Ended implements modelcheck.System.
-func (s *members) Ended() bool { return s.closed }
+func (s *backendSystem) Ended() bool { return s.closed }
--- a/internal/modelcheck/models/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -28,13 +28,13 @@
 		"two-begin":    {"the plan does not look whether another instance is in a step", Bounds{Agents: 2, Tools: 1, Ticks: 2}},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
-		return func() modelcheck.System { return newRollout(b, fault) }
+		return func() modelcheck.System { return newRolloutSystem(b, fault) }
 	},
 }
 
 const (
-	rollTick = 1.0 // seconds of a step of time
-	rollTerm = 2.5 // that a claim runs: it runs out after three steps without a sign
+	rolloutTickSeconds  = 1.0 // seconds of a step of time
+	rolloutLeaseSeconds = 2.5 // that a claim runs: it runs out after three steps without a sign
 )
 
 // rolloutSystem is the system. What tools look at comes at once; what changes anything is delivered, lost, answered
@@ -48,43 +48,43 @@
 	now          float64
 	ticks        int
 	faults       int
-	agents       []*rollAgent
-	tools        []*rollTool
-	delayedCalls []rollCall // calls that are still on their way after their tool has given them up
-	check        *invariant.Fleet
+	agents       []*rolloutAgent
+	tools        []*rolloutTool
+	delayedCalls []rolloutCall // calls that are still on their way after their tool has given them up
+	checker      *invariant.Fleet
 }
 
-type rollAgent struct {
+type rolloutAgent struct {
 	handler        supervisor.RequestHandler
 	lease          lease.PersistentState
 	record         supervisor.Record
 	alive          bool
 	pendingActions []supervisor.Action // acts that are still to be carried out
-	runs           bool
-	serves         bool // it has answered since it started, whichever life of the agent asked
+	routerRuns     bool
+	routerServes   bool // it has answered since it started, whichever life of the agent asked
 	incarnation    uint64
-	open           bool
-	lives          int
+	stepOpen       bool
+	starts         int
 }
 
-type rollTool struct {
+type rolloutTool struct {
 	coordinator *coordinator.Coordinator
 	holder      string
-	calls       []rollCall
+	calls       []rolloutCall
 	ended       bool
 	// outcome of its last run
 	outcome coordinator.Outcome
 }
 
-type rollCall struct {
-	Tool  int
-	ID    uint64
-	Agent int
-	Call  protocol.Request
+type rolloutCall struct {
+	Tool    int
+	ID      uint64
+	Agent   int
+	Request protocol.Request
 }
 
-func newRollout(b Bounds, fault string) *rolloutSystem {
-	r := &rolloutSystem{bounds: b, fault: fault, check: invariant.NewFleet(b.Agents - 1), limits: supervisor.Limits{
+func newRolloutSystem(b Bounds, fault string) *rolloutSystem {
+	r := &rolloutSystem{bounds: b, fault: fault, checker: invariant.NewFleet(b.Agents - 1), limits: supervisor.Limits{
 		ReadyTimeoutSeconds: 100, TerminationGraceSeconds: 0.5,
 		HealthCheckSeconds: 1e9, CounterReadSeconds: 1e9, RecentSeconds: 1, MinBackoffSeconds: 0.5, MaxBackoffSeconds: 1, StableSeconds: 1e9, MaxCrashes: 9, MaxMissedHealthChecks: 9, KillRetrySeconds: 100,
 	}}
@@ -95,23 +95,23 @@
 	for i := range b.Agents {
 		r.fleet.Instances = append(r.fleet.Instances, rollout.Instance{Agent: i})
 		r.names = append(r.names, fmt.Sprint("n", i))
-		a := &rollAgent{runs: true, serves: true, incarnation: 1, record: supervisor.Record{ShouldRun: true, Revision: "old", Incarnation: 1}}
+		a := &rolloutAgent{routerRuns: true, routerServes: true, incarnation: 1, record: supervisor.Record{ShouldRun: true, Revision: "old", Incarnation: 1}}
 		r.agents = append(r.agents, a)
-		r.birth(i)
+		r.startAgent(i)
 		for len(a.pendingActions) > 0 {
-			r.act(i)
+			r.runNextAction(i)
 		}
 	}
 	for t := range b.Tools {
-		r.tools = append(r.tools, &rollTool{})
-		r.start(t)
+		r.tools = append(r.tools, &rolloutTool{})
+		r.startTool(t)
 	}
-	r.turn()
+	r.runTools()
 	return r
 }
 
-// start has a tool begin: the first a rollout, others another or the one there is.
-func (r *rolloutSystem) start(t int) {
+// startTool has a tool begin: the first a rollout, others another or the one there is.
+func (r *rolloutSystem) startTool(t int) {
 	x := r.tools[t]
 	x.holder = fmt.Sprint("t", t)
 	task := coordinator.Task{Operation: coordinator.OperationBegin, Takeover: t > 0, Rollout: protocol.Rollout{
@@ -122,26 +122,26 @@
 	}
 	x.coordinator = coordinator.New(coordinator.Config{
 		Fleet: r.fleet, InstanceNames: r.names, Agents: len(r.agents), Holder: x.holder,
-		Timing: coordinator.Timing{PollSeconds: rollTick, MajorityTimeoutSeconds: 50}, Task: task,
+		Timing: coordinator.Timing{PollSeconds: rolloutTickSeconds, MajorityTimeoutSeconds: 50}, Task: task,
 		Random: func() float64 { return 0.5 },
 	})
 	x.calls, x.ended = nil, false
 }
 
-// turn lets every tool go on as far as it can without anything being delivered that changes an agent.
-func (r *rolloutSystem) turn() {
+// runTools lets every tool go on as far as it can without anything being delivered that changes an agent.
+func (r *rolloutSystem) runTools() {
 	for t, x := range r.tools {
 		for again := true; again && x.coordinator != nil; {
 			again = false
 			sends, _ := x.coordinator.Tick(r.now)
 			x.coordinator.TakeEvents()
 			for _, s := range sends {
-				c := rollCall{Tool: t, ID: s.ID, Agent: s.Agent, Call: s.Request}
+				c := rolloutCall{Tool: t, ID: s.ID, Agent: s.Agent, Request: s.Request}
 				if s.Request.Verb != protocol.StatusVerb {
 					x.calls = append(x.calls, c)
 					continue
 				}
-				r.deliver(c, true)
+				r.deliverCall(c, true)
 				again = true
 			}
 			if o, over := x.coordinator.Outcome(); over {
@@ -152,8 +152,8 @@
 	}
 }
 
-// deliver has a call arrive; its answer too, if heard.
-func (r *rolloutSystem) deliver(c rollCall, heard bool) {
+// deliverCall has a call arrive; its answer too, if heard.
+func (r *rolloutSystem) deliverCall(c rolloutCall, heard bool) {
 	a, d := r.agents[c.Agent], r.tools[c.Tool].coordinator
 	if !a.alive {
 		if d != nil { // no call is out for good
@@ -161,7 +161,7 @@
 		}
 		return
 	}
-	reply := r.answer(c)
+	reply := r.handleCall(c)
 	if heard && d != nil {
 		d.HandleReply(r.now, c.ID, reply)
 	} else if d != nil {
@@ -169,32 +169,32 @@
 	}
 }
 
-func (r *rolloutSystem) answer(c rollCall) protocol.Reply {
+func (r *rolloutSystem) handleCall(c rolloutCall) protocol.Reply {
 	a := r.agents[c.Agent]
-	if r.fault == "unkept" && c.Call.Verb == protocol.StoreRecordVerb {
+	if r.fault == "unkept" && c.Request.Verb == protocol.StoreRecordVerb {
 		return protocol.Reply{LeaseState: a.handler.Lease.State(r.now)}
 	}
-	if r.fault == "epoch-twice" && c.Call.Verb == protocol.RequestLeaseVerb && c.Call.LeaseRequest.Epoch == a.handler.Lease.Epoch {
+	if r.fault == "epoch-twice" && c.Request.Verb == protocol.RequestLeaseVerb && c.Request.LeaseRequest.Epoch == a.handler.Lease.Epoch {
 		a.handler.Lease.Epoch--
 		a.handler.Lease.Held = false
 	}
-	if c.Call.Verb == protocol.BeginStepVerb {
-		c.Call.Step.OnlyIfNotServing = c.Call.Step.OnlyIfNotServing && r.fault != "rash"
-		r.check.Sent(stepName(c.Call.Step), r.isKept(c.Call.Epoch))
+	if c.Request.Verb == protocol.BeginStepVerb {
+		c.Request.Step.OnlyIfNotServing = c.Request.Step.OnlyIfNotServing && r.fault != "rash"
+		r.checker.Sent(stepName(c.Request.Step), r.isRecordedByMajority(c.Request.Epoch))
 	}
-	reply, saves := a.handler.Handle(r.now, c.Call)
+	reply, saves := a.handler.Handle(r.now, c.Request)
 	if r.fault == "two-begin" {
 		hidePendingSteps(&reply)
 	}
-	isChange := c.Call.Verb == protocol.BeginStepVerb || c.Call.Verb == protocol.StoreRecordVerb
+	isChange := c.Request.Verb == protocol.BeginStepVerb || c.Request.Verb == protocol.StoreRecordVerb
 	if reply.Denial == lease.Granted && isChange {
-		r.check.Acted(c.Call.Epoch, c.Call.Holder)
+		r.checker.Acted(c.Request.Epoch, c.Request.Holder)
 	}
 	if saves.Lease {
 		a.lease = a.handler.Lease.PersistentState
 	}
 	if saves.ChangedInstance >= 0 {
-		r.stored(c.Agent)
+		r.storeRecord(c.Agent)
 	}
 	a.pendingActions = append(a.pendingActions, saves.Actions...)
 	return reply
@@ -203,8 +203,8 @@
 // stepName is a step's name in the checker.
 func stepName(s rollout.Step) string { return fmt.Sprint(s.RolloutID, "/", s.Number) }
 
-// isKept tells whether a majority of agents keeps a record of an epoch or a later one.
-func (r *rolloutSystem) isKept(epoch uint64) bool {
+// isRecordedByMajority tells whether a majority of agents keeps a record of an epoch or a later one.
+func (r *rolloutSystem) isRecordedByMajority(epoch uint64) bool {
 	kept := 0
 	for _, a := range r.agents {
 		if a.lease.Record.Version.Epoch >= epoch {
@@ -224,37 +224,37 @@
 	}
 }
 
-// stored keeps an instance's record, and sees steps begin and end.
-func (r *rolloutSystem) stored(i int) {
+// storeRecord keeps an instance's record, and sees steps begin and end.
+func (r *rolloutSystem) storeRecord(i int) {
 	a := r.agents[i]
 	a.record = a.handler.Supervisors[0].Record
 	open := a.record.Step.Number != 0 && a.record.Result == rollout.StepPending
 	switch {
-	case open && !a.open:
-		r.check.Begun(i, fmt.Sprint(a.record.Step.RolloutID, "/", a.record.Step.Number))
-	case !open && a.open:
-		r.check.Ended(i)
+	case open && !a.stepOpen:
+		r.checker.Begun(i, fmt.Sprint(a.record.Step.RolloutID, "/", a.record.Step.Number))
+	case !open && a.stepOpen:
+		r.checker.Ended(i)
 	}
-	a.open = open
+	a.stepOpen = open
 }
 
-func (r *rolloutSystem) birth(i int) {
+func (r *rolloutSystem) startAgent(i int) {
 	a := r.agents[i]
 	a.alive, a.pendingActions = true, nil
-	a.lives++
+	a.starts++
 	if r.fault == "forgetful" {
 		a.lease = lease.PersistentState{}
 	}
 	x, out := supervisor.NewSupervisor(a.record, &r.limits)
 	a.handler = supervisor.RequestHandler{
-		Agent: fmt.Sprint("a", i), InstanceNames: []string{r.names[i]}, Lease: lease.Restore(a.lease, rollTerm, r.now),
+		Agent: fmt.Sprint("a", i), InstanceNames: []string{r.names[i]}, Lease: lease.Restore(a.lease, rolloutLeaseSeconds, r.now),
 		Supervisors: []supervisor.Supervisor{x},
 	}
 	a.pendingActions = append(a.pendingActions, out.Actions...)
 }
 
-// act carries out an agent's next act, and hands its outcome in.
-func (r *rolloutSystem) act(i int) {
+// runNextAction carries out an agent's next runNextAction, and hands its outcome in.
+func (r *rolloutSystem) runNextAction(i int) {
 	a := r.agents[i]
 	x := &a.handler.Supervisors[0]
 	e := a.pendingActions[0]
@@ -262,7 +262,7 @@
 	var out supervisor.Transition
 	switch e.Kind {
 	case supervisor.ActionFindProcess:
-		out = x.ProcessFound(r.now, a.runs && a.incarnation == e.Incarnation && (r.fault != "twin" || a.lives == 1))
+		out = x.ProcessFound(r.now, a.routerRuns && a.incarnation == e.Incarnation && (r.fault != "twin" || a.starts == 1))
 	case supervisor.ActionPrepareRevision:
 		out = x.RevisionPrepared(r.now, supervisor.Preparation{DrainSeconds: 100}, nil)
 	case supervisor.ActionInstallRevision:
@@ -270,14 +270,14 @@
 	case supervisor.ActionStart:
 		out = r.startRouter(i, e.Incarnation)
 	case supervisor.ActionHealthCheck:
-		a.serves = a.runs
-		out = x.HealthChecked(r.now, a.runs)
+		a.routerServes = a.routerRuns
+		out = x.HealthChecked(r.now, a.routerRuns)
 	case supervisor.ActionTerminate:
 		out = r.terminateRouter(i)
 	case supervisor.ActionReadCounters, supervisor.ActionKill, supervisor.ActionReload: // nothing comes of them here
 	}
 	if out.Store {
-		r.stored(i)
+		r.storeRecord(i)
 	}
 	a.pendingActions = append(a.pendingActions, out.Actions...)
 }
@@ -285,11 +285,11 @@
 func (r *rolloutSystem) startRouter(i int, incarnation uint64) supervisor.Transition {
 	a := r.agents[i]
 	running := 0
-	if a.runs {
+	if a.routerRuns {
 		running = 1
 	}
-	r.check.Started(i, running)
-	a.runs, a.serves, a.incarnation = true, false, incarnation
+	r.checker.Started(i, running)
+	a.routerRuns, a.routerServes, a.incarnation = true, false, incarnation
 	if r.fault == "untold-start" {
 		return supervisor.Transition{}
 	}
@@ -300,26 +300,26 @@
 	a := r.agents[i]
 	others := 0
 	for j, other := range r.agents {
-		if j != i && other.serves {
+		if j != i && other.routerServes {
 			others++
 		}
 	}
-	if a.serves {
-		r.check.Taken(i, others)
+	if a.routerServes {
+		r.checker.Taken(i, others)
 	}
-	a.runs, a.serves = false, false
+	a.routerRuns, a.routerServes = false, false
 	return a.handler.Supervisors[0].ProcessExited(r.now, "ended")
 }
 
 // Steps implements modelcheck.System.
 func (r *rolloutSystem) Steps() []string {
-	may := func(kind string) bool { return r.bounds.may(kind, r.faults) }
+	may := func(kind string) bool { return r.bounds.mayInject(kind, r.faults) }
 	var s stepList
 	for i, a := range r.agents {
 		s.addIf(a.alive && len(a.pendingActions) > 0, "act %d", i)
 		s.addIf(a.alive && may("die"), "die agent %d", i)
 		s.addIf(!a.alive, "back agent %d", i)
-		s.addIf(a.alive && a.runs && may("crash") && r.calm(), "crash %d", i)
+		s.addIf(a.alive && a.routerRuns && may("crash") && r.noStepPending(), "crash %d", i)
 	}
 	for t, x := range r.tools {
 		if x.coordinator != nil {
@@ -334,8 +334,8 @@
 }
 
 // addToolSteps adds what may become of a tool and its calls.
-func (r *rolloutSystem) addToolSteps(s *stepList, t int, x *rollTool) {
-	may := func(kind string) bool { return r.bounds.may(kind, r.faults) }
+func (r *rolloutSystem) addToolSteps(s *stepList, t int, x *rolloutTool) {
+	may := func(kind string) bool { return r.bounds.mayInject(kind, r.faults) }
 	s.addIf(may("die"), "die tool %d", t)
 	for k := range x.calls {
 		s.add("deliver %d %d", t, k)
@@ -356,17 +356,17 @@
 	return modelcheck.Kind(b) == "act" || strings.HasPrefix(b, "die agent")
 }
 
-// calm tells whether no step is open or on its way: a router that ends by itself between the plan's last look
+// noStepPending tells whether no step is open or on its way: a router that ends by itself between the plan's last look
 // and the step may take a hall under its floor, and nobody can help that.
-func (r *rolloutSystem) calm() bool {
+func (r *rolloutSystem) noStepPending() bool {
 	for _, a := range r.agents {
-		if a.open || len(a.pendingActions) > 0 {
+		if a.stepOpen || len(a.pendingActions) > 0 {
 			return false
 		}
 	}
 	for _, t := range r.tools {
 		for _, c := range t.calls {
-			if c.Call.Verb == protocol.BeginStepVerb {
+			if c.Request.Verb == protocol.BeginStepVerb {
 				return false
 			}
 		}
@@ -374,15 +374,15 @@
 	return len(r.delayedCalls) == 0 && r.ticks < r.bounds.Ticks
 }
 
-// tick lets a step of time pass.
-func (r *rolloutSystem) tick() {
+// passTick lets a step of time pass.
+func (r *rolloutSystem) passTick() {
 	r.ticks++
-	r.now += rollTick
+	r.now += rolloutTickSeconds
 	for i, a := range r.agents {
 		if x := &a.handler.Supervisors[0]; a.alive && r.now >= x.NextTick() {
 			out := x.Tick(r.now)
 			if out.Store {
-				r.stored(i)
+				r.storeRecord(i)
 			}
 			a.pendingActions = append(a.pendingActions, out.Actions...)
 		}
@@ -394,30 +394,30 @@
 	kind, n, k := parseStep(step)
 	switch kind {
 	case "act":
-		r.act(n)
+		r.runNextAction(n)
 	case "die", "back": // of an agent or a tool, which the second word says
 		_, _ = fmt.Sscanf(step[strings.LastIndexByte(step, ' ')+1:], "%d", &n)
-		r.dieOrComeBack(step, n)
+		r.killOrRestart(step, n)
 	case "tick":
-		r.tick()
+		r.passTick()
 	case "crash":
-		r.crash(n)
+		r.crashRouter(n)
 	case "arrive":
 		c := r.delayedCalls[n]
 		r.delayedCalls = slices.Delete(slices.Clone(r.delayedCalls), n, n+1)
 		if r.agents[c.Agent].alive {
-			r.answer(c)
+			r.handleCall(c)
 		}
 	default:
 		r.endCall(kind, n, k)
 	}
-	r.turn()
+	r.runTools()
 }
 
-func (r *rolloutSystem) dieOrComeBack(step string, n int) {
+func (r *rolloutSystem) killOrRestart(step string, n int) {
 	switch {
 	case strings.HasPrefix(step, "back"):
-		r.birth(n)
+		r.startAgent(n)
 	case strings.HasPrefix(step, "die tool"):
 		r.faults++
 		r.tools[n].coordinator, r.tools[n].calls = nil, nil
@@ -427,16 +427,16 @@
 	}
 }
 
-// crash has a router end by itself, and its agent see it before anything else happens.
-func (r *rolloutSystem) crash(n int) {
+// crashRouter has a router end by itself, and its agent see it before anything else happens.
+func (r *rolloutSystem) crashRouter(n int) {
 	r.faults++
 	a := r.agents[n]
-	a.runs, a.serves = false, false
+	a.routerRuns, a.routerServes = false, false
 	if out := a.handler.Supervisors[0].ProcessExited(r.now, "by itself"); out.Store {
-		r.stored(n)
+		r.storeRecord(n)
 	}
 	r.ticks++
-	r.now += rollTick
+	r.now += rolloutTickSeconds
 }
 
 // endCall is what becomes of a tool's call.
@@ -446,10 +446,10 @@
 	x.calls = slices.Delete(slices.Clone(x.calls), k, k+1)
 	switch kind {
 	case "deliver":
-		r.deliver(c, true)
+		r.deliverCall(c, true)
 	case "deafen":
 		r.faults++
-		r.deliver(c, false)
+		r.deliverCall(c, false)
 	default: // lost, or late
 		r.faults++
 		x.coordinator.HandleFailure(r.now, c.ID, "lost")
@@ -470,7 +470,7 @@
 		"coordinator.Config":      {"Fleet", "Random", "Timing"},
 		"coordinator.Coordinator": {"events", "lastCallID", "pendingCalls", "statuses"},
 		"coordinator.agent":       {"leaseState", "pendingCommand", "pendingQuery"},
-		"models.rollCall":         {"ID"},
+		"models.rolloutCall":      {"ID"},
 		"supervisor.Supervisor":   {"limits", "nextCounterRead", "nextHealthCheck", "readings", "readySince"},
 	},
 	Times: modelcheck.Fields{
@@ -503,11 +503,11 @@
 		}
 	}
 	h.Value(r.delayedCalls)
-	h.Value(r.check)
+	h.Value(r.checker)
 }
 
 // Broken implements modelcheck.System.
-func (r *rolloutSystem) Broken() (string, string) { return r.check.Broken() }
+func (r *rolloutSystem) Broken() (string, string) { return r.checker.Broken() }
 
 // Ended implements modelcheck.System: a tool has seen the rollout to its end.
 func (r *rolloutSystem) Ended() bool {
--- a/internal/modelcheck/models/settle.go
+++ b/internal/modelcheck/models/settle.go
@@ -14,18 +14,18 @@
 // How long a system that is left alone may take: steps, and steps of time for what goes by times. They are many
 // times what it needs, so that only what never comes is told.
 const (
-	calmSteps = 400
-	calmTicks = 12
-	calmTries = 20 // of clients that come back
-	calmRuns  = 6  // that operators take a paused rollout up again
+	settleMaxSteps     = 400
+	settleTicks        = 12
+	settleCommandTries = 20 // of clients that come back
+	settleRolloutTries = 6  // that operators take a paused rollout up again
 )
 
-// endless bounds are those of a world in which nobody is against it, and time goes on.
-func endless(b *Bounds, faults int) { b.Faults, b.Ticks = faults, math.MaxInt }
+// removeBounds bounds are those of a world in which nobody is against it, and time goes on.
+func removeBounds(b *Bounds, faults int) { b.Faults, b.Ticks = faults, math.MaxInt }
 
-// calm has everything happen that can, in order, and lets time pass when nothing else can. It tells whether the end came.
-func calm(s modelcheck.System, done func() bool) bool {
-	for range calmSteps {
+// runUndisturbed has everything happen that can, in order, and lets time pass when nothing else can. It tells whether the end came.
+func runUndisturbed(s modelcheck.System, done func() bool) bool {
+	for range settleMaxSteps {
 		steps := s.Steps() // time comes last
 		if done() || len(steps) == 0 {
 			break
@@ -36,13 +36,13 @@
 }
 
 // Settle implements modelcheck.Settler: every dispatch ends, and the connections can be closed.
-func (s *members) Settle() (property, how string) {
-	endless(&s.bounds, s.faults)
-	if !calm(s, s.Ended) {
+func (s *backendSystem) Settle() (property, how string) {
+	removeBounds(&s.bounds, s.faults)
+	if !runUndisturbed(s, s.Ended) {
 		var open []int
-		for _, x := range s.sends {
+		for _, x := range s.attempts {
 			if x.state != 2 {
-				open = append(open, int(x.d.CommandID))
+				open = append(open, int(x.attempt.CommandID))
 			}
 		}
 		return invariant.ComesToEnd, fmt.Sprintf("dispatches %v do not end", open)
@@ -51,48 +51,48 @@
 }
 
 // Settle implements modelcheck.Settler: the list is told, and told again when it changes.
-func (s *watching) Settle() (property, how string) {
-	endless(&s.bounds, s.faults)
-	s.lists = 0
-	if !calm(s, func() bool { return s.lists >= 2 }) {
-		return invariant.ComesToEnd, fmt.Sprintf("of the list %d versions are told, and then none", s.lists)
+func (s *watchSystem) Settle() (property, how string) {
+	removeBounds(&s.bounds, s.faults)
+	s.listsReceived = 0
+	if !runUndisturbed(s, func() bool { return s.listsReceived >= 2 }) {
+		return invariant.ComesToEnd, fmt.Sprintf("of the list %d versions are told, and then none", s.listsReceived)
 	}
 	return s.Broken()
 }
 
 // Settle implements modelcheck.Settler: clients say what they have to and are answered; then the front drains.
-func (s *clients) Settle() (property, how string) {
-	endless(&s.bounds, s.faults)
-	calm(s, func() bool { return false })
+func (s *clientSystem) Settle() (property, how string) {
+	removeBounds(&s.bounds, s.faults)
+	runUndisturbed(s, func() bool { return false })
 	if !s.drained {
 		s.Take("drain")
 	}
-	if !calm(s, s.Ended) {
-		return invariant.ComesToEnd, fmt.Sprintf("the front has %d connections and does not end", s.front.OpenConnections())
+	if !runUndisturbed(s, s.Ended) {
+		return invariant.ComesToEnd, fmt.Sprintf("the front has %d connections and does not end", s.frontend.OpenConnections())
 	}
 	return s.Broken()
 }
 
 // Settle implements modelcheck.Settler: a cold member gets commands from every router.
-func (c *cold) Settle() (property, how string) {
-	c.served = make([]int, len(c.routers))
-	for range calmTicks {
+func (c *slowStartSystem) Settle() (property, how string) {
+	c.settleAttempts = make([]int, len(c.routers))
+	for range settleTicks {
 		c.Take("tick")
 		for i := range c.routers {
 			c.Take(fmt.Sprint("burst ", i))
 		}
 	}
-	if i := slices.Index(c.served, 0); i >= 0 {
-		return invariant.ServesAgain, fmt.Sprintf("router %d sends the cold member nothing in %g s", i, calmTicks*coldTick)
+	if i := slices.Index(c.settleAttempts, 0); i >= 0 {
+		return invariant.ServesAgain, fmt.Sprintf("router %d sends the cold member nothing in %g s", i, settleTicks*slowStartTickSeconds)
 	}
 	return "", "" // whether it gets too much is for the steps, which can be read
 }
 
 // Settle implements modelcheck.Settler: commands in hand end and leave nothing in it, and commands that come after that are
 // served, if there is a member to serve them.
-func (c *commands) Settle() (property, how string) {
-	for range calmTicks / 2 { // a client timeout, and half of one
-		c.quiet()
+func (c *commandSystem) Settle() (property, how string) {
+	for range settleTicks / 2 { // a client timeout, and half of one
+		c.quietTick()
 	}
 	if c.tracker.Len() > 0 {
 		return invariant.ComesToEnd, fmt.Sprintf("%d commands stay in hand", c.tracker.Len())
@@ -103,35 +103,35 @@
 		group string
 		may   bool
 	}{{"order", primary}, {"look", primary || replica}} {
-		if x.may && !c.servedAgain(x.group) {
-			return invariant.ServesAgain, fmt.Sprintf("none of %d new commands of %s is answered", calmTries, x.group)
+		if x.may && !c.servesAgain(x.group) {
+			return invariant.ServesAgain, fmt.Sprintf("none of %d new commands of %s is answered", settleCommandTries, x.group)
 		}
 	}
 	return c.Broken()
 }
 
-// servedAgain has a client try again and again, as clients do, until one command is answered.
-func (c *commands) servedAgain(group string) bool {
-	for range calmTries {
-		n := len(c.cmds)
-		c.cmds = append(c.cmds, &clientCommand{name: fmt.Sprint(group, " ", n), group: groupOf(group)})
+// servesAgain has a client try again and again, as clients do, until one command is answered.
+func (c *commandSystem) servesAgain(group string) bool {
+	for range settleCommandTries {
+		n := len(c.commands)
+		c.commands = append(c.commands, &clientCommand{name: fmt.Sprint(group, " ", n), group: groupOf(group)})
 		c.Take(fmt.Sprint("take ", n))
-		for x := c.cmds[n]; x.Open(); {
-			c.quiet()
+		for x := c.commands[n]; x.Open(); {
+			c.quietTick()
 		}
-		if c.cmds[n].answered {
+		if c.commands[n].answered {
 			return true
 		}
 	}
 	return false
 }
 
-// quiet is a step of time in which members answer at once, probes too, and replicas follow.
-func (c *commands) quiet() {
-	for i, x := range c.cmds {
+// quietTick is a step of time in which members answer at once, probes too, and replicas follow.
+func (c *commandSystem) quietTick() {
+	for i, x := range c.commands {
 		for k := len(x.attempts) - 1; k >= 0; k-- {
 			what := "answered"
-			if x.attempts[k].canceled && !x.attempts[k].ghost {
+			if x.attempts[k].canceled && !x.attempts[k].timedOut {
 				what = "recalled"
 			}
 			c.Take(fmt.Sprintf("%s %d %d", what, i, k))
@@ -150,14 +150,14 @@
 
 // Settle implements modelcheck.Settler: whatever happened, operators can bring the rollout to its end.
 func (r *rolloutSystem) Settle() (property, how string) {
-	endless(&r.bounds, r.faults)
+	removeBounds(&r.bounds, r.faults)
 	last := ""
-	for range calmRuns {
+	for range settleRolloutTries {
 		for steps := r.Steps(); steps[0] != "tick"; steps = r.Steps() { // agents are back first, and have acted
 			r.Take(steps[0])
 		}
-		if !calm(r, func() bool {
-			return !slices.ContainsFunc(r.tools, func(t *rollTool) bool { return t.coordinator != nil })
+		if !runUndisturbed(r, func() bool {
+			return !slices.ContainsFunc(r.tools, func(t *rolloutTool) bool { return t.coordinator != nil })
 		}) {
 			return invariant.ComesToEnd, "a tool neither goes on nor ends"
 		}
@@ -165,12 +165,12 @@
 		if last = fmt.Sprintf("outcome %d, %+v", o.Kind, o.Reason); r.Ended() || o.Kind == coordinator.OutcomeNoRollout {
 			return r.Broken()
 		}
-		for range calmTicks { // an agent that started again grants nothing for a term
+		for range settleTicks { // an agent that started again grants nothing for a term
 			r.Take("tick")
 		}
-		r.tools = append(r.tools, &rollTool{})
-		r.start(len(r.tools) - 1)
-		r.turn()
+		r.tools = append(r.tools, &rolloutTool{})
+		r.startTool(len(r.tools) - 1)
+		r.runTools()
 	}
-	return invariant.ComesToEnd, fmt.Sprintf("it is taken up %d times and is not over: %s", calmRuns, last)
+	return invariant.ComesToEnd, fmt.Sprintf("it is taken up %d times and is not over: %s", settleRolloutTries, last)
 }
--- a/internal/modelcheck/models/systems.go
+++ b/internal/modelcheck/models/systems.go
@@ -30,7 +30,7 @@
 
 // Kinds are all of them.
 func Kinds() []Kind {
-	return []Kind{commandKind, coldKind, memberKind, clientKind, watchKind, rolloutKind}
+	return []Kind{commandKind, slowStartKind, backendKind, clientKind, watchKind, rolloutKind}
 }
 
 // Find finds one by its name.
@@ -105,7 +105,7 @@
 		return &sexp.Error{Position: b.Place, Reason: err.Error()}
 	}
 	for _, c := range b.Commands {
-		isClientMessage := b.System == "client" && slices.Contains(clientSays, c)
+		isClientMessage := b.System == "client" && slices.Contains(clientMessages, c)
 		if groupOf(c) < 0 && !isClientMessage {
 			return &sexp.Error{Position: b.Place, Reason: fmt.Sprintf("commands: there is no command group %s", c)}
 		}
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// may tells whether the adversary may put in a fault of a kind after so many.
-func (b *Bounds) may(kind string, so int) bool {
+// mayInject tells whether the adversary mayInject put in a fault of a kind after so many.
+func (b *Bounds) mayInject(kind string, so int) bool {
 	return so < b.Faults && (len(b.Only) == 0 || slices.Contains(b.Only, kind))
 }
 
--- a/internal/modelcheck/models/systems_test.go
+++ b/internal/modelcheck/models/systems_test.go
@@ -50,7 +50,7 @@
 // the hash, and a type that is not met within CI's bounds is one here.
 func TestEveryTypeThatRulesNameIsMet(t *testing.T) {
 	rules := map[string]*modelcheck.Rules{
-		"client": clientRules, "cold": coldRules, "command": commandRules, "member": memberRules,
+		"client": clientRules, "cold": slowStartRules, "command": commandRules, "member": backendRules,
 		"rollout": rolloutRules, "watch": watchRules,
 	}
 	require.Len(t, rules, len(Kinds()))
@@ -168,14 +168,14 @@
 // TestColdMemberIsUsedAndNotPushedOver: what it may get is the bound, not what is asked for, and it is no way out to send it nothing.
 func TestColdMemberIsUsedAndNotPushedOver(t *testing.T) {
 	for routers := 1; routers <= 4; routers++ {
-		c := newCold(Bounds{Routers: routers, Ticks: 9}, "")
+		c := newSlowStartSystem(Bounds{Routers: routers, Ticks: 9}, "")
 		sent := 0
 		for range 8 {
 			for i := range routers {
 				c.Take(fmt.Sprint("burst ", i))
 			}
-			sent = max(sent, len(c.check.Times()))
-			assert.LessOrEqual(t, float64(len(c.check.Times())), 0.9*c.check.Bears(c.now, c.started), "%d routers", routers)
+			sent = max(sent, len(c.checker.Times()))
+			assert.LessOrEqual(t, float64(len(c.checker.Times())), 0.9*c.checker.Bears(c.now, c.startedAt), "%d routers", routers)
 			c.Take("tick")
 		}
 		property, how := c.Broken()
@@ -186,7 +186,7 @@
 
 // TestRowsAreLetGoAndUsedAgain sees that the bounds with long quiet reach what they are for.
 func TestRowsAreLetGoAndUsedAgain(t *testing.T) {
-	c := newCommands(Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 1, Faults: 5, Only: []string{"idle", "replace"}}, "")
+	c := newCommandSystem(Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 1, Faults: 5, Only: []string{"idle", "replace"}}, "")
 	for _, step := range []string{"take 0", "answered 0 0", "replace 1", "idle", "idle"} {
 		require.Contains(t, c.Steps(), step)
 		c.Take(step)
--- a/internal/modelcheck/models/watch.go
+++ b/internal/modelcheck/models/watch.go
@@ -28,40 +28,40 @@
 		"hidden":    {"a call that discovery refused is not noticed to have failed", Bounds{Faults: 2}},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
-		return func() modelcheck.System { return newWatch(b, fault) }
+		return func() modelcheck.System { return newWatchSystem(b, fault) }
 	},
 }
 
-// watching is the system: one watch, and two addresses of discovery that know the same list.
-type watching struct {
-	bounds     Bounds
-	fault      string
-	wire       *wire
-	w          *discovery.Watch
-	check      invariant.Lists
-	at         int // address that is watched
-	faults     int
-	ticks      int
-	generation int64 // of the list
-	calls      map[int]*call
-	order      []int
-	lists      int
+// watchSystem is the system: one watch, and two addresses of discovery that know the same list.
+type watchSystem struct {
+	bounds         Bounds
+	fault          string
+	network        *fakeNetwork
+	watch          *discovery.Watch
+	checker        invariant.Lists
+	watchedAddress int // address that is watched
+	faults         int
+	ticks          int
+	generation     int64 // of the list
+	ends           map[int]*discoveryEnd
+	descriptors    []int
+	listsReceived  int
 }
 
-// call is discovery's end of a connection.
-type call struct {
-	to    int // address
-	read  int
-	asked []int64 // generations; -1: whole
-	half  []byte
+// discoveryEnd is discovery's end of a connection.
+type discoveryEnd struct {
+	address     int // address
+	parsedBytes int
+	calls       []int64 // generations; -1: whole
+	unsentReply []byte
 }
 
-func address(n int) netip.AddrPort {
+func discoveryAddress(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(n + 1)}), 8500)
 }
 
-func newWatch(b Bounds, fault string) *watching {
-	s := &watching{bounds: b, fault: fault, wire: newWire(), check: invariant.Lists{Members: 2}, generation: 5, calls: map[int]*call{}}
+func newWatchSystem(b Bounds, fault string) *watchSystem {
+	s := &watchSystem{bounds: b, fault: fault, network: newFakeNetwork(), checker: invariant.Lists{Members: 2}, generation: 5, ends: map[int]*discoveryEnd{}}
 	limits := &config.Limits{
 		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10,
@@ -70,64 +70,64 @@
 			SilenceTimeout: 1, ReplyTimeout: 1, LongPollHold: 5, MinBackoff: 0.5, MaxBackoff: 1,
 		},
 	}
-	s.w = discovery.New(s.wire, limits, address(0), false, buffer.NewPool(512, 1<<16), s, zerolog.New(io.Discard))
-	s.wire.keepOpen, s.wire.timeless = fault == "unclosed", fault == "timeless"
-	s.w.Poll()
-	s.look()
+	s.watch = discovery.New(s.network, limits, discoveryAddress(0), false, buffer.NewPool(512, 1<<16), s, zerolog.New(io.Discard))
+	s.network.keepsOpen, s.network.timersNeverFire = fault == "unclosed", fault == "timeless"
+	s.watch.Poll()
+	s.parseCalls()
 	return s
 }
 
 // Listed implements discovery.ListHandler.
-func (s *watching) HandleList(l endpoint.List) {
-	s.lists++
+func (s *watchSystem) HandleList(l endpoint.List) {
+	s.listsReceived++
 	from := ""
 	if len(l.Endpoints) > 0 {
 		from = l.Endpoints[0].Zone
 	}
-	watched := strconv.Itoa(s.at)
+	watched := strconv.Itoa(s.watchedAddress)
 	if from == "" {
 		from = watched // changes of none
 	}
-	s.check.Handed(l.Complete, l.Generation, len(l.Endpoints), from, watched)
+	s.checker.Handed(l.Complete, l.Generation, len(l.Endpoints), from, watched)
 }
 
 // ListFailed implements discovery.ListHandler.
-func (s *watching) HandleCallFailure() { s.check.Lost() }
+func (s *watchSystem) HandleCallFailure() { s.checker.Lost() }
 
 var fromParameter = regexp.MustCompile(`from=(\d+)`)
 
-// look has discovery take in what was written.
-func (s *watching) look() {
+// parseCalls has discovery take in what was written.
+func (s *watchSystem) parseCalls() {
 	open := 0
-	for _, fd := range s.wire.fds() {
-		k, c := s.wire.socks[fd], s.calls[fd]
+	for _, fd := range s.network.descriptors() {
+		k, c := s.network.sockets[fd], s.ends[fd]
 		open++
 		if c == nil {
-			c = &call{to: s.at}
-			s.calls[fd] = c
-			s.order = append(s.order, fd)
+			c = &discoveryEnd{address: s.watchedAddress}
+			s.ends[fd] = c
+			s.descriptors = append(s.descriptors, fd)
 		}
 		for {
-			i := bytes.Index(k.sent[c.read:], []byte("\r\n\r\n"))
+			i := bytes.Index(k.written[c.parsedBytes:], []byte("\r\n\r\n"))
 			if i < 0 {
 				break
 			}
 			after := int64(-1)
-			if m := fromParameter.FindSubmatch(k.sent[c.read : c.read+i]); m != nil {
+			if m := fromParameter.FindSubmatch(k.written[c.parsedBytes : c.parsedBytes+i]); m != nil {
 				after, _ = strconv.ParseInt(string(m[1]), 10, 64)
 			}
-			s.check.Called(after < 0, after)
-			c.asked = append(c.asked, after)
-			c.read += i + 4
+			s.checker.Called(after < 0, after)
+			c.calls = append(c.calls, after)
+			c.parsedBytes += i + 4
 		}
 	}
-	s.check.Open(open)
+	s.checker.Open(open)
 }
 
-// reply is what discovery says to a call.
-func (s *watching) reply(c *call, after int64) []byte {
+// listReply is what discovery says to a call.
+func (s *watchSystem) listReply(c *discoveryEnd, after int64) []byte {
 	entry := func(id string) string {
-		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.9:1","zone":"%d","cell":1,"lifecycle":"ready"}`, id, c.to)
+		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.9:1","zone":"%d","cell":1,"lifecycle":"ready"}`, id, c.address)
 	}
 	body := fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s,%s]}`, s.generation, entry("a"), entry("b"))
 	if after >= 0 {
@@ -137,34 +137,34 @@
 }
 
 // Steps implements modelcheck.System.
-func (s *watching) Steps() []string {
+func (s *watchSystem) Steps() []string {
 	var out stepList
-	for i, fd := range s.order {
-		if k := s.wire.socks[fd]; k != nil && k.handler != nil {
-			s.addCallSteps(&out, i, k, s.calls[fd])
+	for i, fd := range s.descriptors {
+		if k := s.network.sockets[fd]; k != nil && k.handler != nil {
+			s.addCallSteps(&out, i, k, s.ends[fd])
 		}
 	}
-	out.addIf(s.bounds.may("move", s.faults), "move")
-	_, hasTimer := s.wire.next()
+	out.addIf(s.bounds.mayInject("move", s.faults), "move")
+	_, hasTimer := s.network.nextTimer()
 	out.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
 	return out
 }
 
 // addCallSteps adds what may happen on the connection of a call.
-func (s *watching) addCallSteps(out *stepList, i int, k *sock, c *call) {
-	may := func(kind string) bool { return s.bounds.may(kind, s.faults) }
-	if !k.up {
+func (s *watchSystem) addCallSteps(out *stepList, i int, k *fakeSocket, c *discoveryEnd) {
+	may := func(kind string) bool { return s.bounds.mayInject(kind, s.faults) }
+	if !k.connected {
 		out.add("up %d", i)
 		out.addIf(may("refuse"), "refuse %d", i)
 		return
 	}
-	out.addIf(len(k.in) > 0 || k.ended, "see %d", i)
-	if k.ended {
+	out.addIf(len(k.unread) > 0 || k.peerClosed, "see %d", i)
+	if k.peerClosed {
 		return
 	}
-	if len(c.half) > 0 {
+	if len(c.unsentReply) > 0 {
 		out.add("rest %d", i)
-	} else if len(c.asked) > 0 && s.lists < 3 {
+	} else if len(c.calls) > 0 && s.listsReceived < 3 {
 		out.add("answer %d", i)
 		for _, kind := range []string{"half", "sick", "spoil", "old"} {
 			out.addIf(may(kind), "%s %d", kind, i)
@@ -174,30 +174,30 @@
 }
 
 // Take implements modelcheck.System.
-func (s *watching) Take(step string) {
+func (s *watchSystem) Take(step string) {
 	var n int
 	what := modelcheck.Kind(step)
 	_, _ = fmt.Sscanf(step[len(what):], "%d", &n)
-	var k *sock
-	var c *call
-	if n < len(s.order) {
-		k, c = s.wire.socks[s.order[n]], s.calls[s.order[n]]
+	var k *fakeSocket
+	var c *discoveryEnd
+	if n < len(s.descriptors) {
+		k, c = s.network.sockets[s.descriptors[n]], s.ends[s.descriptors[n]]
 	}
 	switch what {
 	case "tick":
 		s.ticks++
-		s.wire.fire(nil) // there is one
+		s.network.fireNextTimers(nil) // there is one
 	case "move":
 		s.faults++
-		s.move()
+		s.moveAddress()
 	case "up":
-		k.up, k.room = true, 1<<16
+		k.connected, k.writable = true, 1<<16
 		k.handler.Ready(false, true)
 	case "refuse":
 		s.faults++
 		if s.fault == "hidden" {
-			s.check.Lost()
-			k.up, k.room = true, 1<<16
+			s.checker.Lost()
+			k.connected, k.writable = true, 1<<16
 		} else {
 			k.refused = true
 		}
@@ -205,78 +205,78 @@
 	case "see":
 		k.handler.Ready(true, false)
 	case "rest":
-		k.in, c.half = append(k.in, c.half...), nil
+		k.unread, c.unsentReply = append(k.unread, c.unsentReply...), nil
 	case "end":
 		s.faults++
-		k.ended = true
+		k.peerClosed = true
 	default:
-		s.answer(what, k, c)
+		s.takeDiscoveryStep(what, k, c)
 	}
-	s.look()
+	s.parseCalls()
 }
 
-func (s *watching) move() {
+func (s *watchSystem) moveAddress() {
 	var old []byte
-	for _, fd := range s.wire.fds() {
-		old = append(old, s.wire.socks[fd].in...)
+	for _, fd := range s.network.descriptors() {
+		old = append(old, s.network.sockets[fd].unread...)
 	}
-	s.at = 1 - s.at
-	s.check.Lost()
-	s.w.SetAddress(address(s.at))
-	s.look()
+	s.watchedAddress = 1 - s.watchedAddress
+	s.checker.Lost()
+	s.watch.SetAddress(discoveryAddress(s.watchedAddress))
+	s.parseCalls()
 	if s.fault == "old-bytes" {
-		for _, fd := range s.wire.fds() {
-			s.wire.socks[fd].in = append([]byte{}, old...)
+		for _, fd := range s.network.descriptors() {
+			s.network.sockets[fd].unread = append([]byte{}, old...)
 		}
 	}
 }
 
-func (s *watching) answer(what string, k *sock, c *call) {
-	after := c.asked[0]
-	c.asked = c.asked[1:]
+func (s *watchSystem) takeDiscoveryStep(what string, k *fakeSocket, c *discoveryEnd) {
+	after := c.calls[0]
+	c.calls = c.calls[1:]
 	if after >= 0 {
 		s.generation++
 	}
-	a := s.reply(c, after)
+	a := s.listReply(c, after)
 	if what != "answer" {
 		s.faults++
 	}
 	switch what {
 	case "answer":
-		k.in = append(k.in, a...)
+		k.unread = append(k.unread, a...)
 	case "half":
-		k.in = append(k.in, a[:len(a)/2]...)
-		c.half = a[len(a)/2:]
+		k.unread = append(k.unread, a[:len(a)/2]...)
+		c.unsentReply = a[len(a)/2:]
 	case "sick":
-		k.in = append(k.in, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"...)
+		k.unread = append(k.unread, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"...)
 	case "spoil":
-		k.in = append(k.in, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{a}"...)
+		k.unread = append(k.unread, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{a}"...)
 	case "old": // changes to a call for the whole list, or of an earlier time
 		body := fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[]}`, s.generation-3)
-		k.in = fmt.Appendf(k.in, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		k.unread = fmt.Appendf(k.unread, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
 }
 
 // watchRules leave out what is the same in all states or stands for the same thing elsewhere.
 var watchRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
-	"buffer.Chain":    {"pool"},
-	"discovery.Watch": {"handler", "limits", "log", "loop", "timer"},
-	"models.sock":     {"handler"},
-	"models.watching": {"bounds", "fault"},
-	"models.wire":     {"timers"},
+	"buffer.Chain":       {"pool"},
+	"discovery.Watch":    {"handler", "limits", "log", "loop", "timer"},
+	"models.fakeSocket":  {"handler"},
+	"models.watchSystem": {"bounds", "fault"},
+	"models.fakeNetwork": {"timers"},
 }}
 
 // Fingerprint implements modelcheck.System.
-func (s *watching) Fingerprint(h *modelcheck.Hash) {
+func (s *watchSystem) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = watchRules
 	h.Value(s)
-	next, ok := s.wire.next()
+	next, ok := s.network.nextTimer()
 	h.Value(ok)
-	h.Float(next - s.wire.now)
+	h.Float(next - s.network.now)
 }
 
 // Broken implements modelcheck.System.
-func (s *watching) Broken() (string, string) { return s.check.Broken() }
+func (s *watchSystem) Broken() (string, string) { return s.checker.Broken() }
 
 // Ended implements modelcheck.System: a list of the address that is watched has been taken.
-func (s *watching) Ended() bool { return s.lists > 0 }
+func (s *watchSystem) Ended() bool { return s.listsReceived > 0 }
--- a/internal/modelcheck/models/wire.go
+++ b/internal/modelcheck/models/wire.go
@@ -11,32 +11,32 @@
 	"stoatdale.example/stoatdale/internal/eventloop"
 )
 
-// wire is a eventloop.Network without sockets: what arrives, and when it is seen, is the adversary's to pick.
-type wire struct {
-	now    float64
-	last   int
-	socks  map[int]*sock
-	timers map[*eventloop.Timer]float64
+// fakeNetwork is a eventloop.Network without sockets: what arrives, and when it is seen, is the adversary's to pick.
+type fakeNetwork struct {
+	now            float64
+	lastDescriptor int
+	sockets        map[int]*fakeSocket
+	timers         map[*eventloop.Timer]float64
 	// Faults at this seam.
-	deafQuiet bool // a connection always looks quiet
-	loseByte  bool // the last byte of a write that went out whole did not arrive
-	keepOpen  bool // what is closed stays open
-	lateByte  bool // the last byte of a write goes out, and counts as unwritten
-	timeless  bool // no timer fires
-	earlyByte bool // the last byte of a write counts as written, and is not
+	alwaysQuiet          bool // a connection always looks quiet
+	losesLastByte        bool // the last byte of a write that went out whole did not arrive
+	keepsOpen            bool // what is closed stays open
+	countsLastByteUnsent bool // the last byte of a write goes out, and counts as unwritten
+	timersNeverFire      bool // no timer fires
+	dropsLastByte        bool // the last byte of a write counts as written, and is not
 }
 
-// sock is one connection, as the wire sees it.
-type sock struct {
-	handler   eventloop.Handler
-	up        bool
-	refused   bool
-	ended     bool   // by the other side
-	in        []byte // arrived, and not yet read
-	sent      []byte // written
-	room      int    // that may still be written
-	wantRead  bool
-	wantWrite bool
+// fakeSocket is one connection, as the wire sees it.
+type fakeSocket struct {
+	handler    eventloop.Handler
+	connected  bool
+	refused    bool
+	peerClosed bool   // by the other side
+	unread     []byte // arrived, and not yet read
+	written    []byte // written
+	writable   int    // that may still be written
+	wantRead   bool
+	wantWrite  bool
 }
 
 var (
@@ -44,98 +44,103 @@
 	errGone    = errors.New("connection reset")
 )
 
-func newWire() *wire { return &wire{socks: map[int]*sock{}, timers: map[*eventloop.Timer]float64{}} }
-
-func (w *wire) Now() float64                            { return w.now }
-func (w *wire) Clock() float64                          { return w.now }
-func (w *wire) OpenDescriptors() int                    { return len(w.socks) }
-func (w *wire) SetTimer(t *eventloop.Timer, at float64) { w.timers[t] = at }
-func (w *wire) StopTimer(t *eventloop.Timer)            { delete(w.timers, t) }
-func (w *wire) Dial(netip.AddrPort) (int, error)        { w.last++; return w.last, nil }
-func (w *wire) CloseUnwatched(int)                      {}
-func (w *wire) Close(fd int) {
-	if k := w.socks[fd]; w.keepOpen && k != nil {
+func newFakeNetwork() *fakeNetwork {
+	return &fakeNetwork{sockets: map[int]*fakeSocket{}, timers: map[*eventloop.Timer]float64{}}
+}
+
+func (w *fakeNetwork) Now() float64                            { return w.now }
+func (w *fakeNetwork) Clock() float64                          { return w.now }
+func (w *fakeNetwork) OpenDescriptors() int                    { return len(w.sockets) }
+func (w *fakeNetwork) SetTimer(t *eventloop.Timer, at float64) { w.timers[t] = at }
+func (w *fakeNetwork) StopTimer(t *eventloop.Timer)            { delete(w.timers, t) }
+func (w *fakeNetwork) Dial(netip.AddrPort) (int, error) {
+	w.lastDescriptor++
+	return w.lastDescriptor, nil
+}
+func (w *fakeNetwork) CloseUnwatched(int) {}
+func (w *fakeNetwork) Close(fd int) {
+	if k := w.sockets[fd]; w.keepsOpen && k != nil {
 		k.handler = nil
 		return
 	}
-	delete(w.socks, fd)
+	delete(w.sockets, fd)
 }
 
-func (w *wire) NothingToRead(fd int) bool {
-	s := w.socks[fd]
-	return w.deafQuiet || !s.ended && len(s.in) == 0
+func (w *fakeNetwork) NothingToRead(fd int) bool {
+	s := w.sockets[fd]
+	return w.alwaysQuiet || !s.peerClosed && len(s.unread) == 0
 }
 
-func (w *wire) SetInterest(fd int, read, write bool) {
-	if s := w.socks[fd]; s != nil {
+func (w *fakeNetwork) SetInterest(fd int, read, write bool) {
+	if s := w.sockets[fd]; s != nil {
 		s.wantRead, s.wantWrite = read, write
 	}
 }
 
-func (w *wire) Add(fd int, h eventloop.Handler, read, write bool) error {
-	w.socks[fd] = &sock{handler: h, wantRead: read, wantWrite: write}
+func (w *fakeNetwork) Add(fd int, h eventloop.Handler, read, write bool) error {
+	w.sockets[fd] = &fakeSocket{handler: h, wantRead: read, wantWrite: write}
 	return nil
 }
 
-func (w *wire) ConnectError(fd int) error {
-	if w.socks[fd].refused {
+func (w *fakeNetwork) ConnectError(fd int) error {
+	if w.sockets[fd].refused {
 		return errRefused
 	}
 	return nil
 }
 
-func (w *wire) Read(fd int, into *buffer.Chain, most int) (int, error) {
-	s := w.socks[fd]
-	n := min(most, len(s.in))
-	into.Write(s.in[:n])
-	s.in = s.in[n:]
-	if len(s.in) == 0 && s.ended {
+func (w *fakeNetwork) Read(fd int, into *buffer.Chain, most int) (int, error) {
+	s := w.sockets[fd]
+	n := min(most, len(s.unread))
+	into.Write(s.unread[:n])
+	s.unread = s.unread[n:]
+	if len(s.unread) == 0 && s.peerClosed {
 		return n, eventloop.ErrPeerClosed
 	}
 	return n, nil
 }
 
-func (w *wire) Write(fd int, from *buffer.Chain) error {
-	s := w.socks[fd]
-	if s.ended {
+func (w *fakeNetwork) Write(fd int, from *buffer.Chain) error {
+	s := w.sockets[fd]
+	if s.peerClosed {
 		return errGone
 	}
-	for from.Len() > 0 && s.room > 0 {
+	for from.Len() > 0 && s.writable > 0 {
 		first := from.FirstPiece()
-		n := min(len(first), s.room)
-		if w.lateByte && n == from.Len() && n > 1 {
-			s.sent = append(s.sent, first[:n]...)
+		n := min(len(first), s.writable)
+		if w.countsLastByteUnsent && n == from.Len() && n > 1 {
+			s.written = append(s.written, first[:n]...)
 			from.Discard(n - 1)
-			s.room = 0
+			s.writable = 0
 			return nil
 		}
-		s.sent = append(s.sent, first[:n]...)
-		s.room -= n
+		s.written = append(s.written, first[:n]...)
+		s.writable -= n
 		from.Discard(n)
 	}
-	if w.loseByte && from.Len() == 0 && len(s.sent) > 0 {
-		s.sent = s.sent[:len(s.sent)-1]
+	if w.losesLastByte && from.Len() == 0 && len(s.written) > 0 {
+		s.written = s.written[:len(s.written)-1]
 	}
-	if w.earlyByte && from.Len() == 1 { // it is taken off, and goes nowhere
+	if w.dropsLastByte && from.Len() == 1 { // it is taken off, and goes nowhere
 		from.Discard(1)
 	}
 	return nil
 }
 
-// fds are the open descriptors, in order.
-func (w *wire) fds() []int {
+// descriptors are the open descriptors, in order.
+func (w *fakeNetwork) descriptors() []int {
 	var out []int
-	for fd := range w.socks {
+	for fd := range w.sockets {
 		out = append(out, fd)
 	}
 	sort.Ints(out)
 	return out
 }
 
-// next is the time of the first timer, or false.
-func (w *wire) next() (float64, bool) {
+// nextTimer is the time of the first timer, or false.
+func (w *fakeNetwork) nextTimer() (float64, bool) {
 	first, ok := 0.0, false
-	if w.timeless {
+	if w.timersNeverFire {
 		return first, ok
 	}
 	for _, at := range w.timers {
@@ -146,9 +151,9 @@
 	return first, ok
 }
 
-// timer is a connection's, or nil. It is found by where it lies, since the connection keeps it to itself.
-func (w *wire) timer(fd int) *eventloop.Timer {
-	k := w.socks[fd]
+// connectionTimer is a connection's, or nil. It is found by where it lies, since the connection keeps it to itself.
+func (w *fakeNetwork) connectionTimer(fd int) *eventloop.Timer {
+	k := w.sockets[fd]
 	if k == nil || k.handler == nil {
 		return nil
 	}
@@ -161,10 +166,10 @@
 	return nil
 }
 
-// fire lets time pass to the first timer, and fires all that are due then: those of connections in the order
+// fireNextTimers lets time pass to the first timer, and fires all that are due then: those of connections in the order
 // given, others after them.
-func (w *wire) fire(order []int) {
-	first, ok := w.next()
+func (w *fakeNetwork) fireNextTimers(order []int) {
+	first, ok := w.nextTimer()
 	if !ok {
 		return
 	}
@@ -175,7 +180,7 @@
 	}
 	var all []*eventloop.Timer
 	for _, fd := range order {
-		if t := w.timer(fd); t != nil && due(t) {
+		if t := w.connectionTimer(fd); t != nil && due(t) {
 			all = append(all, t)
 		}
 	}
