--- a/internal/modelcheck/models/client.go
+++ b/internal/modelcheck/models/client.go
@@ -25,20 +25,21 @@
 )
 
 var clientKind = Kind{
-	Name: "client", Words: "client connections and the front, with clients, the core, the network and time as the adversary",
+	Name:  "client",
+	Words: "client connections and the frontend, against an adversary that controls clients, the dispatcher, the network and time",
 	Faults: map[string]Fault{
 		"swapped":    {"an answer goes to another command than its own", Bounds{Clients: 1, Commands: []string{"look", "look"}}},
-		"lost-byte":  {"the last byte of an answer counts as written, and is not", Bounds{Clients: 1, Commands: []string{"empty"}}},
-		"unclosed":   {"a connection that is closed stays open", Bounds{Clients: 1, Commands: []string{"quit"}, Faults: 1}},
-		"left-twice": {"a command whose client has left is answered all the same", Bounds{Clients: 1, Commands: []string{"look"}, Faults: 1}},
-		"unheard":    {"a client that leaves is not told to the core", Bounds{Clients: 1, Commands: []string{"look"}, Faults: 2}},
+		"lost-byte":  {"the last byte of an answer counts as written but is not", Bounds{Clients: 1, Commands: []string{"empty"}}},
+		"unclosed":   {"a closed connection stays open", Bounds{Clients: 1, Commands: []string{"quit"}, Faults: 1}},
+		"left-twice": {"a command whose client has left is still answered", Bounds{Clients: 1, Commands: []string{"look"}, Faults: 1}},
+		"unheard":    {"the dispatcher does not learn that a client left", Bounds{Clients: 1, Commands: []string{"look"}, Faults: 2}},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
 		return func() modelcheck.System { return newClientSystem(b, fault) }
 	},
 }
 
-// clientSystem is the system: a front and its clientSystem; the core is the adversary's.
+// clientSystem is the system "client": the frontend and its clients. The dispatcher is part of the adversary.
 type clientSystem struct {
 	bounds     Bounds
 	fault      string
@@ -51,28 +52,28 @@
 	faults     int
 	ticks      int
 	drained    bool
-	cancelKeys byte // cancel keys drawn
+	cancelKeys byte // number of keys drawn so far
 }
 
-// fakeServerNetwork is a wire with a listener.
+// fakeServerNetwork is a fakeNetwork with a listener.
 type fakeServerNetwork struct {
 	*fakeNetwork
 	listener          int
-	backlog           []int // clients that wait to be accepted
+	backlog           []int // clients that wait to be accepted, in order
 	clientDescriptors map[int]int
 }
 
-// scriptedClient is one client: what it says, in order, and how much of that it has said.
+// scriptedClient is a client that sends the messages listed in the bounds, in order.
 type scriptedClient struct {
 	fd           int
 	connected    bool
-	messagesSent int // messages, the start-up packet first
+	messagesSent int // completely; the startup packet is the first
 	halfSent     bool
-	wasSlow      bool   // it has said half a message, and may be cut short for it
-	received     []byte // all that it was ever sent
+	wasSlow      bool   // it once sent half a message and may have been closed for it
+	received     []byte // every byte that the frontend has written to it
 }
 
-// receivedCommand is a command that the front took.
+// receivedCommand is a command that the frontend passed to the dispatcher.
 type receivedCommand struct {
 	command *dispatcher.Command
 	name    string
@@ -80,7 +81,10 @@
 }
 
 func newClientSystem(b Bounds, fault string) *clientSystem {
-	s := &clientSystem{bounds: b, fault: fault, network: &fakeServerNetwork{fakeNetwork: newFakeNetwork(), clientDescriptors: map[int]int{}}, buffers: buffer.NewPool(512, 1<<16)}
+	s := &clientSystem{
+		bounds: b, fault: fault,
+		network: &fakeServerNetwork{fakeNetwork: newFakeNetwork(), clientDescriptors: map[int]int{}}, buffers: buffer.NewPool(512, 1<<16),
+	}
 	s.network.keepsOpen, s.network.losesLastByte = fault == "unclosed", fault == "lost-byte"
 	limits := &config.Limits{
 		Sizes: config.Sizes{
@@ -96,12 +100,12 @@
 			IdleTimeout: 5, ShedGrace: 0.01, CloseLinger: 1, MinBackoff: 0.5, DrainDeadline: 0.15,
 		},
 	}
-	told := &config.Settings{GroupNames: []string{"look"}}
-	told.CommandGroups = []router.CommandGroup{{ClientTimeout: 1, LatencyObjective: 0.5}}
+	settings := &config.Settings{GroupNames: []string{"look"}}
+	settings.CommandGroups = []router.CommandGroup{{ClientTimeout: 1, LatencyObjective: 0.5}}
 	var err error
 	s.frontend, err = frontend.Listen(netip.MustParseAddrPort("127.0.0.1:5432"), s.network, frontend.Options{
 		Limits:     limits,
-		Settings:   told,
+		Settings:   settings,
 		Buffers:    s.buffers,
 		Dispatcher: fakeDispatcher{s},
 		Counters:   &metrics.Counters{},
@@ -110,7 +114,7 @@
 		DrawCancelKey: func() pg.CancelKey { s.cancelKeys++; return pg.CancelKey{s.cancelKeys} },
 	})
 	if err != nil {
-		panic(err) // the wire refuses nothing
+		panic(err) // the fake network never fails to listen
 	}
 	for range b.Clients {
 		s.clients = append(s.clients, &scriptedClient{})
@@ -118,12 +122,13 @@
 	return s
 }
 
-// Listen implements eventloop.ServerNetwork, as the others do.
+// Listen implements eventloop.ServerNetwork, as do the methods below.
 func (l *fakeServerNetwork) Listen(netip.AddrPort, int) (int, error) {
 	l.lastDescriptor++
 	l.listener = l.lastDescriptor
 	return l.listener, nil
 }
+
 func (l *fakeServerNetwork) LocalAddress(int) (netip.AddrPort, error) { return netip.AddrPort{}, nil }
 func (l *fakeServerNetwork) HasBacklog(int) bool                      { return len(l.backlog) > 0 }
 func (l *fakeServerNetwork) PeerClosed(fd int) bool                   { return l.sockets[fd].peerClosed }
@@ -140,41 +145,41 @@
 	return l.lastDescriptor, true, nil
 }
 
-// fakeDispatcher is the core that the front speaks to: the adversary.
+// fakeDispatcher is the dispatcher that the frontend calls; the adversary decides what it does.
 type fakeDispatcher struct{ *clientSystem }
 
-// LookupShard implements frontend.Dispatcher, as the others do.
+// LookupShard implements frontend.Dispatcher, as do the methods below.
 func (fakeDispatcher) LookupShard(int) (int, bool) { return 0, true }
 
-func (s fakeDispatcher) IsInFlight(name string) bool {
-	for _, t := range s.received {
-		if t.open && t.command.ID == name {
+func (s fakeDispatcher) IsInFlight(id string) bool {
+	for _, received := range s.received {
+		if received.open && received.command.ID == id {
 			return true
 		}
 	}
 	return false
 }
 
-func (s fakeDispatcher) Submit(c *dispatcher.Command) {
-	s.received = append(s.received, &receivedCommand{command: c, name: c.ID, open: true})
+func (s fakeDispatcher) Submit(command *dispatcher.Command) {
+	s.received = append(s.received, &receivedCommand{command: command, name: command.ID, open: true})
 }
 
-func (s fakeDispatcher) ClientGone(cs []*dispatcher.Command) {
-	for _, t := range s.received {
-		if slices.Contains(cs, t.command) && s.fault != "unheard" {
-			s.checker.Ended(t.name)
-			t.open = s.fault == "left-twice"
-			t.command.Statement.Free()
+func (s fakeDispatcher) ClientGone(commands []*dispatcher.Command) {
+	for _, received := range s.received {
+		if slices.Contains(commands, received.command) && s.fault != "unheard" {
+			s.checker.Ended(received.name)
+			received.open = s.fault == "left-twice"
+			received.command.Statement.Free()
 		}
 	}
 }
 func (fakeDispatcher) CloseIdleBackend() bool       { return false }
 func (fakeDispatcher) SecondsSince(float64) float64 { return 1 }
 
-// clientMessages are the messages of clients in bounds, beside commands.
+// clientMessages are the client messages that bounds may name besides command groups.
 var clientMessages = []string{"empty", "bad", "extended", "quit", "garbage"}
 
-// message is what a client says as its n-th, the start-up packet first.
+// message returns a client's n-th message; message 0 is the startup packet.
 func (s *clientSystem) message(client, n int) []byte {
 	if n == 0 {
 		return pg.AppendStartupMessage(nil)
@@ -195,7 +200,7 @@
 	}
 }
 
-// allowedAnswer is what a client's n-th message allowedAnswer be answered with.
+// allowedAnswer returns a predicate: whether an answer to a client's n-th message is allowed.
 func (s *clientSystem) allowedAnswer(client, n int) func(invariant.Answer) bool {
 	if n == 0 {
 		return func(a invariant.Answer) bool { return a == invariant.Answer{} }
@@ -216,85 +221,85 @@
 	}
 }
 
-// parseAnswers reads what a client was sent. What is not yet whole is left out; an error that is fatal needs no more.
-func parseAnswers(raw []byte) (out []invariant.Answer) {
-	var a invariant.Answer
+// parseAnswers parses the complete answers in what a client was sent. A fatal error is complete without a ReadyForQuery.
+func parseAnswers(raw []byte) (answers []invariant.Answer) {
+	var answer invariant.Answer
 	for len(raw) >= 5 {
 		n := 1 + int(binary.BigEndian.Uint32(raw[1:]))
 		if n < 5 || n > 1<<16 || !bytes.ContainsRune([]byte("RSKZTDCIE"), rune(raw[0])) {
-			return append(out, invariant.Answer{Garbled: true})
+			return append(answers, invariant.Answer{Garbled: true})
 		}
 		if len(raw) < n {
-			return out
+			return answers
 		}
 		body := raw[5:n]
 		switch raw[0] {
 		case 'D':
 			if len(body) >= 6 {
-				a.Value = string(body[6:])
+				answer.Value = string(body[6:])
 			}
 		case 'I':
-			a.Empty = true
+			answer.Empty = true
 		case 'E':
-			for _, f := range strings.Split(string(body), "\x00") {
-				if f != "" && f[0] == 'C' {
-					a.Code = f[1:]
+			for _, field := range strings.Split(string(body), "\x00") {
+				if field != "" && field[0] == 'C' {
+					answer.Code = field[1:]
 				}
 			}
-			if a.Code == pg.CodeProtocolViolation { // no ReadyForQuery comes after it
-				out, a = append(out, a), invariant.Answer{}
+			if answer.Code == pg.CodeProtocolViolation { // it is fatal: no ReadyForQuery follows
+				answers, answer = append(answers, answer), invariant.Answer{}
 			}
 		case 'Z':
-			out, a = append(out, a), invariant.Answer{}
+			answers, answer = append(answers, answer), invariant.Answer{}
 		}
 		raw = raw[n:]
 	}
-	return out
+	return answers
 }
 
 // Steps implements modelcheck.System.
 func (s *clientSystem) Steps() []string {
-	var out stepList
+	var steps stepList
 	for i, c := range s.clients {
 		if c.connected {
-			s.addClientSteps(&out, i, c)
+			s.addClientSteps(&steps, i, c)
 		} else {
-			out.addIf(!s.drained, "come %d", i)
+			steps.addIf(!s.drained, "come %d", i)
 		}
 	}
-	for i, t := range s.received {
-		if t.open {
-			out.add("answer %d", i)
-			out.add("throttle %d", i)
-			out.add("fail %d", i)
+	for i, received := range s.received {
+		if received.open {
+			steps.add("answer %d", i)
+			steps.add("throttle %d", i)
+			steps.add("fail %d", i)
 		}
 	}
-	out.addIf(!s.drained && s.bounds.mayInject("drain", s.faults), "drain")
+	steps.addIf(!s.drained && s.bounds.mayInject("drain", s.faults), "drain")
 	_, hasTimer := s.network.nextTimer()
-	out.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
-	return out
+	steps.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
+	return steps
 }
 
-// addClientSteps adds what a client may do that has come, and what may become of its connection.
-func (s *clientSystem) addClientSteps(out *stepList, i int, c *scriptedClient) {
-	k := s.network.sockets[c.fd]
-	if k == nil || k.handler == nil {
+// addClientSteps adds what a connected client may do and what may happen to its connection.
+func (s *clientSystem) addClientSteps(steps *stepList, i int, c *scriptedClient) {
+	socket := s.network.sockets[c.fd]
+	if socket == nil || socket.handler == nil {
 		return
 	}
-	may := func(kind string) bool { return s.bounds.mayInject(kind, s.faults) }
-	out.addIf(len(k.unread) > 0 && k.wantRead || k.peerClosed, "see %d", i)
-	out.addIf(k.wantWrite && k.writable == 0, "take %d", i)
-	if k.peerClosed {
+	mayInject := func(kind string) bool { return s.bounds.mayInject(kind, s.faults) }
+	steps.addIf(len(socket.unread) > 0 && socket.wantRead || socket.peerClosed, "see %d", i)
+	steps.addIf(socket.wantWrite && socket.writable == 0, "take %d", i)
+	if socket.peerClosed {
 		return
 	}
 	hasMore := c.messagesSent <= len(s.bounds.Commands)
-	out.addIf(hasMore, "say %d", i)
-	out.addIf(hasMore && !c.halfSent && may("half"), "half %d", i)
-	out.addIf(may("leave"), "leave %d", i)
-	out.addIf(k.writable > 0 && may("stall"), "stall %d", i)
+	steps.addIf(hasMore, "say %d", i)
+	steps.addIf(hasMore && !c.halfSent && mayInject("half"), "half %d", i)
+	steps.addIf(mayInject("leave"), "leave %d", i)
+	steps.addIf(socket.writable > 0 && mayInject("stall"), "stall %d", i)
 }
 
-// Commute implements modelcheck.Commuter: what one client sends is nothing to the connection of another.
+// Commute implements modelcheck.Commuter. What one client sends does not change the connection of another.
 func (s *clientSystem) Commute(a, b string) bool {
 	if modelcheck.Kind(a) != "say" {
 		a, b = b, a
@@ -333,107 +338,109 @@
 	s.checkClients()
 }
 
-// connect has a client connect.
+// connect lets a client connect.
 func (s *clientSystem) connect(n int) {
 	c := s.clients[n]
 	c.connected = true
 	s.network.backlog = append(s.network.backlog, n)
 	s.frontend.Ready(true, false)
 	c.fd = s.network.clientDescriptors[n]
-	if k := s.network.sockets[c.fd]; k != nil {
-		k.writable = 1 << 16
+	if socket := s.network.sockets[c.fd]; socket != nil {
+		socket.writable = 1 << 16
 	}
 }
 
-// sendMessage has a client send its next message, the first half of it or the second.
+// sendMessage lets a client send its next message: all of it, its first half, or the half that is left.
 func (s *clientSystem) sendMessage(n int, half bool) {
 	c := s.clients[n]
-	m := s.message(n, c.messagesSent)
+	message := s.message(n, c.messagesSent)
 	switch {
 	case c.halfSent:
-		m = m[len(m)/2:]
+		message = message[len(message)/2:]
 		c.halfSent = false
 		c.messagesSent++
 	case half:
 		s.faults++
-		m = m[:len(m)/2]
+		message = message[:len(message)/2]
 		c.halfSent, c.wasSlow = true, true
 	default:
 		c.messagesSent++
 	}
-	k := s.network.sockets[c.fd]
-	k.unread = append(k.unread, m...)
+	socket := s.network.sockets[c.fd]
+	socket.unread = append(socket.unread, message...)
 }
 
-// takeNetworkStep is what the network and the client's side do to a connection.
-func (s *clientSystem) takeNetworkStep(kind string, k *fakeSocket) {
+// takeNetworkStep takes a step of the network or of the client on a connection.
+func (s *clientSystem) takeNetworkStep(kind string, socket *fakeSocket) {
 	switch kind {
 	case "see":
-		if handler, ok := k.handler.(eventloop.HangupHandler); ok && k.peerClosed {
+		if handler, ok := socket.handler.(eventloop.HangupHandler); ok && socket.peerClosed {
 			handler.HungUp()
 			return
 		}
-		k.handler.Ready(true, false)
+		socket.handler.Ready(true, false)
 	case "stall":
 		s.faults++
-		k.writable = 0
+		socket.writable = 0
 	case "take":
-		k.writable = 1 << 16
-		k.handler.Ready(false, true)
+		socket.writable = 1 << 16
+		socket.handler.Ready(false, true)
 	case "leave":
 		s.faults++
-		k.peerClosed = true
+		socket.peerClosed = true
 	}
 }
 
-// endCommand is what the endCommand does with a command that it has in hand.
-func (s *clientSystem) endCommand(what string, n int) {
-	t := s.received[n]
-	to := t
+// endCommand lets the dispatcher answer, reject or fail a command.
+func (s *clientSystem) endCommand(kind string, n int) {
+	ended := s.received[n]
+	answered := ended
 	if s.fault == "swapped" {
-		for _, o := range s.received {
-			if o != t && o.open {
-				to = o
+		for _, other := range s.received {
+			if other != ended && other.open {
+				answered = other
 			}
 		}
 	}
-	s.checker.Ended(t.name)
-	t.open = false
-	switch what {
+	s.checker.Ended(ended.name)
+	ended.open = false
+	switch kind {
 	case "throttle":
-		s.frontend.Reject(t.command, 0)
+		s.frontend.Reject(ended.command, 0)
 	case "fail":
-		s.frontend.Fail(t.command)
+		s.frontend.Fail(ended.command)
 	default:
 		row := s.buffers.NewChain()
-		b := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
-		b = pg.AppendMessage(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(to.name))), []byte(to.name))
-		row.Write(pg.AppendMessage(b, 'C', []byte("SELECT 1\x00")))
-		s.frontend.Answer(t.command, &row)
+		reply := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
+		reply = pg.AppendMessage(reply, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(answered.name))), []byte(answered.name))
+		row.Write(pg.AppendMessage(reply, 'C', []byte("SELECT 1\x00")))
+		s.frontend.Answer(ended.command, &row)
 	}
-	t.command.Statement.Free()
+	ended.command.Statement.Free()
 }
 
-// checkClients reads what clients were sent, and looks at what is left once all have gone.
+// checkClients checks what clients were sent, and that nothing is held once the frontend has drained.
 func (s *clientSystem) checkClients() {
 	for i, c := range s.clients {
-		if k := s.network.sockets[c.fd]; c.connected && k != nil {
-			c.received = append(c.received[:0], k.written...)
+		if socket := s.network.sockets[c.fd]; c.connected && socket != nil {
+			c.received = append(c.received[:0], socket.written...)
 		}
-		var may []func(invariant.Answer) bool
+		var allowed []func(invariant.Answer) bool
 		for n := range c.messagesSent {
-			own := s.allowedAnswer(i, n)
-			may = append(may, func(a invariant.Answer) bool { return own(a) || c.wasSlow && a.Code == pg.CodeProtocolViolation })
+			allowedForMessage := s.allowedAnswer(i, n)
+			allowed = append(allowed, func(a invariant.Answer) bool {
+				return allowedForMessage(a) || c.wasSlow && a.Code == pg.CodeProtocolViolation
+			})
 		}
-		if c.halfSent { // its own half message may be found wrong
-			may = append(may, func(a invariant.Answer) bool { return a.Code == pg.CodeProtocolViolation })
+		if c.halfSent { // half a message may already be rejected
+			allowed = append(allowed, func(a invariant.Answer) bool { return a.Code == pg.CodeProtocolViolation })
 		}
-		s.checker.Read(i, parseAnswers(c.received), may)
+		s.checker.Read(i, parseAnswers(c.received), allowed)
 	}
 	if s.drained && s.frontend.OpenConnections() == 0 {
 		open := 0
-		for _, t := range s.received {
-			if t.open {
+		for _, received := range s.received {
+			if received.open {
 				open++
 			}
 		}
@@ -441,7 +448,7 @@
 	}
 }
 
-// descriptors is the clients' connections.
+// descriptors returns the clients' connections.
 func (s *clientSystem) descriptors() (fds []int) {
 	for _, c := range s.clients {
 		fds = append(fds, c.fd)
@@ -452,11 +459,11 @@
 // Broken implements modelcheck.System.
 func (s *clientSystem) Broken() (string, string) { return s.checker.Broken() }
 
-// Ended implements modelcheck.System: the front has drained.
+// Ended implements modelcheck.System: the frontend has drained.
 func (s *clientSystem) Ended() bool { return s.drained && s.frontend.OpenConnections() == 0 }
 
-// clientRules leave out the lists of those that may make room, for there is room for all, and what is the same in all
-// states or stands for the same thing elsewhere.
+// clientRules ignore the lists of connections that may be shed, since there is room for all clients here, and fields that are
+// the same in all states or that repeat state which is hashed elsewhere.
 var clientRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
 	"buffer.Chain":        {"pool"},
 	"dispatcher.Command":  {"Owner", "Responder"},
@@ -471,19 +478,19 @@
 	h.Float(s.network.now)
 	h.Value(s)
 	for _, c := range s.clients {
-		k := s.network.sockets[c.fd]
-		h.Value(k)
-		if k != nil && k.handler != nil {
-			h.Value(k.handler)
-			at, set := s.network.timers[s.network.connectionTimer(c.fd)]
+		socket := s.network.sockets[c.fd]
+		h.Value(socket)
+		if socket != nil && socket.handler != nil {
+			h.Value(socket.handler)
+			firesAt, set := s.network.timers[s.network.connectionTimer(c.fd)]
 			h.Value(set)
-			h.Float(at)
+			h.Float(firesAt)
 		}
 	}
-	var rest []float64
+	var timers []float64
 	for _, at := range s.network.timers {
-		rest = append(rest, at)
+		timers = append(timers, at)
 	}
-	sort.Float64s(rest)
-	h.Value(rest)
+	sort.Float64s(timers)
+	h.Value(timers)
 }
--- a/internal/modelcheck/models/cold.go
+++ b/internal/modelcheck/models/cold.go
@@ -12,10 +12,10 @@
 )
 
 var slowStartKind = Kind{
-	Name: "cold", Words: "several routers' modules and one member that has just started, which all of them send to",
+	Name: "cold", Words: "the router modules of several routers and one backend in slow start, to which all of them send",
 	Faults: map[string]Fault{
 		"alone":     {"each router takes itself for the only one", Bounds{Routers: 2, Ticks: 5}},
-		"unstarted": {"a member's start is not told with the list", Bounds{Routers: 2, Ticks: 1}},
+		"unstarted": {"the endpoint list does not hold the backend's start time", Bounds{Routers: 2, Ticks: 1}},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
 		return func() modelcheck.System { return newSlowStartSystem(b, fault) }
@@ -23,16 +23,16 @@
 }
 
 const (
-	slowStartTickSeconds    = 0.5   // seconds of a step of time
-	slowStartServiceSeconds = 0.05  // seconds that a command takes a member, one at a time
-	slowStartWaitSeconds    = 0.125 // of it until the clients of what is held leave
-	slowStartBurstReads     = 10    // that come in it: what a warm member can serve, or its own rate would be no measure
-	slowStartWarmReads      = 16    // commands that a router has had answered before
+	slowStartTickSeconds    = 0.5   // of one time step
+	slowStartServiceSeconds = 0.05  // that a backend works on a command; it serves one at a time
+	slowStartWaitSeconds    = 0.125 // from the start of a time step until clients of waiting commands leave
+	slowStartBurstReads     = 10    // in a time step, over all routers: what a warm backend serves, so its rate shows its capacity
+	slowStartWarmReads      = 16    // that each router has had answered before the backend starts
 )
 
-// slowStartSystem is the system: routers that know nothing of each other, a set with a warm primary and a replica that starts
-// while they serve. A burst of reads comes at a router, once in a step of time, if the adversary likes: what the
-// router sends is answered at once, what it holds its clients give up after a while.
+// slowStartSystem is the system "cold": routers that do not know of each other, and a shard with a warm primary (endpoint 0)
+// and a replica (endpoint 1) that starts while they serve. In each time step the adversary may send a burst of reads to each router.
+// Attempts are answered immediately; clients of waiting commands leave after slowStartWaitSeconds.
 type slowStartSystem struct {
 	bounds         Bounds
 	fault          string
@@ -42,7 +42,7 @@
 	startedAt      float64
 	routers        []*slowStartRouter
 	checker        invariant.Cold
-	settleAttempts []int // dispatches to the cold member by each router, while nobody is against it
+	settleAttempts []int // attempts sent to the starting backend by each router; counted only during Settle
 }
 
 type slowStartRouter struct {
@@ -52,8 +52,8 @@
 	router      *router.Router
 	tracker     *inflight.Tracker
 	inFlight    []slowStartAttempt
-	lastCommand uint32 // command
-	hadBurst    bool   // had one in this step of time
+	lastCommand uint32 // id
+	hadBurst    bool   // in this time step
 }
 
 type slowStartAttempt struct {
@@ -71,7 +71,7 @@
 		c.routers = append(c.routers, r)
 		r.start()
 	}
-	for range slowStartWarmReads { // all have served a while, and know what a command costs
+	for range slowStartWarmReads { // all routers have answered commands and know their service time
 		for _, r := range c.routers {
 			r.submitReads(1)
 		}
@@ -84,48 +84,53 @@
 	return c
 }
 
-// start starts a router, for the first time or anew. It knows the list.
+// start starts the router, or restarts it with the endpoint list.
 func (r *slowStartRouter) start() {
-	c := r.system
+	system := r.system
 	r.starts++
-	s := router.Config{
-		RouterCount: c.bounds.Routers, Instance: r.index, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true, LoadReports: true, CanCancel: true, MaxAttempts: 3,
-		ConnectTimeout: slowStartServiceSeconds, SlowStartFloor: c.checker.Share, SlowStart: c.checker.WarmIn, OverloadFactor: c.checker.Overload, OverloadWindow: c.checker.FallSpan,
-		CommandGroups: []router.CommandGroup{{Consistency: router.Eventual, Idempotency: router.Idempotent, LatencyObjective: 0.5, ClientTimeout: 1, PriorityWeight: 1, LateValue: 0.5}},
+	config := router.Config{
+		RouterCount: system.bounds.Routers, Instance: r.index, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true,
+		LoadReports: true, CanCancel: true, MaxAttempts: 3,
+		ConnectTimeout: slowStartServiceSeconds, SlowStartFloor: system.checker.Share, SlowStart: system.checker.WarmIn,
+		OverloadFactor: system.checker.Overload, OverloadWindow: system.checker.FallSpan,
+		CommandGroups: []router.CommandGroup{{
+			Consistency: router.Eventual, Idempotency: router.Idempotent,
+			LatencyObjective: 0.5, ClientTimeout: 1, PriorityWeight: 1, LateValue: 0.5,
+		}},
 	}
-	if c.fault == "alone" {
-		s.RouterCount = 1
+	if system.fault == "alone" {
+		config.RouterCount = 1
 	}
-	draws := uint64(r.index)<<8 + uint64(r.starts)
-	r.router = router.New(s, draws*0x9e3779b97f4a7c15) // far apart: small seeds draw alike
+	seed := uint64(r.index)<<8 + uint64(r.starts)
+	r.router = router.New(config, seed*0x9e3779b97f4a7c15) // spreads the seeds: small seeds draw similar numbers
 	r.tracker = inflight.New(r.router, r)
 	r.sendList()
 }
 
 func (r *slowStartRouter) sendList() {
-	started := r.system.startedAt
+	startedAt := r.system.startedAt
 	if r.system.fault == "unstarted" {
-		started = math.Inf(-1)
+		startedAt = math.Inf(-1)
 	}
 	r.router.UpdateEndpoints(r.system.now, []router.EndpointInfo{
 		{Index: 0, State: router.Ready, StartedAt: math.Inf(-1), Primary: true},
-		{Index: 1, State: router.Ready, StartedAt: started},
+		{Index: 1, State: router.Ready, StartedAt: startedAt},
 	}, true, false)
 	r.tracker.ReviewDue(r.system.now)
 }
 
 // Forward implements inflight.Executor.
-func (r *slowStartRouter) Forward(id uint32, number, node int, _ float64) {
-	if c := r.system; node == 1 && !math.IsInf(c.startedAt, -1) {
-		c.checker.Sent(c.now, c.startedAt)
-		if c.settleAttempts != nil {
-			c.settleAttempts[r.index]++
+func (r *slowStartRouter) Forward(id uint32, number, endpoint int, _ float64) {
+	if system := r.system; endpoint == 1 && !math.IsInf(system.startedAt, -1) {
+		system.checker.Sent(system.now, system.startedAt)
+		if system.settleAttempts != nil {
+			system.settleAttempts[r.index]++
 		}
 	}
-	r.inFlight = append(r.inFlight, slowStartAttempt{id, number, node})
+	r.inFlight = append(r.inFlight, slowStartAttempt{id, number, endpoint})
 }
 
-// Cancel implements inflight.Executor: an answer is quicker.
+// Cancel implements inflight.Executor. It does nothing, since attempts are answered before they could be canceled.
 func (r *slowStartRouter) Cancel(uint32, int) {}
 
 // Reject implements inflight.Executor.
@@ -134,7 +139,7 @@
 // Fail implements inflight.Executor.
 func (r *slowStartRouter) Fail(uint32) {}
 
-// submitReads has reads come, one after another. What the router holds waits in hand.
+// submitReads submits reads one after another. Those that the router does not send yet wait in its tracker.
 func (r *slowStartRouter) submitReads(reads int) {
 	now := r.system.now
 	for range reads {
@@ -144,19 +149,21 @@
 	}
 }
 
-// answerAttempts lets the module go on, and members answer, until nothing is out.
+// answerAttempts runs the reviews that are due and answers attempts until none is in flight.
 func (r *slowStartRouter) answerAttempts() {
 	now := r.system.now
 	for r.tracker.ReviewDue(now); len(r.inFlight) > 0; r.tracker.ReviewDue(now) {
-		out := r.inFlight
+		attempts := r.inFlight
 		r.inFlight = nil
-		for _, l := range out {
-			r.tracker.AttemptEnded(now, l.command, router.AttemptResult{Attempt: l.number, Result: router.Answered, Elapsed: slowStartServiceSeconds, Final: true, Position: -1})
+		for _, attempt := range attempts {
+			r.tracker.AttemptEnded(now, attempt.command, router.AttemptResult{
+				Attempt: attempt.number, Result: router.Answered, Elapsed: slowStartServiceSeconds, Final: true, Position: -1,
+			})
 		}
 	}
 }
 
-// abandonCommands has the clients of what is still in hand give it up.
+// abandonCommands lets the clients of all commands that still wait leave.
 func (r *slowStartRouter) abandonCommands() {
 	for id := r.lastCommand; r.tracker.Len() > 0; id-- {
 		r.tracker.ClientGone(r.system.now, id)
@@ -165,22 +172,22 @@
 }
 
 // Steps implements modelcheck.System.
-func (c *slowStartSystem) Steps() (s []string) {
+func (c *slowStartSystem) Steps() (steps []string) {
 	for i, r := range c.routers {
 		if !r.hadBurst {
-			s = append(s, fmt.Sprintf("burst %d", i))
+			steps = append(steps, fmt.Sprintf("burst %d", i))
 		}
 		if c.bounds.mayInject("restart", c.faults) {
-			s = append(s, fmt.Sprintf("restart %d", i))
+			steps = append(steps, fmt.Sprintf("restart %d", i))
 		}
 	}
 	if c.ticks < c.bounds.Ticks {
-		s = append(s, "tick")
+		steps = append(steps, "tick")
 	}
-	return s
+	return steps
 }
 
-// Commute implements modelcheck.Commuter: routers know nothing of each other, and the member counts what it is sent.
+// Commute implements modelcheck.Commuter. Routers do not know of each other, and the checker counts attempts from any of them.
 func (c *slowStartSystem) Commute(a, b string) bool {
 	return modelcheck.Kind(a) == "burst" && modelcheck.Kind(b) == "burst" && a != b
 }
@@ -188,9 +195,9 @@
 // Take implements modelcheck.System.
 func (c *slowStartSystem) Take(step string) {
 	var n int
-	what := modelcheck.Kind(step)
-	_, _ = fmt.Sscanf(step[len(what):], "%d", &n)
-	switch what {
+	kind := modelcheck.Kind(step)
+	_, _ = fmt.Sscanf(step[len(kind):], "%d", &n)
+	switch kind {
 	case "burst":
 		c.routers[n].hadBurst = true
 		c.routers[n].submitReads(slowStartBurstReads / len(c.routers))
@@ -230,7 +237,7 @@
 // Broken implements modelcheck.System.
 func (c *slowStartSystem) Broken() (string, string) { return c.checker.Broken() }
 
-// Ended implements modelcheck.System: the member is sent something, however cold.
+// Ended implements modelcheck.System: some router has had a burst in this time step.
 func (c *slowStartSystem) Ended() bool {
 	return slices.ContainsFunc(c.routers, func(r *slowStartRouter) bool { return r.hadBurst })
 }
--- a/internal/modelcheck/models/command.go
+++ b/internal/modelcheck/models/command.go
@@ -14,62 +14,63 @@
 )
 
 var commandKind = Kind{
-	Name: "command", Words: "commands in hand and the module, with members, a list, time and clients as the adversary",
+	Name:  "command",
+	Words: "commands in flight and the router module, against an adversary that controls backends, the endpoint list, time and clients",
 	Faults: map[string]Fault{
 		"answers-twice": {
-			"a dispatch that ran out of time, and whose command was given up, answers its client all the same",
+			"an attempt that timed out, and whose command was failed, still answers the client",
 			Bounds{Members: 2, Commands: []string{"order"}, Ticks: 5},
 		},
 		"drain-overlooked": {
-			"a draining notice that comes while a dispatch is out is not handed to the module",
+			"a draining notice that comes while an attempt is in flight does not reach the router",
 			Bounds{Members: 2, Commands: []string{"look", "look"}, Ticks: 1, Faults: 1},
 		},
 		"long-memory": {
-			"the module is told a memory span that is a step of time longer than it is",
+			"the router's idempotency window is one time step longer than the backends'",
 			Bounds{Members: 1, Commands: []string{"keyed"}, Ticks: 3, Faults: 1},
 		},
 		"early-byte": {
-			"a connection that broke after the last byte counts as one that broke before",
+			"a connection that broke after the last byte was written counts as one that broke before",
 			Bounds{Members: 2, Commands: []string{"order"}, Ticks: 1, Faults: 1},
 		},
 		"spoilt-position": {
-			"a report's position is taken to be two steps of time further than it is",
+			"a load report's position counts as two time steps newer than it is",
 			Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 2},
 		},
 		"held-back": {
-			"what the module gives up is answered a step of time later",
+			"a command that the router fails is answered one time step later",
 			Bounds{Members: 1, Commands: []string{"order"}, Ticks: 5},
 		},
 		"no-age": {
-			"the age of a write of this very moment is taken for none",
+			"a write of this very moment gets age 0, which means no write",
 			Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 1, Faults: 1},
 		},
 		"left-behind": {
-			"a client that leaves is not told to the module, whose dispatches go on",
+			"the router does not learn that a client left, and goes on with its attempts",
 			Bounds{Members: 1, Commands: []string{"keyed"}, Ticks: 2, Faults: 2},
 		},
 		"forgotten-mark": {
-			"what a session has seen is forgotten between two of its reads",
+			"the position that a session has seen is forgotten between two of its reads",
 			Bounds{Members: 3, Commands: []string{"own", "own"}, Ticks: 1},
 		},
 		"reused-index": {
-			"a member that is gone leaves its row to another at once, as it was",
+			"a new backend takes a removed endpoint's row at once, with the old state in the router",
 			Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 2, Faults: 1, Only: []string{"replace"}},
 		},
 		"two-out": {
-			"a dispatch that was called off counts as ended before it has",
+			"a canceled attempt counts as ended before it has ended",
 			Bounds{Members: 2, Commands: []string{"look"}, Ticks: 3, Faults: 1},
 		},
 		"lost-end": {
-			"the end of a dispatch that was called off is not handed in",
+			"the end of a canceled attempt is not reported to the router",
 			Bounds{Members: 1, Commands: []string{"look"}, Ticks: 1, Faults: 1, Only: []string{"leave"}},
 		},
 		"untold-primary": {
-			"a change of primary is told by nobody: not by the list, nor by answers",
+			"the router learns of a change of primary neither from the list nor from answers",
 			Bounds{Members: 2, Commands: []string{"look"}, Ticks: 1, Faults: 1, Only: []string{"promote"}},
 		},
 		"far-keyed": {
-			"a keyed command's repeat goes by a set that is not its own",
+			"a keyed command is retried at a shard that is not its own",
 			Bounds{Members: 2, Commands: []string{"keyed"}, Ticks: 1, Faults: 1},
 		},
 	},
@@ -79,11 +80,11 @@
 }
 
 const (
-	commandTickSeconds       = 0.25 // seconds of a step of time
+	commandTickSeconds       = 0.25 // of one time step
 	commandTimeoutSeconds    = 1.0
 	commandWindowSeconds     = 0.4
 	commandDrainGraceSeconds = 0.0
-	commandIdleSeconds       = 8.5 // seconds in which the module turns its sessions over and lets rows of members go
+	commandIdleSeconds       = 8.5 // long enough for the router to forget old sessions and release endpoint rows
 )
 
 type commandGroup struct {
@@ -92,15 +93,20 @@
 	idempotency invariant.Effect
 }
 
-// Names of command groups in bounds, and what they are.
+// commandGroups are the command groups that bounds may name.
 var commandGroups = []commandGroup{
 	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, invariant.Replayable},
 	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, invariant.Replayable},
 	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, invariant.Mutating},
-	{"keyed", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope}, invariant.Keyed},
+	{
+		"keyed",
+		router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope},
+		invariant.Keyed,
+	},
 }
 
-// commandSystem is the system: one router, one set whose member 0 is the primary at first, and one session.
+// commandSystem is the system "command": the tracker and router module of one router, one shard whose primary is endpoint 0 at
+// first, and one session. Times are in seconds; a position is the time of the last write that it covers.
 type commandSystem struct {
 	bounds            Bounds
 	fault             string
@@ -112,14 +118,14 @@
 	nextReviewAt      float64
 	endpoints         []simulatedEndpoint
 	commands          []*clientCommand
-	healthChecks      map[int]bool // that the module waits for
+	healthChecks      map[int]bool // endpoints whose health check the router waits for
 	checker           invariant.Commands
-	lastWritePosition float64  // position of the session's last write
-	readHighWaterMark float64  // the furthest position that its reads have shown at this router
-	routerStarts      int      // of the router
-	heldAnswers       []int    // commands whose answer is held back by a fault
-	freeRows          []int    // indices of members that the module has let go
-	endedEarly        [][2]int // dispatches that a fault has ended before they have
+	lastWritePosition float64  // of the session; -Inf without a write
+	readHighWaterMark float64  // highest position that the session's reads have shown at this router
+	routerStarts      int      // starts of the router, also its seed
+	heldAnswers       []int    // commands whose answer the fault held-back delays
+	freeRows          []int    // endpoint indices that the router has released
+	endedEarly        [][2]int // command and number of canceled attempts that the fault two-out ends early
 }
 
 type simulatedEndpoint struct {
@@ -133,7 +139,7 @@
 	name     string
 	group    int
 	received bool
-	answered bool // its answer is a member's
+	answered bool // a backend answered it, and not the router with an error
 	attempts []*attempt
 }
 
@@ -141,18 +147,18 @@
 	number, endpoint int
 	sentAt, deadline float64
 	canceled         bool
-	timedOut         bool // its command was told that it ran out of time
+	timedOut         bool // the fault answers-twice has reported it as timed out and will still answer it
 }
 
-// groupOf finds a command group, or returns -1.
+// groupOf returns the index of a command group in commandGroups, or -1.
 func groupOf(name string) int {
 	return slices.IndexFunc(commandGroups, func(g commandGroup) bool { return g.name == name })
 }
 
 func newCommandSystem(b Bounds, fault string) *commandSystem {
 	c := &commandSystem{
-		bounds: b, fault: fault, healthChecks: map[int]bool{}, checker: invariant.Commands{Grace: commandDrainGraceSeconds}, lastWritePosition: math.Inf(-1),
-		readHighWaterMark: math.Inf(-1),
+		bounds: b, fault: fault, healthChecks: map[int]bool{}, checker: invariant.Commands{Grace: commandDrainGraceSeconds},
+		lastWritePosition: math.Inf(-1), readHighWaterMark: math.Inf(-1),
 	}
 	for range b.Members {
 		c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready, Member: invariant.Member{Covers: 10}})
@@ -166,64 +172,66 @@
 	return c
 }
 
-// startRouter starts the router, for the first time or anew: it knows only the list that it had last.
+// startRouter starts the router, or restarts it with nothing but a cached endpoint list.
 func (c *commandSystem) startRouter() {
-	s := router.Config{
-		RouterCount: 1, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
-		MaxAttempts: 3, ConnectTimeout: 0.05, SlowStartFloor: 0.2, SlowStart: 0.1, OverloadFactor: 2, OverloadWindow: 1,
-	}
-	for _, x := range commandGroups {
-		g := x.config
-		g.LatencyObjective, g.ClientTimeout, g.PriorityWeight, g.LateValue, g.IdempotencyWindow = commandTimeoutSeconds/2, commandTimeoutSeconds, 1, 0.5, commandWindowSeconds
+	config := router.Config{
+		RouterCount: 1, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true, LoadReports: true, CanCancel: true,
+		HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1, MaxAttempts: 3,
+		ConnectTimeout: 0.05, SlowStartFloor: 0.2, SlowStart: 0.1, OverloadFactor: 2, OverloadWindow: 1,
+	}
+	for _, group := range commandGroups {
+		groupConfig := group.config
+		groupConfig.LatencyObjective, groupConfig.ClientTimeout, groupConfig.PriorityWeight, groupConfig.LateValue,
+			groupConfig.IdempotencyWindow = commandTimeoutSeconds/2, commandTimeoutSeconds, 1, 0.5, commandWindowSeconds
 		if c.fault == "long-memory" {
-			g.IdempotencyWindow += commandTickSeconds
+			groupConfig.IdempotencyWindow += commandTickSeconds
 		}
-		s.CommandGroups = append(s.CommandGroups, g)
+		config.CommandGroups = append(config.CommandGroups, groupConfig)
 	}
 	c.routerStarts++
-	c.router = router.New(s, uint64(c.routerStarts)<<48) // a new seed with each start, that draws otherwise
+	c.router = router.New(config, uint64(c.routerStarts)<<48) // each start draws from a seed of its own
 	c.tracker = inflight.New(c.router, c)
 	c.sendList(true)
 	c.runReviews()
 }
 
 func (c *commandSystem) sendList(cached bool) {
-	var l []router.EndpointInfo
-	for i, m := range c.endpoints {
-		l = append(l, router.EndpointInfo{Index: i, State: m.listedState, StartedAt: math.Inf(-1), Primary: m.primary})
+	var list []router.EndpointInfo
+	for i, e := range c.endpoints {
+		list = append(list, router.EndpointInfo{Index: i, State: e.listedState, StartedAt: math.Inf(-1), Primary: e.primary})
 	}
-	c.router.UpdateEndpoints(c.now, l, true, cached)
+	c.router.UpdateEndpoints(c.now, list, true, cached)
 }
 
-// runReviews lets the module go on by itself up to now.
+// runReviews lets the tracker and the router do everything that is due by now.
 func (c *commandSystem) runReviews() {
-	next, keep := c.tracker.ReviewDue(c.now)
-	for _, e := range c.endedEarly {
-		c.tracker.AttemptEnded(c.now, uint32(e[0]), router.AttemptResult{Attempt: e[1], Result: router.Canceled, Position: -1})
+	next, maintenance := c.tracker.ReviewDue(c.now)
+	for _, ended := range c.endedEarly {
+		c.tracker.AttemptEnded(c.now, uint32(ended[0]), router.AttemptResult{Attempt: ended[1], Result: router.Canceled, Position: -1})
 	}
 	c.endedEarly, c.nextReviewAt = nil, next
-	c.freeRows = append(c.freeRows, keep.Release...)
-	for _, n := range keep.HealthCheck {
-		c.healthChecks[n] = true
+	c.freeRows = append(c.freeRows, maintenance.Release...)
+	for _, endpoint := range maintenance.HealthCheck {
+		c.healthChecks[endpoint] = true
 	}
 }
 
 // Forward implements inflight.Executor.
-func (c *commandSystem) Forward(id uint32, number, node int, until float64) {
-	x := c.commands[id]
-	m := c.endpoints[node].Member
+func (c *commandSystem) Forward(id uint32, number, endpoint int, deadline float64) {
+	cmd := c.commands[id]
+	backend := c.endpoints[endpoint].Member
 	if c.fault == "far-keyed" && number > 0 {
-		m.Set++
+		backend.Set++
 	}
-	c.checker.Sent(c.now, x.name, &x.Command, node, &m)
-	x.attempts = append(x.attempts, &attempt{number: number, endpoint: node, sentAt: c.now, deadline: until})
+	c.checker.Sent(c.now, cmd.name, &cmd.Command, endpoint, &backend)
+	cmd.attempts = append(cmd.attempts, &attempt{number: number, endpoint: endpoint, sentAt: c.now, deadline: deadline})
 }
 
 // Cancel implements inflight.Executor.
 func (c *commandSystem) Cancel(id uint32, number int) {
-	for _, l := range c.commands[id].attempts {
-		if l.number == number {
-			l.canceled = true
+	for _, a := range c.commands[id].attempts {
+		if a.number == number {
+			a.canceled = true
 			if c.fault == "two-out" {
 				c.endedEarly = append(c.endedEarly, [2]int{int(id), number})
 			}
@@ -246,52 +254,52 @@
 // Steps implements modelcheck.System.
 func (c *commandSystem) Steps() []string {
 	if c.Ended() && !c.hasAttemptsInFlight() && len(c.heldAnswers) == 0 {
-		return nil // nothing more can come of them
-	}
-	may := func(kind string) bool { return c.bounds.mayInject(kind, c.faults) }
-	var s stepList
-	for i, x := range c.commands {
-		s.addIf(!x.received, "take %d", i)
-		s.addIf(x.received && x.Open() && may("leave"), "leave %d", i)
-		for k, l := range x.attempts {
-			c.addAttemptSteps(&s, l, i, k)
+		return nil // no command can change any more
+	}
+	mayInject := func(kind string) bool { return c.bounds.mayInject(kind, c.faults) }
+	var steps stepList
+	for i, cmd := range c.commands {
+		steps.addIf(!cmd.received, "take %d", i)
+		steps.addIf(cmd.received && cmd.Open() && mayInject("leave"), "leave %d", i)
+		for k, a := range cmd.attempts {
+			c.addAttemptSteps(&steps, a, i, k)
 		}
 	}
 	for i := range c.endpoints {
-		c.addEndpointSteps(&s, i)
+		c.addEndpointSteps(&steps, i)
 	}
-	s.addIf(may("restart"), "restart")
-	s.addIf(slices.Contains(c.bounds.Only, "idle") && may("idle"), "idle") // costly, and of use in few bounds
-	s.addIf(c.ticks < c.bounds.Ticks, "tick")
-	return s
+	steps.addIf(mayInject("restart"), "restart")
+	// The step idle multiplies the states, and few bounds need it.
+	steps.addIf(slices.Contains(c.bounds.Only, "idle") && mayInject("idle"), "idle")
+	steps.addIf(c.ticks < c.bounds.Ticks, "tick")
+	return steps
 }
 
-// addAttemptSteps adds how a dispatch may end.
-func (c *commandSystem) addAttemptSteps(s *stepList, l *attempt, i, k int) {
-	s.addIf(l.canceled && !l.timedOut, "recalled %d %d", i, k) // the race with its answer
-	s.add("answered %d %d", i, k)
-	if l.timedOut || l.canceled {
+// addAttemptSteps adds the ways in which an attempt may end.
+func (c *commandSystem) addAttemptSteps(steps *stepList, a *attempt, command, index int) {
+	steps.addIf(a.canceled && !a.timedOut, "recalled %d %d", command, index) // the cancellation races with the answer
+	steps.add("answered %d %d", command, index)
+	if a.timedOut || a.canceled {
 		return
 	}
 	for _, kind := range []string{"errored", "full", "unreached", "broken"} {
-		s.addIf(c.bounds.mayInject(kind, c.faults), "%s %d %d", kind, i, k)
+		steps.addIf(c.bounds.mayInject(kind, c.faults), "%s %d %d", kind, command, index)
 	}
 }
 
-// addEndpointSteps adds what a member may do, and what may become of it.
-func (c *commandSystem) addEndpointSteps(s *stepList, i int) {
-	may := func(kind string) bool { return c.bounds.mayInject(kind, c.faults) }
-	m := &c.endpoints[i]
-	isReady, isReadyReplica := m.listedState == router.Ready, m.listedState == router.Ready && !m.primary
-	s.addIf(c.healthChecks[i], "report %d", i)
-	s.addIf(!m.primary && m.Covers < c.now && m.listedState != router.Removed, "apply %d", i)
-	s.addIf(may("drain") && isReady, "drain %d", i)
-	s.addIf(may("replace") && isReadyReplica, "replace %d", i)
-	s.addIf(may("promote") && isReadyReplica && m.Covers >= c.lastWritePosition, "promote %d", i)
+// addEndpointSteps adds what may happen to an endpoint and its backend.
+func (c *commandSystem) addEndpointSteps(steps *stepList, i int) {
+	mayInject := func(kind string) bool { return c.bounds.mayInject(kind, c.faults) }
+	e := &c.endpoints[i]
+	isReady, isReadyReplica := e.listedState == router.Ready, e.listedState == router.Ready && !e.primary
+	steps.addIf(c.healthChecks[i], "report %d", i)
+	steps.addIf(!e.primary && e.Covers < c.now && e.listedState != router.Removed, "apply %d", i)
+	steps.addIf(mayInject("drain") && isReady, "drain %d", i)
+	steps.addIf(mayInject("replace") && isReadyReplica, "replace %d", i)
+	steps.addIf(mayInject("promote") && isReadyReplica && e.Covers >= c.lastWritePosition, "promote %d", i)
 }
 
-// Commute implements modelcheck.Commuter: a replica that applies its log touches nothing but itself, and most steps
-// do not look at it.
+// Commute implements modelcheck.Commuter. A replica that applies its log changes only itself, and most steps do not read it.
 func (c *commandSystem) Commute(a, b string) bool {
 	if modelcheck.Kind(a) != "apply" {
 		a, b = b, a
@@ -300,7 +308,7 @@
 		return false
 	}
 	switch modelcheck.Kind(b) {
-	case "apply", "take": // what may end the last command is not among them: nothing comes after that
+	case "apply", "take": // not the steps that may end the last command, since no step follows them
 		return a != b
 	case "report":
 		return strings.TrimPrefix(a, "apply") != strings.TrimPrefix(b, "report")
@@ -354,21 +362,21 @@
 	}
 }
 
-// answerHealthCheck has a member answer a probe.
+// answerHealthCheck has a backend answer a health check with its load report.
 func (c *commandSystem) answerHealthCheck(n int) {
 	delete(c.healthChecks, n)
-	m := c.endpoints[n]
-	at := m.Covers
+	e := c.endpoints[n]
+	position := e.Covers
 	if c.fault == "spoilt-position" {
-		at += 2 * commandTickSeconds
+		position += 2 * commandTickSeconds
 	}
-	c.router.HealthChecked(c.now, n, router.Answered, 0, at, m.primary)
+	c.router.HealthChecked(c.now, n, router.Answered, 0, position, e.primary)
 }
 
 func (c *commandSystem) drainEndpoint(n int) {
 	c.faults++
-	m := &c.endpoints[n]
-	m.listedState, m.Away, m.AwaySince = router.Draining, true, c.now
+	e := &c.endpoints[n]
+	e.listedState, e.Away, e.AwaySince = router.Draining, true, c.now
 	if c.fault != "drain-overlooked" || !c.hasAttemptsInFlight() {
 		c.sendList(false)
 	}
@@ -385,27 +393,26 @@
 	}
 }
 
-// restartRouter has the router end and start anew; its clients' commands end with it.
+// restartRouter stops the router, which ends the commands that it has, and starts it again.
 func (c *commandSystem) restartRouter() {
 	c.faults++
-	for _, x := range c.commands {
-		if x.received {
-			c.checker.Ended(&x.Command)
-			x.attempts = nil
+	for _, cmd := range c.commands {
+		if cmd.received {
+			c.checker.Ended(&cmd.Command)
+			cmd.attempts = nil
 		}
 	}
 	c.healthChecks, c.heldAnswers, c.readHighWaterMark = map[int]bool{}, nil, math.Inf(-1)
 	c.startRouter()
 }
 
-// replaceReplica has a replica go for good, and another come that has nothing yet, under an index that the module has let go
-// if there is one.
+// replaceReplica removes a replica for good and adds an empty one, in a released row if there is one.
 func (c *commandSystem) replaceReplica(n int) {
-	m := &c.endpoints[n]
+	e := &c.endpoints[n]
 	if c.fault == "reused-index" {
-		m.Covers = 0
+		e.Covers = 0
 	} else {
-		m.listedState, m.Away, m.AwaySince = router.Removed, true, c.now
+		e.listedState, e.Away, e.AwaySince = router.Removed, true, c.now
 		if len(c.freeRows) > 0 {
 			c.endpoints[c.freeRows[0]] = simulatedEndpoint{listedState: router.Ready}
 			c.freeRows = c.freeRows[1:]
@@ -417,8 +424,8 @@
 }
 
 func (c *commandSystem) hasAttemptsInFlight() bool {
-	for _, x := range c.commands {
-		if len(x.attempts) > 0 {
+	for _, cmd := range c.commands {
+		if len(cmd.attempts) > 0 {
 			return true
 		}
 	}
@@ -429,67 +436,68 @@
 	if c.fault == "forgotten-mark" && !c.hasAttemptsInFlight() {
 		c.startRouter()
 	}
-	x := c.commands[n]
-	x.received = true
-	g := commandGroups[x.group]
-	x.Effect, x.GiveUp, x.Memory, x.Needs = g.idempotency, c.now+commandTimeoutSeconds, commandWindowSeconds, math.Inf(-1)
-	in := router.Command{Group: x.group, Session: 7, ArrivedAt: c.now, ClientDeadline: x.GiveUp}
-	x.Seen = math.Inf(-1)
-	if g.config.Consistency == router.SessionConsistent {
-		x.Seen = c.readHighWaterMark
-	}
-	if g.config.Consistency == router.SessionConsistent && !math.IsInf(c.lastWritePosition, -1) {
-		x.Needs, in.LastWriteAge = c.lastWritePosition, cmp.Or(c.now-c.lastWritePosition, -math.SmallestNonzeroFloat64) // as the front makes it
+	cmd := c.commands[n]
+	cmd.received = true
+	group := commandGroups[cmd.group]
+	cmd.Effect, cmd.GiveUp, cmd.Memory, cmd.Needs = group.idempotency, c.now+commandTimeoutSeconds, commandWindowSeconds, math.Inf(-1)
+	request := router.Command{Group: cmd.group, Session: 7, ArrivedAt: c.now, ClientDeadline: cmd.GiveUp}
+	cmd.Seen = math.Inf(-1)
+	if group.config.Consistency == router.SessionConsistent {
+		cmd.Seen = c.readHighWaterMark
+	}
+	if group.config.Consistency == router.SessionConsistent && !math.IsInf(c.lastWritePosition, -1) {
+		// The frontend also avoids the age 0, which would mean no write.
+		cmd.Needs, request.LastWriteAge = c.lastWritePosition, cmp.Or(c.now-c.lastWritePosition, -math.SmallestNonzeroFloat64)
 		if c.fault == "no-age" {
-			in.LastWriteAge = math.Max(0, c.now-c.lastWritePosition)
+			request.LastWriteAge = math.Max(0, c.now-c.lastWritePosition)
 		}
 	}
-	c.tracker.Add(c.now, uint32(n), in)
+	c.tracker.Add(c.now, uint32(n), request)
 }
 
-// endAttempt has a dispatch endAttempt.
-func (c *commandSystem) endAttempt(n, k int, kind string) {
-	x := c.commands[n]
-	l := x.attempts[k]
-	if l.timedOut {
-		c.checker.Answered(c.now, x.name, &x.Command)
+// endAttempt ends an attempt in the way that a step names.
+func (c *commandSystem) endAttempt(n, index int, kind string) {
+	cmd := c.commands[n]
+	a := cmd.attempts[index]
+	if a.timedOut {
+		c.checker.Answered(c.now, cmd.name, &cmd.Command)
 	}
-	if c.fault == "answers-twice" && kind == "timed" && !l.timedOut {
-		l.timedOut = true
-		defer func() { x.attempts = append(x.attempts, l) }()
+	if c.fault == "answers-twice" && kind == "timed" && !a.timedOut {
+		a.timedOut = true
+		defer func() { cmd.attempts = append(cmd.attempts, a) }()
 	}
-	x.attempts = slices.Delete(slices.Clone(x.attempts), k, k+1)
+	cmd.attempts = slices.Delete(slices.Clone(cmd.attempts), index, index+1)
 	if isInjectedResult(kind) {
 		c.faults++
 	}
 	result := attemptResults[kind]
-	m := &c.endpoints[l.endpoint]
-	missed := result == router.Answered && x.consistency() == router.PrimaryOnly && !m.primary // a replica turns it away
-	c.checker.Back(&x.Command, l.sentAt, m.Set, mayHaveRun(result) && !missed)
-	o := c.attemptResult(l, result, missed)
-	if o.Result == router.Answered {
-		c.applyAnswer(x, l, &o)
-	}
-	wasOpen := x.Open()
+	e := &c.endpoints[a.endpoint]
+	notServed := result == router.Answered && cmd.consistency() == router.PrimaryOnly && !e.primary // a replica rejects it
+	c.checker.Back(&cmd.Command, a.sentAt, e.Set, mayHaveRun(result) && !notServed)
+	reported := c.attemptResult(a, result, notServed)
+	if reported.Result == router.Answered {
+		c.applyAnswer(cmd, a, &reported)
+	}
+	wasOpen := cmd.Open()
 	if c.fault != "lost-end" || result != router.Canceled {
-		c.tracker.AttemptEnded(c.now, uint32(n), o)
+		c.tracker.AttemptEnded(c.now, uint32(n), reported)
 	}
-	if o.Result == router.Answered && wasOpen {
-		x.answered = true
-		c.checker.Answered(c.now, x.name, &x.Command)
+	if reported.Result == router.Answered && wasOpen {
+		cmd.answered = true
+		c.checker.Answered(c.now, cmd.name, &cmd.Command)
 	}
 }
 
-// isInjectedResult tells whether an ending of a dispatch is a fault of the adversary's.
-func isInjectedResult(ending string) bool {
-	return ending != "answered" && ending != "recalled" && ending != "timed"
+// isInjectedResult reports whether an attempt's end counts against the bound of faults.
+func isInjectedResult(kind string) bool {
+	return kind != "answered" && kind != "recalled" && kind != "timed"
 }
 
-func (x *clientCommand) consistency() router.Consistency {
-	return commandGroups[x.group].config.Consistency
+func (cmd *clientCommand) consistency() router.Consistency {
+	return commandGroups[cmd.group].config.Consistency
 }
 
-// mayHaveRun tells whether a command may have run whose dispatch ended so.
+// mayHaveRun reports whether a command may have run after an attempt with this result.
 func mayHaveRun(result router.Result) bool {
 	switch result {
 	case router.Answered, router.Errored, router.ConnectionLost, router.TimedOut, router.Canceled:
@@ -499,59 +507,61 @@
 	}
 }
 
-// attemptResult is what the module is told of the end of a dispatch.
-func (c *commandSystem) attemptResult(l *attempt, result router.Result, missed bool) router.AttemptResult {
-	o := router.AttemptResult{Attempt: l.number, Result: result, Elapsed: c.now - l.sentAt, Final: result == router.Answered, Position: -1}
+// attemptResult returns what the router is told of an attempt's end.
+func (c *commandSystem) attemptResult(a *attempt, result router.Result, notServed bool) router.AttemptResult {
+	reported := router.AttemptResult{
+		Attempt: a.number, Result: result, Elapsed: c.now - a.sentAt, Final: result == router.Answered, Position: -1,
+	}
 	hasAnswer := result == router.Answered || result == router.Errored
-	if hasAnswer && c.fault != "untold-primary" { // an answer says what its member is
-		o.Role = router.RoleReplica
-		if c.endpoints[l.endpoint].primary {
-			o.Role = router.RolePrimary
+	if hasAnswer && c.fault != "untold-primary" { // an answer holds its backend's role
+		reported.Role = router.RoleReplica
+		if c.endpoints[a.endpoint].primary {
+			reported.Role = router.RolePrimary
 		}
 	}
 	switch {
-	case missed:
-		o.Result, o.Final = router.NotServed, false
+	case notServed:
+		reported.Result, reported.Final = router.NotServed, false
 	case c.fault == "early-byte" && result == router.ConnectionLost:
-		o.Result = router.ConnectFailed
+		reported.Result = router.ConnectFailed
 	}
-	return o
+	return reported
 }
 
-// applyAnswer has a member's answer take effect: a write moves its position, a read shows it.
-func (c *commandSystem) applyAnswer(x *clientCommand, l *attempt, o *router.AttemptResult) {
-	m := &c.endpoints[l.endpoint]
-	if x.consistency() == router.PrimaryOnly {
-		c.lastWritePosition, m.Covers = c.now, c.now
-		o.Position = c.now
+// applyAnswer applies a backend's answer: a write moves the backend's position, a read shows it.
+func (c *commandSystem) applyAnswer(cmd *clientCommand, a *attempt, reported *router.AttemptResult) {
+	e := &c.endpoints[a.endpoint]
+	if cmd.consistency() == router.PrimaryOnly {
+		c.lastWritePosition, e.Covers = c.now, c.now
+		reported.Position = c.now
 		return
 	}
-	o.Position = m.Covers
-	c.checker.Served(x.name, &x.Command, l.endpoint, &m.Member)
-	if x.consistency() == router.SessionConsistent {
-		c.readHighWaterMark = math.Max(c.readHighWaterMark, m.Covers)
+	reported.Position = e.Covers
+	c.checker.Served(cmd.name, &cmd.Command, a.endpoint, &e.Member)
+	if cmd.consistency() == router.SessionConsistent {
+		c.readHighWaterMark = math.Max(c.readHighWaterMark, e.Covers)
 	}
 }
 
-// passTime lets time passTime. The module has its say at each moment that it asked for, and dispatches run out
-// of time at theirs.
+// passTime lets seconds pass. The router reviews its commands whenever a review is due, and attempts time out at their
+// deadlines.
 func (c *commandSystem) passTime(span float64) {
-	held := c.heldAnswers
+	heldAnswers := c.heldAnswers
 	c.heldAnswers = nil
 	end := c.now + span
 	for c.now < end {
-		at := math.Min(end, math.Max(c.nextReviewAt, c.now+0.001))
-		for _, x := range c.commands {
-			for _, l := range x.attempts {
-				if !l.timedOut {
-					at = math.Min(at, math.Max(l.deadline, c.now))
+		next := math.Min(end, math.Max(c.nextReviewAt, c.now+0.001))
+		for _, cmd := range c.commands {
+			for _, a := range cmd.attempts {
+				if !a.timedOut {
+					next = math.Min(next, math.Max(a.deadline, c.now))
 				}
 			}
 		}
-		c.now = at
-		for i, x := range c.commands {
-			for k := 0; k < len(x.attempts); k++ {
-				if x.attempts[k].deadline <= c.now && !x.attempts[k].timedOut {
+		c.now = next
+		for i, cmd := range c.commands {
+			for k := 0; k < len(cmd.attempts); k++ {
+				if cmd.attempts[k].deadline <= c.now && !cmd.attempts[k].timedOut {
 					c.endAttempt(i, k, "timed")
 					k--
 				}
@@ -564,25 +574,25 @@
 			}
 		}
 	}
-	for _, n := range held {
+	for _, n := range heldAnswers {
 		c.checker.Answered(c.now, c.commands[n].name, &c.commands[n].Command)
 	}
-	for _, x := range c.commands {
-		if x.received {
-			c.checker.Overdue(c.now, x.name, &x.Command)
+	for _, cmd := range c.commands {
+		if cmd.received {
+			c.checker.Overdue(c.now, cmd.name, &cmd.Command)
 		}
 	}
 }
 
-// commandRules leave out to whom the tracker reports, and the numbers that tell reviews of one time apart.
+// commandRules ignore the receiver of the tracker's decisions and the counters that only order reviews of the same time.
 var commandRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
 	"inflight.Tracker":     {"executor"},
 	"inflight.review":      {"order"},
 	"inflight.reviewQueue": {"count"},
 }}
 
-// Fingerprint implements modelcheck.System. Nothing of the module is left out, chance included; what the world
-// looks like follows from what is here.
+// Fingerprint implements modelcheck.System. It covers the router module's whole state, including its random numbers; what it
+// leaves out of this system follows from that.
 func (c *commandSystem) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = commandRules
 	h.Float(c.now)
@@ -601,10 +611,10 @@
 // Broken implements modelcheck.System.
 func (c *commandSystem) Broken() (string, string) { return c.checker.Broken() }
 
-// Ended implements modelcheck.System: every command has had its end.
+// Ended implements modelcheck.System: every command has arrived and ended.
 func (c *commandSystem) Ended() bool {
-	for _, x := range c.commands {
-		if !x.received || x.Open() {
+	for _, cmd := range c.commands {
+		if !cmd.received || cmd.Open() {
 			return false
 		}
 	}
--- a/internal/modelcheck/models/member.go
+++ b/internal/modelcheck/models/member.go
@@ -18,26 +18,26 @@
 )
 
 var backendKind = Kind{
-	Name: "member", Words: "connections to one member, with the member, the network below them and time as the adversary",
+	Name: "member", Words: "connections to one backend, against an adversary that controls the backend, the network and time",
 	Faults: map[string]Fault{
 		"previous-reply": {
-			"what a connection brings between two commands is not noticed: the next takes it for its own",
+			"data that arrives between two commands goes unnoticed, and the next command takes it for its reply",
 			Bounds{Commands: []string{"look", "look"}, Faults: 1, Ticks: 1},
 		},
 		"early-write": {
-			"the last byte of a statement counts as written, and is not",
+			"the last byte of a statement counts as written but is not",
 			Bounds{Commands: []string{"look"}, Faults: 1},
 		},
 		"late-write": {
-			"the last byte of what is written counts as unwritten",
+			"the last byte of a statement is written but counts as unwritten",
 			Bounds{Commands: []string{"look"}, Faults: 1},
 		},
 		"twice": {
-			"a dispatch that was called off ends once more as its connection does",
+			"a canceled attempt ends again when its connection does",
 			Bounds{Commands: []string{"look"}, Faults: 1},
 		},
 		"kept": {
-			"a connection that is closed stays open",
+			"a closed connection stays open",
 			Bounds{Commands: []string{"look"}, Faults: 1},
 		},
 	},
@@ -46,7 +46,7 @@
 	},
 }
 
-// backendSystem is the system: dispatches to one member over the connections of package backend.
+// backendSystem is the system "member": attempts to one backend over the connections of package backend.
 type backendSystem struct {
 	bounds      Bounds
 	fault       string
@@ -57,31 +57,33 @@
 	faults      int
 	ticks       int
 	checker     invariant.Dispatches
-	descriptors []int // descriptors, in the order in which they came
+	descriptors []int // of all connections, closed ones too, in the order of their dials
 	closed      bool
 	ends        map[int]*backendEnd
 }
 
-// backendAttempt is one command's dispatch.
+// backendAttempt is the attempt of one command.
 type backendAttempt struct {
 	attempt   *backend.Attempt
 	statement buffer.Chain
-	state     int // 0: not yet sent, 1: out, 2: ended
+	state     int // 0: not yet sent, 1: in flight, 2: ended
 }
 
-// backendEnd is the member's end of a connection: what it has made of what was written.
+// backendEnd is the backend's end of a connection.
 type backendEnd struct {
 	startupRead  bool
-	parsedBytes  int // bytes of sent that were understood
+	parsedBytes  int // of fakeSocket.written
 	queries      []string
-	unsentAnswer []byte // of an answer, still to come
+	unsentAnswer []byte // second half of an answer
 	written      []byte
 }
 
 const backendStatement = "SELECT doc FROM items WHERE id = '%c' /* id=%d,c=look,d=900,cluster=2 */\x00"
 
 func newBackendSystem(b Bounds, fault string) *backendSystem {
-	s := &backendSystem{bounds: b, fault: fault, network: newFakeNetwork(), buffers: buffer.NewPool(512, 1<<16), ends: map[int]*backendEnd{}}
+	s := &backendSystem{
+		bounds: b, fault: fault, network: newFakeNetwork(), buffers: buffer.NewPool(512, 1<<16), ends: map[int]*backendEnd{},
+	}
 	limits := &config.Limits{
 		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, BackendMessage: 1 << 16, InspectedMessage: 1 << 10, BufferBlock: 4 << 10,
@@ -98,180 +100,180 @@
 	s.pool = backend.New(s.network, limits, s.buffers, backendResults{s}, &metrics.Counters{})
 	s.pool.SetAddress(0, netip.MustParseAddrPort("127.0.0.1:5432"), false)
 	for i := range b.Commands {
-		x := &backendAttempt{statement: s.buffers.NewChain()}
+		a := &backendAttempt{statement: s.buffers.NewChain()}
 		text := fmt.Sprintf(backendStatement, 'a'+i, i+1)
-		x.statement.Write([]byte(text))
-		from := strings.Index(text, "d=900") + 2
-		x.attempt = &backend.Attempt{CommandID: uint32(i), Statement: &x.statement, WaitStart: from, WaitEnd: from + 3}
-		s.attempts = append(s.attempts, x)
+		a.statement.Write([]byte(text))
+		waitStart := strings.Index(text, "d=900") + 2
+		a.attempt = &backend.Attempt{CommandID: uint32(i), Statement: &a.statement, WaitStart: waitStart, WaitEnd: waitStart + 3}
+		s.attempts = append(s.attempts, a)
 	}
 	return s
 }
 
-// backendResults is told how dispatches end.
+// backendResults receives the results of attempts.
 type backendResults struct{ *backendSystem }
 
 // Wanted implements backend.ResultHandler.
 func (backendResults) Wanted(*backend.Attempt) bool { return true }
 
 // AttemptEnded implements backend.ResultHandler.
-func (s backendResults) AttemptEnded(d *backend.Attempt, e router.Result, _ float64, a *pg.Answer) {
-	x := s.attempts[d.CommandID]
-	x.state = 2
-	never := e == router.ConnectFailed || e == router.NeverSent
-	if e != router.Overloaded { // which says itself that it never ran
-		s.checker.Ended(int(d.CommandID), never, s.statementWritten(int(d.CommandID)))
-	}
-	if s.fault == "twice" && e == router.Canceled {
-		s.checker.Ended(int(d.CommandID), false, s.statementWritten(int(d.CommandID)))
-		s.checker.Ended(int(d.CommandID), false, s.statementWritten(int(d.CommandID)))
-	}
-	if a == nil {
+func (s backendResults) AttemptEnded(attempt *backend.Attempt, result router.Result, _ float64, answer *pg.Answer) {
+	a := s.attempts[attempt.CommandID]
+	a.state = 2
+	neverRan := result == router.ConnectFailed || result == router.NeverSent
+	if result != router.Overloaded { // this result already means that the command never ran
+		s.checker.Ended(int(attempt.CommandID), neverRan, s.statementWritten(int(attempt.CommandID)))
+	}
+	if s.fault == "twice" && result == router.Canceled {
+		s.checker.Ended(int(attempt.CommandID), false, s.statementWritten(int(attempt.CommandID)))
+		s.checker.Ended(int(attempt.CommandID), false, s.statementWritten(int(attempt.CommandID)))
+	}
+	if answer == nil {
 		return
 	}
-	if e == router.Answered {
+	if result == router.Answered {
 		var row []byte
-		for a.Row.Len() > 0 {
-			first := a.Row.FirstPiece()
-			row = append(row, first...)
-			a.Row.Discard(len(first))
+		for answer.Row.Len() > 0 {
+			piece := answer.Row.FirstPiece()
+			row = append(row, piece...)
+			answer.Row.Discard(len(piece))
 		}
 		value := "?"
 		if i := bytes.Index(row, []byte("value ")); i >= 0 && i+7 <= len(row) {
 			value = string(row[i+6 : i+7])
 		}
-		s.checker.Answered(int(d.CommandID), value, string(rune('a'+int(d.CommandID))))
+		s.checker.Answered(int(attempt.CommandID), value, string(rune('a'+int(attempt.CommandID))))
 	}
-	a.Row.Free()
+	answer.Row.Free()
 }
 
 // HealthChecked implements backend.ResultHandler.
 func (backendResults) HealthChecked(int, router.Result, float64, string) {}
 
-// statementWritten tells whether a command's statement was statementWritten whole on any connection, ever.
+// statementWritten reports whether a command's statement was ever written completely on any connection.
 func (s *backendSystem) statementWritten(id int) bool {
-	mark := []byte(fmt.Sprintf("id=%d,", id+1))
-	whole := false
-	for _, x := range s.writtenData() {
-		if i := bytes.Index(x, mark); i >= 0 && bytes.IndexByte(x[i:], 0) >= 0 {
-			whole = true
+	marker := []byte(fmt.Sprintf("id=%d,", id+1))
+	complete := false
+	for _, data := range s.writtenData() {
+		if i := bytes.Index(data, marker); i >= 0 && bytes.IndexByte(data[i:], 0) >= 0 {
+			complete = true
 		}
 	}
-	return whole
+	return complete
 }
 
-// writtenData is what was written on each connection, those that were closed included.
+// writtenData returns the data written on each connection, closed ones included.
 func (s *backendSystem) writtenData() [][]byte {
-	var out [][]byte
+	var all [][]byte
 	for _, fd := range s.descriptors {
-		out = append(out, s.ends[fd].written)
+		all = append(all, s.ends[fd].written)
 	}
-	return out
+	return all
 }
 
-// parseWritten has the member take in what was written.
+// parseWritten lets the backend parse what was written on its connections.
 func (s *backendSystem) parseWritten() {
 	for _, fd := range s.network.descriptors() {
-		k := s.network.sockets[fd]
-		p := s.ends[fd]
-		if p == nil {
-			p = &backendEnd{}
-			s.ends[fd] = p
+		socket := s.network.sockets[fd]
+		end := s.ends[fd]
+		if end == nil {
+			end = &backendEnd{}
+			s.ends[fd] = end
 			s.descriptors = append(s.descriptors, fd)
 		}
-		p.written = append([]byte{}, k.written...)
+		end.written = append([]byte{}, socket.written...)
 		for {
-			rest := k.written[p.parsedBytes:]
-			if !p.startupRead {
+			rest := socket.written[end.parsedBytes:]
+			if !end.startupRead {
 				if len(rest) < 4 || len(rest) < int(binary.BigEndian.Uint32(rest)) {
 					break
 				}
-				p.parsedBytes += int(binary.BigEndian.Uint32(rest))
-				p.startupRead = true
-				p.queries = append(p.queries, "")
+				end.parsedBytes += int(binary.BigEndian.Uint32(rest))
+				end.startupRead = true
+				end.queries = append(end.queries, "")
 				continue
 			}
 			if len(rest) < 5 || len(rest) < 1+int(binary.BigEndian.Uint32(rest[1:])) {
 				break
 			}
-			n := 1 + int(binary.BigEndian.Uint32(rest[1:]))
-			p.queries = append(p.queries, string(rest[5:n-1]))
-			p.parsedBytes += n
+			length := 1 + int(binary.BigEndian.Uint32(rest[1:]))
+			end.queries = append(end.queries, string(rest[5:length-1]))
+			end.parsedBytes += length
 		}
 	}
 }
 
-// answer is what the member says to a question; "" is the start-up.
-func answerTo(question string) []byte {
-	if question == "" {
+// answerTo returns the backend's answer to a query; the query "" stands for the startup packet.
+func answerTo(query string) []byte {
+	if query == "" {
 		return pg.AppendStartupReply(nil, pg.CancelKey{})
 	}
-	v := "value " + strings.SplitN(question, "'", 3)[1]
-	b := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
-	b = pg.AppendMessage(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(v))), []byte(v))
-	b = pg.AppendMessage(b, 'C', []byte("SELECT 1\x00"))
-	return pg.AppendReadyForQuery(pg.AppendParameterStatus(b, "recovery", "on"))
+	value := "value " + strings.SplitN(query, "'", 3)[1]
+	reply := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
+	reply = pg.AppendMessage(reply, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
+	reply = pg.AppendMessage(reply, 'C', []byte("SELECT 1\x00"))
+	return pg.AppendReadyForQuery(pg.AppendParameterStatus(reply, "recovery", "on"))
 }
 
 // Steps implements modelcheck.System.
 func (s *backendSystem) Steps() []string {
-	var out stepList
-	for i, x := range s.attempts {
-		out.addIf(x.state == 0, "send %d", i)
-		out.addIf(x.state == 1 && s.bounds.mayInject("recall", s.faults), "recall %d", i)
+	var steps stepList
+	for i, a := range s.attempts {
+		steps.addIf(a.state == 0, "send %d", i)
+		steps.addIf(a.state == 1 && s.bounds.mayInject("recall", s.faults), "recall %d", i)
 	}
 	for _, fd := range s.network.descriptors() {
-		s.addConnectionSteps(&out, fd)
+		s.addConnectionSteps(&steps, fd)
 	}
 	_, hasTimer := s.network.nextTimer()
-	out.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
-	out.addIf(s.allEnded() && !s.closed, "close")
-	return out
+	steps.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
+	steps.addIf(s.allEnded() && !s.closed, "close")
+	return steps
 }
 
 // addConnectionSteps adds what may happen on a connection.
-func (s *backendSystem) addConnectionSteps(out *stepList, fd int) {
-	k, at := s.network.sockets[fd], s.ordinal(fd)
-	may := func(kind string) bool { return s.bounds.mayInject(kind, s.faults) }
-	if k.handler == nil { // closed, but for a fault
+func (s *backendSystem) addConnectionSteps(steps *stepList, fd int) {
+	socket, ordinal := s.network.sockets[fd], s.ordinal(fd)
+	mayInject := func(kind string) bool { return s.bounds.mayInject(kind, s.faults) }
+	if socket.handler == nil { // closed; only the fault kept leaves the socket open
 		return
 	}
-	if !k.connected {
-		out.add("up %d", at)
-		out.addIf(may("refuse"), "refuse %d", at)
+	if !socket.connected {
+		steps.add("up %d", ordinal)
+		steps.addIf(mayInject("refuse"), "refuse %d", ordinal)
 		return
 	}
-	out.addIf(len(k.unread) > 0 || k.peerClosed, "see %d", at)
-	if k.wantWrite && k.writable == 0 {
-		out.add("room %d", at)
-		out.add("most %d", at)
+	steps.addIf(len(socket.unread) > 0 || socket.peerClosed, "see %d", ordinal)
+	if socket.wantWrite && socket.writable == 0 {
+		steps.add("room %d", ordinal)
+		steps.add("most %d", ordinal)
 	}
-	if k.peerClosed {
+	if socket.peerClosed {
 		return
 	}
-	s.addAnswerSteps(out, s.ends[fd], at)
-	out.addIf(may("end"), "end %d", at)
+	s.addAnswerSteps(steps, s.ends[fd], ordinal)
+	steps.addIf(mayInject("end"), "end %d", ordinal)
 }
 
-// addAnswerSteps adds what the member may say.
-func (s *backendSystem) addAnswerSteps(out *stepList, p *backendEnd, at int) {
+// addAnswerSteps adds what the backend may send.
+func (s *backendSystem) addAnswerSteps(steps *stepList, end *backendEnd, ordinal int) {
 	switch {
-	case len(p.unsentAnswer) > 0:
-		out.add("rest %d", at)
-	case len(p.queries) > 0:
-		out.add("answer %d", at)
+	case len(end.unsentAnswer) > 0:
+		steps.add("rest %d", ordinal)
+	case len(end.queries) > 0:
+		steps.add("answer %d", ordinal)
 		for _, kind := range []string{"half", "full", "spoil", "double"} {
-			out.addIf(s.bounds.mayInject(kind, s.faults), "%s %d", kind, at)
+			steps.addIf(s.bounds.mayInject(kind, s.faults), "%s %d", kind, ordinal)
 		}
-	default: // the protocol cannot tell a copy that comes later
-		out.addIf(p.startupRead && s.bounds.mayInject("echo", s.faults) && s.noneInFlight(), "echo %d", at)
+	default: // with an attempt in flight, the protocol cannot tell the copy from its answer
+		steps.addIf(end.startupRead && s.bounds.mayInject("echo", s.faults) && s.noneInFlight(), "echo %d", ordinal)
 	}
 }
 
-// noneInFlight tells whether no dispatch is out.
+// noneInFlight reports whether no attempt is in flight.
 func (s *backendSystem) noneInFlight() bool {
-	for _, x := range s.attempts {
-		if x.state == 1 {
+	for _, a := range s.attempts {
+		if a.state == 1 {
 			return false
 		}
 	}
@@ -279,19 +281,19 @@
 }
 
 func (s *backendSystem) allEnded() bool {
-	for _, x := range s.attempts {
-		if x.state != 2 {
+	for _, a := range s.attempts {
+		if a.state != 2 {
 			return false
 		}
 	}
 	return true
 }
 
-// ordinal is a connection's place in the order in which they came: names of steps must not depend on numbers of
-// descriptors that were used before.
+// ordinal returns a connection's index in descriptors, or -1. Steps name connections by it, so that their names do not depend
+// on which descriptor numbers were used before.
 func (s *backendSystem) ordinal(fd int) int {
-	for i, x := range s.descriptors {
-		if x == fd {
+	for i, descriptor := range s.descriptors {
+		if descriptor == fd {
 			return i
 		}
 	}
@@ -307,9 +309,9 @@
 	}
 	switch kind {
 	case "send":
-		x := s.attempts[n]
-		x.state, x.attempt.Deadline = 1, s.network.now+0.9
-		s.pool.Send(x.attempt)
+		a := s.attempts[n]
+		a.state, a.attempt.Deadline = 1, s.network.now+0.9
+		s.pool.Send(a.attempt)
 	case "recall":
 		s.faults++
 		s.pool.Cancel(s.attempts[n].attempt)
@@ -326,94 +328,95 @@
 	s.parseWritten()
 }
 
-// takeNetworkStep is what the network does to a connection.
+// takeNetworkStep takes a step of the network on a connection.
 func (s *backendSystem) takeNetworkStep(kind string, fd int) {
-	k := s.network.sockets[fd]
+	socket := s.network.sockets[fd]
 	switch kind {
 	case "up":
-		k.connected, k.writable = true, 60 // more than a start-up packet, less than a statement
-		k.handler.Ready(false, true)
+		socket.connected, socket.writable = true, 60 // bytes: more than a startup packet, less than a statement
+		socket.handler.Ready(false, true)
 	case "refuse":
 		s.faults++
-		k.refused = true
-		k.handler.Ready(false, true)
+		socket.refused = true
+		socket.handler.Ready(false, true)
 	case "see":
-		k.handler.Ready(true, false)
+		socket.handler.Ready(true, false)
 	case "room":
-		k.writable = 1 << 16
-		k.handler.Ready(false, true)
+		socket.writable = 1 << 16
+		socket.handler.Ready(false, true)
 	case "most":
-		s.writeAllButOneByte(fd, k)
+		s.writeAllButOneByte(fd, socket)
 	}
 }
 
-// writeAllButOneByte takes all that a connection has to write but one byte.
-func (s *backendSystem) writeAllButOneByte(fd int, k *fakeSocket) {
-	k.writable = 1 << 16
-	if left := s.unwrittenBytes(fd); left > 1 {
-		k.writable = left - 1
+// writeAllButOneByte lets a connection write all of its pending data except the last byte.
+func (s *backendSystem) writeAllButOneByte(fd int, socket *fakeSocket) {
+	socket.writable = 1 << 16
+	if unwritten := s.unwrittenBytes(fd); unwritten > 1 {
+		socket.writable = unwritten - 1
 	}
-	k.handler.Ready(false, true)
-	if after := s.network.sockets[fd]; after != nil {
-		after.writable = 0
+	socket.handler.Ready(false, true)
+	if remaining := s.network.sockets[fd]; remaining != nil {
+		remaining.writable = 0
 	}
 }
 
 func (s *backendSystem) close() {
 	s.closed = true
 	s.pool.CloseIdle()
-	for _, x := range s.attempts {
-		x.statement.Free()
+	for _, a := range s.attempts {
+		a.statement.Free()
 	}
 	s.checker.Left(len(s.network.sockets), len(s.network.timers), s.buffers.BlocksInUse())
 }
 
-// unwrittenBytes is how much of a statement a connection has still to write; a statement's length is known.
+// unwrittenBytes returns how many bytes of a statement a connection has still to write. All statements have the same length.
 func (s *backendSystem) unwrittenBytes(fd int) int {
-	k := s.network.sockets[fd]
-	return 5 + len(fmt.Sprintf(backendStatement, 'a', 1)) - len(k.written[s.ends[fd].parsedBytes:])
+	socket := s.network.sockets[fd]
+	return 5 + len(fmt.Sprintf(backendStatement, 'a', 1)) - len(socket.written[s.ends[fd].parsedBytes:])
 }
 
-// takeBackendStep is what the takeBackendStep itself does.
-func (s *backendSystem) takeBackendStep(what string, fd int, k *fakeSocket) {
-	p := s.ends[fd]
-	if what != "answer" && what != "rest" {
+// takeBackendStep takes a step of the backend on a connection.
+func (s *backendSystem) takeBackendStep(kind string, fd int, socket *fakeSocket) {
+	end := s.ends[fd]
+	if kind != "answer" && kind != "rest" {
 		s.faults++
 	}
-	question := ""
-	if len(p.queries) > 0 {
-		question = p.queries[0]
+	query := ""
+	if len(end.queries) > 0 {
+		query = end.queries[0]
 	}
-	switch what {
+	switch kind {
 	case "rest":
-		k.unread = append(k.unread, p.unsentAnswer...)
-		p.unsentAnswer = nil
+		socket.unread = append(socket.unread, end.unsentAnswer...)
+		end.unsentAnswer = nil
 		return
 	case "echo":
-		k.unread = append(k.unread, answerTo(fmt.Sprintf(backendStatement, 'z', 9))...)
+		socket.unread = append(socket.unread, answerTo(fmt.Sprintf(backendStatement, 'z', 9))...)
 		return
 	case "end":
-		k.peerClosed = true
+		socket.peerClosed = true
 		return
 	}
-	a := answerTo(question)
-	p.queries = p.queries[1:]
-	switch what {
+	answer := answerTo(query)
+	end.queries = end.queries[1:]
+	switch kind {
 	case "answer":
-		k.unread = append(k.unread, a...)
+		socket.unread = append(socket.unread, answer...)
 	case "double":
-		k.unread = append(append(k.unread, a...), a...)
+		socket.unread = append(append(socket.unread, answer...), answer...)
 	case "half":
-		k.unread = append(k.unread, a[:len(a)/2]...)
-		p.unsentAnswer = a[len(a)/2:]
+		socket.unread = append(socket.unread, answer[:len(answer)/2]...)
+		end.unsentAnswer = answer[len(answer)/2:]
 	case "full":
-		k.unread = append(k.unread, pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, pg.CodeTooManyConnections, "no room", ""))...)
+		socket.unread = append(socket.unread,
+			pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, pg.CodeTooManyConnections, "no room", ""))...)
 	case "spoil":
-		k.unread = append(k.unread, "D\xff\xff\xff\xff"...)
+		socket.unread = append(socket.unread, "D\xff\xff\xff\xff"...)
 	}
 }
 
-// backendRules leave out what is the same in all states or stands for the same thing elsewhere.
+// backendRules ignore fields that are the same in all states or that repeat state which is hashed elsewhere.
 var backendRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
 	"buffer.Chain":         {"pool"},
 	"backend.Attempt":      {"conn"},
@@ -424,20 +427,21 @@
 	"models.fakeNetwork":   {"timers"},
 }}
 
-// Fingerprint implements modelcheck.System. A connection stands for its handler; timers for their times.
+// Fingerprint implements modelcheck.System. It adds each connection's handler and timer here, since backendRules ignore them
+// in the network.
 func (s *backendSystem) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = backendRules
 	h.Value(s)
 	for _, fd := range s.descriptors {
-		if k := s.network.sockets[fd]; k != nil {
-			h.Value(k.handler)
-			at, set := s.network.timers[s.network.connectionTimer(fd)]
+		if socket := s.network.sockets[fd]; socket != nil {
+			h.Value(socket.handler)
+			firesAt, set := s.network.timers[s.network.connectionTimer(fd)]
 			h.Value(set)
-			h.Float(at)
+			h.Float(firesAt)
 		}
 	}
-	for _, x := range s.attempts {
-		h.Uint(uint64(x.state))
+	for _, a := range s.attempts {
+		h.Uint(uint64(a.state))
 	}
 }
 
--- a/internal/modelcheck/models/recorded_test.go
+++ b/internal/modelcheck/models/recorded_test.go
@@ -14,8 +14,8 @@
 	"stoatdale.example/stoatdale/internal/sexp"
 )
 
-// testdata/stopped.cbor and testdata/trace.json were written by stoatctl explore run. Operators keep such files over
-// releases, so every later release must read every value of them and write the same bytes.
+// testdata/stopped.cbor and testdata/trace.json were written by stoatctl explore run. Operators keep such files across
+// releases, so every later release must read all their values and write the same bytes.
 
 func recordedStopped() Stopped {
 	return Stopped{
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestRecordedExplorationIsReadAndGoneOnWith(t *testing.T) {
+func TestRecordedExplorationIsReadAndResumed(t *testing.T) {
 	file := filepath.Join("testdata", "stopped.cbor")
 	s, err := LoadStopped(file)
 	require.NoError(t, err)
@@ -68,13 +68,13 @@
 	assert.True(t, r.Complete, r.StopReason)
 	assert.Nil(t, r.Counterexample)
 	whole := modelcheck.Run(context.Background(), k.New(s.Bounds, s.Fault), s.Bounds.Explore(0), nil)
-	// Fingerprints are of the fields of the code. Where those have changed since the file was written, states of it
-	// are not known again and are explored once more: none may be missed.
+	// Fingerprints cover the fields of the code. If those have changed since the file was written, states of the file are not
+	// recognized and are explored again, so there may be more states than in a complete exploration, but none may be missing.
 	assert.GreaterOrEqual(t, r.States, whole.States)
 	assert.Equal(t, whole.Depth, r.Depth)
 }
 
-func TestRecordedTraceIsReadAndPlayed(t *testing.T) {
+func TestRecordedTraceIsReadAndReplayed(t *testing.T) {
 	file := filepath.Join("testdata", "trace.json")
 	got, err := LoadTrace(file)
 	require.NoError(t, err)
@@ -96,7 +96,7 @@
 	assert.Equal(t, invariant.ListFrom, property)
 	got.Fault = ""
 	_, property, _ = got.Replay()
-	assert.Empty(t, property, "without the injected bug the same steps break nothing")
+	assert.Empty(t, property, "without the injected fault, the same steps violate nothing")
 }
 
 func assertSameBytes(t *testing.T, recorded, written string) {
@@ -105,5 +105,5 @@
 	require.NoError(t, err)
 	got, err := os.ReadFile(written)
 	require.NoError(t, err)
-	assert.Equal(t, want, got, "written as recorded")
+	assert.Equal(t, want, got, "the written file differs from the recorded one")
 }
--- a/internal/modelcheck/models/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -16,16 +16,22 @@
 )
 
 var rolloutKind = Kind{
-	Name: "rollout", Words: "operators' tools, agents of one router each, claims and the network between them",
+	Name: "rollout", Words: "operators' rollout tools, agents with one router each, the lease and the network between them",
 	Faults: map[string]Fault{
-		"epoch-twice":  {"an agent grants an epoch that it has granted to another", Bounds{Agents: 2, Tools: 2, Ticks: 1}},
-		"forgetful":    {"an agent that starts again has forgotten what it promised", Bounds{Agents: 1, Tools: 2, Ticks: 1, Faults: 1}},
-		"floorless":    {"the plan goes by a floor that is one too low", Bounds{Agents: 2, Tools: 1, Ticks: 3, Faults: 1, Only: []string{"crash"}}},
-		"unkept":       {"an agent says that it keeps a record, and does not", Bounds{Agents: 2, Tools: 1, Ticks: 2}},
-		"twin":         {"an agent that starts again does not look for its router", Bounds{Agents: 1, Tools: 1, Ticks: 1, Faults: 1}},
-		"rash":         {"an agent is not told that a step was meant for a router that does not serve", Bounds{Agents: 2, Tools: 1, Ticks: 3, Faults: 2, Only: []string{"crash"}}},
-		"untold-start": {"the outcome of a router's start is not told to its agent", Bounds{Agents: 1, Tools: 1, Ticks: 1}},
-		"two-begin":    {"the plan does not look whether another instance is in a step", Bounds{Agents: 2, Tools: 1, Ticks: 2}},
+		"epoch-twice": {"an agent grants an epoch that it has already granted to another holder", Bounds{Agents: 2, Tools: 2, Ticks: 1}},
+		"forgetful":   {"a restarted agent has forgotten the lease that it granted", Bounds{Agents: 1, Tools: 2, Ticks: 1, Faults: 1}},
+		"floorless": {
+			"the plan keeps one instance fewer in service than it must",
+			Bounds{Agents: 2, Tools: 1, Ticks: 3, Faults: 1, Only: []string{"crash"}},
+		},
+		"unkept": {"an agent acknowledges a record without storing it", Bounds{Agents: 2, Tools: 1, Ticks: 2}},
+		"twin":   {"a restarted agent does not look for its running router", Bounds{Agents: 1, Tools: 1, Ticks: 1, Faults: 1}},
+		"rash": {
+			"an agent does not learn that a step is only for a router that does not serve",
+			Bounds{Agents: 2, Tools: 1, Ticks: 3, Faults: 2, Only: []string{"crash"}},
+		},
+		"untold-start": {"an agent does not learn the outcome of its router's start", Bounds{Agents: 1, Tools: 1, Ticks: 1}},
+		"two-begin":    {"the plan ignores that another instance is in a step", Bounds{Agents: 2, Tools: 1, Ticks: 2}},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
 		return func() modelcheck.System { return newRolloutSystem(b, fault) }
@@ -33,12 +39,13 @@
 }
 
 const (
-	rolloutTickSeconds  = 1.0 // seconds of a step of time
-	rolloutLeaseSeconds = 2.5 // that a claim runs: it runs out after three steps without a sign
+	rolloutTickSeconds  = 1.0 // of one time step
+	rolloutLeaseSeconds = 2.5 // duration of a lease: it expires after three time steps without renewal
 )
 
-// rolloutSystem is the system. What tools look at comes at once; what changes anything is delivered, lost, answered
-// into the void or late, as the adversary picks. Each act of an agent is a step, and it may die before it.
+// rolloutSystem is the system "rollout". Status calls are answered immediately. Of every other call, the adversary may lose the
+// call or its reply, or deliver the call late. Each action of an agent is a step of its own, and the agent may die before it.
+// Times are in seconds.
 type rolloutSystem struct {
 	bounds       Bounds
 	fault        string
@@ -50,7 +57,7 @@
 	faults       int
 	agents       []*rolloutAgent
 	tools        []*rolloutTool
-	delayedCalls []rolloutCall // calls that are still on their way after their tool has given them up
+	delayedCalls []rolloutCall // calls that may still arrive although their tool counts them as failed
 	checker      *invariant.Fleet
 }
 
@@ -59,9 +66,9 @@
 	lease          lease.PersistentState
 	record         supervisor.Record
 	alive          bool
-	pendingActions []supervisor.Action // acts that are still to be carried out
+	pendingActions []supervisor.Action // not yet carried out, in order
 	routerRuns     bool
-	routerServes   bool // it has answered since it started, whichever life of the agent asked
+	routerServes   bool // the router has answered a health check since its start, perhaps one of an earlier agent process
 	incarnation    uint64
 	stepOpen       bool
 	starts         int
@@ -72,7 +79,7 @@
 	holder      string
 	calls       []rolloutCall
 	ended       bool
-	// outcome of its last run
+	// of its last run
 	outcome coordinator.Outcome
 }
 
@@ -86,19 +93,25 @@
 func newRolloutSystem(b Bounds, fault string) *rolloutSystem {
 	r := &rolloutSystem{bounds: b, fault: fault, checker: invariant.NewFleet(b.Agents - 1), limits: supervisor.Limits{
 		ReadyTimeoutSeconds: 100, TerminationGraceSeconds: 0.5,
-		HealthCheckSeconds: 1e9, CounterReadSeconds: 1e9, RecentSeconds: 1, MinBackoffSeconds: 0.5, MaxBackoffSeconds: 1, StableSeconds: 1e9, MaxCrashes: 9, MaxMissedHealthChecks: 9, KillRetrySeconds: 100,
+		HealthCheckSeconds: 1e9, CounterReadSeconds: 1e9, RecentSeconds: 1,
+		MinBackoffSeconds: 0.5, MaxBackoffSeconds: 1, StableSeconds: 1e9, MaxCrashes: 9, MaxMissedHealthChecks: 9, KillRetrySeconds: 100,
+	}}
+	r.fleet = &rollout.Fleet{ZoneMinAvailable: []int{0}, MinAvailable: b.Agents - 1, Timing: rollout.Timing{
+		SoakSeconds: 0, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 100, StepTimeoutSeconds: 100,
 	}}
-	r.fleet = &rollout.Fleet{ZoneMinAvailable: []int{0}, MinAvailable: b.Agents - 1, Timing: rollout.Timing{SoakSeconds: 0, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 100, StepTimeoutSeconds: 100}}
 	if fault == "floorless" {
 		r.fleet.MinAvailable--
 	}
 	for i := range b.Agents {
 		r.fleet.Instances = append(r.fleet.Instances, rollout.Instance{Agent: i})
 		r.names = append(r.names, fmt.Sprint("n", i))
-		a := &rolloutAgent{routerRuns: true, routerServes: true, incarnation: 1, record: supervisor.Record{ShouldRun: true, Revision: "old", Incarnation: 1}}
-		r.agents = append(r.agents, a)
+		agent := &rolloutAgent{
+			routerRuns: true, routerServes: true, incarnation: 1,
+			record: supervisor.Record{ShouldRun: true, Revision: "old", Incarnation: 1},
+		}
+		r.agents = append(r.agents, agent)
 		r.startAgent(i)
-		for len(a.pendingActions) > 0 {
+		for len(agent.pendingActions) > 0 {
 			r.runNextAction(i)
 		}
 	}
@@ -110,242 +123,244 @@
 	return r
 }
 
-// startTool has a tool begin: the first a rollout, others another or the one there is.
+// startTool starts a tool's run: tool 0 begins a rollout, each other tool takes over and resumes the present one.
 func (r *rolloutSystem) startTool(t int) {
-	x := r.tools[t]
-	x.holder = fmt.Sprint("t", t)
+	tool := r.tools[t]
+	tool.holder = fmt.Sprint("t", t)
 	task := coordinator.Task{Operation: coordinator.OperationBegin, Takeover: t > 0, Rollout: protocol.Rollout{
-		Rollout: rollout.Rollout{ID: x.holder, Revision: fmt.Sprint("new", t)},
+		Rollout: rollout.Rollout{ID: tool.holder, Revision: fmt.Sprint("new", t)},
 	}}
 	if t > 0 {
 		task.Operation = coordinator.OperationResume
 	}
-	x.coordinator = coordinator.New(coordinator.Config{
-		Fleet: r.fleet, InstanceNames: r.names, Agents: len(r.agents), Holder: x.holder,
+	tool.coordinator = coordinator.New(coordinator.Config{
+		Fleet: r.fleet, InstanceNames: r.names, Agents: len(r.agents), Holder: tool.holder,
 		Timing: coordinator.Timing{PollSeconds: rolloutTickSeconds, MajorityTimeoutSeconds: 50}, Task: task,
 		Random: func() float64 { return 0.5 },
 	})
-	x.calls, x.ended = nil, false
+	tool.calls, tool.ended = nil, false
 }
 
-// runTools lets every tool go on as far as it can without anything being delivered that changes an agent.
+// runTools runs every tool as far as it gets without a call that changes an agent.
 func (r *rolloutSystem) runTools() {
-	for t, x := range r.tools {
-		for again := true; again && x.coordinator != nil; {
+	for t, tool := range r.tools {
+		for again := true; again && tool.coordinator != nil; {
 			again = false
-			sends, _ := x.coordinator.Tick(r.now)
-			x.coordinator.TakeEvents()
-			for _, s := range sends {
-				c := rolloutCall{Tool: t, ID: s.ID, Agent: s.Agent, Request: s.Request}
-				if s.Request.Verb != protocol.StatusVerb {
-					x.calls = append(x.calls, c)
+			sends, _ := tool.coordinator.Tick(r.now)
+			tool.coordinator.TakeEvents()
+			for _, send := range sends {
+				call := rolloutCall{Tool: t, ID: send.ID, Agent: send.Agent, Request: send.Request}
+				if send.Request.Verb != protocol.StatusVerb {
+					tool.calls = append(tool.calls, call)
 					continue
 				}
-				r.deliverCall(c, true)
+				r.deliverCall(call, true)
 				again = true
 			}
-			if o, over := x.coordinator.Outcome(); over {
-				x.coordinator, x.calls, x.outcome = nil, nil, o
-				x.ended = o.Kind == coordinator.OutcomeEnded && o.Rollout.State.Terminal()
+			if outcome, over := tool.coordinator.Outcome(); over {
+				tool.coordinator, tool.calls, tool.outcome = nil, nil, outcome
+				tool.ended = outcome.Kind == coordinator.OutcomeEnded && outcome.Rollout.State.Terminal()
 			}
 		}
 	}
 }
 
-// deliverCall has a call arrive; its answer too, if heard.
-func (r *rolloutSystem) deliverCall(c rolloutCall, heard bool) {
-	a, d := r.agents[c.Agent], r.tools[c.Tool].coordinator
-	if !a.alive {
-		if d != nil { // no call is out for good
-			d.HandleFailure(r.now, c.ID, "gone")
+// deliverCall delivers a call to its agent, and the reply to the tool if replyArrives.
+func (r *rolloutSystem) deliverCall(call rolloutCall, replyArrives bool) {
+	agent, caller := r.agents[call.Agent], r.tools[call.Tool].coordinator
+	if !agent.alive {
+		if caller != nil { // every call ends, also one to a stopped agent
+			caller.HandleFailure(r.now, call.ID, "gone")
 		}
 		return
 	}
-	reply := r.handleCall(c)
-	if heard && d != nil {
-		d.HandleReply(r.now, c.ID, reply)
-	} else if d != nil {
-		d.HandleFailure(r.now, c.ID, "lost")
+	reply := r.handleCall(call)
+	if replyArrives && caller != nil {
+		caller.HandleReply(r.now, call.ID, reply)
+	} else if caller != nil {
+		caller.HandleFailure(r.now, call.ID, "lost")
 	}
 }
 
-func (r *rolloutSystem) handleCall(c rolloutCall) protocol.Reply {
-	a := r.agents[c.Agent]
-	if r.fault == "unkept" && c.Request.Verb == protocol.StoreRecordVerb {
-		return protocol.Reply{LeaseState: a.handler.Lease.State(r.now)}
+func (r *rolloutSystem) handleCall(call rolloutCall) protocol.Reply {
+	agent := r.agents[call.Agent]
+	if r.fault == "unkept" && call.Request.Verb == protocol.StoreRecordVerb {
+		return protocol.Reply{LeaseState: agent.handler.Lease.State(r.now)}
 	}
-	if r.fault == "epoch-twice" && c.Request.Verb == protocol.RequestLeaseVerb && c.Request.LeaseRequest.Epoch == a.handler.Lease.Epoch {
-		a.handler.Lease.Epoch--
-		a.handler.Lease.Held = false
+	if r.fault == "epoch-twice" && call.Request.Verb == protocol.RequestLeaseVerb &&
+		call.Request.LeaseRequest.Epoch == agent.handler.Lease.Epoch {
+		agent.handler.Lease.Epoch--
+		agent.handler.Lease.Held = false
 	}
-	if c.Request.Verb == protocol.BeginStepVerb {
-		c.Request.Step.OnlyIfNotServing = c.Request.Step.OnlyIfNotServing && r.fault != "rash"
-		r.checker.Sent(stepName(c.Request.Step), r.isRecordedByMajority(c.Request.Epoch))
+	if call.Request.Verb == protocol.BeginStepVerb {
+		call.Request.Step.OnlyIfNotServing = call.Request.Step.OnlyIfNotServing && r.fault != "rash"
+		r.checker.Sent(stepName(call.Request.Step), r.isRecordedByMajority(call.Request.Epoch))
 	}
-	reply, saves := a.handler.Handle(r.now, c.Request)
+	reply, effects := agent.handler.Handle(r.now, call.Request)
 	if r.fault == "two-begin" {
 		hidePendingSteps(&reply)
 	}
-	isChange := c.Request.Verb == protocol.BeginStepVerb || c.Request.Verb == protocol.StoreRecordVerb
+	isChange := call.Request.Verb == protocol.BeginStepVerb || call.Request.Verb == protocol.StoreRecordVerb
 	if reply.Denial == lease.Granted && isChange {
-		r.checker.Acted(c.Request.Epoch, c.Request.Holder)
+		r.checker.Acted(call.Request.Epoch, call.Request.Holder)
 	}
-	if saves.Lease {
-		a.lease = a.handler.Lease.PersistentState
+	if effects.Lease {
+		agent.lease = agent.handler.Lease.PersistentState
 	}
-	if saves.ChangedInstance >= 0 {
-		r.storeRecord(c.Agent)
+	if effects.ChangedInstance >= 0 {
+		r.storeRecord(call.Agent)
 	}
-	a.pendingActions = append(a.pendingActions, saves.Actions...)
+	agent.pendingActions = append(agent.pendingActions, effects.Actions...)
 	return reply
 }
 
-// stepName is a step's name in the checker.
+// stepName returns the name by which the checker knows a step.
 func stepName(s rollout.Step) string { return fmt.Sprint(s.RolloutID, "/", s.Number) }
 
-// isRecordedByMajority tells whether a majority of agents keeps a record of an epoch or a later one.
+// isRecordedByMajority reports whether a majority of agents has stored a record of an epoch or a later one.
 func (r *rolloutSystem) isRecordedByMajority(epoch uint64) bool {
-	kept := 0
+	recorded := 0
 	for _, a := range r.agents {
 		if a.lease.Record.Version.Epoch >= epoch {
-			kept++
+			recorded++
 		}
 	}
-	return kept >= lease.Majority(len(r.agents))
+	return recorded >= lease.Majority(len(r.agents))
 }
 
-// hidePendingSteps has a reply say that no instance is in a step.
+// hidePendingSteps changes a reply so that no instance is in a step.
 func hidePendingSteps(reply *protocol.Reply) {
 	for i := range reply.Instances {
-		x := &reply.Instances[i]
-		if x.LastStep.Number != 0 && x.LastResult == rollout.StepPending {
-			x.LastResult, x.State, x.Revision = rollout.StepSucceeded, rollout.ProcessReady, x.LastStep.Revision
+		instance := &reply.Instances[i]
+		if instance.LastStep.Number != 0 && instance.LastResult == rollout.StepPending {
+			instance.LastResult, instance.State, instance.Revision = rollout.StepSucceeded, rollout.ProcessReady, instance.LastStep.Revision
 		}
 	}
 }
 
-// storeRecord keeps an instance's record, and sees steps begin and end.
+// storeRecord stores an instance's record and tells the checker whether its step began or ended.
 func (r *rolloutSystem) storeRecord(i int) {
-	a := r.agents[i]
-	a.record = a.handler.Supervisors[0].Record
-	open := a.record.Step.Number != 0 && a.record.Result == rollout.StepPending
+	agent := r.agents[i]
+	agent.record = agent.handler.Supervisors[0].Record
+	open := agent.record.Step.Number != 0 && agent.record.Result == rollout.StepPending
 	switch {
-	case open && !a.stepOpen:
-		r.checker.Begun(i, fmt.Sprint(a.record.Step.RolloutID, "/", a.record.Step.Number))
-	case !open && a.stepOpen:
+	case open && !agent.stepOpen:
+		r.checker.Begun(i, fmt.Sprint(agent.record.Step.RolloutID, "/", agent.record.Step.Number))
+	case !open && agent.stepOpen:
 		r.checker.Ended(i)
 	}
-	a.stepOpen = open
+	agent.stepOpen = open
 }
 
 func (r *rolloutSystem) startAgent(i int) {
-	a := r.agents[i]
-	a.alive, a.pendingActions = true, nil
-	a.starts++
+	agent := r.agents[i]
+	agent.alive, agent.pendingActions = true, nil
+	agent.starts++
 	if r.fault == "forgetful" {
-		a.lease = lease.PersistentState{}
+		agent.lease = lease.PersistentState{}
 	}
-	x, out := supervisor.NewSupervisor(a.record, &r.limits)
-	a.handler = supervisor.RequestHandler{
-		Agent: fmt.Sprint("a", i), InstanceNames: []string{r.names[i]}, Lease: lease.Restore(a.lease, rolloutLeaseSeconds, r.now),
-		Supervisors: []supervisor.Supervisor{x},
+	routerSupervisor, transition := supervisor.NewSupervisor(agent.record, &r.limits)
+	agent.handler = supervisor.RequestHandler{
+		Agent: fmt.Sprint("a", i), InstanceNames: []string{r.names[i]}, Lease: lease.Restore(agent.lease, rolloutLeaseSeconds, r.now),
+		Supervisors: []supervisor.Supervisor{routerSupervisor},
 	}
-	a.pendingActions = append(a.pendingActions, out.Actions...)
+	agent.pendingActions = append(agent.pendingActions, transition.Actions...)
 }
 
-// runNextAction carries out an agent's next runNextAction, and hands its outcome in.
+// runNextAction carries out an agent's next action and reports the outcome to its supervisor.
 func (r *rolloutSystem) runNextAction(i int) {
-	a := r.agents[i]
-	x := &a.handler.Supervisors[0]
-	e := a.pendingActions[0]
-	a.pendingActions = a.pendingActions[1:]
-	var out supervisor.Transition
-	switch e.Kind {
+	agent := r.agents[i]
+	routerSupervisor := &agent.handler.Supervisors[0]
+	action := agent.pendingActions[0]
+	agent.pendingActions = agent.pendingActions[1:]
+	var transition supervisor.Transition
+	switch action.Kind {
 	case supervisor.ActionFindProcess:
-		out = x.ProcessFound(r.now, a.routerRuns && a.incarnation == e.Incarnation && (r.fault != "twin" || a.starts == 1))
+		transition = routerSupervisor.ProcessFound(r.now,
+			agent.routerRuns && agent.incarnation == action.Incarnation && (r.fault != "twin" || agent.starts == 1))
 	case supervisor.ActionPrepareRevision:
-		out = x.RevisionPrepared(r.now, supervisor.Preparation{DrainSeconds: 100}, nil)
+		transition = routerSupervisor.RevisionPrepared(r.now, supervisor.Preparation{DrainSeconds: 100}, nil)
 	case supervisor.ActionInstallRevision:
-		out = x.RevisionInstalled(r.now, nil)
+		transition = routerSupervisor.RevisionInstalled(r.now, nil)
 	case supervisor.ActionStart:
-		out = r.startRouter(i, e.Incarnation)
+		transition = r.startRouter(i, action.Incarnation)
 	case supervisor.ActionHealthCheck:
-		a.routerServes = a.routerRuns
-		out = x.HealthChecked(r.now, a.routerRuns)
+		agent.routerServes = agent.routerRuns
+		transition = routerSupervisor.HealthChecked(r.now, agent.routerRuns)
 	case supervisor.ActionTerminate:
-		out = r.terminateRouter(i)
-	case supervisor.ActionReadCounters, supervisor.ActionKill, supervisor.ActionReload: // nothing comes of them here
+		transition = r.terminateRouter(i)
+	case supervisor.ActionReadCounters, supervisor.ActionKill, supervisor.ActionReload: // they have no effect in this system
 	}
-	if out.Store {
+	if transition.Store {
 		r.storeRecord(i)
 	}
-	a.pendingActions = append(a.pendingActions, out.Actions...)
+	agent.pendingActions = append(agent.pendingActions, transition.Actions...)
 }
 
 func (r *rolloutSystem) startRouter(i int, incarnation uint64) supervisor.Transition {
-	a := r.agents[i]
+	agent := r.agents[i]
 	running := 0
-	if a.routerRuns {
+	if agent.routerRuns {
 		running = 1
 	}
 	r.checker.Started(i, running)
-	a.routerRuns, a.routerServes, a.incarnation = true, false, incarnation
+	agent.routerRuns, agent.routerServes, agent.incarnation = true, false, incarnation
 	if r.fault == "untold-start" {
 		return supervisor.Transition{}
 	}
-	return a.handler.Supervisors[0].ProcessStarted(r.now, incarnation, nil)
+	return agent.handler.Supervisors[0].ProcessStarted(r.now, incarnation, nil)
 }
 
 func (r *rolloutSystem) terminateRouter(i int) supervisor.Transition {
-	a := r.agents[i]
-	others := 0
+	agent := r.agents[i]
+	othersServing := 0
 	for j, other := range r.agents {
 		if j != i && other.routerServes {
-			others++
+			othersServing++
 		}
 	}
-	if a.routerServes {
-		r.checker.Taken(i, others)
+	if agent.routerServes {
+		r.checker.Taken(i, othersServing)
 	}
-	a.routerRuns, a.routerServes = false, false
-	return a.handler.Supervisors[0].ProcessExited(r.now, "ended")
+	agent.routerRuns, agent.routerServes = false, false
+	return agent.handler.Supervisors[0].ProcessExited(r.now, "ended")
 }
 
 // Steps implements modelcheck.System.
 func (r *rolloutSystem) Steps() []string {
-	may := func(kind string) bool { return r.bounds.mayInject(kind, r.faults) }
-	var s stepList
-	for i, a := range r.agents {
-		s.addIf(a.alive && len(a.pendingActions) > 0, "act %d", i)
-		s.addIf(a.alive && may("die"), "die agent %d", i)
-		s.addIf(!a.alive, "back agent %d", i)
-		s.addIf(a.alive && a.routerRuns && may("crash") && r.noStepPending(), "crash %d", i)
-	}
-	for t, x := range r.tools {
-		if x.coordinator != nil {
-			r.addToolSteps(&s, t, x)
+	mayInject := func(kind string) bool { return r.bounds.mayInject(kind, r.faults) }
+	var steps stepList
+	for i, agent := range r.agents {
+		steps.addIf(agent.alive && len(agent.pendingActions) > 0, "act %d", i)
+		steps.addIf(agent.alive && mayInject("die"), "die agent %d", i)
+		steps.addIf(!agent.alive, "back agent %d", i)
+		steps.addIf(agent.alive && agent.routerRuns && mayInject("crash") && r.noStepPending(), "crash %d", i)
+	}
+	for t, tool := range r.tools {
+		if tool.coordinator != nil {
+			r.addToolSteps(&steps, t, tool)
 		}
 	}
 	for k := range r.delayedCalls {
-		s.add("arrive %d", k)
+		steps.add("arrive %d", k)
 	}
-	s.addIf(r.ticks < r.bounds.Ticks, "tick")
-	return s
+	steps.addIf(r.ticks < r.bounds.Ticks, "tick")
+	return steps
 }
 
-// addToolSteps adds what may become of a tool and its calls.
-func (r *rolloutSystem) addToolSteps(s *stepList, t int, x *rolloutTool) {
-	may := func(kind string) bool { return r.bounds.mayInject(kind, r.faults) }
-	s.addIf(may("die"), "die tool %d", t)
-	for k := range x.calls {
-		s.add("deliver %d %d", t, k)
+// addToolSteps adds what may happen to a tool and its calls.
+func (r *rolloutSystem) addToolSteps(steps *stepList, t int, tool *rolloutTool) {
+	mayInject := func(kind string) bool { return r.bounds.mayInject(kind, r.faults) }
+	steps.addIf(mayInject("die"), "die tool %d", t)
+	for k := range tool.calls {
+		steps.add("deliver %d %d", t, k)
 		for _, kind := range []string{"lose", "deafen", "delay"} {
-			s.addIf(may(kind), "%s %d %d", kind, t, k)
+			steps.addIf(mayInject(kind), "%s %d %d", kind, t, k)
 		}
 	}
 }
 
-// Commute implements modelcheck.Commuter: what one agent does by itself is nothing to another.
+// Commute implements modelcheck.Commuter. An agent's own actions do not change another agent.
 func (r *rolloutSystem) Commute(a, b string) bool {
 	if modelcheck.Kind(a) != "act" {
 		a, b = b, a
@@ -356,17 +371,17 @@
 	return modelcheck.Kind(b) == "act" || strings.HasPrefix(b, "die agent")
 }
 
-// noStepPending tells whether no step is open or on its way: a router that ends by itself between the plan's last look
-// and the step may take a hall under its floor, and nobody can help that.
+// noStepPending reports whether no step is open or on its way. A router that crashes between the plan's last status call and the
+// step may bring its zone below the number of instances that must serve, which no plan can prevent.
 func (r *rolloutSystem) noStepPending() bool {
 	for _, a := range r.agents {
 		if a.stepOpen || len(a.pendingActions) > 0 {
 			return false
 		}
 	}
-	for _, t := range r.tools {
-		for _, c := range t.calls {
-			if c.Request.Verb == protocol.BeginStepVerb {
+	for _, tool := range r.tools {
+		for _, call := range tool.calls {
+			if call.Request.Verb == protocol.BeginStepVerb {
 				return false
 			}
 		}
@@ -374,17 +389,17 @@
 	return len(r.delayedCalls) == 0 && r.ticks < r.bounds.Ticks
 }
 
-// passTick lets a step of time pass.
+// passTick lets one time step pass.
 func (r *rolloutSystem) passTick() {
 	r.ticks++
 	r.now += rolloutTickSeconds
 	for i, a := range r.agents {
-		if x := &a.handler.Supervisors[0]; a.alive && r.now >= x.NextTick() {
-			out := x.Tick(r.now)
-			if out.Store {
+		if routerSupervisor := &a.handler.Supervisors[0]; a.alive && r.now >= routerSupervisor.NextTick() {
+			transition := routerSupervisor.Tick(r.now)
+			if transition.Store {
 				r.storeRecord(i)
 			}
-			a.pendingActions = append(a.pendingActions, out.Actions...)
+			a.pendingActions = append(a.pendingActions, transition.Actions...)
 		}
 	}
 }
@@ -395,7 +410,7 @@
 	switch kind {
 	case "act":
 		r.runNextAction(n)
-	case "die", "back": // of an agent or a tool, which the second word says
+	case "die", "back": // the second word of the step says whether an agent or a tool
 		_, _ = fmt.Sscanf(step[strings.LastIndexByte(step, ' ')+1:], "%d", &n)
 		r.killOrRestart(step, n)
 	case "tick":
@@ -403,10 +418,10 @@
 	case "crash":
 		r.crashRouter(n)
 	case "arrive":
-		c := r.delayedCalls[n]
+		call := r.delayedCalls[n]
 		r.delayedCalls = slices.Delete(slices.Clone(r.delayedCalls), n, n+1)
-		if r.agents[c.Agent].alive {
-			r.handleCall(c)
+		if r.agents[call.Agent].alive {
+			r.handleCall(call)
 		}
 	default:
 		r.endCall(kind, n, k)
@@ -427,40 +442,40 @@
 	}
 }
 
-// crashRouter has a router end by itself, and its agent see it before anything else happens.
+// crashRouter ends a router's process. Its agent notices before anything else happens.
 func (r *rolloutSystem) crashRouter(n int) {
 	r.faults++
-	a := r.agents[n]
-	a.routerRuns, a.routerServes = false, false
-	if out := a.handler.Supervisors[0].ProcessExited(r.now, "by itself"); out.Store {
+	agent := r.agents[n]
+	agent.routerRuns, agent.routerServes = false, false
+	if transition := agent.handler.Supervisors[0].ProcessExited(r.now, "by itself"); transition.Store {
 		r.storeRecord(n)
 	}
 	r.ticks++
 	r.now += rolloutTickSeconds
 }
 
-// endCall is what becomes of a tool's call.
-func (r *rolloutSystem) endCall(kind string, n, k int) {
-	x := r.tools[n]
-	c := x.calls[k]
-	x.calls = slices.Delete(slices.Clone(x.calls), k, k+1)
+// endCall delivers, loses or delays a tool's call.
+func (r *rolloutSystem) endCall(kind string, n, index int) {
+	tool := r.tools[n]
+	call := tool.calls[index]
+	tool.calls = slices.Delete(slices.Clone(tool.calls), index, index+1)
 	switch kind {
 	case "deliver":
-		r.deliverCall(c, true)
+		r.deliverCall(call, true)
 	case "deafen":
 		r.faults++
-		r.deliverCall(c, false)
-	default: // lost, or late
+		r.deliverCall(call, false)
+	default: // lose or delay
 		r.faults++
-		x.coordinator.HandleFailure(r.now, c.ID, "lost")
+		tool.coordinator.HandleFailure(r.now, call.ID, "lost")
 		if kind == "delay" {
-			r.delayedCalls = append(r.delayedCalls, c)
+			r.delayedCalls = append(r.delayedCalls, call)
 		}
 	}
 }
 
-// rolloutRules leave out what decides nothing: numbers of calls, which only tell them apart, readings of counters and of
-// a claim's age, which nothing here goes by, and what is the same in all states. Times count from now.
+// rolloutRules ignore call ids, which only tell calls apart, readings of counters and of the lease's age, which no decision here
+// uses, and fields that are the same in all states. Times count from now.
 var rolloutRules = &modelcheck.Rules{
 	FloatGrain: 1e-6,
 	Ignored: modelcheck.Fields{
@@ -483,8 +498,7 @@
 	},
 }
 
-// Fingerprint implements modelcheck.System. Left out are numbers of calls, which only tell them apart, and readings
-// that nothing here goes by.
+// Fingerprint implements modelcheck.System.
 func (r *rolloutSystem) Fingerprint(h *modelcheck.Hash) {
 	h.Rules, h.TimeZero = rolloutRules, r.now
 	h.Uint(uint64(r.bounds.Faults - r.faults))
@@ -509,7 +523,7 @@
 // Broken implements modelcheck.System.
 func (r *rolloutSystem) Broken() (string, string) { return r.checker.Broken() }
 
-// Ended implements modelcheck.System: a tool has seen the rollout to its end.
+// Ended implements modelcheck.System: a tool has ended with the rollout in a final state.
 func (r *rolloutSystem) Ended() bool {
 	for _, t := range r.tools {
 		if t.ended {
--- a/internal/modelcheck/models/run.go
+++ b/internal/modelcheck/models/run.go
@@ -15,10 +15,10 @@
 	"stoatdale.example/stoatdale/internal/modelcheck"
 )
 
-// Trace is a way to a broken property, with all that is needed to take it again.
+// Trace is a sequence of steps that violates a property, with all that is needed to replay it.
 type Trace struct {
 	System string `json:"system"`
-	Fault  string `json:"fault,omitempty"` // that was injected
+	Fault  string `json:"fault,omitempty"` // that was injected; empty: none
 	Bounds Bounds `json:"bounds"`
 	modelcheck.Trace
 }
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// LoadTrace reads one.
+// LoadTrace reads a trace from a file.
 func LoadTrace(path string) (Trace, error) {
 	var t Trace
 	raw, err := os.ReadFile(path)
@@ -55,8 +55,8 @@
 	return t, nil
 }
 
-// Replay takes a trace's steps on the code as it is now: how many could be taken, and what broke.
-func (t Trace) Replay() (taken int, property, how string) {
+// Replay takes a trace's steps on the present code. It returns how many were possible, and what was violated.
+func (t Trace) Replay() (taken int, property, detail string) {
 	k, err := Find(t.System)
 	if err != nil {
 		return 0, "", err.Error()
@@ -64,7 +64,7 @@
 	return modelcheck.Replay(k.New(t.Bounds, t.Fault)(), t.Trace)
 }
 
-// Found is what became of one injected bug.
+// Found is the result of exploring a system with one injected fault.
 type Found struct {
 	System   string  `json:"system"`
 	Fault    string  `json:"fault"`
@@ -74,37 +74,37 @@
 	Length   int     `json:"trace_length"`
 	States   int     `json:"states"`
 	Seconds  float64 `json:"seconds"`
-	Clean    bool    `json:"clean"` // without it the same bounds break nothing
+	Clean    bool    `json:"clean"` // without the fault, nothing is violated in the same bounds
 	Trace    *Trace  `json:"-"`
 }
 
-// Inject explores a system with a bug in it, and without it in the same bounds.
+// Inject explores a system with an injected fault, and without it in the same bounds.
 func Inject(ctx context.Context, k Kind, fault string, workers int) Found {
 	f := k.Faults[fault]
 	b := f.Bounds
 	b.System = k.Name
-	r := modelcheck.Run(ctx, k.New(b, fault), b.Explore(workers), nil)
-	out := Found{System: k.Name, Fault: fault, Words: f.Words, States: r.States, Seconds: r.Seconds}
-	if r.Counterexample != nil {
-		out.Found, out.Property, out.Length = true, r.Counterexample.Property, len(r.Counterexample.Steps)
-		out.Trace = &Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *r.Counterexample}
+	result := modelcheck.Run(ctx, k.New(b, fault), b.Explore(workers), nil)
+	found := Found{System: k.Name, Fault: fault, Words: f.Words, States: result.States, Seconds: result.Seconds}
+	if result.Counterexample != nil {
+		found.Found, found.Property, found.Length = true, result.Counterexample.Property, len(result.Counterexample.Steps)
+		found.Trace = &Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *result.Counterexample}
 	}
 	clean := modelcheck.Run(ctx, k.New(b, ""), b.Explore(workers), nil)
-	out.Clean = clean.Complete && clean.Counterexample == nil
-	return out
+	found.Clean = clean.Complete && clean.Counterexample == nil
+	return found
 }
 
-// Names of a system's faults, in order.
+// Names returns the names of a system's faults in order.
 func (k Kind) Names() []string {
-	var out []string
+	var names []string
 	for n := range k.Faults {
-		out = append(out, n)
+		names = append(names, n)
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(names)
+	return names
 }
 
-// Walked is what came of ways at random.
+// Walked is the result of random walks.
 type Walked struct {
 	System string         `json:"system"`
 	Seed   uint64         `json:"seed"`
@@ -114,24 +114,25 @@
 	Broken *Trace         `json:"broken,omitempty"`
 }
 
-// Walk takes ways at random, for bounds that are too large to be explored.
-func Walk(ctx context.Context, k Kind, b Bounds, fault string, seed uint64, walks, steps int, most time.Duration) Walked {
-	w := Walked{System: k.Name, Seed: seed, Taken: map[string]int{}}
+// Walk takes random walks, for bounds that are too large to explore. It stops at the first violation, when ctx is done, or after
+// maxDuration; 0 means no limit.
+func Walk(ctx context.Context, k Kind, b Bounds, fault string, seed uint64, walks, steps int, maxDuration time.Duration) Walked {
+	walked := Walked{System: k.Name, Seed: seed, Taken: map[string]int{}}
 	rng := rand.New(rand.NewPCG(seed, 0))
 	began := time.Now()
-	for ; w.Walks < walks && ctx.Err() == nil && (most == 0 || time.Since(began) < most); w.Walks++ {
-		if t := modelcheck.RandomWalk(k.New(b, fault)(), steps, rng.IntN, w.Taken); t != nil {
-			w.Broken = &Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *t}
+	for ; walked.Walks < walks && ctx.Err() == nil && (maxDuration == 0 || time.Since(began) < maxDuration); walked.Walks++ {
+		if t := modelcheck.RandomWalk(k.New(b, fault)(), steps, rng.IntN, walked.Taken); t != nil {
+			walked.Broken = &Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *t}
 			break
 		}
 	}
-	for _, n := range w.Taken {
-		w.Steps += n
+	for _, n := range walked.Taken {
+		walked.Steps += n
 	}
-	return w
+	return walked
 }
 
-// Stopped is an exploration that ended before it was complete, to be taken up again.
+// Stopped is an exploration that ended before it was complete and can be resumed.
 type Stopped struct {
 	System string
 	Fault  string
@@ -139,7 +140,7 @@
 	Saved  modelcheck.Saved
 }
 
-// Save writes it to a file.
+// Save writes the exploration to a file.
 func (s Stopped) Save(path string) error {
 	raw, err := cbor.Marshal(s)
 	if err == nil {
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// LoadStopped reads one.
+// LoadStopped reads a stopped exploration from a file.
 func LoadStopped(path string) (Stopped, error) {
 	var s Stopped
 	raw, err := os.ReadFile(path)
@@ -167,7 +168,7 @@
 	}
 	n := len(s.Saved.Prints)
 	if len(s.Saved.Parents) != n || len(s.Saved.By) != n || len(s.Saved.Ended) != n || len(s.Saved.Expanded) != n || n == 0 {
-		return s, fmt.Errorf("exploration: %s: its lists are not of one length", path)
+		return s, fmt.Errorf("exploration: %s: its lists differ in length or are empty", path)
 	}
 	if _, err := Find(s.System); err != nil {
 		return s, fmt.Errorf("exploration: %s: %w", path, err)
--- a/internal/modelcheck/models/settle.go
+++ b/internal/modelcheck/models/settle.go
@@ -11,70 +11,71 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// How long a system that is left alone may take: steps, and steps of time for what goes by times. They are many
-// times what it needs, so that only what never comes is told.
+// Limits of how long a system may take to settle once no more faults are injected. They are many times what a correct system
+// needs, so that only one that never settles exceeds them.
 const (
 	settleMaxSteps     = 400
 	settleTicks        = 12
-	settleCommandTries = 20 // of clients that come back
-	settleRolloutTries = 6  // that operators take a paused rollout up again
+	settleCommandTries = 20 // commands that a client sends until one is answered
+	settleRolloutTries = 6  // times that operators resume a rollout
 )
 
-// removeBounds bounds are those of a world in which nobody is against it, and time goes on.
+// removeBounds lets time go on forever and allows no fault beyond those already injected.
 func removeBounds(b *Bounds, faults int) { b.Faults, b.Ticks = faults, math.MaxInt }
 
-// runUndisturbed has everything happen that can, in order, and lets time pass when nothing else can. It tells whether the end came.
-func runUndisturbed(s modelcheck.System, done func() bool) bool {
+// runUndisturbed takes the first possible step again and again, with time passing only when nothing else can happen. It reports
+// whether done became true.
+func runUndisturbed(system modelcheck.System, done func() bool) bool {
 	for range settleMaxSteps {
-		steps := s.Steps() // time comes last
+		steps := system.Steps() // time passes in the last of them
 		if done() || len(steps) == 0 {
 			break
 		}
-		s.Take(steps[0])
+		system.Take(steps[0])
 	}
 	return done()
 }
 
-// Settle implements modelcheck.Settler: every dispatch ends, and the connections can be closed.
-func (s *backendSystem) Settle() (property, how string) {
+// Settle implements modelcheck.Settler: every attempt ends, and the connections can be closed.
+func (s *backendSystem) Settle() (property, detail string) {
 	removeBounds(&s.bounds, s.faults)
 	if !runUndisturbed(s, s.Ended) {
 		var open []int
-		for _, x := range s.attempts {
-			if x.state != 2 {
-				open = append(open, int(x.attempt.CommandID))
+		for _, a := range s.attempts {
+			if a.state != 2 {
+				open = append(open, int(a.attempt.CommandID))
 			}
 		}
-		return invariant.ComesToEnd, fmt.Sprintf("dispatches %v do not end", open)
+		return invariant.ComesToEnd, fmt.Sprintf("attempts %v do not end", open)
 	}
 	return s.Broken()
 }
 
-// Settle implements modelcheck.Settler: the list is told, and told again when it changes.
-func (s *watchSystem) Settle() (property, how string) {
+// Settle implements modelcheck.Settler: the list is delivered, and delivered again when it changes.
+func (s *watchSystem) Settle() (property, detail string) {
 	removeBounds(&s.bounds, s.faults)
 	s.listsReceived = 0
 	if !runUndisturbed(s, func() bool { return s.listsReceived >= 2 }) {
-		return invariant.ComesToEnd, fmt.Sprintf("of the list %d versions are told, and then none", s.listsReceived)
+		return invariant.ComesToEnd, fmt.Sprintf("%d versions of the list are delivered, and then no more", s.listsReceived)
 	}
 	return s.Broken()
 }
 
-// Settle implements modelcheck.Settler: clients say what they have to and are answered; then the front drains.
-func (s *clientSystem) Settle() (property, how string) {
+// Settle implements modelcheck.Settler: clients send the rest of their messages and are answered, and then the frontend drains.
+func (s *clientSystem) Settle() (property, detail string) {
 	removeBounds(&s.bounds, s.faults)
 	runUndisturbed(s, func() bool { return false })
 	if !s.drained {
 		s.Take("drain")
 	}
 	if !runUndisturbed(s, s.Ended) {
-		return invariant.ComesToEnd, fmt.Sprintf("the front has %d connections and does not end", s.frontend.OpenConnections())
+		return invariant.ComesToEnd, fmt.Sprintf("the frontend still has %d connections and does not drain", s.frontend.OpenConnections())
 	}
 	return s.Broken()
 }
 
-// Settle implements modelcheck.Settler: a cold member gets commands from every router.
-func (c *slowStartSystem) Settle() (property, how string) {
+// Settle implements modelcheck.Settler: a backend in slow start gets commands from every router.
+func (c *slowStartSystem) Settle() (property, detail string) {
 	c.settleAttempts = make([]int, len(c.routers))
 	for range settleTicks {
 		c.Take("tick")
@@ -83,40 +84,40 @@
 		}
 	}
 	if i := slices.Index(c.settleAttempts, 0); i >= 0 {
-		return invariant.ServesAgain, fmt.Sprintf("router %d sends the cold member nothing in %g s", i, settleTicks*slowStartTickSeconds)
+		return invariant.ServesAgain,
+			fmt.Sprintf("router %d sends nothing to the backend in slow start for %g s", i, settleTicks*slowStartTickSeconds)
 	}
-	return "", "" // whether it gets too much is for the steps, which can be read
+	return "", "" // a violated budget shows in the steps themselves, which leave a readable trace
 }
 
-// Settle implements modelcheck.Settler: commands in hand end and leave nothing in it, and commands that come after that are
-// served, if there is a member to serve them.
-func (c *commandSystem) Settle() (property, how string) {
-	for range settleTicks / 2 { // a client timeout, and half of one
+// Settle implements modelcheck.Settler: all commands in flight end, and later commands are answered if a backend can serve them.
+func (c *commandSystem) Settle() (property, detail string) {
+	for range settleTicks / 2 { // one and a half client timeouts
 		c.quietTick()
 	}
 	if c.tracker.Len() > 0 {
-		return invariant.ComesToEnd, fmt.Sprintf("%d commands stay in hand", c.tracker.Len())
+		return invariant.ComesToEnd, fmt.Sprintf("%d commands stay in flight", c.tracker.Len())
 	}
-	primary := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return m.primary && m.listedState == router.Ready })
-	replica := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return !m.primary && m.listedState == router.Ready })
-	for _, x := range []struct { // in one order always: the module's chance goes on from the first
-		group string
-		may   bool
-	}{{"order", primary}, {"look", primary || replica}} {
-		if x.may && !c.servesAgain(x.group) {
-			return invariant.ServesAgain, fmt.Sprintf("none of %d new commands of %s is answered", settleCommandTries, x.group)
+	hasPrimary := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return m.primary && m.listedState == router.Ready })
+	hasReplica := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return !m.primary && m.listedState == router.Ready })
+	for _, expected := range []struct { // always in this order: the first changes the router's random numbers for the second
+		group    string
+		possible bool
+	}{{"order", hasPrimary}, {"look", hasPrimary || hasReplica}} {
+		if expected.possible && !c.servesAgain(expected.group) {
+			return invariant.ServesAgain, fmt.Sprintf("none of %d new commands of group %s is answered", settleCommandTries, expected.group)
 		}
 	}
 	return c.Broken()
 }
 
-// servesAgain has a client try again and again, as clients do, until one command is answered.
+// servesAgain reports whether one of several commands, sent one after another, is answered.
 func (c *commandSystem) servesAgain(group string) bool {
 	for range settleCommandTries {
 		n := len(c.commands)
 		c.commands = append(c.commands, &clientCommand{name: fmt.Sprint(group, " ", n), group: groupOf(group)})
 		c.Take(fmt.Sprint("take ", n))
-		for x := c.commands[n]; x.Open(); {
+		for cmd := c.commands[n]; cmd.Open(); {
 			c.quietTick()
 		}
 		if c.commands[n].answered {
@@ -126,20 +127,20 @@
 	return false
 }
 
-// quietTick is a step of time in which members answer at once, probes too, and replicas follow.
+// quietTick passes one time step in which backends answer attempts and health checks immediately and replicas catch up.
 func (c *commandSystem) quietTick() {
-	for i, x := range c.commands {
-		for k := len(x.attempts) - 1; k >= 0; k-- {
-			what := "answered"
-			if x.attempts[k].canceled && !x.attempts[k].timedOut {
-				what = "recalled"
+	for i, cmd := range c.commands {
+		for k := len(cmd.attempts) - 1; k >= 0; k-- {
+			kind := "answered"
+			if cmd.attempts[k].canceled && !cmd.attempts[k].timedOut {
+				kind = "recalled"
 			}
-			c.Take(fmt.Sprintf("%s %d %d", what, i, k))
+			c.Take(fmt.Sprintf("%s %d %d", kind, i, k))
 		}
 	}
 	for i := range c.endpoints {
-		if m := &c.endpoints[i]; !m.primary && m.listedState != router.Removed {
-			m.Covers = math.Max(m.Covers, c.now)
+		if e := &c.endpoints[i]; !e.primary && e.listedState != router.Removed {
+			e.Covers = math.Max(e.Covers, c.now)
 		}
 		if c.healthChecks[i] {
 			c.Take(fmt.Sprint("report ", i))
@@ -149,28 +150,30 @@
 }
 
 // Settle implements modelcheck.Settler: whatever happened, operators can bring the rollout to its end.
-func (r *rolloutSystem) Settle() (property, how string) {
+func (r *rolloutSystem) Settle() (property, detail string) {
 	removeBounds(&r.bounds, r.faults)
-	last := ""
+	lastOutcome := ""
 	for range settleRolloutTries {
-		for steps := r.Steps(); steps[0] != "tick"; steps = r.Steps() { // agents are back first, and have acted
+		for steps := r.Steps(); steps[0] != "tick"; steps = r.Steps() { // first restart the agents and let them act
 			r.Take(steps[0])
 		}
 		if !runUndisturbed(r, func() bool {
 			return !slices.ContainsFunc(r.tools, func(t *rolloutTool) bool { return t.coordinator != nil })
 		}) {
-			return invariant.ComesToEnd, "a tool neither goes on nor ends"
+			return invariant.ComesToEnd, "a tool neither makes progress nor ends"
 		}
-		o := r.tools[len(r.tools)-1].outcome
-		if last = fmt.Sprintf("outcome %d, %+v", o.Kind, o.Reason); r.Ended() || o.Kind == coordinator.OutcomeNoRollout {
+		outcome := r.tools[len(r.tools)-1].outcome
+		if lastOutcome = fmt.Sprintf("outcome %d, %+v", outcome.Kind, outcome.Reason); r.Ended() ||
+			outcome.Kind == coordinator.OutcomeNoRollout {
 			return r.Broken()
 		}
-		for range settleTicks { // an agent that started again grants nothing for a term
+		for range settleTicks { // a restarted agent grants no lease for the duration of one
 			r.Take("tick")
 		}
 		r.tools = append(r.tools, &rolloutTool{})
 		r.startTool(len(r.tools) - 1)
 		r.runTools()
 	}
-	return invariant.ComesToEnd, fmt.Sprintf("it is taken up %d times and is not over: %s", settleRolloutTries, last)
+	return invariant.ComesToEnd,
+		fmt.Sprintf("the rollout is not over after %d attempts to resume it: %s", settleRolloutTries, lastOutcome)
 }
--- a/internal/modelcheck/models/systems.go
+++ b/internal/modelcheck/models/systems.go
@@ -1,5 +1,5 @@
-// Package models holds what is explored: the code that serves, with everything round it as an adversary that
-// picks what happens next. Bounds say how much of it there is.
+// Package models holds the systems that package modelcheck explores: production code of the router and its fleet, with its
+// environment as an adversary that chooses what happens next. Bounds limit the adversary and the size of a system.
 package models
 
 import (
@@ -13,27 +13,27 @@
 	"stoatdale.example/stoatdale/internal/sexp"
 )
 
-// Kind of system that can be explored.
+// Kind is a kind of system that can be explored.
 type Kind struct {
 	Name   string
 	Words  string
-	Faults map[string]Fault // bugs that can be injected
+	Faults map[string]Fault // that can be injected, by name
 	New    func(b Bounds, fault string) func() modelcheck.System
 }
 
-// Fault is a bug that can be injected, with bounds in which it is found. No release of the router holds
-// anything of it: it is in the adversary, at the seam to the code that serves.
+// Fault is a bug that can be injected, with bounds in which an exploration finds it. It is in the adversary, at the boundary to
+// the production code; the released router contains nothing of it.
 type Fault struct {
 	Words  string
 	Bounds Bounds
 }
 
-// Kinds are all of them.
+// Kinds returns all kinds of systems.
 func Kinds() []Kind {
 	return []Kind{commandKind, slowStartKind, backendKind, clientKind, watchKind, rolloutKind}
 }
 
-// Find finds one by its name.
+// Find returns the kind of system with a name.
 func Find(name string) (Kind, error) {
 	var names []string
 	for _, k := range Kinds() {
@@ -46,7 +46,7 @@
 	return Kind{}, fmt.Errorf("there is no system %q; there are %v", name, names)
 }
 
-// Bounds of one system's exploration. What a system does not have it passes over.
+// Bounds limit the exploration of one system. A system ignores those that do not apply to it.
 type Bounds struct {
 	System   string        `sexp:",name"`
 	Depth    int           `sexp:"depth"`
@@ -58,15 +58,15 @@
 	Members  int           `sexp:"members"`
 	Routers  int           `sexp:"routers"`
 	Clients  int           `sexp:"clients"`
-	Commands []string      `sexp:"commands"` // their groups, or what each client says
-	Ticks    int           `sexp:"ticks"`    // steps of time
-	Faults   int           `sexp:"faults"`   // of the adversary's, in all
-	Only     []string      `sexp:"only"`     // kinds of faults; none: all
+	Commands []string      `sexp:"commands"` // command groups, or for the system client the messages of each client
+	Ticks    int           `sexp:"ticks"`    // most time steps
+	Faults   int           `sexp:"faults"`   // most faults that the adversary injects
+	Only     []string      `sexp:"only"`     // kinds of faults that it may inject; empty: all
 	Live     bool          `sexp:"live"`
 	Place    sexp.Position `sexp:",place"`
 }
 
-// File is a file of bounds, one entry a system.
+// File is a file of bounds, with one entry for each exploration.
 type File struct {
 	Bounds []Bounds `sexp:"bounds"`
 }
@@ -85,19 +85,19 @@
 	if err := sexp.Decode(path, nodes, &f); err != nil {
 		return nil, err
 	}
-	var out []Bounds
+	var selected []Bounds
 	for _, b := range f.Bounds {
 		if err := b.check(); err != nil {
 			return nil, err
 		}
 		if b.System == system {
-			out = append(out, b)
+			selected = append(selected, b)
 		}
 	}
-	if len(out) == 0 {
+	if len(selected) == 0 {
 		return nil, fmt.Errorf("%s: there are no bounds for %s", path, system)
 	}
-	return out, nil
+	return selected, nil
 }
 
 func (b *Bounds) check() error {
@@ -110,23 +110,34 @@
 			return &sexp.Error{Position: b.Place, Reason: fmt.Sprintf("commands: there is no command group %s", c)}
 		}
 	}
-	for _, x := range []struct {
-		key         string
-		value, most int
-	}{{"agents", b.Agents, 9}, {"tools", b.Tools, 4}, {"members", b.Members, 6}, {"routers", b.Routers, 4}, {"clients", b.Clients, 4}, {"ticks", b.Ticks, 1000}, {"faults", b.Faults, 100}} {
-		if x.value < 0 || x.value > x.most {
-			return &sexp.Error{Position: b.Place, Reason: fmt.Sprintf("%s is %d, and must be within 0 and %d", x.key, x.value, x.most)}
+	for _, limit := range []struct {
+		key            string
+		value, maximum int
+	}{
+		{"agents", b.Agents, 9},
+		{"tools", b.Tools, 4},
+		{"members", b.Members, 6},
+		{"routers", b.Routers, 4},
+		{"clients", b.Clients, 4},
+		{"ticks", b.Ticks, 1000},
+		{"faults", b.Faults, 100},
+	} {
+		if limit.value < 0 || limit.value > limit.maximum {
+			return &sexp.Error{
+				Position: b.Place,
+				Reason:   fmt.Sprintf("%s is %d, and must be within 0 and %d", limit.key, limit.value, limit.maximum),
+			}
 		}
 	}
 	return nil
 }
 
-// mayInject tells whether the adversary mayInject put in a fault of a kind after so many.
-func (b *Bounds) mayInject(kind string, so int) bool {
-	return so < b.Faults && (len(b.Only) == 0 || slices.Contains(b.Only, kind))
+// mayInject reports whether the adversary may inject a fault of a kind when some are already injected.
+func (b *Bounds) mayInject(kind string, injected int) bool {
+	return injected < b.Faults && (len(b.Only) == 0 || slices.Contains(b.Only, kind))
 }
 
-// Explore are the explorer's bounds.
+// Explore returns the explorer's bounds.
 func (b *Bounds) Explore(workers int) modelcheck.Bounds {
 	return modelcheck.Bounds{
 		MaxDepth: b.Depth, MaxStates: b.States, MaxHeapBytes: uint64(b.Memory) << 20,
--- a/internal/modelcheck/models/systems_test.go
+++ b/internal/modelcheck/models/systems_test.go
@@ -17,13 +17,13 @@
 )
 
 func TestEveryInjectedBugIsFoundAndNothingElse(t *testing.T) {
-	broken := map[string]bool{}
+	violated := map[string]bool{}
 	for _, k := range Kinds() {
 		for _, name := range k.Names() {
 			f := Inject(context.Background(), k, name, 0)
 			assert.True(t, f.Found, "%s %s", k.Name, name)
 			assert.True(t, f.Clean, "%s %s", k.Name, name)
-			broken[f.Property] = true
+			violated[f.Property] = true
 			if f.Trace == nil {
 				continue
 			}
@@ -32,7 +32,7 @@
 			assert.Equal(t, f.Length, taken)
 			f.Trace.Fault = ""
 			_, property, _ = f.Trace.Replay()
-			assert.Empty(t, property, "the same steps break nothing without it: %s %s", k.Name, name)
+			assert.Empty(t, property, "without the fault, the same steps violate nothing: %s %s", k.Name, name)
 		}
 	}
 	for _, p := range []string{
@@ -42,13 +42,13 @@
 		invariant.WholeAsked, invariant.OneCall, invariant.InOrder, invariant.EndsOrLet, invariant.ColdBudget,
 		invariant.ComesToEnd, invariant.ServesAgain,
 	} {
-		assert.True(t, broken[p], "no injected bug breaks it: %s", p)
+		assert.True(t, violated[p], "no injected fault violates the property %q", p)
 	}
 }
 
-// TestEveryTypeThatRulesNameIsMet sees that no rule is without effect: a field that its type does not have is an error of
-// the hash, and a type that is not met within CI's bounds is one here.
-func TestEveryTypeThatRulesNameIsMet(t *testing.T) {
+// TestEveryTypeInHashRulesIsMet guards against hash rules without effect. The hash panics on a field that its type does not
+// have; this test fails on a type that no state within CI's bounds holds.
+func TestEveryTypeInHashRulesIsMet(t *testing.T) {
 	rules := map[string]*modelcheck.Rules{
 		"client": clientRules, "cold": slowStartRules, "command": commandRules, "member": backendRules,
 		"rollout": rolloutRules, "watch": watchRules,
@@ -58,24 +58,25 @@
 		require.Contains(t, rules, k.Name)
 		bounds, err := Load("../../../deploy/bounds/ci.sexp", k.Name)
 		require.NoError(t, err)
-		within := bounds[0].Explore(0)
-		within.MaxStates = 2000
-		modelcheck.Run(context.Background(), k.New(bounds[0], ""), within, nil)
-		assert.Empty(t, rules[k.Name].Unmet(), "%s: rules name types that are not met", k.Name)
+		explorerBounds := bounds[0].Explore(0)
+		explorerBounds.MaxStates = 2000
+		modelcheck.Run(context.Background(), k.New(bounds[0], ""), explorerBounds, nil)
+		assert.Empty(t, rules[k.Name].Unmet(), "%s: hash rules name types that no state holds", k.Name)
 	}
 }
 
-// TestFoldingIsHarmless compares verdicts with times folded and with them as they are, in small bounds.
-func TestFoldingIsHarmless(t *testing.T) {
+// TestRelativeTimesKeepTheVerdict compares the verdicts of explorations that hash times relative to now with those that hash them as they
+// are, in small bounds.
+func TestRelativeTimesKeepTheVerdict(t *testing.T) {
 	b := Bounds{System: "rollout", Agents: 1, Tools: 2, Ticks: 1, Faults: 1}
-	folded := rolloutRules
-	defer func() { rolloutRules = folded }()
+	relative := rolloutRules
+	defer func() { rolloutRules = relative }()
 	for _, fault := range []string{"", "forgetful", "twin"} {
-		rolloutRules = folded
+		rolloutRules = relative
 		with := modelcheck.Run(context.Background(), rolloutKind.New(b, fault), b.Explore(0), nil)
 		rolloutRules = &modelcheck.Rules{}
 		without := modelcheck.Run(context.Background(), rolloutKind.New(b, fault), b.Explore(0), nil)
-		if fault == "" { // a search that finds something ends wherever its cores are
+		if fault == "" { // otherwise the exploration stops at the violation, with more or fewer states by then
 			assert.GreaterOrEqual(t, without.States, with.States)
 		}
 		assert.Equal(t, with.Counterexample == nil, without.Counterexample == nil, fault)
@@ -86,8 +87,8 @@
 	}
 }
 
-// TestStepsThatCommuteAreSparedAndNoStateIsMissed compares the search that spares steps with the whole one.
-func TestStepsThatCommuteAreSparedAndNoStateIsMissed(t *testing.T) {
+// TestSkippingCommutingStepsMissesNoState compares explorations that skip commuting steps with those that take every step.
+func TestSkippingCommutingStepsMissesNoState(t *testing.T) {
 	for _, b := range []Bounds{
 		{System: "command", Members: 3, Commands: []string{"look"}, Ticks: 2},
 		{System: "command", Members: 2, Commands: []string{"order", "own"}, Ticks: 1, Faults: 1},
@@ -98,19 +99,19 @@
 	} {
 		k, err := Find(b.System)
 		require.NoError(t, err)
-		spared := modelcheck.Run(context.Background(), k.New(b, ""), b.Explore(0), nil)
-		x := b.Explore(0)
-		x.TakeAllSteps = true
-		whole := modelcheck.Run(context.Background(), k.New(b, ""), x, nil)
-		assert.True(t, spared.Complete && whole.Complete)
-		assert.Equal(t, whole.States, spared.States, "%v", b)
-		assert.Less(t, spared.Steps, whole.Steps, "%v", b)
-		assert.Zero(t, whole.StepsSkipped)
+		reduced := modelcheck.Run(context.Background(), k.New(b, ""), b.Explore(0), nil)
+		allSteps := b.Explore(0)
+		allSteps.TakeAllSteps = true
+		complete := modelcheck.Run(context.Background(), k.New(b, ""), allSteps, nil)
+		assert.True(t, reduced.Complete && complete.Complete)
+		assert.Equal(t, complete.States, reduced.States, "%v", b)
+		assert.Less(t, reduced.Steps, complete.Steps, "%v", b)
+		assert.Zero(t, complete.StepsSkipped)
 	}
 }
 
-// TestWaysAtRandomBreakNothing takes the same systems further than they can be explored, and shrinks what breaks.
-func TestWaysAtRandomBreakNothing(t *testing.T) {
+// TestRandomWalksViolateNothing takes random steps in bounds too large to explore; rapid shrinks the steps that violate a property.
+func TestRandomWalksViolateNothing(t *testing.T) {
 	bounds := map[string]Bounds{
 		"cold": {Routers: 4, Ticks: 30, Faults: 2}, "command": {Members: 3, Commands: []string{"order", "own", "keyed", "look"}, Ticks: 8, Faults: 4},
 		"rollout": {Agents: 3, Tools: 2, Ticks: 8, Faults: 3}, "member": {Commands: []string{"look", "look", "look", "look"}, Ticks: 6, Faults: 5},
@@ -125,47 +126,48 @@
 					return
 				}
 				s.Take(rapid.SampledFrom(steps).Draw(t, "step"))
-				property, how := s.Broken()
-				require.Empty(t, property, how)
+				property, detail := s.Broken()
+				require.Empty(t, property, detail)
 			}
-			property, how := modelcheck.Settled(s)
-			require.Empty(t, property, how)
+			property, detail := modelcheck.Settled(s)
+			require.Empty(t, property, detail)
 		})
 	}
 }
 
-// TestMendedFaults takes the ways to faults of the code that were found and mended. They end where the code goes another
-// way by now.
+// TestMendedFaults replays traces of faults that were found in the code and fixed. They end early where the code now does
+// something else.
 func TestMendedFaults(t *testing.T) {
 	look := Bounds{Members: 2, Commands: []string{"look"}, Ticks: 4, Faults: 2}
 	for name, steps := range map[string][]string{
-		"a member that is back is shunned for what never reached it": {"take 0", "unreached 0 0", "tick", "tick", "tick", "report 1", "promote 1"},
-		"a doubted member that becomes the primary gets no write":    {"take 0", "errored 0 0", "promote 1", "tick", "tick", "tick", "tick"},
+		"an endpoint that is back is avoided for an attempt that never reached it": {"take 0", "unreached 0 0", "tick", "tick", "tick", "report 1", "promote 1"},
+		"an endpoint that failed and then becomes the primary gets no write":       {"take 0", "errored 0 0", "promote 1", "tick", "tick", "tick", "tick"},
 	} {
-		taken, property, how := Trace{System: "command", Bounds: look, Trace: modelcheck.Trace{Steps: steps}}.Replay()
-		assert.Empty(t, property, "%s: %s", name, how)
+		taken, property, detail := Trace{System: "command", Bounds: look, Trace: modelcheck.Trace{Steps: steps}}.Replay()
+		assert.Empty(t, property, "%s: %s", name, detail)
 		assert.Equal(t, len(steps), taken, name)
 	}
 	for name, steps := range map[string][]string{
-		"an agent that starts again calls the last router in service starting": {
+		"a restarted agent reports the last router in service as starting": {
 			"crash 1", "crash 2", "die agent 0", "back agent 0",
 			"act 0", "deliver 0 0", "deliver 0 0", "deliver 0 0", "act 0", "deliver 0 0", "deliver 0 0", "deliver 0 1", "deliver 0 1",
 			"deliver 0 1", "act 0", "act 0",
 		},
-		"a router comes up while the step for it is on its way": {
+		"a router starts to serve while a step for it is on its way": {
 			"lose 1 0", "crash 1", "crash 0", "deliver 0 0", "deliver 0 0",
 			"deliver 1 0", "deliver 0 0", "deliver 1 0", "deliver 0 0", "tick", "act 0", "act 0", "act 2", "deliver 0 0", "deliver 0 1",
 			"deliver 0 1", "deliver 0 1", "act 0", "act 0",
 		},
 	} {
-		w := Trace{System: "rollout", Bounds: Bounds{Agents: 3, Tools: 2, Ticks: 8, Faults: 3}, Trace: modelcheck.Trace{Steps: steps}}
-		taken, property, how := w.Replay()
-		assert.Empty(t, property, "%s: %s", name, how)
+		trace := Trace{System: "rollout", Bounds: Bounds{Agents: 3, Tools: 2, Ticks: 8, Faults: 3}, Trace: modelcheck.Trace{Steps: steps}}
+		taken, property, detail := trace.Replay()
+		assert.Empty(t, property, "%s: %s", name, detail)
 		assert.Greater(t, taken, len(steps)/2, name)
 	}
 }
 
-// TestColdMemberIsUsedAndNotPushedOver: what it may get is the bound, not what is asked for, and it is no way out to send it nothing.
+// TestColdMemberIsUsedAndNotPushedOver guards both sides of the slow start budget: a backend in slow start gets no more than the
+// budget however many commands come, and routers do not keep the budget by sending it nothing.
 func TestColdMemberIsUsedAndNotPushedOver(t *testing.T) {
 	for routers := 1; routers <= 4; routers++ {
 		c := newSlowStartSystem(Bounds{Routers: routers, Ticks: 9}, "")
@@ -178,14 +180,14 @@
 			assert.LessOrEqual(t, float64(len(c.checker.Times())), 0.9*c.checker.Bears(c.now, c.startedAt), "%d routers", routers)
 			c.Take("tick")
 		}
-		property, how := c.Broken()
-		assert.Empty(t, property, how)
-		assert.Greater(t, sent, 8, "%d routers: within two seconds, of some 40 asked for", routers)
+		property, detail := c.Broken()
+		assert.Empty(t, property, detail)
+		assert.Greater(t, sent, 8, "%d routers: attempts within two seconds, of some 40 commands", routers)
 	}
 }
 
-// TestRowsAreLetGoAndUsedAgain sees that the bounds with long quiet reach what they are for.
-func TestRowsAreLetGoAndUsedAgain(t *testing.T) {
+// TestReleasedRowsAreReused checks that bounds with the step idle reach released and reused rows, for which they exist.
+func TestReleasedRowsAreReused(t *testing.T) {
 	c := newCommandSystem(Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 1, Faults: 5, Only: []string{"idle", "replace"}}, "")
 	for _, step := range []string{"take 0", "answered 0 0", "replace 1", "idle", "idle"} {
 		require.Contains(t, c.Steps(), step)
@@ -193,11 +195,11 @@
 	}
 	require.Equal(t, []int{1}, c.freeRows)
 	c.Take("replace 2")
-	assert.Len(t, c.endpoints, 3, "the index was used again")
+	assert.Len(t, c.endpoints, 3, "the released index is reused")
 	c.Take("take 1")
 	c.Take("idle")
-	property, how := c.Broken()
-	assert.Empty(t, property, how)
+	property, detail := c.Broken()
+	assert.Empty(t, property, detail)
 }
 
 func TestWalk(t *testing.T) {
@@ -206,14 +208,14 @@
 	assert.Nil(t, w.Broken)
 	assert.Equal(t, 400, w.Walks)
 	for _, kind := range []string{"take", "answered", "broken", "errored", "full", "unreached", "leave", "drain", "promote", "restart", "report", "apply", "tick"} {
-		assert.Positive(t, w.Taken[kind], "never taken: %s", kind)
+		assert.Positive(t, w.Taken[kind], "step never taken: %s", kind)
 	}
 	w = Walk(context.Background(), commandKind, b, "early-byte", 1, 2000, 60, 0)
 	require.NotNil(t, w.Broken)
 	assert.Equal(t, invariant.NoRepeat, w.Broken.Property)
 }
 
-func TestBoundsAndTracesAreFiles(t *testing.T) {
+func TestBoundsAndTracesAreReadFromFiles(t *testing.T) {
 	for _, file := range []string{"ci", "large"} {
 		for _, k := range Kinds() {
 			b, err := Load("../../../deploy/bounds/"+file+".sexp", k.Name)
@@ -223,7 +225,7 @@
 	}
 	dir := t.TempDir()
 	path := filepath.Join(dir, "f")
-	for text, says := range map[string]string{
+	for text, message := range map[string]string{
 		"(bounds moon)":                     `f:1:1: there is no system "moon"; there are [client cold command member rollout watch]`,
 		"(bounds command (commands dance))": "f:1:1: commands: there is no command group dance",
 		"(bounds command (memers 2))":       "did you mean members?",
@@ -232,7 +234,7 @@
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		_, err := Load(path, "command")
-		require.ErrorContains(t, err, says)
+		require.ErrorContains(t, err, message)
 	}
 	f := Inject(context.Background(), commandKind, "early-byte", 1)
 	require.NoError(t, f.Trace.Save(path))
@@ -244,23 +246,23 @@
 	assert.ErrorContains(t, err, `has no fault "x"`)
 }
 
-// TestReadAfterARestartInTheMomentOfItsWrite is a trace that exploration found: the age of a write of this very
-// moment was 0, which stands for none, and a router that had just started read from a replica behind it.
+// TestReadAfterARestartInTheMomentOfItsWrite replays a trace that exploration found: a write of this very moment had age 0, which
+// means no write, and a router that had just started read from a replica without it.
 func TestReadAfterARestartInTheMomentOfItsWrite(t *testing.T) {
 	trace := Trace{
 		System: "command", Bounds: Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 3, Faults: 1},
 		Trace: modelcheck.Trace{Steps: []string{"tick", "take 0", "answered 0 0", "restart", "take 1"}},
 	}
-	taken, property, how := trace.Replay()
+	taken, property, detail := trace.Replay()
 	assert.Equal(t, 5, taken)
-	assert.Empty(t, property, how)
+	assert.Empty(t, property, detail)
 	trace.Fault = "no-age"
 	trace.Steps = append(trace.Steps, "answered 1 0")
 	_, property, _ = trace.Replay()
 	assert.Equal(t, invariant.NotStale, property)
 }
 
-// TestBoundsOfCIAreExploredWhole is the exploration itself.
+// TestBoundsOfCIAreExploredWhole explores every system in CI's bounds.
 func TestBoundsOfCIAreExploredWhole(t *testing.T) {
 	for _, k := range Kinds() {
 		bounds, err := Load("../../../deploy/bounds/ci.sexp", k.Name)
--- a/internal/modelcheck/models/watch.go
+++ b/internal/modelcheck/models/watch.go
@@ -19,30 +19,31 @@
 )
 
 var watchKind = Kind{
-	Name: "watch", Words: "the watch of the list and its move by a reload, with discovery, the network and time as the adversary",
+	Name:  "watch",
+	Words: "the watch of the endpoint list and its change of address by a reload, against an adversary that controls discovery, the network and time",
 	Faults: map[string]Fault{
-		"old-bytes": {"what the address before had sent is read from the new connection", Bounds{Faults: 1, Only: []string{"move"}}},
-		"unclosed":  {"a connection that is closed stays open", Bounds{Faults: 1, Ticks: 1}},
-		"part":      {"a reply that holds changes only calls itself whole", Bounds{Faults: 1}},
+		"old-bytes": {"data that the previous address sent is read from the new connection", Bounds{Faults: 1, Only: []string{"move"}}},
+		"unclosed":  {"a closed connection stays open", Bounds{Faults: 1, Ticks: 1}},
+		"part":      {"a reply that holds only changes claims to be complete", Bounds{Faults: 1}},
 		"timeless":  {"a timer that is set never fires", Bounds{Faults: 1}},
-		"hidden":    {"a call that discovery refused is not noticed to have failed", Bounds{Faults: 2}},
+		"hidden":    {"a call that discovery refused does not count as failed", Bounds{Faults: 2}},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
 		return func() modelcheck.System { return newWatchSystem(b, fault) }
 	},
 }
 
-// watchSystem is the system: one watch, and two addresses of discovery that know the same list.
+// watchSystem is the system "watch": one watch of the endpoint list, and discovery at two addresses that hold the same list.
 type watchSystem struct {
 	bounds         Bounds
 	fault          string
 	network        *fakeNetwork
 	watch          *discovery.Watch
 	checker        invariant.Lists
-	watchedAddress int // address that is watched
+	watchedAddress int // 0 or 1
 	faults         int
 	ticks          int
-	generation     int64 // of the list
+	generation     int64 // of discovery's list
 	ends           map[int]*discoveryEnd
 	descriptors    []int
 	listsReceived  int
@@ -50,9 +51,9 @@
 
 // discoveryEnd is discovery's end of a connection.
 type discoveryEnd struct {
-	address     int // address
+	address     int // that the router dialed: 0 or 1
 	parsedBytes int
-	calls       []int64 // generations; -1: whole
+	calls       []int64 // generations that pending calls ask from; -1: the complete list
 	unsentReply []byte
 }
 
@@ -61,7 +62,10 @@
 }
 
 func newWatchSystem(b Bounds, fault string) *watchSystem {
-	s := &watchSystem{bounds: b, fault: fault, network: newFakeNetwork(), checker: invariant.Lists{Members: 2}, generation: 5, ends: map[int]*discoveryEnd{}}
+	s := &watchSystem{
+		bounds: b, fault: fault, network: newFakeNetwork(), checker: invariant.Lists{Members: 2},
+		generation: 5, ends: map[int]*discoveryEnd{},
+	}
 	limits := &config.Limits{
 		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10,
@@ -77,57 +81,58 @@
 	return s
 }
 
-// Listed implements discovery.ListHandler.
-func (s *watchSystem) HandleList(l endpoint.List) {
+// HandleList implements discovery.ListHandler.
+func (s *watchSystem) HandleList(list endpoint.List) {
 	s.listsReceived++
-	from := ""
-	if len(l.Endpoints) > 0 {
-		from = l.Endpoints[0].Zone
+	sender := ""
+	if len(list.Endpoints) > 0 {
+		sender = list.Endpoints[0].Zone
 	}
 	watched := strconv.Itoa(s.watchedAddress)
-	if from == "" {
-		from = watched // changes of none
+	if sender == "" {
+		sender = watched // no endpoint names the address
 	}
-	s.checker.Handed(l.Complete, l.Generation, len(l.Endpoints), from, watched)
+	s.checker.Handed(list.Complete, list.Generation, len(list.Endpoints), sender, watched)
 }
 
-// ListFailed implements discovery.ListHandler.
+// HandleCallFailure implements discovery.ListHandler.
 func (s *watchSystem) HandleCallFailure() { s.checker.Lost() }
 
 var fromParameter = regexp.MustCompile(`from=(\d+)`)
 
-// parseCalls has discovery take in what was written.
+// parseCalls lets discovery parse what was written on its connections.
 func (s *watchSystem) parseCalls() {
 	open := 0
 	for _, fd := range s.network.descriptors() {
-		k, c := s.network.sockets[fd], s.ends[fd]
+		socket, end := s.network.sockets[fd], s.ends[fd]
 		open++
-		if c == nil {
-			c = &discoveryEnd{address: s.watchedAddress}
-			s.ends[fd] = c
+		if end == nil {
+			end = &discoveryEnd{address: s.watchedAddress}
+			s.ends[fd] = end
 			s.descriptors = append(s.descriptors, fd)
 		}
 		for {
-			i := bytes.Index(k.written[c.parsedBytes:], []byte("\r\n\r\n"))
-			if i < 0 {
+			length := bytes.Index(socket.written[end.parsedBytes:], []byte("\r\n\r\n"))
+			if length < 0 {
 				break
 			}
 			after := int64(-1)
-			if m := fromParameter.FindSubmatch(k.written[c.parsedBytes : c.parsedBytes+i]); m != nil {
-				after, _ = strconv.ParseInt(string(m[1]), 10, 64)
+			if match := fromParameter.FindSubmatch(socket.written[end.parsedBytes : end.parsedBytes+length]); match != nil {
+				after, _ = strconv.ParseInt(string(match[1]), 10, 64)
 			}
 			s.checker.Called(after < 0, after)
-			c.calls = append(c.calls, after)
-			c.parsedBytes += i + 4
+			end.calls = append(end.calls, after)
+			end.parsedBytes += length + 4
 		}
 	}
 	s.checker.Open(open)
 }
 
-// listReply is what discovery says to a call.
-func (s *watchSystem) listReply(c *discoveryEnd, after int64) []byte {
+// listReply returns discovery's reply to a call for the changes after a generation, or for the complete list if after is -1.
+// The zone of its endpoints names the address.
+func (s *watchSystem) listReply(end *discoveryEnd, after int64) []byte {
 	entry := func(id string) string {
-		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.9:1","zone":"%d","cell":1,"lifecycle":"ready"}`, id, c.address)
+		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.9:1","zone":"%d","cell":1,"lifecycle":"ready"}`, id, end.address)
 	}
 	body := fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s,%s]}`, s.generation, entry("a"), entry("b"))
 	if after >= 0 {
@@ -138,87 +143,87 @@
 
 // Steps implements modelcheck.System.
 func (s *watchSystem) Steps() []string {
-	var out stepList
+	var steps stepList
 	for i, fd := range s.descriptors {
-		if k := s.network.sockets[fd]; k != nil && k.handler != nil {
-			s.addCallSteps(&out, i, k, s.ends[fd])
+		if socket := s.network.sockets[fd]; socket != nil && socket.handler != nil {
+			s.addCallSteps(&steps, i, socket, s.ends[fd])
 		}
 	}
-	out.addIf(s.bounds.mayInject("move", s.faults), "move")
+	steps.addIf(s.bounds.mayInject("move", s.faults), "move")
 	_, hasTimer := s.network.nextTimer()
-	out.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
-	return out
+	steps.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
+	return steps
 }
 
-// addCallSteps adds what may happen on the connection of a call.
-func (s *watchSystem) addCallSteps(out *stepList, i int, k *fakeSocket, c *discoveryEnd) {
-	may := func(kind string) bool { return s.bounds.mayInject(kind, s.faults) }
-	if !k.connected {
-		out.add("up %d", i)
-		out.addIf(may("refuse"), "refuse %d", i)
+// addCallSteps adds what may happen on a connection.
+func (s *watchSystem) addCallSteps(steps *stepList, ordinal int, socket *fakeSocket, end *discoveryEnd) {
+	mayInject := func(kind string) bool { return s.bounds.mayInject(kind, s.faults) }
+	if !socket.connected {
+		steps.add("up %d", ordinal)
+		steps.addIf(mayInject("refuse"), "refuse %d", ordinal)
 		return
 	}
-	out.addIf(len(k.unread) > 0 || k.peerClosed, "see %d", i)
-	if k.peerClosed {
+	steps.addIf(len(socket.unread) > 0 || socket.peerClosed, "see %d", ordinal)
+	if socket.peerClosed {
 		return
 	}
-	if len(c.unsentReply) > 0 {
-		out.add("rest %d", i)
-	} else if len(c.calls) > 0 && s.listsReceived < 3 {
-		out.add("answer %d", i)
+	if len(end.unsentReply) > 0 {
+		steps.add("rest %d", ordinal)
+	} else if len(end.calls) > 0 && s.listsReceived < 3 {
+		steps.add("answer %d", ordinal)
 		for _, kind := range []string{"half", "sick", "spoil", "old"} {
-			out.addIf(may(kind), "%s %d", kind, i)
+			steps.addIf(mayInject(kind), "%s %d", kind, ordinal)
 		}
 	}
-	out.addIf(may("end"), "end %d", i)
+	steps.addIf(mayInject("end"), "end %d", ordinal)
 }
 
 // Take implements modelcheck.System.
 func (s *watchSystem) Take(step string) {
 	var n int
-	what := modelcheck.Kind(step)
-	_, _ = fmt.Sscanf(step[len(what):], "%d", &n)
-	var k *fakeSocket
-	var c *discoveryEnd
+	kind := modelcheck.Kind(step)
+	_, _ = fmt.Sscanf(step[len(kind):], "%d", &n)
+	var socket *fakeSocket
+	var end *discoveryEnd
 	if n < len(s.descriptors) {
-		k, c = s.network.sockets[s.descriptors[n]], s.ends[s.descriptors[n]]
+		socket, end = s.network.sockets[s.descriptors[n]], s.ends[s.descriptors[n]]
 	}
-	switch what {
+	switch kind {
 	case "tick":
 		s.ticks++
-		s.network.fireNextTimers(nil) // there is one
+		s.network.fireNextTimers(nil) // there is only one timer
 	case "move":
 		s.faults++
 		s.moveAddress()
 	case "up":
-		k.connected, k.writable = true, 1<<16
-		k.handler.Ready(false, true)
+		socket.connected, socket.writable = true, 1<<16
+		socket.handler.Ready(false, true)
 	case "refuse":
 		s.faults++
 		if s.fault == "hidden" {
 			s.checker.Lost()
-			k.connected, k.writable = true, 1<<16
+			socket.connected, socket.writable = true, 1<<16
 		} else {
-			k.refused = true
+			socket.refused = true
 		}
-		k.handler.Ready(false, true)
+		socket.handler.Ready(false, true)
 	case "see":
-		k.handler.Ready(true, false)
+		socket.handler.Ready(true, false)
 	case "rest":
-		k.unread, c.unsentReply = append(k.unread, c.unsentReply...), nil
+		socket.unread, end.unsentReply = append(socket.unread, end.unsentReply...), nil
 	case "end":
 		s.faults++
-		k.peerClosed = true
+		socket.peerClosed = true
 	default:
-		s.takeDiscoveryStep(what, k, c)
+		s.takeDiscoveryStep(kind, socket, end)
 	}
 	s.parseCalls()
 }
 
 func (s *watchSystem) moveAddress() {
-	var old []byte
+	var oldUnread []byte
 	for _, fd := range s.network.descriptors() {
-		old = append(old, s.network.sockets[fd].unread...)
+		oldUnread = append(oldUnread, s.network.sockets[fd].unread...)
 	}
 	s.watchedAddress = 1 - s.watchedAddress
 	s.checker.Lost()
@@ -226,38 +231,38 @@
 	s.parseCalls()
 	if s.fault == "old-bytes" {
 		for _, fd := range s.network.descriptors() {
-			s.network.sockets[fd].unread = append([]byte{}, old...)
+			s.network.sockets[fd].unread = append([]byte{}, oldUnread...)
 		}
 	}
 }
 
-func (s *watchSystem) takeDiscoveryStep(what string, k *fakeSocket, c *discoveryEnd) {
-	after := c.calls[0]
-	c.calls = c.calls[1:]
+func (s *watchSystem) takeDiscoveryStep(kind string, socket *fakeSocket, end *discoveryEnd) {
+	after := end.calls[0]
+	end.calls = end.calls[1:]
 	if after >= 0 {
 		s.generation++
 	}
-	a := s.listReply(c, after)
-	if what != "answer" {
+	reply := s.listReply(end, after)
+	if kind != "answer" {
 		s.faults++
 	}
-	switch what {
+	switch kind {
 	case "answer":
-		k.unread = append(k.unread, a...)
+		socket.unread = append(socket.unread, reply...)
 	case "half":
-		k.unread = append(k.unread, a[:len(a)/2]...)
-		c.unsentReply = a[len(a)/2:]
+		socket.unread = append(socket.unread, reply[:len(reply)/2]...)
+		end.unsentReply = reply[len(reply)/2:]
 	case "sick":
-		k.unread = append(k.unread, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"...)
+		socket.unread = append(socket.unread, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"...)
 	case "spoil":
-		k.unread = append(k.unread, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{a}"...)
-	case "old": // changes to a call for the whole list, or of an earlier time
+		socket.unread = append(socket.unread, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{a}"...)
+	case "old": // changes instead of the complete list, or an earlier generation
 		body := fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[]}`, s.generation-3)
-		k.unread = fmt.Appendf(k.unread, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		socket.unread = fmt.Appendf(socket.unread, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
 }
 
-// watchRules leave out what is the same in all states or stands for the same thing elsewhere.
+// watchRules ignore fields that are the same in all states or that repeat state which is hashed elsewhere.
 var watchRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
 	"buffer.Chain":       {"pool"},
 	"discovery.Watch":    {"handler", "limits", "log", "loop", "timer"},
@@ -278,5 +283,5 @@
 // Broken implements modelcheck.System.
 func (s *watchSystem) Broken() (string, string) { return s.checker.Broken() }
 
-// Ended implements modelcheck.System: a list of the address that is watched has been taken.
+// Ended implements modelcheck.System: a list of the watched address has been delivered.
 func (s *watchSystem) Ended() bool { return s.listsReceived > 0 }
--- a/internal/modelcheck/models/wire.go
+++ b/internal/modelcheck/models/wire.go
@@ -11,30 +11,31 @@
 	"stoatdale.example/stoatdale/internal/eventloop"
 )
 
-// fakeNetwork is a eventloop.Network without sockets: what arrives, and when it is seen, is the adversary's to pick.
+// fakeNetwork is an eventloop.Network without sockets. Steps of the adversary decide what arrives and when handlers learn of
+// it. Times are in seconds.
 type fakeNetwork struct {
 	now            float64
 	lastDescriptor int
 	sockets        map[int]*fakeSocket
 	timers         map[*eventloop.Timer]float64
-	// Faults at this seam.
-	alwaysQuiet          bool // a connection always looks quiet
-	losesLastByte        bool // the last byte of a write that went out whole did not arrive
-	keepsOpen            bool // what is closed stays open
-	countsLastByteUnsent bool // the last byte of a write goes out, and counts as unwritten
-	timersNeverFire      bool // no timer fires
-	dropsLastByte        bool // the last byte of a write counts as written, and is not
+	// Faults that can be injected here.
+	alwaysQuiet          bool // NothingToRead is always true
+	losesLastByte        bool // the last byte of a complete write does not arrive
+	keepsOpen            bool // Close leaves the socket open
+	countsLastByteUnsent bool // the last byte of a write arrives but counts as unwritten
+	timersNeverFire      bool // timers that are set never fire
+	dropsLastByte        bool // the last byte of a write counts as written but does not arrive
 }
 
-// fakeSocket is one connection, as the wire sees it.
+// fakeSocket is one connection.
 type fakeSocket struct {
 	handler    eventloop.Handler
 	connected  bool
 	refused    bool
-	peerClosed bool   // by the other side
-	unread     []byte // arrived, and not yet read
-	written    []byte // written
-	writable   int    // that may still be written
+	peerClosed bool   // the remote side has closed the connection
+	unread     []byte // bytes that have arrived
+	written    []byte // all bytes written so far
+	writable   int    // bytes that the socket still takes
 	wantRead   bool
 	wantWrite  bool
 }
@@ -59,21 +60,21 @@
 }
 func (w *fakeNetwork) CloseUnwatched(int) {}
 func (w *fakeNetwork) Close(fd int) {
-	if k := w.sockets[fd]; w.keepsOpen && k != nil {
-		k.handler = nil
+	if socket := w.sockets[fd]; w.keepsOpen && socket != nil {
+		socket.handler = nil
 		return
 	}
 	delete(w.sockets, fd)
 }
 
 func (w *fakeNetwork) NothingToRead(fd int) bool {
-	s := w.sockets[fd]
-	return w.alwaysQuiet || !s.peerClosed && len(s.unread) == 0
+	socket := w.sockets[fd]
+	return w.alwaysQuiet || !socket.peerClosed && len(socket.unread) == 0
 }
 
 func (w *fakeNetwork) SetInterest(fd int, read, write bool) {
-	if s := w.sockets[fd]; s != nil {
-		s.wantRead, s.wantWrite = read, write
+	if socket := w.sockets[fd]; socket != nil {
+		socket.wantRead, socket.wantWrite = read, write
 	}
 }
 
@@ -89,85 +90,86 @@
 	return nil
 }
 
-func (w *fakeNetwork) Read(fd int, into *buffer.Chain, most int) (int, error) {
-	s := w.sockets[fd]
-	n := min(most, len(s.unread))
-	into.Write(s.unread[:n])
-	s.unread = s.unread[n:]
-	if len(s.unread) == 0 && s.peerClosed {
+func (w *fakeNetwork) Read(fd int, into *buffer.Chain, maxBytes int) (int, error) {
+	socket := w.sockets[fd]
+	n := min(maxBytes, len(socket.unread))
+	into.Write(socket.unread[:n])
+	socket.unread = socket.unread[n:]
+	if len(socket.unread) == 0 && socket.peerClosed {
 		return n, eventloop.ErrPeerClosed
 	}
 	return n, nil
 }
 
 func (w *fakeNetwork) Write(fd int, from *buffer.Chain) error {
-	s := w.sockets[fd]
-	if s.peerClosed {
+	socket := w.sockets[fd]
+	if socket.peerClosed {
 		return errGone
 	}
-	for from.Len() > 0 && s.writable > 0 {
-		first := from.FirstPiece()
-		n := min(len(first), s.writable)
+	for from.Len() > 0 && socket.writable > 0 {
+		piece := from.FirstPiece()
+		n := min(len(piece), socket.writable)
 		if w.countsLastByteUnsent && n == from.Len() && n > 1 {
-			s.written = append(s.written, first[:n]...)
+			socket.written = append(socket.written, piece[:n]...)
 			from.Discard(n - 1)
-			s.writable = 0
+			socket.writable = 0
 			return nil
 		}
-		s.written = append(s.written, first[:n]...)
-		s.writable -= n
+		socket.written = append(socket.written, piece[:n]...)
+		socket.writable -= n
 		from.Discard(n)
 	}
-	if w.losesLastByte && from.Len() == 0 && len(s.written) > 0 {
-		s.written = s.written[:len(s.written)-1]
+	if w.losesLastByte && from.Len() == 0 && len(socket.written) > 0 {
+		socket.written = socket.written[:len(socket.written)-1]
 	}
-	if w.dropsLastByte && from.Len() == 1 { // it is taken off, and goes nowhere
+	if w.dropsLastByte && from.Len() == 1 { // removed from the chain without being written
 		from.Discard(1)
 	}
 	return nil
 }
 
-// descriptors are the open descriptors, in order.
+// descriptors returns the open descriptors in ascending order.
 func (w *fakeNetwork) descriptors() []int {
-	var out []int
+	var open []int
 	for fd := range w.sockets {
-		out = append(out, fd)
+		open = append(open, fd)
 	}
-	sort.Ints(out)
-	return out
+	sort.Ints(open)
+	return open
 }
 
-// nextTimer is the time of the first timer, or false.
+// nextTimer returns the time of the earliest timer, and false if no timer fires.
 func (w *fakeNetwork) nextTimer() (float64, bool) {
-	first, ok := 0.0, false
+	first, set := 0.0, false
 	if w.timersNeverFire {
-		return first, ok
+		return first, set
 	}
 	for _, at := range w.timers {
-		if !ok || at < first {
-			first, ok = at, true
+		if !set || at < first {
+			first, set = at, true
 		}
 	}
-	return first, ok
+	return first, set
 }
 
-// connectionTimer is a connection's, or nil. It is found by where it lies, since the connection keeps it to itself.
+// connectionTimer returns a connection's timer if it is set, or nil. Connections do not export their timer, so it is found by
+// the address in the handler's field timer.
 func (w *fakeNetwork) connectionTimer(fd int) *eventloop.Timer {
-	k := w.sockets[fd]
-	if k == nil || k.handler == nil {
+	socket := w.sockets[fd]
+	if socket == nil || socket.handler == nil {
 		return nil
 	}
-	at := reflect.ValueOf(k.handler).Elem().FieldByName("timer").Pointer()
+	address := reflect.ValueOf(socket.handler).Elem().FieldByName("timer").Pointer()
 	for t := range w.timers {
-		if reflect.ValueOf(t).Pointer() == at {
+		if reflect.ValueOf(t).Pointer() == address {
 			return t
 		}
 	}
 	return nil
 }
 
-// fireNextTimers lets time pass to the first timer, and fires all that are due then: those of connections in the order
-// given, others after them.
+// fireNextTimers lets time pass to the earliest timer and fires all timers due then: those of connections in the given order,
+// then all others.
 func (w *fakeNetwork) fireNextTimers(order []int) {
 	first, ok := w.nextTimer()
 	if !ok {
@@ -178,19 +180,19 @@
 		at, set := w.timers[t]
 		return set && at <= w.now
 	}
-	var all []*eventloop.Timer
+	var dueTimers []*eventloop.Timer
 	for _, fd := range order {
 		if t := w.connectionTimer(fd); t != nil && due(t) {
-			all = append(all, t)
+			dueTimers = append(dueTimers, t)
 		}
 	}
-	for t := range w.timers { // no system has more than one that is no connection's
-		if due(t) && !slices.Contains(all, t) {
-			all = append(all, t)
+	for t := range w.timers { // at most one: no system has more timers without a connection
+		if due(t) && !slices.Contains(dueTimers, t) {
+			dueTimers = append(dueTimers, t)
 		}
 	}
-	for _, t := range all {
-		if due(t) { // an earlier one may have unset it
+	for _, t := range dueTimers {
+		if due(t) { // an earlier timer may have stopped it
 			delete(w.timers, t)
 			t.Fire()
 		}
