--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -35,17 +35,17 @@
 		RunE: func(*cobra.Command, []string) error {
 			var list []listedSystem
 			for _, kind := range models.Kinds() {
-				entry := listedSystem{System: kind.Name, Words: kind.Words, Faults: map[string]string{}}
+				entry := listedSystem{System: kind.Name, Words: kind.Description, Faults: map[string]string{}}
 				for name, fault := range kind.Faults {
-					entry.Faults[name] = fault.Words
+					entry.Faults[name] = fault.Description
 				}
 				list = append(list, entry)
 			}
 			return a.show(list, func(out io.Writer) {
 				for _, kind := range models.Kinds() {
-					printf(out, "%s: %s\n", kind.Name, kind.Words)
-					for _, name := range kind.Names() {
-						printf(out, "  %s: %s\n", name, kind.Faults[name].Words)
+					printf(out, "%s: %s\n", kind.Name, kind.Description)
+					for _, name := range kind.FaultNames() {
+						printf(out, "  %s: %s\n", name, kind.Faults[name].Description)
 					}
 				}
 			})
@@ -57,11 +57,11 @@
 
 // loadSystem finds a system and reads its bounds from a file. Its errors are of usage.
 func loadSystem(name, boundsFile string) (models.Kind, []models.Bounds, error) {
-	kind, err := models.Find(name)
+	kind, err := models.FindKind(name)
 	if err != nil {
 		return models.Kind{}, nil, exitError(ExitUsage, err)
 	}
-	bounds, err := models.Load(boundsFile, kind.Name)
+	bounds, err := models.LoadBounds(boundsFile, kind.Name)
 	return kind, bounds, exitError(ExitUsage, err)
 }
 
@@ -106,21 +106,21 @@
 			}
 			a.drawSeed(cmd, &flags.seed)
 			walked := models.Walk(cmd.Context(), kind, bounds[0], flags.fault, flags.seed, flags.walks, flags.steps, flags.duration)
-			if walked.Broken != nil && flags.traceFile != "" {
-				if err := walked.Broken.Save(flags.traceFile); err != nil {
+			if walked.Counterexample != nil && flags.traceFile != "" {
+				if err := walked.Counterexample.Save(flags.traceFile); err != nil {
 					return exitError(ExitFailed, err)
 				}
 			}
 			if err := a.show(walked, func(out io.Writer) {
-				printf(out, "%d walks, %d steps: %v\n", walked.Walks, walked.Steps, walked.Taken)
-				if walked.Broken != nil {
-					printTrace(out, walked.Broken)
+				printf(out, "%d walks, %d steps: %v\n", walked.Walks, walked.Steps, walked.StepsByKind)
+				if walked.Counterexample != nil {
+					printTrace(out, walked.Counterexample)
 				}
 			}); err != nil {
 				return err
 			}
-			if walked.Broken != nil {
-				return exitErrorf(ExitFailed, "broken: %s", walked.Broken.Property)
+			if walked.Counterexample != nil {
+				return exitErrorf(ExitFailed, "broken: %s", walked.Counterexample.Property)
 			}
 			return nil
 		},
--- a/internal/cli/explore_inject.go
+++ b/internal/cli/explore_inject.go
@@ -15,14 +15,14 @@
 
 // injectReport is which of the injected faults were found.
 type injectReport struct {
-	Faults []models.Found `json:"bugs"`
-	OK     bool           `json:"ok"` // all were found, and nothing was without them
+	Faults []models.InjectionResult `json:"bugs"`
+	OK     bool                     `json:"ok"` // all were found, and nothing was without them
 }
 
 func (r *injectReport) print(out io.Writer) {
 	t := newTable(out, "system", "bug", "found", "steps", "states", "seconds", "clean without it", "breaks")
 	for _, x := range r.Faults {
-		t.AppendRow(table.Row{x.System, x.Fault, x.Found, x.Length, x.States, fmt.Sprintf("%.2f", x.Seconds), x.Clean, x.Property})
+		t.AppendRow(table.Row{x.System, x.Fault, x.Found, x.TraceLength, x.States, fmt.Sprintf("%.2f", x.Seconds), x.Clean, x.Property})
 	}
 	t.Render()
 }
@@ -87,7 +87,7 @@
 	wanted := func(name string) bool { return flags.all || unmet[name] }
 	var report injectReport
 	for _, kind := range models.Kinds() {
-		for _, name := range kind.Names() {
+		for _, name := range kind.FaultNames() {
 			if !wanted(name) {
 				continue
 			}
@@ -106,7 +106,7 @@
 	return &report, nil
 }
 
-func saveInjectTrace(found models.Found, folder string) error {
+func saveInjectTrace(found models.InjectionResult, folder string) error {
 	if found.Trace == nil || folder == "" {
 		return nil
 	}
--- a/internal/cli/explore_run.go
+++ b/internal/cli/explore_run.go
@@ -71,14 +71,14 @@
 
 // newExploration reads what the flags name. All its errors are of usage.
 func newExploration(system string, flags *exploreFlags) (*exploration, error) {
-	kind, err := models.Find(system)
+	kind, err := models.FindKind(system)
 	if err != nil {
 		return nil, exitError(ExitUsage, err)
 	}
 	if _, known := kind.Faults[flags.fault]; flags.fault != "" && !known {
 		return nil, exitErrorf(ExitUsage, "--inject: system %s has no fault %q", kind.Name, flags.fault)
 	}
-	bounds, err := models.Load(flags.boundsFile, kind.Name)
+	bounds, err := models.LoadBounds(flags.boundsFile, kind.Name)
 	if err != nil {
 		return nil, exitError(ExitUsage, err)
 	}
@@ -110,7 +110,7 @@
 
 // run explores in one of the bounds.
 func (e *exploration) run(ctx context.Context, bounds models.Bounds, report func(modelcheck.Progress)) (modelcheck.Result, error) {
-	limits := bounds.Explore(e.flags.workers)
+	limits := bounds.ExplorerBounds(e.flags.workers)
 	limits.TakeAllSteps = e.flags.whole
 	if e.flags.depthFirst {
 		if limits.MaxDepth == 0 {
--- a/internal/lab/experiment/sim_test.go
+++ b/internal/lab/experiment/sim_test.go
@@ -88,9 +88,9 @@
 			}
 		}
 	}
-	assert.True(t, seen[invariant.NotStale], "a read of any replica is older than its session's writes: %v", seen)
-	assert.True(t, seen[invariant.NotBack], "%v", seen)
-	assert.True(t, seen[invariant.ColdBudget], "members that start are pushed over by those that do not spare them: %v", seen)
+	assert.True(t, seen[invariant.ReadsOwnWrites], "a read of any replica is older than its session's writes: %v", seen)
+	assert.True(t, seen[invariant.MonotonicReads], "%v", seen)
+	assert.True(t, seen[invariant.SlowStartBudget], "members that start are pushed over by those that do not spare them: %v", seen)
 }
 
 func TestPoliciesStandInTheOrderThatTheyMust(t *testing.T) {
--- a/internal/lab/invariant/client.go
+++ b/internal/lab/invariant/client.go
@@ -4,21 +4,21 @@
 
 // Properties of client connections. Stored traces hold these texts.
 const (
-	InOrder   = "answers come in the order of the questions, each its own and whole"
-	EndsOrLet = "a command that was taken is answered or let go, once"
+	AnswersInOrder  = "answers come in the order of the questions, each its own and whole"
+	CommandEndsOnce = "a command that was taken is answered or let go, once"
 )
 
-// Clients checks the answers that clients receive and how often each received command ends. The zero value is ready to use.
-type Clients struct {
+// ClientChecker checks the answers that clients receive and how often each received command ends. The zero value is ready to use.
+type ClientChecker struct {
 	violated  string
 	detail    string
 	endCounts map[string]int
 }
 
 // Broken returns the first property that was violated and the details; both are empty if none was.
-func (c *Clients) Broken() (property, detail string) { return c.violated, c.detail }
+func (c *ClientChecker) Broken() (property, detail string) { return c.violated, c.detail }
 
-func (c *Clients) recordViolation(property, format string, args ...any) {
+func (c *ClientChecker) recordViolation(property, format string, args ...any) {
 	if c.violated == "" {
 		c.violated, c.detail = property, fmt.Sprintf(format, args...)
 	}
@@ -32,38 +32,38 @@
 	Garbled bool   // the bytes are not a valid message
 }
 
-// Read checks all answers that a client has received so far. allowed holds one predicate for each message that the client
+// CheckAnswers checks all answers that a client has received so far. allowed holds one predicate for each message that the client
 // has sent, in order: whether an answer to it is allowed.
-func (c *Clients) Read(client int, answers []Answer, allowed []func(Answer) bool) {
+func (c *ClientChecker) CheckAnswers(client int, answers []Answer, allowed []func(Answer) bool) {
 	for i, answer := range answers {
 		switch {
 		case answer.Garbled:
-			c.recordViolation(InOrder, "client %d cannot parse answer %d", client, i)
+			c.recordViolation(AnswersInOrder, "client %d cannot parse answer %d", client, i)
 		case i >= len(allowed):
-			c.recordViolation(InOrder, "client %d has received answer %d, but has sent %d messages", client, i, len(allowed))
+			c.recordViolation(AnswersInOrder, "client %d has received answer %d, but has sent %d messages", client, i, len(allowed))
 		case !allowed[i](answer):
-			c.recordViolation(InOrder, "client %d has received %+v as answer %d, which its message does not allow", client, answer, i)
+			c.recordViolation(AnswersInOrder, "client %d has received %+v as answer %d, which its message does not allow", client, answer, i)
 		}
 	}
 }
 
-// Ended records the end of a received command: it was answered, or the frontend reported that its client is gone.
-func (c *Clients) Ended(command string) {
+// CommandEnded records the end of a received command: it was answered, or the frontend reported that its client is gone.
+func (c *ClientChecker) CommandEnded(command string) {
 	if c.endCounts == nil {
 		c.endCounts = map[string]int{}
 	}
 	if c.endCounts[command]++; c.endCounts[command] > 1 {
-		c.recordViolation(EndsOrLet, "command %s ends again", command)
+		c.recordViolation(CommandEndsOnce, "command %s ends again", command)
 	}
 }
 
-// Left checks that nothing is held once all clients are gone: numbers of open descriptors, set timers, buffer blocks in use
+// CheckLeaks checks that nothing is held once all clients are gone: numbers of open descriptors, set timers, buffer blocks in use
 // and commands in flight.
-func (c *Clients) Left(descriptors, timers, blocks, commands int) {
+func (c *ClientChecker) CheckLeaks(descriptors, timers, blocks, commands int) {
 	if descriptors+timers+blocks > 0 {
-		c.recordViolation(NoneIsLeft, "%d descriptors, %d timers and %d buffer blocks are still held", descriptors, timers, blocks)
+		c.recordViolation(NoLeaks, "%d descriptors, %d timers and %d buffer blocks are still held", descriptors, timers, blocks)
 	}
 	if commands > 0 {
-		c.recordViolation(EndsOrLet, "%d commands are in flight although all clients are gone", commands)
+		c.recordViolation(CommandEndsOnce, "%d commands are in flight although all clients are gone", commands)
 	}
 }
--- a/internal/lab/invariant/member.go
+++ b/internal/lab/invariant/member.go
@@ -4,57 +4,57 @@
 
 // Properties of attempts over backend connections. Stored traces hold these texts; in them, a dispatch is an attempt.
 const (
-	EndsOnce   = "a dispatch ends exactly once"
-	LastByte   = "a dispatch counts as one that never ran if and only if its last byte was not written"
-	OwnAnswer  = "an answer is that of the command it is given to"
-	NoneIsLeft = "no descriptor, timer or block is left behind"
+	AttemptEndsOnce      = "a dispatch ends exactly once"
+	NeverRanIffUnwritten = "a dispatch counts as one that never ran if and only if its last byte was not written"
+	OwnAnswer            = "an answer is that of the command it is given to"
+	NoLeaks              = "no descriptor, timer or block is left behind"
 )
 
-// Dispatches checks attempts over backend connections. The zero value is ready to use.
-type Dispatches struct {
+// AttemptChecker checks attempts over backend connections. The zero value is ready to use.
+type AttemptChecker struct {
 	violated string
 	detail   string
 	ended    map[int]bool
 }
 
 // Broken returns the first property that was violated and the details; both are empty if none was.
-func (d *Dispatches) Broken() (property, detail string) { return d.violated, d.detail }
+func (d *AttemptChecker) Broken() (property, detail string) { return d.violated, d.detail }
 
-func (d *Dispatches) recordViolation(property, format string, args ...any) {
+func (d *AttemptChecker) recordViolation(property, format string, args ...any) {
 	if d.violated == "" {
 		d.violated, d.detail = property, fmt.Sprintf(format, args...)
 	}
 }
 
-// Ended checks and records the end of an attempt: neverRan is what its result claims, fullyWritten whether the network took
+// AttemptEnded checks and records the end of an attempt: neverRan is what its result claims, fullyWritten whether the network took
 // the last byte of its statement.
-func (d *Dispatches) Ended(id int, neverRan, fullyWritten bool) {
+func (d *AttemptChecker) AttemptEnded(id int, neverRan, fullyWritten bool) {
 	if d.ended == nil {
 		d.ended = map[int]bool{}
 	}
 	if d.ended[id] {
-		d.recordViolation(EndsOnce, "attempt %d ends again", id)
+		d.recordViolation(AttemptEndsOnce, "attempt %d ends again", id)
 	}
 	d.ended[id] = true
 	if neverRan && fullyWritten {
-		d.recordViolation(LastByte, "attempt %d is reported as never run, but all of its statement was written", id)
+		d.recordViolation(NeverRanIffUnwritten, "attempt %d is reported as never run, but all of its statement was written", id)
 	}
 	if !neverRan && !fullyWritten {
-		d.recordViolation(LastByte, "attempt %d is reported as possibly run, but the last byte of its statement was not written", id)
+		d.recordViolation(NeverRanIffUnwritten, "attempt %d is reported as possibly run, but the last byte of its statement was not written", id)
 	}
 }
 
-// Answered checks that the value that an attempt got is the answer to its own command.
-func (d *Dispatches) Answered(id int, got string, want string) {
+// AttemptAnswered checks that the value that an attempt got is the answer to its own command.
+func (d *AttemptChecker) AttemptAnswered(id int, got string, want string) {
 	if got != want {
 		d.recordViolation(OwnAnswer, "attempt %d got %q, but its own answer is %q", id, got, want)
 	}
 }
 
-// Left checks that nothing is held once all attempts have ended: numbers of open descriptors, set timers and buffer blocks
+// CheckLeaks checks that nothing is held once all attempts have ended: numbers of open descriptors, set timers and buffer blocks
 // in use.
-func (d *Dispatches) Left(descriptors, timers, blocks int) {
+func (d *AttemptChecker) CheckLeaks(descriptors, timers, blocks int) {
 	if descriptors+timers+blocks > 0 {
-		d.recordViolation(NoneIsLeft, "%d descriptors, %d timers and %d buffer blocks are still held", descriptors, timers, blocks)
+		d.recordViolation(NoLeaks, "%d descriptors, %d timers and %d buffer blocks are still held", descriptors, timers, blocks)
 	}
 }
--- a/internal/lab/invariant/watch.go
+++ b/internal/lab/invariant/watch.go
@@ -4,15 +4,15 @@
 
 // Properties of the watch of the endpoint list. Stored traces hold these texts; in them, a whole list is a complete one.
 const (
-	ListFollows = "a list is whole, or follows the one before it"
-	ListFrom    = "after a move no list of the address before is taken"
-	WholeAsked  = "after a failure or a move the whole list is asked for"
-	OneCall     = "one call of the list is out at a time"
+	ListCompleteOrFollows  = "a list is whole, or follows the one before it"
+	ListFromWatchedAddress = "after a move no list of the address before is taken"
+	CompleteListAsked      = "after a failure or a move the whole list is asked for"
+	OneCallAtATime         = "one call of the list is out at a time"
 )
 
-// Lists checks the calls to discovery for the endpoint list and the lists that the watch delivers.
-type Lists struct {
-	Members        int // endpoints in a complete list
+// ListChecker checks the calls to discovery for the endpoint list and the lists that the watch delivers.
+type ListChecker struct {
+	Endpoints      int // endpoints in a complete list
 	violated       string
 	detail         string
 	lastGeneration int64
@@ -20,40 +20,40 @@
 }
 
 // Broken returns the first property that was violated and the details; both are empty if none was.
-func (l *Lists) Broken() (property, detail string) { return l.violated, l.detail }
+func (l *ListChecker) Broken() (property, detail string) { return l.violated, l.detail }
 
-func (l *Lists) recordViolation(property, format string, args ...any) {
+func (l *ListChecker) recordViolation(property, format string, args ...any) {
 	if l.violated == "" {
 		l.violated, l.detail = property, fmt.Sprintf(format, args...)
 	}
 }
 
-// Called checks a call: for the complete list, or for the changes after a generation.
-func (l *Lists) Called(complete bool, after int64) {
+// CallSent checks a call: for the complete list, or for the changes after a generation.
+func (l *ListChecker) CallSent(complete bool, after int64) {
 	if !l.listKnown && !complete {
-		l.recordViolation(WholeAsked, "a call asks for the changes after generation %d, but no complete list is known", after)
+		l.recordViolation(CompleteListAsked, "a call asks for the changes after generation %d, but no complete list is known", after)
 	}
 }
 
-// Lost records that the known list no longer counts: a call failed, or the address changed.
-func (l *Lists) Lost() { l.listKnown = false }
+// ListInvalidated records that the known list no longer counts: a call failed, or the address changed.
+func (l *ListChecker) ListInvalidated() { l.listKnown = false }
 
-// Open checks the number of open connections.
-func (l *Lists) Open(connections int) {
+// CheckConnections checks the number of open connections.
+func (l *ListChecker) CheckConnections(connections int) {
 	if connections > 1 {
-		l.recordViolation(OneCall, "%d connections are open at the same time", connections)
+		l.recordViolation(OneCallAtATime, "%d connections are open at the same time", connections)
 	}
 }
 
-// Handed checks and records a list that the watch delivers: the address that sent it, and the address that is watched.
-func (l *Lists) Handed(complete bool, generation int64, endpoints int, from, watched string) {
+// ListDelivered checks and records a list that the watch delivers: the address that sent it, and the address that is watched.
+func (l *ListChecker) ListDelivered(complete bool, generation int64, endpoints int, from, watched string) {
 	switch {
 	case from != watched:
-		l.recordViolation(ListFrom, "a list from address %s is delivered while address %s is watched", from, watched)
-	case complete && endpoints != l.Members:
-		l.recordViolation(ListFollows, "a complete list has %d endpoints of %d", endpoints, l.Members)
+		l.recordViolation(ListFromWatchedAddress, "a list from address %s is delivered while address %s is watched", from, watched)
+	case complete && endpoints != l.Endpoints:
+		l.recordViolation(ListCompleteOrFollows, "a complete list has %d endpoints of %d", endpoints, l.Endpoints)
 	case !complete && (!l.listKnown || generation < l.lastGeneration):
-		l.recordViolation(ListFollows, "changes up to generation %d come after generation %d (complete list known: %v)", generation, l.lastGeneration, l.listKnown)
+		l.recordViolation(ListCompleteOrFollows, "changes up to generation %d come after generation %d (complete list known: %v)", generation, l.lastGeneration, l.listKnown)
 	}
 	l.listKnown, l.lastGeneration = true, generation
 }
--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -28,7 +28,7 @@
 	applied     float64  // commit time of the newest record that it has applied
 	log         []record // shipped and not yet applied, in order of commits
 	until       float64  // when the apply thread will have applied all of them
-	cold        invariant.Cold
+	cold        invariant.SlowStartChecker
 }
 
 // attempt is one transmission of a command to a backend.
@@ -59,7 +59,7 @@
 		return
 	}
 	if now := w.now; now-b.started < float64(w.spec.Fleet.WarmIn) {
-		b.cold.Sent(now, b.started)
+		b.cold.AttemptSent(now, b.started)
 		if p, how := b.cold.Broken(); p != "" {
 			w.recordViolation(p, how)
 			b.cold = w.coldBudget()
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -212,7 +212,7 @@
 		if m.down || m.hung || m.cut || m.listedState != router.Ready || slices.Contains(s.tried, m.node) {
 			continue
 		}
-		if consistencies[b.group(s).Need] != router.Eventual && m.position(w.now) < math.Max(c.Needs, c.Seen) {
+		if consistencies[b.group(s).Need] != router.Eventual && m.position(w.now) < math.Max(c.RequiredPosition, c.SeenPosition) {
 			continue
 		}
 		// One that drains or falls behind while the attempt is on its way is the price of the way.
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -66,7 +66,7 @@
 	}
 	w.expect(c, s)
 	r.commands[c.id] = c
-	w.at(c.GiveUp, func() { w.giveUp(c) })
+	w.at(c.ClientDeadline, func() { w.giveUp(c) })
 	r.policy.Add(w.now, c.id, w.routerCommand(c, s))
 	r.review()
 }
@@ -84,19 +84,19 @@
 // expect tells the checkers what must hold for the command.
 func (w *World) expect(c *command, s *session) {
 	g := &w.spec.Groups[c.group]
-	c.Effect = invariant.Effect(idempotencies[g.Effect])
-	c.GiveUp = w.now + float64(g.Timeout)
-	c.Memory = float64(g.Memory)
-	c.Needs = math.Inf(-1)
-	c.Seen = math.Inf(-1)
+	c.Idempotency = invariant.Idempotency(idempotencies[g.Effect])
+	c.ClientDeadline = w.now + float64(g.Timeout)
+	c.IdempotencyWindow = float64(g.Memory)
+	c.RequiredPosition = math.Inf(-1)
+	c.SeenPosition = math.Inf(-1)
 	switch consistencies[g.Need] {
 	case router.SessionConsistent:
-		c.Needs = s.wrote
-		c.Seen = s.seen
+		c.RequiredPosition = s.wrote
+		c.SeenPosition = s.seen
 	case router.Linearizable:
-		c.Needs = w.lastCommit(c.shard)
+		c.RequiredPosition = w.lastCommit(c.shard)
 	case router.BoundedStaleness:
-		c.Needs = w.now - float64(g.Bound)
+		c.RequiredPosition = w.now - float64(g.Bound)
 	case router.PrimaryOnly, router.Eventual: // no position to cover
 	}
 }
@@ -105,7 +105,7 @@
 func (w *World) routerCommand(c *command, s *session) router.Command {
 	seen := router.Command{
 		Group: c.group, Session: c.session, Shard: c.shard, ArrivedAt: w.now,
-		ClientDeadline: c.GiveUp - answerMargin, ClientRetry: c.attemptNumber > 1,
+		ClientDeadline: c.ClientDeadline - answerMargin, ClientRetry: c.attemptNumber > 1,
 	}
 	needsOwnWrites := consistencies[w.spec.Groups[c.group].Need] == router.SessionConsistent
 	if needsOwnWrites && !math.IsInf(s.wrote, -1) {
@@ -120,9 +120,9 @@
 	if c.done {
 		return
 	}
-	w.check.Overdue(w.now+1e-9, "a command of "+w.spec.Groups[c.group].Name, &c.Command)
+	w.check.CheckDeadline(w.now+1e-9, "a command of "+w.spec.Groups[c.group].Name, &c.Command)
 	c.done = true
-	w.check.Ended(&c.Command)
+	w.check.CommandAbandoned(&c.Command)
 	c.router.policy.ClientGone(w.now, c.id)
 	c.router.review()
 	c.router.release(c)
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -84,7 +84,7 @@
 			continue
 		}
 		c.done = true
-		r.world.check.Ended(&c.Command)
+		r.world.check.CommandAbandoned(&c.Command)
 		r.world.retryLater(c, r.world.networkDelay())
 	}
 	r.commands = map[uint32]*command{}
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -94,9 +94,9 @@
 func (r *instance) Forward(id uint32, number, node int, until float64) {
 	w, c, b := r.world, r.commands[id], r.world.backends[node]
 	g := &w.spec.Groups[c.group]
-	w.check.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &invariant.Member{
-		Set: b.shard, Away: b.listedState == router.Draining,
-		AwaySince: b.listedSince,
+	w.check.AttemptSent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &invariant.Backend{
+		Shard: b.shard, Draining: b.listedState == router.Draining,
+		DrainingSince: b.listedSince,
 	})
 	w.tally.Dispatches++
 	if consistencies[g.Need] != router.PrimaryOnly {
@@ -118,7 +118,7 @@
 			}
 		})
 	}
-	w.at(math.Min(until, c.GiveUp), func() {
+	w.at(math.Min(until, c.ClientDeadline), func() {
 		b.cancel(a)
 		r.attemptEnded(a, router.TimedOut, false, 0)
 	})
@@ -156,7 +156,7 @@
 	if c == nil {
 		return nil
 	}
-	r.world.check.Answered(r.world.now, "a command of "+r.world.spec.Groups[c.group].Name, &c.Command)
+	r.world.check.CommandAnswered(r.world.now, "a command of "+r.world.spec.Groups[c.group].Name, &c.Command)
 	c.done = true
 	r.release(c)
 	return c
@@ -182,7 +182,7 @@
 	}
 	a.open = false
 	ran := e == router.Answered || e == router.ConnectionLost || e == router.TimedOut || e == router.Canceled
-	w.check.Back(&c.Command, a.sent, a.at.shard, ran)
+	w.check.AttemptEnded(&c.Command, a.sent, a.at.shard, ran)
 	if r.commands[c.id] != c { // its router has restarted
 		return
 	}
@@ -210,12 +210,12 @@
 	if consistencies[g.Need] == router.PrimaryOnly {
 		s.wrote = math.Max(s.wrote, position)
 	} else {
-		w.check.Served("a command of "+g.Name, &c.Command, a.at.node, &invariant.Member{Covers: position})
+		w.check.ReadServed("a command of "+g.Name, &c.Command, a.at.node, &invariant.Backend{AppliedPosition: position})
 		if consistencies[g.Need] == router.SessionConsistent {
 			s.seen = math.Max(s.seen, position)
 		}
 	}
-	w.check.Answered(w.now, "a command of "+g.Name, &c.Command)
+	w.check.CommandAnswered(w.now, "a command of "+g.Name, &c.Command)
 	c.done = true
 	took := w.now - c.first
 	w.tally.Answered++
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -23,7 +23,7 @@
 	backends       []*backend
 	knownEndpoints []router.EndpointInfo // the list that routers were last told; a restarted one begins with it
 	routers        []*instance
-	check          invariant.Commands
+	check          invariant.CommandChecker
 	violations     map[string]string // properties that were violated, with the first violation
 	seed           uint64
 	arrive         []*rand.Rand // by group
@@ -94,15 +94,15 @@
 func (w *World) networkDelay() float64 { return float64(w.spec.Fleet.Way) }
 
 // coldBudget is the load that a backend bears while it warms up: as many commands as its slots get through.
-func (w *World) coldBudget() invariant.Cold {
+func (w *World) coldBudget() invariant.SlowStartChecker {
 	f := &w.spec.Fleet
 	rate, work := 0.0, 0.0
 	for _, g := range w.spec.Groups {
 		rate, work = rate+g.Rate, work+g.Rate*float64(g.Work)
 	}
-	return invariant.Cold{
-		Capacity: float64(f.Slots) * rate / math.Max(work, math.SmallestNonzeroFloat64), Share: f.ColdShare,
-		WarmIn: float64(f.WarmIn), Overload: f.Overload, FallSpan: float64(f.FallSpan),
+	return invariant.SlowStartChecker{
+		Capacity: float64(f.Slots) * rate / math.Max(work, math.SmallestNonzeroFloat64), SlowStartFloor: f.ColdShare,
+		SlowStart: float64(f.WarmIn), OverloadFactor: f.Overload, OverloadWindow: float64(f.FallSpan),
 	}
 }
 
@@ -129,7 +129,7 @@
 	for _, r := range w.routers {
 		for id := uint32(1); id <= r.last; id++ { // in order: the first that is found is told
 			if c := r.commands[id]; c != nil {
-				w.check.Overdue(w.now, "a command", &c.Command)
+				w.check.CheckDeadline(w.now, "a command", &c.Command)
 			}
 		}
 	}
--- a/internal/modelcheck/models/client.go
+++ b/internal/modelcheck/models/client.go
@@ -25,8 +25,8 @@
 )
 
 var clientKind = Kind{
-	Name:  "client",
-	Words: "client connections and the frontend, against an adversary that controls clients, the dispatcher, the network and time",
+	Name:        "client",
+	Description: "client connections and the frontend, against an adversary that controls clients, the dispatcher, the network and time",
 	Faults: map[string]Fault{
 		"swapped":    {"an answer goes to another command than its own", Bounds{Clients: 1, Commands: []string{"look", "look"}}},
 		"lost-byte":  {"the last byte of an answer counts as written but is not", Bounds{Clients: 1, Commands: []string{"empty"}}},
@@ -46,7 +46,7 @@
 	network    *fakeServerNetwork
 	frontend   *frontend.Server
 	buffers    *buffer.Pool
-	checker    invariant.Clients
+	checker    invariant.ClientChecker
 	clients    []*scriptedClient
 	received   []*receivedCommand
 	faults     int
@@ -167,7 +167,7 @@
 func (s fakeDispatcher) ClientGone(commands []*dispatcher.Command) {
 	for _, received := range s.received {
 		if slices.Contains(commands, received.command) && s.fault != "unheard" {
-			s.checker.Ended(received.name)
+			s.checker.CommandEnded(received.name)
 			received.open = s.fault == "left-twice"
 			received.command.Statement.Free()
 		}
@@ -402,7 +402,7 @@
 			}
 		}
 	}
-	s.checker.Ended(ended.name)
+	s.checker.CommandEnded(ended.name)
 	ended.open = false
 	switch kind {
 	case "throttle":
@@ -435,7 +435,7 @@
 		if c.halfSent { // half a message may already be rejected
 			allowed = append(allowed, func(a invariant.Answer) bool { return a.Code == pg.CodeProtocolViolation })
 		}
-		s.checker.Read(i, parseAnswers(c.received), allowed)
+		s.checker.CheckAnswers(i, parseAnswers(c.received), allowed)
 	}
 	if s.drained && s.frontend.OpenConnections() == 0 {
 		open := 0
@@ -444,7 +444,7 @@
 				open++
 			}
 		}
-		s.checker.Left(len(s.network.sockets), len(s.network.timers), s.buffers.BlocksInUse(), open)
+		s.checker.CheckLeaks(len(s.network.sockets), len(s.network.timers), s.buffers.BlocksInUse(), open)
 	}
 }
 
--- a/internal/modelcheck/models/cold.go
+++ b/internal/modelcheck/models/cold.go
@@ -12,7 +12,7 @@
 )
 
 var slowStartKind = Kind{
-	Name: "cold", Words: "the router modules of several routers and one backend in slow start, to which all of them send",
+	Name: "cold", Description: "the router modules of several routers and one backend in slow start, to which all of them send",
 	Faults: map[string]Fault{
 		"alone":     {"each router takes itself for the only one", Bounds{Routers: 2, Ticks: 5}},
 		"unstarted": {"the endpoint list does not hold the backend's start time", Bounds{Routers: 2, Ticks: 1}},
@@ -41,7 +41,7 @@
 	faults         int
 	startedAt      float64
 	routers        []*slowStartRouter
-	checker        invariant.Cold
+	checker        invariant.SlowStartChecker
 	settleAttempts []int // attempts sent to the starting backend by each router; counted only during Settle
 }
 
@@ -62,9 +62,9 @@
 }
 
 func newSlowStartSystem(b Bounds, fault string) *slowStartSystem {
-	c := &slowStartSystem{bounds: b, fault: fault, now: 10, startedAt: math.Inf(-1), checker: invariant.Cold{
-		Capacity: 1 / slowStartServiceSeconds, Share: 0.2, WarmIn: 8,
-		Overload: 2, FallSpan: 2,
+	c := &slowStartSystem{bounds: b, fault: fault, now: 10, startedAt: math.Inf(-1), checker: invariant.SlowStartChecker{
+		Capacity: 1 / slowStartServiceSeconds, SlowStartFloor: 0.2, SlowStart: 8,
+		OverloadFactor: 2, OverloadWindow: 2,
 	}}
 	for i := range b.Routers {
 		r := &slowStartRouter{system: c, index: i}
@@ -91,8 +91,8 @@
 	config := router.Config{
 		RouterCount: system.bounds.Routers, Instance: r.index, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true,
 		LoadReports: true, CanCancel: true, MaxAttempts: 3,
-		ConnectTimeout: slowStartServiceSeconds, SlowStartFloor: system.checker.Share, SlowStart: system.checker.WarmIn,
-		OverloadFactor: system.checker.Overload, OverloadWindow: system.checker.FallSpan,
+		ConnectTimeout: slowStartServiceSeconds, SlowStartFloor: system.checker.SlowStartFloor, SlowStart: system.checker.SlowStart,
+		OverloadFactor: system.checker.OverloadFactor, OverloadWindow: system.checker.OverloadWindow,
 		CommandGroups: []router.CommandGroup{{
 			Consistency: router.Eventual, Idempotency: router.Idempotent,
 			LatencyObjective: 0.5, ClientTimeout: 1, PriorityWeight: 1, LateValue: 0.5,
@@ -122,7 +122,7 @@
 // Forward implements inflight.Executor.
 func (r *slowStartRouter) Forward(id uint32, number, endpoint int, _ float64) {
 	if system := r.system; endpoint == 1 && !math.IsInf(system.startedAt, -1) {
-		system.checker.Sent(system.now, system.startedAt)
+		system.checker.AttemptSent(system.now, system.startedAt)
 		if system.settleAttempts != nil {
 			system.settleAttempts[r.index]++
 		}
--- a/internal/modelcheck/models/command.go
+++ b/internal/modelcheck/models/command.go
@@ -14,8 +14,8 @@
 )
 
 var commandKind = Kind{
-	Name:  "command",
-	Words: "commands in flight and the router module, against an adversary that controls backends, the endpoint list, time and clients",
+	Name:        "command",
+	Description: "commands in flight and the router module, against an adversary that controls backends, the endpoint list, time and clients",
 	Faults: map[string]Fault{
 		"answers-twice": {
 			"an attempt that timed out, and whose command was failed, still answers the client",
@@ -90,18 +90,18 @@
 type commandGroup struct {
 	name        string
 	config      router.CommandGroup
-	idempotency invariant.Effect
+	idempotency invariant.Idempotency
 }
 
 // commandGroups are the command groups that bounds may name.
 var commandGroups = []commandGroup{
-	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, invariant.Replayable},
-	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, invariant.Replayable},
-	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, invariant.Mutating},
+	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, invariant.Idempotent},
+	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, invariant.Idempotent},
+	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, invariant.NonIdempotent},
 	{
 		"keyed",
 		router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope},
-		invariant.Keyed,
+		invariant.IdempotentWithKey,
 	},
 }
 
@@ -119,7 +119,7 @@
 	endpoints         []simulatedEndpoint
 	commands          []*clientCommand
 	healthChecks      map[int]bool // endpoints whose health check the router waits for
-	checker           invariant.Commands
+	checker           invariant.CommandChecker
 	lastWritePosition float64  // of the session; -Inf without a write
 	readHighWaterMark float64  // highest position that the session's reads have shown at this router
 	routerStarts      int      // starts of the router, also its seed
@@ -129,7 +129,7 @@
 }
 
 type simulatedEndpoint struct {
-	invariant.Member
+	invariant.Backend
 	primary     bool
 	listedState router.EndpointState
 }
@@ -157,11 +157,11 @@
 
 func newCommandSystem(b Bounds, fault string) *commandSystem {
 	c := &commandSystem{
-		bounds: b, fault: fault, healthChecks: map[int]bool{}, checker: invariant.Commands{Grace: commandDrainGraceSeconds},
+		bounds: b, fault: fault, healthChecks: map[int]bool{}, checker: invariant.CommandChecker{DrainGrace: commandDrainGraceSeconds},
 		lastWritePosition: math.Inf(-1), readHighWaterMark: math.Inf(-1),
 	}
 	for range b.Members {
-		c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready, Member: invariant.Member{Covers: 10}})
+		c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready, Backend: invariant.Backend{AppliedPosition: 10}})
 	}
 	c.endpoints[0].primary = true
 	for i, name := range b.Commands {
@@ -219,11 +219,11 @@
 // Forward implements inflight.Executor.
 func (c *commandSystem) Forward(id uint32, number, endpoint int, deadline float64) {
 	cmd := c.commands[id]
-	backend := c.endpoints[endpoint].Member
+	backend := c.endpoints[endpoint].Backend
 	if c.fault == "far-keyed" && number > 0 {
-		backend.Set++
+		backend.Shard++
 	}
-	c.checker.Sent(c.now, cmd.name, &cmd.Command, endpoint, &backend)
+	c.checker.AttemptSent(c.now, cmd.name, &cmd.Command, endpoint, &backend)
 	cmd.attempts = append(cmd.attempts, &attempt{number: number, endpoint: endpoint, sentAt: c.now, deadline: deadline})
 }
 
@@ -248,7 +248,7 @@
 		c.heldAnswers = append(c.heldAnswers, int(id))
 		return
 	}
-	c.checker.Answered(c.now, c.commands[id].name, &c.commands[id].Command)
+	c.checker.CommandAnswered(c.now, c.commands[id].name, &c.commands[id].Command)
 }
 
 // Steps implements modelcheck.System.
@@ -293,10 +293,10 @@
 	e := &c.endpoints[i]
 	isReady, isReadyReplica := e.listedState == router.Ready, e.listedState == router.Ready && !e.primary
 	steps.addIf(c.healthChecks[i], "report %d", i)
-	steps.addIf(!e.primary && e.Covers < c.now && e.listedState != router.Removed, "apply %d", i)
+	steps.addIf(!e.primary && e.AppliedPosition < c.now && e.listedState != router.Removed, "apply %d", i)
 	steps.addIf(mayInject("drain") && isReady, "drain %d", i)
 	steps.addIf(mayInject("replace") && isReadyReplica, "replace %d", i)
-	steps.addIf(mayInject("promote") && isReadyReplica && e.Covers >= c.lastWritePosition, "promote %d", i)
+	steps.addIf(mayInject("promote") && isReadyReplica && e.AppliedPosition >= c.lastWritePosition, "promote %d", i)
 }
 
 // Commute implements modelcheck.Commuter. A replica that applies its log changes only itself, and most steps do not read it.
@@ -332,7 +332,7 @@
 	case "report":
 		c.answerHealthCheck(n)
 	case "apply":
-		c.endpoints[n].Covers = c.now
+		c.endpoints[n].AppliedPosition = c.now
 	case "drain":
 		c.drainEndpoint(n)
 	case "replace":
@@ -356,7 +356,7 @@
 
 func (c *commandSystem) leaveClient(n int) {
 	c.faults++
-	c.checker.Ended(&c.commands[n].Command)
+	c.checker.CommandAbandoned(&c.commands[n].Command)
 	if c.fault != "left-behind" {
 		c.tracker.ClientGone(c.now, uint32(n))
 	}
@@ -366,7 +366,7 @@
 func (c *commandSystem) answerHealthCheck(n int) {
 	delete(c.healthChecks, n)
 	e := c.endpoints[n]
-	position := e.Covers
+	position := e.AppliedPosition
 	if c.fault == "spoilt-position" {
 		position += 2 * commandTickSeconds
 	}
@@ -376,7 +376,7 @@
 func (c *commandSystem) drainEndpoint(n int) {
 	c.faults++
 	e := &c.endpoints[n]
-	e.listedState, e.Away, e.AwaySince = router.Draining, true, c.now
+	e.listedState, e.Draining, e.DrainingSince = router.Draining, true, c.now
 	if c.fault != "drain-overlooked" || !c.hasAttemptsInFlight() {
 		c.sendList(false)
 	}
@@ -387,7 +387,7 @@
 	for i := range c.endpoints {
 		c.endpoints[i].primary = i == n
 	}
-	c.endpoints[n].Covers = c.now
+	c.endpoints[n].AppliedPosition = c.now
 	if c.fault != "untold-primary" {
 		c.sendList(false)
 	}
@@ -398,7 +398,7 @@
 	c.faults++
 	for _, cmd := range c.commands {
 		if cmd.received {
-			c.checker.Ended(&cmd.Command)
+			c.checker.CommandAbandoned(&cmd.Command)
 			cmd.attempts = nil
 		}
 	}
@@ -410,9 +410,9 @@
 func (c *commandSystem) replaceReplica(n int) {
 	e := &c.endpoints[n]
 	if c.fault == "reused-index" {
-		e.Covers = 0
+		e.AppliedPosition = 0
 	} else {
-		e.listedState, e.Away, e.AwaySince = router.Removed, true, c.now
+		e.listedState, e.Draining, e.DrainingSince = router.Removed, true, c.now
 		if len(c.freeRows) > 0 {
 			c.endpoints[c.freeRows[0]] = simulatedEndpoint{listedState: router.Ready}
 			c.freeRows = c.freeRows[1:]
@@ -439,15 +439,15 @@
 	cmd := c.commands[n]
 	cmd.received = true
 	group := commandGroups[cmd.group]
-	cmd.Effect, cmd.GiveUp, cmd.Memory, cmd.Needs = group.idempotency, c.now+commandTimeoutSeconds, commandWindowSeconds, math.Inf(-1)
-	request := router.Command{Group: cmd.group, Session: 7, ArrivedAt: c.now, ClientDeadline: cmd.GiveUp}
-	cmd.Seen = math.Inf(-1)
+	cmd.Idempotency, cmd.ClientDeadline, cmd.IdempotencyWindow, cmd.RequiredPosition = group.idempotency, c.now+commandTimeoutSeconds, commandWindowSeconds, math.Inf(-1)
+	request := router.Command{Group: cmd.group, Session: 7, ArrivedAt: c.now, ClientDeadline: cmd.ClientDeadline}
+	cmd.SeenPosition = math.Inf(-1)
 	if group.config.Consistency == router.SessionConsistent {
-		cmd.Seen = c.readHighWaterMark
+		cmd.SeenPosition = c.readHighWaterMark
 	}
 	if group.config.Consistency == router.SessionConsistent && !math.IsInf(c.lastWritePosition, -1) {
 		// The frontend also avoids the age 0, which would mean no write.
-		cmd.Needs, request.LastWriteAge = c.lastWritePosition, cmp.Or(c.now-c.lastWritePosition, -math.SmallestNonzeroFloat64)
+		cmd.RequiredPosition, request.LastWriteAge = c.lastWritePosition, cmp.Or(c.now-c.lastWritePosition, -math.SmallestNonzeroFloat64)
 		if c.fault == "no-age" {
 			request.LastWriteAge = math.Max(0, c.now-c.lastWritePosition)
 		}
@@ -460,7 +460,7 @@
 	cmd := c.commands[n]
 	a := cmd.attempts[index]
 	if a.timedOut {
-		c.checker.Answered(c.now, cmd.name, &cmd.Command)
+		c.checker.CommandAnswered(c.now, cmd.name, &cmd.Command)
 	}
 	if c.fault == "answers-twice" && kind == "timed" && !a.timedOut {
 		a.timedOut = true
@@ -473,7 +473,7 @@
 	result := attemptResults[kind]
 	e := &c.endpoints[a.endpoint]
 	notServed := result == router.Answered && cmd.consistency() == router.PrimaryOnly && !e.primary // a replica rejects it
-	c.checker.Back(&cmd.Command, a.sentAt, e.Set, mayHaveRun(result) && !notServed)
+	c.checker.AttemptEnded(&cmd.Command, a.sentAt, e.Shard, mayHaveRun(result) && !notServed)
 	reported := c.attemptResult(a, result, notServed)
 	if reported.Result == router.Answered {
 		c.applyAnswer(cmd, a, &reported)
@@ -484,7 +484,7 @@
 	}
 	if reported.Result == router.Answered && wasOpen {
 		cmd.answered = true
-		c.checker.Answered(c.now, cmd.name, &cmd.Command)
+		c.checker.CommandAnswered(c.now, cmd.name, &cmd.Command)
 	}
 }
 
@@ -532,14 +532,14 @@
 func (c *commandSystem) applyAnswer(cmd *clientCommand, a *attempt, reported *router.AttemptResult) {
 	e := &c.endpoints[a.endpoint]
 	if cmd.consistency() == router.PrimaryOnly {
-		c.lastWritePosition, e.Covers = c.now, c.now
+		c.lastWritePosition, e.AppliedPosition = c.now, c.now
 		reported.Position = c.now
 		return
 	}
-	reported.Position = e.Covers
-	c.checker.Served(cmd.name, &cmd.Command, a.endpoint, &e.Member)
+	reported.Position = e.AppliedPosition
+	c.checker.ReadServed(cmd.name, &cmd.Command, a.endpoint, &e.Backend)
 	if cmd.consistency() == router.SessionConsistent {
-		c.readHighWaterMark = math.Max(c.readHighWaterMark, e.Covers)
+		c.readHighWaterMark = math.Max(c.readHighWaterMark, e.AppliedPosition)
 	}
 }
 
@@ -570,16 +570,16 @@
 		c.runReviews()
 		for i := range c.endpoints {
 			if c.endpoints[i].primary {
-				c.endpoints[i].Covers = c.now
+				c.endpoints[i].AppliedPosition = c.now
 			}
 		}
 	}
 	for _, n := range heldAnswers {
-		c.checker.Answered(c.now, c.commands[n].name, &c.commands[n].Command)
+		c.checker.CommandAnswered(c.now, c.commands[n].name, &c.commands[n].Command)
 	}
 	for _, cmd := range c.commands {
 		if cmd.received {
-			c.checker.Overdue(c.now, cmd.name, &cmd.Command)
+			c.checker.CheckDeadline(c.now, cmd.name, &cmd.Command)
 		}
 	}
 }
--- a/internal/modelcheck/models/member.go
+++ b/internal/modelcheck/models/member.go
@@ -18,7 +18,7 @@
 )
 
 var backendKind = Kind{
-	Name: "member", Words: "connections to one backend, against an adversary that controls the backend, the network and time",
+	Name: "member", Description: "connections to one backend, against an adversary that controls the backend, the network and time",
 	Faults: map[string]Fault{
 		"previous-reply": {
 			"data that arrives between two commands goes unnoticed, and the next command takes it for its reply",
@@ -56,7 +56,7 @@
 	attempts    []*backendAttempt
 	faults      int
 	ticks       int
-	checker     invariant.Dispatches
+	checker     invariant.AttemptChecker
 	descriptors []int // of all connections, closed ones too, in the order of their dials
 	closed      bool
 	ends        map[int]*backendEnd
@@ -122,11 +122,11 @@
 	a.state = 2
 	neverRan := result == router.ConnectFailed || result == router.NeverSent
 	if result != router.Overloaded { // this result already means that the command never ran
-		s.checker.Ended(int(attempt.CommandID), neverRan, s.statementWritten(int(attempt.CommandID)))
+		s.checker.AttemptEnded(int(attempt.CommandID), neverRan, s.statementWritten(int(attempt.CommandID)))
 	}
 	if s.fault == "twice" && result == router.Canceled {
-		s.checker.Ended(int(attempt.CommandID), false, s.statementWritten(int(attempt.CommandID)))
-		s.checker.Ended(int(attempt.CommandID), false, s.statementWritten(int(attempt.CommandID)))
+		s.checker.AttemptEnded(int(attempt.CommandID), false, s.statementWritten(int(attempt.CommandID)))
+		s.checker.AttemptEnded(int(attempt.CommandID), false, s.statementWritten(int(attempt.CommandID)))
 	}
 	if answer == nil {
 		return
@@ -142,7 +142,7 @@
 		if i := bytes.Index(row, []byte("value ")); i >= 0 && i+7 <= len(row) {
 			value = string(row[i+6 : i+7])
 		}
-		s.checker.Answered(int(attempt.CommandID), value, string(rune('a'+int(attempt.CommandID))))
+		s.checker.AttemptAnswered(int(attempt.CommandID), value, string(rune('a'+int(attempt.CommandID))))
 	}
 	answer.Row.Free()
 }
@@ -367,7 +367,7 @@
 	for _, a := range s.attempts {
 		a.statement.Free()
 	}
-	s.checker.Left(len(s.network.sockets), len(s.network.timers), s.buffers.BlocksInUse())
+	s.checker.CheckLeaks(len(s.network.sockets), len(s.network.timers), s.buffers.BlocksInUse())
 }
 
 // unwrittenBytes returns how many bytes of a statement a connection has still to write. All statements have the same length.
--- a/internal/modelcheck/models/recorded_test.go
+++ b/internal/modelcheck/models/recorded_test.go
@@ -60,14 +60,14 @@
 	require.NoError(t, s.Save(again))
 	assertSameBytes(t, file, again)
 
-	k, err := Find(s.System)
+	k, err := FindKind(s.System)
 	require.NoError(t, err)
 	s.Bounds.States = 0
-	r, saved := modelcheck.Resume(context.Background(), k.New(s.Bounds, s.Fault), s.Bounds.Explore(0), &s.Saved, nil)
+	r, saved := modelcheck.Resume(context.Background(), k.New(s.Bounds, s.Fault), s.Bounds.ExplorerBounds(0), &s.Saved, nil)
 	assert.Nil(t, saved)
 	assert.True(t, r.Complete, r.StopReason)
 	assert.Nil(t, r.Counterexample)
-	whole := modelcheck.Run(context.Background(), k.New(s.Bounds, s.Fault), s.Bounds.Explore(0), nil)
+	whole := modelcheck.Run(context.Background(), k.New(s.Bounds, s.Fault), s.Bounds.ExplorerBounds(0), nil)
 	// Fingerprints cover the fields of the code. If those have changed since the file was written, states of the file are not
 	// recognized and are explored again, so there may be more states than in a complete exploration, but none may be missing.
 	assert.GreaterOrEqual(t, r.States, whole.States)
@@ -93,7 +93,7 @@
 
 	taken, property, _ := got.Replay()
 	assert.Equal(t, 3, taken)
-	assert.Equal(t, invariant.ListFrom, property)
+	assert.Equal(t, invariant.ListFromWatchedAddress, property)
 	got.Fault = ""
 	_, property, _ = got.Replay()
 	assert.Empty(t, property, "without the injected fault, the same steps violate nothing")
--- a/internal/modelcheck/models/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -16,7 +16,7 @@
 )
 
 var rolloutKind = Kind{
-	Name: "rollout", Words: "operators' rollout tools, agents with one router each, the lease and the network between them",
+	Name: "rollout", Description: "operators' rollout tools, agents with one router each, the lease and the network between them",
 	Faults: map[string]Fault{
 		"epoch-twice": {"an agent grants an epoch that it has already granted to another holder", Bounds{Agents: 2, Tools: 2, Ticks: 1}},
 		"forgetful":   {"a restarted agent has forgotten the lease that it granted", Bounds{Agents: 1, Tools: 2, Ticks: 1, Faults: 1}},
@@ -58,7 +58,7 @@
 	agents       []*rolloutAgent
 	tools        []*rolloutTool
 	delayedCalls []rolloutCall // calls that may still arrive although their tool counts them as failed
-	checker      *invariant.Fleet
+	checker      *invariant.RolloutChecker
 }
 
 type rolloutAgent struct {
@@ -91,7 +91,7 @@
 }
 
 func newRolloutSystem(b Bounds, fault string) *rolloutSystem {
-	r := &rolloutSystem{bounds: b, fault: fault, checker: invariant.NewFleet(b.Agents - 1), limits: supervisor.Limits{
+	r := &rolloutSystem{bounds: b, fault: fault, checker: invariant.NewRolloutChecker(b.Agents - 1), limits: supervisor.Limits{
 		ReadyTimeoutSeconds: 100, TerminationGraceSeconds: 0.5,
 		HealthCheckSeconds: 1e9, CounterReadSeconds: 1e9, RecentSeconds: 1,
 		MinBackoffSeconds: 0.5, MaxBackoffSeconds: 1, StableSeconds: 1e9, MaxCrashes: 9, MaxMissedHealthChecks: 9, KillRetrySeconds: 100,
@@ -194,7 +194,7 @@
 	}
 	if call.Request.Verb == protocol.BeginStepVerb {
 		call.Request.Step.OnlyIfNotServing = call.Request.Step.OnlyIfNotServing && r.fault != "rash"
-		r.checker.Sent(stepName(call.Request.Step), r.isRecordedByMajority(call.Request.Epoch))
+		r.checker.StepSent(stepName(call.Request.Step), r.isRecordedByMajority(call.Request.Epoch))
 	}
 	reply, effects := agent.handler.Handle(r.now, call.Request)
 	if r.fault == "two-begin" {
@@ -202,7 +202,7 @@
 	}
 	isChange := call.Request.Verb == protocol.BeginStepVerb || call.Request.Verb == protocol.StoreRecordVerb
 	if reply.Denial == lease.Granted && isChange {
-		r.checker.Acted(call.Request.Epoch, call.Request.Holder)
+		r.checker.ChangeGranted(call.Request.Epoch, call.Request.Holder)
 	}
 	if effects.Lease {
 		agent.lease = agent.handler.Lease.PersistentState
@@ -245,9 +245,9 @@
 	open := agent.record.Step.Number != 0 && agent.record.Result == rollout.StepPending
 	switch {
 	case open && !agent.stepOpen:
-		r.checker.Begun(i, fmt.Sprint(agent.record.Step.RolloutID, "/", agent.record.Step.Number))
+		r.checker.StepBegun(i, fmt.Sprint(agent.record.Step.RolloutID, "/", agent.record.Step.Number))
 	case !open && agent.stepOpen:
-		r.checker.Ended(i)
+		r.checker.StepEnded(i)
 	}
 	agent.stepOpen = open
 }
@@ -303,7 +303,7 @@
 	if agent.routerRuns {
 		running = 1
 	}
-	r.checker.Started(i, running)
+	r.checker.ProcessStarted(i, running)
 	agent.routerRuns, agent.routerServes, agent.incarnation = true, false, incarnation
 	if r.fault == "untold-start" {
 		return supervisor.Transition{}
@@ -320,7 +320,7 @@
 		}
 	}
 	if agent.routerServes {
-		r.checker.Taken(i, othersServing)
+		r.checker.RouterStopped(i, othersServing)
 	}
 	agent.routerRuns, agent.routerServes = false, false
 	return agent.handler.Supervisors[0].ProcessExited(r.now, "ended")
--- a/internal/modelcheck/models/run.go
+++ b/internal/modelcheck/models/run.go
@@ -45,7 +45,7 @@
 	if err := json.Unmarshal(raw, &t); err != nil {
 		return t, fmt.Errorf("trace: %s: %w", path, err)
 	}
-	k, err := Find(t.System)
+	k, err := FindKind(t.System)
 	if err != nil {
 		return t, fmt.Errorf("trace: %s: %w", path, err)
 	}
@@ -57,45 +57,45 @@
 
 // Replay takes a trace's steps on the present code. It returns how many were possible, and what was violated.
 func (t Trace) Replay() (taken int, property, detail string) {
-	k, err := Find(t.System)
+	k, err := FindKind(t.System)
 	if err != nil {
 		return 0, "", err.Error()
 	}
 	return modelcheck.Replay(k.New(t.Bounds, t.Fault)(), t.Trace)
 }
 
-// Found is the result of exploring a system with one injected fault.
-type Found struct {
-	System   string  `json:"system"`
-	Fault    string  `json:"fault"`
-	Words    string  `json:"words"`
-	Found    bool    `json:"found"`
-	Property string  `json:"property,omitempty"`
-	Length   int     `json:"trace_length"`
-	States   int     `json:"states"`
-	Seconds  float64 `json:"seconds"`
-	Clean    bool    `json:"clean"` // without the fault, nothing is violated in the same bounds
-	Trace    *Trace  `json:"-"`
+// InjectionResult is the result of exploring a system with one injected fault.
+type InjectionResult struct {
+	System      string  `json:"system"`
+	Fault       string  `json:"fault"`
+	Description string  `json:"words"`
+	Found       bool    `json:"found"`
+	Property    string  `json:"property,omitempty"`
+	TraceLength int     `json:"trace_length"`
+	States      int     `json:"states"`
+	Seconds     float64 `json:"seconds"`
+	Clean       bool    `json:"clean"` // without the fault, nothing is violated in the same bounds
+	Trace       *Trace  `json:"-"`
 }
 
 // Inject explores a system with an injected fault, and without it in the same bounds.
-func Inject(ctx context.Context, k Kind, fault string, workers int) Found {
+func Inject(ctx context.Context, k Kind, fault string, workers int) InjectionResult {
 	f := k.Faults[fault]
 	b := f.Bounds
 	b.System = k.Name
-	result := modelcheck.Run(ctx, k.New(b, fault), b.Explore(workers), nil)
-	found := Found{System: k.Name, Fault: fault, Words: f.Words, States: result.States, Seconds: result.Seconds}
+	result := modelcheck.Run(ctx, k.New(b, fault), b.ExplorerBounds(workers), nil)
+	found := InjectionResult{System: k.Name, Fault: fault, Description: f.Description, States: result.States, Seconds: result.Seconds}
 	if result.Counterexample != nil {
-		found.Found, found.Property, found.Length = true, result.Counterexample.Property, len(result.Counterexample.Steps)
+		found.Found, found.Property, found.TraceLength = true, result.Counterexample.Property, len(result.Counterexample.Steps)
 		found.Trace = &Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *result.Counterexample}
 	}
-	clean := modelcheck.Run(ctx, k.New(b, ""), b.Explore(workers), nil)
+	clean := modelcheck.Run(ctx, k.New(b, ""), b.ExplorerBounds(workers), nil)
 	found.Clean = clean.Complete && clean.Counterexample == nil
 	return found
 }
 
-// Names returns the names of a system's faults in order.
-func (k Kind) Names() []string {
+// FaultNames returns the names of a system's faults in order.
+func (k Kind) FaultNames() []string {
 	var names []string
 	for n := range k.Faults {
 		names = append(names, n)
@@ -104,29 +104,29 @@
 	return names
 }
 
-// Walked is the result of random walks.
-type Walked struct {
-	System string         `json:"system"`
-	Seed   uint64         `json:"seed"`
-	Walks  int            `json:"walks"`
-	Steps  int            `json:"steps"`
-	Taken  map[string]int `json:"taken"`
-	Broken *Trace         `json:"broken,omitempty"`
+// WalkResult is the result of random walks.
+type WalkResult struct {
+	System         string         `json:"system"`
+	Seed           uint64         `json:"seed"`
+	Walks          int            `json:"walks"`
+	Steps          int            `json:"steps"`
+	StepsByKind    map[string]int `json:"taken"`
+	Counterexample *Trace         `json:"broken,omitempty"`
 }
 
 // Walk takes random walks, for bounds that are too large to explore. It stops at the first violation, when ctx is done, or after
 // maxDuration; 0 means no limit.
-func Walk(ctx context.Context, k Kind, b Bounds, fault string, seed uint64, walks, steps int, maxDuration time.Duration) Walked {
-	walked := Walked{System: k.Name, Seed: seed, Taken: map[string]int{}}
+func Walk(ctx context.Context, k Kind, b Bounds, fault string, seed uint64, walks, steps int, maxDuration time.Duration) WalkResult {
+	walked := WalkResult{System: k.Name, Seed: seed, StepsByKind: map[string]int{}}
 	rng := rand.New(rand.NewPCG(seed, 0))
 	began := time.Now()
 	for ; walked.Walks < walks && ctx.Err() == nil && (maxDuration == 0 || time.Since(began) < maxDuration); walked.Walks++ {
-		if t := modelcheck.RandomWalk(k.New(b, fault)(), steps, rng.IntN, walked.Taken); t != nil {
-			walked.Broken = &Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *t}
+		if t := modelcheck.RandomWalk(k.New(b, fault)(), steps, rng.IntN, walked.StepsByKind); t != nil {
+			walked.Counterexample = &Trace{System: k.Name, Fault: fault, Bounds: b, Trace: *t}
 			break
 		}
 	}
-	for _, n := range walked.Taken {
+	for _, n := range walked.StepsByKind {
 		walked.Steps += n
 	}
 	return walked
@@ -170,7 +170,7 @@
 	if len(s.Saved.Parents) != n || len(s.Saved.By) != n || len(s.Saved.Ended) != n || len(s.Saved.Expanded) != n || n == 0 {
 		return s, fmt.Errorf("exploration: %s: its lists differ in length or are empty", path)
 	}
-	if _, err := Find(s.System); err != nil {
+	if _, err := FindKind(s.System); err != nil {
 		return s, fmt.Errorf("exploration: %s: %w", path, err)
 	}
 	return s, nil
--- a/internal/modelcheck/models/settle.go
+++ b/internal/modelcheck/models/settle.go
@@ -46,7 +46,7 @@
 				open = append(open, int(a.attempt.CommandID))
 			}
 		}
-		return invariant.ComesToEnd, fmt.Sprintf("attempts %v do not end", open)
+		return invariant.Terminates, fmt.Sprintf("attempts %v do not end", open)
 	}
 	return s.Broken()
 }
@@ -56,7 +56,7 @@
 	removeBounds(&s.bounds, s.faults)
 	s.listsReceived = 0
 	if !runUndisturbed(s, func() bool { return s.listsReceived >= 2 }) {
-		return invariant.ComesToEnd, fmt.Sprintf("%d versions of the list are delivered, and then no more", s.listsReceived)
+		return invariant.Terminates, fmt.Sprintf("%d versions of the list are delivered, and then no more", s.listsReceived)
 	}
 	return s.Broken()
 }
@@ -69,7 +69,7 @@
 		s.Take("drain")
 	}
 	if !runUndisturbed(s, s.Ended) {
-		return invariant.ComesToEnd, fmt.Sprintf("the frontend still has %d connections and does not drain", s.frontend.OpenConnections())
+		return invariant.Terminates, fmt.Sprintf("the frontend still has %d connections and does not drain", s.frontend.OpenConnections())
 	}
 	return s.Broken()
 }
@@ -96,7 +96,7 @@
 		c.quietTick()
 	}
 	if c.tracker.Len() > 0 {
-		return invariant.ComesToEnd, fmt.Sprintf("%d commands stay in flight", c.tracker.Len())
+		return invariant.Terminates, fmt.Sprintf("%d commands stay in flight", c.tracker.Len())
 	}
 	hasPrimary := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return m.primary && m.listedState == router.Ready })
 	hasReplica := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return !m.primary && m.listedState == router.Ready })
@@ -140,7 +140,7 @@
 	}
 	for i := range c.endpoints {
 		if e := &c.endpoints[i]; !e.primary && e.listedState != router.Removed {
-			e.Covers = math.Max(e.Covers, c.now)
+			e.AppliedPosition = math.Max(e.AppliedPosition, c.now)
 		}
 		if c.healthChecks[i] {
 			c.Take(fmt.Sprint("report ", i))
@@ -160,7 +160,7 @@
 		if !runUndisturbed(r, func() bool {
 			return !slices.ContainsFunc(r.tools, func(t *rolloutTool) bool { return t.coordinator != nil })
 		}) {
-			return invariant.ComesToEnd, "a tool neither makes progress nor ends"
+			return invariant.Terminates, "a tool neither makes progress nor ends"
 		}
 		outcome := r.tools[len(r.tools)-1].outcome
 		if lastOutcome = fmt.Sprintf("outcome %d, %+v", outcome.Kind, outcome.Reason); r.Ended() ||
@@ -174,6 +174,6 @@
 		r.startTool(len(r.tools) - 1)
 		r.runTools()
 	}
-	return invariant.ComesToEnd,
+	return invariant.Terminates,
 		fmt.Sprintf("the rollout is not over after %d attempts to resume it: %s", settleRolloutTries, lastOutcome)
 }
--- a/internal/modelcheck/models/systems.go
+++ b/internal/modelcheck/models/systems.go
@@ -15,17 +15,17 @@
 
 // Kind is a kind of system that can be explored.
 type Kind struct {
-	Name   string
-	Words  string
-	Faults map[string]Fault // that can be injected, by name
-	New    func(b Bounds, fault string) func() modelcheck.System
+	Name        string
+	Description string
+	Faults      map[string]Fault // that can be injected, by name
+	New         func(b Bounds, fault string) func() modelcheck.System
 }
 
 // Fault is a bug that can be injected, with bounds in which an exploration finds it. It is in the adversary, at the boundary to
 // the production code; the released router contains nothing of it.
 type Fault struct {
-	Words  string
-	Bounds Bounds
+	Description string
+	Bounds      Bounds
 }
 
 // Kinds returns all kinds of systems.
@@ -33,8 +33,8 @@
 	return []Kind{commandKind, slowStartKind, backendKind, clientKind, watchKind, rolloutKind}
 }
 
-// Find returns the kind of system with a name.
-func Find(name string) (Kind, error) {
+// FindKind returns the kind of system with a name.
+func FindKind(name string) (Kind, error) {
 	var names []string
 	for _, k := range Kinds() {
 		if k.Name == name {
@@ -71,8 +71,8 @@
 	Bounds []Bounds `sexp:"bounds"`
 }
 
-// Load reads a file of bounds and returns those of one system, in the file's order.
-func Load(path, system string) ([]Bounds, error) {
+// LoadBounds reads a file of bounds and returns those of one system, in the file's order.
+func LoadBounds(path, system string) ([]Bounds, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("bounds: %w", err)
@@ -101,7 +101,7 @@
 }
 
 func (b *Bounds) check() error {
-	if _, err := Find(b.System); err != nil {
+	if _, err := FindKind(b.System); err != nil {
 		return &sexp.Error{Position: b.Place, Reason: err.Error()}
 	}
 	for _, c := range b.Commands {
@@ -137,8 +137,8 @@
 	return injected < b.Faults && (len(b.Only) == 0 || slices.Contains(b.Only, kind))
 }
 
-// Explore returns the explorer's bounds.
-func (b *Bounds) Explore(workers int) modelcheck.Bounds {
+// ExplorerBounds returns the explorer's bounds.
+func (b *Bounds) ExplorerBounds(workers int) modelcheck.Bounds {
 	return modelcheck.Bounds{
 		MaxDepth: b.Depth, MaxStates: b.States, MaxHeapBytes: uint64(b.Memory) << 20,
 		MaxDuration: time.Duration(float64(b.For) * float64(time.Second)), Workers: workers, CheckLiveness: b.Live,
--- a/internal/modelcheck/models/systems_test.go
+++ b/internal/modelcheck/models/systems_test.go
@@ -19,7 +19,7 @@
 func TestEveryInjectedBugIsFoundAndNothingElse(t *testing.T) {
 	violated := map[string]bool{}
 	for _, k := range Kinds() {
-		for _, name := range k.Names() {
+		for _, name := range k.FaultNames() {
 			f := Inject(context.Background(), k, name, 0)
 			assert.True(t, f.Found, "%s %s", k.Name, name)
 			assert.True(t, f.Clean, "%s %s", k.Name, name)
@@ -29,18 +29,18 @@
 			}
 			taken, property, _ := f.Trace.Replay()
 			assert.Equal(t, f.Property, property, "%s %s", k.Name, name)
-			assert.Equal(t, f.Length, taken)
+			assert.Equal(t, f.TraceLength, taken)
 			f.Trace.Fault = ""
 			_, property, _ = f.Trace.Replay()
 			assert.Empty(t, property, "without the fault, the same steps violate nothing: %s %s", k.Name, name)
 		}
 	}
 	for _, p := range []string{
-		invariant.OneInstance, invariant.OneHolder, invariant.NoFloor, invariant.OneProcess, invariant.Resolved,
-		invariant.OneAnswer, invariant.InTime, invariant.NotAfter, invariant.NoRepeat, invariant.InMemory, invariant.OneOut, invariant.NoDraining,
-		invariant.NotStale, invariant.NotBack, invariant.EndsOnce, invariant.LastByte, invariant.OwnAnswer, invariant.NoneIsLeft, invariant.ListFollows, invariant.ListFrom,
-		invariant.WholeAsked, invariant.OneCall, invariant.InOrder, invariant.EndsOrLet, invariant.ColdBudget,
-		invariant.ComesToEnd, invariant.ServesAgain,
+		invariant.OneInstanceInStep, invariant.OneHolderPerEpoch, invariant.KeepsMinAvailable, invariant.OneProcessPerInstance, invariant.RecordedBeforeBegun,
+		invariant.OneAnswer, invariant.AnsweredInTime, invariant.NothingSentAfterEnd, invariant.NoUnsafeRetry, invariant.KeyedRetryInWindow, invariant.OneAttemptInFlight, invariant.NothingSentToDraining,
+		invariant.ReadsOwnWrites, invariant.MonotonicReads, invariant.AttemptEndsOnce, invariant.NeverRanIffUnwritten, invariant.OwnAnswer, invariant.NoLeaks, invariant.ListCompleteOrFollows, invariant.ListFromWatchedAddress,
+		invariant.CompleteListAsked, invariant.OneCallAtATime, invariant.AnswersInOrder, invariant.CommandEndsOnce, invariant.SlowStartBudget,
+		invariant.Terminates, invariant.ServesAgain,
 	} {
 		assert.True(t, violated[p], "no injected fault violates the property %q", p)
 	}
@@ -56,9 +56,9 @@
 	require.Len(t, rules, len(Kinds()))
 	for _, k := range Kinds() {
 		require.Contains(t, rules, k.Name)
-		bounds, err := Load("../../../deploy/bounds/ci.sexp", k.Name)
+		bounds, err := LoadBounds("../../../deploy/bounds/ci.sexp", k.Name)
 		require.NoError(t, err)
-		explorerBounds := bounds[0].Explore(0)
+		explorerBounds := bounds[0].ExplorerBounds(0)
 		explorerBounds.MaxStates = 2000
 		modelcheck.Run(context.Background(), k.New(bounds[0], ""), explorerBounds, nil)
 		assert.Empty(t, rules[k.Name].Unmet(), "%s: hash rules name types that no state holds", k.Name)
@@ -73,9 +73,9 @@
 	defer func() { rolloutRules = relative }()
 	for _, fault := range []string{"", "forgetful", "twin"} {
 		rolloutRules = relative
-		with := modelcheck.Run(context.Background(), rolloutKind.New(b, fault), b.Explore(0), nil)
+		with := modelcheck.Run(context.Background(), rolloutKind.New(b, fault), b.ExplorerBounds(0), nil)
 		rolloutRules = &modelcheck.Rules{}
-		without := modelcheck.Run(context.Background(), rolloutKind.New(b, fault), b.Explore(0), nil)
+		without := modelcheck.Run(context.Background(), rolloutKind.New(b, fault), b.ExplorerBounds(0), nil)
 		if fault == "" { // otherwise the exploration stops at the violation, with more or fewer states by then
 			assert.GreaterOrEqual(t, without.States, with.States)
 		}
@@ -97,10 +97,10 @@
 		{System: "client", Clients: 2, Commands: []string{"look"}, Faults: 1},
 		{System: "cold", Routers: 2, Ticks: 3, Faults: 1},
 	} {
-		k, err := Find(b.System)
+		k, err := FindKind(b.System)
 		require.NoError(t, err)
-		reduced := modelcheck.Run(context.Background(), k.New(b, ""), b.Explore(0), nil)
-		allSteps := b.Explore(0)
+		reduced := modelcheck.Run(context.Background(), k.New(b, ""), b.ExplorerBounds(0), nil)
+		allSteps := b.ExplorerBounds(0)
 		allSteps.TakeAllSteps = true
 		complete := modelcheck.Run(context.Background(), k.New(b, ""), allSteps, nil)
 		assert.True(t, reduced.Complete && complete.Complete)
@@ -176,8 +176,8 @@
 			for i := range routers {
 				c.Take(fmt.Sprint("burst ", i))
 			}
-			sent = max(sent, len(c.checker.Times()))
-			assert.LessOrEqual(t, float64(len(c.checker.Times())), 0.9*c.checker.Bears(c.now, c.startedAt), "%d routers", routers)
+			sent = max(sent, len(c.checker.SentTimes()))
+			assert.LessOrEqual(t, float64(len(c.checker.SentTimes())), 0.9*c.checker.MaxAttempts(c.now, c.startedAt), "%d routers", routers)
 			c.Take("tick")
 		}
 		property, detail := c.Broken()
@@ -205,20 +205,20 @@
 func TestWalk(t *testing.T) {
 	b := Bounds{Members: 2, Commands: []string{"order", "keyed"}, Ticks: 5, Faults: 2}
 	w := Walk(context.Background(), commandKind, b, "", 1, 400, 60, 0)
-	assert.Nil(t, w.Broken)
+	assert.Nil(t, w.Counterexample)
 	assert.Equal(t, 400, w.Walks)
 	for _, kind := range []string{"take", "answered", "broken", "errored", "full", "unreached", "leave", "drain", "promote", "restart", "report", "apply", "tick"} {
-		assert.Positive(t, w.Taken[kind], "step never taken: %s", kind)
+		assert.Positive(t, w.StepsByKind[kind], "step never taken: %s", kind)
 	}
 	w = Walk(context.Background(), commandKind, b, "early-byte", 1, 2000, 60, 0)
-	require.NotNil(t, w.Broken)
-	assert.Equal(t, invariant.NoRepeat, w.Broken.Property)
+	require.NotNil(t, w.Counterexample)
+	assert.Equal(t, invariant.NoUnsafeRetry, w.Counterexample.Property)
 }
 
 func TestBoundsAndTracesAreReadFromFiles(t *testing.T) {
 	for _, file := range []string{"ci", "large"} {
 		for _, k := range Kinds() {
-			b, err := Load("../../../deploy/bounds/"+file+".sexp", k.Name)
+			b, err := LoadBounds("../../../deploy/bounds/"+file+".sexp", k.Name)
 			require.NoError(t, err)
 			assert.NotEmpty(t, b)
 		}
@@ -233,7 +233,7 @@
 		"(bounds rollout (agents 2))":       "there are no bounds for command",
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		_, err := Load(path, "command")
+		_, err := LoadBounds(path, "command")
 		require.ErrorContains(t, err, message)
 	}
 	f := Inject(context.Background(), commandKind, "early-byte", 1)
@@ -259,16 +259,16 @@
 	trace.Fault = "no-age"
 	trace.Steps = append(trace.Steps, "answered 1 0")
 	_, property, _ = trace.Replay()
-	assert.Equal(t, invariant.NotStale, property)
+	assert.Equal(t, invariant.ReadsOwnWrites, property)
 }
 
 // TestBoundsOfCIAreExploredWhole explores every system in CI's bounds.
 func TestBoundsOfCIAreExploredWhole(t *testing.T) {
 	for _, k := range Kinds() {
-		bounds, err := Load("../../../deploy/bounds/ci.sexp", k.Name)
+		bounds, err := LoadBounds("../../../deploy/bounds/ci.sexp", k.Name)
 		require.NoError(t, err)
 		for _, b := range bounds {
-			r := modelcheck.Run(context.Background(), k.New(b, ""), b.Explore(0), nil)
+			r := modelcheck.Run(context.Background(), k.New(b, ""), b.ExplorerBounds(0), nil)
 			assert.True(t, r.Complete, "%s: %s", b.Place, r.StopReason)
 			assert.Nil(t, r.Counterexample, "%s", b.Place)
 			assert.Greater(t, r.States, 1000, "%s", b.Place)
--- a/internal/modelcheck/models/watch.go
+++ b/internal/modelcheck/models/watch.go
@@ -19,8 +19,8 @@
 )
 
 var watchKind = Kind{
-	Name:  "watch",
-	Words: "the watch of the endpoint list and its change of address by a reload, against an adversary that controls discovery, the network and time",
+	Name:        "watch",
+	Description: "the watch of the endpoint list and its change of address by a reload, against an adversary that controls discovery, the network and time",
 	Faults: map[string]Fault{
 		"old-bytes": {"data that the previous address sent is read from the new connection", Bounds{Faults: 1, Only: []string{"move"}}},
 		"unclosed":  {"a closed connection stays open", Bounds{Faults: 1, Ticks: 1}},
@@ -39,7 +39,7 @@
 	fault          string
 	network        *fakeNetwork
 	watch          *discovery.Watch
-	checker        invariant.Lists
+	checker        invariant.ListChecker
 	watchedAddress int // 0 or 1
 	faults         int
 	ticks          int
@@ -63,7 +63,7 @@
 
 func newWatchSystem(b Bounds, fault string) *watchSystem {
 	s := &watchSystem{
-		bounds: b, fault: fault, network: newFakeNetwork(), checker: invariant.Lists{Members: 2},
+		bounds: b, fault: fault, network: newFakeNetwork(), checker: invariant.ListChecker{Endpoints: 2},
 		generation: 5, ends: map[int]*discoveryEnd{},
 	}
 	limits := &config.Limits{
@@ -92,11 +92,11 @@
 	if sender == "" {
 		sender = watched // no endpoint names the address
 	}
-	s.checker.Handed(list.Complete, list.Generation, len(list.Endpoints), sender, watched)
+	s.checker.ListDelivered(list.Complete, list.Generation, len(list.Endpoints), sender, watched)
 }
 
 // HandleCallFailure implements discovery.ListHandler.
-func (s *watchSystem) HandleCallFailure() { s.checker.Lost() }
+func (s *watchSystem) HandleCallFailure() { s.checker.ListInvalidated() }
 
 var fromParameter = regexp.MustCompile(`from=(\d+)`)
 
@@ -120,12 +120,12 @@
 			if match := fromParameter.FindSubmatch(socket.written[end.parsedBytes : end.parsedBytes+length]); match != nil {
 				after, _ = strconv.ParseInt(string(match[1]), 10, 64)
 			}
-			s.checker.Called(after < 0, after)
+			s.checker.CallSent(after < 0, after)
 			end.calls = append(end.calls, after)
 			end.parsedBytes += length + 4
 		}
 	}
-	s.checker.Open(open)
+	s.checker.CheckConnections(open)
 }
 
 // listReply returns discovery's reply to a call for the changes after a generation, or for the complete list if after is -1.
@@ -201,7 +201,7 @@
 	case "refuse":
 		s.faults++
 		if s.fault == "hidden" {
-			s.checker.Lost()
+			s.checker.ListInvalidated()
 			socket.connected, socket.writable = true, 1<<16
 		} else {
 			socket.refused = true
@@ -226,7 +226,7 @@
 		oldUnread = append(oldUnread, s.network.sockets[fd].unread...)
 	}
 	s.watchedAddress = 1 - s.watchedAddress
-	s.checker.Lost()
+	s.checker.ListInvalidated()
 	s.watch.SetAddress(discoveryAddress(s.watchedAddress))
 	s.parseCalls()
 	if s.fault == "old-bytes" {
