--- a/internal/lab/invariant/cold.go
+++ b/internal/lab/invariant/cold.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// SlowStartBudget is the property that the routers keep a backend's slow start. It sums over all routers: a single router cannot
-// see a violation. Stored traces hold this text.
+// SlowStartBudget is the property that routers do not overload a backend in slow start. It counts the attempts of all routers:
+// a single router cannot see a violation. Stored traces hold this text.
 const SlowStartBudget = "all routers together send a cold member no more than it bears"
 
 // SlowStartChecker checks the attempts that all routers together send to a backend in its slow start. Times are in seconds.
@@ -27,8 +27,9 @@
 	c.sentAt = slices.DeleteFunc(append(c.sentAt, now), func(at float64) bool { return at < now-c.OverloadWindow })
 	maxAttempts := c.MaxAttempts(now, startedAt)
 	if now-startedAt < c.SlowStart && float64(len(c.sentAt)) > maxAttempts && c.violated == "" {
-		c.violated, c.detail = SlowStartBudget, fmt.Sprintf("the backend was sent %d attempts within %g s, %g s after its start, and can take %.1f", len(c.sentAt), c.OverloadWindow,
-			now-startedAt, maxAttempts)
+		c.violated, c.detail = SlowStartBudget, fmt.Sprintf(
+			"the backend was sent %d attempts within %g s, %g s after its start, and can take %.1f",
+			len(c.sentAt), c.OverloadWindow, now-startedAt, maxAttempts)
 	}
 }
 
@@ -45,7 +46,8 @@
 // start it counts with the initial share, since no router can know the start beforehand.
 func (c *SlowStartChecker) capacityUntil(age float64) float64 {
 	warmingAge := math.Min(math.Max(age, 0), c.SlowStart)
-	return c.SlowStartFloor*math.Min(age, 0) + c.SlowStartFloor*warmingAge + (1-c.SlowStartFloor)*warmingAge*warmingAge/(2*c.SlowStart) + math.Max(0, age-c.SlowStart)
+	return c.SlowStartFloor*math.Min(age, 0) + c.SlowStartFloor*warmingAge +
+		(1-c.SlowStartFloor)*warmingAge*warmingAge/(2*c.SlowStart) + math.Max(0, age-c.SlowStart)
 }
 
 // Broken returns SlowStartBudget and the details of its first violation; both are empty if there was none.
--- a/internal/lab/invariant/command.go
+++ b/internal/lab/invariant/command.go
@@ -71,17 +71,21 @@
 	case cmd.answers > 0 || cmd.abandoned:
 		c.recordViolation(NothingSentAfterEnd, "%s is sent to backend %d after its end", name, backend)
 	case now > cmd.ClientDeadline:
-		c.recordViolation(NothingSentAfterEnd, "%s is sent to backend %d at %.3f s, but its client waited only until %.3f s", name, backend, now, cmd.ClientDeadline)
+		c.recordViolation(NothingSentAfterEnd, "%s is sent to backend %d at %.3f s, but its client waited only until %.3f s",
+			name, backend, now, cmd.ClientDeadline)
 	case cmd.inFlight > 0:
 		c.recordViolation(OneAttemptInFlight, "%s is sent to backend %d while another attempt is in flight", name, backend)
 	case cmd.Idempotency == NonIdempotent && cmd.mayHaveRun:
 		c.recordViolation(NoUnsafeRetry, "%s is sent again to backend %d although it may have run", name, backend)
 	case cmd.Idempotency == IdempotentWithKey && cmd.mayHaveRun && state.Shard != cmd.firstRunShard:
-		c.recordViolation(KeyedRetryInWindow, "%s may have run in shard %d and is sent again to shard %d", name, cmd.firstRunShard, state.Shard)
+		c.recordViolation(KeyedRetryInWindow, "%s may have run in shard %d and is sent again to shard %d",
+			name, cmd.firstRunShard, state.Shard)
 	case cmd.Idempotency == IdempotentWithKey && cmd.mayHaveRun && now-cmd.firstRunSentAt > cmd.IdempotencyWindow:
-		c.recordViolation(KeyedRetryInWindow, "%s is sent again %.3f s after it may have run, but its key is recognized for only %.3f s", name, now-cmd.firstRunSentAt, cmd.IdempotencyWindow)
+		c.recordViolation(KeyedRetryInWindow, "%s is sent again %.3f s after it may have run, but its key is recognized for only %.3f s",
+			name, now-cmd.firstRunSentAt, cmd.IdempotencyWindow)
 	case state.Draining && now-state.DrainingSince > c.DrainGrace:
-		c.recordViolation(NothingSentToDraining, "%s is sent to backend %d at %.3f s, but the router learned at %.3f s that it is draining or gone", name, backend, now, state.DrainingSince)
+		c.recordViolation(NothingSentToDraining, "%s is sent to backend %d at %.3f s, but the router learned at %.3f s that it is draining or gone",
+			name, backend, now, state.DrainingSince)
 	}
 	cmd.inFlight++
 }
@@ -98,10 +102,11 @@
 func (c *CommandChecker) ReadServed(name string, cmd *Command, backend int, state *Backend) {
 	switch {
 	case state.AppliedPosition < cmd.RequiredPosition:
-		c.recordViolation(ReadsOwnWrites, "%s is answered by backend %d, which has applied %.3f s, but needs %.3f s", name, backend, state.AppliedPosition, cmd.RequiredPosition)
+		c.recordViolation(ReadsOwnWrites, "%s is answered by backend %d, which has applied %.3f s, but needs %.3f s",
+			name, backend, state.AppliedPosition, cmd.RequiredPosition)
 	case state.AppliedPosition < cmd.SeenPosition:
-		c.recordViolation(MonotonicReads, "%s is answered by backend %d, which has applied %.3f s, but its session has seen %.3f s", name, backend, state.AppliedPosition,
-			cmd.SeenPosition)
+		c.recordViolation(MonotonicReads, "%s is answered by backend %d, which has applied %.3f s, but its session has seen %.3f s",
+			name, backend, state.AppliedPosition, cmd.SeenPosition)
 	}
 }
 
@@ -122,7 +127,8 @@
 // CheckDeadline checks that a command whose client has stopped waiting has been answered.
 func (c *CommandChecker) CheckDeadline(now float64, name string, cmd *Command) {
 	if cmd.answers == 0 && !cmd.abandoned && now > cmd.ClientDeadline {
-		c.recordViolation(OneAnswer, "%s has no answer at %.3f s, and its client waited until %.3f s", name, now, cmd.ClientDeadline)
+		c.recordViolation(OneAnswer, "%s has no answer at %.3f s, and its client waited until %.3f s",
+			name, now, cmd.ClientDeadline)
 	}
 }
 
--- a/internal/lab/invariant/fleet.go
+++ b/internal/lab/invariant/fleet.go
@@ -48,7 +48,8 @@
 func (f *RolloutChecker) StepBegun(instance int, step string) {
 	for other, otherStep := range f.openSteps {
 		if other != instance {
-			f.recordViolation(OneInstanceInStep, "instance %d begins step %s while instance %d is in step %s", instance, step, other, otherStep)
+			f.recordViolation(OneInstanceInStep, "instance %d begins step %s while instance %d is in step %s",
+				instance, step, other, otherStep)
 		}
 	}
 	f.openSteps[instance] = step
@@ -60,7 +61,8 @@
 // RouterStopped checks the stop of a serving router, given how many other routers serve.
 func (f *RolloutChecker) RouterStopped(instance, othersServing int) {
 	if othersServing < f.MinAvailable {
-		f.recordViolation(KeepsMinAvailable, "instance %d is taken out of service while only %d others serve, and at least %d must", instance, othersServing, f.MinAvailable)
+		f.recordViolation(KeepsMinAvailable, "instance %d is taken out of service while only %d others serve, and at least %d must",
+			instance, othersServing, f.MinAvailable)
 	}
 }
 
--- a/internal/lab/invariant/member.go
+++ b/internal/lab/invariant/member.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// AttemptEnded checks and records the end of an attempt: neverRan is what its result claims, fullyWritten whether the network took
-// the last byte of its statement.
+// AttemptEnded checks and records the end of an attempt. neverRan is what its result claims; fullyWritten is whether the network
+// took the last byte of its statement.
 func (d *AttemptChecker) AttemptEnded(id int, neverRan, fullyWritten bool) {
 	if d.ended == nil {
 		d.ended = map[int]bool{}
@@ -40,7 +40,8 @@
 		d.recordViolation(NeverRanIffUnwritten, "attempt %d is reported as never run, but all of its statement was written", id)
 	}
 	if !neverRan && !fullyWritten {
-		d.recordViolation(NeverRanIffUnwritten, "attempt %d is reported as possibly run, but the last byte of its statement was not written", id)
+		d.recordViolation(NeverRanIffUnwritten,
+			"attempt %d is reported as possibly run, but the last byte of its statement was not written", id)
 	}
 }
 
--- a/internal/lab/invariant/watch.go
+++ b/internal/lab/invariant/watch.go
@@ -53,7 +53,8 @@
 	case complete && endpoints != l.Endpoints:
 		l.recordViolation(ListCompleteOrFollows, "a complete list has %d endpoints of %d", endpoints, l.Endpoints)
 	case !complete && (!l.listKnown || generation < l.lastGeneration):
-		l.recordViolation(ListCompleteOrFollows, "changes up to generation %d come after generation %d (complete list known: %v)", generation, l.lastGeneration, l.listKnown)
+		l.recordViolation(ListCompleteOrFollows, "changes up to generation %d come after generation %d (complete list known: %v)",
+			generation, l.lastGeneration, l.listKnown)
 	}
 	l.listKnown, l.lastGeneration = true, generation
 }
--- a/internal/modelcheck/models/client.go
+++ b/internal/modelcheck/models/client.go
@@ -26,7 +26,7 @@
 
 var clientKind = Kind{
 	Name:        "client",
-	Description: "client connections and the frontend, against an adversary that controls clients, the dispatcher, the network and time",
+	Description: "client connections and the frontend; the adversary controls clients, the dispatcher, the network and time",
 	Faults: map[string]Fault{
 		"swapped":    {"an answer goes to another command than its own", Bounds{Clients: 1, Commands: []string{"look", "look"}}},
 		"lost-byte":  {"the last byte of an answer counts as written but is not", Bounds{Clients: 1, Commands: []string{"empty"}}},
@@ -196,7 +196,8 @@
 	case "garbage":
 		return []byte("?\x00\x00\x00\x04")
 	default:
-		return pg.AppendQuery(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = '%c' /* id=%d%d,c=look,d=900,cluster=2 */", 'a'+n, client+1, n))
+		return pg.AppendQuery(nil, fmt.Sprintf("SELECT doc FROM items WHERE id = '%c' /* id=%d%d,c=look,d=900,cluster=2 */",
+			'a'+n, client+1, n))
 	}
 }
 
@@ -412,7 +413,8 @@
 	default:
 		row := s.buffers.NewChain()
 		reply := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
-		reply = pg.AppendMessage(reply, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(answered.name))), []byte(answered.name))
+		reply = pg.AppendMessage(reply, 'D',
+			binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(answered.name))), []byte(answered.name))
 		row.Write(pg.AppendMessage(reply, 'C', []byte("SELECT 1\x00")))
 		s.frontend.Answer(ended.command, &row)
 	}
--- a/internal/modelcheck/models/cold.go
+++ b/internal/modelcheck/models/cold.go
@@ -12,7 +12,7 @@
 )
 
 var slowStartKind = Kind{
-	Name: "cold", Description: "the router modules of several routers and one backend in slow start, to which all of them send",
+	Name: "cold", Description: "several routers and one backend in slow start, to which all of them send",
 	Faults: map[string]Fault{
 		"alone":     {"each router takes itself for the only one", Bounds{Routers: 2, Ticks: 5}},
 		"unstarted": {"the endpoint list does not hold the backend's start time", Bounds{Routers: 2, Ticks: 1}},
@@ -31,8 +31,8 @@
 )
 
 // slowStartSystem is the system "cold": routers that do not know of each other, and a shard with a warm primary (endpoint 0)
-// and a replica (endpoint 1) that starts while they serve. In each time step the adversary may send a burst of reads to each router.
-// Attempts are answered immediately; clients of waiting commands leave after slowStartWaitSeconds.
+// and a replica (endpoint 1) that starts while they serve. In each time step the adversary may send a burst of reads to each
+// router. Attempts are answered immediately; clients of waiting commands leave after slowStartWaitSeconds.
 type slowStartSystem struct {
 	bounds         Bounds
 	fault          string
--- a/internal/modelcheck/models/command.go
+++ b/internal/modelcheck/models/command.go
@@ -15,7 +15,7 @@
 
 var commandKind = Kind{
 	Name:        "command",
-	Description: "commands in flight and the router module, against an adversary that controls backends, the endpoint list, time and clients",
+	Description: "commands in flight at one router; the adversary controls backends, the endpoint list, time and clients",
 	Faults: map[string]Fault{
 		"answers-twice": {
 			"an attempt that timed out, and whose command was failed, still answers the client",
@@ -439,7 +439,8 @@
 	cmd := c.commands[n]
 	cmd.received = true
 	group := commandGroups[cmd.group]
-	cmd.Idempotency, cmd.ClientDeadline, cmd.IdempotencyWindow, cmd.RequiredPosition = group.idempotency, c.now+commandTimeoutSeconds, commandWindowSeconds, math.Inf(-1)
+	cmd.Idempotency, cmd.ClientDeadline, cmd.IdempotencyWindow, cmd.RequiredPosition = group.idempotency,
+		c.now+commandTimeoutSeconds, commandWindowSeconds, math.Inf(-1)
 	request := router.Command{Group: cmd.group, Session: 7, ArrivedAt: c.now, ClientDeadline: cmd.ClientDeadline}
 	cmd.SeenPosition = math.Inf(-1)
 	if group.config.Consistency == router.SessionConsistent {
--- a/internal/modelcheck/models/member.go
+++ b/internal/modelcheck/models/member.go
@@ -18,7 +18,7 @@
 )
 
 var backendKind = Kind{
-	Name: "member", Description: "connections to one backend, against an adversary that controls the backend, the network and time",
+	Name: "member", Description: "connections to one backend; the adversary controls the backend, the network and time",
 	Faults: map[string]Fault{
 		"previous-reply": {
 			"data that arrives between two commands goes unnoticed, and the next command takes it for its reply",
--- a/internal/modelcheck/models/systems_test.go
+++ b/internal/modelcheck/models/systems_test.go
@@ -36,11 +36,13 @@
 		}
 	}
 	for _, p := range []string{
-		invariant.OneInstanceInStep, invariant.OneHolderPerEpoch, invariant.KeepsMinAvailable, invariant.OneProcessPerInstance, invariant.RecordedBeforeBegun,
-		invariant.OneAnswer, invariant.AnsweredInTime, invariant.NothingSentAfterEnd, invariant.NoUnsafeRetry, invariant.KeyedRetryInWindow, invariant.OneAttemptInFlight, invariant.NothingSentToDraining,
-		invariant.ReadsOwnWrites, invariant.MonotonicReads, invariant.AttemptEndsOnce, invariant.NeverRanIffUnwritten, invariant.OwnAnswer, invariant.NoLeaks, invariant.ListCompleteOrFollows, invariant.ListFromWatchedAddress,
-		invariant.CompleteListAsked, invariant.OneCallAtATime, invariant.AnswersInOrder, invariant.CommandEndsOnce, invariant.SlowStartBudget,
-		invariant.Terminates, invariant.ServesAgain,
+		invariant.OneInstanceInStep, invariant.OneHolderPerEpoch, invariant.KeepsMinAvailable, invariant.OneProcessPerInstance,
+		invariant.RecordedBeforeBegun, invariant.OneAnswer, invariant.AnsweredInTime, invariant.NothingSentAfterEnd,
+		invariant.NoUnsafeRetry, invariant.KeyedRetryInWindow, invariant.OneAttemptInFlight, invariant.NothingSentToDraining,
+		invariant.ReadsOwnWrites, invariant.MonotonicReads, invariant.AttemptEndsOnce, invariant.NeverRanIffUnwritten,
+		invariant.OwnAnswer, invariant.NoLeaks, invariant.ListCompleteOrFollows, invariant.ListFromWatchedAddress,
+		invariant.CompleteListAsked, invariant.OneCallAtATime, invariant.AnswersInOrder, invariant.CommandEndsOnce,
+		invariant.SlowStartBudget, invariant.Terminates, invariant.ServesAgain,
 	} {
 		assert.True(t, violated[p], "no injected fault violates the property %q", p)
 	}
@@ -65,8 +67,8 @@
 	}
 }
 
-// TestRelativeTimesKeepTheVerdict compares the verdicts of explorations that hash times relative to now with those that hash them as they
-// are, in small bounds.
+// TestRelativeTimesKeepTheVerdict compares, in small bounds, the verdicts of explorations that hash times relative to now with
+// those that hash them as they are.
 func TestRelativeTimesKeepTheVerdict(t *testing.T) {
 	b := Bounds{System: "rollout", Agents: 1, Tools: 2, Ticks: 1, Faults: 1}
 	relative := rolloutRules
@@ -110,7 +112,8 @@
 	}
 }
 
-// TestRandomWalksViolateNothing takes random steps in bounds too large to explore; rapid shrinks the steps that violate a property.
+// TestRandomWalksViolateNothing takes random steps in bounds too large to explore; rapid shrinks the steps that violate a
+// property.
 func TestRandomWalksViolateNothing(t *testing.T) {
 	bounds := map[string]Bounds{
 		"cold": {Routers: 4, Ticks: 30, Faults: 2}, "command": {Members: 3, Commands: []string{"order", "own", "keyed", "look"}, Ticks: 8, Faults: 4},
--- a/internal/modelcheck/models/watch.go
+++ b/internal/modelcheck/models/watch.go
@@ -20,7 +20,7 @@
 
 var watchKind = Kind{
 	Name:        "watch",
-	Description: "the watch of the endpoint list and its change of address by a reload, against an adversary that controls discovery, the network and time",
+	Description: "the watch of the endpoint list and its change of address; the adversary controls discovery, the network and time",
 	Faults: map[string]Fault{
 		"old-bytes": {"data that the previous address sent is read from the new connection", Bounds{Faults: 1, Only: []string{"move"}}},
 		"unclosed":  {"a closed connection stays open", Bounds{Faults: 1, Ticks: 1}},
