--- a/internal/lab/invariant/cold.go
+++ b/internal/lab/invariant/cold.go
@@ -7,7 +7,7 @@
 )
 
 // SlowStartBudget is the property that routers do not overload a backend in slow start. It counts the attempts of all routers:
-// a single router cannot see a violation. Stored traces hold this text.
+// a single router cannot see a violation. Stored traces hold this text; in it, a cold member is a backend in slow start.
 const SlowStartBudget = "all routers together send a cold member no more than it bears"
 
 // SlowStartChecker checks the attempts that all routers together send to a backend in its slow start. Times are in seconds.
--- a/internal/lab/invariant/command.go
+++ b/internal/lab/invariant/command.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Properties of commands and their attempts. Stored traces hold these texts.
+// Properties of commands and their attempts. Stored traces hold these texts; in them, a dispatch is an attempt, a member is a
+// backend and a set is a shard.
 const (
 	OneAnswer             = "every command gets exactly one final answer"
 	AnsweredInTime        = "the final answer comes before the client timeout"
--- a/internal/lab/invariant/fleet.go
+++ b/internal/lab/invariant/fleet.go
@@ -28,54 +28,54 @@
 }
 
 // Broken returns the first property that was violated and the details; both are empty if none was.
-func (f *RolloutChecker) Broken() (property, detail string) { return f.violated, f.detail }
+func (c *RolloutChecker) Broken() (property, detail string) { return c.violated, c.detail }
 
-func (f *RolloutChecker) recordViolation(property, format string, args ...any) {
-	if f.violated == "" {
-		f.violated, f.detail = property, fmt.Sprintf(format, args...)
+func (c *RolloutChecker) recordViolation(property, format string, args ...any) {
+	if c.violated == "" {
+		c.violated, c.detail = property, fmt.Sprintf(format, args...)
 	}
 }
 
 // ChangeGranted records that an agent granted a change to a lease holder under an epoch.
-func (f *RolloutChecker) ChangeGranted(epoch uint64, holder string) {
-	if previous, known := f.holders[epoch]; known && previous != holder {
-		f.recordViolation(OneHolderPerEpoch, "epoch %d was held by %s and is now held by %s", epoch, previous, holder)
+func (c *RolloutChecker) ChangeGranted(epoch uint64, holder string) {
+	if previous, known := c.holders[epoch]; known && previous != holder {
+		c.recordViolation(OneHolderPerEpoch, "epoch %d was held by %s and is now held by %s", epoch, previous, holder)
 	}
-	f.holders[epoch] = holder
+	c.holders[epoch] = holder
 }
 
 // StepBegun checks and records that an instance's step begins.
-func (f *RolloutChecker) StepBegun(instance int, step string) {
-	for other, otherStep := range f.openSteps {
+func (c *RolloutChecker) StepBegun(instance int, step string) {
+	for other, otherStep := range c.openSteps {
 		if other != instance {
-			f.recordViolation(OneInstanceInStep, "instance %d begins step %s while instance %d is in step %s",
+			c.recordViolation(OneInstanceInStep, "instance %d begins step %s while instance %d is in step %s",
 				instance, step, other, otherStep)
 		}
 	}
-	f.openSteps[instance] = step
+	c.openSteps[instance] = step
 }
 
 // StepEnded records that an instance's step has ended.
-func (f *RolloutChecker) StepEnded(instance int) { delete(f.openSteps, instance) }
+func (c *RolloutChecker) StepEnded(instance int) { delete(c.openSteps, instance) }
 
 // RouterStopped checks the stop of a serving router, given how many other routers serve.
-func (f *RolloutChecker) RouterStopped(instance, othersServing int) {
-	if othersServing < f.MinAvailable {
-		f.recordViolation(KeepsMinAvailable, "instance %d is taken out of service while only %d others serve, and at least %d must",
-			instance, othersServing, f.MinAvailable)
+func (c *RolloutChecker) RouterStopped(instance, othersServing int) {
+	if othersServing < c.MinAvailable {
+		c.recordViolation(KeepsMinAvailable, "instance %d is taken out of service while only %d others serve, and at least %d must",
+			instance, othersServing, c.MinAvailable)
 	}
 }
 
 // ProcessStarted checks the start of an instance's process, given how many processes of the instance run already.
-func (f *RolloutChecker) ProcessStarted(instance, running int) {
+func (c *RolloutChecker) ProcessStarted(instance, running int) {
 	if running > 0 {
-		f.recordViolation(OneProcessPerInstance, "instance %d has %d processes and another is started", instance, running)
+		c.recordViolation(OneProcessPerInstance, "instance %d has %d processes and another is started", instance, running)
 	}
 }
 
 // StepSent checks that a majority of agents had stored a step's record when the step is sent.
-func (f *RolloutChecker) StepSent(step string, recorded bool) {
+func (c *RolloutChecker) StepSent(step string, recorded bool) {
 	if !recorded {
-		f.recordViolation(RecordedBeforeBegun, "step %s is sent although no majority has stored its record", step)
+		c.recordViolation(RecordedBeforeBegun, "step %s is sent although no majority has stored its record", step)
 	}
 }
--- a/internal/lab/invariant/member.go
+++ b/internal/lab/invariant/member.go
@@ -18,44 +18,44 @@
 }
 
 // Broken returns the first property that was violated and the details; both are empty if none was.
-func (d *AttemptChecker) Broken() (property, detail string) { return d.violated, d.detail }
+func (c *AttemptChecker) Broken() (property, detail string) { return c.violated, c.detail }
 
-func (d *AttemptChecker) recordViolation(property, format string, args ...any) {
-	if d.violated == "" {
-		d.violated, d.detail = property, fmt.Sprintf(format, args...)
+func (c *AttemptChecker) recordViolation(property, format string, args ...any) {
+	if c.violated == "" {
+		c.violated, c.detail = property, fmt.Sprintf(format, args...)
 	}
 }
 
 // AttemptEnded checks and records the end of an attempt. neverRan is what its result claims; fullyWritten is whether the network
 // took the last byte of its statement.
-func (d *AttemptChecker) AttemptEnded(id int, neverRan, fullyWritten bool) {
-	if d.ended == nil {
-		d.ended = map[int]bool{}
+func (c *AttemptChecker) AttemptEnded(id int, neverRan, fullyWritten bool) {
+	if c.ended == nil {
+		c.ended = map[int]bool{}
 	}
-	if d.ended[id] {
-		d.recordViolation(AttemptEndsOnce, "attempt %d ends again", id)
+	if c.ended[id] {
+		c.recordViolation(AttemptEndsOnce, "attempt %d ends again", id)
 	}
-	d.ended[id] = true
+	c.ended[id] = true
 	if neverRan && fullyWritten {
-		d.recordViolation(NeverRanIffUnwritten, "attempt %d is reported as never run, but all of its statement was written", id)
+		c.recordViolation(NeverRanIffUnwritten, "attempt %d is reported as never run, but all of its statement was written", id)
 	}
 	if !neverRan && !fullyWritten {
-		d.recordViolation(NeverRanIffUnwritten,
+		c.recordViolation(NeverRanIffUnwritten,
 			"attempt %d is reported as possibly run, but the last byte of its statement was not written", id)
 	}
 }
 
 // AttemptAnswered checks that the value that an attempt got is the answer to its own command.
-func (d *AttemptChecker) AttemptAnswered(id int, got string, want string) {
+func (c *AttemptChecker) AttemptAnswered(id int, got string, want string) {
 	if got != want {
-		d.recordViolation(OwnAnswer, "attempt %d got %q, but its own answer is %q", id, got, want)
+		c.recordViolation(OwnAnswer, "attempt %d got %q, but its own answer is %q", id, got, want)
 	}
 }
 
 // CheckLeaks checks that nothing is held once all attempts have ended: numbers of open descriptors, set timers and buffer blocks
 // in use.
-func (d *AttemptChecker) CheckLeaks(descriptors, timers, blocks int) {
+func (c *AttemptChecker) CheckLeaks(descriptors, timers, blocks int) {
 	if descriptors+timers+blocks > 0 {
-		d.recordViolation(NoLeaks, "%d descriptors, %d timers and %d buffer blocks are still held", descriptors, timers, blocks)
+		c.recordViolation(NoLeaks, "%d descriptors, %d timers and %d buffer blocks are still held", descriptors, timers, blocks)
 	}
 }
--- a/internal/lab/invariant/watch.go
+++ b/internal/lab/invariant/watch.go
@@ -20,41 +20,41 @@
 }
 
 // Broken returns the first property that was violated and the details; both are empty if none was.
-func (l *ListChecker) Broken() (property, detail string) { return l.violated, l.detail }
+func (c *ListChecker) Broken() (property, detail string) { return c.violated, c.detail }
 
-func (l *ListChecker) recordViolation(property, format string, args ...any) {
-	if l.violated == "" {
-		l.violated, l.detail = property, fmt.Sprintf(format, args...)
+func (c *ListChecker) recordViolation(property, format string, args ...any) {
+	if c.violated == "" {
+		c.violated, c.detail = property, fmt.Sprintf(format, args...)
 	}
 }
 
 // CallSent checks a call: for the complete list, or for the changes after a generation.
-func (l *ListChecker) CallSent(complete bool, after int64) {
-	if !l.listKnown && !complete {
-		l.recordViolation(CompleteListAsked, "a call asks for the changes after generation %d, but no complete list is known", after)
+func (c *ListChecker) CallSent(complete bool, after int64) {
+	if !c.listKnown && !complete {
+		c.recordViolation(CompleteListAsked, "a call asks for the changes after generation %d, but no complete list is known", after)
 	}
 }
 
 // ListInvalidated records that the known list no longer counts: a call failed, or the address changed.
-func (l *ListChecker) ListInvalidated() { l.listKnown = false }
+func (c *ListChecker) ListInvalidated() { c.listKnown = false }
 
 // CheckConnections checks the number of open connections.
-func (l *ListChecker) CheckConnections(connections int) {
+func (c *ListChecker) CheckConnections(connections int) {
 	if connections > 1 {
-		l.recordViolation(OneCallAtATime, "%d connections are open at the same time", connections)
+		c.recordViolation(OneCallAtATime, "%d connections are open at the same time", connections)
 	}
 }
 
 // ListDelivered checks and records a list that the watch delivers: the address that sent it, and the address that is watched.
-func (l *ListChecker) ListDelivered(complete bool, generation int64, endpoints int, from, watched string) {
+func (c *ListChecker) ListDelivered(complete bool, generation int64, endpoints int, from, watched string) {
 	switch {
 	case from != watched:
-		l.recordViolation(ListFromWatchedAddress, "a list from address %s is delivered while address %s is watched", from, watched)
-	case complete && endpoints != l.Endpoints:
-		l.recordViolation(ListCompleteOrFollows, "a complete list has %d endpoints of %d", endpoints, l.Endpoints)
-	case !complete && (!l.listKnown || generation < l.lastGeneration):
-		l.recordViolation(ListCompleteOrFollows, "changes up to generation %d come after generation %d (complete list known: %v)",
-			generation, l.lastGeneration, l.listKnown)
+		c.recordViolation(ListFromWatchedAddress, "a list from address %s is delivered while address %s is watched", from, watched)
+	case complete && endpoints != c.Endpoints:
+		c.recordViolation(ListCompleteOrFollows, "a complete list has %d endpoints of %d", endpoints, c.Endpoints)
+	case !complete && (!c.listKnown || generation < c.lastGeneration):
+		c.recordViolation(ListCompleteOrFollows, "changes up to generation %d come after generation %d (complete list known: %v)",
+			generation, c.lastGeneration, c.listKnown)
 	}
-	l.listKnown, l.lastGeneration = true, generation
+	c.listKnown, c.lastGeneration = true, generation
 }
--- a/internal/modelcheck/models/client.go
+++ b/internal/modelcheck/models/client.go
@@ -76,8 +76,8 @@
 // receivedCommand is a command that the frontend passed to the dispatcher.
 type receivedCommand struct {
 	command *dispatcher.Command
-	name    string
-	open    bool
+	name    string // its client's id for it
+	open    bool   // it has not ended yet
 }
 
 func newClientSystem(b Bounds, fault string) *clientSystem {
--- a/internal/modelcheck/models/cold.go
+++ b/internal/modelcheck/models/cold.go
@@ -45,6 +45,7 @@
 	settleAttempts []int // attempts sent to the starting backend by each router; counted only during Settle
 }
 
+// slowStartRouter is a router with its commands.
 type slowStartRouter struct {
 	system      *slowStartSystem
 	index       int
@@ -56,6 +57,7 @@
 	hadBurst    bool   // in this time step
 }
 
+// slowStartAttempt is an attempt in flight.
 type slowStartAttempt struct {
 	command          uint32
 	number, endpoint int
--- a/internal/modelcheck/models/command.go
+++ b/internal/modelcheck/models/command.go
@@ -87,6 +87,7 @@
 	commandIdleSeconds       = 8.5 // long enough for the router to forget old sessions and release endpoint rows
 )
 
+// commandGroup is a command group that bounds may name.
 type commandGroup struct {
 	name        string
 	config      router.CommandGroup
@@ -128,21 +129,24 @@
 	endedEarly        [][2]int // command and number of canceled attempts that the fault two-out ends early
 }
 
+// simulatedEndpoint is a row of the endpoint list, with the true state of its backend.
 type simulatedEndpoint struct {
 	invariant.Backend
 	primary     bool
 	listedState router.EndpointState
 }
 
+// clientCommand is a command of the session's client.
 type clientCommand struct {
 	invariant.Command
 	name     string
 	group    int
-	received bool
+	received bool // by the router
 	answered bool // a backend answered it, and not the router with an error
 	attempts []*attempt
 }
 
+// attempt is an attempt in flight. Its number and deadline come from the router.
 type attempt struct {
 	number, endpoint int
 	sentAt, deadline float64
--- a/internal/modelcheck/models/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -61,6 +61,7 @@
 	checker      *invariant.RolloutChecker
 }
 
+// rolloutAgent is an agent and the router that it supervises.
 type rolloutAgent struct {
 	handler        supervisor.RequestHandler
 	lease          lease.PersistentState
@@ -74,15 +75,16 @@
 	starts         int
 }
 
+// rolloutTool is an operator's tool. Its coordinator is nil if it does not run.
 type rolloutTool struct {
 	coordinator *coordinator.Coordinator
 	holder      string
 	calls       []rolloutCall
 	ended       bool
-	// of its last run
-	outcome coordinator.Outcome
+	outcome     coordinator.Outcome // of its last run
 }
 
+// rolloutCall is a call of a tool to an agent.
 type rolloutCall struct {
 	Tool    int
 	ID      uint64
@@ -182,6 +184,7 @@
 	}
 }
 
+// handleCall lets an agent handle a call and returns its reply.
 func (r *rolloutSystem) handleCall(call rolloutCall) protocol.Reply {
 	agent := r.agents[call.Agent]
 	if r.fault == "unkept" && call.Request.Verb == protocol.StoreRecordVerb {
@@ -252,6 +255,7 @@
 	agent.stepOpen = open
 }
 
+// startAgent starts an agent, or restarts it from what it has stored.
 func (r *rolloutSystem) startAgent(i int) {
 	agent := r.agents[i]
 	agent.alive, agent.pendingActions = true, nil
@@ -429,6 +433,7 @@
 	r.runTools()
 }
 
+// killOrRestart kills a tool or an agent, or restarts an agent.
 func (r *rolloutSystem) killOrRestart(step string, n int) {
 	switch {
 	case strings.HasPrefix(step, "back"):
