--- a/internal/lab/invariant/cold.go
+++ b/internal/lab/invariant/cold.go
@@ -6,46 +6,49 @@
 	"slices"
 )
 
-// ColdBudget in words. It is over all routers together: none of them can see it broken alone.
-const ColdBudget = "all routers together send a cold member no more than it bears"
-
-// Cold watches what a member that has just started is sent, by whomever. Times are seconds, rates a second.
-type Cold struct {
-	Capacity float64 // that it has once warm
-	Share    float64 // of it that it starts with
-	WarmIn   float64 // it grows evenly to the whole in this time
-	Overload float64 // multiple of what it has that pushes it over,
-	FallSpan float64 // if kept up for this long
-
-	sent        []float64 // within the last FallSpan
-	broken, how string
+// SlowStartBudget is the property that routers do not overload a backend in slow start. It counts the attempts of all routers:
+// a single router cannot see a violation. Stored traces hold this text; in it, a cold member is a backend in slow start.
+const SlowStartBudget = "all routers together send a cold member no more than it bears"
+
+// SlowStartChecker checks the attempts that all routers together send to a backend in its slow start. Times are in seconds.
+type SlowStartChecker struct {
+	Capacity       float64 // commands a second that the warm backend can serve
+	SlowStartFloor float64 // share of Capacity that it has at its start
+	SlowStart      float64 // time after its start until it has all of Capacity; the share grows linearly
+	OverloadFactor float64 // multiple of its present capacity that overloads it when kept up for OverloadWindow
+	OverloadWindow float64 // window over which attempts are counted
+
+	sentAt           []float64 // of the attempts within the last OverloadWindow
+	violated, detail string
 }
 
-// Sent notes a dispatch to the member, which started at a time.
-func (c *Cold) Sent(now, started float64) {
-	c.sent = slices.DeleteFunc(append(c.sent, now), func(at float64) bool { return at < now-c.FallSpan })
-	bears := c.Bears(now, started)
-	if now-started < c.WarmIn && float64(len(c.sent)) > bears && c.broken == "" {
-		c.broken, c.how = ColdBudget, fmt.Sprintf("it was sent %d within %g s, %g s after its start, and bears %.1f", len(c.sent), c.FallSpan,
-			now-started, bears)
+// AttemptSent records that an attempt is sent to the backend, which started at startedAt.
+func (c *SlowStartChecker) AttemptSent(now, startedAt float64) {
+	c.sentAt = slices.DeleteFunc(append(c.sentAt, now), func(at float64) bool { return at < now-c.OverloadWindow })
+	maxAttempts := c.MaxAttempts(now, startedAt)
+	if now-startedAt < c.SlowStart && float64(len(c.sentAt)) > maxAttempts && c.violated == "" {
+		c.violated, c.detail = SlowStartBudget, fmt.Sprintf(
+			"the backend was sent %d attempts within %g s, %g s after its start, and can take %.1f",
+			len(c.sentAt), c.OverloadWindow, now-startedAt, maxAttempts)
 	}
 }
 
-// Bears is how many dispatches a member that started at a time bears within the last span.
-func (c *Cold) Bears(now, started float64) float64 {
-	age := now - started
-	return c.Overload * c.Capacity * (c.grown(age) - c.grown(age-c.FallSpan))
+// MaxAttempts returns how many attempts a backend that started at startedAt can take within the last OverloadWindow.
+func (c *SlowStartChecker) MaxAttempts(now, startedAt float64) float64 {
+	age := now - startedAt
+	return c.OverloadFactor * c.Capacity * (c.capacityUntil(age) - c.capacityUntil(age-c.OverloadWindow))
 }
 
-// Times of the dispatches within the last span.
-func (c *Cold) Times() []float64 { return c.sent }
+// SentTimes returns the times of the attempts within the last OverloadWindow.
+func (c *SlowStartChecker) SentTimes() []float64 { return c.sentAt }
 
-// grown is its share of its capacity, summed from its start up to an age. Before its start it has what it starts
-// with: nobody could have known.
-func (c *Cold) grown(age float64) float64 {
-	up := math.Min(math.Max(age, 0), c.WarmIn)
-	return c.Share*math.Min(age, 0) + c.Share*up + (1-c.Share)*up*up/(2*c.WarmIn) + math.Max(0, age-c.WarmIn)
+// capacityUntil returns the integral of the backend's share of Capacity from its start to an age, in seconds. Before its
+// start it counts with the initial share, since no router can know the start beforehand.
+func (c *SlowStartChecker) capacityUntil(age float64) float64 {
+	warmingAge := math.Min(math.Max(age, 0), c.SlowStart)
+	return c.SlowStartFloor*math.Min(age, 0) + c.SlowStartFloor*warmingAge +
+		(1-c.SlowStartFloor)*warmingAge*warmingAge/(2*c.SlowStart) + math.Max(0, age-c.SlowStart)
 }
 
-// Broken names the property if it was broken, and how.
-func (c *Cold) Broken() (property, how string) { return c.broken, c.how }
+// Broken returns SlowStartBudget and the details of its first violation; both are empty if there was none.
+func (c *SlowStartChecker) Broken() (property, detail string) { return c.violated, c.detail }
--- a/internal/lab/invariant/fleet.go
+++ b/internal/lab/invariant/fleet.go
@@ -1,79 +1,81 @@
-// Package invariant holds the properties that must hold whatever happens, each written once, in words and in
-// code. They look at what was seen from outside, never at what a part says of itself, and have no I/O.
+// Package invariant holds the properties that must hold whatever happens, each once, as a text and as a checker. A checker
+// records events as seen from outside a component, never what the component reports of itself, and does no I/O.
 package invariant
 
 import "fmt"
 
-// Names of the properties, in words.
+// Properties of rollouts. Stored traces hold these texts; in them, a hall is a zone.
 const (
-	OneInstance = "one instance at a time is in a step"
-	OneHolder   = "an epoch has one holder, and only it acts"
-	NoFloor     = "no step takes a hall or the whole under its floor"
-	OneProcess  = "an instance has one process at most"
-	Resolved    = "what was begun is on record before it is begun"
+	OneInstanceInStep     = "one instance at a time is in a step"
+	OneHolderPerEpoch     = "an epoch has one holder, and only it acts"
+	KeepsMinAvailable     = "no step takes a hall or the whole under its floor"
+	OneProcessPerInstance = "an instance has one process at most"
+	RecordedBeforeBegun   = "what was begun is on record before it is begun"
 )
 
-// Fleet watches the steps of a rollout as agents begin and end them.
-type Fleet struct {
-	Floor   int
-	open    map[int]string
-	holders map[uint64]string
-	broken  string
-	how     string
+// RolloutChecker checks the steps of a rollout as agents begin and end them.
+type RolloutChecker struct {
+	MinAvailable int // instances that must serve at all times
+	openSteps    map[int]string
+	holders      map[uint64]string
+	violated     string
+	detail       string
 }
 
-// NewFleet watches a fleet with a floor of serving instances.
-func NewFleet(floor int) *Fleet {
-	return &Fleet{Floor: floor, open: map[int]string{}, holders: map[uint64]string{}}
+// NewRolloutChecker returns a checker of a fleet in which at least minAvailable instances must serve.
+func NewRolloutChecker(minAvailable int) *RolloutChecker {
+	return &RolloutChecker{MinAvailable: minAvailable, openSteps: map[int]string{}, holders: map[uint64]string{}}
 }
 
-// Broken names the first property that was broken, and how.
-func (f *Fleet) Broken() (property, how string) { return f.broken, f.how }
+// Broken returns the first property that was violated and the details; both are empty if none was.
+func (c *RolloutChecker) Broken() (property, detail string) { return c.violated, c.detail }
 
-func (f *Fleet) breaks(property, format string, args ...any) {
-	if f.broken == "" {
-		f.broken, f.how = property, fmt.Sprintf(format, args...)
+func (c *RolloutChecker) recordViolation(property, format string, args ...any) {
+	if c.violated == "" {
+		c.violated, c.detail = property, fmt.Sprintf(format, args...)
 	}
 }
 
-// Acted notes that an agent let a holder act under an epoch.
-func (f *Fleet) Acted(epoch uint64, holder string) {
-	if h, taken := f.holders[epoch]; taken && h != holder {
-		f.breaks(OneHolder, "epoch %d was %s's and is %s's", epoch, h, holder)
+// ChangeGranted records that an agent granted a change to a lease holder under an epoch.
+func (c *RolloutChecker) ChangeGranted(epoch uint64, holder string) {
+	if previous, known := c.holders[epoch]; known && previous != holder {
+		c.recordViolation(OneHolderPerEpoch, "epoch %d was held by %s and is now held by %s", epoch, previous, holder)
 	}
-	f.holders[epoch] = holder
+	c.holders[epoch] = holder
 }
 
-// Begun notes that an instance's step begins.
-func (f *Fleet) Begun(instance int, step string) {
-	for other, s := range f.open {
+// StepBegun checks and records that an instance's step begins.
+func (c *RolloutChecker) StepBegun(instance int, step string) {
+	for other, otherStep := range c.openSteps {
 		if other != instance {
-			f.breaks(OneInstance, "instance %d begins %s while instance %d is in %s", instance, step, other, s)
+			c.recordViolation(OneInstanceInStep, "instance %d begins step %s while instance %d is in step %s",
+				instance, step, other, otherStep)
 		}
 	}
-	f.open[instance] = step
+	c.openSteps[instance] = step
 }
 
-// Ended notes that an instance's step has ended.
-func (f *Fleet) Ended(instance int) { delete(f.open, instance) }
+// StepEnded records that an instance's step has ended.
+func (c *RolloutChecker) StepEnded(instance int) { delete(c.openSteps, instance) }
 
-// Taken notes that a serving router is told to end, and how many others serve.
-func (f *Fleet) Taken(instance, others int) {
-	if others < f.Floor {
-		f.breaks(NoFloor, "instance %d is taken out of service with %d others serving, and the floor is %d", instance, others, f.Floor)
+// RouterStopped checks the stop of a serving router, given how many other routers serve.
+func (c *RolloutChecker) RouterStopped(instance, othersServing int) {
+	if othersServing < c.MinAvailable {
+		c.recordViolation(KeepsMinAvailable, "instance %d is taken out of service while only %d others serve, and at least %d must",
+			instance, othersServing, c.MinAvailable)
 	}
 }
 
-// Started notes that a process is started where so many run already.
-func (f *Fleet) Started(instance, running int) {
+// ProcessStarted checks the start of an instance's process, given how many processes of the instance run already.
+func (c *RolloutChecker) ProcessStarted(instance, running int) {
 	if running > 0 {
-		f.breaks(OneProcess, "instance %d has %d processes and gets another", instance, running)
+		c.recordViolation(OneProcessPerInstance, "instance %d has %d processes and another is started", instance, running)
 	}
 }
 
-// Sent notes that a step is sent, and whether a majority keeps its record.
-func (f *Fleet) Sent(step string, kept bool) {
-	if !kept {
-		f.breaks(Resolved, "%s is sent, and no majority keeps its record", step)
+// StepSent checks that a majority of agents had stored a step's record when the step is sent.
+func (c *RolloutChecker) StepSent(step string, recorded bool) {
+	if !recorded {
+		c.recordViolation(RecordedBeforeBegun, "step %s is sent although no majority has stored its record", step)
 	}
 }
--- a/internal/lab/invariant/member.go
+++ b/internal/lab/invariant/member.go
@@ -2,57 +2,60 @@
 
 import "fmt"
 
-// Names of the properties of connections to members, in words.
+// Properties of attempts over backend connections. Stored traces hold these texts; in them, a dispatch is an attempt.
 const (
-	EndsOnce   = "a dispatch ends exactly once"
-	LastByte   = "a dispatch counts as one that never ran if and only if its last byte was not written"
-	OwnAnswer  = "an answer is that of the command it is given to"
-	NoneIsLeft = "no descriptor, timer or block is left behind"
+	AttemptEndsOnce      = "a dispatch ends exactly once"
+	NeverRanIffUnwritten = "a dispatch counts as one that never ran if and only if its last byte was not written"
+	OwnAnswer            = "an answer is that of the command it is given to"
+	NoLeaks              = "no descriptor, timer or block is left behind"
 )
 
-// Dispatches watches dispatches over connections.
-type Dispatches struct {
-	broken string
-	how    string
-	ended  map[int]bool
+// AttemptChecker checks attempts over backend connections. The zero value is ready to use.
+type AttemptChecker struct {
+	violated string
+	detail   string
+	ended    map[int]bool
 }
 
-// Broken names the first property that was broken, and how.
-func (d *Dispatches) Broken() (property, how string) { return d.broken, d.how }
+// Broken returns the first property that was violated and the details; both are empty if none was.
+func (c *AttemptChecker) Broken() (property, detail string) { return c.violated, c.detail }
 
-func (d *Dispatches) breaks(property, format string, args ...any) {
-	if d.broken == "" {
-		d.broken, d.how = property, fmt.Sprintf(format, args...)
+func (c *AttemptChecker) recordViolation(property, format string, args ...any) {
+	if c.violated == "" {
+		c.violated, c.detail = property, fmt.Sprintf(format, args...)
 	}
 }
 
-// Ended notes how a dispatch ended: as one that never ran or may have, and what the wire saw of it.
-func (d *Dispatches) Ended(id int, never, whole bool) {
-	if d.ended == nil {
-		d.ended = map[int]bool{}
+// AttemptEnded checks and records the end of an attempt. neverRan is what its result claims; fullyWritten is whether the network
+// took the last byte of its statement.
+func (c *AttemptChecker) AttemptEnded(id int, neverRan, fullyWritten bool) {
+	if c.ended == nil {
+		c.ended = map[int]bool{}
 	}
-	if d.ended[id] {
-		d.breaks(EndsOnce, "dispatch %d has ended before", id)
+	if c.ended[id] {
+		c.recordViolation(AttemptEndsOnce, "attempt %d ends again", id)
 	}
-	d.ended[id] = true
-	if never && whole {
-		d.breaks(LastByte, "dispatch %d is told to have never run, and all of it was written", id)
+	c.ended[id] = true
+	if neverRan && fullyWritten {
+		c.recordViolation(NeverRanIffUnwritten, "attempt %d is reported as never run, but all of its statement was written", id)
 	}
-	if !never && !whole {
-		d.breaks(LastByte, "dispatch %d is told to have perhaps run, and its last byte was not written", id)
+	if !neverRan && !fullyWritten {
+		c.recordViolation(NeverRanIffUnwritten,
+			"attempt %d is reported as possibly run, but the last byte of its statement was not written", id)
 	}
 }
 
-// Answered notes whose answer a dispatch got.
-func (d *Dispatches) Answered(id int, value string, own string) {
-	if value != own {
-		d.breaks(OwnAnswer, "dispatch %d got %q, and its own is %q", id, value, own)
+// AttemptAnswered checks that the value that an attempt got is the answer to its own command.
+func (c *AttemptChecker) AttemptAnswered(id int, got string, want string) {
+	if got != want {
+		c.recordViolation(OwnAnswer, "attempt %d got %q, but its own answer is %q", id, got, want)
 	}
 }
 
-// Left notes what is held when nothing is under way any more.
-func (d *Dispatches) Left(descriptors, timers, blocks int) {
+// CheckLeaks checks that nothing is held once all attempts have ended: numbers of open descriptors, set timers and buffer blocks
+// in use.
+func (c *AttemptChecker) CheckLeaks(descriptors, timers, blocks int) {
 	if descriptors+timers+blocks > 0 {
-		d.breaks(NoneIsLeft, "%d descriptors, %d timers and %d blocks are held", descriptors, timers, blocks)
+		c.recordViolation(NoLeaks, "%d descriptors, %d timers and %d buffer blocks are still held", descriptors, timers, blocks)
 	}
 }
--- a/internal/modelcheck/models/cold.go
+++ b/internal/modelcheck/models/cold.go
@@ -11,226 +11,235 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-var coldKind = Kind{
-	Name: "cold", Words: "several routers' modules and one member that has just started, which all of them send to",
+var slowStartKind = Kind{
+	Name: "cold", Description: "several routers and one backend in slow start, to which all of them send",
 	Faults: map[string]Fault{
 		"alone":     {"each router takes itself for the only one", Bounds{Routers: 2, Ticks: 5}},
-		"unstarted": {"a member's start is not told with the list", Bounds{Routers: 2, Ticks: 1}},
+		"unstarted": {"the endpoint list does not hold the backend's start time", Bounds{Routers: 2, Ticks: 1}},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
-		return func() modelcheck.System { return newCold(b, fault) }
+		return func() modelcheck.System { return newSlowStartSystem(b, fault) }
 	},
 }
 
 const (
-	coldTick  = 0.5   // seconds of a step of time
-	coldWork  = 0.05  // seconds that a command takes a member, one at a time
-	coldWait  = 0.125 // of it until the clients of what is held leave
-	coldReads = 10    // that come in it: what a warm member can serve, or its own rate would be no measure
-	coldAsked = 16    // commands that a router has had answered before
+	slowStartTickSeconds    = 0.5   // of one time step
+	slowStartServiceSeconds = 0.05  // that a backend works on a command; it serves one at a time
+	slowStartWaitSeconds    = 0.125 // from the start of a time step until clients of waiting commands leave
+	slowStartBurstReads     = 10    // in a time step, over all routers: what a warm backend serves, so its rate shows its capacity
+	slowStartWarmReads      = 16    // that each router has had answered before the backend starts
 )
 
-// cold is the system: routers that know nothing of each other, a set with a warm primary and a replica that starts
-// while they serve. A burst of reads comes at a router, once in a step of time, if the adversary likes: what the
-// router sends is answered at once, what it holds its clients give up after a while.
-type cold struct {
-	bounds  Bounds
-	fault   string
-	now     float64
-	ticks   int
-	faults  int
-	started float64
-	routers []*coldRouter
-	check   invariant.Cold
-	served  []int // dispatches to the cold member by each router, while nobody is against it
-}
-
-type coldRouter struct {
-	world  *cold
-	me     int
-	boots  int
-	module *router.Router
-	hand   *inflight.Tracker
-	out    []coldLeg
-	last   uint32 // command
-	burst  bool   // had one in this step of time
-}
-
-type coldLeg struct {
-	id           uint32
-	number, node int
-}
-
-func newCold(b Bounds, fault string) *cold {
-	c := &cold{bounds: b, fault: fault, now: 10, started: math.Inf(-1), check: invariant.Cold{
-		Capacity: 1 / coldWork, Share: 0.2, WarmIn: 8,
-		Overload: 2, FallSpan: 2,
+// slowStartSystem is the system "cold": routers that do not know of each other, and a shard with a warm primary (endpoint 0)
+// and a replica (endpoint 1) that starts while they serve. In each time step the adversary may send a burst of reads to each
+// router. Attempts are answered immediately; clients of waiting commands leave after slowStartWaitSeconds.
+type slowStartSystem struct {
+	bounds         Bounds
+	fault          string
+	now            float64
+	ticks          int
+	faults         int
+	startedAt      float64
+	routers        []*slowStartRouter
+	checker        invariant.SlowStartChecker
+	settleAttempts []int // attempts sent to the starting backend by each router; counted only during Settle
+}
+
+// slowStartRouter is a router with its commands.
+type slowStartRouter struct {
+	system      *slowStartSystem
+	index       int
+	starts      int
+	router      *router.Router
+	tracker     *inflight.Tracker
+	inFlight    []slowStartAttempt
+	lastCommand uint32 // id
+	hadBurst    bool   // in this time step
+}
+
+// slowStartAttempt is an attempt in flight.
+type slowStartAttempt struct {
+	command          uint32
+	number, endpoint int
+}
+
+func newSlowStartSystem(b Bounds, fault string) *slowStartSystem {
+	c := &slowStartSystem{bounds: b, fault: fault, now: 10, startedAt: math.Inf(-1), checker: invariant.SlowStartChecker{
+		Capacity: 1 / slowStartServiceSeconds, SlowStartFloor: 0.2, SlowStart: 8,
+		OverloadFactor: 2, OverloadWindow: 2,
 	}}
 	for i := range b.Routers {
-		r := &coldRouter{world: c, me: i}
+		r := &slowStartRouter{system: c, index: i}
 		c.routers = append(c.routers, r)
-		r.boot()
+		r.start()
 	}
-	for range coldAsked { // all have served a while, and know what a command costs
+	for range slowStartWarmReads { // all routers have answered commands and know their service time
 		for _, r := range c.routers {
-			r.ask(1)
+			r.submitReads(1)
 		}
-		c.now += coldTick / 4
+		c.now += slowStartTickSeconds / 4
 	}
-	c.started = c.now
+	c.startedAt = c.now
 	for _, r := range c.routers {
-		r.list()
+		r.sendList()
 	}
 	return c
 }
 
-// boot starts a router, for the first time or anew. It knows the list.
-func (r *coldRouter) boot() {
-	c := r.world
-	r.boots++
-	s := router.Config{
-		RouterCount: c.bounds.Routers, Instance: r.me, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true, LoadReports: true, CanCancel: true, MaxAttempts: 3,
-		ConnectTimeout: coldWork, SlowStartFloor: c.check.Share, SlowStart: c.check.WarmIn, OverloadFactor: c.check.Overload, OverloadWindow: c.check.FallSpan,
-		CommandGroups: []router.CommandGroup{{Consistency: router.Eventual, Idempotency: router.Idempotent, LatencyObjective: 0.5, ClientTimeout: 1, PriorityWeight: 1, LateValue: 0.5}},
+// start starts the router, or restarts it with the endpoint list.
+func (r *slowStartRouter) start() {
+	system := r.system
+	r.starts++
+	config := router.Config{
+		RouterCount: system.bounds.Routers, Instance: r.index, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true,
+		LoadReports: true, CanCancel: true, MaxAttempts: 3,
+		ConnectTimeout: slowStartServiceSeconds, SlowStartFloor: system.checker.SlowStartFloor, SlowStart: system.checker.SlowStart,
+		OverloadFactor: system.checker.OverloadFactor, OverloadWindow: system.checker.OverloadWindow,
+		CommandGroups: []router.CommandGroup{{
+			Consistency: router.Eventual, Idempotency: router.Idempotent,
+			LatencyObjective: 0.5, ClientTimeout: 1, PriorityWeight: 1, LateValue: 0.5,
+		}},
 	}
-	if c.fault == "alone" {
-		s.RouterCount = 1
+	if system.fault == "alone" {
+		config.RouterCount = 1
 	}
-	draws := uint64(r.me)<<8 + uint64(r.boots)
-	r.module = router.New(s, draws*0x9e3779b97f4a7c15) // far apart: small seeds draw alike
-	r.hand = inflight.New(r.module, r)
-	r.list()
+	seed := uint64(r.index)<<8 + uint64(r.starts)
+	r.router = router.New(config, seed*0x9e3779b97f4a7c15) // spreads the seeds: small seeds draw similar numbers
+	r.tracker = inflight.New(r.router, r)
+	r.sendList()
 }
 
-func (r *coldRouter) list() {
-	started := r.world.started
-	if r.world.fault == "unstarted" {
-		started = math.Inf(-1)
+func (r *slowStartRouter) sendList() {
+	startedAt := r.system.startedAt
+	if r.system.fault == "unstarted" {
+		startedAt = math.Inf(-1)
 	}
-	r.module.UpdateEndpoints(r.world.now, []router.EndpointInfo{
+	r.router.UpdateEndpoints(r.system.now, []router.EndpointInfo{
 		{Index: 0, State: router.Ready, StartedAt: math.Inf(-1), Primary: true},
-		{Index: 1, State: router.Ready, StartedAt: started},
+		{Index: 1, State: router.Ready, StartedAt: startedAt},
 	}, true, false)
-	r.hand.ReviewDue(r.world.now)
+	r.tracker.ReviewDue(r.system.now)
 }
 
 // Forward implements inflight.Executor.
-func (r *coldRouter) Forward(id uint32, number, node int, _ float64) {
-	if c := r.world; node == 1 && !math.IsInf(c.started, -1) {
-		c.check.Sent(c.now, c.started)
-		if c.served != nil {
-			c.served[r.me]++
+func (r *slowStartRouter) Forward(id uint32, number, endpoint int, _ float64) {
+	if system := r.system; endpoint == 1 && !math.IsInf(system.startedAt, -1) {
+		system.checker.AttemptSent(system.now, system.startedAt)
+		if system.settleAttempts != nil {
+			system.settleAttempts[r.index]++
 		}
 	}
-	r.out = append(r.out, coldLeg{id, number, node})
+	r.inFlight = append(r.inFlight, slowStartAttempt{id, number, endpoint})
 }
 
-// Cancel implements inflight.Executor: an answer is quicker.
-func (r *coldRouter) Cancel(uint32, int) {}
+// Cancel implements inflight.Executor. It does nothing, since attempts are answered before they could be canceled.
+func (r *slowStartRouter) Cancel(uint32, int) {}
 
 // Reject implements inflight.Executor.
-func (r *coldRouter) Reject(uint32, float64) {}
+func (r *slowStartRouter) Reject(uint32, float64) {}
 
 // Fail implements inflight.Executor.
-func (r *coldRouter) Fail(uint32) {}
+func (r *slowStartRouter) Fail(uint32) {}
 
-// ask has reads come, one after another. What the router holds waits in hand.
-func (r *coldRouter) ask(reads int) {
-	now := r.world.now
+// submitReads submits reads one after another. Those that the router does not send yet wait in its tracker.
+func (r *slowStartRouter) submitReads(reads int) {
+	now := r.system.now
 	for range reads {
-		r.last++
-		r.hand.Add(now, r.last, router.Command{ArrivedAt: now, ClientDeadline: now + 2*coldTick})
-		r.settle()
+		r.lastCommand++
+		r.tracker.Add(now, r.lastCommand, router.Command{ArrivedAt: now, ClientDeadline: now + 2*slowStartTickSeconds})
+		r.answerAttempts()
 	}
 }
 
-// settle lets the module go on, and members answer, until nothing is out.
-func (r *coldRouter) settle() {
-	now := r.world.now
-	for r.hand.ReviewDue(now); len(r.out) > 0; r.hand.ReviewDue(now) {
-		out := r.out
-		r.out = nil
-		for _, l := range out {
-			r.hand.AttemptEnded(now, l.id, router.AttemptResult{Attempt: l.number, Result: router.Answered, Elapsed: coldWork, Final: true, Position: -1})
+// answerAttempts runs the reviews that are due and answers attempts until none is in flight.
+func (r *slowStartRouter) answerAttempts() {
+	now := r.system.now
+	for r.tracker.ReviewDue(now); len(r.inFlight) > 0; r.tracker.ReviewDue(now) {
+		attempts := r.inFlight
+		r.inFlight = nil
+		for _, attempt := range attempts {
+			r.tracker.AttemptEnded(now, attempt.command, router.AttemptResult{
+				Attempt: attempt.number, Result: router.Answered, Elapsed: slowStartServiceSeconds, Final: true, Position: -1,
+			})
 		}
 	}
 }
 
-// leave has the clients of what is still in hand give it up.
-func (r *coldRouter) leave() {
-	for id := r.last; r.hand.Len() > 0; id-- {
-		r.hand.ClientGone(r.world.now, id)
-		r.settle()
+// abandonCommands lets the clients of all commands that still wait leave.
+func (r *slowStartRouter) abandonCommands() {
+	for id := r.lastCommand; r.tracker.Len() > 0; id-- {
+		r.tracker.ClientGone(r.system.now, id)
+		r.answerAttempts()
 	}
 }
 
 // Steps implements modelcheck.System.
-func (c *cold) Steps() (s []string) {
+func (c *slowStartSystem) Steps() (steps []string) {
 	for i, r := range c.routers {
-		if !r.burst {
-			s = append(s, fmt.Sprintf("burst %d", i))
+		if !r.hadBurst {
+			steps = append(steps, fmt.Sprintf("burst %d", i))
 		}
-		if c.bounds.may("restart", c.faults) {
-			s = append(s, fmt.Sprintf("restart %d", i))
+		if c.bounds.mayInject("restart", c.faults) {
+			steps = append(steps, fmt.Sprintf("restart %d", i))
 		}
 	}
 	if c.ticks < c.bounds.Ticks {
-		s = append(s, "tick")
+		steps = append(steps, "tick")
 	}
-	return s
+	return steps
 }
 
-// Commute implements modelcheck.Commuter: routers know nothing of each other, and the member counts what it is sent.
-func (c *cold) Commute(a, b string) bool {
+// Commute implements modelcheck.Commuter. Routers do not know of each other, and the checker counts attempts from any of them.
+func (c *slowStartSystem) Commute(a, b string) bool {
 	return modelcheck.Kind(a) == "burst" && modelcheck.Kind(b) == "burst" && a != b
 }
 
 // Take implements modelcheck.System.
-func (c *cold) Take(step string) {
+func (c *slowStartSystem) Take(step string) {
 	var n int
-	what := modelcheck.Kind(step)
-	_, _ = fmt.Sscanf(step[len(what):], "%d", &n)
-	switch what {
+	kind := modelcheck.Kind(step)
+	_, _ = fmt.Sscanf(step[len(kind):], "%d", &n)
+	switch kind {
 	case "burst":
-		c.routers[n].burst = true
-		c.routers[n].ask(coldReads / len(c.routers))
+		c.routers[n].hadBurst = true
+		c.routers[n].submitReads(slowStartBurstReads / len(c.routers))
 	case "restart":
 		c.faults++
-		c.routers[n].boot()
+		c.routers[n].start()
 	case "tick":
 		c.ticks++
-		c.now += coldWait
+		c.now += slowStartWaitSeconds
 		for _, r := range c.routers {
-			r.settle()
-			r.leave()
+			r.answerAttempts()
+			r.abandonCommands()
 		}
-		c.now += coldTick - coldWait
+		c.now += slowStartTickSeconds - slowStartWaitSeconds
 		for _, r := range c.routers {
-			r.burst = false
-			r.settle()
+			r.hadBurst = false
+			r.answerAttempts()
 		}
 	}
 }
 
-var coldRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: commandRules.Ignored}
+var slowStartRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: commandRules.Ignored}
 
 // Fingerprint implements modelcheck.System.
-func (c *cold) Fingerprint(h *modelcheck.Hash) {
-	h.Rules = coldRules
+func (c *slowStartSystem) Fingerprint(h *modelcheck.Hash) {
+	h.Rules = slowStartRules
 	h.Float(c.now)
 	h.Uint(uint64(c.faults))
 	for _, r := range c.routers {
-		h.Value(r.hand)
-		h.Value(r.burst)
-		h.Uint(uint64(r.boots))
+		h.Value(r.tracker)
+		h.Value(r.hadBurst)
+		h.Uint(uint64(r.starts))
 	}
-	h.Value(&c.check)
+	h.Value(&c.checker)
 }
 
 // Broken implements modelcheck.System.
-func (c *cold) Broken() (string, string) { return c.check.Broken() }
+func (c *slowStartSystem) Broken() (string, string) { return c.checker.Broken() }
 
-// Ended implements modelcheck.System: the member is sent something, however cold.
-func (c *cold) Ended() bool {
-	return slices.ContainsFunc(c.routers, func(r *coldRouter) bool { return r.burst })
+// Ended implements modelcheck.System: some router has had a burst in this time step.
+func (c *slowStartSystem) Ended() bool {
+	return slices.ContainsFunc(c.routers, func(r *slowStartRouter) bool { return r.hadBurst })
 }
--- a/internal/modelcheck/models/command.go
+++ b/internal/modelcheck/models/command.go
@@ -14,94 +14,101 @@
 )
 
 var commandKind = Kind{
-	Name: "command", Words: "commands in hand and the module, with members, a list, time and clients as the adversary",
+	Name:        "command",
+	Description: "commands in flight at one router; the adversary controls backends, the endpoint list, time and clients",
 	Faults: map[string]Fault{
 		"answers-twice": {
-			"a dispatch that ran out of time, and whose command was given up, answers its client all the same",
+			"an attempt that timed out, and whose command was failed, still answers the client",
 			Bounds{Members: 2, Commands: []string{"order"}, Ticks: 5},
 		},
 		"drain-overlooked": {
-			"a draining notice that comes while a dispatch is out is not handed to the module",
+			"a draining notice that comes while an attempt is in flight does not reach the router",
 			Bounds{Members: 2, Commands: []string{"look", "look"}, Ticks: 1, Faults: 1},
 		},
 		"long-memory": {
-			"the module is told a memory span that is a step of time longer than it is",
+			"the router's idempotency window is one time step longer than the backends'",
 			Bounds{Members: 1, Commands: []string{"keyed"}, Ticks: 3, Faults: 1},
 		},
 		"early-byte": {
-			"a connection that broke after the last byte counts as one that broke before",
+			"a connection that broke after the last byte was written counts as one that broke before",
 			Bounds{Members: 2, Commands: []string{"order"}, Ticks: 1, Faults: 1},
 		},
 		"spoilt-position": {
-			"a report's position is taken to be two steps of time further than it is",
+			"a load report's position counts as two time steps newer than it is",
 			Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 2},
 		},
 		"held-back": {
-			"what the module gives up is answered a step of time later",
+			"a command that the router fails is answered one time step later",
 			Bounds{Members: 1, Commands: []string{"order"}, Ticks: 5},
 		},
 		"no-age": {
-			"the age of a write of this very moment is taken for none",
+			"a write of this very moment gets age 0, which means no write",
 			Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 1, Faults: 1},
 		},
 		"left-behind": {
-			"a client that leaves is not told to the module, whose dispatches go on",
+			"the router does not learn that a client left, and goes on with its attempts",
 			Bounds{Members: 1, Commands: []string{"keyed"}, Ticks: 2, Faults: 2},
 		},
 		"forgotten-mark": {
-			"what a session has seen is forgotten between two of its reads",
+			"the position that a session has seen is forgotten between two of its reads",
 			Bounds{Members: 3, Commands: []string{"own", "own"}, Ticks: 1},
 		},
 		"reused-index": {
-			"a member that is gone leaves its row to another at once, as it was",
+			"a new backend takes a removed endpoint's row at once, with the old state in the router",
 			Bounds{Members: 2, Commands: []string{"order", "own"}, Ticks: 2, Faults: 1, Only: []string{"replace"}},
 		},
 		"two-out": {
-			"a dispatch that was called off counts as ended before it has",
+			"a canceled attempt counts as ended before it has ended",
 			Bounds{Members: 2, Commands: []string{"look"}, Ticks: 3, Faults: 1},
 		},
 		"lost-end": {
-			"the end of a dispatch that was called off is not handed in",
+			"the end of a canceled attempt is not reported to the router",
 			Bounds{Members: 1, Commands: []string{"look"}, Ticks: 1, Faults: 1, Only: []string{"leave"}},
 		},
 		"untold-primary": {
-			"a change of primary is told by nobody: not by the list, nor by answers",
+			"the router learns of a change of primary neither from the list nor from answers",
 			Bounds{Members: 2, Commands: []string{"look"}, Ticks: 1, Faults: 1, Only: []string{"promote"}},
 		},
 		"far-keyed": {
-			"a keyed command's repeat goes by a set that is not its own",
+			"a keyed command is retried at a shard that is not its own",
 			Bounds{Members: 2, Commands: []string{"keyed"}, Ticks: 1, Faults: 1},
 		},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
-		return func() modelcheck.System { return newCommands(b, fault) }
+		return func() modelcheck.System { return newCommandSystem(b, fault) }
 	},
 }
 
 const (
-	cmdTick    = 0.25 // seconds of a step of time
-	cmdTimeout = 1.0
-	cmdMemory  = 0.4
-	cmdGrace   = 0.0
-	cmdIdle    = 8.5 // seconds in which the module turns its sessions over and lets rows of members go
+	commandTickSeconds       = 0.25 // of one time step
+	commandTimeoutSeconds    = 1.0
+	commandWindowSeconds     = 0.4
+	commandDrainGraceSeconds = 0.0
+	commandIdleSeconds       = 8.5 // long enough for the router to forget old sessions and release endpoint rows
 )
 
+// commandGroup is a command group that bounds may name.
 type commandGroup struct {
-	name string
-	g    router.CommandGroup
-	e    invariant.Effect
+	name        string
+	config      router.CommandGroup
+	idempotency invariant.Idempotency
 }
 
-// Names of command groups in bounds, and what they are.
+// commandGroups are the command groups that bounds may name.
 var commandGroups = []commandGroup{
-	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, invariant.Replayable},
-	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, invariant.Replayable},
-	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, invariant.Mutating},
-	{"keyed", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope}, invariant.Keyed},
+	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, invariant.Idempotent},
+	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, invariant.Idempotent},
+	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, invariant.NonIdempotent},
+	{
+		"keyed",
+		router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope},
+		invariant.IdempotentWithKey,
+	},
 }
 
-// commands is the system: one router, one set whose member 0 is the primary at first, and one session.
-type commands struct {
+// commandSystem is the system "command": the tracker and router module of one router, one shard whose primary is endpoint 0 at
+// first, and one session. Times are in seconds; a position is the time of the last write that it covers.
+type commandSystem struct {
 	bounds            Bounds
 	fault             string
 	now               float64
@@ -111,119 +118,124 @@
 	tracker           *inflight.Tracker
 	nextReviewAt      float64
 	endpoints         []simulatedEndpoint
-	cmds              []*clientCommand
-	healthChecks      map[int]bool // that the module waits for
-	check             invariant.Commands
-	lastWrite         float64  // position of the session's last write
-	readHighWaterMark float64  // the furthest position that its reads have shown at this router
-	starts            int      // of the router
-	heldAnswers       []int    // commands whose answer is held back by a fault
-	freeRows          []int    // indices of members that the module has let go
-	endedEarly        [][2]int // dispatches that a fault has ended before they have
-}
-
+	commands          []*clientCommand
+	healthChecks      map[int]bool // endpoints whose health check the router waits for
+	checker           invariant.CommandChecker
+	lastWritePosition float64  // of the session; -Inf without a write
+	readHighWaterMark float64  // highest position that the session's reads have shown at this router
+	routerStarts      int      // starts of the router, also its seed
+	heldAnswers       []int    // commands whose answer the fault held-back delays
+	freeRows          []int    // endpoint indices that the router has released
+	endedEarly        [][2]int // command and number of canceled attempts that the fault two-out ends early
+}
+
+// simulatedEndpoint is a row of the endpoint list, with the true state of its backend.
 type simulatedEndpoint struct {
-	invariant.Member
+	invariant.Backend
 	primary     bool
 	listedState router.EndpointState
 }
 
+// clientCommand is a command of the session's client.
 type clientCommand struct {
 	invariant.Command
 	name     string
 	group    int
-	received bool
-	answered bool // its answer is a member's
+	received bool // by the router
+	answered bool // a backend answered it, and not the router with an error
 	attempts []*attempt
 }
 
+// attempt is an attempt in flight. Its number and deadline come from the router.
 type attempt struct {
 	number, endpoint int
 	sentAt, deadline float64
 	canceled         bool
-	ghost            bool // its command was told that it ran out of time
+	timedOut         bool // the fault answers-twice has reported it as timed out and will still answer it
 }
 
-// groupOf finds a command group, or returns -1.
+// groupOf returns the index of a command group in commandGroups, or -1.
 func groupOf(name string) int {
 	return slices.IndexFunc(commandGroups, func(g commandGroup) bool { return g.name == name })
 }
 
-func newCommands(b Bounds, fault string) *commands {
-	c := &commands{
-		bounds: b, fault: fault, healthChecks: map[int]bool{}, check: invariant.Commands{Grace: cmdGrace}, lastWrite: math.Inf(-1),
-		readHighWaterMark: math.Inf(-1),
+func newCommandSystem(b Bounds, fault string) *commandSystem {
+	c := &commandSystem{
+		bounds: b, fault: fault, healthChecks: map[int]bool{}, checker: invariant.CommandChecker{DrainGrace: commandDrainGraceSeconds},
+		lastWritePosition: math.Inf(-1), readHighWaterMark: math.Inf(-1),
 	}
 	for range b.Members {
-		c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready, Member: invariant.Member{Covers: 10}})
+		c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready, Backend: invariant.Backend{AppliedPosition: 10}})
 	}
 	c.endpoints[0].primary = true
 	for i, name := range b.Commands {
-		c.cmds = append(c.cmds, &clientCommand{name: fmt.Sprint(name, " ", i), group: groupOf(name)})
+		c.commands = append(c.commands, &clientCommand{name: fmt.Sprint(name, " ", i), group: groupOf(name)})
 	}
 	c.now = 10
 	c.startRouter()
 	return c
 }
 
-// startRouter starts the router, for the first time or anew: it knows only the list that it had last.
-func (c *commands) startRouter() {
-	s := router.Config{
-		RouterCount: 1, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
-		MaxAttempts: 3, ConnectTimeout: 0.05, SlowStartFloor: 0.2, SlowStart: 0.1, OverloadFactor: 2, OverloadWindow: 1,
+// startRouter starts the router, or restarts it with nothing but a cached endpoint list.
+func (c *commandSystem) startRouter() {
+	config := router.Config{
+		RouterCount: 1, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true, LoadReports: true, CanCancel: true,
+		HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1, MaxAttempts: 3,
+		ConnectTimeout: 0.05, SlowStartFloor: 0.2, SlowStart: 0.1, OverloadFactor: 2, OverloadWindow: 1,
 	}
-	for _, x := range commandGroups {
-		g := x.g
-		g.LatencyObjective, g.ClientTimeout, g.PriorityWeight, g.LateValue, g.IdempotencyWindow = cmdTimeout/2, cmdTimeout, 1, 0.5, cmdMemory
+	for _, group := range commandGroups {
+		groupConfig := group.config
+		groupConfig.LatencyObjective, groupConfig.ClientTimeout, groupConfig.PriorityWeight, groupConfig.LateValue,
+			groupConfig.IdempotencyWindow = commandTimeoutSeconds/2, commandTimeoutSeconds, 1, 0.5, commandWindowSeconds
 		if c.fault == "long-memory" {
-			g.IdempotencyWindow += cmdTick
+			groupConfig.IdempotencyWindow += commandTickSeconds
 		}
-		s.CommandGroups = append(s.CommandGroups, g)
+		config.CommandGroups = append(config.CommandGroups, groupConfig)
 	}
-	c.starts++
-	c.router = router.New(s, uint64(c.starts)<<48) // a new seed with each start, that draws otherwise
+	c.routerStarts++
+	c.router = router.New(config, uint64(c.routerStarts)<<48) // each start draws from a seed of its own
 	c.tracker = inflight.New(c.router, c)
 	c.sendList(true)
-	c.settle()
+	c.runReviews()
 }
 
-func (c *commands) sendList(cached bool) {
-	var l []router.EndpointInfo
-	for i, m := range c.endpoints {
-		l = append(l, router.EndpointInfo{Index: i, State: m.listedState, StartedAt: math.Inf(-1), Primary: m.primary})
+func (c *commandSystem) sendList(cached bool) {
+	var list []router.EndpointInfo
+	for i, e := range c.endpoints {
+		list = append(list, router.EndpointInfo{Index: i, State: e.listedState, StartedAt: math.Inf(-1), Primary: e.primary})
 	}
-	c.router.UpdateEndpoints(c.now, l, true, cached)
+	c.router.UpdateEndpoints(c.now, list, true, cached)
 }
 
-// settle lets the module go on by itself up to now.
-func (c *commands) settle() {
-	next, keep := c.tracker.ReviewDue(c.now)
-	for _, e := range c.endedEarly {
-		c.tracker.AttemptEnded(c.now, uint32(e[0]), router.AttemptResult{Attempt: e[1], Result: router.Canceled, Position: -1})
+// runReviews lets the tracker and the router do everything that is due by now.
+func (c *commandSystem) runReviews() {
+	next, maintenance := c.tracker.ReviewDue(c.now)
+	for _, ended := range c.endedEarly {
+		c.tracker.AttemptEnded(c.now, uint32(ended[0]), router.AttemptResult{Attempt: ended[1], Result: router.Canceled, Position: -1})
 	}
 	c.endedEarly, c.nextReviewAt = nil, next
-	c.freeRows = append(c.freeRows, keep.Release...)
-	for _, n := range keep.HealthCheck {
-		c.healthChecks[n] = true
+	c.freeRows = append(c.freeRows, maintenance.Release...)
+	for _, endpoint := range maintenance.HealthCheck {
+		c.healthChecks[endpoint] = true
 	}
 }
 
 // Forward implements inflight.Executor.
-func (c *commands) Forward(id uint32, number, node int, until float64) {
-	x := c.cmds[id]
-	m := c.endpoints[node].Member
+func (c *commandSystem) Forward(id uint32, number, endpoint int, deadline float64) {
+	cmd := c.commands[id]
+	backend := c.endpoints[endpoint].Backend
 	if c.fault == "far-keyed" && number > 0 {
-		m.Set++
+		backend.Shard++
 	}
-	c.check.Sent(c.now, x.name, &x.Command, node, &m)
-	x.attempts = append(x.attempts, &attempt{number: number, endpoint: node, sentAt: c.now, deadline: until})
+	c.checker.AttemptSent(c.now, cmd.name, &cmd.Command, endpoint, &backend)
+	cmd.attempts = append(cmd.attempts, &attempt{number: number, endpoint: endpoint, sentAt: c.now, deadline: deadline})
 }
 
 // Cancel implements inflight.Executor.
-func (c *commands) Cancel(id uint32, number int) {
-	for _, l := range c.cmds[id].attempts {
-		if l.number == number {
-			l.canceled = true
+func (c *commandSystem) Cancel(id uint32, number int) {
+	for _, a := range c.commands[id].attempts {
+		if a.number == number {
+			a.canceled = true
 			if c.fault == "two-out" {
 				c.endedEarly = append(c.endedEarly, [2]int{int(id), number})
 			}
@@ -232,67 +244,67 @@
 }
 
 // Reject implements inflight.Executor.
-func (c *commands) Reject(id uint32, _ float64) { c.Fail(id) }
+func (c *commandSystem) Reject(id uint32, _ float64) { c.Fail(id) }
 
 // Fail implements inflight.Executor.
-func (c *commands) Fail(id uint32) {
+func (c *commandSystem) Fail(id uint32) {
 	if c.fault == "held-back" {
 		c.heldAnswers = append(c.heldAnswers, int(id))
 		return
 	}
-	c.check.Answered(c.now, c.cmds[id].name, &c.cmds[id].Command)
+	c.checker.CommandAnswered(c.now, c.commands[id].name, &c.commands[id].Command)
 }
 
 // Steps implements modelcheck.System.
-func (c *commands) Steps() []string {
+func (c *commandSystem) Steps() []string {
 	if c.Ended() && !c.hasAttemptsInFlight() && len(c.heldAnswers) == 0 {
-		return nil // nothing more can come of them
-	}
-	may := func(kind string) bool { return c.bounds.may(kind, c.faults) }
-	var s stepList
-	for i, x := range c.cmds {
-		s.addIf(!x.received, "take %d", i)
-		s.addIf(x.received && x.Open() && may("leave"), "leave %d", i)
-		for k, l := range x.attempts {
-			c.addEndings(&s, l, i, k)
+		return nil // no command can change any more
+	}
+	mayInject := func(kind string) bool { return c.bounds.mayInject(kind, c.faults) }
+	var steps stepList
+	for i, cmd := range c.commands {
+		steps.addIf(!cmd.received, "take %d", i)
+		steps.addIf(cmd.received && cmd.Open() && mayInject("leave"), "leave %d", i)
+		for k, a := range cmd.attempts {
+			c.addAttemptSteps(&steps, a, i, k)
 		}
 	}
 	for i := range c.endpoints {
-		c.addMemberSteps(&s, i)
+		c.addEndpointSteps(&steps, i)
 	}
-	s.addIf(may("restart"), "restart")
-	s.addIf(slices.Contains(c.bounds.Only, "idle") && may("idle"), "idle") // costly, and of use in few bounds
-	s.addIf(c.ticks < c.bounds.Ticks, "tick")
-	return s
+	steps.addIf(mayInject("restart"), "restart")
+	// The step idle multiplies the states, and few bounds need it.
+	steps.addIf(slices.Contains(c.bounds.Only, "idle") && mayInject("idle"), "idle")
+	steps.addIf(c.ticks < c.bounds.Ticks, "tick")
+	return steps
 }
 
-// addEndings adds how a dispatch may end.
-func (c *commands) addEndings(s *stepList, l *attempt, i, k int) {
-	s.addIf(l.canceled && !l.ghost, "recalled %d %d", i, k) // the race with its answer
-	s.add("answered %d %d", i, k)
-	if l.ghost || l.canceled {
+// addAttemptSteps adds the ways in which an attempt may end.
+func (c *commandSystem) addAttemptSteps(steps *stepList, a *attempt, command, index int) {
+	steps.addIf(a.canceled && !a.timedOut, "recalled %d %d", command, index) // the cancellation races with the answer
+	steps.add("answered %d %d", command, index)
+	if a.timedOut || a.canceled {
 		return
 	}
 	for _, kind := range []string{"errored", "full", "unreached", "broken"} {
-		s.addIf(c.bounds.may(kind, c.faults), "%s %d %d", kind, i, k)
+		steps.addIf(c.bounds.mayInject(kind, c.faults), "%s %d %d", kind, command, index)
 	}
 }
 
-// addMemberSteps adds what a member may do, and what may become of it.
-func (c *commands) addMemberSteps(s *stepList, i int) {
-	may := func(kind string) bool { return c.bounds.may(kind, c.faults) }
-	m := &c.endpoints[i]
-	isReady, isReadyReplica := m.listedState == router.Ready, m.listedState == router.Ready && !m.primary
-	s.addIf(c.healthChecks[i], "report %d", i)
-	s.addIf(!m.primary && m.Covers < c.now && m.listedState != router.Removed, "apply %d", i)
-	s.addIf(may("drain") && isReady, "drain %d", i)
-	s.addIf(may("replace") && isReadyReplica, "replace %d", i)
-	s.addIf(may("promote") && isReadyReplica && m.Covers >= c.lastWrite, "promote %d", i)
+// addEndpointSteps adds what may happen to an endpoint and its backend.
+func (c *commandSystem) addEndpointSteps(steps *stepList, i int) {
+	mayInject := func(kind string) bool { return c.bounds.mayInject(kind, c.faults) }
+	e := &c.endpoints[i]
+	isReady, isReadyReplica := e.listedState == router.Ready, e.listedState == router.Ready && !e.primary
+	steps.addIf(c.healthChecks[i], "report %d", i)
+	steps.addIf(!e.primary && e.AppliedPosition < c.now && e.listedState != router.Removed, "apply %d", i)
+	steps.addIf(mayInject("drain") && isReady, "drain %d", i)
+	steps.addIf(mayInject("replace") && isReadyReplica, "replace %d", i)
+	steps.addIf(mayInject("promote") && isReadyReplica && e.AppliedPosition >= c.lastWritePosition, "promote %d", i)
 }
 
-// Commute implements modelcheck.Commuter: a replica that applies its log touches nothing but itself, and most steps
-// do not look at it.
-func (c *commands) Commute(a, b string) bool {
+// Commute implements modelcheck.Commuter. A replica that applies its log changes only itself, and most steps do not read it.
+func (c *commandSystem) Commute(a, b string) bool {
 	if modelcheck.Kind(a) != "apply" {
 		a, b = b, a
 	}
@@ -300,7 +312,7 @@
 		return false
 	}
 	switch modelcheck.Kind(b) {
-	case "apply", "take": // what may end the last command is not among them: nothing comes after that
+	case "apply", "take": // not the steps that may end the last command, since no step follows them
 		return a != b
 	case "report":
 		return strings.TrimPrefix(a, "apply") != strings.TrimPrefix(b, "report")
@@ -314,98 +326,97 @@
 }
 
 // Take implements modelcheck.System.
-func (c *commands) Take(step string) {
+func (c *commandSystem) Take(step string) {
 	kind, n, k := parseStep(step)
 	switch kind {
 	case "take":
-		c.take(n)
+		c.receiveCommand(n)
 	case "leave":
-		c.leave(n)
+		c.leaveClient(n)
 	case "report":
-		c.report(n)
+		c.answerHealthCheck(n)
 	case "apply":
-		c.endpoints[n].Covers = c.now
+		c.endpoints[n].AppliedPosition = c.now
 	case "drain":
-		c.drain(n)
+		c.drainEndpoint(n)
 	case "replace":
 		c.faults++
-		c.replace(n)
+		c.replaceReplica(n)
 	case "promote":
-		c.promote(n)
+		c.promoteReplica(n)
 	case "restart":
-		c.restart()
+		c.restartRouter()
 	case "tick":
 		c.ticks++
-		c.passTime(cmdTick)
+		c.passTime(commandTickSeconds)
 	case "idle":
 		c.faults++
-		c.passTime(cmdIdle)
+		c.passTime(commandIdleSeconds)
 	default:
 		c.endAttempt(n, k, kind)
 	}
-	c.settle()
+	c.runReviews()
 }
 
-func (c *commands) leave(n int) {
+func (c *commandSystem) leaveClient(n int) {
 	c.faults++
-	c.check.Ended(&c.cmds[n].Command)
+	c.checker.CommandAbandoned(&c.commands[n].Command)
 	if c.fault != "left-behind" {
 		c.tracker.ClientGone(c.now, uint32(n))
 	}
 }
 
-// report has a member answer a probe.
-func (c *commands) report(n int) {
+// answerHealthCheck has a backend answer a health check with its load report.
+func (c *commandSystem) answerHealthCheck(n int) {
 	delete(c.healthChecks, n)
-	m := c.endpoints[n]
-	at := m.Covers
+	e := c.endpoints[n]
+	position := e.AppliedPosition
 	if c.fault == "spoilt-position" {
-		at += 2 * cmdTick
+		position += 2 * commandTickSeconds
 	}
-	c.router.HealthChecked(c.now, n, router.Answered, 0, at, m.primary)
+	c.router.HealthChecked(c.now, n, router.Answered, 0, position, e.primary)
 }
 
-func (c *commands) drain(n int) {
+func (c *commandSystem) drainEndpoint(n int) {
 	c.faults++
-	m := &c.endpoints[n]
-	m.listedState, m.Away, m.AwaySince = router.Draining, true, c.now
+	e := &c.endpoints[n]
+	e.listedState, e.Draining, e.DrainingSince = router.Draining, true, c.now
 	if c.fault != "drain-overlooked" || !c.hasAttemptsInFlight() {
 		c.sendList(false)
 	}
 }
 
-func (c *commands) promote(n int) {
+func (c *commandSystem) promoteReplica(n int) {
 	c.faults++
 	for i := range c.endpoints {
 		c.endpoints[i].primary = i == n
 	}
-	c.endpoints[n].Covers = c.now
+	c.endpoints[n].AppliedPosition = c.now
 	if c.fault != "untold-primary" {
 		c.sendList(false)
 	}
 }
 
-// restart has the router end and start anew; its clients' commands end with it.
-func (c *commands) restart() {
+// restartRouter stops the router, which ends the commands that it has, and starts it again.
+func (c *commandSystem) restartRouter() {
 	c.faults++
-	for _, x := range c.cmds {
-		if x.received {
-			c.check.Ended(&x.Command)
-			x.attempts = nil
+	for _, cmd := range c.commands {
+		if cmd.received {
+			c.checker.CommandAbandoned(&cmd.Command)
+			cmd.attempts = nil
 		}
 	}
 	c.healthChecks, c.heldAnswers, c.readHighWaterMark = map[int]bool{}, nil, math.Inf(-1)
 	c.startRouter()
 }
 
-// replace has a replica go for good, and another come that has nothing yet, under an index that the module has let go
-// if there is one.
-func (c *commands) replace(n int) {
-	m := &c.endpoints[n]
+// replaceReplica removes a replica for good and adds an empty one, in a released row if there is one.
+func (c *commandSystem) replaceReplica(n int) {
+	e := &c.endpoints[n]
 	if c.fault == "reused-index" {
-		m.Covers = 0
+		e.AppliedPosition = 0
 	} else {
-		m.listedState, m.Away, m.AwaySince = router.Removed, true, c.now
+		e.listedState, e.Draining, e.DrainingSince = router.Removed, true, c.now
 		if len(c.freeRows) > 0 {
 			c.endpoints[c.freeRows[0]] = simulatedEndpoint{listedState: router.Ready}
 			c.freeRows = c.freeRows[1:]
@@ -416,78 +427,82 @@
 	c.sendList(false)
 }
 
-func (c *commands) hasAttemptsInFlight() bool {
-	for _, x := range c.cmds {
-		if len(x.attempts) > 0 {
+func (c *commandSystem) hasAttemptsInFlight() bool {
+	for _, cmd := range c.commands {
+		if len(cmd.attempts) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *commands) take(n int) {
+func (c *commandSystem) receiveCommand(n int) {
 	if c.fault == "forgotten-mark" && !c.hasAttemptsInFlight() {
 		c.startRouter()
 	}
-	x := c.cmds[n]
-	x.received = true
-	g := commandGroups[x.group]
-	x.Effect, x.GiveUp, x.Memory, x.Needs = g.e, c.now+cmdTimeout, cmdMemory, math.Inf(-1)
-	in := router.Command{Group: x.group, Session: 7, ArrivedAt: c.now, ClientDeadline: x.GiveUp}
-	x.Seen = math.Inf(-1)
-	if g.g.Consistency == router.SessionConsistent {
-		x.Seen = c.readHighWaterMark
-	}
-	if g.g.Consistency == router.SessionConsistent && !math.IsInf(c.lastWrite, -1) {
-		x.Needs, in.LastWriteAge = c.lastWrite, cmp.Or(c.now-c.lastWrite, -math.SmallestNonzeroFloat64) // as the front makes it
+	cmd := c.commands[n]
+	cmd.received = true
+	group := commandGroups[cmd.group]
+	cmd.Idempotency, cmd.ClientDeadline, cmd.IdempotencyWindow, cmd.RequiredPosition = group.idempotency,
+		c.now+commandTimeoutSeconds, commandWindowSeconds, math.Inf(-1)
+	request := router.Command{Group: cmd.group, Session: 7, ArrivedAt: c.now, ClientDeadline: cmd.ClientDeadline}
+	cmd.SeenPosition = math.Inf(-1)
+	if group.config.Consistency == router.SessionConsistent {
+		cmd.SeenPosition = c.readHighWaterMark
+	}
+	if group.config.Consistency == router.SessionConsistent && !math.IsInf(c.lastWritePosition, -1) {
+		// The frontend also avoids the age 0, which would mean no write.
+		cmd.RequiredPosition, request.LastWriteAge = c.lastWritePosition, cmp.Or(c.now-c.lastWritePosition, -math.SmallestNonzeroFloat64)
 		if c.fault == "no-age" {
-			in.LastWriteAge = math.Max(0, c.now-c.lastWrite)
+			request.LastWriteAge = math.Max(0, c.now-c.lastWritePosition)
 		}
 	}
-	c.tracker.Add(c.now, uint32(n), in)
+	c.tracker.Add(c.now, uint32(n), request)
 }
 
-// endAttempt has a dispatch endAttempt.
-func (c *commands) endAttempt(n, k int, kind string) {
-	x := c.cmds[n]
-	l := x.attempts[k]
-	if l.ghost {
-		c.check.Answered(c.now, x.name, &x.Command)
+// endAttempt ends an attempt in the way that a step names.
+func (c *commandSystem) endAttempt(n, index int, kind string) {
+	cmd := c.commands[n]
+	a := cmd.attempts[index]
+	if a.timedOut {
+		c.checker.CommandAnswered(c.now, cmd.name, &cmd.Command)
 	}
-	if c.fault == "answers-twice" && kind == "timed" && !l.ghost {
-		l.ghost = true
-		defer func() { x.attempts = append(x.attempts, l) }()
+	if c.fault == "answers-twice" && kind == "timed" && !a.timedOut {
+		a.timedOut = true
+		defer func() { cmd.attempts = append(cmd.attempts, a) }()
 	}
-	x.attempts = slices.Delete(slices.Clone(x.attempts), k, k+1)
-	if isFault(kind) {
+	cmd.attempts = slices.Delete(slices.Clone(cmd.attempts), index, index+1)
+	if isInjectedResult(kind) {
 		c.faults++
 	}
 	result := attemptResults[kind]
-	m := &c.endpoints[l.endpoint]
-	missed := result == router.Answered && x.consistency() == router.PrimaryOnly && !m.primary // a replica turns it away
-	c.check.Back(&x.Command, l.sentAt, m.Set, mayHaveRun(result) && !missed)
-	o := c.outcome(l, result, missed)
-	if o.Result == router.Answered {
-		c.serve(x, l, &o)
-	}
-	wasOpen := x.Open()
+	e := &c.endpoints[a.endpoint]
+	notServed := result == router.Answered && cmd.consistency() == router.PrimaryOnly && !e.primary // a replica rejects it
+	c.checker.AttemptEnded(&cmd.Command, a.sentAt, e.Shard, mayHaveRun(result) && !notServed)
+	reported := c.attemptResult(a, result, notServed)
+	if reported.Result == router.Answered {
+		c.applyAnswer(cmd, a, &reported)
+	}
+	wasOpen := cmd.Open()
 	if c.fault != "lost-end" || result != router.Canceled {
-		c.tracker.AttemptEnded(c.now, uint32(n), o)
+		c.tracker.AttemptEnded(c.now, uint32(n), reported)
 	}
-	if o.Result == router.Answered && wasOpen {
-		x.answered = true
-		c.check.Answered(c.now, x.name, &x.Command)
+	if reported.Result == router.Answered && wasOpen {
+		cmd.answered = true
+		c.checker.CommandAnswered(c.now, cmd.name, &cmd.Command)
 	}
 }
 
-// isFault tells whether an ending of a dispatch is a fault of the adversary's.
-func isFault(ending string) bool {
-	return ending != "answered" && ending != "recalled" && ending != "timed"
+// isInjectedResult reports whether an attempt's end counts against the bound of faults.
+func isInjectedResult(kind string) bool {
+	return kind != "answered" && kind != "recalled" && kind != "timed"
 }
 
-func (x *clientCommand) consistency() router.Consistency { return commandGroups[x.group].g.Consistency }
+func (cmd *clientCommand) consistency() router.Consistency {
+	return commandGroups[cmd.group].config.Consistency
+}
 
-// mayHaveRun tells whether a command may have run whose dispatch ended so.
+// mayHaveRun reports whether a command may have run after an attempt with this result.
 func mayHaveRun(result router.Result) bool {
 	switch result {
 	case router.Answered, router.Errored, router.ConnectionLost, router.TimedOut, router.Canceled:
@@ -497,112 +512,114 @@
 	}
 }
 
-// outcome is what the module is told of the end of a dispatch.
-func (c *commands) outcome(l *attempt, result router.Result, missed bool) router.AttemptResult {
-	o := router.AttemptResult{Attempt: l.number, Result: result, Elapsed: c.now - l.sentAt, Final: result == router.Answered, Position: -1}
+// attemptResult returns what the router is told of an attempt's end.
+func (c *commandSystem) attemptResult(a *attempt, result router.Result, notServed bool) router.AttemptResult {
+	reported := router.AttemptResult{
+		Attempt: a.number, Result: result, Elapsed: c.now - a.sentAt, Final: result == router.Answered, Position: -1,
+	}
 	hasAnswer := result == router.Answered || result == router.Errored
-	if hasAnswer && c.fault != "untold-primary" { // an answer says what its member is
-		o.Role = router.RoleReplica
-		if c.endpoints[l.endpoint].primary {
-			o.Role = router.RolePrimary
+	if hasAnswer && c.fault != "untold-primary" { // an answer holds its backend's role
+		reported.Role = router.RoleReplica
+		if c.endpoints[a.endpoint].primary {
+			reported.Role = router.RolePrimary
 		}
 	}
 	switch {
-	case missed:
-		o.Result, o.Final = router.NotServed, false
+	case notServed:
+		reported.Result, reported.Final = router.NotServed, false
 	case c.fault == "early-byte" && result == router.ConnectionLost:
-		o.Result = router.ConnectFailed
+		reported.Result = router.ConnectFailed
 	}
-	return o
+	return reported
 }
 
-// serve has a member's answer take effect: a write moves its position, a read shows it.
-func (c *commands) serve(x *clientCommand, l *attempt, o *router.AttemptResult) {
-	m := &c.endpoints[l.endpoint]
-	if x.consistency() == router.PrimaryOnly {
-		c.lastWrite, m.Covers = c.now, c.now
-		o.Position = c.now
+// applyAnswer applies a backend's answer: a write moves the backend's position, a read shows it.
+func (c *commandSystem) applyAnswer(cmd *clientCommand, a *attempt, reported *router.AttemptResult) {
+	e := &c.endpoints[a.endpoint]
+	if cmd.consistency() == router.PrimaryOnly {
+		c.lastWritePosition, e.AppliedPosition = c.now, c.now
+		reported.Position = c.now
 		return
 	}
-	o.Position = m.Covers
-	c.check.Served(x.name, &x.Command, l.endpoint, &m.Member)
-	if x.consistency() == router.SessionConsistent {
-		c.readHighWaterMark = math.Max(c.readHighWaterMark, m.Covers)
+	reported.Position = e.AppliedPosition
+	c.checker.ReadServed(cmd.name, &cmd.Command, a.endpoint, &e.Backend)
+	if cmd.consistency() == router.SessionConsistent {
+		c.readHighWaterMark = math.Max(c.readHighWaterMark, e.AppliedPosition)
 	}
 }
 
-// passTime lets time passTime. The module has its say at each moment that it asked for, and dispatches run out
-// of time at theirs.
-func (c *commands) passTime(span float64) {
-	held := c.heldAnswers
+// passTime lets seconds pass. The router reviews its commands whenever a review is due, and attempts time out at their
+// deadlines.
+func (c *commandSystem) passTime(span float64) {
+	heldAnswers := c.heldAnswers
 	c.heldAnswers = nil
 	end := c.now + span
 	for c.now < end {
-		at := math.Min(end, math.Max(c.nextReviewAt, c.now+0.001))
-		for _, x := range c.cmds {
-			for _, l := range x.attempts {
-				if !l.ghost {
-					at = math.Min(at, math.Max(l.deadline, c.now))
+		next := math.Min(end, math.Max(c.nextReviewAt, c.now+0.001))
+		for _, cmd := range c.commands {
+			for _, a := range cmd.attempts {
+				if !a.timedOut {
+					next = math.Min(next, math.Max(a.deadline, c.now))
 				}
 			}
 		}
-		c.now = at
-		for i, x := range c.cmds {
-			for k := 0; k < len(x.attempts); k++ {
-				if x.attempts[k].deadline <= c.now && !x.attempts[k].ghost {
+		c.now = next
+		for i, cmd := range c.commands {
+			for k := 0; k < len(cmd.attempts); k++ {
+				if cmd.attempts[k].deadline <= c.now && !cmd.attempts[k].timedOut {
 					c.endAttempt(i, k, "timed")
 					k--
 				}
 			}
 		}
-		c.settle()
+		c.runReviews()
 		for i := range c.endpoints {
 			if c.endpoints[i].primary {
-				c.endpoints[i].Covers = c.now
+				c.endpoints[i].AppliedPosition = c.now
 			}
 		}
 	}
-	for _, n := range held {
-		c.check.Answered(c.now, c.cmds[n].name, &c.cmds[n].Command)
+	for _, n := range heldAnswers {
+		c.checker.CommandAnswered(c.now, c.commands[n].name, &c.commands[n].Command)
 	}
-	for _, x := range c.cmds {
-		if x.received {
-			c.check.Overdue(c.now, x.name, &x.Command)
+	for _, cmd := range c.commands {
+		if cmd.received {
+			c.checker.CheckDeadline(c.now, cmd.name, &cmd.Command)
 		}
 	}
 }
 
-// commandRules leave out to whom the tracker reports, and the numbers that tell reviews of one time apart.
+// commandRules ignore the receiver of the tracker's decisions and the counters that only order reviews of the same time.
 var commandRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
 	"inflight.Tracker":     {"executor"},
 	"inflight.review":      {"order"},
 	"inflight.reviewQueue": {"count"},
 }}
 
-// Fingerprint implements modelcheck.System. Nothing of the module is left out, chance included; what the world
-// looks like follows from what is here.
-func (c *commands) Fingerprint(h *modelcheck.Hash) {
+// Fingerprint implements modelcheck.System. It covers the router module's whole state, including its random numbers; what it
+// leaves out of this system follows from that.
+func (c *commandSystem) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = commandRules
 	h.Float(c.now)
 	h.Uint(uint64(c.faults))
 	h.Value(c.tracker)
 	h.Value(c.endpoints)
-	h.Value(c.cmds)
+	h.Value(c.commands)
 	h.Value(c.healthChecks)
-	h.Value(c.check)
-	h.Float(c.lastWrite)
+	h.Value(c.checker)
+	h.Float(c.lastWritePosition)
 	h.Float(c.readHighWaterMark)
 	h.Value(c.heldAnswers)
 	h.Value(c.freeRows)
 }
 
 // Broken implements modelcheck.System.
-func (c *commands) Broken() (string, string) { return c.check.Broken() }
+func (c *commandSystem) Broken() (string, string) { return c.checker.Broken() }
 
-// Ended implements modelcheck.System: every command has had its end.
-func (c *commands) Ended() bool {
-	for _, x := range c.cmds {
-		if !x.received || x.Open() {
+// Ended implements modelcheck.System: every command has arrived and ended.
+func (c *commandSystem) Ended() bool {
+	for _, cmd := range c.commands {
+		if !cmd.received || cmd.Open() {
 			return false
 		}
 	}
--- a/internal/modelcheck/models/member.go
+++ b/internal/modelcheck/models/member.go
@@ -17,71 +17,73 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-var memberKind = Kind{
-	Name: "member", Words: "connections to one member, with the member, the network below them and time as the adversary",
+var backendKind = Kind{
+	Name: "member", Description: "connections to one backend; the adversary controls the backend, the network and time",
 	Faults: map[string]Fault{
 		"previous-reply": {
-			"what a connection brings between two commands is not noticed: the next takes it for its own",
+			"data that arrives between two commands goes unnoticed, and the next command takes it for its reply",
 			Bounds{Commands: []string{"look", "look"}, Faults: 1, Ticks: 1},
 		},
 		"early-write": {
-			"the last byte of a statement counts as written, and is not",
+			"the last byte of a statement counts as written but is not",
 			Bounds{Commands: []string{"look"}, Faults: 1},
 		},
 		"late-write": {
-			"the last byte of what is written counts as unwritten",
+			"the last byte of a statement is written but counts as unwritten",
 			Bounds{Commands: []string{"look"}, Faults: 1},
 		},
 		"twice": {
-			"a dispatch that was called off ends once more as its connection does",
+			"a canceled attempt ends again when its connection does",
 			Bounds{Commands: []string{"look"}, Faults: 1},
 		},
 		"kept": {
-			"a connection that is closed stays open",
+			"a closed connection stays open",
 			Bounds{Commands: []string{"look"}, Faults: 1},
 		},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
-		return func() modelcheck.System { return newMember(b, fault) }
+		return func() modelcheck.System { return newBackendSystem(b, fault) }
 	},
 }
 
-// members is the system: dispatches to one member over the connections of package backend.
-type members struct {
-	bounds Bounds
-	fault  string
-	wire   *wire
-	m      *backend.Pool
-	blocks *buffer.Pool
-	sends  []*sending
-	faults int
-	ticks  int
-	check  invariant.Dispatches
-	order  []int // descriptors, in the order in which they came
-	closed bool
-	pg     map[int]*peer
+// backendSystem is the system "member": attempts to one backend over the connections of package backend.
+type backendSystem struct {
+	bounds      Bounds
+	fault       string
+	network     *fakeNetwork
+	pool        *backend.Pool
+	buffers     *buffer.Pool
+	attempts    []*backendAttempt
+	faults      int
+	ticks       int
+	checker     invariant.AttemptChecker
+	descriptors []int // of all connections, closed ones too, in the order of their dials
+	closed      bool
+	ends        map[int]*backendEnd
 }
 
-// sending is one command's dispatch.
-type sending struct {
-	d     *backend.Attempt
-	text  buffer.Chain
-	state int // 0: not yet sent, 1: out, 2: ended
+// backendAttempt is the attempt of one command.
+type backendAttempt struct {
+	attempt   *backend.Attempt
+	statement buffer.Chain
+	state     int // 0: not yet sent, 1: in flight, 2: ended
 }
 
-// peer is the member's end of a connection: what it has made of what was written.
-type peer struct {
-	greeted bool
-	read    int // bytes of sent that were understood
-	asked   []string
-	half    []byte // of an answer, still to come
-	last    []byte
+// backendEnd is the backend's end of a connection.
+type backendEnd struct {
+	startupRead  bool
+	parsedBytes  int // of fakeSocket.written
+	queries      []string
+	unsentAnswer []byte // second half of an answer
+	written      []byte
 }
 
-const memberStatement = "SELECT doc FROM items WHERE id = '%c' /* id=%d,c=look,d=900,cluster=2 */\x00"
+const backendStatement = "SELECT doc FROM items WHERE id = '%c' /* id=%d,c=look,d=900,cluster=2 */\x00"
 
-func newMember(b Bounds, fault string) *members {
-	s := &members{bounds: b, fault: fault, wire: newWire(), blocks: buffer.NewPool(512, 1<<16), pg: map[int]*peer{}}
+func newBackendSystem(b Bounds, fault string) *backendSystem {
+	s := &backendSystem{
+		bounds: b, fault: fault, network: newFakeNetwork(), buffers: buffer.NewPool(512, 1<<16), ends: map[int]*backendEnd{},
+	}
 	limits := &config.Limits{
 		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, BackendMessage: 1 << 16, InspectedMessage: 1 << 10, BufferBlock: 4 << 10,
@@ -93,205 +95,205 @@
 			ConnectTimeout: 1, HealthCheckTimeout: 1, BackendIdleTimeout: 3, ReuseDelay: 0, StatementWriteTimeout: 1,
 		},
 	}
-	s.wire.deafQuiet, s.wire.earlyByte = fault == "previous-reply", fault == "early-write"
-	s.wire.lateByte, s.wire.keepOpen = fault == "late-write", fault == "kept"
-	s.m = backend.New(s.wire, limits, s.blocks, memberSink{s}, &metrics.Counters{})
-	s.m.SetAddress(0, netip.MustParseAddrPort("127.0.0.1:5432"), false)
+	s.network.alwaysQuiet, s.network.dropsLastByte = fault == "previous-reply", fault == "early-write"
+	s.network.countsLastByteUnsent, s.network.keepsOpen = fault == "late-write", fault == "kept"
+	s.pool = backend.New(s.network, limits, s.buffers, backendResults{s}, &metrics.Counters{})
+	s.pool.SetAddress(0, netip.MustParseAddrPort("127.0.0.1:5432"), false)
 	for i := range b.Commands {
-		x := &sending{text: s.blocks.NewChain()}
-		text := fmt.Sprintf(memberStatement, 'a'+i, i+1)
-		x.text.Write([]byte(text))
-		from := strings.Index(text, "d=900") + 2
-		x.d = &backend.Attempt{CommandID: uint32(i), Statement: &x.text, WaitStart: from, WaitEnd: from + 3}
-		s.sends = append(s.sends, x)
+		a := &backendAttempt{statement: s.buffers.NewChain()}
+		text := fmt.Sprintf(backendStatement, 'a'+i, i+1)
+		a.statement.Write([]byte(text))
+		waitStart := strings.Index(text, "d=900") + 2
+		a.attempt = &backend.Attempt{CommandID: uint32(i), Statement: &a.statement, WaitStart: waitStart, WaitEnd: waitStart + 3}
+		s.attempts = append(s.attempts, a)
 	}
 	return s
 }
 
-// memberSink is told how dispatches end.
-type memberSink struct{ *members }
+// backendResults receives the results of attempts.
+type backendResults struct{ *backendSystem }
 
 // ClientPresent implements backend.ResultHandler.
-func (memberSink) ClientPresent(*backend.Attempt) bool { return true }
+func (backendResults) ClientPresent(*backend.Attempt) bool { return true }
 
 // AttemptEnded implements backend.ResultHandler.
-func (s memberSink) AttemptEnded(d *backend.Attempt, e router.Result, _ float64, a *pg.Answer) {
-	x := s.sends[d.CommandID]
-	x.state = 2
-	never := e == router.ConnectFailed || e == router.NeverSent
-	if e != router.Overloaded { // which says itself that it never ran
-		s.check.Ended(int(d.CommandID), never, s.written(int(d.CommandID)))
-	}
-	if s.fault == "twice" && e == router.Canceled {
-		s.check.Ended(int(d.CommandID), false, s.written(int(d.CommandID)))
-		s.check.Ended(int(d.CommandID), false, s.written(int(d.CommandID)))
-	}
-	if a == nil {
+func (s backendResults) AttemptEnded(attempt *backend.Attempt, result router.Result, _ float64, answer *pg.Answer) {
+	a := s.attempts[attempt.CommandID]
+	a.state = 2
+	neverRan := result == router.ConnectFailed || result == router.NeverSent
+	if result != router.Overloaded { // this result already means that the command never ran
+		s.checker.AttemptEnded(int(attempt.CommandID), neverRan, s.statementWritten(int(attempt.CommandID)))
+	}
+	if s.fault == "twice" && result == router.Canceled {
+		s.checker.AttemptEnded(int(attempt.CommandID), false, s.statementWritten(int(attempt.CommandID)))
+		s.checker.AttemptEnded(int(attempt.CommandID), false, s.statementWritten(int(attempt.CommandID)))
+	}
+	if answer == nil {
 		return
 	}
-	if e == router.Answered {
+	if result == router.Answered {
 		var row []byte
-		for a.Row.Len() > 0 {
-			first := a.Row.FirstPiece()
-			row = append(row, first...)
-			a.Row.Discard(len(first))
+		for answer.Row.Len() > 0 {
+			piece := answer.Row.FirstPiece()
+			row = append(row, piece...)
+			answer.Row.Discard(len(piece))
 		}
 		value := "?"
 		if i := bytes.Index(row, []byte("value ")); i >= 0 && i+7 <= len(row) {
 			value = string(row[i+6 : i+7])
 		}
-		s.check.Answered(int(d.CommandID), value, string(rune('a'+int(d.CommandID))))
+		s.checker.AttemptAnswered(int(attempt.CommandID), value, string(rune('a'+int(attempt.CommandID))))
 	}
-	a.Row.Free()
+	answer.Row.Free()
 }
 
 // HealthChecked implements backend.ResultHandler.
-func (memberSink) HealthChecked(int, router.Result, float64, string) {}
-
-// written tells whether a command's statement was written whole on any connection, ever.
-func (s *members) written(id int) bool {
-	mark := []byte(fmt.Sprintf("id=%d,", id+1))
-	whole := false
-	for _, x := range s.seen() {
-		if i := bytes.Index(x, mark); i >= 0 && bytes.IndexByte(x[i:], 0) >= 0 {
-			whole = true
+func (backendResults) HealthChecked(int, router.Result, float64, string) {}
+
+// statementWritten reports whether a command's statement was ever written completely on any connection.
+func (s *backendSystem) statementWritten(id int) bool {
+	marker := []byte(fmt.Sprintf("id=%d,", id+1))
+	complete := false
+	for _, data := range s.writtenData() {
+		if i := bytes.Index(data, marker); i >= 0 && bytes.IndexByte(data[i:], 0) >= 0 {
+			complete = true
 		}
 	}
-	return whole
+	return complete
 }
 
-// seen is what was written on each connection, those that were closed included.
-func (s *members) seen() [][]byte {
-	var out [][]byte
-	for _, fd := range s.order {
-		out = append(out, s.pg[fd].last)
+// writtenData returns the data written on each connection, closed ones included.
+func (s *backendSystem) writtenData() [][]byte {
+	var all [][]byte
+	for _, fd := range s.descriptors {
+		all = append(all, s.ends[fd].written)
 	}
-	return out
+	return all
 }
 
-// look has the member take in what was written.
-func (s *members) look() {
-	for _, fd := range s.wire.fds() {
-		k := s.wire.socks[fd]
-		p := s.pg[fd]
-		if p == nil {
-			p = &peer{}
-			s.pg[fd] = p
-			s.order = append(s.order, fd)
+// parseWritten lets the backend parse what was written on its connections.
+func (s *backendSystem) parseWritten() {
+	for _, fd := range s.network.descriptors() {
+		socket := s.network.sockets[fd]
+		end := s.ends[fd]
+		if end == nil {
+			end = &backendEnd{}
+			s.ends[fd] = end
+			s.descriptors = append(s.descriptors, fd)
 		}
-		p.last = append([]byte{}, k.sent...)
+		end.written = append([]byte{}, socket.written...)
 		for {
-			rest := k.sent[p.read:]
-			if !p.greeted {
+			rest := socket.written[end.parsedBytes:]
+			if !end.startupRead {
 				if len(rest) < 4 || len(rest) < int(binary.BigEndian.Uint32(rest)) {
 					break
 				}
-				p.read += int(binary.BigEndian.Uint32(rest))
-				p.greeted = true
-				p.asked = append(p.asked, "")
+				end.parsedBytes += int(binary.BigEndian.Uint32(rest))
+				end.startupRead = true
+				end.queries = append(end.queries, "")
 				continue
 			}
 			if len(rest) < 5 || len(rest) < 1+int(binary.BigEndian.Uint32(rest[1:])) {
 				break
 			}
-			n := 1 + int(binary.BigEndian.Uint32(rest[1:]))
-			p.asked = append(p.asked, string(rest[5:n-1]))
-			p.read += n
+			length := 1 + int(binary.BigEndian.Uint32(rest[1:]))
+			end.queries = append(end.queries, string(rest[5:length-1]))
+			end.parsedBytes += length
 		}
 	}
 }
 
-// answer is what the member says to a question; "" is the start-up.
-func answerTo(question string) []byte {
-	if question == "" {
+// answerTo returns the backend's answer to a query; the query "" stands for the startup packet.
+func answerTo(query string) []byte {
+	if query == "" {
 		return pg.AppendStartupReply(nil, pg.CancelKey{})
 	}
-	v := "value " + strings.SplitN(question, "'", 3)[1]
-	b := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
-	b = pg.AppendMessage(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(v))), []byte(v))
-	b = pg.AppendMessage(b, 'C', []byte("SELECT 1\x00"))
-	return pg.AppendReadyForQuery(pg.AppendParameterStatus(b, "recovery", "on"))
+	value := "value " + strings.SplitN(query, "'", 3)[1]
+	reply := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
+	reply = pg.AppendMessage(reply, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
+	reply = pg.AppendMessage(reply, 'C', []byte("SELECT 1\x00"))
+	return pg.AppendReadyForQuery(pg.AppendParameterStatus(reply, "recovery", "on"))
 }
 
 // Steps implements modelcheck.System.
-func (s *members) Steps() []string {
-	var out stepList
-	for i, x := range s.sends {
-		out.addIf(x.state == 0, "send %d", i)
-		out.addIf(x.state == 1 && s.bounds.may("recall", s.faults), "recall %d", i)
-	}
-	for _, fd := range s.wire.fds() {
-		s.addConnectionSteps(&out, fd)
-	}
-	_, hasTimer := s.wire.next()
-	out.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
-	out.addIf(s.done() && !s.closed, "close")
-	return out
+func (s *backendSystem) Steps() []string {
+	var steps stepList
+	for i, a := range s.attempts {
+		steps.addIf(a.state == 0, "send %d", i)
+		steps.addIf(a.state == 1 && s.bounds.mayInject("recall", s.faults), "recall %d", i)
+	}
+	for _, fd := range s.network.descriptors() {
+		s.addConnectionSteps(&steps, fd)
+	}
+	_, hasTimer := s.network.nextTimer()
+	steps.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
+	steps.addIf(s.allEnded() && !s.closed, "close")
+	return steps
 }
 
 // addConnectionSteps adds what may happen on a connection.
-func (s *members) addConnectionSteps(out *stepList, fd int) {
-	k, at := s.wire.socks[fd], s.at(fd)
-	may := func(kind string) bool { return s.bounds.may(kind, s.faults) }
-	if k.handler == nil { // closed, but for a fault
+func (s *backendSystem) addConnectionSteps(steps *stepList, fd int) {
+	socket, ordinal := s.network.sockets[fd], s.ordinal(fd)
+	mayInject := func(kind string) bool { return s.bounds.mayInject(kind, s.faults) }
+	if socket.handler == nil { // closed; only the fault kept leaves the socket open
 		return
 	}
-	if !k.up {
-		out.add("up %d", at)
-		out.addIf(may("refuse"), "refuse %d", at)
+	if !socket.connected {
+		steps.add("up %d", ordinal)
+		steps.addIf(mayInject("refuse"), "refuse %d", ordinal)
 		return
 	}
-	out.addIf(len(k.in) > 0 || k.ended, "see %d", at)
-	if k.wantWrite && k.room == 0 {
-		out.add("room %d", at)
-		out.add("most %d", at)
+	steps.addIf(len(socket.unread) > 0 || socket.peerClosed, "see %d", ordinal)
+	if socket.wantWrite && socket.writable == 0 {
+		steps.add("room %d", ordinal)
+		steps.add("most %d", ordinal)
 	}
-	if k.ended {
+	if socket.peerClosed {
 		return
 	}
-	s.addAnswers(out, s.pg[fd], at)
-	out.addIf(may("end"), "end %d", at)
+	s.addAnswerSteps(steps, s.ends[fd], ordinal)
+	steps.addIf(mayInject("end"), "end %d", ordinal)
 }
 
-// addAnswers adds what the member may say.
-func (s *members) addAnswers(out *stepList, p *peer, at int) {
+// addAnswerSteps adds what the backend may send.
+func (s *backendSystem) addAnswerSteps(steps *stepList, end *backendEnd, ordinal int) {
 	switch {
-	case len(p.half) > 0:
-		out.add("rest %d", at)
-	case len(p.asked) > 0:
-		out.add("answer %d", at)
+	case len(end.unsentAnswer) > 0:
+		steps.add("rest %d", ordinal)
+	case len(end.queries) > 0:
+		steps.add("answer %d", ordinal)
 		for _, kind := range []string{"half", "full", "spoil", "double"} {
-			out.addIf(s.bounds.may(kind, s.faults), "%s %d", kind, at)
+			steps.addIf(s.bounds.mayInject(kind, s.faults), "%s %d", kind, ordinal)
 		}
-	default: // the protocol cannot tell a copy that comes later
-		out.addIf(p.greeted && s.bounds.may("echo", s.faults) && s.idle(), "echo %d", at)
+	default: // with an attempt in flight, the protocol cannot tell the copy from its answer
+		steps.addIf(end.startupRead && s.bounds.mayInject("echo", s.faults) && s.noneInFlight(), "echo %d", ordinal)
 	}
 }
 
-// idle tells whether no dispatch is out.
-func (s *members) idle() bool {
-	for _, x := range s.sends {
-		if x.state == 1 {
+// noneInFlight reports whether no attempt is in flight.
+func (s *backendSystem) noneInFlight() bool {
+	for _, a := range s.attempts {
+		if a.state == 1 {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *members) done() bool {
-	for _, x := range s.sends {
-		if x.state != 2 {
+func (s *backendSystem) allEnded() bool {
+	for _, a := range s.attempts {
+		if a.state != 2 {
 			return false
 		}
 	}
 	return true
 }
 
-// at is a connection's place in the order in which they came: names of steps must not depend on numbers of
-// descriptors that were used before.
-func (s *members) at(fd int) int {
-	for i, x := range s.order {
-		if x == fd {
+// ordinal returns a connection's index in descriptors, or -1. Steps name connections by it, so that their names do not depend
+// on which descriptor numbers were used before.
+func (s *backendSystem) ordinal(fd int) int {
+	for i, descriptor := range s.descriptors {
+		if descriptor == fd {
 			return i
 		}
 	}
@@ -299,150 +301,152 @@
 }
 
 // Take implements modelcheck.System.
-func (s *members) Take(step string) {
+func (s *backendSystem) Take(step string) {
 	kind, n, _ := parseStep(step)
 	fd := 0
-	if n < len(s.order) {
-		fd = s.order[n]
+	if n < len(s.descriptors) {
+		fd = s.descriptors[n]
 	}
 	switch kind {
 	case "send":
-		x := s.sends[n]
-		x.state, x.d.Deadline = 1, s.wire.now+0.9
-		s.m.Send(x.d)
+		a := s.attempts[n]
+		a.state, a.attempt.Deadline = 1, s.network.now+0.9
+		s.pool.Send(a.attempt)
 	case "recall":
 		s.faults++
-		s.m.Cancel(s.sends[n].d)
+		s.pool.Cancel(s.attempts[n].attempt)
 	case "tick":
 		s.ticks++
-		s.wire.fire(s.order)
+		s.network.fireNextTimers(s.descriptors)
 	case "close":
 		s.close()
 	case "up", "refuse", "see", "room", "most":
-		s.onConnection(kind, fd)
+		s.takeNetworkStep(kind, fd)
 	default:
-		s.member(kind, fd, s.wire.socks[fd])
+		s.takeBackendStep(kind, fd, s.network.sockets[fd])
 	}
-	s.look()
+	s.parseWritten()
 }
 
-// onConnection is what the network does to a connection.
-func (s *members) onConnection(kind string, fd int) {
-	k := s.wire.socks[fd]
+// takeNetworkStep takes a step of the network on a connection.
+func (s *backendSystem) takeNetworkStep(kind string, fd int) {
+	socket := s.network.sockets[fd]
 	switch kind {
 	case "up":
-		k.up, k.room = true, 60 // more than a start-up packet, less than a statement
-		k.handler.Ready(false, true)
+		socket.connected, socket.writable = true, 60 // bytes: more than a startup packet, less than a statement
+		socket.handler.Ready(false, true)
 	case "refuse":
 		s.faults++
-		k.refused = true
-		k.handler.Ready(false, true)
+		socket.refused = true
+		socket.handler.Ready(false, true)
 	case "see":
-		k.handler.Ready(true, false)
+		socket.handler.Ready(true, false)
 	case "room":
-		k.room = 1 << 16
-		k.handler.Ready(false, true)
+		socket.writable = 1 << 16
+		socket.handler.Ready(false, true)
 	case "most":
-		s.takeMost(fd, k)
+		s.writeAllButOneByte(fd, socket)
 	}
 }
 
-// takeMost takes all that a connection has to write but one byte.
-func (s *members) takeMost(fd int, k *sock) {
-	k.room = 1 << 16
-	if left := s.unwritten(fd); left > 1 {
-		k.room = left - 1
+// writeAllButOneByte lets a connection write all of its pending data except the last byte.
+func (s *backendSystem) writeAllButOneByte(fd int, socket *fakeSocket) {
+	socket.writable = 1 << 16
+	if unwritten := s.unwrittenBytes(fd); unwritten > 1 {
+		socket.writable = unwritten - 1
 	}
-	k.handler.Ready(false, true)
-	if after := s.wire.socks[fd]; after != nil {
-		after.room = 0
+	socket.handler.Ready(false, true)
+	if remaining := s.network.sockets[fd]; remaining != nil {
+		remaining.writable = 0
 	}
 }
 
-func (s *members) close() {
+func (s *backendSystem) close() {
 	s.closed = true
-	s.m.CloseIdle()
-	for _, x := range s.sends {
-		x.text.Free()
+	s.pool.CloseIdle()
+	for _, a := range s.attempts {
+		a.statement.Free()
 	}
-	s.check.Left(len(s.wire.socks), len(s.wire.timers), s.blocks.BlocksInUse())
+	s.checker.CheckLeaks(len(s.network.sockets), len(s.network.timers), s.buffers.BlocksInUse())
 }
 
-// unwritten is how much of a statement a connection has still to write; a statement's length is known.
-func (s *members) unwritten(fd int) int {
-	k := s.wire.socks[fd]
-	return 5 + len(fmt.Sprintf(memberStatement, 'a', 1)) - len(k.sent[s.pg[fd].read:])
+// unwrittenBytes returns how many bytes of a statement a connection has still to write. All statements have the same length.
+func (s *backendSystem) unwrittenBytes(fd int) int {
+	socket := s.network.sockets[fd]
+	return 5 + len(fmt.Sprintf(backendStatement, 'a', 1)) - len(socket.written[s.ends[fd].parsedBytes:])
 }
 
-// member is what the member itself does.
-func (s *members) member(what string, fd int, k *sock) {
-	p := s.pg[fd]
-	if what != "answer" && what != "rest" {
+// takeBackendStep takes a step of the backend on a connection.
+func (s *backendSystem) takeBackendStep(kind string, fd int, socket *fakeSocket) {
+	end := s.ends[fd]
+	if kind != "answer" && kind != "rest" {
 		s.faults++
 	}
-	question := ""
-	if len(p.asked) > 0 {
-		question = p.asked[0]
+	query := ""
+	if len(end.queries) > 0 {
+		query = end.queries[0]
 	}
-	switch what {
+	switch kind {
 	case "rest":
-		k.in = append(k.in, p.half...)
-		p.half = nil
+		socket.unread = append(socket.unread, end.unsentAnswer...)
+		end.unsentAnswer = nil
 		return
 	case "echo":
-		k.in = append(k.in, answerTo(fmt.Sprintf(memberStatement, 'z', 9))...)
+		socket.unread = append(socket.unread, answerTo(fmt.Sprintf(backendStatement, 'z', 9))...)
 		return
 	case "end":
-		k.ended = true
+		socket.peerClosed = true
 		return
 	}
-	a := answerTo(question)
-	p.asked = p.asked[1:]
-	switch what {
+	answer := answerTo(query)
+	end.queries = end.queries[1:]
+	switch kind {
 	case "answer":
-		k.in = append(k.in, a...)
+		socket.unread = append(socket.unread, answer...)
 	case "double":
-		k.in = append(append(k.in, a...), a...)
+		socket.unread = append(append(socket.unread, answer...), answer...)
 	case "half":
-		k.in = append(k.in, a[:len(a)/2]...)
-		p.half = a[len(a)/2:]
+		socket.unread = append(socket.unread, answer[:len(answer)/2]...)
+		end.unsentAnswer = answer[len(answer)/2:]
 	case "full":
-		k.in = append(k.in, pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, pg.CodeTooManyConnections, "no room", ""))...)
+		socket.unread = append(socket.unread,
+			pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, pg.CodeTooManyConnections, "no room", ""))...)
 	case "spoil":
-		k.in = append(k.in, "D\xff\xff\xff\xff"...)
+		socket.unread = append(socket.unread, "D\xff\xff\xff\xff"...)
 	}
 }
 
-// memberRules leave out what is the same in all states or stands for the same thing elsewhere.
-var memberRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
-	"buffer.Chain":    {"pool"},
-	"backend.Attempt": {"conn"},
-	"backend.Pool":    {"blocks", "counters", "limits", "loop", "results"},
-	"backend.conn":    {"pool", "timer"},
-	"models.members":  {"blocks", "bounds", "fault"},
-	"models.sock":     {"handler"},
-	"models.wire":     {"timers"},
+// backendRules ignore fields that are the same in all states or that repeat state which is hashed elsewhere.
+var backendRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
+	"buffer.Chain":         {"pool"},
+	"backend.Attempt":      {"conn"},
+	"backend.Pool":         {"blocks", "counters", "limits", "loop", "results"},
+	"backend.conn":         {"pool", "timer"},
+	"models.backendSystem": {"bounds", "buffers", "fault"},
+	"models.fakeSocket":    {"handler"},
+	"models.fakeNetwork":   {"timers"},
 }}
 
-// Fingerprint implements modelcheck.System. A connection stands for its handler; timers for their times.
-func (s *members) Fingerprint(h *modelcheck.Hash) {
-	h.Rules = memberRules
+// Fingerprint implements modelcheck.System. It adds each connection's handler and timer here, since backendRules ignore them
+// in the network.
+func (s *backendSystem) Fingerprint(h *modelcheck.Hash) {
+	h.Rules = backendRules
 	h.Value(s)
-	for _, fd := range s.order {
-		if k := s.wire.socks[fd]; k != nil {
-			h.Value(k.handler)
-			at, set := s.wire.timers[s.wire.timer(fd)]
+	for _, fd := range s.descriptors {
+		if socket := s.network.sockets[fd]; socket != nil {
+			h.Value(socket.handler)
+			firesAt, set := s.network.timers[s.network.connectionTimer(fd)]
 			h.Value(set)
-			h.Float(at)
+			h.Float(firesAt)
 		}
 	}
-	for _, x := range s.sends {
-		h.Uint(uint64(x.state))
+	for _, a := range s.attempts {
+		h.Uint(uint64(a.state))
 	}
 }
 
 // Broken implements modelcheck.System.
-func (s *members) Broken() (string, string) { return s.check.Broken() }
+func (s *backendSystem) Broken() (string, string) { return s.checker.Broken() }
 
 // Ended implements modelcheck.System.
-func (s *members) Ended() bool { return s.closed }
+func (s *backendSystem) Ended() bool { return s.closed }
--- a/internal/modelcheck/models/watch.go
+++ b/internal/modelcheck/models/watch.go
@@ -19,49 +19,53 @@
 )
 
 var watchKind = Kind{
-	Name: "watch", Words: "the watch of the list and its move by a reload, with discovery, the network and time as the adversary",
+	Name:        "watch",
+	Description: "the watch of the endpoint list and its change of address; the adversary controls discovery, the network and time",
 	Faults: map[string]Fault{
-		"old-bytes": {"what the address before had sent is read from the new connection", Bounds{Faults: 1, Only: []string{"move"}}},
-		"unclosed":  {"a connection that is closed stays open", Bounds{Faults: 1, Ticks: 1}},
-		"part":      {"a reply that holds changes only calls itself whole", Bounds{Faults: 1}},
+		"old-bytes": {"data that the previous address sent is read from the new connection", Bounds{Faults: 1, Only: []string{"move"}}},
+		"unclosed":  {"a closed connection stays open", Bounds{Faults: 1, Ticks: 1}},
+		"part":      {"a reply that holds only changes claims to be complete", Bounds{Faults: 1}},
 		"timeless":  {"a timer that is set never fires", Bounds{Faults: 1}},
-		"hidden":    {"a call that discovery refused is not noticed to have failed", Bounds{Faults: 2}},
+		"hidden":    {"a call that discovery refused does not count as failed", Bounds{Faults: 2}},
 	},
 	New: func(b Bounds, fault string) func() modelcheck.System {
-		return func() modelcheck.System { return newWatch(b, fault) }
+		return func() modelcheck.System { return newWatchSystem(b, fault) }
 	},
 }
 
-// watching is the system: one watch, and two addresses of discovery that know the same list.
-type watching struct {
-	bounds     Bounds
-	fault      string
-	wire       *wire
-	w          *discovery.Watch
-	check      invariant.Lists
-	at         int // address that is watched
-	faults     int
-	ticks      int
-	generation int64 // of the list
-	calls      map[int]*call
-	order      []int
-	lists      int
+// watchSystem is the system "watch": one watch of the endpoint list, and discovery at two addresses that hold the same list.
+type watchSystem struct {
+	bounds         Bounds
+	fault          string
+	network        *fakeNetwork
+	watch          *discovery.Watch
+	checker        invariant.ListChecker
+	watchedAddress int // 0 or 1
+	faults         int
+	ticks          int
+	generation     int64 // of discovery's list
+	ends           map[int]*discoveryEnd
+	descriptors    []int
+	listsReceived  int
 }
 
-// call is discovery's end of a connection.
-type call struct {
-	to    int // address
-	read  int
-	asked []int64 // generations; -1: whole
-	half  []byte
+// discoveryEnd is discovery's end of a connection.
+type discoveryEnd struct {
+	address     int // that the router dialed: 0 or 1
+	parsedBytes int
+	calls       []int64 // generations that pending calls ask from; -1: the complete list
+	unsentReply []byte
 }
 
-func address(n int) netip.AddrPort {
+func discoveryAddress(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(n + 1)}), 8500)
 }
 
-func newWatch(b Bounds, fault string) *watching {
-	s := &watching{bounds: b, fault: fault, wire: newWire(), check: invariant.Lists{Members: 2}, generation: 5, calls: map[int]*call{}}
+func newWatchSystem(b Bounds, fault string) *watchSystem {
+	s := &watchSystem{
+		bounds: b, fault: fault, network: newFakeNetwork(), checker: invariant.ListChecker{Endpoints: 2},
+		generation: 5, ends: map[int]*discoveryEnd{},
+	}
 	limits := &config.Limits{
 		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10,
@@ -70,64 +74,65 @@
 			SilenceTimeout: 1, ReplyTimeout: 1, LongPollHold: 5, MinBackoff: 0.5, MaxBackoff: 1,
 		},
 	}
-	s.w = discovery.New(s.wire, limits, address(0), false, buffer.NewPool(512, 1<<16), s, zerolog.New(io.Discard))
-	s.wire.keepOpen, s.wire.timeless = fault == "unclosed", fault == "timeless"
-	s.w.Poll()
-	s.look()
+	s.watch = discovery.New(s.network, limits, discoveryAddress(0), false, buffer.NewPool(512, 1<<16), s, zerolog.New(io.Discard))
+	s.network.keepsOpen, s.network.timersNeverFire = fault == "unclosed", fault == "timeless"
+	s.watch.Poll()
+	s.parseCalls()
 	return s
 }
 
-// Listed implements discovery.ListHandler.
-func (s *watching) HandleList(l endpoint.List) {
-	s.lists++
-	from := ""
-	if len(l.Endpoints) > 0 {
-		from = l.Endpoints[0].Zone
+// HandleList implements discovery.ListHandler.
+func (s *watchSystem) HandleList(list endpoint.List) {
+	s.listsReceived++
+	sender := ""
+	if len(list.Endpoints) > 0 {
+		sender = list.Endpoints[0].Zone
 	}
-	watched := strconv.Itoa(s.at)
-	if from == "" {
-		from = watched // changes of none
+	watched := strconv.Itoa(s.watchedAddress)
+	if sender == "" {
+		sender = watched // no endpoint names the address
 	}
-	s.check.Handed(l.Complete, l.Generation, len(l.Endpoints), from, watched)
+	s.checker.ListDelivered(list.Complete, list.Generation, len(list.Endpoints), sender, watched)
 }
 
-// ListFailed implements discovery.ListHandler.
-func (s *watching) HandleCallFailure() { s.check.Lost() }
+// HandleCallFailure implements discovery.ListHandler.
+func (s *watchSystem) HandleCallFailure() { s.checker.ListInvalidated() }
 
 var fromParameter = regexp.MustCompile(`from=(\d+)`)
 
-// look has discovery take in what was written.
-func (s *watching) look() {
+// parseCalls lets discovery parse what was written on its connections.
+func (s *watchSystem) parseCalls() {
 	open := 0
-	for _, fd := range s.wire.fds() {
-		k, c := s.wire.socks[fd], s.calls[fd]
+	for _, fd := range s.network.descriptors() {
+		socket, end := s.network.sockets[fd], s.ends[fd]
 		open++
-		if c == nil {
-			c = &call{to: s.at}
-			s.calls[fd] = c
-			s.order = append(s.order, fd)
+		if end == nil {
+			end = &discoveryEnd{address: s.watchedAddress}
+			s.ends[fd] = end
+			s.descriptors = append(s.descriptors, fd)
 		}
 		for {
-			i := bytes.Index(k.sent[c.read:], []byte("\r\n\r\n"))
-			if i < 0 {
+			length := bytes.Index(socket.written[end.parsedBytes:], []byte("\r\n\r\n"))
+			if length < 0 {
 				break
 			}
 			after := int64(-1)
-			if m := fromParameter.FindSubmatch(k.sent[c.read : c.read+i]); m != nil {
-				after, _ = strconv.ParseInt(string(m[1]), 10, 64)
+			if match := fromParameter.FindSubmatch(socket.written[end.parsedBytes : end.parsedBytes+length]); match != nil {
+				after, _ = strconv.ParseInt(string(match[1]), 10, 64)
 			}
-			s.check.Called(after < 0, after)
-			c.asked = append(c.asked, after)
-			c.read += i + 4
+			s.checker.CallSent(after < 0, after)
+			end.calls = append(end.calls, after)
+			end.parsedBytes += length + 4
 		}
 	}
-	s.check.Open(open)
+	s.checker.CheckConnections(open)
 }
 
-// reply is what discovery says to a call.
-func (s *watching) reply(c *call, after int64) []byte {
+// listReply returns discovery's reply to a call for the changes after a generation, or for the complete list if after is -1.
+// The zone of its endpoints names the address.
+func (s *watchSystem) listReply(end *discoveryEnd, after int64) []byte {
 	entry := func(id string) string {
-		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.9:1","zone":"%d","cell":1,"lifecycle":"ready"}`, id, c.to)
+		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.9:1","zone":"%d","cell":1,"lifecycle":"ready"}`, id, end.address)
 	}
 	body := fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s,%s]}`, s.generation, entry("a"), entry("b"))
 	if after >= 0 {
@@ -137,146 +142,146 @@
 }
 
 // Steps implements modelcheck.System.
-func (s *watching) Steps() []string {
-	var out stepList
-	for i, fd := range s.order {
-		if k := s.wire.socks[fd]; k != nil && k.handler != nil {
-			s.addCallSteps(&out, i, k, s.calls[fd])
+func (s *watchSystem) Steps() []string {
+	var steps stepList
+	for i, fd := range s.descriptors {
+		if socket := s.network.sockets[fd]; socket != nil && socket.handler != nil {
+			s.addCallSteps(&steps, i, socket, s.ends[fd])
 		}
 	}
-	out.addIf(s.bounds.may("move", s.faults), "move")
-	_, hasTimer := s.wire.next()
-	out.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
-	return out
+	steps.addIf(s.bounds.mayInject("move", s.faults), "move")
+	_, hasTimer := s.network.nextTimer()
+	steps.addIf(hasTimer && s.ticks < s.bounds.Ticks, "tick")
+	return steps
 }
 
-// addCallSteps adds what may happen on the connection of a call.
-func (s *watching) addCallSteps(out *stepList, i int, k *sock, c *call) {
-	may := func(kind string) bool { return s.bounds.may(kind, s.faults) }
-	if !k.up {
-		out.add("up %d", i)
-		out.addIf(may("refuse"), "refuse %d", i)
+// addCallSteps adds what may happen on a connection.
+func (s *watchSystem) addCallSteps(steps *stepList, ordinal int, socket *fakeSocket, end *discoveryEnd) {
+	mayInject := func(kind string) bool { return s.bounds.mayInject(kind, s.faults) }
+	if !socket.connected {
+		steps.add("up %d", ordinal)
+		steps.addIf(mayInject("refuse"), "refuse %d", ordinal)
 		return
 	}
-	out.addIf(len(k.in) > 0 || k.ended, "see %d", i)
-	if k.ended {
+	steps.addIf(len(socket.unread) > 0 || socket.peerClosed, "see %d", ordinal)
+	if socket.peerClosed {
 		return
 	}
-	if len(c.half) > 0 {
-		out.add("rest %d", i)
-	} else if len(c.asked) > 0 && s.lists < 3 {
-		out.add("answer %d", i)
+	if len(end.unsentReply) > 0 {
+		steps.add("rest %d", ordinal)
+	} else if len(end.calls) > 0 && s.listsReceived < 3 {
+		steps.add("answer %d", ordinal)
 		for _, kind := range []string{"half", "sick", "spoil", "old"} {
-			out.addIf(may(kind), "%s %d", kind, i)
+			steps.addIf(mayInject(kind), "%s %d", kind, ordinal)
 		}
 	}
-	out.addIf(may("end"), "end %d", i)
+	steps.addIf(mayInject("end"), "end %d", ordinal)
 }
 
 // Take implements modelcheck.System.
-func (s *watching) Take(step string) {
+func (s *watchSystem) Take(step string) {
 	var n int
-	what := modelcheck.Kind(step)
-	_, _ = fmt.Sscanf(step[len(what):], "%d", &n)
-	var k *sock
-	var c *call
-	if n < len(s.order) {
-		k, c = s.wire.socks[s.order[n]], s.calls[s.order[n]]
+	kind := modelcheck.Kind(step)
+	_, _ = fmt.Sscanf(step[len(kind):], "%d", &n)
+	var socket *fakeSocket
+	var end *discoveryEnd
+	if n < len(s.descriptors) {
+		socket, end = s.network.sockets[s.descriptors[n]], s.ends[s.descriptors[n]]
 	}
-	switch what {
+	switch kind {
 	case "tick":
 		s.ticks++
-		s.wire.fire(nil) // there is one
+		s.network.fireNextTimers(nil) // there is only one timer
 	case "move":
 		s.faults++
-		s.move()
+		s.moveAddress()
 	case "up":
-		k.up, k.room = true, 1<<16
-		k.handler.Ready(false, true)
+		socket.connected, socket.writable = true, 1<<16
+		socket.handler.Ready(false, true)
 	case "refuse":
 		s.faults++
 		if s.fault == "hidden" {
-			s.check.Lost()
-			k.up, k.room = true, 1<<16
+			s.checker.ListInvalidated()
+			socket.connected, socket.writable = true, 1<<16
 		} else {
-			k.refused = true
+			socket.refused = true
 		}
-		k.handler.Ready(false, true)
+		socket.handler.Ready(false, true)
 	case "see":
-		k.handler.Ready(true, false)
+		socket.handler.Ready(true, false)
 	case "rest":
-		k.in, c.half = append(k.in, c.half...), nil
+		socket.unread, end.unsentReply = append(socket.unread, end.unsentReply...), nil
 	case "end":
 		s.faults++
-		k.ended = true
+		socket.peerClosed = true
 	default:
-		s.answer(what, k, c)
+		s.takeDiscoveryStep(kind, socket, end)
 	}
-	s.look()
+	s.parseCalls()
 }
 
-func (s *watching) move() {
-	var old []byte
-	for _, fd := range s.wire.fds() {
-		old = append(old, s.wire.socks[fd].in...)
+func (s *watchSystem) moveAddress() {
+	var oldUnread []byte
+	for _, fd := range s.network.descriptors() {
+		oldUnread = append(oldUnread, s.network.sockets[fd].unread...)
 	}
-	s.at = 1 - s.at
-	s.check.Lost()
-	s.w.SetAddress(address(s.at))
-	s.look()
+	s.watchedAddress = 1 - s.watchedAddress
+	s.checker.ListInvalidated()
+	s.watch.SetAddress(discoveryAddress(s.watchedAddress))
+	s.parseCalls()
 	if s.fault == "old-bytes" {
-		for _, fd := range s.wire.fds() {
-			s.wire.socks[fd].in = append([]byte{}, old...)
+		for _, fd := range s.network.descriptors() {
+			s.network.sockets[fd].unread = append([]byte{}, oldUnread...)
 		}
 	}
 }
 
-func (s *watching) answer(what string, k *sock, c *call) {
-	after := c.asked[0]
-	c.asked = c.asked[1:]
+func (s *watchSystem) takeDiscoveryStep(kind string, socket *fakeSocket, end *discoveryEnd) {
+	after := end.calls[0]
+	end.calls = end.calls[1:]
 	if after >= 0 {
 		s.generation++
 	}
-	a := s.reply(c, after)
-	if what != "answer" {
+	reply := s.listReply(end, after)
+	if kind != "answer" {
 		s.faults++
 	}
-	switch what {
+	switch kind {
 	case "answer":
-		k.in = append(k.in, a...)
+		socket.unread = append(socket.unread, reply...)
 	case "half":
-		k.in = append(k.in, a[:len(a)/2]...)
-		c.half = a[len(a)/2:]
+		socket.unread = append(socket.unread, reply[:len(reply)/2]...)
+		end.unsentReply = reply[len(reply)/2:]
 	case "sick":
-		k.in = append(k.in, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"...)
+		socket.unread = append(socket.unread, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"...)
 	case "spoil":
-		k.in = append(k.in, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{a}"...)
-	case "old": // changes to a call for the whole list, or of an earlier time
+		socket.unread = append(socket.unread, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{a}"...)
+	case "old": // changes instead of the complete list, or an earlier generation
 		body := fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[]}`, s.generation-3)
-		k.in = fmt.Appendf(k.in, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		socket.unread = fmt.Appendf(socket.unread, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
 }
 
-// watchRules leave out what is the same in all states or stands for the same thing elsewhere.
+// watchRules ignore fields that are the same in all states or that repeat state which is hashed elsewhere.
 var watchRules = &modelcheck.Rules{FloatGrain: 1e-9, Ignored: modelcheck.Fields{
-	"buffer.Chain":    {"pool"},
-	"discovery.Watch": {"handler", "limits", "log", "loop", "timer"},
-	"models.sock":     {"handler"},
-	"models.watching": {"bounds", "fault"},
-	"models.wire":     {"timers"},
+	"buffer.Chain":       {"pool"},
+	"discovery.Watch":    {"handler", "limits", "log", "loop", "timer"},
+	"models.fakeSocket":  {"handler"},
+	"models.watchSystem": {"bounds", "fault"},
+	"models.fakeNetwork": {"timers"},
 }}
 
 // Fingerprint implements modelcheck.System.
-func (s *watching) Fingerprint(h *modelcheck.Hash) {
+func (s *watchSystem) Fingerprint(h *modelcheck.Hash) {
 	h.Rules = watchRules
 	h.Value(s)
-	next, ok := s.wire.next()
+	next, ok := s.network.nextTimer()
 	h.Value(ok)
-	h.Float(next - s.wire.now)
+	h.Float(next - s.network.now)
 }
 
 // Broken implements modelcheck.System.
-func (s *watching) Broken() (string, string) { return s.check.Broken() }
+func (s *watchSystem) Broken() (string, string) { return s.checker.Broken() }
 
-// Ended implements modelcheck.System: a list of the address that is watched has been taken.
-func (s *watching) Ended() bool { return s.lists > 0 }
+// Ended implements modelcheck.System: a list of the watched address has been delivered.
+func (s *watchSystem) Ended() bool { return s.listsReceived > 0 }
--- a/internal/modelcheck/models/wire.go
+++ b/internal/modelcheck/models/wire.go
@@ -11,32 +11,33 @@
 	"stoatdale.example/stoatdale/internal/eventloop"
 )
 
-// wire is a eventloop.Network without sockets: what arrives, and when it is seen, is the adversary's to pick.
-type wire struct {
-	now    float64
-	last   int
-	socks  map[int]*sock
-	timers map[*eventloop.Timer]float64
-	// Faults at this seam.
-	deafQuiet bool // a connection always looks quiet
-	loseByte  bool // the last byte of a write that went out whole did not arrive
-	keepOpen  bool // what is closed stays open
-	lateByte  bool // the last byte of a write goes out, and counts as unwritten
-	timeless  bool // no timer fires
-	earlyByte bool // the last byte of a write counts as written, and is not
+// fakeNetwork is an eventloop.Network without sockets. Steps of the adversary decide what arrives and when handlers learn of
+// it. Times are in seconds.
+type fakeNetwork struct {
+	now            float64
+	lastDescriptor int
+	sockets        map[int]*fakeSocket
+	timers         map[*eventloop.Timer]float64
+	// Faults that can be injected here.
+	alwaysQuiet          bool // NothingToRead is always true
+	losesLastByte        bool // the last byte of a complete write does not arrive
+	keepsOpen            bool // Close leaves the socket open
+	countsLastByteUnsent bool // the last byte of a write arrives but counts as unwritten
+	timersNeverFire      bool // timers that are set never fire
+	dropsLastByte        bool // the last byte of a write counts as written but does not arrive
 }
 
-// sock is one connection, as the wire sees it.
-type sock struct {
-	handler   eventloop.Handler
-	up        bool
-	refused   bool
-	ended     bool   // by the other side
-	in        []byte // arrived, and not yet read
-	sent      []byte // written
-	room      int    // that may still be written
-	wantRead  bool
-	wantWrite bool
+// fakeSocket is one connection.
+type fakeSocket struct {
+	handler    eventloop.Handler
+	connected  bool
+	refused    bool
+	peerClosed bool   // the remote side has closed the connection
+	unread     []byte // bytes that have arrived
+	written    []byte // all bytes written so far
+	writable   int    // bytes that the socket still takes
+	wantRead   bool
+	wantWrite  bool
 }
 
 var (
@@ -44,127 +45,133 @@
 	errGone    = errors.New("connection reset")
 )
 
-func newWire() *wire { return &wire{socks: map[int]*sock{}, timers: map[*eventloop.Timer]float64{}} }
-
-func (w *wire) Now() float64                            { return w.now }
-func (w *wire) Clock() float64                          { return w.now }
-func (w *wire) OpenDescriptors() int                    { return len(w.socks) }
-func (w *wire) SetTimer(t *eventloop.Timer, at float64) { w.timers[t] = at }
-func (w *wire) StopTimer(t *eventloop.Timer)            { delete(w.timers, t) }
-func (w *wire) Dial(netip.AddrPort) (int, error)        { w.last++; return w.last, nil }
-func (w *wire) CloseUnwatched(int)                      {}
-func (w *wire) Close(fd int) {
-	if k := w.socks[fd]; w.keepOpen && k != nil {
-		k.handler = nil
+func newFakeNetwork() *fakeNetwork {
+	return &fakeNetwork{sockets: map[int]*fakeSocket{}, timers: map[*eventloop.Timer]float64{}}
+}
+
+func (w *fakeNetwork) Now() float64                            { return w.now }
+func (w *fakeNetwork) Clock() float64                          { return w.now }
+func (w *fakeNetwork) OpenDescriptors() int                    { return len(w.sockets) }
+func (w *fakeNetwork) SetTimer(t *eventloop.Timer, at float64) { w.timers[t] = at }
+func (w *fakeNetwork) StopTimer(t *eventloop.Timer)            { delete(w.timers, t) }
+func (w *fakeNetwork) Dial(netip.AddrPort) (int, error) {
+	w.lastDescriptor++
+	return w.lastDescriptor, nil
+}
+func (w *fakeNetwork) CloseUnwatched(int) {}
+func (w *fakeNetwork) Close(fd int) {
+	if socket := w.sockets[fd]; w.keepsOpen && socket != nil {
+		socket.handler = nil
 		return
 	}
-	delete(w.socks, fd)
+	delete(w.sockets, fd)
 }
 
-func (w *wire) NothingToRead(fd int) bool {
-	s := w.socks[fd]
-	return w.deafQuiet || !s.ended && len(s.in) == 0
+func (w *fakeNetwork) NothingToRead(fd int) bool {
+	socket := w.sockets[fd]
+	return w.alwaysQuiet || !socket.peerClosed && len(socket.unread) == 0
 }
 
-func (w *wire) SetInterest(fd int, read, write bool) {
-	if s := w.socks[fd]; s != nil {
-		s.wantRead, s.wantWrite = read, write
+func (w *fakeNetwork) SetInterest(fd int, read, write bool) {
+	if socket := w.sockets[fd]; socket != nil {
+		socket.wantRead, socket.wantWrite = read, write
 	}
 }
 
-func (w *wire) Add(fd int, h eventloop.Handler, read, write bool) error {
-	w.socks[fd] = &sock{handler: h, wantRead: read, wantWrite: write}
+func (w *fakeNetwork) Add(fd int, h eventloop.Handler, read, write bool) error {
+	w.sockets[fd] = &fakeSocket{handler: h, wantRead: read, wantWrite: write}
 	return nil
 }
 
-func (w *wire) ConnectError(fd int) error {
-	if w.socks[fd].refused {
+func (w *fakeNetwork) ConnectError(fd int) error {
+	if w.sockets[fd].refused {
 		return errRefused
 	}
 	return nil
 }
 
-func (w *wire) Read(fd int, into *buffer.Chain, most int) (int, error) {
-	s := w.socks[fd]
-	n := min(most, len(s.in))
-	into.Write(s.in[:n])
-	s.in = s.in[n:]
-	if len(s.in) == 0 && s.ended {
+func (w *fakeNetwork) Read(fd int, into *buffer.Chain, maxBytes int) (int, error) {
+	socket := w.sockets[fd]
+	n := min(maxBytes, len(socket.unread))
+	into.Write(socket.unread[:n])
+	socket.unread = socket.unread[n:]
+	if len(socket.unread) == 0 && socket.peerClosed {
 		return n, eventloop.ErrPeerClosed
 	}
 	return n, nil
 }
 
-func (w *wire) Write(fd int, from *buffer.Chain) error {
-	s := w.socks[fd]
-	if s.ended {
+func (w *fakeNetwork) Write(fd int, from *buffer.Chain) error {
+	socket := w.sockets[fd]
+	if socket.peerClosed {
 		return errGone
 	}
-	for from.Len() > 0 && s.room > 0 {
-		first := from.FirstPiece()
-		n := min(len(first), s.room)
-		if w.lateByte && n == from.Len() && n > 1 {
-			s.sent = append(s.sent, first[:n]...)
+	for from.Len() > 0 && socket.writable > 0 {
+		piece := from.FirstPiece()
+		n := min(len(piece), socket.writable)
+		if w.countsLastByteUnsent && n == from.Len() && n > 1 {
+			socket.written = append(socket.written, piece[:n]...)
 			from.Discard(n - 1)
-			s.room = 0
+			socket.writable = 0
 			return nil
 		}
-		s.sent = append(s.sent, first[:n]...)
-		s.room -= n
+		socket.written = append(socket.written, piece[:n]...)
+		socket.writable -= n
 		from.Discard(n)
 	}
-	if w.loseByte && from.Len() == 0 && len(s.sent) > 0 {
-		s.sent = s.sent[:len(s.sent)-1]
+	if w.losesLastByte && from.Len() == 0 && len(socket.written) > 0 {
+		socket.written = socket.written[:len(socket.written)-1]
 	}
-	if w.earlyByte && from.Len() == 1 { // it is taken off, and goes nowhere
+	if w.dropsLastByte && from.Len() == 1 { // removed from the chain without being written
 		from.Discard(1)
 	}
 	return nil
 }
 
-// fds are the open descriptors, in order.
-func (w *wire) fds() []int {
-	var out []int
-	for fd := range w.socks {
-		out = append(out, fd)
+// descriptors returns the open descriptors in ascending order.
+func (w *fakeNetwork) descriptors() []int {
+	var open []int
+	for fd := range w.sockets {
+		open = append(open, fd)
 	}
-	sort.Ints(out)
-	return out
+	sort.Ints(open)
+	return open
 }
 
-// next is the time of the first timer, or false.
-func (w *wire) next() (float64, bool) {
-	first, ok := 0.0, false
-	if w.timeless {
-		return first, ok
+// nextTimer returns the time of the earliest timer, and false if no timer fires.
+func (w *fakeNetwork) nextTimer() (float64, bool) {
+	first, set := 0.0, false
+	if w.timersNeverFire {
+		return first, set
 	}
 	for _, at := range w.timers {
-		if !ok || at < first {
-			first, ok = at, true
+		if !set || at < first {
+			first, set = at, true
 		}
 	}
-	return first, ok
+	return first, set
 }
 
-// timer is a connection's, or nil. It is found by where it lies, since the connection keeps it to itself.
-func (w *wire) timer(fd int) *eventloop.Timer {
-	k := w.socks[fd]
-	if k == nil || k.handler == nil {
+// connectionTimer returns a connection's timer if it is set, or nil. Connections do not export their timer, so it is found by
+// the address in the handler's field timer.
+func (w *fakeNetwork) connectionTimer(fd int) *eventloop.Timer {
+	socket := w.sockets[fd]
+	if socket == nil || socket.handler == nil {
 		return nil
 	}
-	at := reflect.ValueOf(k.handler).Elem().FieldByName("timer").Pointer()
+	address := reflect.ValueOf(socket.handler).Elem().FieldByName("timer").Pointer()
 	for t := range w.timers {
-		if reflect.ValueOf(t).Pointer() == at {
+		if reflect.ValueOf(t).Pointer() == address {
 			return t
 		}
 	}
 	return nil
 }
 
-// fire lets time pass to the first timer, and fires all that are due then: those of connections in the order
-// given, others after them.
-func (w *wire) fire(order []int) {
-	first, ok := w.next()
+// fireNextTimers lets time pass to the earliest timer and fires all timers due then: those of connections in the given order,
+// then all others.
+func (w *fakeNetwork) fireNextTimers(order []int) {
+	first, ok := w.nextTimer()
 	if !ok {
 		return
 	}
@@ -173,19 +180,19 @@
 		at, set := w.timers[t]
 		return set && at <= w.now
 	}
-	var all []*eventloop.Timer
+	var dueTimers []*eventloop.Timer
 	for _, fd := range order {
-		if t := w.timer(fd); t != nil && due(t) {
-			all = append(all, t)
+		if t := w.connectionTimer(fd); t != nil && due(t) {
+			dueTimers = append(dueTimers, t)
 		}
 	}
-	for t := range w.timers { // no system has more than one that is no connection's
-		if due(t) && !slices.Contains(all, t) {
-			all = append(all, t)
+	for t := range w.timers { // at most one: no system has more timers without a connection
+		if due(t) && !slices.Contains(dueTimers, t) {
+			dueTimers = append(dueTimers, t)
 		}
 	}
-	for _, t := range all {
-		if due(t) { // an earlier one may have unset it
+	for _, t := range dueTimers {
+		if due(t) { // an earlier timer may have stopped it
 			delete(w.timers, t)
 			t.Fire()
 		}
