--- a/internal/fleet/supervisor/action.go
+++ b/internal/fleet/supervisor/action.go
@@ -1,19 +1,19 @@
 package supervisor
 
-// ActionKind is what an agent is to do with a router.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
-// Kinds of actions, each with the method that takes in its outcome.
+// Kinds of actions. Each comment names the method of Supervisor that takes the action's outcome.
 const (
-	ActionFindProcess     ActionKind = iota // look whether the process of Incarnation runs: ProcessFound
-	ActionPrepareRevision                   // check that Revision's file can be written and is valid: RevisionPrepared
-	ActionInstallRevision                   // put Revision's file in place: RevisionInstalled
-	ActionStart                             // start a process as Incarnation: ProcessStarted, and ProcessExited once it ends
-	ActionHealthCheck                       // send an empty query: HealthChecked
-	ActionReadCounters                      // read the router's counters: CountersRead
-	ActionTerminate                         // tell the process to end: ProcessExited
-	ActionKill                              // kill the process: ProcessExited
-	ActionReload                            // have the process read its file again: ReloadReported
+	ActionFindProcess     ActionKind = iota // look for a running process of Incarnation; outcome: ProcessFound
+	ActionPrepareRevision                   // check that Revision is valid and its file can be written; outcome: RevisionPrepared
+	ActionInstallRevision                   // write Revision's file where the router reads it; outcome: RevisionInstalled
+	ActionStart                             // start a process as Incarnation; outcome: ProcessStarted, later ProcessExited
+	ActionHealthCheck                       // send an empty query to the router; outcome: HealthChecked
+	ActionReadCounters                      // have the router log its counters; outcome: CountersRead
+	ActionTerminate                         // send SIGTERM to the process; outcome: ProcessExited
+	ActionKill                              // send SIGKILL to the process; outcome: ProcessExited
+	ActionReload                            // send SIGHUP: the process reads its file again; outcome: ReloadReported
 )
 
 var actionKinds = [...]string{"find", "prepare", "place", "start", "probe", "count", "term", "kill", "hup"}
@@ -21,16 +21,16 @@
 // String returns the short name of the kind.
 func (k ActionKind) String() string { return actionKinds[k] }
 
-// Action is one thing to do.
+// Action is something that the agent does to a router or its files when a supervisor asks for it.
 type Action struct {
 	Kind        ActionKind
-	Revision    string // for ActionPrepareRevision and ActionInstallRevision
-	Incarnation uint64 // for ActionFindProcess and ActionStart
+	Revision    string // digest; set for ActionPrepareRevision and ActionInstallRevision
+	Incarnation uint64 // set for ActionFindProcess and ActionStart
 }
 
-// Transition is what an event leads to. If Store is set, the supervisor's Record must be stored before the actions
-// are carried out. If that fails, the event has not happened: the caller goes back to a copy of the supervisor and
-// hands the event in again later.
+// Transition is the result of an event. If Store is set, the caller must store the supervisor's Record before it
+// carries out the actions. If storing fails, the event counts as not having happened: the caller restores the copy of
+// the supervisor that it took before and repeats the event later.
 type Transition struct {
 	Store   bool
 	Actions []Action
--- a/internal/fleet/supervisor/counters.go
+++ b/internal/fleet/supervisor/counters.go
@@ -4,14 +4,14 @@
 
 const keptReadings = 16
 
-// readings are the newest readings of a process's counters.
+// readings is a ring buffer of the newest readings of a process's counters.
 type readings struct {
-	at     [keptReadings]float64 // when each was taken
+	at     [keptReadings]float64 // time of each reading, in seconds
 	counts [keptReadings]rollout.CommandCounts
-	taken  int // so far; the reading with number n stands at n modulo keptReadings
+	taken  int // number of readings so far; reading n is stored at index n modulo keptReadings
 }
 
-// CountersRead takes in the counters of the process, counted since its start.
+// CountersRead records a reading of the process's counters, which count from the start of the process.
 func (s *Supervisor) CountersRead(now float64, counts rollout.CommandCounts) {
 	s.commands = counts
 	slot := s.readings.taken % keptReadings
@@ -20,7 +20,8 @@
 	s.readings.taken++
 }
 
-// recentCommands counts the commands completed within Limits.RecentSeconds, as far back as readings are kept.
+// recentCommands returns the number of commands completed within the last Limits.RecentSeconds. The window is shorter
+// if the kept readings do not reach that far back.
 func (s *Supervisor) recentCommands(now float64) rollout.CommandCounts {
 	r := &s.readings
 	for n := max(0, r.taken-keptReadings); n < r.taken; n++ {
@@ -32,7 +33,8 @@
 	return rollout.CommandCounts{}
 }
 
-// countsSince returns how much the counters have grown. Counters below the earlier ones began anew.
+// countsSince returns how much the counters have grown since an earlier reading. If a counter is lower than before, a
+// new process has started counting from zero, and the counters are returned as they are.
 func countsSince(counts, earlier rollout.CommandCounts) rollout.CommandCounts {
 	if counts.Completed < earlier.Completed || counts.Unanswered < earlier.Unanswered {
 		return counts
--- a/internal/fleet/supervisor/doc.go
+++ b/internal/fleet/supervisor/doc.go
@@ -1,9 +1,10 @@
-// Package supervisor decides for an agent: what it does with the processes of its routers (Supervisor) and how it answers
-// the operators' tools (RequestHandler). It does no input or output and reads no clock: times are seconds on the
-// clock of the agent. Every event returns a Transition: what must be stored first, and which actions to carry out
-// then. The outcome of an action is handed in as the next event.
+// Package supervisor holds the decisions of an agent: Supervisor decides when to start, reload and end the process of a
+// router, and RequestHandler answers the requests of the operators' tools. The package does no input or output and
+// reads no clock: the caller passes all times, in seconds on the agent's clock. Events are method calls that return a
+// Transition: whether the caller must store the record first, and which actions it carries out after that. The caller
+// reports the outcome of each action as a further event.
 //
-// A router is taken out of service only by a step that was stored before. An agent that starts again resolves the
-// step that it had begun: a step that had changed nothing is not applied, one that may have is continued, and a
-// router that turns out to serve is left alone.
+// A router is taken out of service only by a step that was stored before. A restarted agent resolves the step that was
+// pending when it ended: a step that had changed nothing is not applied, a step that may have changed something is
+// continued, and a router that still serves is not terminated.
 package supervisor
--- a/internal/fleet/supervisor/environment_test.go
+++ b/internal/fleet/supervisor/environment_test.go
@@ -8,26 +8,27 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// How a revision that is not right behaves.
+// Behaviours of a bad revision.
 const (
-	refused = "refused" // it cannot be prepared
-	exits   = "exits"   // its process exits at once
-	silent  = "silent"  // its process does not answer
+	refused = "refused" // preparing it fails
+	exits   = "exits"   // its process exits immediately
+	silent  = "silent"  // its process answers no health check
 )
 
 const tickSeconds = 0.05
 
-// process is the one process that an environment has, if any.
+// process is the simulated router process of an environment. At most one runs at a time.
 type process struct {
 	running       bool
 	incarnation   uint64
 	file          string
 	terminating   bool
-	ignoresSignal bool // it must be killed
+	ignoresSignal bool // it ignores SIGTERM and must be killed
 }
 
-// environment is what lies outside a supervisor: one file, at most one process and a store, in virtual time. Actions
-// take effect at once and their outcomes are queued, so that an agent may end between the two.
+// environment simulates the machine around a supervisor in virtual time: one configuration file, at most one process
+// and a store. Actions take effect immediately and their outcomes are queued, so that a test can end the agent between
+// an action and its outcome.
 type environment struct {
 	t          require.TestingT
 	limits     Limits
@@ -35,11 +36,11 @@
 	stored     Record
 	now        float64
 	file       string
-	bad        map[string]string // revisions that are not right, and how they behave
+	bad        map[string]string // behaviour of each bad revision
 	process    process
-	queue      []func() Transition
+	queue      []func() Transition // events that report the outcomes of actions
 	storeFails bool
-	actions    []ActionKind // all that were carried out
+	actions    []ActionKind // kinds of all actions that were carried out
 }
 
 func newEnvironment(t require.TestingT) *environment {
@@ -60,7 +61,7 @@
 	return e
 }
 
-// restartAgent starts the agent anew: what was not stored is lost, and outcomes that are queued are not heard of.
+// restartAgent ends the agent and starts it again. State that was not stored and outcomes in the queue are lost.
 func (e *environment) restartAgent() {
 	e.queue = nil
 	var t Transition
@@ -68,7 +69,7 @@
 	e.carryOut(t, nil)
 }
 
-// handle hands an event in. If its transition cannot be stored it has not happened and comes again.
+// handle passes an event to the supervisor. If storing fails, it restores the supervisor and queues the event again.
 func (e *environment) handle(event func() Transition) {
 	before := e.supervisor
 	t := event()
@@ -80,14 +81,15 @@
 	e.carryOut(t, nil)
 }
 
-// handleNext hands in the next outcome.
+// handleNext handles the next event of the queue.
 func (e *environment) handleNext() {
 	event := e.queue[0]
 	e.queue = e.queue[1:]
 	e.handle(event)
 }
 
-// carryOut stores and carries out a transition, up to the first action for which stop, if there is one, is true.
+// carryOut stores the record if the transition requires it and carries out the actions, up to and including the first
+// one for which stop returns true. stop may be nil.
 func (e *environment) carryOut(t Transition, stop func(ActionKind) bool) {
 	if t.Store {
 		e.stored = e.supervisor.Record
@@ -132,11 +134,11 @@
 	}
 }
 
-// prepare finds that a revision whose name begins with r needs only a reload.
+// prepare queues the outcome of preparing a revision. A revision whose name begins with r needs only a reload.
 func (e *environment) prepare(revision string) {
 	var err error
 	if e.bad[revision] == refused {
-		err = errors.New("refused by the reader")
+		err = errors.New("rejected by the parser")
 	}
 	p := Preparation{ReloadSuffices: revision[0] == 'r', DrainSeconds: 5}
 	e.later(func() Transition { return e.supervisor.RevisionPrepared(e.now, p, err) })
@@ -159,7 +161,7 @@
 	}
 }
 
-// run lets time pass and hands in outcomes as they come.
+// run advances the time and handles queued events and due ticks.
 func (e *environment) run(seconds float64) {
 	for end := e.now + seconds; e.now < end; {
 		for len(e.queue) > 0 {
@@ -179,7 +181,7 @@
 	}
 }
 
-// beginStep begins a step and returns why it was not begun.
+// beginStep begins a step. It returns the reason why the step was not begun, or an empty string.
 func (e *environment) beginStep(number uint64, revision string) string {
 	before := e.supervisor
 	t, err := e.supervisor.BeginStep(rollout.Step{RolloutID: "roll", Number: number, Revision: revision})
--- a/internal/fleet/supervisor/limits.go
+++ b/internal/fleet/supervisor/limits.go
@@ -2,20 +2,20 @@
 
 // Limits are the timeouts, intervals and counts of a supervisor.
 type Limits struct {
-	ReadyTimeoutSeconds     float64 // for a started or reloaded router, before its step has failed
-	TerminationGraceSeconds float64 // after it, a router that was told to end accepts no connections
-	HealthCheckSeconds      float64 // between health checks of a router that is not known to be ready
-	CounterReadSeconds      float64 // between readings of a router's counters
-	RecentSeconds           float64 // that Observation.RecentCommands covers
-	MinBackoffSeconds       float64 // before a router that exited by itself is started again; doubles with each exit
-	MaxBackoffSeconds       float64 // the longest backoff
-	StableSeconds           float64 // that a router must be ready for its earlier exits to be forgotten
-	MaxCrashes              int     // exits in a row, after which the router is not started again
-	MaxMissedHealthChecks   int     // in a row, after which a router no longer counts as ready
-	KillRetrySeconds        float64 // between attempts to kill a process
+	ReadyTimeoutSeconds     float64 // time for a started or reloaded router to become ready; after it, the step fails
+	TerminationGraceSeconds float64 // time after SIGTERM within which a router stops accepting connections
+	HealthCheckSeconds      float64 // interval between health checks of a router that is not known to be ready
+	CounterReadSeconds      float64 // interval between readings of a router's counters
+	RecentSeconds           float64 // window of Observation.RecentCommands
+	MinBackoffSeconds       float64 // delay before a crashed router is started again; doubles with each crash in a row
+	MaxBackoffSeconds       float64 // longest delay before a crashed router is started again
+	StableSeconds           float64 // if a router was ready for this long before it exits, its earlier crashes no longer count
+	MaxCrashes              int     // after more crashes in a row than this, the router is not started again
+	MaxMissedHealthChecks   int     // after this number of failed health checks in a row, a router is no longer ready
+	KillRetrySeconds        float64 // interval between attempts to kill a process
 }
 
-// DefaultLimits suit routers that start within a second.
+// DefaultLimits returns limits for routers that start within a second.
 func DefaultLimits() Limits {
 	return Limits{
 		ReadyTimeoutSeconds:     10,
--- a/internal/fleet/supervisor/model_test.go
+++ b/internal/fleet/supervisor/model_test.go
@@ -10,7 +10,8 @@
 	_ "stoatdale.example/stoatdale/internal/lab/fixed"
 )
 
-// TestNoOrderOfEventsStartsTwoProcessesOrLeavesAStepPending mixes steps, crashes, agents that end and stores that fail.
+// TestNoOrderOfEventsStartsTwoProcessesOrLeavesAStepPending draws random orders of steps, router crashes, agent restarts
+// and store failures.
 func TestNoOrderOfEventsStartsTwoProcessesOrLeavesAStepPending(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := newEnvironment(t)
--- a/internal/fleet/supervisor/process.go
+++ b/internal/fleet/supervisor/process.go
@@ -6,23 +6,23 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// ProcessFound takes in the outcome of ActionFindProcess: whether the process of the record's incarnation runs. It
-// resolves a step that an earlier run of the agent left pending.
+// ProcessFound handles the outcome of ActionFindProcess: whether the process of the record's incarnation runs. It
+// resolves a step that was pending when the previous agent process ended.
 func (s *Supervisor) ProcessFound(now float64, running bool) Transition {
 	if s.phase != phaseFinding {
 		return Transition{}
 	}
 	var t Transition
 	if s.stepPending() && !s.MayHaveChanged {
-		s.endStep(rollout.StepNotApplied, "the agent ended before it had done anything")
+		s.endStep(rollout.StepNotApplied, "the agent ended before the step had changed anything")
 		t.Store = true
 	}
 	switch {
 	case s.stepPending():
 		s.resumeStep(now, running, &t)
 	case running:
-		// The process may serve. ProcessStarting would say that it does not, and a rollout would change the router
-		// without a check of the minimums, although it may be the last that serves.
+		// The process may be serving clients. In the state ProcessStarting it would count as not serving, and a rollout
+		// would change the router without checking the minimums, even if it is the last router that serves.
 		s.state = rollout.ProcessUnknown
 		s.awaitReady(now, &t)
 	default:
@@ -31,7 +31,8 @@
 	return t
 }
 
-// resumeStep continues a step that an earlier run of the agent left pending, from where it may have come to.
+// resumeStep continues a step that was pending when the previous agent process ended, from the first action that may not
+// have been carried out.
 func (s *Supervisor) resumeStep(now float64, running bool, t *Transition) {
 	switch {
 	case s.Reload && running:
@@ -52,6 +53,7 @@
 	}
 }
 
+// startIfWanted starts the router if it is meant to run, and otherwise waits for a step.
 func (s *Supervisor) startIfWanted(t *Transition) {
 	if s.ShouldRun {
 		s.start(t)
@@ -61,14 +63,14 @@
 	s.enter(phaseIdle, never)
 }
 
-// terminate has the process told to end, and killed once its drain is over.
+// terminate requests SIGTERM for the process. Tick requests SIGKILL if it still runs after DrainSeconds.
 func (s *Supervisor) terminate(now float64, t *Transition) {
 	s.state = rollout.ProcessDraining
 	s.enter(phaseTerminating, now+s.DrainSeconds)
 	t.add(ActionTerminate)
 }
 
-// start has a process started under a new incarnation.
+// start requests the start of a process under a new incarnation.
 func (s *Supervisor) start(t *Transition) {
 	s.Incarnation++
 	s.state = rollout.ProcessStarting
@@ -80,7 +82,7 @@
 	t.Actions = append(t.Actions, Action{Kind: ActionStart, Incarnation: s.Incarnation})
 }
 
-// ProcessStarted takes in the outcome of ActionStart.
+// ProcessStarted handles the outcome of ActionStart. An error counts as an exit of the process.
 func (s *Supervisor) ProcessStarted(now float64, incarnation uint64, err error) Transition {
 	if s.phase != phaseStarting || incarnation != s.Incarnation {
 		return Transition{}
@@ -93,7 +95,8 @@
 	return t
 }
 
-// awaitReady waits for the process to answer: during a step not longer than Limits.ReadyTimeoutSeconds.
+// awaitReady waits until the process answers a health check. During a step it waits at most
+// Limits.ReadyTimeoutSeconds.
 func (s *Supervisor) awaitReady(now float64, t *Transition) {
 	deadline := never
 	if s.stepPending() {
@@ -105,7 +108,7 @@
 	t.add(ActionHealthCheck)
 }
 
-// HealthChecked takes in the outcome of ActionHealthCheck: whether the router answered.
+// HealthChecked handles the outcome of ActionHealthCheck: whether the router answered.
 func (s *Supervisor) HealthChecked(now float64, answered bool) Transition {
 	s.nextHealthCheck = now + s.limits.HealthCheckSeconds
 	switch s.phase {
@@ -117,7 +120,7 @@
 		return s.checkedConfirming(now, answered)
 	case phaseIdle:
 		s.checkedIdle(now, answered)
-	default: // the check was under way when the phase began
+	default: // the check was sent in an earlier phase
 	}
 	return Transition{}
 }
@@ -126,7 +129,7 @@
 	if !answered {
 		s.missedHealthChecks++
 		if s.state == rollout.ProcessUnknown && s.missedHealthChecks >= s.limits.MaxMissedHealthChecks {
-			s.state = rollout.ProcessStarting // it was found running, but does not answer
+			s.state = rollout.ProcessStarting // the process that was found running does not answer
 		}
 		return Transition{}
 	}
@@ -138,7 +141,8 @@
 	return Transition{Store: true}
 }
 
-// checkedPreparing takes in a check that was under way when a step was begun.
+// checkedPreparing handles a check that was sent before the step was begun. If it shows that the router has become
+// ready, a step that is only for a router that does not serve is not applied.
 func (s *Supervisor) checkedPreparing(now float64, answered bool) Transition {
 	cameUp := answered && s.state == rollout.ProcessStarting
 	if !cameUp || !s.Step.OnlyIfNotServing {
@@ -149,7 +153,8 @@
 	return Transition{Store: true}
 }
 
-// checkedConfirming tells a process that was told to end, which no longer accepts connections, from one that was not.
+// checkedConfirming distinguishes a process that received SIGTERM before the agent restarted, which no longer accepts
+// connections, from one that did not.
 func (s *Supervisor) checkedConfirming(now float64, answered bool) Transition {
 	if !answered {
 		s.state = rollout.ProcessDraining
@@ -157,7 +162,7 @@
 		return Transition{}
 	}
 	s.becomeReady(now)
-	s.endStep(rollout.StepNotApplied, "the agent ended before the router was told to end")
+	s.endStep(rollout.StepNotApplied, "the agent ended before it had sent SIGTERM to the router")
 	return Transition{Store: true}
 }
 
@@ -171,7 +176,7 @@
 	}
 	s.missedHealthChecks++
 	if s.state == rollout.ProcessReady && s.missedHealthChecks >= s.limits.MaxMissedHealthChecks {
-		s.state = rollout.ProcessStarting // it runs, but does not answer
+		s.state = rollout.ProcessStarting // the process runs but does not answer
 	}
 }
 
@@ -183,7 +188,7 @@
 	s.enter(phaseIdle, never)
 }
 
-// ProcessExited tells that the process has ended, and how, for people.
+// ProcessExited handles the end of the process. how describes the end for people.
 func (s *Supervisor) ProcessExited(now float64, how string) Transition {
 	wasStable := s.state == rollout.ProcessReady && now-s.readySince >= s.limits.StableSeconds
 	s.state = rollout.ProcessDown
@@ -192,11 +197,11 @@
 	case phaseFinding, phaseBackoff, phaseInstalling:
 		return t
 	case phasePreparing:
-		return t // the step goes on without a process to end
+		return t // the step continues and has no process to terminate
 	case phaseTerminating, phaseConfirming:
 		s.install(&t)
 		return t
-	default: // it exited by itself
+	default: // the process exited by itself
 	}
 	if s.stepPending() {
 		s.endStep(rollout.StepFailed, "it ended before it was ready: "+how)
@@ -215,7 +220,8 @@
 	return t
 }
 
-// backoffSeconds doubles with each exit in a row.
+// backoffSeconds returns the delay before the next start. It doubles with each crash in a row, up to
+// Limits.MaxBackoffSeconds.
 func (s *Supervisor) backoffSeconds() float64 {
 	backoff := s.limits.MinBackoffSeconds * math.Pow(2, float64(s.crashes-1))
 	return min(backoff, s.limits.MaxBackoffSeconds)
--- a/internal/fleet/supervisor/process_test.go
+++ b/internal/fleet/supervisor/process_test.go
@@ -10,7 +10,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// An agent that starts again finds its router running and does not know yet whether it serves.
+// A restarted agent that finds its router running does not know until a health check whether the router serves.
 func TestRouterFoundRunningIsUnknownUntilItIsChecked(t *testing.T) {
 	e := newServing(t)
 	e.restartAgent()
@@ -26,9 +26,9 @@
 	e.bad["a"] = silent
 	e.restartAgent()
 	e.run(float64(e.limits.MaxMissedHealthChecks-2) * e.limits.HealthCheckSeconds)
-	assert.Equal(t, rollout.ProcessUnknown, e.supervisor.Observe(e.now).State, "an answer may be late")
+	assert.Equal(t, rollout.ProcessUnknown, e.supervisor.Observe(e.now).State, "the answer may be delayed")
 	e.run(3 * e.limits.HealthCheckSeconds)
-	assert.Equal(t, rollout.ProcessStarting, e.supervisor.Observe(e.now).State, "and one that does not answer does not serve")
+	assert.Equal(t, rollout.ProcessStarting, e.supervisor.Observe(e.now).State, "a router that does not answer does not serve")
 	assert.Empty(t, e.beginStep(2, "b"))
 }
 
@@ -47,7 +47,7 @@
 	assert.Equal(t, rollout.ProcessCrashLooping, e.supervisor.state)
 	assert.True(t, math.IsInf(e.supervisor.NextTick(), 1))
 	e.bad["a"] = ""
-	assert.Empty(t, e.beginStep(2, "b"), "a step begins anew")
+	assert.Empty(t, e.beginStep(2, "b"), "a step resets the crash count")
 	e.run(3)
 	assert.Equal(t, rollout.ProcessReady, e.supervisor.state)
 }
@@ -80,7 +80,7 @@
 	e.bad["a"] = silent
 	e.run(15)
 	assert.Equal(t, rollout.ProcessStarting, e.supervisor.state)
-	assert.True(t, e.process.running, "it is left to the operator")
+	assert.True(t, e.process.running, "the agent does not kill it: that is the operator's decision")
 	e.bad["a"] = ""
 	e.run(2)
 	assert.Equal(t, rollout.ProcessReady, e.supervisor.state)
--- a/internal/fleet/supervisor/request_handler.go
+++ b/internal/fleet/supervisor/request_handler.go
@@ -8,39 +8,41 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// RequestHandler answers the operators' tools for one agent: about its lease and its record, the operator's request
-// that was left with it, and its instances. Instances are referred to by their index.
+// RequestHandler answers the requests of the operators' tools to one agent. They concern the lease and its record, the
+// stored operator request and the instances. It identifies an instance by its index in InstanceNames and Supervisors.
 type RequestHandler struct {
-	Agent           string // name
-	Program         string // that answers, with its version
-	AgentsDigest    string // of the list of agents that this one goes by
+	Agent           string // name of the agent
+	Program         string // name and version of the agent's program
+	AgentsDigest    string // digest of the list of agents in this agent's fleet file
 	Lease           lease.Lease
-	OperatorRequest protocol.OperatorRequest // the newest that was left
+	OperatorRequest protocol.OperatorRequest // the one that was received last
 	InstanceNames   []string
 	Supervisors     []Supervisor
-	ListenAddresses []string // of the instances, for people; may be shorter
+	ListenAddresses []string // listen addresses of the instances, shown to operators; may be shorter than InstanceNames
 }
 
-// noInstance is Changes.ChangedInstance if no instance has changed.
+// noInstance is the value of Changes.ChangedInstance if no instance has changed.
 const noInstance = -1
 
-// Changes tells what a request has changed, which must be stored before its reply is sent, and what to do then. If it
-// cannot be stored, the request has not happened: the caller goes back to a copy of the handler.
+// Changes describes what a request has changed. The caller stores the changed parts before it sends the reply, and then
+// carries out Actions. If storing fails, the request counts as not having happened: the caller restores the copy of the
+// handler that it took before.
 type Changes struct {
 	Lease           bool     // RequestHandler.Lease has changed
 	OperatorRequest bool     // RequestHandler.OperatorRequest has changed
-	ChangedInstance int      // the instance whose record has changed, or -1
-	Actions         []Action // of ChangedInstance's supervisor
+	ChangedInstance int      // index of the instance whose record has changed, or -1
+	Actions         []Action // actions that ChangedInstance's supervisor requests
 }
 
-// Handle answers a request. Requests about revisions and the history are answered by the agent itself.
+// Handle answers a request and changes the state accordingly. The agent itself answers requests about revisions and the
+// history.
 func (h *RequestHandler) Handle(now float64, r protocol.Request) (protocol.Reply, Changes) {
 	reply := protocol.Reply{Agent: h.Agent, Program: h.Program}
 	changes := Changes{ChangedInstance: noInstance}
 	otherList := r.AgentsDigest != "" && r.AgentsDigest != h.AgentsDigest
 	if otherList && r.Verb != protocol.StatusVerb {
 		reply.Denial = lease.NotHolder
-		reply.Failure = "it goes by another list of agents: bring the fleet file of the agent and the tool together"
+		reply.Failure = "its fleet file has another list of agents than the tool's: use the same fleet file for the agent and the tool"
 		reply.LeaseState = h.Lease.State(now)
 		return reply, changes
 	}
@@ -66,13 +68,13 @@
 			reply.Failure = h.beginStep(r.InstanceName, r.Step, &changes)
 		}
 	default:
-		reply.Failure = fmt.Sprintf("%s is not answered here", r.Verb)
+		reply.Failure = fmt.Sprintf("the request handler does not answer %s requests", r.Verb)
 	}
 	reply.LeaseState = h.Lease.State(now)
 	return reply, changes
 }
 
-// reportStatus fills in the reply to a status request. One with an epoch also renews the caller's lease.
+// reportStatus fills in the reply to a status request. A request with an epoch also renews the caller's lease.
 func (h *RequestHandler) reportStatus(now float64, r protocol.Request, reply *protocol.Reply) {
 	byHolder := r.Epoch != 0
 	if byHolder {
@@ -83,12 +85,12 @@
 	}
 	reply.Record = h.Lease.Record
 	if byHolder {
-		reply.Record.Body = nil // the holder wrote it
+		reply.Record.Body = nil // the holder wrote the body and need not get it back
 	}
 	reply.OperatorRequest = h.OperatorRequest
 }
 
-// beginStep begins a step and returns why it was not begun, if so.
+// beginStep begins a step of the named instance. failure is the reason why the step was not begun, or empty.
 func (h *RequestHandler) beginStep(name string, step rollout.Step, changes *Changes) (failure string) {
 	for i, instance := range h.InstanceNames {
 		if instance != name {
@@ -104,9 +106,10 @@
 		}
 		return ""
 	}
-	return fmt.Sprintf("there is no instance %s here", name)
+	return fmt.Sprintf("the agent has no instance %s", name)
 }
 
+// instanceStatus returns the status of the instance with an index.
 func (h *RequestHandler) instanceStatus(now float64, instance int) protocol.InstanceStatus {
 	s := &h.Supervisors[instance]
 	status := protocol.InstanceStatus{
--- a/internal/fleet/supervisor/restart_test.go
+++ b/internal/fleet/supervisor/restart_test.go
@@ -10,8 +10,8 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// TestAgentThatEndsAfterAnyActionResolvesItsStep ends the agent after each action of a step, before the action's outcome
-// is handed in, and lets it start again at once or after a while.
+// TestAgentThatEndsAfterAnyActionResolvesItsStep ends the agent after each action of a step, before it receives the
+// action's outcome, and starts it again immediately or 20 s later.
 func TestAgentThatEndsAfterAnyActionResolvesItsStep(t *testing.T) {
 	actions := []ActionKind{
 		ActionPrepareRevision, ActionTerminate, ActionInstallRevision, ActionStart, ActionReload, ActionHealthCheck,
@@ -30,7 +30,8 @@
 	}
 }
 
-// runUntilAction hands outcomes in until a kind of action has been carried out; it is false if the step ends without.
+// runUntilAction handles outcomes until an action of the given kind has been carried out. It returns false if the step
+// ends without such an action.
 func (e *environment) runUntilAction(last ActionKind) bool {
 	for range 400 {
 		if len(e.queue) == 0 {
@@ -54,7 +55,8 @@
 	return false
 }
 
-// checkRestartResolves lets the agent be away and start again, and checks what becomes of the step.
+// checkRestartResolves starts the agent again after awaySeconds and checks that the step gets a result and that the
+// router runs the matching revision.
 func (e *environment) checkRestartResolves(t *testing.T, revision string, awaySeconds float64, name string) {
 	served := e.process.running && !e.process.terminating
 	e.queue = nil
@@ -74,21 +76,21 @@
 	}
 	assert.Equal(t, want, e.process.file, name)
 	if served {
-		assert.NotContains(t, e.actions, ActionTerminate, "a router that serves is left alone: %s", name)
+		assert.NotContains(t, e.actions, ActionTerminate, "a router that serves is not terminated: %s", name)
 	}
 }
 
 func TestAgentThatEndsBetweenStoringAndTerminatingDoesNotApplyTheStep(t *testing.T) {
 	e := newServing(t)
 	e.beginStep(2, "b")
-	transition := e.queue[len(e.queue)-1]() // prepared: stored, and the agent ends before it terminates the process
+	transition := e.queue[len(e.queue)-1]() // RevisionPrepared: the agent stores the record and ends before it sends SIGTERM
 	require.Equal(t, ActionTerminate, transition.Actions[0].Kind)
 	e.stored = e.supervisor.Record
 	e.restartAgent()
 	e.run(10)
 	assert.Equal(t, rollout.StepNotApplied, e.supervisor.Result)
 	assert.Equal(t, "a", e.process.file)
-	assert.EqualValues(t, 1, e.process.incarnation, "the same process")
+	assert.EqualValues(t, 1, e.process.incarnation, "the process was not restarted")
 }
 
 func TestFailingStoreDelaysTheStep(t *testing.T) {
@@ -101,7 +103,7 @@
 	e.storeFails = true
 	e.run(5)
 	assert.Equal(t, rollout.StepPending, e.supervisor.Result)
-	assert.Equal(t, "a", e.process.file, "nothing is changed that was not stored")
+	assert.Equal(t, "a", e.process.file, "nothing changes before it is stored")
 	e.storeFails = false
 	e.run(5)
 	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result)
@@ -109,7 +111,7 @@
 
 func TestStepThatChangedNothingIsNotAppliedAlsoIfTheRouterIsGone(t *testing.T) {
 	e := newServing(t)
-	e.beginStep(2, "b") // stored, and the agent ends; then its router too
+	e.beginStep(2, "b") // the step is stored, then the agent and the router end
 	e.process.running = false
 	e.restartAgent()
 	e.run(5)
--- a/internal/fleet/supervisor/step.go
+++ b/internal/fleet/supervisor/step.go
@@ -7,25 +7,26 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// failureServes is the failure of a step that is not applied because its router serves. The router came up by itself
-// between the tool's observation and the step; the tool did not check the minimums, as it counted the router as not
-// serving, and it may be the last one that serves by now.
-const failureServes = "the router came up by itself; the step was meant for one that does not serve"
+// failureServes is the failure of a step that is not applied because its router serves: the router became ready by
+// itself after the tool observed it. The tool did not check the minimums for this step, because it counted the router
+// as not serving. By now the router may be the last one that serves.
+const failureServes = "the router came up by itself, and the step is only for a router that does not serve"
 
-// Errors of BeginStep that need no detail.
+// Errors of BeginStep without further detail.
 var (
 	errProcessUnknown = errors.New("the agent has just started and does not know its routers yet")
 	errIncompleteStep = errors.New("the step has no number or no revision")
 )
 
-// BeginStep begins a step, or returns why it does not. A repeat of the step that was begun last changes nothing.
+// BeginStep begins a step. If it returns an error, the step was not begun. A repeat of the step that was begun last
+// changes nothing and returns no error.
 func (s *Supervisor) BeginStep(step rollout.Step) (Transition, error) {
 	sameRollout := s.Step.RolloutID == step.RolloutID
 	switch {
 	case sameRollout && s.Step.Number == step.Number:
 		return Transition{}, nil
 	case sameRollout && step.Number < s.Step.Number:
-		return Transition{}, fmt.Errorf("step %d comes after step %d", step.Number, s.Step.Number)
+		return Transition{}, fmt.Errorf("step %d is older than step %d, which was begun last", step.Number, s.Step.Number)
 	case s.state == rollout.ProcessUnknown:
 		return Transition{}, errProcessUnknown
 	case s.stepPending():
@@ -53,7 +54,7 @@
 	return Transition{Store: true, Actions: []Action{prepare}}, nil
 }
 
-// setStep records a step that has changed nothing yet.
+// setStep records a new pending step, which has not changed anything yet.
 func (s *Supervisor) setStep(step rollout.Step) {
 	s.Step = step
 	s.Result = rollout.StepPending
@@ -63,21 +64,21 @@
 	s.Replaced = false
 }
 
-// endStep ends the pending step.
+// endStep records the result of the pending step. failure is empty if it succeeded.
 func (s *Supervisor) endStep(result rollout.StepResult, failure string) {
 	s.Result = result
 	s.Failure = failure
 	s.commandsAtStepEnd = s.commands
 }
 
-// Preparation is how a revision can be put in place.
+// Preparation is how a prepared revision can be applied to an instance.
 type Preparation struct {
-	ReloadSuffices bool    // the running process need not be restarted
-	DrainSeconds   float64 // that the running process may take to end
+	ReloadSuffices bool    // the running process can reload the revision without a restart
+	DrainSeconds   float64 // how long the running process may take to end
 }
 
-// RevisionPrepared takes in the outcome of ActionPrepareRevision: how the revision can be put in place, or the error
-// for which it cannot.
+// RevisionPrepared handles the outcome of ActionPrepareRevision: how the revision can be applied, or the error that
+// prevents it.
 func (s *Supervisor) RevisionPrepared(now float64, p Preparation, err error) Transition {
 	if s.phase != phasePreparing {
 		return Transition{}
@@ -100,7 +101,7 @@
 	return t
 }
 
-// leaveUnchanged returns to the phase before a step that has changed nothing.
+// leaveUnchanged returns to the phase that the supervisor was in before the step. The step has not changed the process.
 func (s *Supervisor) leaveUnchanged(now float64) {
 	switch {
 	case s.state == rollout.ProcessDown && s.ShouldRun:
@@ -112,13 +113,13 @@
 	}
 }
 
-// install has the step's file put in place.
+// install requests the installation of the step's configuration file.
 func (s *Supervisor) install(t *Transition) {
 	s.enter(phaseInstalling, never)
 	t.Actions = append(t.Actions, Action{Kind: ActionInstallRevision, Revision: s.Step.Revision})
 }
 
-// RevisionInstalled takes in the outcome of ActionInstallRevision.
+// RevisionInstalled handles the outcome of ActionInstallRevision. It then reloads or starts the process.
 func (s *Supervisor) RevisionInstalled(now float64, err error) Transition {
 	if s.phase != phaseInstalling {
 		return Transition{}
@@ -139,14 +140,14 @@
 		t.add(ActionReload)
 		return t
 	}
-	s.Reload = false // the process may have exited meanwhile
+	s.Reload = false // the process to reload may have exited in the meantime
 	s.Replaced = true
 	s.start(&t)
 	return t
 }
 
-// ReloadReported takes in what the router reported of its file after ActionReload: why it could not use it, or
-// nothing if it does.
+// ReloadReported handles the router's report after ActionReload. failure is the reason why the router rejected its
+// configuration file, or empty if it now uses the file.
 func (s *Supervisor) ReloadReported(now float64, failure string) Transition {
 	if s.phase != phaseReloading {
 		return Transition{}
--- a/internal/fleet/supervisor/step_test.go
+++ b/internal/fleet/supervisor/step_test.go
@@ -12,8 +12,8 @@
 func TestStepRestartsAndReloadReloads(t *testing.T) {
 	e := newServing(t)
 	assert.Empty(t, e.beginStep(2, "b"))
-	assert.Empty(t, e.beginStep(2, "b"), "a repeat")
-	assert.Contains(t, e.beginStep(1, "a"), "comes after")
+	assert.Empty(t, e.beginStep(2, "b"), "a repeat of the step")
+	assert.Contains(t, e.beginStep(1, "a"), "step 1 is older than step 2")
 	assert.Contains(t, e.beginStep(3, "c"), "under way")
 	e.run(3)
 	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result)
@@ -27,7 +27,7 @@
 	assert.NotContains(t, e.actions, ActionTerminate)
 	e.actions = nil
 	assert.Empty(t, e.beginStep(4, "reloaded"))
-	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result, "it runs that already")
+	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result, "the router runs the revision already")
 	assert.NotContains(t, e.actions, ActionPrepareRevision)
 	assert.Empty(t, e.supervisor.Observe(e.now).PreviousRevision)
 }
@@ -48,7 +48,8 @@
 	assert.Equal(t, "a", e.supervisor.Revision)
 	assert.Equal(t, rollout.ProcessReady, e.supervisor.state)
 
-	e.exit()       // and it is started again: the step comes while the first health check is under way
+	// The router exits and is started again. The next step arrives while the first health check is under way.
+	e.exit()
 	e.handleNext() // ProcessExited
 	e.now = e.supervisor.NextTick()
 	e.handle(func() Transition { return e.supervisor.Tick(e.now) })
@@ -67,13 +68,13 @@
 	require.Equal(t, rollout.ProcessDown, e.supervisor.state)
 	begin(4)
 	e.run(3)
-	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result, "one that does not serve is changed")
+	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result, "a router that does not serve is changed")
 	assert.Equal(t, "b", e.process.file)
 }
 
 func TestBadRevisionFailsItsStep(t *testing.T) {
 	for behaviour, failure := range map[string]string{
-		refused: "refused by the reader", exits: "ended before it was ready",
+		refused: "rejected by the parser", exits: "ended before it was ready",
 		silent: "not ready within",
 	} {
 		e := newServing(t)
@@ -83,7 +84,7 @@
 		assert.Equal(t, rollout.StepFailed, e.supervisor.Result, behaviour)
 		assert.Contains(t, e.supervisor.Failure, failure)
 		assert.Equal(t, behaviour == refused, e.supervisor.state == rollout.ProcessReady, behaviour)
-		assert.Empty(t, e.beginStep(3, "a"), "the way back")
+		assert.Empty(t, e.beginStep(3, "a"), "a step back to the previous revision")
 		e.run(10)
 		assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result, behaviour)
 		assert.Equal(t, "a", e.process.file)
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -7,51 +7,51 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// phase is what a supervisor waits for.
+// phase is the event that a supervisor waits for.
 type phase int
 
 const (
-	phaseFinding       phase = iota // whether a process runs
-	phaseIdle                       // nothing: the process runs, or is not to be started
-	phaseBackoff                    // the process exited by itself and is started at the deadline
-	phasePreparing                  // the step's revision
-	phaseConfirming                 // after the agent's start: has the process been told to end?
-	phaseTerminating                // the process's exit
-	phaseInstalling                 // the step's file
-	phaseStarting                   // the process's start
-	phaseAwaitingReady              // the process's first answer
-	phaseReloading                  // the process's report on its reload
+	phaseFinding       phase = iota // the agent has started: waits for ProcessFound
+	phaseIdle                       // waits for a step: the process runs, or is not to be started
+	phaseBackoff                    // the process exited by itself and is started again at the deadline
+	phasePreparing                  // a step was begun: waits for RevisionPrepared
+	phaseConfirming                 // the agent has restarted: a health check after the deadline shows whether SIGTERM was sent
+	phaseTerminating                // waits for ProcessExited; the process is killed at the deadline
+	phaseInstalling                 // waits for RevisionInstalled
+	phaseStarting                   // waits for ProcessStarted
+	phaseAwaitingReady              // waits for the first health check that the process answers
+	phaseReloading                  // waits for ReloadReported
 )
 
-// readyHealthCheckFactor is how much longer the interval between health checks of a ready router is.
+// readyHealthCheckFactor is the factor by which the interval between health checks is longer for a ready router.
 const readyHealthCheckFactor = 10
 
-// never is a deadline that does not come.
+// never is the deadline of a phase without one.
 var never = math.Inf(1)
 
-// Supervisor is the state machine of one router as its agent runs it. It is a plain value: a copy is a state to go
-// back to. All times are handed in and must be of one clock.
+// Supervisor is the state machine with which an agent runs one router. It is a plain value: a caller can copy it and
+// restore the copy later. The caller passes all times; they are seconds on one clock.
 type Supervisor struct {
 	Record
 	limits *Limits
 
 	phase    phase
-	deadline float64 // of the phase
+	deadline float64 // time at which Tick acts on the phase, or never
 	state    rollout.ProcessState
 
-	nextHealthCheck    float64
-	missedHealthChecks int     // in a row
-	readySince         float64 // counts while state is ProcessReady
-	crashes            int     // exits by itself since it last ran for Limits.StableSeconds
+	nextHealthCheck    float64 // time of the next health check
+	missedHealthChecks int     // failed health checks in a row
+	readySince         float64 // time at which the router became ready; valid while state is ProcessReady
+	crashes            int     // number of times that the router exited by itself since it last ran for Limits.StableSeconds
 
-	nextCounterRead   float64
-	commands          rollout.CommandCounts // of the process
-	commandsAtStepEnd rollout.CommandCounts // commands as the last step ended
+	nextCounterRead   float64               // time of the next reading of the counters
+	commands          rollout.CommandCounts // counters of the process at the last reading
+	commandsAtStepEnd rollout.CommandCounts // value of commands when the last step ended
 	readings          readings
 }
 
-// NewSupervisor returns the supervisor of an agent that starts, given the instance's stored record. The transition
-// looks for a process that already runs.
+// NewSupervisor returns the supervisor of an instance whose agent starts, with the instance's stored record. The
+// transition's action looks for a process that already runs.
 func NewSupervisor(r Record, l *Limits) (Supervisor, Transition) {
 	s := Supervisor{Record: r, limits: l, state: rollout.ProcessUnknown, deadline: never}
 	return s, Transition{Actions: []Action{{Kind: ActionFindProcess, Incarnation: r.Incarnation}}}
@@ -62,10 +62,10 @@
 	s.deadline = deadline
 }
 
-// Crashes returns how often the router exited by itself since it last ran stably.
+// Crashes returns the number of times that the router exited by itself since it last ran for Limits.StableSeconds.
 func (s *Supervisor) Crashes() int { return s.crashes }
 
-// Observe returns what the agent reports of the instance. SeenAt is left to the observer.
+// Observe returns the agent's report on the instance. The observer that receives it sets SeenAt.
 func (s *Supervisor) Observe(now float64) rollout.Observation {
 	o := rollout.Observation{
 		State:             s.state,
@@ -95,7 +95,7 @@
 	return next
 }
 
-// checksHealth tells whether a process runs that is to be checked regularly.
+// checksHealth reports whether the process is checked regularly in the current phase and state.
 func (s *Supervisor) checksHealth() bool {
 	if s.phase == phaseAwaitingReady {
 		return true
@@ -104,11 +104,12 @@
 	return s.phase == phaseIdle && running
 }
 
+// idleAndReady reports whether the router is ready and in no step.
 func (s *Supervisor) idleAndReady() bool {
 	return s.phase == phaseIdle && s.state == rollout.ProcessReady
 }
 
-// Tick does what is due: the end of the phase, a health check, a reading of the counters.
+// Tick handles what is due: the deadline of the phase, a health check or a reading of the counters.
 func (s *Supervisor) Tick(now float64) Transition {
 	var t Transition
 	if now >= s.deadline {
@@ -130,6 +131,7 @@
 	return t
 }
 
+// deadlineReached acts on the phase whose deadline has passed.
 func (s *Supervisor) deadlineReached(now float64) Transition {
 	var t Transition
 	switch s.phase {
@@ -144,7 +146,7 @@
 		s.endStep(rollout.StepFailed, fmt.Sprintf("it was not ready within %g s", s.limits.ReadyTimeoutSeconds))
 		t.Store = true
 	case phaseReloading:
-		failure := fmt.Sprintf("it did not say within %g s that it had read its file", s.limits.ReadyTimeoutSeconds)
+		failure := fmt.Sprintf("the router did not report within %g s whether it had reloaded its file", s.limits.ReadyTimeoutSeconds)
 		s.endStep(rollout.StepFailed, failure)
 		s.becomeReady(now)
 		t.Store = true
