--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -1,10 +1,10 @@
 // Package agent runs the routers of one machine for the fleet tool: it starts and watches their processes, carries out
-// what package supervisor decides, and saves its state before it acknowledges a request or acts on a router.
+// the actions that package supervisor requests, and saves its state before it acknowledges a request or acts on a router.
 //
-// Routers outlive their agent. One that starts again finds the processes of the one before and continues their steps.
+// Routers keep running when their agent ends. A restarted agent finds their processes and continues their steps.
 //
-// All state belongs to one goroutine, that of Run. Work that may block runs in goroutines of its own, which hand in what
-// came of it as an event; Run waits for them before it returns.
+// All state belongs to the goroutine of Run. Work that may block runs in separate goroutines, which post its outcome to
+// Run as an event. Run waits for these goroutines before it returns.
 package agent
 
 import (
@@ -27,25 +27,25 @@
 // Files in an agent's folder and in those of its instances.
 const (
 	storeName      = "agent.db"    // the agent's store
-	configName     = "config.json" // what a router runs with
-	nextConfigName = "next.json"   // written before a step, to see that there is room for it
-	logName        = "router.log"  // standard output and error of a router
+	configName     = "config.json" // configuration of a router
+	nextConfigName = "next.json"   // configuration for a step, written in advance to check that the disk has room for it
+	logName        = "router.log"  // standard output and standard error of a router
 )
 
 const (
 	eventQueueLength = 256
-	storeRetryDelay  = time.Second      // after which an event that could not be stored is handed in again
-	maxIdle          = 60 * time.Second // that Run sleeps at most
-	minRecentSeconds = 5                // of counters that are reported as recent
+	storeRetryDelay  = time.Second      // delay before an event whose state could not be stored is repeated
+	maxIdle          = 60 * time.Second // longest time that Run waits for an event
+	minRecentSeconds = 5                // shortest window of the recent command counts
 )
 
-// Store is what an agent needs of its store. *store.Store implements it.
+// Store holds the agent's durable state. *store.Store implements it.
 type Store interface {
 	// Load returns the state to continue from.
 	Load() (store.State, error)
-	// Save writes a change, which is durable when it returns nil and has not happened otherwise.
+	// Save writes a change. If it returns nil, the change is durable; otherwise the store is unchanged.
 	Save(store.Change) error
-	// Revision returns a revision with its content, and whether there is one of the digest.
+	// Revision returns the revision with a digest, including its content. The bool reports whether it exists.
 	Revision(digest string) (protocol.Revision, bool, error)
 	// Revisions lists the revisions without their contents, newest first.
 	Revisions() ([]protocol.Revision, error)
@@ -53,7 +53,7 @@
 	Rollouts() ([]protocol.Rollout, error)
 }
 
-// event is something that Run does in its goroutine, between others. ctx is that of Run.
+// event is a function that Run calls in its goroutine, one at a time. ctx is Run's context.
 type event func(ctx context.Context)
 
 // Agent is the agent of one machine.
@@ -62,12 +62,12 @@
 	self      *inventory.Agent
 	store     Store
 	log       zerolog.Logger
-	handler   supervisor.RequestHandler // its supervisors are in the order of routers
+	handler   supervisor.RequestHandler // handler.Supervisors[i] belongs to routers[i]
 	limits    supervisor.Limits
 	routers   []router
 	events    chan event
-	startedAt time.Time // its monotonic reading is the origin of the agent's clock
-	work      sync.WaitGroup
+	startedAt time.Time      // time 0 of the agent's clock, by its monotonic reading
+	work      sync.WaitGroup // goroutines that Run waits for
 }
 
 // OpenStore opens the store in an agent's folder.
@@ -75,8 +75,8 @@
 	return store.Open(filepath.Join(self.Folder, storeName))
 }
 
-// New returns an agent that has loaded its state from the store. name is the agent's in the fleet file; program names
-// this program and its version, for people. It creates the folders of the agent's instances.
+// New returns an agent with the state that it loads from the store, and creates the folders of the agent's instances.
+// name is the agent's name in the fleet file. program is the name and version of this program, shown to operators.
 func New(f *inventory.Fleet, name, program string, s Store, log zerolog.Logger) (*Agent, error) {
 	self := f.Agent(name)
 	if self == nil {
@@ -105,13 +105,14 @@
 		a.routers = append(a.routers, r)
 		a.handler.InstanceNames = append(a.handler.InstanceNames, instance.Name)
 		a.handler.ListenAddresses = append(a.handler.ListenAddresses, instance.Listen.String())
-		supervisor, _ := supervisor.NewSupervisor(state.Instances[instance.Name], &a.limits) // Run carries out its first actions
+		// Run creates the supervisor again, to carry out its first actions.
+		supervisor, _ := supervisor.NewSupervisor(state.Instances[instance.Name], &a.limits)
 		a.handler.Supervisors = append(a.handler.Supervisors, supervisor)
 	}
 	return a, nil
 }
 
-// Run serves until ctx ends, and leaves the routers as they are. It may be called once.
+// Run handles events until ctx ends. The routers keep running after that. It may be called only once.
 func (a *Agent) Run(ctx context.Context) {
 	defer a.work.Wait()
 	for i := range a.routers {
@@ -139,20 +140,20 @@
 	}
 }
 
-// untilNextTick is the time until the first supervisor's tick, not above maxIdle.
+// untilNextTick returns the time until the earliest tick of a supervisor, at most maxIdle.
 func (a *Agent) untilNextTick() time.Duration {
 	next := math.Inf(1)
 	for i := range a.routers {
 		next = min(next, a.routers[i].nextTick())
 	}
-	seconds := min(next-a.now(), maxIdle.Seconds()) // infinity is no duration
+	seconds := min(next-a.now(), maxIdle.Seconds()) // next may be infinite, which a time.Duration cannot hold
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// now is the time on the agent's clock, in seconds since it was made.
+// now returns the time on the agent's clock, in seconds since New.
 func (a *Agent) now() float64 { return time.Since(a.startedAt).Seconds() }
 
-// post has an event handled by Run. It returns without effect once ctx, which is that of Run, has ended.
+// post queues an event for Run. ctx is Run's context; if it ends first, post returns without queueing the event.
 func (a *Agent) post(ctx context.Context, e event) {
 	select {
 	case a.events <- e:
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -27,10 +27,10 @@
 	"stoatdale.example/stoatdale/internal/lab/testserver"
 )
 
-// testTimeout ends a test that hangs; no test that passes waits for it.
+// testTimeout limits the waits of a test that hangs. A test that passes never waits this long.
 const testTimeout = 20 * time.Second
 
-// TestMain is also the stand-in router that agents start.
+// TestMain runs the tests. In a process that an agent started, it runs the stand-in router instead.
 func TestMain(m *testing.M) {
 	if os.Getenv(incarnationVariable) != "" {
 		testserver.Router()
@@ -38,7 +38,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// faultyStore is a store whose disk can be made full.
+// faultyStore is a store that can simulate a full disk.
 type faultyStore struct {
 	*store.Store
 	full atomic.Bool
@@ -51,18 +51,18 @@
 	return f.Store.Save(c)
 }
 
-// rig is one agent with one instance, in this process; it can be killed and started again.
+// rig runs an agent with one instance in the test process. A test can end the agent and start it again.
 type rig struct {
 	t          *testing.T
 	fleet      *inventory.Fleet
 	folder     string
 	agent      *Agent
 	store      *faultyStore
-	stop       func() // ends the agent, and waits for it
-	stepNumber uint64
+	stop       func() // ends the agent and waits until it has ended
+	stepNumber uint64 // of the step that was begun last
 }
 
-// newRig starts an agent that holds no revision yet, and takes its lease under epoch 1.
+// newRig starts an agent without revisions and acquires its lease under epoch 1.
 func newRig(t *testing.T) *rig {
 	dir := t.TempDir()
 	text := fmt.Sprintf(`(name t) (floor 0) (times (ready 2s) (grace 200ms)) (hall h (floor 0))
@@ -76,7 +76,7 @@
 		killRouters(t, dir)
 	})
 	r.call(protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 1, Holder: "h", Takeover: true}})
-	r.waitFor("it knows its router", func(t protocol.InstanceStatus) bool { return t.State != rollout.ProcessUnknown })
+	r.waitFor("a known router state", func(t protocol.InstanceStatus) bool { return t.State != rollout.ProcessUnknown })
 	return r
 }
 
@@ -94,13 +94,13 @@
 	r.stop = func() { cancel(); <-done; _ = s.Close() }
 }
 
-// restart ends the agent as a kill would: nothing is saved, no router is touched.
+// restart ends the agent as a kill would, without saving anything or changing a router, and starts it again.
 func (r *rig) restart() {
 	r.stop()
 	r.start()
 }
 
-// call sends a request to the agent as operator op.
+// call sends a request to the agent as the operator op.
 func (r *rig) call(c protocol.Request) protocol.Reply {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -110,26 +110,26 @@
 	return reply
 }
 
-// status is the agent's report of the instance.
+// status returns the agent's report on its first instance.
 func (r *rig) status() protocol.InstanceStatus {
 	return r.call(protocol.Request{Verb: protocol.StatusVerb}).Instances[0]
 }
 
-// inEventLoop runs something in the agent's goroutine, between its events.
+// inEventLoop calls f in the agent's goroutine and waits for it.
 func (r *rig) inEventLoop(f func()) {
 	done := make(chan struct{})
 	r.agent.post(context.Background(), func(context.Context) { f(); close(done) })
 	<-done
 }
 
-// process is the router's process as the agent has it, or nil.
+// process returns the agent's handle of the router's process, or nil.
 func (r *rig) process() *processHandle {
 	var p *processHandle
 	r.inEventLoop(func() { p = r.agent.routers[0].process })
 	return p
 }
 
-// waitFor polls the instance's status until a condition holds, which what names.
+// waitFor polls the instance's status until a condition holds. what describes the condition in the failure message.
 func (r *rig) waitFor(what string, condition func(t protocol.InstanceStatus) bool) protocol.InstanceStatus {
 	r.t.Helper()
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -138,12 +138,13 @@
 			return status
 		}
 		if time.Now().After(deadline) {
-			require.Fail(r.t, "not seen: "+what, "%+v", status)
+			require.Fail(r.t, "timed out waiting for "+what, "%+v", status)
 		}
 	}
 }
 
-// push has the agent store a revision and returns its digest.
+// push stores a revision at the agent and returns its digest. conduct is the behaviour of the stand-in router under the
+// revision, and more holds further settings.
 func (r *rig) push(conduct testserver.Conduct, more map[string]any) string {
 	r.t.Helper()
 	if more == nil {
@@ -158,17 +159,17 @@
 	return digest
 }
 
-// completeStep begins the next step and waits until it is over.
+// completeStep begins the next step and waits until it has a result.
 func (r *rig) completeStep(digest string) protocol.InstanceStatus {
 	r.t.Helper()
 	failure := r.beginStep(digest)
 	require.Empty(r.t, failure)
-	return r.waitFor("its end", func(t protocol.InstanceStatus) bool {
+	return r.waitFor("the end of the step", func(t protocol.InstanceStatus) bool {
 		return t.LastStep.Number == r.stepNumber && t.LastResult != rollout.StepPending
 	})
 }
 
-// beginStep begins the next step and returns why it was not begun.
+// beginStep begins the next step. It returns the reason why the step was not begun, or an empty string.
 func (r *rig) beginStep(digest string) string {
 	r.stepNumber++
 	reply := r.call(protocol.Request{
@@ -195,7 +196,7 @@
 	b := r.push(testserver.Conduct{}, map[string]any{"discovery": "127.0.0.1:10"})
 	status = r.completeStep(b)
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
-	assert.Equal(t, first, status.ProcessID, "another address of discovery moves by SIGHUP")
+	assert.Equal(t, first, status.ProcessID, "another discovery address needs only a reload by SIGHUP")
 	c := r.push(testserver.Conduct{Ready: 0.3}, map[string]any{"limits": map[string]any{"sockets": 300}})
 	status = r.completeStep(c)
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
@@ -221,15 +222,16 @@
 		assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 		assert.Equal(t, rollout.ProcessReady, status.State)
 	}
-	assert.Contains(t, r.completeStep(strings.Repeat("0", 32)).LastFailure, "is not at agent a: push it")
+	assert.Contains(t, r.completeStep(strings.Repeat("0", 32)).LastFailure, "is not stored at agent a: push it")
 	reply := r.call(protocol.Request{Verb: protocol.PutRevisionVerb, Revision: protocol.Revision{Digest: "x", Content: []byte(`{"discovery":"x"}`)}})
-	assert.Contains(t, reply.Failure, "and it is called x")
+	assert.Contains(t, reply.Failure, "but was pushed as x")
 	raw := []byte(`{"discovery":"x"}`)
 	reply = r.call(protocol.Request{Verb: protocol.PutRevisionVerb, Revision: protocol.Revision{Digest: revision.Digest(raw), Content: raw}})
-	assert.Contains(t, reply.Failure, "instance n: discovery:", "the router's own reader refuses it")
+	assert.Contains(t, reply.Failure, "instance n: discovery:", "the router's own parser rejects it")
 }
 
-// The agent is so busy that it takes a process over when that has ended already.
+// The agent is so busy that the process has already ended when the agent adopts it. The last line of the router's log must
+// be part of the step's failure nevertheless.
 func TestLastWordsOfARouterThatEndsAtOnceAreReported(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -249,7 +251,7 @@
 	began := time.Now()
 	status := r.completeStep(r.push(testserver.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}}))
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
-	assert.GreaterOrEqual(t, time.Since(began), 1500*time.Millisecond, "ten client timeouts, half a second, the grace")
+	assert.GreaterOrEqual(t, time.Since(began), 1500*time.Millisecond, "the drain time is ten client timeouts, half a second and the grace")
 	r.completeStep(r.push(testserver.Conduct{Drain: 0.7}, map[string]any{"limits": map[string]any{"sockets": 301}}))
 	p := r.process()
 	status = r.completeStep(r.push(testserver.Conduct{}, nil))
@@ -266,10 +268,10 @@
 	assert.Equal(t, status.ProcessID, again.ProcessID)
 	p := r.process()
 	require.NoError(t, p.signal(unix.SIGKILL))
-	after := r.waitFor("a new one", func(t protocol.InstanceStatus) bool { return ready(t) && t.ProcessID != status.ProcessID })
+	after := r.waitFor("a new process", func(t protocol.InstanceStatus) bool { return ready(t) && t.ProcessID != status.ProcessID })
 	assert.Equal(t, 1, after.Crashes)
 	assert.NotEqual(t, lease.Granted, r.call(protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 1, Holder: "other"}}).Denial,
-		"promises outlive the agent")
+		"the lease survives a restart of the agent")
 }
 
 func TestProcessWithoutIncarnationIsNotAdopted(t *testing.T) {
@@ -286,7 +288,7 @@
 	}
 	p, err = findRunning(r.agent.routers[0].incarnation(1))
 	require.NoError(t, err)
-	assert.Nil(t, p, "a router is known by its incarnation alone, and this process has none")
+	assert.Nil(t, p, "a router is identified only by its incarnation, and this process has none")
 	r.start()
 	assert.NotEqual(t, status.ProcessID, r.waitFor("ready", ready).ProcessID)
 }
@@ -303,7 +305,7 @@
 		require.Empty(t, r.beginStep(b), name)
 		time.Sleep(after)
 		r.restart()
-		status := r.waitFor("an end", func(t protocol.InstanceStatus) bool { return t.LastResult != rollout.StepPending && ready(t) })
+		status := r.waitFor("the end of the step", func(t protocol.InstanceStatus) bool { return t.LastResult != rollout.StepPending && ready(t) })
 		assert.NotEqual(t, rollout.StepFailed, status.LastResult, "%s: %s", name, status.LastFailure)
 		if status.LastResult == rollout.StepSucceeded {
 			assert.Equal(t, b, status.Revision, name)
@@ -320,7 +322,7 @@
 	assert.Contains(t, r.beginStep(b), "no space left")
 	assert.Contains(t, r.call(protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 9, Holder: "h"}}).Failure, "no space left")
 	assert.Equal(t, status.ProcessID, r.status().ProcessID)
-	assert.EqualValues(t, 1, r.call(protocol.Request{Verb: protocol.StatusVerb}).LeaseState.Epoch, "nothing is promised that is not kept")
+	assert.EqualValues(t, 1, r.call(protocol.Request{Verb: protocol.StatusVerb}).LeaseState.Epoch, "a lease that could not be stored is not granted")
 	r.store.full.Store(false)
 	assert.Equal(t, rollout.StepSucceeded, r.completeStep(b).LastResult)
 }
@@ -331,7 +333,7 @@
 	r.inEventLoop(func() { r.agent.limits.MinBackoffSeconds, r.agent.limits.MaxCrashes = 0.01, 3 })
 	status := r.completeStep(r.push(testserver.Conduct{LiveFor: 0.3}, nil))
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult)
-	status = r.waitFor("broken", func(t protocol.InstanceStatus) bool { return t.State == rollout.ProcessCrashLooping })
+	status = r.waitFor("a crash loop", func(t protocol.InstanceStatus) bool { return t.State == rollout.ProcessCrashLooping })
 	assert.Equal(t, 4, status.Crashes)
 }
 
@@ -364,5 +366,5 @@
 	require.NoError(t, err)
 	assert.Less(t, info.Size(), int64(maxLogBytes))
 	read(`{"message":"reloaded"}` + "\n")
-	assert.Len(t, got, 4, "it goes on from the new beginning")
+	assert.Len(t, got, 4, "reading continues from the start of the truncated log")
 }
--- a/internal/fleet/agent/config.go
+++ b/internal/fleet/agent/config.go
@@ -21,20 +21,21 @@
 }
 
 func (e *RevisionMissingError) Error() string {
-	return fmt.Sprintf("revision %s is not at agent %s: push it", revision.ShortDigest(e.Digest), e.Agent)
+	return fmt.Sprintf("revision %s is not stored at agent %s: push it", revision.ShortDigest(e.Digest), e.Agent)
 }
 
-// DigestError is the error of a pushed revision whose content has another digest than it is pushed under.
+// DigestError is the error of a pushed revision whose content does not have the digest that the request names.
 type DigestError struct {
-	Content, Named string // digests
+	Content, Named string // digest of the content, and the digest that the request names
 }
 
 func (e *DigestError) Error() string {
-	return fmt.Sprintf("the revision's content is %s, and it is called %s", revision.ShortDigest(e.Content), revision.ShortDigest(e.Named))
+	return fmt.Sprintf("the revision's content has digest %s, but was pushed as %s",
+		revision.ShortDigest(e.Content), revision.ShortDigest(e.Named))
 }
 
-// prepare sees that a revision can be installed: it is here, it is right for this instance, and there is room for its
-// file. running is the digest of the revision that the router runs; empty: none.
+// prepare checks that the revision next can be installed: it is stored, it is valid for this instance, and the disk has
+// room for its file. running is the digest of the revision that the router runs, or empty if it runs none.
 func (r *router) prepare(running, next string) (supervisor.Preparation, error) {
 	nextConfig, err := r.config(next)
 	if err != nil {
@@ -45,7 +46,7 @@
 	}
 	grace := float64(r.agent.fleet.Times.DrainGrace)
 	runningConfig, known := r.runningConfig(running)
-	if !known { // take the times of the next one, and restart
+	if !known { // restart the router, and compute its drain time from the next configuration
 		return supervisor.Preparation{DrainSeconds: revision.DrainSeconds(&nextConfig, grace)}, nil
 	}
 	return supervisor.Preparation{
@@ -54,7 +55,8 @@
 	}, nil
 }
 
-// runningConfig is the configuration of the revision that runs, if one does and the store still has it.
+// runningConfig returns the configuration of the running revision. known reports whether digest names a revision that
+// the store still has and that is valid.
 func (r *router) runningConfig(digest string) (running config.Config, known bool) {
 	if digest == "" {
 		return config.Config{}, false
@@ -63,7 +65,7 @@
 	return running, err == nil
 }
 
-// config is the router's configuration under a revision, as the router itself would read it.
+// config returns the router's configuration under a revision, parsed and checked as the router itself does it.
 func (r *router) config(digest string) (config.Config, error) {
 	content, err := r.agent.revisionContent(digest)
 	if err != nil {
@@ -72,8 +74,8 @@
 	return revision.Check(content, r.instance.RevisionInstance())
 }
 
-// writeConfig writes the router's configuration under a revision, atomically, to a file of its folder. Each time it has
-// another random seed.
+// writeConfig writes the router's configuration under a revision atomically to a file in the router's folder. Each call
+// puts a new random seed into the file.
 func (r *router) writeConfig(digest, fileName string) error {
 	content, err := r.agent.revisionContent(digest)
 	if err != nil {
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// revisionContent is the content of a revision in the store. It fails with *RevisionMissingError if it is not there.
+// revisionContent returns the content of a revision in the store, or *RevisionMissingError if the store does not have it.
 func (a *Agent) revisionContent(digest string) ([]byte, error) {
 	rev, found, err := a.store.Revision(digest)
 	if err == nil && !found {
@@ -102,7 +104,7 @@
 	return rev.Content, err
 }
 
-// putRevision stores a revision that is right for every instance here.
+// putRevision stores a pushed revision after checking its digest and that it is valid for every instance of this agent.
 func (a *Agent) putRevision(operator string, rev protocol.Revision) error {
 	canonical, err := revision.Canonical("revision", rev.Content)
 	if err != nil {
--- a/internal/fleet/agent/healthcheck.go
+++ b/internal/fleet/agent/healthcheck.go
@@ -12,18 +12,19 @@
 
 const (
 	healthCheckTimeout = time.Second
-	maxAnswerBytes     = 64 << 10 // of one message of the router's
+	maxAnswerBytes     = 64 << 10 // size limit of one message from the router
 )
 
-// Types of messages in the router's answer to an empty query.
+// Message types in the router's answer to an empty query.
 const (
 	errorMessage      = 'E'
 	emptyQueryMessage = 'I'
 	readyMessage      = 'Z'
 )
 
-// healthCheck sends an empty query to the router that listens on an address; it answers that by itself, without a
-// backend. The error says why there was no answer: healthCheckTimeout bounds the connecting and the answer each.
+// healthCheck sends an empty query to the router that listens on an address and waits for the answer. A router answers an
+// empty query without a backend. Connecting and answering may each take healthCheckTimeout. The error is the reason why
+// there was no answer.
 func healthCheck(ctx context.Context, address string) error {
 	dialer := net.Dialer{Timeout: healthCheckTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -48,7 +49,7 @@
 		case err != nil:
 			return err
 		case kind == errorMessage:
-			return errors.New("it answered with an error")
+			return errors.New("the router answered the health check with an error")
 		case kind == emptyQueryMessage:
 			empty = true
 		case kind == readyMessage && empty:
--- a/internal/fleet/agent/logtail.go
+++ b/internal/fleet/agent/logtail.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	maxLogBytes   = 8 << 20 // of a router's log, which is then rotated
+	maxLogBytes   = 8 << 20 // a router's log is rotated when it is larger
 	maxLineBytes  = 1 << 20
 	logBufferSize = 64 << 10
 )
 
-// Messages of a router that an agent follows.
+// Messages in a router's log that its agent looks for.
 const (
 	reloadedMessage      = "reloaded"
 	reloadRefusedMessage = "reload refused"
 )
 
-// logEvent is what a line of a router's log tells its agent: one of the two is set.
+// logEvent is an event that an agent reads from a line of a router's log. Exactly one field is set.
 type logEvent struct {
 	counts        *rollout.CommandCounts
-	reloadFailure *string // why a reload was refused; empty: it was not
+	reloadFailure *string // reason why the router refused a reload, or empty if it reloaded
 }
 
 // logTail reads a router's log as it grows.
 type logTail struct {
 	path      string
-	offset    int64  // up to which it is read
-	lastError string // the last line that reports a fault
+	offset    int64  // end of the part that was read, in bytes
+	lastError string // text of the last line that reports an error
 }
 
-// newLogTail returns a reader that starts at an offset of the log.
+// newLogTail returns a reader that starts at an offset in the log.
 func newLogTail(path string, offset int64) *logTail { return &logTail{path: path, offset: offset} }
 
-// read hands out the events since the last call. A log above maxLogBytes is rotated.
+// read passes the events of all complete lines since the last call to emit. It rotates a log larger than maxLogBytes.
 func (t *logTail) read(emit func(logEvent)) error {
 	f, err := os.Open(t.path)
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 	defer func() { _ = f.Close() }()
 	if info, err := f.Stat(); err == nil && info.Size() < t.offset {
-		t.offset = 0 // somebody else has truncated it
+		t.offset = 0 // the file was truncated by another program
 	}
 	if _, err := f.Seek(t.offset, io.SeekStart); err != nil {
 		return err
@@ -56,7 +56,7 @@
 	for {
 		line, err := r.ReadSlice('\n')
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
-			break // an incomplete line is read once it is complete
+			break // a later call reads an incomplete line once it is complete
 		}
 		t.offset += int64(len(line))
 		t.parseLine(line, emit)
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// rotate keeps the log beside it as the one before and truncates it. The router appends, so it writes on at the new end.
+// rotate copies the log to a file with the suffix .1, replacing an earlier copy, and truncates the log. The router opened
+// the log for appending, so it continues at the new end.
 func (t *logTail) rotate() error {
 	raw, err := os.ReadFile(t.path)
 	if err != nil {
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// logLine is a line of a router's log, as far as an agent follows it.
+// logLine is a line of a router's log with the fields that the agent uses.
 type logLine struct {
 	Level    string       `json:"level"`
 	Message  string       `json:"message"`
@@ -91,7 +92,7 @@
 	Counters *logCounters `json:"counters"`
 }
 
-// logCounters are counts of commands since the router's start.
+// logCounters are the counters of commands in a router's log, counted since the router's start.
 type logCounters struct {
 	BadInput  uint64 `json:"bad_input"`
 	Answered  uint64 `json:"answered"`
@@ -107,7 +108,7 @@
 func (t *logTail) parseLine(raw []byte, emit func(logEvent)) {
 	var line logLine
 	if json.Unmarshal(raw, &line) != nil {
-		t.lastError = strings.TrimSpace(string(raw)) // a program's last words need not be JSON
+		t.lastError = strings.TrimSpace(string(raw)) // for example the text of a panic, which is not JSON
 		return
 	}
 	switch {
--- a/internal/fleet/agent/process.go
+++ b/internal/fleet/agent/process.go
@@ -13,29 +13,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// incarnationVariable is in the environment of every router that an agent starts. Its value is that of no other process,
-// so that a router is known by it: process numbers are used again.
+// incarnationVariable is the environment variable that identifies a router that an agent started. No two processes have
+// the same value. A process ID does not identify a router, because the system reuses process IDs.
 const incarnationVariable = "STOATDALE_MARK"
 
-// configVariable tells a router its configuration's file.
+// configVariable is the environment variable with the path of a router's configuration file.
 const configVariable = "GW_CONFIG"
 
-// processHandle is a router's process.
+// processHandle refers to the process of a router.
 type processHandle struct {
 	pid int
-	fd  int // a pidfd: it stands for this process also after its number is used again
+	fd  int // pidfd, which refers to this process even after its process ID is reused
 
-	logStart int64 // offset in the log from which on the agent reads what the process writes
+	logStart int64 // offset in the log at which the agent starts reading the output of this process
 }
 
-// launch starts a router that outlives the agent: in a session of its own, with its output in a file of its folder.
+// launch starts a router that keeps running when the agent ends: it has its own session and writes to a log file in its
+// folder.
 func launch(program, folder, incarnation string) (*processHandle, error) {
 	log, err := os.OpenFile(filepath.Join(folder, logName), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = log.Close() }()
-	before, err := log.Stat() // before the start: a process that ends at once has had its last words by then
+	before, err := log.Stat() // before the start, since a process may write its last message immediately and end
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The number cannot be used again before the process is waited for, so the descriptor is that of the right one.
+	// The process ID cannot be reused before the process is waited for, so the pidfd refers to the started process.
 	fd, err := unix.PidfdOpen(process.Pid, 0)
 	if err != nil {
 		_ = process.Kill()
@@ -65,9 +66,10 @@
 	return handle, nil
 }
 
+// signal sends a signal to the process.
 func (p *processHandle) signal(s unix.Signal) error { return unix.PidfdSendSignal(p.fd, s, nil, 0) }
 
-// exited tells whether the process has ended, and how if that can be known.
+// exited reports whether the process has ended. how describes the end for people.
 func (p *processHandle) exited() (exited bool, how string) {
 	fds := []unix.PollFd{{Fd: int32(p.fd), Events: unix.POLLIN}}
 	if n, err := unix.Poll(fds, 0); err != nil || n == 0 {
@@ -80,9 +82,9 @@
 		case errors.Is(err, unix.EINTR):
 			continue
 		case err != nil || pid != p.pid:
-			return true, "it ended; how is not known, since an earlier agent had started it"
+			return true, "it ended with an unknown status, since it was started by an earlier agent process"
 		case status.Signaled():
-			return true, "it was ended by " + status.Signal().String()
+			return true, "it was ended by signal: " + status.Signal().String()
 		}
 		return true, fmt.Sprintf("it ended with status %d", status.ExitStatus())
 	}
@@ -90,7 +92,7 @@
 
 func (p *processHandle) close() { _ = unix.Close(p.fd) }
 
-// findRunning finds the process of an incarnation, or returns nil.
+// findRunning returns the process of an incarnation, or nil if none runs.
 func findRunning(incarnation string) (*processHandle, error) {
 	pids, err := processIDs()
 	if err != nil {
@@ -104,7 +106,8 @@
 		if err != nil {
 			continue
 		}
-		if slices.Contains(incarnationsOf(pid), incarnation) { // still, so the descriptor is that of the right process
+		// If the process ID still has the incarnation, it was not reused before the pidfd was opened.
+		if slices.Contains(incarnationsOf(pid), incarnation) {
 			return &processHandle{pid: pid, fd: fd}, nil
 		}
 		_ = unix.Close(fd)
@@ -112,7 +115,8 @@
 	return nil, nil
 }
 
-// RunningRouters lists the processes of routers whose files lie under a folder, by the folder of each.
+// RunningRouters returns the process IDs of the running routers whose folders are below the folder under. The keys of the
+// map are the routers' folders.
 func RunningRouters(under string) (map[string][]int, error) {
 	pids, err := processIDs()
 	if err != nil {
@@ -130,8 +134,8 @@
 	return running, nil
 }
 
-// KillRouters kills all routers whose files lie under a folder, and returns how many folders had one. It is for whoever
-// takes a whole fleet down: a drill, a test.
+// KillRouters kills all routers whose folders are below the folder under, and returns the number of folders that had a
+// running router. Drills and tests use it to end a whole fleet.
 func KillRouters(under string) (int, error) {
 	running, err := RunningRouters(under)
 	if err != nil {
@@ -148,7 +152,7 @@
 	return len(running), nil
 }
 
-// processIDs lists the processes of this machine.
+// processIDs returns the IDs of all processes on this machine.
 func processIDs() ([]int, error) {
 	entries, err := os.ReadDir("/proc")
 	if err != nil {
@@ -163,8 +167,8 @@
 	return pids, nil
 }
 
-// incarnationsOf are the incarnations in a process's environment: none if it is no router or cannot be read, and more
-// than one if its agent was itself started by a router's descendant.
+// incarnationsOf returns the incarnations in a process's environment. There is none if the process is not a router or its
+// environment cannot be read. There are several if the process's agent was itself started by a descendant of a router.
 func incarnationsOf(pid int) []string {
 	environment, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
 	if err != nil {
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -17,28 +17,28 @@
 	"stoatdale.example/stoatdale/internal/lab/testserver"
 )
 
-// Revisions and the holder in the recorded store.
+// Digests of revisions and the lease holder in the recorded store.
 const (
 	recordedFirst  = "3d2e1823e6ae42b27baac7131e7ab0b5"
 	recordedSecond = "afeb5d48ac63e5d333a52389d0cb0966"
 	recordedHolder = "ayla/host-1/00ff"
 )
 
-// TestAgentContinuesFromRecordedStore starts an agent on a copy of a store that an earlier release left in the middle
-// of a step, after a reboot that ended its routers: the step is carried on, the others are started as they were, the
-// promise stands, and the next step is taken.
+// TestAgentContinuesFromRecordedStore starts an agent on a copy of a store that an earlier release wrote in the middle of
+// a step, as after a reboot that ended its routers. The agent must complete the step, start the other routers with their
+// revisions, honour the lease and accept the next step.
 func TestAgentContinuesFromRecordedStore(t *testing.T) {
 	t.Parallel()
 	r, names := startOnRecordedStore(t)
-	status := r.waitFor("the open step is done", func(x protocol.InstanceStatus) bool { return x.LastResult != rollout.StepPending })
+	status := r.waitFor("the end of the pending step", func(x protocol.InstanceStatus) bool { return x.LastResult != rollout.StepPending })
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.Equal(t, recordedSecond, status.Revision)
 	assert.Equal(t, rollout.Step{RolloutID: "r-running", Number: 11, Revision: recordedSecond, Restart: true}, status.LastStep)
 	for i, name := range names {
 		if name == "failed" {
-			continue // its revision ends at once, again and again
+			continue // the router of its revision exits immediately at each start
 		}
-		r.waitFor(name+" is ready", func(protocol.InstanceStatus) bool {
+		r.waitFor(name+" to be ready", func(protocol.InstanceStatus) bool {
 			return ready(r.call(protocol.Request{Verb: protocol.StatusVerb}).Instances[i])
 		})
 	}
@@ -53,21 +53,22 @@
 	assert.Equal(t, protocol.OperatorRequest{RolloutID: "r-running", Run: 6, Action: rollout.RequestPause, Operator: "op"}, now.OperatorRequest)
 
 	refused := r.call(protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 7, Holder: "other"}})
-	assert.Equal(t, lease.StaleEpoch, refused.Denial, "what was promised stays promised")
+	assert.Equal(t, lease.StaleEpoch, refused.Denial, "the lease that was granted stays granted")
 	reply := r.call(protocol.Request{
 		Verb: protocol.BeginStepVerb, Epoch: 7, Holder: recordedHolder, InstanceName: "open",
 		Step: rollout.Step{RolloutID: "r-running", Number: 12, Revision: recordedFirst, Rollback: true},
 	})
 	require.Equal(t, lease.Granted, reply.Denial)
 	require.Empty(t, reply.Failure)
-	status = r.waitFor("the next step", func(x protocol.InstanceStatus) bool {
+	status = r.waitFor("the end of the next step", func(x protocol.InstanceStatus) bool {
 		return x.LastStep.Number == 12 && x.LastResult != rollout.StepPending
 	})
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.Equal(t, recordedFirst, status.Revision)
 }
 
-// startOnRecordedStore starts an agent on a copy of the recorded store. The instances are named as they are there.
+// startOnRecordedStore starts an agent on a copy of the recorded store. It returns the names of the instances, which are
+// those of the recorded store.
 func startOnRecordedStore(t *testing.T) (r *rig, names []string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -90,7 +91,7 @@
 	return r, names
 }
 
-// placeRecordedFiles puts in place the files of the routers as the store says: they lie beside it.
+// placeRecordedFiles writes the routers' configuration files for the revisions in the recorded store.
 func placeRecordedFiles(t *testing.T, f *inventory.Fleet) {
 	t.Helper()
 	s, err := OpenStore(f.Agent("a"))
@@ -111,7 +112,7 @@
 	}
 }
 
-// killRouters kills the routers under a folder until none is left.
+// killRouters kills the routers below a folder until none runs.
 func killRouters(t *testing.T, dir string) {
 	t.Helper()
 	for running := 1; running > 0; {
--- a/internal/fleet/agent/requests.go
+++ b/internal/fleet/agent/requests.go
@@ -11,8 +11,8 @@
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
-// Handle handles a request of an operator. It implements api.Handler, and may be called from any goroutine while Run
-// runs; it fails if ctx ends before the reply is there.
+// Handle answers an operator's request. It implements api.Handler and may be called from any goroutine while Run runs. It
+// returns an error if ctx ends before the reply is ready.
 func (a *Agent) Handle(ctx context.Context, operator string, request protocol.Request) (protocol.Reply, error) {
 	replies := make(chan protocol.Reply, 1)
 	handle := func(runContext context.Context) { replies <- a.handleRequest(runContext, operator, request) }
@@ -29,6 +29,7 @@
 	}
 }
 
+// handleRequest answers a request in the goroutine of Run.
 func (a *Agent) handleRequest(ctx context.Context, operator string, request protocol.Request) protocol.Reply {
 	reply := protocol.Reply{Agent: a.handler.Agent, Program: a.handler.Program}
 	switch request.Verb {
@@ -51,8 +52,8 @@
 	return reply
 }
 
-// handleDecision handles a request that package supervisor decides on. What it changes is stored before the reply; if that
-// fails the request has not happened and is denied.
+// handleDecision answers a request that package supervisor decides on. It stores the changes before it replies. If storing
+// fails, it restores the state from before the request and denies the request.
 func (a *Agent) handleDecision(ctx context.Context, operator string, request protocol.Request) protocol.Reply {
 	request.OperatorRequest.Operator = operator
 	before := a.handler
@@ -82,14 +83,15 @@
 	return reply
 }
 
-// storeChange is what a request has changed that must be stored, and whether there is any.
+// storeChange returns the parts of the state that a request has changed. dirty reports whether there are any to store.
 func (a *Agent) storeChange(request protocol.Request, changes supervisor.Changes) (change store.Change, dirty bool) {
 	if changes.Lease {
 		lease := a.handler.Lease.PersistentState
 		change.Lease = &lease
 	}
 	if changes.Lease && request.Verb == protocol.StoreRecordVerb {
-		// A record of a later version may not be readable here. It is stored all the same, but not in the history.
+		// This agent may be unable to decode a record of a later version. It stores that record with the lease, but does not
+		// add it to the history.
 		var rollout protocol.Rollout
 		if err := protocol.Decode("record", request.Record.Body, &rollout); err == nil && rollout.ID != "" {
 			change.Rollout = &rollout
@@ -104,7 +106,7 @@
 	return change, changes.Lease || changes.OperatorRequest || changes.ChangedInstance >= 0
 }
 
-// logRequest logs a request, but for those that a rollout makes all the time.
+// logRequest logs a request. It leaves out status requests and granted record requests, which a rollout sends all the time.
 func (a *Agent) logRequest(operator string, request protocol.Request, reply protocol.Reply) {
 	granted := reply.Denial == lease.Granted
 	if request.Verb == protocol.StatusVerb || request.Verb == protocol.StoreRecordVerb && granted {
@@ -115,7 +117,7 @@
 		Stringer("says", reply.Denial).Str("failure", reply.Failure).Msg("request")
 }
 
-// errorText is a reply's Failure for an error: empty for none.
+// errorText returns the text of an error for a reply's Failure, or an empty string if err is nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/fleet/agent/router.go
+++ b/internal/fleet/agent/router.go
@@ -17,18 +17,19 @@
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
-// router is one instance of the agent's: it connects the instance's supervisor, which decides, to the process.
+// router runs one instance of the agent: it passes events to the instance's supervisor and carries out the actions that
+// the supervisor requests.
 type router struct {
 	agent          *Agent
-	index          int // among the agent's routers
+	index          int // in the agent's routers and supervisors
 	instance       inventory.Instance
-	folder         string // absolute
-	process        *processHandle
-	healthChecking bool    // a health check is under way
-	retryAt        float64 // no tick before it, after one that could not be stored
+	folder         string         // absolute path
+	process        *processHandle // nil if no process is known to run
+	healthChecking bool           // a health check is under way
+	retryAt        float64        // earliest time of the next tick, set when storing the state has failed
 }
 
-// supervisorEvent hands something that has happened to a supervisor.
+// supervisorEvent calls the event method of a supervisor and returns the resulting transition.
 type supervisorEvent func(s *supervisor.Supervisor) supervisor.Transition
 
 func newRouter(a *Agent, index int, instance inventory.Instance) (router, error) {
@@ -44,9 +45,10 @@
 
 func (r *router) supervisor() *supervisor.Supervisor { return &r.agent.handler.Supervisors[r.index] }
 
-// incarnation identifies one start of the router among all processes of the machine.
+// incarnation returns the value of incarnationVariable for one start of the router. It is unique on the machine.
 func (r *router) incarnation(number uint64) string { return fmt.Sprintf("%s/%d", r.folder, number) }
 
+// nextTick returns the time of the next tick, on the agent's clock.
 func (r *router) nextTick() float64 { return max(r.supervisor().NextTick(), r.retryAt) }
 
 func (r *router) tickIfDue(ctx context.Context) {
@@ -54,11 +56,11 @@
 	if a.now() < r.nextTick() {
 		return
 	}
-	// A tick that could not be stored comes again by itself.
+	// A tick whose state could not be stored needs no retry here: the supervisor still has it due.
 	_ = r.apply(ctx, func(s *supervisor.Supervisor) supervisor.Transition { return s.Tick(a.now()) })
 }
 
-// handle applies an event. One that could not be stored has not happened, and is handed in again later.
+// handle applies an event. If the state cannot be stored, handle applies the event again after storeRetryDelay.
 func (r *router) handle(ctx context.Context, e supervisorEvent) {
 	if stored := r.apply(ctx, e); stored {
 		return
@@ -69,8 +71,8 @@
 	})
 }
 
-// apply hands an event to the supervisor, stores what must be and carries out the actions that follow. It returns false,
-// with the supervisor as it was, if the state could not be stored.
+// apply passes an event to the supervisor, stores the record if the transition requires it, and carries out the actions.
+// If the state cannot be stored, apply restores the supervisor and returns false.
 func (r *router) apply(ctx context.Context, e supervisorEvent) (stored bool) {
 	a := r.agent
 	supervised := r.supervisor()
@@ -90,7 +92,7 @@
 	return true
 }
 
-// logChanges logs how the supervisor's step and state differ from before.
+// logChanges logs the supervisor's step and the router's state if they differ from before.
 func (r *router) logChanges(before *supervisor.Supervisor) {
 	supervisor := r.supervisor()
 	if supervisor.Result != before.Result || supervisor.Step.Number != before.Step.Number {
@@ -103,6 +105,7 @@
 	}
 }
 
+// logStep logs the current step and its result.
 func (r *router) logStep() {
 	record := &r.supervisor().Record
 	entry := r.agent.log.Info()
@@ -137,14 +140,14 @@
 	case supervisor.ActionTerminate:
 		r.signal(ctx, unix.SIGTERM)
 	case supervisor.ActionKill:
-		r.agent.log.Warn().Str("instance", r.instance.Name).Msg("killed: it did not end within its time")
+		r.agent.log.Warn().Str("instance", r.instance.Name).Msg("router killed: it did not end within its drain time")
 		r.signal(ctx, unix.SIGKILL)
 	case supervisor.ActionReload:
 		r.signal(ctx, unix.SIGHUP)
 	}
 }
 
-// runAsync does work that may block in a goroutine of its own, and has Run handle the event that it returns.
+// runAsync runs work, which may block, in a new goroutine, and posts the event that work returns to Run.
 func (r *router) runAsync(ctx context.Context, work func() event) {
 	a := r.agent
 	a.work.Go(func() { a.post(ctx, work()) })
@@ -155,14 +158,14 @@
 	r.runAsync(ctx, func() event {
 		var process *processHandle
 		var err error
-		if number != 0 { // else none was ever started
+		if number != 0 { // 0 means that no process was ever started
 			process, err = findRestarted(ctx, r.incarnation(number))
 		}
 		if process != nil {
-			process.logStart = r.logSize() // what it wrote before was an earlier agent's to read
+			process.logStart = r.logSize() // the earlier agent process has read the log up to here
 		}
 		if err != nil {
-			a.log.Error().Err(err).Str("instance", r.instance.Name).Msg("process not looked for")
+			a.log.Error().Err(err).Str("instance", r.instance.Name).Msg("could not look for the router's process")
 		}
 		return func(ctx context.Context) {
 			r.adopt(ctx, process)
@@ -207,7 +210,7 @@
 	})
 }
 
-// checkHealth asks the router an empty query, unless it is being asked already.
+// checkHealth sends a health check to the router, unless one is under way already.
 func (r *router) checkHealth(ctx context.Context) {
 	if r.healthChecking {
 		return
@@ -232,7 +235,7 @@
 		return
 	}
 	err := r.process.signal(signal)
-	if err != nil && !errors.Is(err, unix.ESRCH) { // the end of one that has gone is reported by watch
-		a.log.Error().Err(err).Str("instance", r.instance.Name).Stringer("signal", signal).Msg("signal not sent")
+	if err != nil && !errors.Is(err, unix.ESRCH) { // if the process has ended, watch reports that
+		a.log.Error().Err(err).Str("instance", r.instance.Name).Stringer("signal", signal).Msg("could not send a signal to the router")
 	}
 }
--- a/internal/fleet/agent/watch.go
+++ b/internal/fleet/agent/watch.go
@@ -10,11 +10,11 @@
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
-// watchInterval is how often a process's end and its log are looked at.
+// watchInterval is the interval at which the agent reads a router's log and checks whether its process has ended.
 const watchInterval = 100 * time.Millisecond
 
-// findRestarted finds the process of an incarnation, or returns nil. It looks twice: a process whose agent died as it
-// started it may just be coming up.
+// findRestarted returns the process of an incarnation, or nil if none runs. It looks twice, because the previous agent
+// process may have ended while it was starting the router, so that the router's process appears a moment later.
 func findRestarted(ctx context.Context, incarnation string) (*processHandle, error) {
 	process, err := findRunning(incarnation)
 	if process != nil || err != nil {
@@ -27,7 +27,7 @@
 	return findRunning(incarnation)
 }
 
-// logSize returns the present size of the router's log; 0 if there is none.
+// logSize returns the size of the router's log in bytes, or 0 if the file cannot be examined.
 func (r *router) logSize() int64 {
 	info, err := os.Stat(filepath.Join(r.folder, logName))
 	if err != nil {
@@ -36,7 +36,7 @@
 	return info.Size()
 }
 
-// adopt takes a process over and watches it; nil stands for none.
+// adopt makes process the router's process and starts a goroutine that watches it. process may be nil.
 func (r *router) adopt(ctx context.Context, process *processHandle) {
 	r.process = process
 	if process == nil {
@@ -48,7 +48,8 @@
 	a.work.Go(func() { r.watch(ctx, process, log) })
 }
 
-// watch reports what a router logs and its end, until then or until ctx ends. It closes the process's handle.
+// watch posts the events in a process's log and then the end of the process. It returns after that or when ctx ends, and
+// closes the process's handle.
 func (r *router) watch(ctx context.Context, process *processHandle, log *logTail) {
 	defer process.close()
 	a := r.agent
@@ -58,7 +59,7 @@
 			a.post(ctx, func(ctx context.Context) { r.handleLog(ctx, process, e) })
 		})
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
-			a.log.Error().Err(err).Str("instance", r.instance.Name).Msg("router's log not read")
+			a.log.Error().Err(err).Str("instance", r.instance.Name).Msg("could not read the router's log")
 		}
 		if exited {
 			if log.lastError != "" {
@@ -74,7 +75,8 @@
 	}
 }
 
-// handleLog takes in what a process has logged, unless it is no longer the router's.
+// handleLog passes an event from a process's log to the supervisor. It ignores the event if the router has another
+// process by now.
 func (r *router) handleLog(ctx context.Context, process *processHandle, e logEvent) {
 	if r.process != process {
 		return
@@ -89,7 +91,7 @@
 	})
 }
 
-// handleExit takes in the end of a process, unless it is no longer the router's.
+// handleExit reports the end of a process to the supervisor. It ignores the end if the router has another process by now.
 func (r *router) handleExit(ctx context.Context, process *processHandle, how string) {
 	if r.process != process {
 		return
