--- a/internal/fleet/store/errors.go
+++ b/internal/fleet/store/errors.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// ErrInUse is the error of opening a store that another process has open.
+// ErrInUse is the error of opening a store that another process holds open.
 var ErrInUse = errors.New("is open in another agent")
 
-// FormatError is the error of opening a store whose records have another format than FormatVersion.
+// FormatError is the error of opening a store whose format version is not FormatVersion.
 type FormatError struct {
-	Found int // version of the store's format
+	Found int // format version of the store
 }
 
 func (e *FormatError) Error() string {
-	return fmt.Sprintf("its records are of format %d, and this program knows format %d", e.Found, FormatVersion)
+	return fmt.Sprintf("its records have format %d, but this program reads only format %d", e.Found, FormatVersion)
 }
 
 // CorruptRecordError is the error of reading a record whose checksum does not match its content.
--- a/internal/fleet/store/history.go
+++ b/internal/fleet/store/history.go
@@ -10,11 +10,11 @@
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
-// MaxHistory is how many revisions and how many rollouts a store keeps. Revisions that an instance runs, ran before or is
-// to run are kept beyond it.
+// MaxHistory is the number of revisions and the number of rollouts that a store keeps. It also keeps older revisions that
+// an instance runs, ran before its rollout or is to run.
 const MaxHistory = 100
 
-// Revision returns the revision of a digest with its content, and whether the store has it.
+// Revision returns the revision with a digest, including its content. The bool reports whether the store has it.
 func (s *Store) Revision(digest string) (protocol.Revision, bool, error) {
 	var revision protocol.Revision
 	var found bool
@@ -28,7 +28,7 @@
 	return revision, found, err
 }
 
-// Revisions lists the revisions without their contents, newest first.
+// Revisions returns the revisions without their contents, newest first.
 func (s *Store) Revisions() ([]protocol.Revision, error) {
 	revisions, err := allRecords[protocol.Revision](s, revisionsBucket)
 	for i := range revisions {
@@ -38,13 +38,14 @@
 	return revisions, err
 }
 
-// Rollouts lists the rollouts, newest first.
+// Rollouts returns the rollouts, newest first.
 func (s *Store) Rollouts() ([]protocol.Rollout, error) {
 	rollouts, err := allRecords[protocol.Rollout](s, rolloutsBucket)
 	sort.SliceStable(rollouts, func(i, j int) bool { return rollouts[i].StartedAt > rollouts[j].StartedAt })
 	return rollouts, err
 }
 
+// allRecords returns the values of all records in a bucket, in the order of their keys.
 func allRecords[T any](s *Store, bucket []byte) ([]T, error) {
 	var values []T
 	err := s.db.View(func(tx *bbolt.Tx) error {
@@ -56,6 +57,7 @@
 	return values, nil
 }
 
+// saveRollout writes a rollout and deletes the oldest ones beyond MaxHistory.
 func saveRollout(tx *bbolt.Tx, rollout protocol.Rollout) error {
 	if err := putRecord(tx, rolloutsBucket, rollout.ID, rollout); err != nil {
 		return err
@@ -64,6 +66,7 @@
 	return pruneRecords(tx, rolloutsBucket, startedAt, nil)
 }
 
+// saveRevision writes a revision and deletes the oldest ones beyond MaxHistory that are not in use.
 func saveRevision(tx *bbolt.Tx, revision protocol.Revision) error {
 	if err := putRecord(tx, revisionsBucket, revision.Digest, revision); err != nil {
 		return err
@@ -77,7 +80,7 @@
 	return pruneRecords(tx, revisionsBucket, pushedAt, inUse)
 }
 
-// revisionsInUse are the digests of the revisions that an instance runs, ran before its rollout or is to run.
+// revisionsInUse returns the digests of the revisions that an instance runs, ran before its rollout or is to run.
 func revisionsInUse(tx *bbolt.Tx) (map[string]bool, error) {
 	inUse := map[string]bool{}
 	err := forEachRecord(tx, instancesBucket, func(_ string, r supervisor.Record) {
@@ -88,7 +91,7 @@
 	return inUse, err
 }
 
-// pruneRecords deletes the oldest records of a bucket beyond MaxHistory, but for the keys in use.
+// pruneRecords deletes the oldest records of a bucket beyond MaxHistory, except those whose keys are in use.
 func pruneRecords[T any](tx *bbolt.Tx, bucket []byte, unixTime func(T) int64, inUse map[string]bool) error {
 	b := tx.Bucket(bucket)
 	if b.Inspect().KeyN <= MaxHistory {
--- a/internal/fleet/store/recorded_test.go
+++ b/internal/fleet/store/recorded_test.go
@@ -17,10 +17,10 @@
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
-// testdata/agent.db was written by an agent of format 1 that ran stand-in routers and was ended while one of them
-// drained in its step. Agents are upgraded in place, so every later release must read it and write the same bytes.
+// An agent with format version 1 wrote testdata/agent.db. It ran stand-in routers and ended while one of them drained
+// during a step. Agents are upgraded in place, so every later release must read this file and write the same bytes.
 
-// Revisions in the recorded store.
+// Digests of the revisions in the recorded store.
 const (
 	firstRevision  = "3d2e1823e6ae42b27baac7131e7ab0b5"
 	secondRevision = "afeb5d48ac63e5d333a52389d0cb0966"
@@ -35,14 +35,14 @@
 	`"limits":{"cancel":true,"connIdleNs":60000000000,"dialTimeoutNs":1000000000,"maxRetryAfterNs":1000000000,"mostTries":4,"probes":false,` +
 	`"retryAfter":true},"loadInfo":{"fields":["x0","x1"],"source":"probe"},"tickNs":5000000}`
 
-// content is the recorded document of a revision with these values.
+// content returns the recorded content of a revision with the given values.
 func content(discovery string, sockets, drain, exit int) []byte {
 	return fmt.Appendf(nil, `{"discovery":%q,"known":{"generation":0,"instances":[],"reset":true},"limits":{"memory_mb":48,"sockets":%d},%s,`+
 		`"stand":{"deaf":false,"drain":%d,"exit":%d,"fails":false,"liveFor":0,"ready":0,"silent":false}}`,
 		discovery, sockets, deploymentSettings, drain, exit)
 }
 
-// recordedRevisions are those of the recorded store, newest first.
+// recordedRevisions returns the revisions in the recorded store, newest first.
 func recordedRevisions() []protocol.Revision {
 	return []protocol.Revision{
 		{Digest: movedRevision, Name: "moved", PushedBy: "op", PushedAt: 1767323044, Content: content("127.0.0.1:10", 256, 3, 0)},
@@ -52,7 +52,7 @@
 	}
 }
 
-// recordedRollouts are those of the recorded store, newest first: one in each state.
+// recordedRollouts returns the rollouts in the recorded store, newest first. There is one in each state.
 func recordedRollouts() []protocol.Rollout {
 	var out []protocol.Rollout
 	for i, x := range []struct {
@@ -83,6 +83,7 @@
 	return out
 }
 
+// recordedState returns the state in the recorded store.
 func recordedState() State {
 	return State{
 		Lease: lease.PersistentState{
@@ -152,7 +153,8 @@
 	assert.Equal(t, recordedRollouts()[0], body)
 }
 
-// TestRecordedStoreIsWrittenTheSame sees that an older agent could still read what this program writes.
+// TestRecordedStoreIsWrittenTheSame checks that this program writes the recorded records byte for byte, so that an older
+// agent can read them.
 func TestRecordedStoreIsWrittenTheSame(t *testing.T) {
 	recorded := openRecorded(t)
 	written, err := Open(filepath.Join(t.TempDir(), "agent.db"))
@@ -167,11 +169,11 @@
 		require.NoError(t, written.Save(Change{Rollout: &r}))
 	}
 	want := records(t, recorded)
-	assert.Len(t, want, 3+4+4+6, "the format, claims and wish; instances; revisions; rollouts")
+	assert.Len(t, want, 3+4+4+6, "the format, lease and operator request; instances; revisions; rollouts")
 	assert.Equal(t, want, records(t, written))
 }
 
-// records are a store's records as they lie on disk, by bucket and key.
+// records returns the raw records of a store. The keys of the map consist of bucket and key.
 func records(t *testing.T, s *Store) map[string][]byte {
 	t.Helper()
 	out := map[string][]byte{}
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,8 +1,8 @@
 // Package store keeps an agent's state on disk: the lease that it granted, the state of its routers, revisions and
-// rollouts. It is a bbolt database with one CBOR record a key, each preceded by a checksum.
+// rollouts. The store is a bbolt database. Each value is a checksum followed by one CBOR record.
 //
-// A change is durable and complete when Save returns without an error, and has not happened otherwise. An agent saves
-// before it acknowledges or acts, so that it can continue after a crash at any point.
+// When Save returns without an error, the change is complete and durable; otherwise the store is unchanged. An agent saves
+// before it acknowledges a request or acts on a router, so that it can continue after a crash at any point.
 package store
 
 import (
@@ -21,7 +21,8 @@
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
-// FormatVersion is the version of the records that this program reads and writes. Open refuses a store of another one.
+// FormatVersion is the version of the records that this program reads and writes. Open rejects a store with another
+// version.
 const FormatVersion = 1
 
 // openTimeout is how long Open waits for another process to close the store.
@@ -45,31 +46,31 @@
 // Store is an open store. Its methods may be called from several goroutines.
 type Store struct {
 	db *bbolt.DB
-	// update runs a transaction: db.Update, but where a test has the disk fail.
+	// update runs a transaction. It is db.Update, except in tests that simulate a failing disk.
 	update func(func(*bbolt.Tx) error) error
 
-	mu   sync.Mutex // guards undo, and has one Save run at a time
-	undo undoLog    // of changes that failed and may stand in the file all the same
+	mu   sync.Mutex // guards undo and lets only one Save run at a time
+	undo undoLog    // undoes the change that failed last, which may be in the file nevertheless; empty if none is pending
 }
 
-// State is what an agent needs to start: its lease, the pending request of an operator and its instances by name.
+// State is the state that an agent continues from when it starts.
 type State struct {
 	Lease           lease.PersistentState
-	OperatorRequest protocol.OperatorRequest
-	Instances       map[string]supervisor.Record
+	OperatorRequest protocol.OperatorRequest     // the one that was received last
+	Instances       map[string]supervisor.Record // by instance name
 }
 
-// Change is what one call of Save writes. What is nil, and instances that are not named, stay as they are.
+// Change is what one call of Save writes. Fields that are nil and instances that are not named stay as they are.
 type Change struct {
 	Lease           *lease.PersistentState
 	OperatorRequest *protocol.OperatorRequest
-	Instances       map[string]supervisor.Record // by name
-	Revision        *protocol.Revision           // added, or replaced if its digest is known
-	Rollout         *protocol.Rollout            // added, or replaced if its ID is known
+	Instances       map[string]supervisor.Record // by instance name
+	Revision        *protocol.Revision           // replaces a stored revision with the same digest
+	Rollout         *protocol.Rollout            // replaces a stored rollout with the same ID
 }
 
-// Open opens the store at path and creates it if there is none, with its folder. Its errors name the path; they match
-// ErrInUse if another process has the store open, and *FormatError if it has another format.
+// Open opens the store at path. If there is none, it creates the store and its folder. Errors name the path. They match
+// ErrInUse if another process holds the store open, and *FormatError if the store has another format version.
 func Open(path string) (*Store, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -88,7 +89,7 @@
 	return &Store{db: db, update: db.Update}, nil
 }
 
-// prepare creates the buckets that are missing and checks the format's version, or writes it to a new store.
+// prepare creates missing buckets and checks the format version, which it writes if the store is new.
 func prepare(tx *bbolt.Tx) error {
 	for _, bucket := range [][]byte{metaBucket, instancesBucket, revisionsBucket, rolloutsBucket} {
 		if _, err := tx.CreateBucketIfNotExists(bucket); err != nil {
@@ -131,10 +132,11 @@
 	return state, nil
 }
 
-// Save writes a change in one transaction, and drops the oldest revisions and rollouts beyond MaxHistory.
+// Save writes a change in one transaction and deletes the oldest revisions and rollouts beyond MaxHistory.
 //
-// A transaction whose last sync fails may stand in the file, and be read by this process and the next one. So a change
-// that failed is undone: at once, as far as the disk allows, and before anything else is written.
+// If the last sync of a transaction fails, the transaction may be in the file nevertheless, and this process and the next
+// one would read it. Save therefore undoes a change that failed: immediately, and if that fails too, again before the
+// next change is written.
 func (s *Store) Save(c Change) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,13 +150,13 @@
 	})
 	if err != nil {
 		s.undo = before
-		_ = s.rollBack() // what fails is tried again before the next change
+		_ = s.rollBack() // if it fails, the next Save tries again
 		return fmt.Errorf("store: %w", err)
 	}
 	return nil
 }
 
-// rollBack undoes the change that failed last, if there is one.
+// rollBack undoes the change that failed last, if one is pending.
 func (s *Store) rollBack() error {
 	if len(s.undo) == 0 {
 		return nil
@@ -166,7 +168,7 @@
 	return nil
 }
 
-// save writes a change.
+// save writes a change within a transaction.
 func save(tx *bbolt.Tx, c Change) error {
 	if err := saveState(tx, c); err != nil {
 		return err
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -21,7 +21,8 @@
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
-// writerVariable makes the test binary a program that writes to the store at its value until it is killed.
+// writerVariable is an environment variable with the path of a store. If it is set, the test binary writes to that store
+// until it is killed.
 const writerVariable = "STORE_WRITER"
 
 func TestMain(m *testing.M) {
@@ -31,7 +32,8 @@
 	os.Exit(m.Run())
 }
 
-// writeForever saves changes that must be found complete, and prints the number of each once it is saved.
+// writeForever saves numbered changes and prints the number of each change after saving it. Every printed change must
+// later be found in the store.
 func writeForever(path string) {
 	s, err := Open(path)
 	if err != nil {
@@ -49,7 +51,7 @@
 	}
 }
 
-// change is one whose lease and instance bear the same number.
+// change returns a change that writes the number n into the lease and into an instance.
 func change(n uint64) Change {
 	return Change{
 		Lease:     &lease.PersistentState{Epoch: n, Holder: strings.Repeat("h", int(n%50)*100)},
@@ -124,13 +126,14 @@
 	var foreign *FormatError
 	require.ErrorAs(t, err, &foreign)
 	assert.Equal(t, 99, foreign.Found)
-	require.ErrorContains(t, err, "format 99, and this program knows format 1")
+	require.ErrorContains(t, err, "format 99, but this program reads only format 1")
 	require.NoError(t, os.WriteFile(path, []byte(strings.Repeat("no store ", 2000)), 0o600))
 	_, err = Open(path)
 	assert.ErrorContains(t, err, path)
 }
 
-// TestKilledWriterLosesNoAcknowledgedChange kills a process at arbitrary points of its writing.
+// TestKilledWriterLosesNoAcknowledgedChange kills a writing process at arbitrary points. Afterwards the store must hold
+// every acknowledged change, and each change completely or not at all.
 func TestKilledWriterLosesNoAcknowledgedChange(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	for round := range 40 {
@@ -156,13 +159,13 @@
 		require.NoError(t, err)
 		assert.GreaterOrEqual(t, state.Lease.Epoch, acknowledged)
 		assert.Equal(t, *change(state.Lease.Epoch).Lease, state.Lease)
-		assert.Equal(t, change(state.Lease.Epoch).Instances, state.Instances, "all of a change or none")
+		assert.Equal(t, change(state.Lease.Epoch).Instances, state.Instances, "a change is stored completely or not at all")
 		require.NoError(t, s.Close())
 	}
 }
 
-// failSyncs has every transaction be written, and its sync fail: by then the pages lie in the system's cache, where this
-// process and the next one read them.
+// failSyncs lets every transaction be written and then fails its sync. By then the pages are in the system's cache, where
+// this process and the next one read them.
 func failSyncs(s *Store) {
 	s.update = func(run func(*bbolt.Tx) error) error {
 		if err := s.db.Update(run); err != nil {
@@ -172,8 +175,8 @@
 	}
 }
 
-// A change whose sync failed was denied: it has not happened, neither for this process nor for the next, whether or not
-// the disk has recovered by then.
+// Save returns an error for a change whose sync failed. Neither this process nor the next one may read that change,
+// whether the disk recovers or not.
 func TestChangeWhoseSyncFailedHasNotHappened(t *testing.T) {
 	for name, recovers := range map[string]bool{"the disk stays broken": false, "the disk recovers": true} {
 		path := filepath.Join(t.TempDir(), "store.db")
@@ -186,7 +189,7 @@
 		denied.Rollout = &protocol.Rollout{Rollout: rollout.Rollout{ID: "denied"}}
 		denied.Revision = &protocol.Revision{Digest: "denied"}
 		require.ErrorIs(t, s.Save(denied), unix.EIO)
-		require.ErrorIs(t, s.Save(denied), unix.EIO, "twice in a row")
+		require.ErrorIs(t, s.Save(denied), unix.EIO, "a second failure in a row")
 		if recovers {
 			s.update = s.db.Update
 			require.NoError(t, s.Save(Change{Instances: map[string]supervisor.Record{"n2": {Incarnation: 5}}}))
--- a/internal/fleet/store/undo.go
+++ b/internal/fleet/store/undo.go
@@ -6,17 +6,18 @@
 	"go.etcd.io/bbolt"
 )
 
-// savedRecord is a record as it stood in the store; nil content: there was none.
+// savedRecord is the earlier content of a record, including its checksum. content is nil if the record did not exist.
 type savedRecord struct {
 	bucket  []byte
 	key     string
 	content []byte
 }
 
-// undoLog is the records that a change overwrites. History that a change drops because of its age is not among them.
+// undoLog holds the earlier content of the records that a change writes. It does not hold old revisions and rollouts that
+// the change deletes because of MaxHistory.
 type undoLog []savedRecord
 
-// recordsBefore returns the records that a change is about to overwrite.
+// recordsBefore returns the present content of the records that a change is about to write.
 func recordsBefore(tx *bbolt.Tx, c Change) undoLog {
 	var log undoLog
 	if c.Lease != nil {
@@ -37,13 +38,13 @@
 	return log
 }
 
-// add notes a record as it stands.
+// add appends the present content of a record.
 func (l *undoLog) add(tx *bbolt.Tx, bucket []byte, key string) {
 	content := bytes.Clone(tx.Bucket(bucket).Get([]byte(key)))
 	*l = append(*l, savedRecord{bucket: bucket, key: key, content: content})
 }
 
-// apply writes the records back.
+// apply restores the records: it writes back their earlier content and deletes those that did not exist.
 func (l undoLog) apply(tx *bbolt.Tx) error {
 	for _, record := range l {
 		bucket := tx.Bucket(record.bucket)
