--- a/internal/fleet/protocol/encoding.go
+++ b/internal/fleet/protocol/encoding.go
@@ -6,11 +6,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of what Decode accepts, against messages that would take much memory.
+// Limits of Decode, which protect it against messages that would take much memory.
 const (
 	maxArrayElements = 1 << 16
 	maxMapPairs      = 1 << 10
-	maxNesting       = 16
+	maxNesting       = 16 // levels
 )
 
 var (
@@ -25,7 +25,7 @@
 	}.DecMode())
 )
 
-// UnknownVerbError is the error of a request whose verb this version of the protocol does not have.
+// UnknownVerbError is the error of a request with a verb that this version of the protocol does not define.
 type UnknownVerbError struct{ Verb Verb }
 
 func (e *UnknownVerbError) Error() string { return fmt.Sprintf("unknown verb %q", string(e.Verb)) }
@@ -37,12 +37,12 @@
 	return v
 }
 
-// Encode returns the CBOR of a message or a stored value. Equal values have equal bytes. It panics on a value that CBOR
-// cannot express, such as a function; none of the types of this package holds one.
+// Encode returns the CBOR encoding of a message or a stored value. Equal values have equal encodings. Encode panics on a
+// value that CBOR cannot express, such as a function. No type of this package contains such a value.
 func Encode(v any) []byte { return must(encoder.Marshal(v)) }
 
-// Decode reads CBOR into the value that v points to. Fields that the value's type does not have are passed over. Errors
-// begin with what, which names the message.
+// Decode decodes CBOR into the value that v points to. It ignores fields that the type of the value does not have. Errors
+// begin with what, the name of the message.
 func Decode(what string, raw []byte, v any) error {
 	if err := decoder.Unmarshal(raw, v); err != nil {
 		return fmt.Errorf("%s: %w", what, err)
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// DecodeRequest reads a request. Its errors match *UnknownVerbError if the verb is not known.
+// DecodeRequest decodes a request. The error matches *UnknownVerbError if the verb is unknown.
 func DecodeRequest(raw []byte) (Request, error) {
 	var request Request
 	if err := Decode("call", raw, &request); err != nil {
--- a/internal/fleet/protocol/messages.go
+++ b/internal/fleet/protocol/messages.go
@@ -1,8 +1,8 @@
 // Package protocol defines the protocol between the fleet tool and its agents: the messages and their encoding.
 //
-// Messages are CBOR maps with their fields by name, so that a later version may add some: a decoder passes over fields
-// that it does not know. Sizes and nesting are bounded. The names under which fields are sent stand in their tags and
-// never change within a version. Package store keeps some of the messages under the same names.
+// Messages are CBOR maps with field names as keys, so that a later version may add fields: a decoder ignores fields that
+// it does not know. Sizes and nesting are bounded. The cbor tags hold the names under which fields are sent; they never
+// change within a version of the protocol. Package store stores some of the messages under the same names.
 package protocol
 
 import (
@@ -18,24 +18,24 @@
 	MaxVersion = 1
 )
 
-// Bounds of encoded messages, in bytes.
+// Size limits of encoded messages, in bytes.
 const (
-	MaxContentBytes = 8 << 20   // of a request that carries a revision
-	MaxRequestBytes = 256 << 10 // of any other request
-	MaxReplyBytes   = 16 << 20
+	MaxContentBytes = 8 << 20   // request that carries a revision
+	MaxRequestBytes = 256 << 10 // any other request
+	MaxReplyBytes   = 16 << 20  // reply
 )
 
-// Verb is what an agent is asked to do. Its value is sent.
+// Verb is the kind of a request to an agent. Its value is sent.
 type Verb string
 
-// Verbs.
+// Verbs. Each comment describes what the agent does.
 const (
-	StatusVerb        Verb = "look"    // report the state; with an epoch, renew its lease as well
-	RequestLeaseVerb  Verb = "bid"     // grant a lease
+	StatusVerb        Verb = "look"    // report the agent's state; if the request has an epoch, also renew the caller's lease
+	RequestLeaseVerb  Verb = "bid"     // grant the lease to the caller
 	StoreRecordVerb   Verb = "keep"    // store the lease holder's record
 	BeginStepVerb     Verb = "act"     // begin a step of a rollout
-	ReleaseLeaseVerb  Verb = "release" // end a lease before its term
-	RequestActionVerb Verb = "ask"     // store an operator's request for whoever drives a rollout
+	ReleaseLeaseVerb  Verb = "release" // end the caller's lease before it expires
+	RequestActionVerb Verb = "ask"     // store an operator's request for the tool that drives the rollout
 	PutRevisionVerb   Verb = "put"     // store a revision
 	GetRevisionVerb   Verb = "get"     // return a revision with its content
 	HistoryVerb       Verb = "history" // list revisions and rollouts
@@ -46,68 +46,69 @@
 	GetRevisionVerb, HistoryVerb,
 }
 
-// Known tells whether this version of the protocol has the verb.
+// Known reports whether this version of the protocol defines the verb.
 func (v Verb) Known() bool { return slices.Contains(knownVerbs, v) }
 
-// Request is one request to an agent. Which fields count depends on the verb.
+// Request is a request to an agent. The verb determines which of the other fields are used.
 type Request struct {
 	Verb            Verb            `cbor:"verb"`
-	AgentsDigest    string          `cbor:"agents,omitempty"`  // of the caller's list of agents, which must be the agent's own; empty: any
+	AgentsDigest    string          `cbor:"agents,omitempty"`  // digest of the caller's agent list; must equal the agent's, unless empty
 	LeaseRequest    lease.Request   `cbor:"bid,omitzero"`      // for RequestLeaseVerb
-	Epoch           uint64          `cbor:"epoch,omitempty"`   // of the caller's lease
-	Holder          string          `cbor:"holder,omitempty"`  // of that lease: the caller
+	Epoch           uint64          `cbor:"epoch,omitempty"`   // epoch of the caller's lease
+	Holder          string          `cbor:"holder,omitempty"`  // holder of the caller's lease, which identifies the caller
 	Record          lease.Record    `cbor:"record,omitzero"`   // for StoreRecordVerb; its body is an encoded Rollout
-	InstanceName    string          `cbor:"name,omitempty"`    // for BeginStepVerb: of the step's instance
+	InstanceName    string          `cbor:"name,omitempty"`    // for BeginStepVerb: name of the step's instance
 	Step            rollout.Step    `cbor:"step,omitzero"`     // for BeginStepVerb
 	OperatorRequest OperatorRequest `cbor:"wish,omitzero"`     // for RequestActionVerb
-	Revision        Revision        `cbor:"revision,omitzero"` // for PutRevisionVerb; for GetRevisionVerb its digest alone
+	Revision        Revision        `cbor:"revision,omitzero"` // for PutRevisionVerb; for GetRevisionVerb only Digest is set
 }
 
-// OperatorRequest is what an operator asks of a rollout that another tool drives.
+// OperatorRequest is an operator's request for a rollout that another tool drives.
 type OperatorRequest struct {
 	RolloutID string                  `cbor:"rollout"`
-	Run       uint64                  `cbor:"run"` // of the rollout: the request counts for this run only
+	Run       uint64                  `cbor:"run"` // run of the rollout for which the request is valid
 	Action    rollout.OperatorRequest `cbor:"wish"`
-	Operator  string                  `cbor:"by"` // set by the agent from the certificate
+	Operator  string                  `cbor:"by"` // name from the operator's certificate, set by the agent
 }
 
 // Revision is a version of the configuration that all routers of a fleet share.
 type Revision struct {
-	Digest   string `cbor:"digest"` // of the content; identifies the revision
-	Name     string `cbor:"name"`   // given by the operator; need not be unique
-	PushedBy string `cbor:"by"`     // operator
-	PushedAt int64  `cbor:"at"`     // Unix seconds on the operator's clock
+	Digest   string `cbor:"digest"` // digest of Content, which identifies the revision
+	Name     string `cbor:"name"`   // name that the operator gave; need not be unique
+	PushedBy string `cbor:"by"`     // name of the operator
+	PushedAt int64  `cbor:"at"`     // time in Unix seconds on the operator's clock
 	Content  []byte `cbor:"content,omitempty"`
 }
 
-// Rollout is the body of the record that the lease holder has the agents store: the planner's state, and who began it.
+// Rollout is the body of the record that the lease holder stores at the agents: the planner's state and the origin of the
+// rollout.
 type Rollout struct {
 	rollout.Rollout
-	Run             uint64 `cbor:"run"`   // grows each time the rollout is begun or resumed
-	RevisionName    string `cbor:"name"`  // of the revision that is rolled out
-	StartedBy       string `cbor:"by"`    // operator
-	StartedAt       int64  `cbor:"began"` // Unix seconds on the operator's clock
-	RequestedBy     string `cbor:"asked"` // operator whose request was followed last; empty: none was
-	InstancesDigest string `cbor:"fleet"` // of the list of instances that the rollout's indices refer to
+	Run             uint64 `cbor:"run"`   // number of the run, which grows each time the rollout is begun or resumed
+	RevisionName    string `cbor:"name"`  // name of the revision that is rolled out
+	StartedBy       string `cbor:"by"`    // name of the operator
+	StartedAt       int64  `cbor:"began"` // time in Unix seconds on the operator's clock
+	RequestedBy     string `cbor:"asked"` // operator whose request was carried out last; empty if there was none
+	InstancesDigest string `cbor:"fleet"` // digest of the list of instances that the rollout's indices refer to
 }
 
-// InstanceStatus is what an agent reports of one instance.
+// InstanceStatus is an agent's report on one instance.
 type InstanceStatus struct {
 	Name       string  `cbor:"name"`
-	AgeSeconds float64 `cbor:"age"`     // since it was observed
-	Listen     string  `cbor:"listen"`  // address and port
-	ProcessID  int     `cbor:"process"` // 0: none runs
-	Crashes    int     `cbor:"crashes"` // since the router last ran without one for a while
+	AgeSeconds float64 `cbor:"age"`     // age of the report
+	Listen     string  `cbor:"listen"`  // listen address and port
+	ProcessID  int     `cbor:"process"` // 0 if no process is known to run
+	Crashes    int     `cbor:"crashes"` // number of crashes since the router last ran stably
 	rollout.Observation
-	TargetRevision string `cbor:"wants"` // digest of the revision that it is to run
+	TargetRevision string `cbor:"wants"` // digest of the revision that the instance is to run
 }
 
-// Reply is an agent's reply. Which fields it fills depends on the request's verb.
+// Reply is an agent's reply to a request. The verb of the request determines which fields are set.
 type Reply struct {
 	Agent           string           `cbor:"agent"`
-	Program         string           `cbor:"program"`         // of the agent, with its version
-	Denial          lease.Denial     `cbor:"refusal"`         // why the lease does not allow the request
-	Failure         string           `cbor:"fault,omitempty"` // why it was not done otherwise, for people
+	Program         string           `cbor:"program"`         // name and version of the agent's program
+	Denial          lease.Denial     `cbor:"refusal"`         // reason why the lease does not permit the request
+	Failure         string           `cbor:"fault,omitempty"` // any other reason why the request was not carried out, for people
 	LeaseState      lease.State      `cbor:"standing"`
 	Record          lease.Record     `cbor:"record,omitzero"`
 	OperatorRequest OperatorRequest  `cbor:"wish,omitzero"`
--- a/internal/fleet/protocol/record_names_test.go
+++ b/internal/fleet/protocol/record_names_test.go
@@ -18,9 +18,9 @@
 
 var recordEncodings = flag.Bool("record-encodings", false, "write testdata/*.cbor from the values of this test")
 
-// TestStoredRecordsKeepTheirNames holds the names under which agents store and send the records of packages
-// claim, plan and tend: each value must encode to the bytes that the program wrote before its fields had tags,
-// and those bytes must be read back as the value.
+// TestStoredRecordsKeepTheirNames guards the field names under which agents store and send the records of packages lease,
+// rollout and supervisor. Each value must encode to the bytes that the program wrote before its fields had tags, and these
+// bytes must decode to the value.
 func TestStoredRecordsKeepTheirNames(t *testing.T) {
 	step := rollout.Step{RolloutID: "r", Number: 7, Instance: 3, Revision: "b", Rollback: true, Restart: true, OnlyIfNotServing: true}
 	reason := rollout.Reason{Kind: rollout.ReasonZoneMinimum, Instance: 3, Zone: 2, Have: 4, Need: 5, Detail: "detail"}
@@ -46,11 +46,12 @@
 	})
 }
 
+// holdsNames checks that value has no zero field and that it encodes to the bytes in testdata and back.
 func holdsNames[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	fields := reflect.ValueOf(value)
 	for i := range fields.NumField() {
-		assert.False(t, fields.Field(i).IsZero(), "%s: field %s is not filled", name, fields.Type().Field(i).Name)
+		assert.False(t, fields.Field(i).IsZero(), "%s: field %s has no value", name, fields.Type().Field(i).Name)
 	}
 	path := filepath.Join("testdata", name+".cbor")
 	if *recordEncodings {
--- a/internal/fleet/protocol/recorded_test.go
+++ b/internal/fleet/protocol/recorded_test.go
@@ -13,9 +13,9 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// The files under testdata hold one call of each verb and one reply to each as version 1 of the protocol writes
-// them. Tools and agents of different releases meet during an upgrade, so these bytes must be read and written
-// the same by every later release that speaks version 1. The tests below state every value that the files hold.
+// The files under testdata hold one request (call) of each verb and its reply, as version 1 of the protocol encodes them.
+// During an upgrade, tools and agents of different releases talk to each other. Every later release that speaks version 1
+// must therefore decode these bytes and encode the same ones. The functions below state every value in the files.
 
 func recordedCalls() map[Verb]Request {
 	return map[Verb]Request{
@@ -128,7 +128,7 @@
 
 func TestRecordedCallsAreReadAndWrittenTheSame(t *testing.T) {
 	calls := recordedCalls()
-	assert.Len(t, calls, len(knownVerbs), "a call of each verb")
+	assert.Len(t, calls, len(knownVerbs), "one call of each verb")
 	for v, want := range calls {
 		raw := recorded(t, "calls", v)
 		got, err := DecodeRequest(raw)
@@ -140,7 +140,7 @@
 
 func TestRecordedRepliesAreReadAndWrittenTheSame(t *testing.T) {
 	replies := recordedReplies()
-	assert.Len(t, replies, len(knownVerbs), "a reply to each verb")
+	assert.Len(t, replies, len(knownVerbs), "one reply to each verb")
 	for v, want := range replies {
 		raw := recorded(t, "replies", v)
 		var got Reply
