--- a/internal/fleet/api/api.go
+++ b/internal/fleet/api/api.go
@@ -1,6 +1,6 @@
-// Package api carries the protocol of package protocol between the fleet tool and its agents: HTTP/1.1 over TLS, with a
-// certificate on each side. Sizes, times and connections are bounded. Client and server agree on a version of the
-// protocol, or report which versions each of them speaks.
+// Package api transports the messages of package protocol between the fleet tool and its agents over HTTP/1.1 and TLS, with
+// a certificate on each side. Message sizes, durations and the number of connections are bounded. Client and server
+// negotiate a version of the protocol. If they have none in common, the error names the versions that each of them speaks.
 package api
 
 import (
@@ -9,36 +9,36 @@
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 )
 
-// Bounds of an agent's listener and of the client's connections.
+// Limits of an agent's listener and of the client's connections.
 const (
 	maxConnections = 64
 	maxHeaderBytes = 8 << 10
-	headerTimeout  = 5 * time.Second  // until a request's header is read
-	requestTimeout = 30 * time.Second // until a request is read, and until its reply is written
-	idleTimeout    = 2 * time.Minute  // until a connection without a request is closed
+	headerTimeout  = 5 * time.Second  // for reading the header of a request
+	requestTimeout = 30 * time.Second // for reading a request, and again for writing its reply
+	idleTimeout    = 2 * time.Minute  // after which an idle connection is closed
 )
 
-// What requests and replies look like in HTTP.
+// HTTP path, content type and headers of requests and replies.
 const (
 	requestPath = "/fleet"
 	contentType = "application/cbor"
 
-	versionHeader    = "Fleet-Version" // of a request: the version that it is written in
-	minVersionHeader = "Fleet-Least"   // of a reply: the versions that the agent speaks
-	maxVersionHeader = "Fleet-Most"
+	versionHeader    = "Fleet-Version" // in a request: the protocol version that it is written in
+	minVersionHeader = "Fleet-Least"   // in a reply: the lowest protocol version that the agent speaks
+	maxVersionHeader = "Fleet-Most"    // in a reply: the highest protocol version that the agent speaks
 )
 
-// Versions of the protocol that one side speaks, from Min to Max.
+// Versions is the range of protocol versions that one side speaks, from Min to Max.
 type Versions struct{ Min, Max int }
 
-// SupportedVersions are those that this program speaks.
+// SupportedVersions is the range of protocol versions that this program speaks.
 var SupportedVersions = Versions{Min: protocol.MinVersion, Max: protocol.MaxVersion}
 
-// contains tells whether a version is among them.
+// contains reports whether a version is in the range.
 func (v Versions) contains(version int) bool { return v.Min <= version && version <= v.Max }
 
-// HolderName is the name under which one running tool of an operator asks for a lease. unique tells the operator's tools
-// apart. The server rejects requests whose holder is not the caller's.
+// HolderName returns the name under which a running tool of an operator holds a lease. unique distinguishes the running
+// tools of one operator. The server rejects a request with a holder name that belongs to another operator.
 func HolderName(operator, unique string) string { return operator + holderSeparator + unique }
 
 const holderSeparator = "/"
--- a/internal/fleet/api/api_test.go
+++ b/internal/fleet/api/api_test.go
@@ -22,14 +22,15 @@
 	"stoatdale.example/stoatdale/internal/pki"
 )
 
-// echo answers with what it was asked, as far as an answer can hold it.
+// echo is a Handler whose replies contain the operator, the verb and the revision of the request.
 type echo struct{ fail error }
 
 func (e echo) Handle(_ context.Context, operator string, c protocol.Request) (protocol.Reply, error) {
 	return protocol.Reply{Agent: operator, Failure: string(c.Verb), Revisions: []protocol.Revision{c.Revision}}, e.fail
 }
 
-// rig is an agent's server on loopback, with the keys of an agent and an operator. It takes the server's log.
+// rig runs a server on the loopback interface, with keys of an agent and an operator. It is also the writer of the
+// server's log.
 type rig struct {
 	t       *testing.T
 	keys    pki.Folder
@@ -44,14 +45,14 @@
 	return r.log.Write(p)
 }
 
-// logged is the log so far.
+// logged returns the server's log so far.
 func (r *rig) logged() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.log.String()
 }
 
-// newRig serves until the test ends.
+// newRig starts a server that runs until the test ends.
 func newRig(t *testing.T, v Versions, h Handler) *rig {
 	r := &rig{t: t, keys: pki.Folder(t.TempDir())}
 	require.NoError(t, r.keys.CreateAuthority("f", time.Hour, time.Now()))
@@ -79,13 +80,13 @@
 	for range 3 {
 		got, err := c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 		require.NoError(t, err)
-		assert.Equal(t, "ayla", got.Agent, "known by the certificate")
+		assert.Equal(t, "ayla", got.Agent, "the operator's name comes from the certificate")
 		assert.Equal(t, "look", got.Failure)
 	}
 	_, err := c.Call(context.Background(), protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Holder: "ayla/1"}})
 	require.NoError(t, err)
 	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Holder: "mehmet/1"}})
-	require.ErrorContains(t, err, "agent a1: 400 Bad Request: call: operator ayla cannot speak as mehmet/1")
+	require.ErrorContains(t, err, "agent a1: 400 Bad Request: call: operator ayla cannot use the holder name mehmet/1")
 	big := make([]byte, 4<<20)
 	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.PutRevisionVerb, Revision: protocol.Revision{Content: big}})
 	require.NoError(t, err)
@@ -101,8 +102,8 @@
 		{Versions{1, 2}, Versions{1, 1}, ""},
 		{Versions{1, 1}, Versions{1, 2}, ""},
 		{Versions{1, 3}, Versions{2, 5}, ""},
-		{Versions{2, 3}, Versions{1, 1}, "it speaks versions 2 to 3, and this tool 1 to 1"},
-		{Versions{1, 1}, Versions{2, 3}, "it speaks versions 1 to 1, and this tool 2 to 3"},
+		{Versions{2, 3}, Versions{1, 1}, "it speaks versions 2 to 3 of the protocol, and this tool 1 to 1"},
+		{Versions{1, 1}, Versions{2, 3}, "it speaks versions 1 to 1 of the protocol, and this tool 2 to 3"},
 	} {
 		c := newRig(t, x.agent, echo{}).client(x.tool)
 		_, err := c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
@@ -117,7 +118,7 @@
 	}
 }
 
-// raw is a connection of an operator that speaks as it likes.
+// raw returns a TLS connection with an operator's certificate, on which a test can send arbitrary bytes.
 func (r *rig) raw() net.Conn {
 	conf, err := r.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
 	require.NoError(r.t, err)
@@ -152,7 +153,7 @@
 		status        int
 		says          string
 	}{
-		{"/", "1", bytes.NewReader(nil), 404, "calls go to /fleet"},
+		{"/", "1", bytes.NewReader(nil), 404, "requests go to /fleet"},
 		{requestPath, "one", bytes.NewReader(nil), 505, "versions 1 to 1"},
 		{requestPath, "", bytes.NewReader(nil), 505, "versions 1 to 1"},
 		{requestPath, "1", bytes.NewReader(nil), 400, "call: "},
@@ -162,7 +163,7 @@
 	} {
 		status, says := post(x.path, x.version, x.body)
 		if x.status == 413 && status == 0 {
-			continue // it may end the connection before all was written
+			continue // the server may close the connection before the client has written the whole body
 		}
 		assert.Equal(t, x.status, status, says)
 		assert.Contains(t, says, x.says)
@@ -224,7 +225,7 @@
 	defer misled.Close()
 	_, err = misled.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorContains(t, err, "agent a1's, and should be agent a2's")
-	// Renewed in place: the next connection uses it.
+	// The agent's certificate is renewed in place. The next connection uses the new one.
 	c := r.client(SupportedVersions)
 	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.NoError(t, err)
--- a/internal/fleet/api/client.go
+++ b/internal/fleet/api/client.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	maxIdleConnections = 2   // of one client
-	maxErrorTextBytes  = 500 // of an agent's error that are shown
+	maxIdleConnections = 2   // per client
+	maxErrorTextBytes  = 500 // length to which the text of an agent's error is cut
 )
 
 // Client sends requests to one agent. It keeps its connections open between calls.
 type Client struct {
-	Agent    string // the agent's name, which its certificate must bear
-	address  string
+	Agent    string // name of the agent, which must match its certificate
+	address  string // host and port of the agent
 	http     *http.Client
-	versions Versions
-	version  int // that is spoken
+	versions Versions // versions that the client may use
+	version  int      // version of the next request
 }
 
-// NewClient returns a client that has not connected yet. address is the agent's listener, as host and port. The
-// certificate is read from source anew for each connection.
+// NewClient returns a client that is not connected yet. address is the host and port of the agent. The client reads its
+// certificate from source again for each connection, so that it uses a renewed certificate.
 func NewClient(agent, address string, source pki.Credentials, v Versions) *Client {
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conf, err := source.ClientConfig(agent)
@@ -52,9 +52,10 @@
 // Close closes idle connections. The client can be used again.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Call sends a request and returns the reply. If the agent speaks other versions, the highest common one is taken and
-// kept. Errors are of type *AgentError and say what can be done about them where that is known; they match
-// *VersionsError, *StatusError, *UnreachableError, ErrCertificateRefused and ErrNoAnswer.
+// Call sends a request and returns the reply. If the agent does not speak the client's current protocol version, Call
+// repeats the request in the highest version that both speak, and the client keeps that version. Errors are of type
+// *AgentError and give a remedy where one is known. They may match *VersionsError, *StatusError, *UnreachableError,
+// ErrCertificateRefused or ErrNoAnswer.
 func (c *Client) Call(ctx context.Context, request protocol.Request) (protocol.Reply, error) {
 	reply, err := c.call(ctx, request)
 	var other *VersionsError
@@ -71,7 +72,8 @@
 	return reply, nil
 }
 
-// call sends a request once, in the version that is spoken. It fails with *VersionsError if the agent does not speak it.
+// call sends a request once, in the client's current version. It returns *VersionsError if the agent does not speak that
+// version.
 func (c *Client) call(ctx context.Context, request protocol.Request) (protocol.Reply, error) {
 	var reply protocol.Reply
 	body := bytes.NewReader(protocol.Encode(request))
@@ -91,17 +93,18 @@
 	case err != nil:
 		return reply, err
 	case len(raw) > protocol.MaxReplyBytes:
-		return reply, fmt.Errorf("its answer is over %d bytes", protocol.MaxReplyBytes)
+		return reply, fmt.Errorf("its reply is longer than %d bytes", protocol.MaxReplyBytes)
 	case response.StatusCode == http.StatusHTTPVersionNotSupported:
 		return reply, c.versionsError(response.Header)
 	case response.StatusCode != http.StatusOK:
 		text := raw[:min(len(raw), maxErrorTextBytes)]
 		return reply, &StatusError{Status: response.Status, Text: strings.TrimSpace(string(text))}
 	}
-	return reply, protocol.Decode("its answer", raw, &reply)
+	return reply, protocol.Decode("its reply", raw, &reply)
 }
 
-// versionsError reads the versions that an agent speaks from a response's header.
+// versionsError returns a *VersionsError with the versions in the header of an agent's response, or errNoVersions if they
+// are missing or invalid.
 func (c *Client) versionsError(header http.Header) error {
 	lowest, err := strconv.Atoi(header.Get(minVersionHeader))
 	if err != nil {
--- a/internal/fleet/api/errors.go
+++ b/internal/fleet/api/errors.go
@@ -10,17 +10,17 @@
 )
 
 var (
-	// ErrNoAnswer is the error of a call whose context's deadline passed.
+	// ErrNoAnswer is the error of a call whose context reached its deadline before the reply arrived.
 	ErrNoAnswer = errors.New("no answer in time")
-	// ErrCertificateRefused is the error of a call whose certificate the agent refused.
-	ErrCertificateRefused = errors.New("it refuses this operator's certificate, and its log says why")
+	// ErrCertificateRefused is the error of a call for which the agent refused the client's certificate.
+	ErrCertificateRefused = errors.New("it refuses this operator's certificate; its log gives the reason")
 
-	errNoVersions = errors.New("it does not say which versions it speaks")
+	errNoVersions = errors.New("its reply does not name the protocol versions that it speaks")
 )
 
-// AgentError is the error of a call of one agent.
+// AgentError is the error of a call to one agent.
 type AgentError struct {
-	Agent string
+	Agent string // name
 	Err   error
 }
 
@@ -28,30 +28,30 @@
 
 func (e *AgentError) Unwrap() error { return e.Err }
 
-// VersionsError is the error of a call of an agent that speaks no version of the protocol that the client speaks.
+// VersionsError is the error of a call to an agent that has no protocol version in common with the client.
 type VersionsError struct{ Agent, Client Versions }
 
 func (e *VersionsError) Error() string {
-	return fmt.Sprintf("it speaks versions %d to %d, and this tool %d to %d: bring both to one release", e.Agent.Min, e.Agent.Max,
-		e.Client.Min, e.Client.Max)
+	return fmt.Sprintf("it speaks versions %d to %d of the protocol, and this tool %d to %d: use the same release for both",
+		e.Agent.Min, e.Agent.Max, e.Client.Min, e.Client.Max)
 }
 
-// StatusError is the error of a call that the agent answered with an error.
+// StatusError is the error of a call that the agent answered with an HTTP error status.
 type StatusError struct {
-	Status string // of HTTP, with its number
-	Text   string // what the agent says
+	Status string // HTTP status code and text
+	Text   string // body of the response
 }
 
 func (e *StatusError) Error() string { return e.Status + ": " + e.Text }
 
-// UnreachableError is the error of a call of an agent to which no connection can be made.
+// UnreachableError is the error of a call to an agent to which the client cannot connect.
 type UnreachableError struct{ Err error }
 
 func (e *UnreachableError) Error() string { return fmt.Sprintf("it cannot be reached: %v", e.Err) }
 
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// explainError replaces errors of the network and of TLS by ones that an operator can act on.
+// explainError replaces network and TLS errors by errors that an operator can act on.
 func explainError(err error) error {
 	var alert tls.AlertError
 	var operation *net.OpError
--- a/internal/fleet/api/log.go
+++ b/internal/fleet/api/log.go
@@ -7,11 +7,11 @@
 	"github.com/rs/zerolog"
 )
 
-// debugLogger takes the lines of the HTTP server, at the level of debug: refused handshakes, which are most of them, are
-// logged with their reason by NewServer.
+// debugLogger returns a logger that writes the HTTP server's log lines at debug level. Most of them are refused TLS
+// handshakes, which NewServer logs with their reason anyway.
 func debugLogger(l zerolog.Logger) *log.Logger { return log.New(logWriter{l}, "", 0) }
 
-// logWriter writes each line as a message of its own.
+// logWriter writes each line as a separate log message.
 type logWriter struct{ log zerolog.Logger }
 
 func (w logWriter) Write(p []byte) (int, error) {
--- a/internal/fleet/api/recorded_test.go
+++ b/internal/fleet/api/recorded_test.go
@@ -17,7 +17,7 @@
 	"stoatdale.example/stoatdale/internal/pki"
 )
 
-// replayer answers each verb with the recorded reply and keeps the calls.
+// replayer is a Handler that answers each verb with the recorded reply and records the request.
 type replayer struct {
 	replies map[protocol.Verb]protocol.Reply
 	mu      sync.Mutex
@@ -31,12 +31,12 @@
 	return p.replies[c.Verb], nil
 }
 
-// TestRecordedExchangesPassUnchanged posts the recorded call of each verb as bytes and compares the reply's bytes,
-// then has the client make the same calls.
+// TestRecordedExchangesPassUnchanged posts the recorded request of each verb as bytes and compares the bytes of the reply.
+// It then makes the same request with a Client.
 func TestRecordedExchangesPassUnchanged(t *testing.T) {
 	files, err := filepath.Glob("../protocol/testdata/calls/*.cbor")
 	require.NoError(t, err)
-	require.Len(t, files, 9, "one of each verb")
+	require.Len(t, files, 9, "one call of each verb")
 	h := &replayer{replies: map[protocol.Verb]protocol.Reply{}, calls: map[protocol.Verb]protocol.Request{}}
 	calls, replies := map[protocol.Verb][]byte{}, map[protocol.Verb][]byte{}
 	for _, file := range files {
--- a/internal/fleet/api/server.go
+++ b/internal/fleet/api/server.go
@@ -18,9 +18,10 @@
 	"stoatdale.example/stoatdale/internal/pki"
 )
 
-// Handler handles the requests to an agent. It is called from several goroutines. The operator is the name in the
-// caller's certificate. An error is reported to the caller as status 503.
+// Handler answers the requests to an agent.
 type Handler interface {
+	// Handle answers a request. It may be called from several goroutines at a time. operator is the name in the caller's
+	// certificate. The server answers an error with status 503.
 	Handle(ctx context.Context, operator string, request protocol.Request) (protocol.Reply, error)
 }
 
@@ -30,8 +31,9 @@
 	listener net.Listener
 }
 
-// NewServer returns a server for a listener, which it takes over. The certificate and the trusted authorities are read
-// from source anew for each connection. Refused connections and requests are logged.
+// NewServer returns a server for a listener, which the server closes in the end. It reads the certificate and the trusted
+// authorities from source again for each connection, so that it uses renewed ones. It logs refused connections and
+// rejected requests.
 func NewServer(l net.Listener, h Handler, source pki.Credentials, v Versions, log zerolog.Logger) *Server {
 	tlsConfig := source.ServerConfig(func(err error) { log.Warn().Err(err).Msg("connection refused") })
 	return &Server{
@@ -48,7 +50,7 @@
 	}
 }
 
-// Serve serves until Close, after which it returns nil, or until the listener fails.
+// Serve answers requests until Close is called, and then returns nil. It returns an error if the listener fails.
 func (s *Server) Serve() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("api: %w", err)
@@ -56,17 +58,17 @@
 	return nil
 }
 
-// Close closes the listener and all connections, also those with a request under way.
+// Close closes the listener and all connections, including those with a request under way.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// requestHandler is the HTTP side of a Handler.
+// requestHandler is an http.Handler that passes requests to a Handler.
 type requestHandler struct {
 	handler  Handler
 	versions Versions
 	log      zerolog.Logger
 }
 
-// httpError is an error that is answered with a status of HTTP.
+// httpError is an error with the HTTP status that the server answers it with.
 type httpError struct {
 	status int
 	err    error
@@ -89,6 +91,7 @@
 	_, _ = w.Write(protocol.Encode(reply))
 }
 
+// serve checks and decodes a request and passes it to the handler.
 func (h *requestHandler) serve(w http.ResponseWriter, r *http.Request) (protocol.Reply, *httpError) {
 	if err := h.checkHeader(r); err != nil {
 		return protocol.Reply{}, err
@@ -96,7 +99,7 @@
 	operator := pki.IdentityOf(r.TLS.PeerCertificates[0]).Name
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxContentBytes))
 	if err != nil {
-		h.log.Warn().Err(err).Str("operator", operator).Msg("request not read")
+		h.log.Warn().Err(err).Str("operator", operator).Msg("could not read the request")
 		return protocol.Reply{}, &httpError{status: readErrorStatus(err), err: err}
 	}
 	request, err := decodeRequest(operator, raw)
@@ -111,22 +114,22 @@
 	return reply, nil
 }
 
-// checkHeader checks the parts of a request before its body.
+// checkHeader checks a request's path, method and protocol version.
 func (h *requestHandler) checkHeader(r *http.Request) *httpError {
 	version, err := strconv.Atoi(r.Header.Get(versionHeader))
 	switch {
 	case r.URL.Path != requestPath:
-		return &httpError{status: http.StatusNotFound, err: errors.New("calls go to " + requestPath)}
+		return &httpError{status: http.StatusNotFound, err: errors.New("requests go to " + requestPath)}
 	case r.Method != http.MethodPost:
-		return &httpError{status: http.StatusMethodNotAllowed, err: errors.New("calls are posted")}
+		return &httpError{status: http.StatusMethodNotAllowed, err: errors.New("requests must use the method POST")}
 	case err != nil || !h.versions.contains(version):
-		err = fmt.Errorf("versions %d to %d are spoken here", h.versions.Min, h.versions.Max)
+		err = fmt.Errorf("this agent speaks versions %d to %d of the protocol", h.versions.Min, h.versions.Max)
 		return &httpError{status: http.StatusHTTPVersionNotSupported, err: err}
 	}
 	return nil
 }
 
-// readErrorStatus is the status for a body that could not be read.
+// readErrorStatus returns the HTTP status for an error in reading a request's body.
 func readErrorStatus(err error) int {
 	var tooLong *http.MaxBytesError
 	if errors.As(err, &tooLong) {
@@ -135,7 +138,7 @@
 	return http.StatusBadRequest
 }
 
-// decodeRequest reads a request and checks its size and its holder.
+// decodeRequest decodes a request and checks its size and its holder names.
 func decodeRequest(operator string, raw []byte) (protocol.Request, error) {
 	request, err := protocol.DecodeRequest(raw)
 	if err != nil {
@@ -147,11 +150,11 @@
 	return request, checkHolder(operator, request)
 }
 
-// checkHolder rejects a request under the holder's name of another operator.
+// checkHolder returns an error if a holder name in a request belongs to another operator than the caller.
 func checkHolder(operator string, request protocol.Request) error {
 	for _, holder := range []string{request.Holder, request.LeaseRequest.Holder} {
 		if holder != "" && !strings.HasPrefix(holder, operator+holderSeparator) {
-			return fmt.Errorf("call: operator %s cannot speak as %s", operator, holder)
+			return fmt.Errorf("call: operator %s cannot use the holder name %s", operator, holder)
 		}
 	}
 	return nil
