--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -35,7 +35,7 @@
 const (
 	eventQueueLength = 256
 	storeRetryDelay  = time.Second      // delay before an event whose state could not be stored is repeated
-	maxIdle          = 60 * time.Second // longest time that Run waits for an event
+	maxEventWait     = 60 * time.Second // longest time that Run waits for an event
 	minRecentSeconds = 5                // shortest window of the recent command counts
 )
 
@@ -58,16 +58,16 @@
 
 // Agent is the agent of one machine.
 type Agent struct {
-	fleet     *inventory.Fleet
-	self      *inventory.Agent
-	store     Store
-	log       zerolog.Logger
-	handler   supervisor.RequestHandler // handler.Supervisors[i] belongs to routers[i]
-	limits    supervisor.Limits
-	routers   []router
-	events    chan event
-	startedAt time.Time      // time 0 of the agent's clock, by its monotonic reading
-	work      sync.WaitGroup // goroutines that Run waits for
+	fleet      *inventory.Fleet
+	self       *inventory.Agent
+	store      Store
+	log        zerolog.Logger
+	handler    supervisor.RequestHandler // handler.Supervisors[i] belongs to routers[i]
+	limits     supervisor.Limits
+	routers    []router
+	events     chan event
+	startedAt  time.Time      // time 0 of the agent's clock, by its monotonic reading
+	goroutines sync.WaitGroup // goroutines that Run waits for
 }
 
 // OpenStore opens the store in an agent's folder.
@@ -106,18 +106,18 @@
 		a.handler.InstanceNames = append(a.handler.InstanceNames, instance.Name)
 		a.handler.ListenAddresses = append(a.handler.ListenAddresses, instance.Listen.String())
 		// Run creates the supervisor again, to carry out its first actions.
-		supervisor, _ := supervisor.NewSupervisor(state.Instances[instance.Name], &a.limits)
-		a.handler.Supervisors = append(a.handler.Supervisors, supervisor)
+		supervised, _ := supervisor.NewSupervisor(state.Instances[instance.Name], &a.limits)
+		a.handler.Supervisors = append(a.handler.Supervisors, supervised)
 	}
 	return a, nil
 }
 
 // Run handles events until ctx ends. The routers keep running after that. It may be called only once.
 func (a *Agent) Run(ctx context.Context) {
-	defer a.work.Wait()
+	defer a.goroutines.Wait()
 	for i := range a.routers {
-		supervisor, first := supervisor.NewSupervisor(a.handler.Supervisors[i].Record, &a.limits)
-		a.handler.Supervisors[i] = supervisor
+		supervised, first := supervisor.NewSupervisor(a.handler.Supervisors[i].Record, &a.limits)
+		a.handler.Supervisors[i] = supervised
 		a.routers[i].carryOut(ctx, first)
 	}
 	for ctx.Err() == nil {
@@ -146,7 +146,7 @@
 	for i := range a.routers {
 		next = min(next, a.routers[i].nextTick())
 	}
-	seconds := min(next-a.now(), maxIdle.Seconds()) // next may be infinite, which a time.Duration cannot hold
+	seconds := min(next-a.now(), maxEventWait.Seconds()) // next may be infinite, which a time.Duration cannot hold
 	return time.Duration(seconds * float64(time.Second))
 }
 
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -101,11 +101,11 @@
 }
 
 // call sends a request to the agent as the operator op.
-func (r *rig) call(c protocol.Request) protocol.Reply {
+func (r *rig) call(request protocol.Request) protocol.Reply {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	reply, err := r.agent.Handle(ctx, "op", c)
+	reply, err := r.agent.Handle(ctx, "op", request)
 	require.NoError(r.t, err)
 	return reply
 }
@@ -211,13 +211,13 @@
 	r := newRig(t)
 	good := r.push(testserver.Conduct{}, nil)
 	r.completeStep(good)
-	for says, conduct := range map[string]testserver.Conduct{
+	for failure, conduct := range map[string]testserver.Conduct{
 		"it ended with status 3: stand-in: told to end": {Exit: 3},
 		"it was not ready within 2 s":                   {Silent: true},
 	} {
 		status := r.completeStep(r.push(conduct, map[string]any{"limits": map[string]any{"sockets": 300}}))
 		assert.Equal(t, rollout.StepFailed, status.LastResult)
-		assert.Contains(t, status.LastFailure, says)
+		assert.Contains(t, status.LastFailure, failure)
 		status = r.completeStep(good)
 		assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 		assert.Equal(t, rollout.ProcessReady, status.State)
@@ -232,7 +232,7 @@
 
 // The agent is so busy that the process has already ended when the agent adopts it. The last line of the router's log must
 // be part of the step's failure nevertheless.
-func TestLastWordsOfARouterThatEndsAtOnceAreReported(t *testing.T) {
+func TestLastLogLineOfARouterThatExitsImmediatelyIsReported(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	require.Empty(t, r.beginStep(r.push(testserver.Conduct{Exit: 3}, nil)))
@@ -264,8 +264,8 @@
 	r := newRig(t)
 	status := r.completeStep(r.push(testserver.Conduct{}, nil))
 	r.restart()
-	again := r.waitFor("ready", ready)
-	assert.Equal(t, status.ProcessID, again.ProcessID)
+	adopted := r.waitFor("ready", ready)
+	assert.Equal(t, status.ProcessID, adopted.ProcessID)
 	p := r.process()
 	require.NoError(t, p.signal(unix.SIGKILL))
 	after := r.waitFor("a new process", func(t protocol.InstanceStatus) bool { return ready(t) && t.ProcessID != status.ProcessID })
@@ -340,7 +340,7 @@
 func TestLogIsReadByLinesAndRotated(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	require.NoError(t, os.WriteFile(path, []byte("old\n"), 0o600))
-	tl := newLogTail(path, int64(len("old\n")))
+	tail := newLogTail(path, int64(len("old\n")))
 	f, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0o600)
 	require.NoError(t, err)
 	defer func() { _ = f.Close() }()
@@ -348,7 +348,7 @@
 	read := func(text string) {
 		_, err := f.WriteString(text)
 		require.NoError(t, err)
-		require.NoError(t, tl.read(func(s logEvent) { got = append(got, s) }))
+		require.NoError(t, tail.read(func(e logEvent) { got = append(got, e) }))
 	}
 	read(`{"message":"counters","counters":{"answered":5,"failed":1,"thr`)
 	assert.Empty(t, got)
@@ -358,7 +358,7 @@
 	assert.Empty(t, *got[1].reloadFailure)
 	assert.Equal(t, "no", *got[2].reloadFailure)
 	read("panic: something\n")
-	assert.Equal(t, "panic: something", tl.lastError)
+	assert.Equal(t, "panic: something", tail.lastError)
 	for range 9 {
 		read(strings.Repeat(strings.Repeat("x", 1023)+"\n", 1<<10))
 	}
--- a/internal/fleet/agent/config.go
+++ b/internal/fleet/agent/config.go
@@ -123,6 +123,7 @@
 	if err := a.store.Save(store.Change{Revision: &rev}); err != nil {
 		return err
 	}
-	a.log.Info().Str("operator", operator).Str("revision", revision.ShortDigest(rev.Digest)).Str("name", rev.Name).Msg("revision stored")
+	a.log.Info().Str("operator", operator).Str("revision", revision.ShortDigest(rev.Digest)).
+		Str("name", rev.Name).Msg("revision stored")
 	return nil
 }
--- a/internal/fleet/agent/process.go
+++ b/internal/fleet/agent/process.go
@@ -36,7 +36,7 @@
 		return nil, err
 	}
 	defer func() { _ = log.Close() }()
-	before, err := log.Stat() // before the start, since a process may write its last message immediately and end
+	logInfo, err := log.Stat() // before the start, since a process may write its last message immediately and end
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 		_, _ = process.Wait()
 		return nil, fmt.Errorf("pidfd: %w", err)
 	}
-	handle := &processHandle{pid: process.Pid, fd: fd, logStart: before.Size()}
+	handle := &processHandle{pid: process.Pid, fd: fd, logStart: logInfo.Size()}
 	_ = process.Release()
 	return handle, nil
 }
@@ -69,8 +69,8 @@
 // signal sends a signal to the process.
 func (p *processHandle) signal(s unix.Signal) error { return unix.PidfdSendSignal(p.fd, s, nil, 0) }
 
-// exited reports whether the process has ended. how describes the end for people.
-func (p *processHandle) exited() (exited bool, how string) {
+// exited reports whether the process has ended. reason describes the end for people.
+func (p *processHandle) exited() (exited bool, reason string) {
 	fds := []unix.PollFd{{Fd: int32(p.fd), Events: unix.POLLIN}}
 	if n, err := unix.Poll(fds, 0); err != nil || n == 0 {
 		return false, ""
@@ -115,9 +115,9 @@
 	return nil, nil
 }
 
-// RunningRouters returns the process IDs of the running routers whose folders are below the folder under. The keys of the
+// RunningRouters returns the process IDs of the running routers whose folders are below the folder parent. The keys of the
 // map are the routers' folders.
-func RunningRouters(under string) (map[string][]int, error) {
+func RunningRouters(parent string) (map[string][]int, error) {
 	pids, err := processIDs()
 	if err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 	running := map[string][]int{}
 	for _, pid := range pids {
 		for _, incarnation := range incarnationsOf(pid) {
-			if strings.HasPrefix(incarnation, under+"/") {
+			if strings.HasPrefix(incarnation, parent+"/") {
 				folder := filepath.Dir(incarnation)
 				running[folder] = append(running[folder], pid)
 			}
@@ -134,10 +134,10 @@
 	return running, nil
 }
 
-// KillRouters kills all routers whose folders are below the folder under, and returns the number of folders that had a
+// KillRouters kills all routers whose folders are below the folder parent, and returns the number of folders that had a
 // running router. Drills and tests use it to end a whole fleet.
-func KillRouters(under string) (int, error) {
-	running, err := RunningRouters(under)
+func KillRouters(parent string) (int, error) {
+	running, err := RunningRouters(parent)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -97,16 +97,16 @@
 	s, err := OpenStore(f.Agent("a"))
 	require.NoError(t, err)
 	defer func() { require.NoError(t, s.Close()) }()
-	st, err := s.Load()
+	state, err := s.Load()
 	require.NoError(t, err)
 	for i := range f.Instances {
-		x := &f.Instances[i]
-		rev, found, err := s.Revision(st.Instances[x.Name].Revision)
+		instance := &f.Instances[i]
+		rev, found, err := s.Revision(state.Instances[instance.Name].Revision)
 		require.NoError(t, err)
 		require.True(t, found)
-		raw, err := revision.Render(rev.Content, x.RevisionInstance(), 1)
+		raw, err := revision.Render(rev.Content, instance.RevisionInstance(), 1)
 		require.NoError(t, err)
-		folder := filepath.Join(f.Agents[0].Folder, x.Name)
+		folder := filepath.Join(f.Agents[0].Folder, instance.Name)
 		require.NoError(t, os.MkdirAll(folder, 0o700))
 		require.NoError(t, os.WriteFile(filepath.Join(folder, configName), raw, 0o600))
 	}
--- a/internal/fleet/agent/router.go
+++ b/internal/fleet/agent/router.go
@@ -94,14 +94,14 @@
 
 // logChanges logs the supervisor's step and the router's state if they differ from before.
 func (r *router) logChanges(before *supervisor.Supervisor) {
-	supervisor := r.supervisor()
-	if supervisor.Result != before.Result || supervisor.Step.Number != before.Step.Number {
+	supervised := r.supervisor()
+	if supervised.Result != before.Result || supervised.Step.Number != before.Step.Number {
 		r.logStep()
 	}
-	from, to := before.Observe(0).State, supervisor.Observe(0).State
+	from, to := before.Observe(0).State, supervised.Observe(0).State
 	if from != to {
 		r.agent.log.Info().Str("instance", r.instance.Name).Stringer("from", from).Stringer("state", to).
-			Int("crashes", supervisor.Crashes()).Msg("router changed state")
+			Int("crashes", supervised.Crashes()).Msg("router changed state")
 	}
 }
 
@@ -150,7 +150,7 @@
 // runAsync runs work, which may block, in a new goroutine, and posts the event that work returns to Run.
 func (r *router) runAsync(ctx context.Context, work func() event) {
 	a := r.agent
-	a.work.Go(func() { a.post(ctx, work()) })
+	a.goroutines.Go(func() { a.post(ctx, work()) })
 }
 
 func (r *router) findProcess(ctx context.Context, number uint64) {
@@ -159,7 +159,7 @@
 		var process *processHandle
 		var err error
 		if number != 0 { // 0 means that no process was ever started
-			process, err = findRestarted(ctx, r.incarnation(number))
+			process, err = findAfterRestart(ctx, r.incarnation(number))
 		}
 		if process != nil {
 			process.logStart = r.logSize() // the earlier agent process has read the log up to here
--- a/internal/fleet/agent/watch.go
+++ b/internal/fleet/agent/watch.go
@@ -13,9 +13,9 @@
 // watchInterval is the interval at which the agent reads a router's log and checks whether its process has ended.
 const watchInterval = 100 * time.Millisecond
 
-// findRestarted returns the process of an incarnation, or nil if none runs. It looks twice, because the previous agent
+// findAfterRestart returns the process of an incarnation, or nil if none runs. It looks twice, because the previous agent
 // process may have ended while it was starting the router, so that the router's process appears a moment later.
-func findRestarted(ctx context.Context, incarnation string) (*processHandle, error) {
+func findAfterRestart(ctx context.Context, incarnation string) (*processHandle, error) {
 	process, err := findRunning(incarnation)
 	if process != nil || err != nil {
 		return process, err
@@ -45,7 +45,7 @@
 	a := r.agent
 	a.log.Info().Str("instance", r.instance.Name).Int("process", process.pid).Msg("process adopted")
 	log := newLogTail(filepath.Join(r.folder, logName), process.logStart)
-	a.work.Go(func() { r.watch(ctx, process, log) })
+	a.goroutines.Go(func() { r.watch(ctx, process, log) })
 }
 
 // watch posts the events in a process's log and then the end of the process. It returns after that or when ctx ends, and
@@ -54,7 +54,7 @@
 	defer process.close()
 	a := r.agent
 	for ctx.Err() == nil {
-		exited, how := process.exited()
+		exited, reason := process.exited()
 		err := log.read(func(e logEvent) {
 			a.post(ctx, func(ctx context.Context) { r.handleLog(ctx, process, e) })
 		})
@@ -63,9 +63,9 @@
 		}
 		if exited {
 			if log.lastError != "" {
-				how += ": " + log.lastError
+				reason += ": " + log.lastError
 			}
-			a.post(ctx, func(ctx context.Context) { r.handleExit(ctx, process, how) })
+			a.post(ctx, func(ctx context.Context) { r.handleExit(ctx, process, reason) })
 			return
 		}
 		select {
@@ -92,12 +92,12 @@
 }
 
 // handleExit reports the end of a process to the supervisor. It ignores the end if the router has another process by now.
-func (r *router) handleExit(ctx context.Context, process *processHandle, how string) {
+func (r *router) handleExit(ctx context.Context, process *processHandle, reason string) {
 	if r.process != process {
 		return
 	}
 	r.process = nil
 	a := r.agent
-	a.log.Warn().Str("instance", r.instance.Name).Str("how", how).Msg("router exited")
-	r.handle(ctx, func(s *supervisor.Supervisor) supervisor.Transition { return s.ProcessExited(a.now(), how) })
+	a.log.Warn().Str("instance", r.instance.Name).Str("how", reason).Msg("router exited")
+	r.handle(ctx, func(s *supervisor.Supervisor) supervisor.Transition { return s.ProcessExited(a.now(), reason) })
 }
--- a/internal/fleet/api/api_test.go
+++ b/internal/fleet/api/api_test.go
@@ -22,11 +22,11 @@
 	"stoatdale.example/stoatdale/internal/pki"
 )
 
-// echo is a Handler whose replies contain the operator, the verb and the revision of the request.
-type echo struct{ fail error }
+// echoHandler is a Handler whose replies contain the operator, the verb and the revision of the request.
+type echoHandler struct{ fail error }
 
-func (e echo) Handle(_ context.Context, operator string, c protocol.Request) (protocol.Reply, error) {
-	return protocol.Reply{Agent: operator, Failure: string(c.Verb), Revisions: []protocol.Revision{c.Revision}}, e.fail
+func (e echoHandler) Handle(_ context.Context, operator string, request protocol.Request) (protocol.Reply, error) {
+	return protocol.Reply{Agent: operator, Failure: string(request.Verb), Revisions: []protocol.Revision{request.Revision}}, e.fail
 }
 
 // rig runs a server on the loopback interface, with keys of an agent and an operator. It is also the writer of the
@@ -75,7 +75,7 @@
 }
 
 func TestRequestsAreAnswered(t *testing.T) {
-	r := newRig(t, SupportedVersions, echo{})
+	r := newRig(t, SupportedVersions, echoHandler{})
 	c := r.client(SupportedVersions)
 	for range 3 {
 		got, err := c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
@@ -95,9 +95,9 @@
 }
 
 func TestVersionsAreNegotiatedOrReported(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		agent, tool Versions
-		says        string
+		want        string
 	}{
 		{Versions{1, 2}, Versions{1, 1}, ""},
 		{Versions{1, 1}, Versions{1, 2}, ""},
@@ -105,21 +105,21 @@
 		{Versions{2, 3}, Versions{1, 1}, "it speaks versions 2 to 3 of the protocol, and this tool 1 to 1"},
 		{Versions{1, 1}, Versions{2, 3}, "it speaks versions 1 to 1 of the protocol, and this tool 2 to 3"},
 	} {
-		c := newRig(t, x.agent, echo{}).client(x.tool)
+		c := newRig(t, test.agent, echoHandler{}).client(test.tool)
 		_, err := c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
-		if x.says == "" {
-			assert.NoError(t, err, "%v", x)
+		if test.want == "" {
+			assert.NoError(t, err, "%v", test)
 		} else {
-			require.ErrorContains(t, err, x.says)
+			require.ErrorContains(t, err, test.want)
 			var versions *VersionsError
 			require.ErrorAs(t, err, &versions)
-			assert.Equal(t, VersionsError{Agent: x.agent, Client: x.tool}, *versions)
+			assert.Equal(t, VersionsError{Agent: test.agent, Client: test.tool}, *versions)
 		}
 	}
 }
 
-// raw returns a TLS connection with an operator's certificate, on which a test can send arbitrary bytes.
-func (r *rig) raw() net.Conn {
+// dialTLS returns a TLS connection with an operator's certificate, on which a test can send arbitrary bytes.
+func (r *rig) dialTLS() net.Conn {
 	conf, err := r.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
 	require.NoError(r.t, err)
 	c, err := tls.Dial("tcp", r.address, conf)
@@ -130,28 +130,28 @@
 }
 
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	r := newRig(t, SupportedVersions, echo{})
+	r := newRig(t, SupportedVersions, echoHandler{})
 	conf, err := r.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
 	require.NoError(t, err)
-	h := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
-	t.Cleanup(h.CloseIdleConnections)
+	httpClient := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
+	t.Cleanup(httpClient.CloseIdleConnections)
 	post := func(path, version string, body io.Reader) (int, string) {
-		q, err := http.NewRequest(http.MethodPost, "https://"+r.address+path, body)
+		request, err := http.NewRequest(http.MethodPost, "https://"+r.address+path, body)
 		require.NoError(t, err)
-		q.Header.Set(versionHeader, version)
-		a, err := h.Do(q)
+		request.Header.Set(versionHeader, version)
+		response, err := httpClient.Do(request)
 		if err != nil {
 			return 0, err.Error()
 		}
-		defer func() { _ = a.Body.Close() }()
-		raw, _ := io.ReadAll(a.Body)
-		return a.StatusCode, string(raw)
+		defer func() { _ = response.Body.Close() }()
+		raw, _ := io.ReadAll(response.Body)
+		return response.StatusCode, string(raw)
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		path, version string
 		body          io.Reader
 		status        int
-		says          string
+		want          string
 	}{
 		{"/", "1", bytes.NewReader(nil), 404, "requests go to /fleet"},
 		{requestPath, "one", bytes.NewReader(nil), 505, "versions 1 to 1"},
@@ -161,12 +161,12 @@
 		{requestPath, "1", bytes.NewReader(protocol.Encode(map[string]any{"verb": "dance"})), 400, "unknown verb"},
 		{requestPath, "1", io.LimitReader(zeros{}, 100<<20), 413, "too large"},
 	} {
-		status, says := post(x.path, x.version, x.body)
-		if x.status == 413 && status == 0 {
+		status, text := post(test.path, test.version, test.body)
+		if test.status == 413 && status == 0 {
 			continue // the server may close the connection before the client has written the whole body
 		}
-		assert.Equal(t, x.status, status, says)
-		assert.Contains(t, says, x.says)
+		assert.Equal(t, test.status, status, text)
+		assert.Contains(t, text, test.want)
 	}
 	_, err = r.client(SupportedVersions).Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	assert.NoError(t, err)
@@ -177,9 +177,9 @@
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
 func TestIncompleteRequestsAreClosed(t *testing.T) {
-	r := newRig(t, SupportedVersions, echo{})
+	r := newRig(t, SupportedVersions, echoHandler{})
 	for _, half := range []string{"POST /fl", "POST /fleet HTTP/1.1\r\nHost: x\r\nFleet-Version: 1\r\nContent-Length: 99\r\n\r\nabc"} {
-		c := r.raw()
+		c := r.dialTLS()
 		_, err := c.Write([]byte(half))
 		require.NoError(t, err)
 		require.NoError(t, c.(*tls.Conn).CloseWrite())
@@ -188,7 +188,7 @@
 			assert.Contains(t, string(raw), "400 Bad Request")
 		}
 	}
-	long := r.raw()
+	long := r.dialTLS()
 	_, err := fmt.Fprintf(long, "POST /fleet HTTP/1.1\r\nHost: x\r\nX: %s\r\n\r\n", bytes.Repeat([]byte("a"), 64<<10))
 	if err == nil {
 		raw, _ := io.ReadAll(long)
@@ -199,9 +199,9 @@
 }
 
 func TestConnectionsAreBounded(t *testing.T) {
-	r := newRig(t, SupportedVersions, echo{})
+	r := newRig(t, SupportedVersions, echoHandler{})
 	for range maxConnections {
-		r.raw()
+		r.dialTLS()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
@@ -211,19 +211,19 @@
 }
 
 func TestWrongCertificatesAreRefusedAndLogged(t *testing.T) {
-	r := newRig(t, SupportedVersions, echo{})
+	r := newRig(t, SupportedVersions, echoHandler{})
 	other := pki.Folder(t.TempDir())
 	require.NoError(t, other.CreateAuthority("g", time.Hour, time.Now()))
 	require.NoError(t, other.Issue(pki.Operator, "ayla", time.Minute, time.Now()))
-	stranger := NewClient("a1", r.address, pki.Credentials{CertificateFile: other.CertificateFile(pki.Operator, "ayla"), TrustedFile: r.keys.TrustedFile(), Now: time.Now}, SupportedVersions)
-	defer stranger.Close()
-	_, err := stranger.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
+	untrusted := NewClient("a1", r.address, pki.Credentials{CertificateFile: other.CertificateFile(pki.Operator, "ayla"), TrustedFile: r.keys.TrustedFile(), Now: time.Now}, SupportedVersions)
+	defer untrusted.Close()
+	_, err := untrusted.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorIs(t, err, ErrCertificateRefused)
 	require.ErrorContains(t, err, "it refuses this operator's certificate")
 	assert.Contains(t, r.logged(), "operator ayla is from an authority that is not trusted here")
-	misled := NewClient("a2", r.address, r.keys.Credentials(pki.Operator, "ayla"), SupportedVersions)
-	defer misled.Close()
-	_, err = misled.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
+	wrongAgent := NewClient("a2", r.address, r.keys.Credentials(pki.Operator, "ayla"), SupportedVersions)
+	defer wrongAgent.Close()
+	_, err = wrongAgent.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorContains(t, err, "agent a1's, and should be agent a2's")
 	// The agent's certificate is renewed in place. The next connection uses the new one.
 	c := r.client(SupportedVersions)
@@ -236,7 +236,7 @@
 }
 
 func TestTransportErrorsAreExplained(t *testing.T) {
-	r := newRig(t, SupportedVersions, echo{fail: errors.New("busy")})
+	r := newRig(t, SupportedVersions, echoHandler{fail: errors.New("busy")})
 	_, err := r.client(SupportedVersions).Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorContains(t, err, "agent a1: 503 Service Unavailable: busy")
 	var status *StatusError
--- a/internal/fleet/api/client.go
+++ b/internal/fleet/api/client.go
@@ -58,10 +58,10 @@
 // ErrCertificateRefused or ErrNoAnswer.
 func (c *Client) Call(ctx context.Context, request protocol.Request) (protocol.Reply, error) {
 	reply, err := c.call(ctx, request)
-	var other *VersionsError
-	if errors.As(err, &other) {
-		common := min(c.versions.Max, other.Agent.Max)
-		if common >= max(c.versions.Min, other.Agent.Min) && common != c.version {
+	var mismatch *VersionsError
+	if errors.As(err, &mismatch) {
+		common := min(c.versions.Max, mismatch.Agent.Max)
+		if common >= max(c.versions.Min, mismatch.Agent.Min) && common != c.version {
 			c.version = common
 			reply, err = c.call(ctx, request)
 		}
--- a/internal/fleet/api/recorded_test.go
+++ b/internal/fleet/api/recorded_test.go
@@ -24,11 +24,11 @@
 	calls   map[protocol.Verb]protocol.Request
 }
 
-func (p *replayer) Handle(_ context.Context, _ string, c protocol.Request) (protocol.Reply, error) {
+func (p *replayer) Handle(_ context.Context, _ string, request protocol.Request) (protocol.Reply, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.calls[c.Verb] = c
-	return p.replies[c.Verb], nil
+	p.calls[request.Verb] = request
+	return p.replies[request.Verb], nil
 }
 
 // TestRecordedExchangesPassUnchanged posts the recorded request of each verb as bytes and compares the bytes of the reply.
@@ -40,14 +40,14 @@
 	h := &replayer{replies: map[protocol.Verb]protocol.Reply{}, calls: map[protocol.Verb]protocol.Request{}}
 	calls, replies := map[protocol.Verb][]byte{}, map[protocol.Verb][]byte{}
 	for _, file := range files {
-		v := protocol.Verb(filepath.Base(file[:len(file)-len(".cbor")]))
-		calls[v], err = os.ReadFile(file)
+		verb := protocol.Verb(filepath.Base(file[:len(file)-len(".cbor")]))
+		calls[verb], err = os.ReadFile(file)
 		require.NoError(t, err)
-		replies[v], err = os.ReadFile(filepath.Join("../protocol/testdata/replies", filepath.Base(file)))
+		replies[verb], err = os.ReadFile(filepath.Join("../protocol/testdata/replies", filepath.Base(file)))
 		require.NoError(t, err)
 		var reply protocol.Reply
-		require.NoError(t, protocol.Decode("reply", replies[v], &reply))
-		h.replies[v] = reply
+		require.NoError(t, protocol.Decode("reply", replies[verb], &reply))
+		h.replies[verb] = reply
 	}
 	r := newRig(t, SupportedVersions, h)
 	conf, err := r.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
@@ -55,23 +55,23 @@
 	plainHTTP := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
 	t.Cleanup(plainHTTP.CloseIdleConnections)
 	c := r.client(SupportedVersions)
-	for v, raw := range calls {
-		q, err := http.NewRequest(http.MethodPost, "https://"+r.address+"/fleet", bytes.NewReader(raw))
+	for verb, raw := range calls {
+		request, err := http.NewRequest(http.MethodPost, "https://"+r.address+"/fleet", bytes.NewReader(raw))
 		require.NoError(t, err)
-		q.Header.Set("Fleet-Version", "1")
-		a, err := plainHTTP.Do(q)
+		request.Header.Set("Fleet-Version", "1")
+		response, err := plainHTTP.Do(request)
 		require.NoError(t, err)
-		body, err := io.ReadAll(a.Body)
+		body, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
-		require.NoError(t, a.Body.Close())
-		assert.Equal(t, http.StatusOK, a.StatusCode, "%s: %s", v, body)
-		assert.Equal(t, "application/cbor", a.Header.Get("Content-Type"), v)
-		assert.Equal(t, "1", a.Header.Get("Fleet-Least"), v)
-		assert.Equal(t, "1", a.Header.Get("Fleet-Most"), v)
-		assert.Equal(t, replies[v], body, v)
-		assert.Equal(t, raw, protocol.Encode(h.calls[v]), v)
-		got, err := c.Call(context.Background(), h.calls[v])
+		require.NoError(t, response.Body.Close())
+		assert.Equal(t, http.StatusOK, response.StatusCode, "%s: %s", verb, body)
+		assert.Equal(t, "application/cbor", response.Header.Get("Content-Type"), verb)
+		assert.Equal(t, "1", response.Header.Get("Fleet-Least"), verb)
+		assert.Equal(t, "1", response.Header.Get("Fleet-Most"), verb)
+		assert.Equal(t, replies[verb], body, verb)
+		assert.Equal(t, raw, protocol.Encode(h.calls[verb]), verb)
+		got, err := c.Call(context.Background(), h.calls[verb])
 		require.NoError(t, err)
-		assert.Equal(t, h.replies[v], got, v)
+		assert.Equal(t, h.replies[verb], got, verb)
 	}
 }
--- a/internal/fleet/protocol/messages.go
+++ b/internal/fleet/protocol/messages.go
@@ -52,7 +52,7 @@
 // Request is a request to an agent. The verb determines which of the other fields are used.
 type Request struct {
 	Verb            Verb            `cbor:"verb"`
-	AgentsDigest    string          `cbor:"agents,omitempty"`  // digest of the caller's agent list; must equal the agent's, unless empty
+	AgentsDigest    string          `cbor:"agents,omitempty"`  // digest of the caller's agent list; must equal the agent's if given
 	LeaseRequest    lease.Request   `cbor:"bid,omitzero"`      // for RequestLeaseVerb
 	Epoch           uint64          `cbor:"epoch,omitempty"`   // epoch of the caller's lease
 	Holder          string          `cbor:"holder,omitempty"`  // holder of the caller's lease, which identifies the caller
--- a/internal/fleet/protocol/messages_test.go
+++ b/internal/fleet/protocol/messages_test.go
@@ -12,17 +12,17 @@
 )
 
 func TestMessagesRoundTrip(t *testing.T) {
-	c := Request{Verb: BeginStepVerb, Epoch: 3, Holder: "h", InstanceName: "n1", Step: rollout.Step{RolloutID: "r", Number: 2, Instance: 4}}
-	got, err := DecodeRequest(Encode(c))
+	request := Request{Verb: BeginStepVerb, Epoch: 3, Holder: "h", InstanceName: "n1", Step: rollout.Step{RolloutID: "r", Number: 2, Instance: 4}}
+	got, err := DecodeRequest(Encode(request))
 	require.NoError(t, err)
-	assert.Equal(t, c, got)
-	r := Reply{
+	assert.Equal(t, request, got)
+	reply := Reply{
 		Agent: "a", Denial: lease.Expired, Record: lease.Record{Version: lease.Version{Epoch: 1, Number: 2}, Body: []byte("b")},
 		Instances: []InstanceStatus{{Name: "n", Observation: rollout.Observation{SeenAt: math.Inf(-1), State: rollout.ProcessReady, LastStep: rollout.Step{Number: 9}}}},
 	}
 	var back Reply
-	require.NoError(t, Decode("reply", Encode(r), &back))
-	assert.Equal(t, r, back)
+	require.NoError(t, Decode("reply", Encode(reply), &back))
+	assert.Equal(t, reply, back)
 }
 
 func TestFieldsOfLaterVersionsAreIgnored(t *testing.T) {
@@ -32,7 +32,7 @@
 }
 
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	for says, raw := range map[string][]byte{
+	for want, raw := range map[string][]byte{
 		`unknown verb "dance"`:    Encode(map[string]any{"verb": "dance"}),
 		"unknown verb":            Encode(map[string]any{}),
 		"call: ":                  {0xff},
@@ -41,7 +41,7 @@
 		"found duplicate map key": append([]byte{0xa2}, []byte("\x64verb\x64look\x64verb\x63bid")...),
 	} {
 		_, err := DecodeRequest(raw)
-		assert.ErrorContains(t, err, says)
+		assert.ErrorContains(t, err, want)
 	}
 }
 
@@ -56,12 +56,12 @@
 	f.Add(Encode(Request{Verb: RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 1, Holder: "x"}}))
 	f.Add(Encode(Request{Verb: PutRevisionVerb, Revision: Revision{Digest: "d", Content: []byte("{}")}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		c, err := DecodeRequest(raw)
+		request, err := DecodeRequest(raw)
 		if err != nil {
 			return
 		}
-		again, err := DecodeRequest(Encode(c))
+		again, err := DecodeRequest(Encode(request))
 		require.NoError(t, err)
-		assert.Equal(t, Encode(c), Encode(again))
+		assert.Equal(t, Encode(request), Encode(again))
 	})
 }
--- a/internal/fleet/protocol/record_names_test.go
+++ b/internal/fleet/protocol/record_names_test.go
@@ -25,29 +25,29 @@
 	step := rollout.Step{RolloutID: "r", Number: 7, Instance: 3, Revision: "b", Rollback: true, Restart: true, OnlyIfNotServing: true}
 	reason := rollout.Reason{Kind: rollout.ReasonZoneMinimum, Instance: 3, Zone: 2, Have: 4, Need: 5, Detail: "detail"}
 	record := lease.Record{Version: lease.Version{Epoch: 4, Number: 9}, Body: []byte("body")}
-	holdsNames(t, "bid", lease.Request{Epoch: 4, Holder: "ayla/host", Takeover: true})
-	holdsNames(t, "record", record)
-	holdsNames(t, "standing", lease.State{Epoch: 4, Holder: "ayla/host", Held: true, HeldSeconds: 1.5, RemainingSeconds: 2.5})
-	holdsNames(t, "durable", lease.PersistentState{Epoch: 4, Holder: "ayla/host", Held: true, Record: record})
-	holdsNames(t, "step", step)
-	holdsNames(t, "tally", rollout.CommandCounts{Completed: 90, Unanswered: 4})
-	holdsNames(t, "reason", reason)
-	holdsNames(t, "sight", rollout.Observation{
+	checkFieldNames(t, "bid", lease.Request{Epoch: 4, Holder: "ayla/host", Takeover: true})
+	checkFieldNames(t, "record", record)
+	checkFieldNames(t, "standing", lease.State{Epoch: 4, Holder: "ayla/host", Held: true, HeldSeconds: 1.5, RemainingSeconds: 2.5})
+	checkFieldNames(t, "durable", lease.PersistentState{Epoch: 4, Holder: "ayla/host", Held: true, Record: record})
+	checkFieldNames(t, "step", step)
+	checkFieldNames(t, "tally", rollout.CommandCounts{Completed: 90, Unanswered: 4})
+	checkFieldNames(t, "reason", reason)
+	checkFieldNames(t, "sight", rollout.Observation{
 		SeenAt: 1.5, State: rollout.ProcessReady, Revision: "b", LastStep: step, LastResult: rollout.StepFailed, LastFailure: "why", PreviousRevision: "a",
 		RecentCommands: rollout.CommandCounts{Completed: 90, Unanswered: 4}, CommandsSinceStep: rollout.CommandCounts{Completed: 80, Unanswered: 3}, ReadySeconds: 2.5,
 	})
-	holdsNames(t, "rollout", rollout.Rollout{
+	checkFieldNames(t, "rollout", rollout.Rollout{
 		ID: "r", Revision: "b", Restart: true, RollingBack: true, State: rollout.Paused, Reason: reason, RollbackCause: reason,
 		ExcludedInstances: []int{1, 4}, CurrentStep: step, CommandsBeforeStep: rollout.CommandCounts{Completed: 70, Unanswered: 2}, StepsBegun: 7, StepsNotApplied: 2,
 	})
-	holdsNames(t, "instance", supervisor.Record{
+	checkFieldNames(t, "instance", supervisor.Record{
 		ShouldRun: true, Revision: "b", Incarnation: 11, Step: step, Result: rollout.StepNotApplied, Failure: "why", PreviousRevision: "a",
 		MayHaveChanged: true, Reload: true, Replaced: true, DrainSeconds: 3.5,
 	})
 }
 
-// holdsNames checks that value has no zero field and that it encodes to the bytes in testdata and back.
-func holdsNames[T any](t *testing.T, name string, value T) {
+// checkFieldNames checks that value has no zero field and that it encodes to the bytes in testdata and back.
+func checkFieldNames[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	fields := reflect.ValueOf(value)
 	for i := range fields.NumField() {
--- a/internal/fleet/protocol/recorded_test.go
+++ b/internal/fleet/protocol/recorded_test.go
@@ -119,9 +119,9 @@
 	}
 }
 
-func recorded(t *testing.T, folder string, v Verb) []byte {
+func recorded(t *testing.T, folder string, verb Verb) []byte {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("testdata", folder, string(v)+".cbor"))
+	raw, err := os.ReadFile(filepath.Join("testdata", folder, string(verb)+".cbor"))
 	require.NoError(t, err)
 	return raw
 }
@@ -129,23 +129,23 @@
 func TestRecordedCallsAreReadAndWrittenTheSame(t *testing.T) {
 	calls := recordedCalls()
 	assert.Len(t, calls, len(knownVerbs), "one call of each verb")
-	for v, want := range calls {
-		raw := recorded(t, "calls", v)
+	for verb, want := range calls {
+		raw := recorded(t, "calls", verb)
 		got, err := DecodeRequest(raw)
-		require.NoError(t, err, v)
-		assert.Equal(t, want, got, v)
-		assert.Equal(t, raw, Encode(want), "%s: written as recorded", v)
+		require.NoError(t, err, verb)
+		assert.Equal(t, want, got, verb)
+		assert.Equal(t, raw, Encode(want), "%s: written as recorded", verb)
 	}
 }
 
 func TestRecordedRepliesAreReadAndWrittenTheSame(t *testing.T) {
 	replies := recordedReplies()
 	assert.Len(t, replies, len(knownVerbs), "one reply to each verb")
-	for v, want := range replies {
-		raw := recorded(t, "replies", v)
+	for verb, want := range replies {
+		raw := recorded(t, "replies", verb)
 		var got Reply
-		require.NoError(t, Decode("reply", raw, &got), v)
-		assert.Equal(t, want, got, v)
-		assert.Equal(t, raw, Encode(want), "%s: written as recorded", v)
+		require.NoError(t, Decode("reply", raw, &got), verb)
+		assert.Equal(t, want, got, verb)
+		assert.Equal(t, raw, Encode(want), "%s: written as recorded", verb)
 	}
 }
--- a/internal/fleet/store/recorded_test.go
+++ b/internal/fleet/store/recorded_test.go
@@ -54,8 +54,8 @@
 
 // recordedRollouts returns the rollouts in the recorded store, newest first. There is one in each state.
 func recordedRollouts() []protocol.Rollout {
-	var out []protocol.Rollout
-	for i, x := range []struct {
+	var rollouts []protocol.Rollout
+	for i, recorded := range []struct {
 		id    string
 		state rollout.State
 		back  bool
@@ -68,19 +68,19 @@
 		{"r-none", rollout.None, false},
 	} {
 		run := uint64(6 - i)
-		out = append(out, protocol.Rollout{
+		rollouts = append(rollouts, protocol.Rollout{
 			Rollout: rollout.Rollout{
-				ID: x.id, Revision: secondRevision, Restart: true, RollingBack: x.back, State: x.state,
+				ID: recorded.id, Revision: secondRevision, Restart: true, RollingBack: recorded.back, State: recorded.state,
 				Reason:             rollout.Reason{Kind: rollout.ReasonZoneMinimum, Instance: 2, Zone: 1, Have: 3, Need: 4, Detail: "detail of why"},
 				RollbackCause:      rollout.Reason{Kind: rollout.ReasonStepFailed, Instance: 1, Zone: 6, Have: 7, Need: 8, Detail: "detail of cause"},
 				ExcludedInstances:  []int{1, 3},
-				CurrentStep:        rollout.Step{RolloutID: x.id, Number: 11, Revision: secondRevision, Restart: true},
+				CurrentStep:        rollout.Step{RolloutID: recorded.id, Number: 11, Revision: secondRevision, Restart: true},
 				CommandsBeforeStep: rollout.CommandCounts{Completed: 1000, Unanswered: 10}, StepsBegun: 11, StepsNotApplied: 2,
 			},
-			Run: run, RevisionName: "name of " + x.id, StartedBy: "ayla", StartedAt: 1767323050 + int64(run), RequestedBy: "mehmet", InstancesDigest: "b279a452f0494508",
+			Run: run, RevisionName: "name of " + recorded.id, StartedBy: "ayla", StartedAt: 1767323050 + int64(run), RequestedBy: "mehmet", InstancesDigest: "b279a452f0494508",
 		})
 	}
-	return out
+	return rollouts
 }
 
 // recordedState returns the state in the recorded store.
@@ -176,14 +176,14 @@
 // records returns the raw records of a store. The keys of the map consist of bucket and key.
 func records(t *testing.T, s *Store) map[string][]byte {
 	t.Helper()
-	out := map[string][]byte{}
+	raw := map[string][]byte{}
 	require.NoError(t, s.db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
 			return b.ForEach(func(k, v []byte) error {
-				out[string(bucket)+"/"+string(k)] = bytes.Clone(v)
+				raw[string(bucket)+"/"+string(k)] = bytes.Clone(v)
 				return nil
 			})
 		})
 	}))
-	return out
+	return raw
 }
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -82,15 +82,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %s: %w", path, err)
 	}
-	if err := db.Update(prepare); err != nil {
+	if err := db.Update(initialize); err != nil {
 		_ = db.Close()
 		return nil, fmt.Errorf("store: %s: %w", path, err)
 	}
 	return &Store{db: db, update: db.Update}, nil
 }
 
-// prepare creates missing buckets and checks the format version, which it writes if the store is new.
-func prepare(tx *bbolt.Tx) error {
+// initialize creates missing buckets and checks the format version, which it writes if the store is new.
+func initialize(tx *bbolt.Tx) error {
 	for _, bucket := range [][]byte{metaBucket, instancesBucket, revisionsBucket, rolloutsBucket} {
 		if _, err := tx.CreateBucketIfNotExists(bucket); err != nil {
 			return err
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -44,15 +44,15 @@
 		panic(err)
 	}
 	for n := state.Lease.Epoch + 1; ; n++ {
-		if err := s.Save(change(n)); err != nil {
+		if err := s.Save(numberedChange(n)); err != nil {
 			panic(err)
 		}
 		fmt.Println(n)
 	}
 }
 
-// change returns a change that writes the number n into the lease and into an instance.
-func change(n uint64) Change {
+// numberedChange returns a change that writes the number n into the lease and into an instance.
+func numberedChange(n uint64) Change {
 	return Change{
 		Lease:     &lease.PersistentState{Epoch: n, Holder: strings.Repeat("h", int(n%50)*100)},
 		Instances: map[string]supervisor.Record{"n1": {Incarnation: n, Step: rollout.Step{Number: n}}},
@@ -63,7 +63,7 @@
 	path := filepath.Join(t.TempDir(), "sub", "store.db")
 	s, err := Open(path)
 	require.NoError(t, err)
-	require.NoError(t, s.Save(change(7)))
+	require.NoError(t, s.Save(numberedChange(7)))
 	require.NoError(t, s.Save(Change{OperatorRequest: &protocol.OperatorRequest{RolloutID: "r", Action: rollout.RequestPause}}))
 	_, err = Open(path)
 	require.ErrorIs(t, err, ErrInUse)
@@ -73,8 +73,8 @@
 	require.NoError(t, err)
 	state, err := s.Load()
 	require.NoError(t, err)
-	assert.Equal(t, *change(7).Lease, state.Lease)
-	assert.Equal(t, change(7).Instances, state.Instances)
+	assert.Equal(t, *numberedChange(7).Lease, state.Lease)
+	assert.Equal(t, numberedChange(7).Instances, state.Instances)
 	assert.Equal(t, rollout.RequestPause, state.OperatorRequest.Action)
 	require.NoError(t, s.Close())
 }
@@ -109,7 +109,7 @@
 	path := filepath.Join(t.TempDir(), "store.db")
 	s, err := Open(path)
 	require.NoError(t, err)
-	require.NoError(t, s.Save(change(1)))
+	require.NoError(t, s.Save(numberedChange(1)))
 	require.NoError(t, s.db.Update(func(tx *bbolt.Tx) error {
 		raw := append([]byte{}, tx.Bucket(instancesBucket).Get([]byte("n1"))...)
 		raw[len(raw)-1] ^= 1
@@ -158,8 +158,8 @@
 		state, err := s.Load()
 		require.NoError(t, err)
 		assert.GreaterOrEqual(t, state.Lease.Epoch, acknowledged)
-		assert.Equal(t, *change(state.Lease.Epoch).Lease, state.Lease)
-		assert.Equal(t, change(state.Lease.Epoch).Instances, state.Instances, "a change is stored completely or not at all")
+		assert.Equal(t, *numberedChange(state.Lease.Epoch).Lease, state.Lease)
+		assert.Equal(t, numberedChange(state.Lease.Epoch).Instances, state.Instances, "a change is stored completely or not at all")
 		require.NoError(t, s.Close())
 	}
 }
@@ -182,9 +182,9 @@
 		path := filepath.Join(t.TempDir(), "store.db")
 		s, err := Open(path)
 		require.NoError(t, err)
-		require.NoError(t, s.Save(change(1)))
+		require.NoError(t, s.Save(numberedChange(1)))
 		failSyncs(s)
-		denied := change(2)
+		denied := numberedChange(2)
 		denied.OperatorRequest = &protocol.OperatorRequest{RolloutID: "r", Action: rollout.RequestPause}
 		denied.Rollout = &protocol.Rollout{Rollout: rollout.Rollout{ID: "denied"}}
 		denied.Revision = &protocol.Revision{Digest: "denied"}
@@ -197,8 +197,8 @@
 		for range 2 {
 			state, err := s.Load()
 			require.NoError(t, err)
-			assert.Equal(t, *change(1).Lease, state.Lease, name)
-			assert.Equal(t, change(1).Instances["n1"], state.Instances["n1"], name)
+			assert.Equal(t, *numberedChange(1).Lease, state.Lease, name)
+			assert.Equal(t, numberedChange(1).Instances["n1"], state.Instances["n1"], name)
 			assert.Empty(t, state.OperatorRequest, name)
 			rollouts, err := s.Rollouts()
 			require.NoError(t, err)
--- a/internal/fleet/supervisor/counters.go
+++ b/internal/fleet/supervisor/counters.go
@@ -6,27 +6,27 @@
 
 // readings is a ring buffer of the newest readings of a process's counters.
 type readings struct {
-	at     [keptReadings]float64 // time of each reading, in seconds
+	times  [keptReadings]float64 // time of each reading, in seconds
 	counts [keptReadings]rollout.CommandCounts
-	taken  int // number of readings so far; reading n is stored at index n modulo keptReadings
+	total  int // number of readings so far; reading n is stored at index n modulo keptReadings
 }
 
 // CountersRead records a reading of the process's counters, which count from the start of the process.
 func (s *Supervisor) CountersRead(now float64, counts rollout.CommandCounts) {
 	s.commands = counts
-	slot := s.readings.taken % keptReadings
-	s.readings.at[slot] = now
+	slot := s.readings.total % keptReadings
+	s.readings.times[slot] = now
 	s.readings.counts[slot] = counts
-	s.readings.taken++
+	s.readings.total++
 }
 
 // recentCommands returns the number of commands completed within the last Limits.RecentSeconds. The window is shorter
 // if the kept readings do not reach that far back.
 func (s *Supervisor) recentCommands(now float64) rollout.CommandCounts {
 	r := &s.readings
-	for n := max(0, r.taken-keptReadings); n < r.taken; n++ {
+	for n := max(0, r.total-keptReadings); n < r.total; n++ {
 		slot := n % keptReadings
-		if now-r.at[slot] <= s.limits.RecentSeconds {
+		if now-r.times[slot] <= s.limits.RecentSeconds {
 			return countsSince(s.commands, r.counts[slot])
 		}
 	}
--- a/internal/fleet/supervisor/environment_test.go
+++ b/internal/fleet/supervisor/environment_test.go
@@ -19,32 +19,32 @@
 
 // process is the simulated router process of an environment. At most one runs at a time.
 type process struct {
-	running       bool
-	incarnation   uint64
-	file          string
-	terminating   bool
-	ignoresSignal bool // it ignores SIGTERM and must be killed
+	running        bool
+	incarnation    uint64
+	file           string
+	terminating    bool
+	ignoresSIGTERM bool // it ends only when it is killed
 }
 
 // environment simulates the machine around a supervisor in virtual time: one configuration file, at most one process
 // and a store. Actions take effect immediately and their outcomes are queued, so that a test can end the agent between
 // an action and its outcome.
 type environment struct {
-	t          require.TestingT
-	limits     Limits
-	supervisor Supervisor
-	stored     Record
-	now        float64
-	file       string
-	bad        map[string]string // behaviour of each bad revision
-	process    process
-	queue      []func() Transition // events that report the outcomes of actions
-	storeFails bool
-	actions    []ActionKind // kinds of all actions that were carried out
+	t            require.TestingT
+	limits       Limits
+	supervisor   Supervisor
+	stored       Record
+	now          float64
+	file         string
+	badRevisions map[string]string // behaviour of each bad revision
+	process      process
+	queue        []func() Transition // events that report the outcomes of actions
+	storeFails   bool
+	actions      []ActionKind // kinds of all actions that were carried out
 }
 
 func newEnvironment(t require.TestingT) *environment {
-	e := &environment{t: t, limits: DefaultLimits(), bad: map[string]string{}}
+	e := &environment{t: t, limits: DefaultLimits(), badRevisions: map[string]string{}}
 	e.restartAgent()
 	return e
 }
@@ -96,60 +96,60 @@
 	}
 	for _, a := range t.Actions {
 		e.actions = append(e.actions, a.Kind)
-		e.do(a)
+		e.carryOutAction(a)
 		if stop != nil && stop(a.Kind) {
 			return
 		}
 	}
 }
 
-func (e *environment) later(event func() Transition) { e.queue = append(e.queue, event) }
+func (e *environment) enqueue(event func() Transition) { e.queue = append(e.queue, event) }
 
-func (e *environment) do(a Action) {
+func (e *environment) carryOutAction(a Action) {
 	p := &e.process
 	switch a.Kind {
 	case ActionFindProcess:
 		running := p.running && p.incarnation == a.Incarnation
-		e.later(func() Transition { return e.supervisor.ProcessFound(e.now, running) })
+		e.enqueue(func() Transition { return e.supervisor.ProcessFound(e.now, running) })
 	case ActionPrepareRevision:
 		e.prepare(a.Revision)
 	case ActionInstallRevision:
 		e.file = a.Revision
-		e.later(func() Transition { return e.supervisor.RevisionInstalled(e.now, nil) })
+		e.enqueue(func() Transition { return e.supervisor.RevisionInstalled(e.now, nil) })
 	case ActionStart:
 		e.start(a.Incarnation)
 	case ActionHealthCheck:
-		answers := p.running && !p.terminating && e.bad[p.file] != silent
-		e.later(func() Transition { return e.supervisor.HealthChecked(e.now, answers) })
+		answers := p.running && !p.terminating && e.badRevisions[p.file] != silent
+		e.enqueue(func() Transition { return e.supervisor.HealthChecked(e.now, answers) })
 	case ActionReadCounters:
 	case ActionTerminate:
-		if !p.ignoresSignal {
+		if !p.ignoresSIGTERM {
 			p.terminating = true
 		}
 	case ActionKill:
 		e.exit()
 	case ActionReload:
 		p.file = e.file
-		e.later(func() Transition { return e.supervisor.ReloadReported(e.now, "") })
+		e.enqueue(func() Transition { return e.supervisor.ReloadReported(e.now, "") })
 	}
 }
 
 // prepare queues the outcome of preparing a revision. A revision whose name begins with r needs only a reload.
 func (e *environment) prepare(revision string) {
 	var err error
-	if e.bad[revision] == refused {
+	if e.badRevisions[revision] == refused {
 		err = errors.New("rejected by the parser")
 	}
 	p := Preparation{ReloadSuffices: revision[0] == 'r', DrainSeconds: 5}
-	e.later(func() Transition { return e.supervisor.RevisionPrepared(e.now, p, err) })
+	e.enqueue(func() Transition { return e.supervisor.RevisionPrepared(e.now, p, err) })
 }
 
 func (e *environment) start(incarnation uint64) {
 	p := &e.process
 	require.False(e.t, p.running, "a second process is started")
 	p.running, p.incarnation, p.file, p.terminating = true, incarnation, e.file, false
-	e.later(func() Transition { return e.supervisor.ProcessStarted(e.now, incarnation, nil) })
-	if e.bad[e.file] == exits {
+	e.enqueue(func() Transition { return e.supervisor.ProcessStarted(e.now, incarnation, nil) })
+	if e.badRevisions[e.file] == exits {
 		e.exit()
 	}
 }
@@ -157,7 +157,7 @@
 func (e *environment) exit() {
 	if e.process.running {
 		e.process.running, e.process.terminating = false, false
-		e.later(func() Transition { return e.supervisor.ProcessExited(e.now, "status 1") })
+		e.enqueue(func() Transition { return e.supervisor.ProcessExited(e.now, "status 1") })
 	}
 }
 
--- a/internal/fleet/supervisor/model_test.go
+++ b/internal/fleet/supervisor/model_test.go
@@ -15,7 +15,7 @@
 func TestNoOrderOfEventsStartsTwoProcessesOrLeavesAStepPending(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := newEnvironment(t)
-		e.bad["x"], e.bad["y"], e.bad["z"] = refused, exits, silent
+		e.badRevisions["x"], e.badRevisions["y"], e.badRevisions["z"] = refused, exits, silent
 		number := uint64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
@@ -30,7 +30,7 @@
 			case 4:
 				e.storeFails = !e.storeFails
 			case 5:
-				e.process.ignoresSignal = !e.process.ignoresSignal
+				e.process.ignoresSIGTERM = !e.process.ignoresSIGTERM
 			}
 			e.run(rapid.Float64Range(0, 3).Draw(t, "passes"))
 		}
--- a/internal/fleet/supervisor/process.go
+++ b/internal/fleet/supervisor/process.go
@@ -26,7 +26,7 @@
 		s.state = rollout.ProcessUnknown
 		s.awaitReady(now, &t)
 	default:
-		s.startIfWanted(&t)
+		s.startIfShouldRun(&t)
 	}
 	return t
 }
@@ -49,12 +49,12 @@
 		s.state = rollout.ProcessStarting
 		s.awaitReady(now, t)
 	default:
-		s.startIfWanted(t)
+		s.startIfShouldRun(t)
 	}
 }
 
-// startIfWanted starts the router if it is meant to run, and otherwise waits for a step.
-func (s *Supervisor) startIfWanted(t *Transition) {
+// startIfShouldRun starts the router if it is meant to run, and otherwise waits for a step.
+func (s *Supervisor) startIfShouldRun(t *Transition) {
 	if s.ShouldRun {
 		s.start(t)
 		return
@@ -113,19 +113,21 @@
 	s.nextHealthCheck = now + s.limits.HealthCheckSeconds
 	switch s.phase {
 	case phaseAwaitingReady:
-		return s.checkedAwaitingReady(now, answered)
+		return s.healthCheckedAwaitingReady(now, answered)
 	case phasePreparing:
-		return s.checkedPreparing(now, answered)
+		return s.healthCheckedPreparing(now, answered)
 	case phaseConfirming:
-		return s.checkedConfirming(now, answered)
+		return s.healthCheckedConfirming(now, answered)
 	case phaseIdle:
-		s.checkedIdle(now, answered)
+		s.healthCheckedIdle(now, answered)
 	default: // the check was sent in an earlier phase
 	}
 	return Transition{}
 }
 
-func (s *Supervisor) checkedAwaitingReady(now float64, answered bool) Transition {
+// healthCheckedAwaitingReady handles a check of a process that has not answered yet. The first answer ends the pending
+// step with success.
+func (s *Supervisor) healthCheckedAwaitingReady(now float64, answered bool) Transition {
 	if !answered {
 		s.missedHealthChecks++
 		if s.state == rollout.ProcessUnknown && s.missedHealthChecks >= s.limits.MaxMissedHealthChecks {
@@ -141,21 +143,21 @@
 	return Transition{Store: true}
 }
 
-// checkedPreparing handles a check that was sent before the step was begun. If it shows that the router has become
+// healthCheckedPreparing handles a check that was sent before the step was begun. If it shows that the router has become
 // ready, a step that is only for a router that does not serve is not applied.
-func (s *Supervisor) checkedPreparing(now float64, answered bool) Transition {
+func (s *Supervisor) healthCheckedPreparing(now float64, answered bool) Transition {
 	cameUp := answered && s.state == rollout.ProcessStarting
 	if !cameUp || !s.Step.OnlyIfNotServing {
 		return Transition{}
 	}
 	s.becomeReady(now)
-	s.endStep(rollout.StepNotApplied, failureServes)
+	s.endStep(rollout.StepNotApplied, failureRouterServes)
 	return Transition{Store: true}
 }
 
-// checkedConfirming distinguishes a process that received SIGTERM before the agent restarted, which no longer accepts
+// healthCheckedConfirming distinguishes a process that received SIGTERM before the agent restarted, which no longer accepts
 // connections, from one that did not.
-func (s *Supervisor) checkedConfirming(now float64, answered bool) Transition {
+func (s *Supervisor) healthCheckedConfirming(now float64, answered bool) Transition {
 	if !answered {
 		s.state = rollout.ProcessDraining
 		s.enter(phaseTerminating, now+s.DrainSeconds)
@@ -166,7 +168,9 @@
 	return Transition{Store: true}
 }
 
-func (s *Supervisor) checkedIdle(now float64, answered bool) {
+// healthCheckedIdle handles a regular check. A ready router that misses Limits.MaxMissedHealthChecks checks in a row is no
+// longer ready until it answers again.
+func (s *Supervisor) healthCheckedIdle(now float64, answered bool) {
 	if answered {
 		s.missedHealthChecks = 0
 		if s.state == rollout.ProcessStarting {
@@ -180,6 +184,7 @@
 	}
 }
 
+// becomeReady records that the router is ready and ends the phase.
 func (s *Supervisor) becomeReady(now float64) {
 	s.state = rollout.ProcessReady
 	s.readySince = now
@@ -188,14 +193,14 @@
 	s.enter(phaseIdle, never)
 }
 
-// ProcessExited handles the end of the process. how describes the end for people.
-func (s *Supervisor) ProcessExited(now float64, how string) Transition {
+// ProcessExited handles the end of the process. reason describes the end for people.
+func (s *Supervisor) ProcessExited(now float64, reason string) Transition {
 	wasStable := s.state == rollout.ProcessReady && now-s.readySince >= s.limits.StableSeconds
 	s.state = rollout.ProcessDown
 	var t Transition
 	switch s.phase {
 	case phaseFinding, phaseBackoff, phaseInstalling:
-		return t
+		return t // the phase continues
 	case phasePreparing:
 		return t // the step continues and has no process to terminate
 	case phaseTerminating, phaseConfirming:
@@ -204,7 +209,7 @@
 	default: // the process exited by itself
 	}
 	if s.stepPending() {
-		s.endStep(rollout.StepFailed, "it ended before it was ready: "+how)
+		s.endStep(rollout.StepFailed, "the router ended before it was ready: "+reason)
 		t.Store = true
 	}
 	if wasStable {
--- a/internal/fleet/supervisor/process_test.go
+++ b/internal/fleet/supervisor/process_test.go
@@ -23,7 +23,7 @@
 	assert.Empty(t, e.beginStep(2, "b"))
 
 	e = newServing(t)
-	e.bad["a"] = silent
+	e.badRevisions["a"] = silent
 	e.restartAgent()
 	e.run(float64(e.limits.MaxMissedHealthChecks-2) * e.limits.HealthCheckSeconds)
 	assert.Equal(t, rollout.ProcessUnknown, e.supervisor.Observe(e.now).State, "the answer may be delayed")
@@ -34,7 +34,7 @@
 
 func TestCrashLoopIsReportedAndEndsRestarts(t *testing.T) {
 	e := newServing(t)
-	e.bad["a"] = exits
+	e.badRevisions["a"] = exits
 	e.exit()
 	e.run(300)
 	starts := 0
@@ -46,7 +46,7 @@
 	assert.Equal(t, e.limits.MaxCrashes, starts)
 	assert.Equal(t, rollout.ProcessCrashLooping, e.supervisor.state)
 	assert.True(t, math.IsInf(e.supervisor.NextTick(), 1))
-	e.bad["a"] = ""
+	e.badRevisions["a"] = ""
 	assert.Empty(t, e.beginStep(2, "b"), "a step resets the crash count")
 	e.run(3)
 	assert.Equal(t, rollout.ProcessReady, e.supervisor.state)
@@ -65,7 +65,7 @@
 
 func TestHangingRouterIsKilledOnlyAfterItsDrain(t *testing.T) {
 	e := newServing(t)
-	e.process.ignoresSignal = true
+	e.process.ignoresSIGTERM = true
 	e.beginStep(2, "b")
 	e.run(4.5)
 	assert.NotContains(t, e.actions, ActionKill)
@@ -77,11 +77,11 @@
 
 func TestSilentRouterNoLongerCountsAsReady(t *testing.T) {
 	e := newServing(t)
-	e.bad["a"] = silent
+	e.badRevisions["a"] = silent
 	e.run(15)
 	assert.Equal(t, rollout.ProcessStarting, e.supervisor.state)
 	assert.True(t, e.process.running, "the agent does not kill it: that is the operator's decision")
-	e.bad["a"] = ""
+	e.badRevisions["a"] = ""
 	e.run(2)
 	assert.Equal(t, rollout.ProcessReady, e.supervisor.state)
 }
--- a/internal/fleet/supervisor/request_handler.go
+++ b/internal/fleet/supervisor/request_handler.go
@@ -39,8 +39,8 @@
 func (h *RequestHandler) Handle(now float64, r protocol.Request) (protocol.Reply, Changes) {
 	reply := protocol.Reply{Agent: h.Agent, Program: h.Program}
 	changes := Changes{ChangedInstance: noInstance}
-	otherList := r.AgentsDigest != "" && r.AgentsDigest != h.AgentsDigest
-	if otherList && r.Verb != protocol.StatusVerb {
+	otherAgents := r.AgentsDigest != "" && r.AgentsDigest != h.AgentsDigest
+	if otherAgents && r.Verb != protocol.StatusVerb {
 		reply.Denial = lease.NotHolder
 		reply.Failure = "its fleet file has another list of agents than the tool's: use the same fleet file for the agent and the tool"
 		reply.LeaseState = h.Lease.State(now)
--- a/internal/fleet/supervisor/restart_test.go
+++ b/internal/fleet/supervisor/restart_test.go
@@ -109,7 +109,7 @@
 	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result)
 }
 
-func TestStepThatChangedNothingIsNotAppliedAlsoIfTheRouterIsGone(t *testing.T) {
+func TestStepThatChangedNothingIsNotAppliedEvenIfTheRouterIsGone(t *testing.T) {
 	e := newServing(t)
 	e.beginStep(2, "b") // the step is stored, then the agent and the router end
 	e.process.running = false
--- a/internal/fleet/supervisor/step.go
+++ b/internal/fleet/supervisor/step.go
@@ -7,10 +7,10 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// failureServes is the failure of a step that is not applied because its router serves: the router became ready by
+// failureRouterServes is the failure of a step that is not applied because its router serves: the router became ready by
 // itself after the tool observed it. The tool did not check the minimums for this step, because it counted the router
 // as not serving. By now the router may be the last one that serves.
-const failureServes = "the router came up by itself, and the step is only for a router that does not serve"
+const failureRouterServes = "the router came up by itself, and the step is only for a router that does not serve"
 
 // Errors of BeginStep without further detail.
 var (
@@ -44,7 +44,7 @@
 			return Transition{Store: true}, nil
 		}
 		if step.OnlyIfNotServing {
-			s.endStep(rollout.StepNotApplied, failureServes)
+			s.endStep(rollout.StepNotApplied, failureRouterServes)
 			return Transition{Store: true}, nil
 		}
 	}
@@ -85,7 +85,7 @@
 	}
 	if err != nil {
 		s.endStep(rollout.StepFailed, err.Error())
-		s.leaveUnchanged(now)
+		s.returnToPreviousPhase(now)
 		return Transition{Store: true}
 	}
 	s.MayHaveChanged = true
@@ -101,8 +101,8 @@
 	return t
 }
 
-// leaveUnchanged returns to the phase that the supervisor was in before the step. The step has not changed the process.
-func (s *Supervisor) leaveUnchanged(now float64) {
+// returnToPreviousPhase returns to the phase that the supervisor was in before the step. The step has not changed the process.
+func (s *Supervisor) returnToPreviousPhase(now float64) {
 	switch {
 	case s.state == rollout.ProcessDown && s.ShouldRun:
 		s.enter(phaseBackoff, now+s.limits.MinBackoffSeconds)
@@ -129,7 +129,7 @@
 		if s.Reload {
 			s.enter(phaseIdle, never)
 		} else {
-			s.leaveUnchanged(now)
+			s.returnToPreviousPhase(now)
 		}
 		return Transition{Store: true}
 	}
--- a/internal/fleet/supervisor/step_test.go
+++ b/internal/fleet/supervisor/step_test.go
@@ -9,7 +9,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-func TestStepRestartsAndReloadReloads(t *testing.T) {
+func TestStepRestartsOrReloads(t *testing.T) {
 	e := newServing(t)
 	assert.Empty(t, e.beginStep(2, "b"))
 	assert.Empty(t, e.beginStep(2, "b"), "a repeat of the step")
@@ -43,7 +43,7 @@
 	begin(2)
 	e.run(3)
 	assert.Equal(t, rollout.StepNotApplied, e.supervisor.Result)
-	assert.Equal(t, failureServes, e.supervisor.Failure)
+	assert.Equal(t, failureRouterServes, e.supervisor.Failure)
 	assert.NotContains(t, e.actions, ActionTerminate)
 	assert.Equal(t, "a", e.supervisor.Revision)
 	assert.Equal(t, rollout.ProcessReady, e.supervisor.state)
@@ -78,7 +78,7 @@
 		silent: "not ready within",
 	} {
 		e := newServing(t)
-		e.bad["b"] = behaviour
+		e.badRevisions["b"] = behaviour
 		e.beginStep(2, "b")
 		e.run(15)
 		assert.Equal(t, rollout.StepFailed, e.supervisor.Result, behaviour)
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -57,6 +57,7 @@
 	return s, Transition{Actions: []Action{{Kind: ActionFindProcess, Incarnation: r.Incarnation}}}
 }
 
+// enter begins a phase.
 func (s *Supervisor) enter(p phase, deadline float64) {
 	s.phase = p
 	s.deadline = deadline
