--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// untilNextTick returns the time until the earliest tick of a supervisor, at most maxIdle.
+// untilNextTick returns the time until the earliest tick of a supervisor, at most maxEventWait.
 func (a *Agent) untilNextTick() time.Duration {
 	next := math.Inf(1)
 	for i := range a.routers {
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -30,7 +30,7 @@
 func TestAgentContinuesFromRecordedStore(t *testing.T) {
 	t.Parallel()
 	r, names := startOnRecordedStore(t)
-	status := r.waitFor("the end of the pending step", func(x protocol.InstanceStatus) bool { return x.LastResult != rollout.StepPending })
+	status := r.waitFor("the end of the pending step", func(instance protocol.InstanceStatus) bool { return instance.LastResult != rollout.StepPending })
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.Equal(t, recordedSecond, status.Revision)
 	assert.Equal(t, rollout.Step{RolloutID: "r-running", Number: 11, Revision: recordedSecond, Restart: true}, status.LastStep)
@@ -60,8 +60,8 @@
 	})
 	require.Equal(t, lease.Granted, reply.Denial)
 	require.Empty(t, reply.Failure)
-	status = r.waitFor("the end of the next step", func(x protocol.InstanceStatus) bool {
-		return x.LastStep.Number == 12 && x.LastResult != rollout.StepPending
+	status = r.waitFor("the end of the next step", func(instance protocol.InstanceStatus) bool {
+		return instance.LastStep.Number == 12 && instance.LastResult != rollout.StepPending
 	})
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.Equal(t, recordedFirst, status.Revision)
--- a/internal/fleet/agent/router.go
+++ b/internal/fleet/agent/router.go
@@ -21,7 +21,7 @@
 // the supervisor requests.
 type router struct {
 	agent          *Agent
-	index          int // in the agent's routers and supervisors
+	index          int // index in the agent's routers and supervisors
 	instance       inventory.Instance
 	folder         string         // absolute path
 	process        *processHandle // nil if no process is known to run
@@ -162,7 +162,7 @@
 			process, err = findAfterRestart(ctx, r.incarnation(number))
 		}
 		if process != nil {
-			process.logStart = r.logSize() // the earlier agent process has read the log up to here
+			process.logStart = r.logSize() // the output up to here was for the earlier agent process to read
 		}
 		if err != nil {
 			a.log.Error().Err(err).Str("instance", r.instance.Name).Msg("could not look for the router's process")
--- a/internal/fleet/api/log.go
+++ b/internal/fleet/api/log.go
@@ -8,7 +8,7 @@
 )
 
 // debugLogger returns a logger that writes the HTTP server's log lines at debug level. Most of them are refused TLS
-// handshakes, which NewServer logs with their reason anyway.
+// handshakes, which the server also logs as warnings with their reason.
 func debugLogger(l zerolog.Logger) *log.Logger { return log.New(logWriter{l}, "", 0) }
 
 // logWriter writes each line as a separate log message.
--- a/internal/fleet/supervisor/record.go
+++ b/internal/fleet/supervisor/record.go
@@ -4,9 +4,9 @@
 
 // Record is the state of an instance that its agent stores.
 type Record struct {
-	ShouldRun        bool               `cbor:"Up"`       // the agent keeps the router running
+	ShouldRun        bool               `cbor:"Up"`       // the agent starts the router if no process runs
 	Revision         string             `cbor:"Revision"` // digest of the revision whose configuration file is in place
-	Incarnation      uint64             `cbor:"Mark"`     // of the process that was started last or was about to be started
+	Incarnation      uint64             `cbor:"Mark"`     // incarnation that was started last or was about to be started
 	Step             rollout.Step       `cbor:"Step"`     // the step that was begun last; Number is 0 if there was none
 	Result           rollout.StepResult `cbor:"End"`      // result of Step
 	Failure          string             `cbor:"Why"`      // why Step failed or was not applied, for people
--- a/internal/fleet/supervisor/step.go
+++ b/internal/fleet/supervisor/step.go
@@ -64,7 +64,7 @@
 	s.Replaced = false
 }
 
-// endStep records the result of the pending step. failure is empty if it succeeded.
+// endStep records the result of the pending step. failure is the reason if it failed or was not applied, or empty.
 func (s *Supervisor) endStep(result rollout.StepResult, failure string) {
 	s.Result = result
 	s.Failure = failure
@@ -85,7 +85,7 @@
 	}
 	if err != nil {
 		s.endStep(rollout.StepFailed, err.Error())
-		s.returnToPreviousPhase(now)
+		s.continueWithoutStep(now)
 		return Transition{Store: true}
 	}
 	s.MayHaveChanged = true
@@ -101,8 +101,9 @@
 	return t
 }
 
-// returnToPreviousPhase returns to the phase that the supervisor was in before the step. The step has not changed the process.
-func (s *Supervisor) returnToPreviousPhase(now float64) {
+// continueWithoutStep continues after a failed step that has not installed its file: in the phase for the router's state
+// without a step.
+func (s *Supervisor) continueWithoutStep(now float64) {
 	switch {
 	case s.state == rollout.ProcessDown && s.ShouldRun:
 		s.enter(phaseBackoff, now+s.limits.MinBackoffSeconds)
@@ -119,7 +120,7 @@
 	t.Actions = append(t.Actions, Action{Kind: ActionInstallRevision, Revision: s.Step.Revision})
 }
 
-// RevisionInstalled handles the outcome of ActionInstallRevision. It then reloads or starts the process.
+// RevisionInstalled handles the outcome of ActionInstallRevision. After a success it reloads or starts the process.
 func (s *Supervisor) RevisionInstalled(now float64, err error) Transition {
 	if s.phase != phaseInstalling {
 		return Transition{}
@@ -129,7 +130,7 @@
 		if s.Reload {
 			s.enter(phaseIdle, never)
 		} else {
-			s.returnToPreviousPhase(now)
+			s.continueWithoutStep(now)
 		}
 		return Transition{Store: true}
 	}
