--- a/internal/fleet/protocol/recorded_test.go
+++ b/internal/fleet/protocol/recorded_test.go
@@ -13,9 +13,9 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// The files under testdata hold one call of each verb and one reply to each as version 1 of the protocol writes
-// them. Tools and agents of different releases meet during an upgrade, so these bytes must be read and written
-// the same by every later release that speaks version 1. The tests below state every value that the files hold.
+// The files under testdata hold one request (call) of each verb and its reply, as version 1 of the protocol encodes them.
+// During an upgrade, tools and agents of different releases talk to each other. Every later release that speaks version 1
+// must therefore decode these bytes and encode the same ones. The functions below state every value in the files.
 
 func recordedCalls() map[Verb]Request {
 	return map[Verb]Request{
@@ -119,33 +119,33 @@
 	}
 }
 
-func recorded(t *testing.T, folder string, v Verb) []byte {
+func recorded(t *testing.T, folder string, verb Verb) []byte {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("testdata", folder, string(v)+".cbor"))
+	raw, err := os.ReadFile(filepath.Join("testdata", folder, string(verb)+".cbor"))
 	require.NoError(t, err)
 	return raw
 }
 
 func TestRecordedCallsAreReadAndWrittenTheSame(t *testing.T) {
 	calls := recordedCalls()
-	assert.Len(t, calls, len(knownVerbs), "a call of each verb")
-	for v, want := range calls {
-		raw := recorded(t, "calls", v)
+	assert.Len(t, calls, len(knownVerbs), "one call of each verb")
+	for verb, want := range calls {
+		raw := recorded(t, "calls", verb)
 		got, err := DecodeRequest(raw)
-		require.NoError(t, err, v)
-		assert.Equal(t, want, got, v)
-		assert.Equal(t, raw, Encode(want), "%s: written as recorded", v)
+		require.NoError(t, err, verb)
+		assert.Equal(t, want, got, verb)
+		assert.Equal(t, raw, Encode(want), "%s: written as recorded", verb)
 	}
 }
 
 func TestRecordedRepliesAreReadAndWrittenTheSame(t *testing.T) {
 	replies := recordedReplies()
-	assert.Len(t, replies, len(knownVerbs), "a reply to each verb")
-	for v, want := range replies {
-		raw := recorded(t, "replies", v)
+	assert.Len(t, replies, len(knownVerbs), "one reply to each verb")
+	for verb, want := range replies {
+		raw := recorded(t, "replies", verb)
 		var got Reply
-		require.NoError(t, Decode("reply", raw, &got), v)
-		assert.Equal(t, want, got, v)
-		assert.Equal(t, raw, Encode(want), "%s: written as recorded", v)
+		require.NoError(t, Decode("reply", raw, &got), verb)
+		assert.Equal(t, want, got, verb)
+		assert.Equal(t, raw, Encode(want), "%s: written as recorded", verb)
 	}
 }
--- a/internal/fleet/supervisor/process.go
+++ b/internal/fleet/supervisor/process.go
@@ -6,32 +6,33 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// ProcessFound takes in the outcome of ActionFindProcess: whether the process of the record's incarnation runs. It
-// resolves a step that an earlier run of the agent left pending.
+// ProcessFound handles the outcome of ActionFindProcess: whether the process of the record's incarnation runs. It
+// resolves a step that was pending when the previous agent process ended.
 func (s *Supervisor) ProcessFound(now float64, running bool) Transition {
 	if s.phase != phaseFinding {
 		return Transition{}
 	}
 	var t Transition
 	if s.stepPending() && !s.MayHaveChanged {
-		s.endStep(rollout.StepNotApplied, "the agent ended before it had done anything")
+		s.endStep(rollout.StepNotApplied, "the agent ended before the step had changed anything")
 		t.Store = true
 	}
 	switch {
 	case s.stepPending():
 		s.resumeStep(now, running, &t)
 	case running:
-		// The process may serve. ProcessStarting would say that it does not, and a rollout would change the router
-		// without a check of the minimums, although it may be the last that serves.
+		// The process may be serving clients. In the state ProcessStarting it would count as not serving, and a rollout
+		// would change the router without checking the minimums, even if it is the last router that serves.
 		s.state = rollout.ProcessUnknown
 		s.awaitReady(now, &t)
 	default:
-		s.startIfWanted(&t)
+		s.startIfShouldRun(&t)
 	}
 	return t
 }
 
-// resumeStep continues a step that an earlier run of the agent left pending, from where it may have come to.
+// resumeStep continues a step that was pending when the previous agent process ended, from the first action that may not
+// have been carried out.
 func (s *Supervisor) resumeStep(now float64, running bool, t *Transition) {
 	switch {
 	case s.Reload && running:
@@ -48,11 +49,12 @@
 		s.state = rollout.ProcessStarting
 		s.awaitReady(now, t)
 	default:
-		s.startIfWanted(t)
+		s.startIfShouldRun(t)
 	}
 }
 
-func (s *Supervisor) startIfWanted(t *Transition) {
+// startIfShouldRun starts the router if it is meant to run, and otherwise waits for a step.
+func (s *Supervisor) startIfShouldRun(t *Transition) {
 	if s.ShouldRun {
 		s.start(t)
 		return
@@ -61,14 +63,14 @@
 	s.enter(phaseIdle, never)
 }
 
-// terminate has the process told to end, and killed once its drain is over.
+// terminate requests SIGTERM for the process. Tick requests SIGKILL if it still runs after DrainSeconds.
 func (s *Supervisor) terminate(now float64, t *Transition) {
 	s.state = rollout.ProcessDraining
 	s.enter(phaseTerminating, now+s.DrainSeconds)
 	t.add(ActionTerminate)
 }
 
-// start has a process started under a new incarnation.
+// start requests the start of a process under a new incarnation.
 func (s *Supervisor) start(t *Transition) {
 	s.Incarnation++
 	s.state = rollout.ProcessStarting
@@ -80,7 +82,7 @@
 	t.Actions = append(t.Actions, Action{Kind: ActionStart, Incarnation: s.Incarnation})
 }
 
-// ProcessStarted takes in the outcome of ActionStart.
+// ProcessStarted handles the outcome of ActionStart. An error counts as an exit of the process.
 func (s *Supervisor) ProcessStarted(now float64, incarnation uint64, err error) Transition {
 	if s.phase != phaseStarting || incarnation != s.Incarnation {
 		return Transition{}
@@ -93,7 +95,8 @@
 	return t
 }
 
-// awaitReady waits for the process to answer: during a step not longer than Limits.ReadyTimeoutSeconds.
+// awaitReady waits until the process answers a health check. During a step it waits at most
+// Limits.ReadyTimeoutSeconds.
 func (s *Supervisor) awaitReady(now float64, t *Transition) {
 	deadline := never
 	if s.stepPending() {
@@ -105,28 +108,30 @@
 	t.add(ActionHealthCheck)
 }
 
-// HealthChecked takes in the outcome of ActionHealthCheck: whether the router answered.
+// HealthChecked handles the outcome of ActionHealthCheck: whether the router answered.
 func (s *Supervisor) HealthChecked(now float64, answered bool) Transition {
 	s.nextHealthCheck = now + s.limits.HealthCheckSeconds
 	switch s.phase {
 	case phaseAwaitingReady:
-		return s.checkedAwaitingReady(now, answered)
+		return s.healthCheckedAwaitingReady(now, answered)
 	case phasePreparing:
-		return s.checkedPreparing(now, answered)
+		return s.healthCheckedPreparing(now, answered)
 	case phaseConfirming:
-		return s.checkedConfirming(now, answered)
+		return s.healthCheckedConfirming(now, answered)
 	case phaseIdle:
-		s.checkedIdle(now, answered)
-	default: // the check was under way when the phase began
+		s.healthCheckedIdle(now, answered)
+	default: // the check was sent in an earlier phase
 	}
 	return Transition{}
 }
 
-func (s *Supervisor) checkedAwaitingReady(now float64, answered bool) Transition {
+// healthCheckedAwaitingReady handles a check of a process that has not answered yet. The first answer ends the pending
+// step with success.
+func (s *Supervisor) healthCheckedAwaitingReady(now float64, answered bool) Transition {
 	if !answered {
 		s.missedHealthChecks++
 		if s.state == rollout.ProcessUnknown && s.missedHealthChecks >= s.limits.MaxMissedHealthChecks {
-			s.state = rollout.ProcessStarting // it was found running, but does not answer
+			s.state = rollout.ProcessStarting // the process that was found running does not answer
 		}
 		return Transition{}
 	}
@@ -138,30 +143,34 @@
 	return Transition{Store: true}
 }
 
-// checkedPreparing takes in a check that was under way when a step was begun.
-func (s *Supervisor) checkedPreparing(now float64, answered bool) Transition {
+// healthCheckedPreparing handles a check that was sent before the step was begun. If it shows that the router has become
+// ready, a step that is only for a router that does not serve is not applied.
+func (s *Supervisor) healthCheckedPreparing(now float64, answered bool) Transition {
 	cameUp := answered && s.state == rollout.ProcessStarting
 	if !cameUp || !s.Step.OnlyIfNotServing {
 		return Transition{}
 	}
 	s.becomeReady(now)
-	s.endStep(rollout.StepNotApplied, failureServes)
+	s.endStep(rollout.StepNotApplied, failureRouterServes)
 	return Transition{Store: true}
 }
 
-// checkedConfirming tells a process that was told to end, which no longer accepts connections, from one that was not.
-func (s *Supervisor) checkedConfirming(now float64, answered bool) Transition {
+// healthCheckedConfirming distinguishes a process that received SIGTERM before the agent restarted, which no longer accepts
+// connections, from one that did not.
+func (s *Supervisor) healthCheckedConfirming(now float64, answered bool) Transition {
 	if !answered {
 		s.state = rollout.ProcessDraining
 		s.enter(phaseTerminating, now+s.DrainSeconds)
 		return Transition{}
 	}
 	s.becomeReady(now)
-	s.endStep(rollout.StepNotApplied, "the agent ended before the router was told to end")
+	s.endStep(rollout.StepNotApplied, "the agent ended before it had sent SIGTERM to the router")
 	return Transition{Store: true}
 }
 
-func (s *Supervisor) checkedIdle(now float64, answered bool) {
+// healthCheckedIdle handles a regular check. A ready router that misses Limits.MaxMissedHealthChecks checks in a row is no
+// longer ready until it answers again.
+func (s *Supervisor) healthCheckedIdle(now float64, answered bool) {
 	if answered {
 		s.missedHealthChecks = 0
 		if s.state == rollout.ProcessStarting {
@@ -171,10 +180,11 @@
 	}
 	s.missedHealthChecks++
 	if s.state == rollout.ProcessReady && s.missedHealthChecks >= s.limits.MaxMissedHealthChecks {
-		s.state = rollout.ProcessStarting // it runs, but does not answer
+		s.state = rollout.ProcessStarting // the process runs but does not answer
 	}
 }
 
+// becomeReady records that the router is ready and ends the phase.
 func (s *Supervisor) becomeReady(now float64) {
 	s.state = rollout.ProcessReady
 	s.readySince = now
@@ -183,23 +193,23 @@
 	s.enter(phaseIdle, never)
 }
 
-// ProcessExited tells that the process has ended, and how, for people.
-func (s *Supervisor) ProcessExited(now float64, how string) Transition {
+// ProcessExited handles the end of the process. reason describes the end for people.
+func (s *Supervisor) ProcessExited(now float64, reason string) Transition {
 	wasStable := s.state == rollout.ProcessReady && now-s.readySince >= s.limits.StableSeconds
 	s.state = rollout.ProcessDown
 	var t Transition
 	switch s.phase {
 	case phaseFinding, phaseBackoff, phaseInstalling:
-		return t
+		return t // the phase continues
 	case phasePreparing:
-		return t // the step goes on without a process to end
+		return t // the step continues and has no process to terminate
 	case phaseTerminating, phaseConfirming:
 		s.install(&t)
 		return t
-	default: // it exited by itself
+	default: // the process exited by itself
 	}
 	if s.stepPending() {
-		s.endStep(rollout.StepFailed, "it ended before it was ready: "+how)
+		s.endStep(rollout.StepFailed, "the router ended before it was ready: "+reason)
 		t.Store = true
 	}
 	if wasStable {
@@ -215,7 +225,8 @@
 	return t
 }
 
-// backoffSeconds doubles with each exit in a row.
+// backoffSeconds returns the delay before the next start. It doubles with each crash in a row, up to
+// Limits.MaxBackoffSeconds.
 func (s *Supervisor) backoffSeconds() float64 {
 	backoff := s.limits.MinBackoffSeconds * math.Pow(2, float64(s.crashes-1))
 	return min(backoff, s.limits.MaxBackoffSeconds)
