--- a/internal/metrics/count_test.go
+++ b/internal/metrics/count_test.go
@@ -13,14 +13,15 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// logged returns the numbers of a counters' log line, those of nested objects included, by key.
-func logged(t *testing.T, counters *Counters) map[string]float64 {
+// loggedNumbers logs the counters and returns the numbers of the log line by key. The key of a number in a nested
+// object is the object's key, a dot and the number's key.
+func loggedNumbers(t *testing.T, counters *Counters) map[string]float64 {
 	t.Helper()
-	var out bytes.Buffer
-	log := zerolog.New(&out)
+	var output bytes.Buffer
+	log := zerolog.New(&output)
 	log.Info().Object("counters", counters).Send()
 	var line struct{ Counters map[string]any }
-	require.NoError(t, json.Unmarshal(out.Bytes(), &line))
+	require.NoError(t, json.Unmarshal(output.Bytes(), &line))
 	numbers := map[string]float64{}
 	for key, value := range line.Counters {
 		switch value := value.(type) {
@@ -46,9 +47,9 @@
 			want[float64(number)] = fields.Type().Field(i).Name
 		}
 	}
-	for key, number := range logged(t, &counters) {
+	for key, number := range loggedNumbers(t, &counters) {
 		if number == 0 {
-			continue // of an attempt result, or the longest turn
+			continue // an attempt result or the longest turn, which the loop above does not set
 		}
 		assert.Contains(t, want, number, key)
 		delete(want, number)
@@ -60,7 +61,7 @@
 	counters := Counters{ReceivedByGroup: []uint64{5, 6}, GroupNames: []string{"look", "book"}, LongestTurnSeconds: 0.25}
 	counters.AttemptResults[router.Answered] = 7
 	counters.AttemptResults[router.NotServed] = 8
-	numbers := logged(t, &counters)
+	numbers := loggedNumbers(t, &counters)
 	assert.InDelta(t, 5, numbers["received_by_group.look"], 0)
 	assert.InDelta(t, 6, numbers["received_by_group.book"], 0)
 	assert.InDelta(t, 7, numbers["attempt_results.answered"], 0)
@@ -86,9 +87,9 @@
 	assert.Equal(t, Counters{Received: 1, ReceivedByGroup: []uint64{1}, GroupNames: []string{"look"}}, clone)
 }
 
-// The agent of an earlier release counts a router's answers by these keys.
-func TestKeysThatAgentsReadStay(t *testing.T) {
-	numbers := logged(t, &Counters{Answered: 1, Rejected: 2, Failed: 3, InvalidQueries: 4})
+// Agents, which may run another release than the router, count its answers by these keys.
+func TestKeysReadByAgentsAreLogged(t *testing.T) {
+	numbers := loggedNumbers(t, &Counters{Answered: 1, Rejected: 2, Failed: 3, InvalidQueries: 4})
 	for key, want := range map[string]float64{"answered": 1, "throttled": 2, "failed": 3, "bad_input": 4} {
 		assert.InDelta(t, want, numbers[key], 0, key)
 	}
--- a/internal/metrics/log.go
+++ b/internal/metrics/log.go
@@ -6,7 +6,7 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// attemptResultKeys are the log's keys of AttemptResults.
+// attemptResultKeys are the log keys of the entries of AttemptResults.
 var attemptResultKeys = [...]string{
 	router.Answered:       "answered",
 	router.Errored:        "errored",
@@ -21,8 +21,8 @@
 
 const millisecondsPerSecond = 1000
 
-// MarshalZerologObject writes the counters to a log line. The fleet's agents, which may be of another release than the
-// router, read the keys answered, throttled, failed and bad_input: these must not be renamed.
+// MarshalZerologObject adds the counters to a log line. The keys answered, throttled, failed and bad_input must not be
+// renamed: the fleet's agents, which may run another release than the router, read them.
 func (c *Counters) MarshalZerologObject(line *zerolog.Event) {
 	c.logClients(line)
 	c.logCommands(line)
