--- a/service/counters.go
+++ b/service/counters.go
@@ -2,11 +2,12 @@
 
 import "stoatdale.example/stoatdale/internal/metrics"
 
-// Counters is what a router has accepted, forwarded and answered since its start, and what it holds now.
+// Counters are the counts of what a router has accepted, forwarded and answered since its start, and gauges of its
+// present state.
 type Counters = metrics.Counters
 
-// Counters returns the counters while Run serves, and the last ones after it has returned; before Run it waits. It may
-// be called from any goroutine.
+// Counters returns the present counters while Run serves, and the final ones after Run has returned. Called before
+// Run, it blocks until Run serves. It may be called from any goroutine.
 func (r *Router) Counters() Counters {
 	answer := make(chan Counters, 1)
 	r.loop.Post(func() { answer <- r.snapshot() })
@@ -21,21 +22,22 @@
 // LogCounters writes the counters to the log. It may be called from any goroutine.
 func (r *Router) LogCounters() { r.loop.Post(r.logCounters) }
 
-// logCounters is called on the event loop's goroutine only.
+// logCounters writes the counters to the log. It must be called on the event loop's goroutine, or after the loop has
+// ended.
 func (r *Router) logCounters() {
 	counters := r.snapshot()
 	r.log.Info().Object("counters", &counters).Msg("counters")
 }
 
-// snapshot copies the counters and adds the gauges. It is called on the event loop's goroutine, or after that has
-// ended.
+// snapshot returns a copy of the counters with the gauges filled in. It must be called on the event loop's goroutine,
+// or after the loop has ended.
 func (r *Router) snapshot() Counters {
 	counters := r.counters.Clone()
-	counters.ClientsOpen = uint64(r.front.OpenConnections())
-	counters.InFlight = uint64(r.core.InFlight())
-	counters.BackendConnectionsOpen = uint64(r.core.BackendConnections())
+	counters.ClientsOpen = uint64(r.frontend.OpenConnections())
+	counters.InFlight = uint64(r.dispatcher.InFlight())
+	counters.BackendConnectionsOpen = uint64(r.dispatcher.BackendConnections())
 	counters.BufferBlocksInUse = uint64(r.buffers.BlocksInUse())
-	known, rows := r.core.EndpointRows()
+	known, rows := r.dispatcher.EndpointRows()
 	counters.EndpointsKnown = uint64(known)
 	counters.EndpointRows = uint64(rows)
 	counters.LongestTurnSeconds = r.loop.LongestTurn()
--- a/service/reload.go
+++ b/service/reload.go
@@ -2,11 +2,11 @@
 
 import "stoatdale.example/stoatdale/internal/config"
 
-// Reload reads the configuration again, by way of env as Load did, and moves the watch of the endpoint list to the
-// discovery address that it names. Where the document asks for it by its key move, changed settings hold for every
-// command that comes after; those in flight end under the earlier ones. All else stays as it was: other changes are
-// logged and wait for a restart. A configuration that cannot be read or is wrong is refused as a whole and logged. It
-// may be called from any goroutine.
+// Reload reads the configuration again, through env as Load did, and watches the endpoint list at the discovery address
+// that the configuration names. If the configuration sets the key move, changed settings apply to all commands received
+// from then on; commands in flight end under the earlier settings. Other changes take effect only after a restart;
+// Reload logs their keys. A configuration that cannot be read or is invalid is rejected as a whole, and the error is
+// logged. Reload may be called from any goroutine.
 func (r *Router) Reload(env func(string) string) {
 	config, err := config.Reload(env)
 	r.loop.Post(func() {
@@ -19,7 +19,7 @@
 	})
 }
 
-// apply takes over what a running router can of another configuration.
+// apply applies the parts of a configuration that can change while the router runs, and logs the keys of the rest.
 func (r *Router) apply(next *Config) {
 	r.counters.Reloads++
 	if r.config.MigratesTo(next) {
@@ -30,17 +30,18 @@
 	}
 	r.log.Info().Stringer("discovery", next.Discovery).Stringer("before", r.config.Discovery).Msg("reloaded")
 	r.config.Discovery = next.Discovery
-	r.core.SetDiscoveryAddress(next.Discovery)
+	r.dispatcher.SetDiscoveryAddress(next.Discovery)
 }
 
-// migrate has another configuration's settings hold from here on.
+// migrate applies the settings of a configuration to all commands received from now on.
 func (r *Router) migrate(next *Config) {
-	r.core.RunTurn(r.loop.Now()) // commands already received name their group by the earlier settings
+	// Commands already received hold an index into the earlier settings' groups, so they are processed first.
+	r.dispatcher.RunTurn(r.loop.Now())
 	r.config.AdoptSettings(next)
 	r.counters.SetGroups(next.Settings.GroupNames)
-	r.front.ReloadGroups()
-	r.core.ApplySettings()
+	r.frontend.ReloadGroups()
+	r.dispatcher.ApplySettings()
 	r.counters.SettingsMigrations++
-	r.log.Info().Int("in_flight", r.core.InFlight()).Strs("groups", next.Settings.GroupNames).
+	r.log.Info().Int("in_flight", r.dispatcher.InFlight()).Strs("groups", next.Settings.GroupNames).
 		Msg("migrated to changed settings")
 }
--- a/service/service.go
+++ b/service/service.go
@@ -1,4 +1,4 @@
-// Package service is the router as a library. Load reads a configuration, New opens the listener and Run serves until
+// Package service is the router as a library. Load reads a configuration, New opens the listener, and Run serves until
 // Drain has been called and the router has shut down gracefully.
 package service
 
@@ -16,52 +16,54 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// Config is what a router is started with; Load reads it.
+// Config is the configuration of a router; Load reads it.
 type Config = config.Config
 
-// ConfigError is a fault in the configuration, with the file and the key. Load returns it, matched by errors.As.
+// ConfigError is an error in the configuration, with the file and the key at fault. Errors returned by Load match it by
+// errors.As.
 type ConfigError = config.Error
 
-// Load reads the environment and the document that it names. Its errors are of type *ConfigError.
+// Load reads the configuration from environment variables, which env looks up, and from the file that they name. Its
+// errors are of type *ConfigError.
 func Load(env func(string) string) (Config, error) { return config.Load(env) }
 
-// LogWriter returns a writer for logs that drops lines rather than wait for a slow reader of the descriptor.
+// LogWriter returns a writer to a file descriptor for logs. It drops lines rather than wait for a slow reader.
 func LogWriter(descriptor uintptr) io.Writer { return eventloop.DroppingWriter(descriptor) }
 
-// Router is one router on sockets. Everything but stopped belongs to the goroutine that runs Run; the exported methods
-// hand their work over to it.
+// Router is one router that serves clients on sockets. Only the goroutine that runs Run may access its fields, except
+// for stopped; the other exported methods pass their work to that goroutine.
 type Router struct {
-	config   Config
-	loop     *eventloop.Loop
-	buffers  *buffer.Pool
-	core     *dispatcher.Dispatcher
-	front    *frontend.Server
-	counters Counters
-	log      zerolog.Logger
-	draining bool
-	stopped  chan struct{} // closed when Run has returned
+	config     Config
+	loop       *eventloop.Loop
+	buffers    *buffer.Pool
+	dispatcher *dispatcher.Dispatcher
+	frontend   *frontend.Server
+	counters   Counters
+	log        zerolog.Logger
+	draining   bool
+	stopped    chan struct{} // closed when Run has returned
 }
 
-// New opens a router's listener; Run serves. It fails if the address cannot be listened on.
+// New returns a router that listens on the configured address; Run serves. New fails if it cannot listen there.
 func New(config Config, log zerolog.Logger) (*Router, error) {
-	events, err := eventloop.New(config.Limits.Counts.EventsPerTurn)
+	loop, err := eventloop.New(config.Limits.Counts.EventsPerTurn)
 	if err != nil {
 		return nil, err
 	}
 	r := &Router{
 		config:  config,
-		loop:    events,
+		loop:    loop,
 		buffers: buffer.NewPool(config.Limits.Sizes.BufferBlock, config.Limits.Counts.BufferBlocks),
 		log:     log,
 		stopped: make(chan struct{}),
 	}
 	r.counters.SetGroups(config.Settings.GroupNames)
-	r.core = dispatcher.New(&r.config, events, r.buffers, &r.counters, log)
-	r.front, err = frontend.Listen(config.Listen, events, frontend.Options{
+	r.dispatcher = dispatcher.New(&r.config, loop, r.buffers, &r.counters, log)
+	r.frontend, err = frontend.Listen(config.Listen, loop, frontend.Options{
 		Limits:     &r.config.Limits,
 		Settings:   &r.config.Settings,
 		Buffers:    r.buffers,
-		Dispatcher: r.core,
+		Dispatcher: r.dispatcher,
 		Counters:   &r.counters,
 		Log:        log,
 
@@ -70,54 +72,55 @@
 	if err != nil {
 		return nil, err
 	}
-	log.Info().Str("name", config.Name).Stringer("listen", r.front.Address).Msg("serving")
+	log.Info().Str("name", config.Name).Stringer("listen", r.frontend.Address).Msg("serving")
 	return r, nil
 }
 
-// drawCancelKey draws a key from the system's secure source, which never fails on Linux.
+// drawCancelKey returns a random cancel key from the system's secure source, which never fails on Linux.
 func drawCancelKey() (key pg.CancelKey) {
 	_, _ = rand.Read(key[:])
 	return key
 }
 
-// Run serves until the router has drained, or the event loop fails. It is called once.
+// Run serves until the router has drained or the event loop fails. It may be called only once.
 func (r *Router) Run() error {
 	defer close(r.stopped)
 	err := r.loop.Run(r.afterEvents)
-	r.core.Close()
+	r.dispatcher.Close()
 	r.logCounters()
 	return err
 }
 
-// afterEvents does what one turn of the event loop has left to do, and returns when the next turn is due at the
-// latest.
+// afterEvents completes a turn of the event loop after its events have been handled. It returns the time, on the
+// loop's clock, by which the next turn must run.
 func (r *Router) afterEvents(now float64) float64 {
-	unfinished := r.front.ProcessPending()
-	next := r.core.RunTurn(now)
+	unfinished := r.frontend.ProcessPending()
+	nextTurn := r.dispatcher.RunTurn(now)
 	if unfinished {
-		next = now
+		nextTurn = now
 	}
 	if r.draining && r.idle() {
 		r.loop.Stop()
 	}
-	return next
+	return nextTurn
 }
 
-// idle reports whether nothing is left to wait for: no listener, no client and no command in flight.
+// idle reports whether the router has no open listener, no client and no command in flight, so that Run can end.
 func (r *Router) idle() bool {
-	return r.front.ListenerClosed() && r.front.OpenConnections() == 0 && r.core.InFlight() == 0
+	return r.frontend.ListenerClosed() && r.frontend.OpenConnections() == 0 && r.dispatcher.InFlight() == 0
 }
 
-// Drain begins a graceful shutdown: the router goes on accepting clients for a while, answers the commands in flight,
-// closes connections between commands, and then Run returns. It may be called from any goroutine, and more than once.
+// Drain begins a graceful shutdown. The router accepts clients for a while longer (the limit AcceptLinger), answers the
+// commands in flight and closes connections that have none; then Run returns. Drain may be called from any goroutine,
+// and more than once.
 func (r *Router) Drain() {
 	r.loop.Post(func() {
 		if r.draining {
 			return
 		}
 		r.draining = true
-		r.log.Info().Int("in_flight", r.core.InFlight()).Msg("draining")
+		r.log.Info().Int("in_flight", r.dispatcher.InFlight()).Msg("draining")
 		stopAccepting := r.loop.Now() + r.config.Limits.Durations.AcceptLinger
-		r.loop.SetTimer(eventloop.NewTimer(r.front.Shutdown), stopAccepting)
+		r.loop.SetTimer(eventloop.NewTimer(r.frontend.Shutdown), stopAccepting)
 	})
 }
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -13,10 +13,10 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// testConfig is the configuration of a router with one command group, and no discovery service to poll.
+// testConfig returns the configuration of a router with one command group, whose discovery service cannot be reached.
 func testConfig() Config {
-	nobody := netip.MustParseAddrPort("127.0.0.1:1")
-	startConfig := Config{Name: "n1", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: nobody}
+	unusedAddress := netip.MustParseAddrPort("127.0.0.1:1")
+	startConfig := Config{Name: "n1", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: unusedAddress}
 	group := router.CommandGroup{Consistency: router.Eventual, LatencyObjective: 1, ClientTimeout: 2}
 	startConfig.Settings.Config = router.Config{CommandGroups: []router.CommandGroup{group}, BatchInterval: 0.005}
 	startConfig.Settings.GroupNames = []string{"look"}
@@ -32,13 +32,13 @@
 }
 
 func TestEmbeddedRouterCountsAndDrains(t *testing.T) {
-	const patience = 20 * time.Second // ends a test that hangs
+	const hangTimeout = 20 * time.Second // ends a test that hangs
 	r, err := New(testConfig(), zerolog.Nop())
 	require.NoError(t, err)
 	stopped := make(chan error)
 	go func() { stopped <- r.Run() }()
 	pollFailed := func() bool { return r.Counters().ListCallsFailed > 0 }
-	require.Eventually(t, pollFailed, patience, time.Millisecond)
+	require.Eventually(t, pollFailed, hangTimeout, time.Millisecond)
 	assert.Equal(t, []string{"look"}, r.Counters().GroupNames)
 	r.Drain()
 	r.Drain()
@@ -50,7 +50,7 @@
 	first, err := New(testConfig(), zerolog.Nop())
 	require.NoError(t, err)
 	config := testConfig()
-	config.Listen = first.front.Address
+	config.Listen = first.frontend.Address
 	_, err = New(config, zerolog.Nop())
-	assert.ErrorContains(t, err, "listening on "+first.front.Address.String())
+	assert.ErrorContains(t, err, "listening on "+first.frontend.Address.String())
 }
