--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,5 +1,6 @@
-// Package simadapter hosts router instances behind the simulator's frames. It decodes records into calls, keeps the
-// instances' timers and encodes what they decide. Package hand keeps the commands in flight; nothing is decided here.
+// Package simadapter runs router instances for the simulator. It decodes the records of the simulator's frames into
+// calls of the instances, keeps the instances' timers and encodes their decisions as actions. Package inflight tracks
+// the commands in flight. Package simadapter makes no routing decisions.
 package simadapter
 
 import (
@@ -10,8 +11,8 @@
 	"stoatdale.example/stoatdale/internal/simproto"
 )
 
-// Serve answers each batch from in with one reply on out, until the input ends. Its errors name the frame, counted
-// from 0.
+// Serve reads batches from in until the input ends, and answers each with one reply on out. Its errors name the frame
+// at fault, counted from 0.
 func Serve(in io.Reader, out io.Writer) error {
 	h := newHost()
 	var buffer []byte
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -18,7 +18,7 @@
  "guards": "none", "tellsPosition": true, "needsByClass": ["eventual"], "classBoundNs": [0], "zeroNs": 0},
  "limits": {"mostTries": 4}, "unheardOf": {"skipped": true}}`
 
-// frame is one batch at a time of the clock, with so many records.
+// frame encodes one batch with a clock time in nanoseconds, a record count in its header and records.
 func frame(clock uint64, count uint32, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
@@ -26,32 +26,32 @@
 	return append(binary.LittleEndian.AppendUint64(b, clock), body...)
 }
 
-// startRecord starts instance 0 with settings.
+// startRecord selects instance 0 and starts it with settings.
 func startRecord(params string) []byte {
 	b := append([]byte{5, 0, 0, 0, 0, 3}, make([]byte, 8)...)
 	return append(binary.LittleEndian.AppendUint32(b, uint32(len(params))), params...)
 }
 
-// listRecords defines a list of one ready endpoint, and updates the instance by it.
+// listRecords define an endpoint list of one ready endpoint and pass it to the selected instance as a complete list.
 func listRecords() []byte {
 	b := append([]byte{11, 0, 0, 1, 0, 0, 0, 10, 0, 0, 1, 9, 9}, make([]byte, 22)...)
 	b[7+11] = 1
 	return append(b, 10, 2, 0, 0, 0, 0, 0, 0)
 }
 
-// commandRecord is a command that its client waits for up to a time of the clock.
-func commandRecord(id byte, due uint64) []byte {
+// commandRecord is a command whose client waits for the answer until the clock time deadline, in nanoseconds.
+func commandRecord(id byte, deadline uint64) []byte {
 	b := append([]byte{9, id, 0, 0, 0}, make([]byte, 14)...)
-	b = binary.LittleEndian.AppendUint64(b, due)
+	b = binary.LittleEndian.AppendUint64(b, deadline)
 	return append(b, make([]byte, 17)...)
 }
 
-// serve returns the replies to frames.
+// serve returns the adapter's replies to frames.
 func serve(t *testing.T, frames ...[]byte) ([]byte, error) {
 	t.Helper()
-	var out bytes.Buffer
-	err := Serve(bytes.NewReader(bytes.Join(frames, nil)), &out)
-	return out.Bytes(), err
+	var replies bytes.Buffer
+	err := Serve(bytes.NewReader(bytes.Join(frames, nil)), &replies)
+	return replies.Bytes(), err
 }
 
 func TestCommandIsForwarded(t *testing.T) {
@@ -84,8 +84,10 @@
 	}
 }
 
-// changedSettings is the settings with one text replaced.
-func changedSettings(old, odd string) string { return strings.Replace(settings, old, odd, 1) }
+// changedSettings returns the settings with one text replaced.
+func changedSettings(old, replacement string) string {
+	return strings.Replace(settings, old, replacement, 1)
+}
 
 func TestInvalidSettingsAreReportedAsFaults(t *testing.T) {
 	for settings, text := range map[string]string{
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -9,19 +9,19 @@
 )
 
 var (
-	errNoInstance      = errors.New("event before any instance was named")
-	errStartUnselected = errors.New("start before any instance was named")
+	errNoInstance      = errors.New("event before any instance was selected")
+	errStartUnselected = errors.New("start before any instance was selected")
 )
 
-// host spreads a batch's records over the instances that they concern. It implements simproto.Handler.
+// host passes each record of a batch to the instance that the batch has selected. It implements simproto.Handler.
 type host struct {
-	clock     uint64 // of the batch, in nanoseconds
+	clock     uint64 // the simulator's clock at the present batch, in nanoseconds
 	instances map[uint32]*instance
-	lists     map[int][]simproto.Endpoint // endpoint lists by their number
-	active    []*instance                 // those named in this batch, in order
-	selected  bool                        // the batch has named an instance
-	currentID uint32                      // the one named last
-	current   *instance                   // nil where it does not run
+	lists     map[int][]simproto.Endpoint // endpoint lists by their id
+	active    []*instance                 // instances selected in the present batch, in order
+	selected  bool                        // whether the present batch has selected an instance
+	currentID uint32                      // id of the instance selected last
+	current   *instance                   // the instance selected last; nil if it does not run
 	reply     simproto.Reply
 }
 
@@ -29,7 +29,7 @@
 	return &host{instances: map[uint32]*instance{}, lists: map[int][]simproto.Endpoint{}}
 }
 
-// answer returns the reply to a batch. It belongs to the host, up to the next call.
+// answer returns the reply to a batch. The reply is valid until the next call.
 func (h *host) answer(batch simproto.Batch) ([]byte, error) {
 	h.clock = batch.Clock
 	h.active = h.active[:0]
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// activate sets an instance's time, and has it finish with the batch.
+// activate sets an instance's time to the batch's clock and adds it to those that finish at the end of the batch.
 func (h *host) activate(i *instance) {
 	if !i.active {
 		i.active = true
@@ -65,7 +65,7 @@
 	i.now = i.time(h.clock)
 }
 
-// instance is the one that a record concerns.
+// instance returns the selected instance, or an error if none was selected or it does not run.
 func (h *host) instance() (*instance, error) {
 	if !h.selected {
 		return nil, errNoInstance
@@ -76,8 +76,8 @@
 	return h.current, nil
 }
 
-// guarded makes a call of the selected instance's routing decisions.
-func (h *host) guarded(call func(*instance)) error {
+// guardSelected makes a call on the selected instance; a panic in the call becomes the instance's fault.
+func (h *host) guardSelected(call func(*instance)) error {
 	i, err := h.instance()
 	if err != nil {
 		return err
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// drop forgets the selected instance and all that it was about to send.
+// drop removes the selected instance and discards the actions that it has not sent yet.
 func (h *host) drop() {
 	if h.current == nil {
 		return
@@ -139,7 +139,7 @@
 	}
 	list, defined := h.lists[id]
 	if !defined {
-		return fmt.Errorf("update names list %d, which was never defined", id)
+		return fmt.Errorf("update names endpoint list %d, which was never defined", id)
 	}
 	i.guard(func() { i.updateList(list, mode) })
 	return nil
@@ -158,13 +158,13 @@
 	return nil
 }
 
-// FirstByte implements simproto.Handler; no command group is streamed.
+// FirstByte implements simproto.Handler. The event has no effect, since answers are not streamed.
 func (h *host) FirstByte(uint32, int) error {
 	_, err := h.instance()
 	return err
 }
 
-// TimerFired implements simproto.Handler; what is due is reviewed at the batch's end.
+// TimerFired implements simproto.Handler. The commands that are due are reviewed at the end of the batch.
 func (h *host) TimerFired(timer uint32) error {
 	i, err := h.instance()
 	if err != nil {
@@ -176,11 +176,11 @@
 
 // ClientGone implements simproto.Handler.
 func (h *host) ClientGone(command uint32) error {
-	return h.guarded(func(i *instance) { i.commands.ClientGone(i.now, command) })
+	return h.guardSelected(func(i *instance) { i.commands.ClientGone(i.now, command) })
 }
 
-// results translates the simulator's result codes.
-var results = [...]router.Result{
+// resultsByCode holds the attempt result for each of the simulator's result codes.
+var resultsByCode = [...]router.Result{
 	router.Answered, router.Errored, router.Overloaded, router.TimedOut, router.ConnectFailed,
 	router.ConnectionLost, router.Canceled, router.NeverSent, router.NotServed,
 }
@@ -191,8 +191,8 @@
 	if err != nil {
 		return err
 	}
-	if ended.Result >= len(results) {
-		return fmt.Errorf("unknown outcome %d", ended.Result)
+	if ended.Result >= len(resultsByCode) {
+		return fmt.Errorf("unknown result %d of an attempt", ended.Result)
 	}
 	i.guard(func() { i.attemptEnded(ended) })
 	return nil
@@ -204,9 +204,9 @@
 	if err != nil {
 		return err
 	}
-	if result >= len(results) {
-		return fmt.Errorf("unknown outcome %d of a probe", result)
+	if result >= len(resultsByCode) {
+		return fmt.Errorf("unknown result %d of a health check", result)
 	}
-	i.guard(func() { i.healthChecked(address, results[result], elapsed, report) })
+	i.guard(func() { i.healthChecked(address, resultsByCode[result], elapsed, report) })
 	return nil
 }
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -18,26 +18,27 @@
 func seconds(nanoseconds int64) float64 { return float64(nanoseconds) * secondsPerNanosecond }
 
 // instance is one router with its timers and its commands in flight. It implements inflight.Executor. Times are in
-// seconds since its start.
+// seconds since the instance's start, unless a comment says otherwise.
 type instance struct {
 	id           uint32
-	startClock   uint64 // the simulator's clock at its start, in nanoseconds
+	startClock   uint64 // the simulator's clock at the instance's start, in nanoseconds
 	now          float64
 	router       *router.Router
 	commands     *inflight.Tracker
-	reportFields []string // of a load report
-	groupCount   int      // command groups
-	fault        string   // why it cannot go on; empty: it can
+	reportFields []string // names of a load report's fields, in order
+	groupCount   int      // number of command groups
+	fault        string   // why the instance cannot go on; empty while it can
 	crashed      bool
-	active       bool    // named in the present batch
-	timerAt      float64 // when the timer that counts fires; infinite: none does
-	timerNumber  uint32  // of that timer
+	active       bool    // whether the present batch has selected the instance
+	timerAt      float64 // when the current timer fires; infinite if none is set
+	timerNumber  uint32  // number of the current timer; earlier timers are ignored when they fire
 	addresses    *idtable.Table[simproto.Address]
 	shards       *idtable.Table[int]
-	actions      simproto.Reply // of the present batch
+	actions      simproto.Reply // actions of the present batch
 }
 
-// newInstance starts a router. Faulty settings are its fault, and reported in reply to the batch.
+// newInstance starts a router. If its settings are invalid, the error becomes the instance's fault, which is reported in
+// the reply to the batch.
 func newInstance(id uint32, clock, seed uint64, rawSettings []byte) *instance {
 	i := &instance{
 		id: id, startClock: clock, timerAt: math.Inf(1),
@@ -57,16 +58,16 @@
 	return i
 }
 
-// time is a time of the simulator's clock.
+// time converts a time of the simulator's clock, in nanoseconds, into seconds since the instance's start.
 func (i *instance) time(clock uint64) float64 { return seconds(int64(clock - i.startClock)) }
 
-// clock is the simulator's clock at a time.
+// clock converts seconds since the instance's start into a time of the simulator's clock, in nanoseconds.
 func (i *instance) clock(at float64) uint64 {
 	return i.startClock + uint64(math.Round(at/secondsPerNanosecond))
 }
 
-// guard makes a call of the routing decisions, unless they have failed before. A panic is the instance's fault, and
-// ends it alone.
+// guard makes a call into the router, unless the instance already has a fault. A panic in the call becomes the
+// instance's fault; the other instances go on.
 func (i *instance) guard(call func()) {
 	if i.fault != "" {
 		return
@@ -79,7 +80,7 @@
 	call()
 }
 
-// updateList hands an endpoint list, or changes of it, to the router.
+// updateList passes an endpoint list, or changes to it, to the router.
 func (i *instance) updateList(list []simproto.Endpoint, mode simproto.UpdateMode) {
 	endpoints := make([]router.EndpointInfo, len(list))
 	for n, endpoint := range list {
@@ -96,7 +97,7 @@
 	i.router.UpdateEndpoints(i.now, endpoints, complete, mode == simproto.ListCached)
 }
 
-// startedAt is when an endpoint started; long ago where the list does not say.
+// startedAt returns when an endpoint started, or minus infinity (long ago) if the list does not say.
 func (i *instance) startedAt(endpoint simproto.Endpoint) float64 {
 	if endpoint.StartedAt == 0 {
 		return math.Inf(-1)
@@ -104,7 +105,7 @@
 	return i.time(endpoint.StartedAt)
 }
 
-// addCommand hands a command to the router. A shard that no list has named is -1.
+// addCommand passes a command to the router. A shard that no endpoint list has named becomes -1.
 func (i *instance) addCommand(command simproto.Command) {
 	shard, known := i.shards.Lookup(command.Shard)
 	if !known {
@@ -121,11 +122,11 @@
 	})
 }
 
-// attemptEnded hands an attempt's result to the router.
+// attemptEnded passes an attempt's result to the router. An unknown position becomes -1.
 func (i *instance) attemptEnded(ended simproto.AttemptEnded) {
 	result := router.AttemptResult{
 		Attempt:  ended.Attempt,
-		Result:   results[ended.Result],
+		Result:   resultsByCode[ended.Result],
 		Elapsed:  seconds(int64(ended.Elapsed)),
 		Final:    ended.Final,
 		Role:     router.Role(ended.Role),
@@ -137,7 +138,7 @@
 	i.commands.AttemptEnded(i.now, ended.Command, result)
 }
 
-// healthChecked hands a health check's result to the router, unless the endpoint is no longer known.
+// healthChecked passes a health check's result to the router, unless the endpoint is no longer known.
 func (i *instance) healthChecked(address simproto.Address, result router.Result, elapsed uint64, report []float32) {
 	endpoint, known := i.addresses.Lookup(address)
 	if !known {
@@ -147,7 +148,8 @@
 	i.router.HealthChecked(i.now, endpoint, result, seconds(int64(elapsed)), position, primary)
 }
 
-// readReport returns the log position of a load report, negative where it holds none, and whether it is a primary's.
+// readReport returns the log position in a load report, or -1 if the report has none, and whether it comes from a
+// primary.
 func (i *instance) readReport(report []float32) (position float64, primary bool) {
 	position = -1
 	for n, value := range report[:min(len(report), len(i.reportFields))] {
@@ -161,7 +163,7 @@
 	return position, primary
 }
 
-// timerFired notes that no timer is set, if the one that fired is the one that counts.
+// timerFired records that no timer is set, unless the timer that fired is not the current one.
 func (i *instance) timerFired(timer uint32) {
 	if timer == i.timerNumber {
 		i.timerAt = math.Inf(1)
@@ -184,7 +186,7 @@
 // Fail implements inflight.Executor.
 func (i *instance) Fail(command uint32) { i.actions.Fail(command) }
 
-// finish ends a batch: it reviews what is due and adds the instance's actions to the reply.
+// finish ends a batch: it reviews the commands that are due and adds the instance's actions to the reply.
 func (i *instance) finish(reply *simproto.Reply) {
 	i.active = false
 	if i.crashed {
@@ -220,7 +222,7 @@
 	}
 }
 
-// setTimer replaces the timer that counts; an earlier one still fires, and is passed over.
+// setTimer replaces the current timer. The earlier one still fires and is then ignored.
 func (i *instance) setTimer(at float64) {
 	i.timerAt = at
 	i.timerNumber++
--- a/internal/simproto/batch.go
+++ b/internal/simproto/batch.go
@@ -1,5 +1,5 @@
-// Package simproto is the codec of the simulator's frames: little-endian, packed, records one after another. It knows
-// layouts and makes no decisions.
+// Package simproto is the codec of the simulator's frames. A frame is a header and packed little-endian records. The
+// package knows only the layouts; it makes no decisions.
 package simproto
 
 import (
@@ -10,41 +10,41 @@
 )
 
 const (
-	headerSize = 16      // of a batch: the body's length, the number of records, the clock
-	chunkSize  = 1 << 20 // most bytes that the buffer grows by before they have arrived
+	headerSize = 16      // bytes of a batch's header: the body's length, the number of records and the clock
+	chunkSize  = 1 << 20 // the most bytes of a body that are read, and made room for, at a time
 )
 
-// Faults of a record.
+// Errors of a record.
 var (
 	ErrOverrun       = errors.New("overruns its frame")
 	ErrUnknownRecord = errors.New("unknown event")
 )
 
-// RecordError is a fault at one record of a batch. Err is ErrOverrun, ErrUnknownRecord or what the handler returned.
+// RecordError is the error of one record of a batch. Err is ErrOverrun, ErrUnknownRecord or the handler's error.
 type RecordError struct {
-	Index  uint32 // of the record in its batch
-	Code   byte   // the record's kind
-	Offset int    // of the record in its frame, in bytes
+	Index  uint32 // index of the record in its batch
+	Code   byte   // code of the record's kind
+	Offset int    // offset of the record in its frame, in bytes
 	Err    error
 }
 
-// Error names the record and its place.
+// Error implements error. The text names the record and its offset.
 func (e *RecordError) Error() string {
 	return fmt.Sprintf("record %d (code %d) at byte %d: %v", e.Index, e.Code, e.Offset, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *RecordError) Unwrap() error { return e.Err }
 
 // Batch is one frame from the simulator.
 type Batch struct {
-	Clock uint64 // nanoseconds
-	count uint32 // of records
+	Clock uint64 // the simulator's clock, in nanoseconds
+	count uint32 // number of records
 	body  []byte
 }
 
-// ReadBatch reads one frame into a buffer, which grows where needed and belongs to the batch from then on. It returns
-// io.EOF only at the end of the input between frames.
+// ReadBatch reads one frame. The body is stored in buffer, which grows as needed and must not be used while the batch
+// is. ReadBatch returns io.EOF only if the input ends between frames.
 func ReadBatch(r io.Reader, buffer []byte) (Batch, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -65,7 +65,8 @@
 	}, nil
 }
 
-// readBody grows its buffer only as bytes arrive, so that a false length costs no memory.
+// readBody reads a number of bytes. It grows the buffer only as bytes arrive, so that a wrong length in a header does
+// not allocate memory for bytes that never come.
 func readBody(r io.Reader, buffer []byte, missing int) ([]byte, error) {
 	for missing > 0 {
 		size := min(missing, chunkSize)
@@ -84,10 +85,10 @@
 	return buffer, nil
 }
 
-// Buffer gives the batch's memory back for the next read.
+// Buffer returns the batch's memory, so that the next ReadBatch can reuse it.
 func (b Batch) Buffer() []byte { return b.body }
 
-// Decode hands each record to the handler, up to the first fault, which is a *RecordError where it lies in a record.
+// Decode passes each record to the handler until the first error. An error in a record is a *RecordError.
 func (b Batch) Decode(h Handler) error {
 	c := &cursor{data: b.body}
 	for i := range b.count {
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// decodeRecord reads the fields of one record and hands it on.
+// decodeRecord reads the fields of one record and calls the handler's method for it.
 func (c *cursor) decodeRecord(code recordCode, h Handler) error {
 	if c.overrun {
 		return ErrOverrun
--- a/internal/simproto/batch_test.go
+++ b/internal/simproto/batch_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recordingHandler keeps the records of a batch; a method that no test needs panics.
+// recordingHandler stores the records of a batch. Methods that no test needs panic.
 type recordingHandler struct {
 	Handler
 	commands []Command
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// frame is a batch with so many records.
+// frame encodes a batch with a record count in its header and a body.
 func frame(count uint32, body ...byte) []byte {
 	const clock = 99
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
--- a/internal/simproto/cursor.go
+++ b/internal/simproto/cursor.go
@@ -5,11 +5,11 @@
 	"math"
 )
 
-// endpointSize is the length of an endpoint list's row, in bytes.
+// endpointSize is the length of one row of an endpoint list, in bytes.
 const endpointSize = 28
 
-// cursor reads little-endian fields one after another. Once a field overruns the data, it and all later ones are zero
-// and overrun is set.
+// cursor reads little-endian fields one after another. Once a field overruns the data, overrun is set, and that field
+// and all later ones read as zero.
 type cursor struct {
 	data    []byte
 	offset  int
@@ -18,7 +18,7 @@
 
 func (c *cursor) remaining() int { return len(c.data) - c.offset }
 
-// take returns the next bytes, which belong to the data, or nil.
+// take returns the next bytes as a slice of the data, or nil if fewer are left.
 func (c *cursor) take(size int) []byte {
 	if c.overrun || size < 0 || size > c.remaining() {
 		c.overrun = true
@@ -64,7 +64,7 @@
 	return address
 }
 
-// report reads the values of a load report; none: nil.
+// report reads the values of a load report. It returns nil if the report is empty.
 func (c *cursor) report() []float32 {
 	const valueSize = 4
 	count := int(c.uint8())
@@ -82,7 +82,8 @@
 	return values
 }
 
-// endpoints reads the rows of a list. The count is checked first, so that a false one costs no memory.
+// endpoints reads the rows of an endpoint list. The count is checked first, so that a wrong count does not allocate
+// memory for rows that are not there.
 func (c *cursor) endpoints() []Endpoint {
 	count := int(c.uint32())
 	if c.overrun || count > c.remaining()/endpointSize {
@@ -98,7 +99,7 @@
 
 func (c *cursor) endpoint() Endpoint {
 	endpoint := Endpoint{Address: c.address(), Zone: c.uint16()}
-	c.uint8() // the kind of machine
+	c.uint8() // the kind of machine, which is not used
 	endpoint.Shard = c.uint16()
 	endpoint.State = int(c.uint8())
 	endpoint.Weight = float64(c.float32())
--- a/internal/simproto/records.go
+++ b/internal/simproto/records.go
@@ -8,25 +8,25 @@
 	Address   Address
 	Zone      int
 	Shard     int
-	State     int     // as router.EndpointState
-	Weight    float64 // relative power, in no unit
-	StartedAt uint64  // clock time in nanoseconds; 0: long ago
+	State     int     // a value of router.EndpointState
+	Weight    float64 // relative capacity, without a unit
+	StartedAt uint64  // clock time in nanoseconds; 0 if the endpoint started long ago
 	Primary   bool
 }
 
-// AttemptEnded tells how one attempt of a command ended.
+// AttemptEnded is the result of one attempt of a command.
 type AttemptEnded struct {
-	Command    uint32 // its id
+	Command    uint32 // id of the command
 	Attempt    int
 	Address    Address
 	Result     int    // the simulator's result code
 	Elapsed    uint64 // nanoseconds
-	Final      bool   // the command is over
-	PositionMs uint32 // the endpoint's log position in milliseconds after the settings' zero; 0: unknown
-	Role       int    // as router.Role
+	Final      bool   // whether this ends the command
+	PositionMs uint32 // the endpoint's log position in milliseconds after the settings' zero; 0 if unknown
+	Role       int    // a value of router.Role
 }
 
-// Command is a command as a client sent it.
+// Command is a command that a client has sent.
 type Command struct {
 	ID             uint32
 	Group          int
@@ -34,47 +34,50 @@
 	Session        uint64
 	Deadline       uint64 // clock time in nanoseconds at which the client gives up
 	Shard          int
-	LastWriteAgeMs float64 // age of the session's last write
+	LastWriteAgeMs float64 // age of the session's last write, in milliseconds
 	Flags          byte
 }
 
-// FlagClientRetry marks a command that its client sends again.
+// FlagClientRetry is the bit of Command.Flags that marks a command that its client sends again.
 const FlagClientRetry = 2
 
-// UpdateMode says how an instance learns of an endpoint list.
+// UpdateMode is the way in which an endpoint list updates an instance.
 type UpdateMode byte
 
-// Modes of an update.
+// Modes of an endpoint list update.
 const (
-	ListChanges  UpdateMode = iota // the list holds what has changed
+	ListChanges  UpdateMode = iota // the list holds only the endpoints that have changed
 	ListComplete                   // the list is complete
-	ListCached                     // the list is complete, and the one that the instance knew before its start
-	ListFailed                     // no list: the discovery service did not answer
+	ListCached                     // the list is complete, and is the one that the instance knew before its start
+	ListFailed                     // there is no list, since the discovery service did not answer
 )
 
-// Handler takes the records of a batch in their order. The first error ends the batch.
+// Handler receives the records of a batch in their order. The first error that it returns ends the batch.
 type Handler interface {
-	// SelectInstance names the instance that the following records concern.
+	// SelectInstance selects the instance that the following records concern.
 	SelectInstance(instance uint32) error
-	// StartInstance starts the selected instance. The settings belong to the batch's buffer.
+	// StartInstance starts the selected instance. The settings are part of the batch's buffer and are valid only during
+	// the call.
 	StartInstance(seed uint64, settings []byte) error
-	// CrashInstance ends the selected instance at once.
+	// CrashInstance ends the selected instance without a shutdown.
 	CrashInstance() error
-	// DefineList defines an endpoint list for every instance.
+	// DefineList defines an endpoint list, which UpdateList of any instance can name by its id.
 	DefineList(id int, endpoints []Endpoint) error
-	// UpdateList has the selected instance learn of a list that was defined.
+	// UpdateList updates the selected instance by a list that was defined.
 	UpdateList(mode UpdateMode, id int) error
-	// Command brings a command.
+	// Command reports that the selected instance has received a command.
 	Command(command Command) error
-	// FirstByte tells that a streamed answer has begun.
+	// FirstByte reports that a streamed answer has begun.
 	FirstByte(command uint32, attempt int) error
-	// AttemptEnded tells how an attempt ended.
+	// AttemptEnded reports the result of an attempt.
 	AttemptEnded(ended AttemptEnded) error
-	// ClientGone tells that a command's client has left, or that its answer is overdue. The command may be over.
+	// ClientGone reports that a command's client has left, or that its answer is overdue. The command may have ended
+	// already.
 	ClientGone(command uint32) error
-	// TimerFired tells that a timer has run out.
+	// TimerFired reports that a timer has fired.
 	TimerFired(timer uint32) error
-	// HealthChecked tells how a health check ended; elapsed is in nanoseconds, report the fields of a load report.
+	// HealthChecked reports the result of a health check. elapsed is in nanoseconds; report holds the values of a load
+	// report, or is nil.
 	HealthChecked(address Address, result int, elapsed uint64, report []float32) error
 }
 
@@ -96,10 +99,10 @@
 	recordHealthChecked
 )
 
-// call hands a decoded record to its handler's method.
+// call passes a decoded record to the handler's method for its kind.
 type call func(Handler) error
 
-// decoders reads the fields of each kind of record.
+// decoders holds, for each record code, the function that reads the record's fields.
 var decoders = [...]func(*cursor) call{
 	recordFirstByte:      decodeFirstByte,
 	recordPeerMessage:    skipPeerMessage,
@@ -118,11 +121,11 @@
 func decodeFirstByte(c *cursor) call {
 	command, attempt := c.uint32(), int(c.uint8())
 	c.address()
-	c.uint64() // the time since it was sent
+	c.uint64() // the time since the attempt was sent, which is not used
 	return func(h Handler) error { return h.FirstByte(command, attempt) }
 }
 
-// skipPeerMessage reads what another instance sent: routers exchange nothing.
+// skipPeerMessage skips a message from another instance. Routers exchange no messages.
 func skipPeerMessage(c *cursor) call {
 	c.uint16() // the sender
 	c.take(c.uint16())
@@ -144,15 +147,15 @@
 		Elapsed: c.uint64(),
 		Final:   c.uint8() != 0,
 	}
-	ended.PositionMs, ended.Role = splitMark(c.uint32())
-	c.report() // load reports of answers are not used
+	ended.PositionMs, ended.Role = splitPositionAndRole(c.uint32())
+	c.report() // the answer's load report, which is not used
 	return func(h Handler) error { return h.AttemptEnded(ended) }
 }
 
-// splitMark takes a log position and a role apart: four times the one plus the other.
-func splitMark(mark uint32) (positionMs uint32, role int) {
+// splitPositionAndRole unpacks a number that holds four times the log position plus the role.
+func splitPositionAndRole(packed uint32) (positionMs uint32, role int) {
 	const roles = 4
-	return mark / roles, int(mark % roles)
+	return packed / roles, int(packed % roles)
 }
 
 func decodeSelectInstance(c *cursor) call {
@@ -178,7 +181,7 @@
 		Session:  c.uint64(),
 		Deadline: c.uint64(),
 	}
-	c.uint64() // the work expected
+	c.uint64() // the work expected, which is not used
 	command.Shard = int(c.float32())
 	command.LastWriteAgeMs = float64(c.float32())
 	command.Flags = c.uint8()
@@ -187,7 +190,7 @@
 
 func decodeUpdateList(c *cursor) call {
 	mode := UpdateMode(c.uint8())
-	c.uint32() // the list's version
+	c.uint32() // the list's version, which is not used
 	id := c.uint16()
 	return func(h Handler) error { return h.UpdateList(mode, id) }
 }
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -20,16 +20,16 @@
 	actionSelectInstance actionCode = 13
 )
 
-// replyHeaderSize is the length of a reply's header, in bytes: the number of bytes that follow.
+// replyHeaderSize is the length of a reply's header, in bytes. The header holds the number of bytes that follow.
 const replyHeaderSize = 4
 
-// Reply collects the actions that answer one batch. Reset has to be called before the first action.
+// Reply collects the actions that answer one batch. Reset must be called before the first action.
 type Reply struct{ data []byte }
 
 // Reset empties the reply, leaving room for its header.
 func (r *Reply) Reset() { r.data = append(r.data[:0], make([]byte, replyHeaderSize)...) }
 
-// Frame returns the reply with its header filled in. It belongs to the reply, up to the next Reset.
+// Frame returns the reply with its header filled in. The result is valid until the next Reset.
 func (r *Reply) Frame() []byte {
 	binary.LittleEndian.PutUint32(r.data, uint32(len(r.data)-replyHeaderSize))
 	return r.data
@@ -38,16 +38,17 @@
 // Empty reports whether the reply holds no action.
 func (r *Reply) Empty() bool { return len(r.data) <= replyHeaderSize }
 
-// Append adds another reply's actions.
+// Append appends another reply's actions.
 func (r *Reply) Append(other *Reply) { r.data = append(r.data, other.data[replyHeaderSize:]...) }
 
-// SelectInstance names the instance of the actions that follow.
+// SelectInstance selects the instance to which the following actions belong.
 func (r *Reply) SelectInstance(instance uint32) {
 	r.action(actionSelectInstance)
 	r.uint32(instance)
 }
 
-// Forward begins an attempt of a command at an endpoint; it times out at the clock time deadline, in nanoseconds.
+// Forward begins an attempt of a command at an endpoint. The attempt times out at the clock time deadline, in
+// nanoseconds.
 func (r *Reply) Forward(command uint32, address Address, deadline uint64) {
 	r.action(actionForward)
 	r.uint32(command)
@@ -62,7 +63,8 @@
 	r.data = append(r.data, byte(attempt))
 }
 
-// Reject ends a command as rejected. The client is told to wait so many nanoseconds; 0: nothing is told.
+// Reject ends a command as rejected. retryAfter is the time that the client is asked to wait before it retries, in
+// nanoseconds; 0 asks for nothing.
 func (r *Reply) Reject(command uint32, retryAfter uint64) {
 	r.action(actionReject)
 	r.uint32(command)
@@ -75,14 +77,14 @@
 	r.uint32(command)
 }
 
-// SetTimer asks for a timer that fires after so many nanoseconds.
+// SetTimer asks for a timer that fires after delay nanoseconds.
 func (r *Reply) SetTimer(delay uint64, timer uint32) {
 	r.action(actionSetTimer)
 	r.uint64(delay)
 	r.uint32(timer)
 }
 
-// Subscribe asks for changes of the endpoint list.
+// Subscribe subscribes the instance to changes of the endpoint list.
 func (r *Reply) Subscribe() {
 	const on = 1
 	r.action(actionSubscribe)
@@ -95,7 +97,7 @@
 	r.address(address)
 }
 
-// ReportFault reports that an instance cannot go on. A text too long for the frame is cut.
+// ReportFault reports that the instance cannot go on, and why. A text longer than the frame allows is cut.
 func (r *Reply) ReportFault(text string) {
 	text = text[:min(len(text), math.MaxUint16)]
 	r.action(actionReportFault)
