--- a/internal/modelcheck/breadth.go
+++ b/internal/modelcheck/breadth.go
@@ -11,55 +11,56 @@
 )
 
 const (
-	seenShards        = 64  // of the table of states, so that workers seldom wait for each other
-	heapCheckInterval = 256 // states between two looks at the heap
-	noParent          = -1  // of the first state
+	seenShards        = 64  // parts of the table of states, locked separately so that workers seldom wait for each other
+	heapCheckInterval = 256 // states expanded between two checks of the heap's size
+	noParent          = -1  // parent of the first state
 )
 
-// Reasons for which an exploration stops before it is complete.
+// Reasons why an exploration stops before it is complete.
 const (
 	stoppedEarly      = "it was ended before it was complete"
 	stoppedByProperty = "a property is broken"
 )
 
-// stepSet is a set of steps by their index.
+// stepSet is a set of steps, as indexes into explorer.stepNames.
 type stepSet map[int32]bool
 
-// state is one that was reached.
+// state is a state that was reached.
 type state struct {
-	parent, step int32 // from which state by which step it was reached first
+	parent, step int32 // the state from which, and the step by which, this one was first reached
 	fingerprint  uint64
 	isEnd        bool
 	expanded     bool
-	sleep        stepSet // steps that need not be taken from here; nil where no steps commute
+	sleep        stepSet // steps that need not be taken from this state; nil if no steps commute
 }
 
-// seenShard is a part of the table of states.
+// seenShard is one part of the table of states.
 type seenShard struct {
 	sync.Mutex
-	at map[uint64]int32 // fingerprint to index of state
+	indexByFingerprint map[uint64]int32 // index into explorer.states
 }
 
-// explorer explores breadth first. Its workers share it during a level; between levels one goroutine has it alone.
+// explorer explores breadth first, level by level. Its workers share it during a level; between levels only one
+// goroutine uses it.
 type explorer struct {
 	newSystem func() System
 	bounds    Bounds
 	report    func(Progress)
-	reduces   bool // steps that commute are taken in one order only
+	reduces   bool // whether steps that commute are taken in one order only
 
 	peakHeapBytes uint64
 	stepsTaken    atomic.Int64
 	stepsSkipped  atomic.Int64
 	stopReason    atomic.Pointer[string]
-	seen          [seenShards]seenShard // a shard is locked before mu
+	seen          [seenShards]seenShard // table of the states reached; lock order: a part of the table, then mu
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	states         []state
 	stepNames      []string
 	stepIndex      map[string]int32
 	stepsByKind    map[string]int
-	edges          [][2]int32        // from, to; for liveness only
-	wakeSets       map[int32]stepSet // states of the next level that must take some steps after all
+	edges          [][2]int32        // steps as pairs of states, from and to; kept only to check liveness
+	wakeSets       map[int32]stepSet // steps that known states of the next level must take after all, by state
 	counterexample *Trace
 }
 
@@ -69,40 +70,40 @@
 		stepIndex: map[string]int32{}, stepsByKind: map[string]int{}, wakeSets: map[int32]stepSet{},
 	}
 	for i := range e.seen {
-		e.seen[i].at = map[uint64]int32{}
+		e.seen[i].indexByFingerprint = map[uint64]int32{}
 	}
 	return e
 }
 
-// start notes the first state and returns the first level.
+// start adds the first state and returns the states of the first level.
 func (e *explorer) start() []int32 {
 	first := e.newSystem()
 	_, commutes := first.(Commuter)
 	e.reduces = commutes && !e.bounds.TakeAllSteps && !e.bounds.CheckLiveness
 	at, _ := e.add(first, arrival{parent: noParent})
-	e.checkPromise(first, at)
+	e.checkSettles(first, at)
 	return []int32{at}
 }
 
-// level is the states of one depth that are to be expanded, and those of the next that are known beforehand.
+// level holds the states of one depth that are to be expanded.
 type level struct {
 	depth  int
 	states []int32
-	next   []int32
+	next   []int32 // states of the next level that are known already, from a resumed exploration
 }
 
-// runEnd is where a run ended.
+// runEnd holds where a run ended.
 type runEnd struct {
-	depth int     // of the last level that was begun
-	edge  []int32 // states at the bound of depth, whose steps were not taken
+	depth        int     // depth of the last level that was begun
+	atDepthBound []int32 // states at MaxDepth, whose steps were not taken
 }
 
-// run expands level after level until there is none, a bound is met or a property breaks.
+// run expands level after level until no state is left, a bound is reached or a property breaks.
 func (e *explorer) run(ctx context.Context, l level) (end runEnd) {
 	for len(l.states) > 0 && e.counterexample == nil {
 		end.depth = l.depth
 		if e.bounds.MaxDepth > 0 && l.depth >= e.bounds.MaxDepth {
-			end.edge = l.states
+			end.atDepthBound = l.states
 			break
 		}
 		if e.report != nil {
@@ -116,7 +117,7 @@
 	return end
 }
 
-// heapInUse is this process's heap, in bytes.
+// heapInUse returns the size of this process's heap, in bytes.
 func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -129,11 +130,11 @@
 	return inUse
 }
 
-// stop ends the exploration. The first reason counts.
-func (e *explorer) stop(why string) { e.stopReason.CompareAndSwap(nil, &why) }
+// stop ends the exploration. If it is called several times, the first reason is kept.
+func (e *explorer) stop(reason string) { e.stopReason.CompareAndSwap(nil, &reason) }
 
-// expandLevel takes every step of the states of one depth. It returns the states of the next level: those that are new, and
-// those that were known and must take some steps after all.
+// expandLevel expands the states of one depth. It returns the states of the next level: those that are new, and known
+// ones that must take some steps after all.
 func (e *explorer) expandLevel(ctx context.Context, states []int32) []int32 {
 	var next atomic.Int64
 	var workers sync.WaitGroup
@@ -149,8 +150,8 @@
 	return nextLevel
 }
 
-// expandShare is one worker: it expands states, by the index that all workers share, until none is left or the
-// exploration stops.
+// expandShare runs one worker. It expands states until none is left or the exploration stops, and returns the new states
+// that it found. next, which all workers share, is the index of the next state to expand.
 func (e *explorer) expandShare(ctx context.Context, states []int32, next *atomic.Int64) (found []int32) {
 	for e.stopReason.Load() == nil {
 		i := int(next.Add(1)) - 1
@@ -169,7 +170,7 @@
 	return found
 }
 
-// isHeapFull tells whether the bound of memory is met, and stops the exploration then.
+// isHeapFull reports whether the heap is larger than its bound, and if so stops the exploration.
 func (e *explorer) isHeapFull() bool {
 	if e.bounds.MaxHeapBytes == 0 {
 		return false
@@ -178,18 +179,18 @@
 	if inUse <= e.bounds.MaxHeapBytes {
 		return false
 	}
-	e.stop(fmt.Sprintf("memory: %d bytes are in use, %d at most", inUse, e.bounds.MaxHeapBytes))
+	e.stop(fmt.Sprintf("memory: the heap holds %d bytes, more than the bound of %d", inUse, e.bounds.MaxHeapBytes))
 	return true
 }
 
-// expand takes the steps of a state and returns the states that are new.
+// expand takes the steps of a state and returns the new states that they lead to.
 func (e *explorer) expand(at int32) (fresh []int32) {
 	path := e.path(at)
 	s := e.replay(path)
-	x := e.beginExpansion(at, s)
+	current := e.beginExpansion(at, s)
 	for _, name := range s.Steps() {
 		step := e.internStep(name)
-		if x.skips(step) {
+		if current.skips(step) {
 			e.stepsSkipped.Add(1)
 			continue
 		}
@@ -198,18 +199,18 @@
 		}
 		s.Take(name)
 		e.countStep(name)
-		child, isNew := e.add(s, arrival{parent: at, step: step, path: path, sleep: e.sleepAfter(x, name)})
-		x.taken = append(x.taken, step)
+		child, isNew := e.add(s, arrival{parent: at, step: step, path: path, sleep: e.sleepAfter(current, name)})
+		current.taken = append(current.taken, step)
 		if isNew {
 			fresh = append(fresh, child)
-			e.checkPromise(s, child)
+			e.checkSettles(s, child)
 		}
-		s = nil // a system cannot go back: the next step needs one that is played anew
+		s = nil // a system cannot undo a step, so the next step needs a new one
 	}
 	return fresh
 }
 
-// path is the steps that lead to a state.
+// path returns the steps by which a state was first reached from the first state.
 func (e *explorer) path(at int32) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -258,23 +259,23 @@
 	return step
 }
 
-// arrival is how a state was reached.
+// arrival is the way in which a state was reached.
 type arrival struct {
 	parent, step int32
-	path         []string // to the parent
-	sleep        stepSet  // steps that need not be taken after it
+	path         []string // steps to the parent
+	sleep        stepSet  // steps that need not be taken from the state
 }
 
-// add notes that a state was reached, and tells whether it is new.
+// add records that a system has reached a state. It returns the state's index and whether the state is new.
 func (e *explorer) add(s System, a arrival) (at int32, isNew bool) {
 	fingerprint := fingerprintOf(s)
 	shard := &e.seen[fingerprint%seenShards]
 	shard.Lock()
 	defer shard.Unlock()
-	at, known := shard.at[fingerprint]
+	at, known := shard.indexByFingerprint[fingerprint]
 	if !known {
 		at = e.addNew(s, a, fingerprint)
-		shard.at[fingerprint] = at
+		shard.indexByFingerprint[fingerprint] = at
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -288,52 +289,52 @@
 }
 
 func (e *explorer) addNew(s System, a arrival, fingerprint uint64) int32 {
-	property, how := s.Broken()
+	property, detail := s.Broken()
 	isEnd := s.Ended()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	at := int32(len(e.states))
 	e.states = append(e.states, state{parent: a.parent, step: a.step, fingerprint: fingerprint, isEnd: isEnd, sleep: a.sleep})
 	if e.bounds.MaxStates > 0 && len(e.states) >= e.bounds.MaxStates {
-		e.stop(fmt.Sprintf("%d states are kept, which is the bound", len(e.states)))
+		e.stop(fmt.Sprintf("%d states are stored, which is the bound", len(e.states)))
 	}
 	if property != "" {
 		steps := append([]string{}, a.path...)
 		if a.parent != noParent {
 			steps = append(steps, e.stepNames[a.step])
 		}
-		e.breaks(Trace{Steps: steps, Property: property, How: how})
+		e.recordCounterexample(Trace{Steps: steps, Property: property, How: detail})
 	}
 	return at
 }
 
-// breaks notes the first counterexample and stops the exploration. The caller holds mu.
-func (e *explorer) breaks(t Trace) {
+// recordCounterexample records the first counterexample and stops the exploration. The caller holds mu.
+func (e *explorer) recordCounterexample(t Trace) {
 	if e.counterexample == nil {
 		e.counterexample = &t
 		e.stop(stoppedByProperty)
 	}
 }
 
-// checkPromise sees whether a new state's promise comes, left alone. The system is not used after it.
-func (e *explorer) checkPromise(s System, at int32) {
+// checkSettles checks that the system settles from a new state (see Settler). The system must not be used after it.
+func (e *explorer) checkSettles(s System, at int32) {
 	if e.stopReason.Load() != nil {
 		return
 	}
-	property, how := Settled(s)
+	property, detail := Settled(s)
 	if property == "" {
 		return
 	}
 	path := e.path(at)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.breaks(Trace{Steps: path, Property: property, How: how})
+	e.recordCounterexample(Trace{Steps: path, Property: property, How: detail})
 }
 
-// result sums up how the exploration stands.
+// result returns the result of the exploration so far.
 func (e *explorer) result(end runEnd, began time.Time) Result {
 	r := Result{
-		Depth: end.depth, AtDepthBound: len(end.edge),
+		Depth: end.depth, AtDepthBound: len(end.atDepthBound),
 		States: len(e.states), Steps: int(e.stepsTaken.Load()), StepsSkipped: int(e.stepsSkipped.Load()),
 		CollisionChance: collisionChance(len(e.states)), PeakHeapBytes: e.peakHeapBytes,
 		StepsByKind: e.stepsByKind, Counterexample: e.counterexample, Seconds: time.Since(began).Seconds(),
@@ -343,8 +344,8 @@
 			r.EndStates++
 		}
 	}
-	if why := e.stopReason.Load(); why != nil {
-		r.StopReason = *why
+	if reason := e.stopReason.Load(); reason != nil {
+		r.StopReason = *reason
 	}
 	return r
 }
--- a/internal/modelcheck/deep.go
+++ b/internal/modelcheck/deep.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// RunDepthFirst explores depth first and remembers at most MaxStates states: what is forgotten may be explored again. It
-// needs a bound of depth. Result.States counts those that were remembered at some time. Workers and CheckLiveness have no
-// effect; every step is taken.
+// RunDepthFirst explores depth first and remembers at most MaxStates states at a time. States that were forgotten may be
+// explored again, and Result.States counts them again. MaxDepth must be set. Workers and CheckLiveness have no effect;
+// every step is taken.
 func RunDepthFirst(ctx context.Context, newSystem func() System, b Bounds) Result {
 	began := time.Now()
 	if b.MaxDuration > 0 {
@@ -15,25 +15,26 @@
 		ctx, cancel = context.WithTimeout(ctx, b.MaxDuration)
 		defer cancel()
 	}
-	d := &depthFirst{
+	search := &depthFirst{
 		newSystem: newSystem, bounds: b, leastDepth: map[uint64]int{},
 		result: Result{StepsByKind: map[string]int{}},
 	}
-	d.visit(ctx, newSystem(), nil)
-	d.result.Complete = d.result.StopReason == "" && d.result.Counterexample == nil
-	d.result.Seconds = time.Since(began).Seconds()
-	d.result.PeakHeapBytes = heapInUse()
-	return d.result
+	search.visit(ctx, newSystem(), nil)
+	search.result.Complete = search.result.StopReason == "" && search.result.Counterexample == nil
+	search.result.Seconds = time.Since(began).Seconds()
+	search.result.PeakHeapBytes = heapInUse()
+	return search.result
 }
 
+// depthFirst is the state of a depth-first exploration.
 type depthFirst struct {
 	newSystem  func() System
 	bounds     Bounds
-	leastDepth map[uint64]int // by fingerprint: the least depth at which a state was explored
+	leastDepth map[uint64]int // least depth at which a state was explored, by fingerprint
 	result     Result
 }
 
-// visit explores all that comes after a state that a path leads to.
+// visit explores the state to which a path leads, and all states after it.
 func (d *depthFirst) visit(ctx context.Context, s System, path []string) {
 	if d.result.Counterexample != nil || d.result.StopReason != "" {
 		return
@@ -45,8 +46,8 @@
 	if isNew := d.remember(fingerprintOf(s), len(path)); !isNew {
 		return
 	}
-	if property, how := s.Broken(); property != "" {
-		d.breaks(path, property, how)
+	if property, detail := s.Broken(); property != "" {
+		d.recordCounterexample(path, property, detail)
 		return
 	}
 	if s.Ended() {
@@ -59,7 +60,8 @@
 	d.takeSteps(ctx, s, path)
 }
 
-// remember notes a state; false if it was explored at this depth or a lesser one.
+// remember records that a state is explored at a depth. It returns false if the state was explored before at this depth
+// or a lesser one.
 func (d *depthFirst) remember(fingerprint uint64, depth int) bool {
 	if least, known := d.leastDepth[fingerprint]; known && least <= depth {
 		return false
@@ -73,7 +75,7 @@
 	return true
 }
 
-// forgetHalf forgets any half of the states.
+// forgetHalf forgets half of the states, chosen arbitrarily.
 func (d *depthFirst) forgetHalf() {
 	for fingerprint := range d.leastDepth {
 		delete(d.leastDepth, fingerprint)
@@ -83,13 +85,13 @@
 	}
 }
 
-// takeSteps visits what each step leads to. Only a state without steps is asked for its promise: the others are asked on
-// their way, or by a search in breadth.
+// takeSteps takes each step of a state and visits the state after it. Only a state without steps, in which a path ends, is
+// checked for settling; Run checks every state.
 func (d *depthFirst) takeSteps(ctx context.Context, s System, path []string) {
 	steps := s.Steps()
 	if len(steps) == 0 {
-		if property, how := Settled(s); property != "" {
-			d.breaks(path, property, how)
+		if property, detail := Settled(s); property != "" {
+			d.recordCounterexample(path, property, detail)
 		}
 		return
 	}
@@ -105,6 +107,6 @@
 	}
 }
 
-func (d *depthFirst) breaks(path []string, property, how string) {
-	d.result.Counterexample = &Trace{Steps: append([]string{}, path...), Property: property, How: how}
+func (d *depthFirst) recordCounterexample(path []string, property, detail string) {
+	d.result.Counterexample = &Trace{Steps: append([]string{}, path...), Property: property, How: detail}
 }
--- a/internal/modelcheck/explore_test.go
+++ b/internal/modelcheck/explore_test.go
@@ -11,20 +11,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// counters is a system of two numbers that grow to a most; bad and dead are sums that break a property, and
-// from which nothing goes on.
+// counters is a system of two numbers that grow up to a limit. If bad is not 0, the state with a equal to bad and b equal
+// to 1 breaks a property. If dead is not 0, no step is possible in states in which a and b add up to it.
 type counters struct {
-	a, b, most, bad, dead int
+	a, b, limit, bad, dead int
 }
 
 func (c *counters) Steps() (s []string) {
 	if c.a+c.b == c.dead && c.dead > 0 {
 		return nil
 	}
-	if c.a < c.most {
+	if c.a < c.limit {
 		s = append(s, "grow a")
 	}
-	if c.b < c.most {
+	if c.b < c.limit {
 		s = append(s, "grow b")
 	}
 	return s
@@ -47,13 +47,13 @@
 	return "", ""
 }
 
-func (c *counters) Ended() bool { return c.a == c.most && c.b == c.most }
+func (c *counters) Ended() bool { return c.a == c.limit && c.b == c.limit }
 
-func newCounters(c counters) func() System { return func() System { x := c; return &x } }
+func newCounters(c counters) func() System { return func() System { system := c; return &system } }
 
 func TestEveryStateIsSeenOnce(t *testing.T) {
 	for _, workers := range []int{1, 4} {
-		r := Run(context.Background(), newCounters(counters{most: 20}), Bounds{Workers: workers, CheckLiveness: true}, nil)
+		r := Run(context.Background(), newCounters(counters{limit: 20}), Bounds{Workers: workers, CheckLiveness: true}, nil)
 		assert.True(t, r.Complete, r.StopReason)
 		assert.Equal(t, 21*21, r.States)
 		assert.Equal(t, 2*20*21, r.Steps)
@@ -66,46 +66,46 @@
 }
 
 func TestCounterexampleIsAShortestTrace(t *testing.T) {
-	r := Run(context.Background(), newCounters(counters{most: 20, bad: 5}), Bounds{}, nil)
+	r := Run(context.Background(), newCounters(counters{limit: 20, bad: 5}), Bounds{}, nil)
 	require.NotNil(t, r.Counterexample)
 	assert.Equal(t, "never so", r.Counterexample.Property)
 	assert.Len(t, r.Counterexample.Steps, 6)
 	assert.False(t, r.Complete)
-	taken, property, how := Replay(&counters{most: 20, bad: 5}, *r.Counterexample)
+	taken, property, detail := Replay(&counters{limit: 20, bad: 5}, *r.Counterexample)
 	assert.Equal(t, 6, taken)
 	assert.Equal(t, "never so", property)
-	assert.Equal(t, "5", how)
-	_, property, how = Replay(&counters{most: 2}, *r.Counterexample)
+	assert.Equal(t, "5", detail)
+	_, property, detail = Replay(&counters{limit: 2}, *r.Counterexample)
 	assert.Empty(t, property)
-	assert.Contains(t, how, "is not possible any more")
+	assert.Contains(t, detail, "is not possible any more")
 }
 
 func TestStateFromWhichNoEndIsReachedIsFound(t *testing.T) {
-	r := Run(context.Background(), newCounters(counters{most: 5, dead: 3}), Bounds{CheckLiveness: true}, nil)
+	r := Run(context.Background(), newCounters(counters{limit: 5, dead: 3}), Bounds{CheckLiveness: true}, nil)
 	require.NotNil(t, r.Counterexample)
 	assert.Equal(t, EndReachable, r.Counterexample.Property)
-	r = Run(context.Background(), newCounters(counters{most: 5, dead: 3}), Bounds{CheckLiveness: true, MaxDepth: 2}, nil)
-	assert.Nil(t, r.Counterexample, "what lies at the edge may still reach it")
+	r = Run(context.Background(), newCounters(counters{limit: 5, dead: 3}), Bounds{CheckLiveness: true, MaxDepth: 2}, nil)
+	assert.Nil(t, r.Counterexample, "states at the bound of depth may still reach an end state")
 	assert.Equal(t, 3, r.AtDepthBound)
 }
 
-func TestExplorationThatMeetsABoundSaysWhich(t *testing.T) {
-	r := Run(context.Background(), newCounters(counters{most: 1000}), Bounds{MaxStates: 500}, nil)
+func TestStopReasonNamesTheBound(t *testing.T) {
+	r := Run(context.Background(), newCounters(counters{limit: 1000}), Bounds{MaxStates: 500}, nil)
 	assert.Contains(t, r.StopReason, "which is the bound")
 	assert.False(t, r.Complete)
 	assert.GreaterOrEqual(t, r.States, 500)
-	r = Run(context.Background(), newCounters(counters{most: 1000}), Bounds{MaxHeapBytes: 1}, nil)
+	r = Run(context.Background(), newCounters(counters{limit: 1000}), Bounds{MaxHeapBytes: 1}, nil)
 	assert.Contains(t, r.StopReason, "memory")
-	r = Run(context.Background(), newCounters(counters{most: 1 << 30}), Bounds{MaxDuration: 20 * time.Millisecond}, nil)
+	r = Run(context.Background(), newCounters(counters{limit: 1 << 30}), Bounds{MaxDuration: 20 * time.Millisecond}, nil)
 	assert.Contains(t, r.StopReason, "before it was complete")
 }
 
-func TestRandomWalkFindsWhatBreaks(t *testing.T) {
+func TestRandomWalkFindsABrokenProperty(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	taken := map[string]int{}
 	found := 0
 	for range 200 {
-		if tr := RandomWalk(&counters{most: 9, bad: 2}, 30, rng.IntN, taken); tr != nil {
+		if trace := RandomWalk(&counters{limit: 9, bad: 2}, 30, rng.IntN, taken); trace != nil {
 			found++
 		}
 	}
@@ -113,7 +113,7 @@
 	assert.Positive(t, taken["grow"])
 }
 
-func TestHashTakesInAllThatAValueHolds(t *testing.T) {
+func TestHashCoversAllThatAValueHolds(t *testing.T) {
 	type inner struct {
 		at float64
 		m  map[string]int
@@ -159,15 +159,15 @@
 		at    float64
 		calls int
 	}
-	for says, rules := range map[string]*Rules{
-		"explore: rules ignore modelcheck.clock.call, which is not a field":            {Ignored: Fields{"modelcheck.clock": {"calls", "call"}}},
-		"explore: rules ignore modelcheck.clock.inherited, which is not a field":       {Ignored: Fields{"modelcheck.clock": {"inherited"}}},
-		"explore: rules take modelcheck.clock.sentAt for a time, which is not a field": {Times: Fields{"modelcheck.clock": {"at", "sentAt"}}},
-		"explore: rules take modelcheck.clock.calls for a time, which is a int":        {Times: Fields{"modelcheck.clock": {"calls"}}},
-		"explore: rules take modelcheck.clock.at for a time and ignore it":             {Ignored: Fields{"modelcheck.clock": {"at"}}, Times: Fields{"modelcheck.clock": {"at"}}},
+	for message, rules := range map[string]*Rules{
+		"modelcheck: rules ignore modelcheck.clock.call, but the type has no such field":            {Ignored: Fields{"modelcheck.clock": {"calls", "call"}}},
+		"modelcheck: rules ignore modelcheck.clock.inherited, but the type has no such field":       {Ignored: Fields{"modelcheck.clock": {"inherited"}}},
+		"modelcheck: rules treat modelcheck.clock.sentAt as a time, but the type has no such field": {Times: Fields{"modelcheck.clock": {"at", "sentAt"}}},
+		"modelcheck: rules treat modelcheck.clock.calls as a time, but its type is int, not float64":  {Times: Fields{"modelcheck.clock": {"calls"}}},
+		"modelcheck: rules both ignore modelcheck.clock.at and treat it as a time":                  {Ignored: Fields{"modelcheck.clock": {"at"}}, Times: Fields{"modelcheck.clock": {"at"}}},
 	} {
 		h := Hash{Rules: rules}
-		assert.PanicsWithValue(t, says, func() { h.Value(clock{embedded: embedded{inherited: 1}, at: 2, calls: 3}) })
+		assert.PanicsWithValue(t, message, func() { h.Value(clock{embedded: embedded{inherited: 1}, at: 2, calls: 3}) })
 	}
 }
 
@@ -182,24 +182,24 @@
 
 func TestDepthFirstFindsTheSameWithLittleMemory(t *testing.T) {
 	for _, states := range []int{0, 50} {
-		r := RunDepthFirst(context.Background(), newCounters(counters{most: 6}), Bounds{MaxDepth: 12, MaxStates: states})
+		r := RunDepthFirst(context.Background(), newCounters(counters{limit: 6}), Bounds{MaxDepth: 12, MaxStates: states})
 		assert.True(t, r.Complete)
 		assert.GreaterOrEqual(t, r.States, 49)
 		assert.Positive(t, r.EndStates)
-		r = RunDepthFirst(context.Background(), newCounters(counters{most: 9, bad: 4}), Bounds{MaxDepth: 18, MaxStates: states})
+		r = RunDepthFirst(context.Background(), newCounters(counters{limit: 9, bad: 4}), Bounds{MaxDepth: 18, MaxStates: states})
 		require.NotNil(t, r.Counterexample)
 		assert.Equal(t, "never so", r.Counterexample.Property)
 	}
-	r := RunDepthFirst(context.Background(), newCounters(counters{most: 1 << 20}), Bounds{MaxDepth: 1 << 20, MaxDuration: 5 * time.Millisecond})
+	r := RunDepthFirst(context.Background(), newCounters(counters{limit: 1 << 20}), Bounds{MaxDepth: 1 << 20, MaxDuration: 5 * time.Millisecond})
 	assert.Contains(t, r.StopReason, "before it was complete")
 }
 
 func TestStoppedExplorationIsResumed(t *testing.T) {
-	whole := Run(context.Background(), newCounters(counters{most: 30}), Bounds{}, nil)
+	whole := Run(context.Background(), newCounters(counters{limit: 30}), Bounds{}, nil)
 	var saved *Saved
 	var r Result
 	for states := 100; ; states += 100 {
-		if r, saved = Resume(context.Background(), newCounters(counters{most: 30}), Bounds{MaxStates: states}, saved, nil); saved == nil {
+		if r, saved = Resume(context.Background(), newCounters(counters{limit: 30}), Bounds{MaxStates: states}, saved, nil); saved == nil {
 			break
 		}
 		assert.False(t, r.Complete)
@@ -210,44 +210,45 @@
 	assert.Equal(t, whole.Depth, r.Depth)
 }
 
-// commuting are counters whose two steps commute.
-type commuting struct{ counters }
+// commutingCounters are counters whose two steps commute.
+type commutingCounters struct{ counters }
 
-func (c *commuting) Commute(a, b string) bool { return a != b }
+func (c *commutingCounters) Commute(a, b string) bool { return a != b }
 
 func TestStepsThatCommuteAreSkipped(t *testing.T) {
-	newSystem := func() System { return &commuting{counters{most: 20}} }
+	newSystem := func() System { return &commutingCounters{counters{limit: 20}} }
 	r := Run(context.Background(), newSystem, Bounds{}, nil)
 	assert.Equal(t, 21*21, r.States)
-	assert.Equal(t, 21*21-1, r.Steps, "each state once")
+	assert.Equal(t, 21*21-1, r.Steps, "each state is reached by one step")
 	r = Run(context.Background(), newSystem, Bounds{TakeAllSteps: true}, nil)
 	assert.Equal(t, 2*20*21, r.Steps)
 }
 
-// promising are counters that promise to grow to their most, left alone; and never do from one state.
-type promising struct{ counters }
+// settlingCounters are counters that are to reach their limit if left undisturbed, but do not from the state 2, 1.
+type settlingCounters struct{ counters }
 
-func (p *promising) Settle() (string, string) {
+func (p *settlingCounters) Settle() (string, string) {
 	if p.a == 2 && p.b == 1 {
 		return "it grows", "no more from 2, 1"
 	}
 	return "", ""
 }
 
-// What a state promises is asked of each, also of those that have steps to go on with, and the state that broke it is told.
-func TestPromiseIsCheckedInEveryState(t *testing.T) {
-	newSystem := func() System { return &promising{counters{most: 4}} }
+// Settling is checked in every state, including those with possible steps. The counterexample ends in the state from
+// which the system does not settle.
+func TestSettlingIsCheckedInEveryState(t *testing.T) {
+	newSystem := func() System { return &settlingCounters{counters{limit: 4}} }
 	for _, workers := range []int{1, 4} {
 		r := Run(context.Background(), newSystem, Bounds{Workers: workers}, nil)
 		require.NotNil(t, r.Counterexample)
 		assert.Equal(t, "it grows", r.Counterexample.Property)
-		assert.Len(t, r.Counterexample.Steps, 3, "the shortest way")
+		assert.Len(t, r.Counterexample.Steps, 3, "a shortest trace")
 		taken, property, _ := Replay(newSystem(), *r.Counterexample)
 		assert.Equal(t, 3, taken)
 		assert.Equal(t, "it grows", property)
 	}
-	assert.Nil(t, Run(context.Background(), func() System { return &promising{counters{most: 1}} }, Bounds{}, nil).Counterexample)
-	w := RandomWalk(&promising{counters{a: 1, b: 1, most: 4}}, 1, func(int) int { return 0 }, map[string]int{})
-	require.NotNil(t, w, "also at the end of a way at random")
-	assert.Equal(t, "it grows", w.Property)
+	assert.Nil(t, Run(context.Background(), func() System { return &settlingCounters{counters{limit: 1}} }, Bounds{}, nil).Counterexample)
+	trace := RandomWalk(&settlingCounters{counters{a: 1, b: 1, limit: 4}}, 1, func(int) int { return 0 }, map[string]int{})
+	require.NotNil(t, trace, "a random walk checks settling at its end")
+	assert.Equal(t, "it grows", trace.Property)
 }
--- a/internal/modelcheck/hash.go
+++ b/internal/modelcheck/hash.go
@@ -11,24 +11,24 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Fields names fields of struct types: the type with its package, as reflect writes it ("inflight.Hand"), to the names of
-// its fields.
+// Fields maps struct types to names of their fields. A type is named with its package, as reflect writes it (for example
+// "inflight.Tracker").
 type Fields map[string][]string
 
 func (f Fields) has(typeName, field string) bool { return slices.Contains(f[typeName], field) }
 
-// Rules say how values are taken into a hash. They are made once for a system and shared by all its hashes; they must
-// not be changed once a hash has used them. A rule that names a field which its type does not have is an error: Hash.Value
-// panics when it first meets the type. Types that were never met are told by Unmet.
+// Rules define how values are added to a hash. They are created once for a system and shared by all its hashes, and must
+// not change once a hash has used them. A rule for a field that its type does not have is an error: Hash.Value panics
+// when it first hashes a value of the type. Unmet returns the types of rules that no hash has applied.
 type Rules struct {
-	Ignored    Fields   // fields that decide nothing
-	Times      Fields   // fields of type float64 that hold times, which count from Hash.Zero
-	FloatGrain float64  // floats are rounded to it; 0: they are taken as they are
-	plans      sync.Map // of struct types met so far, by reflect.Type
+	Ignored    Fields   // fields that are left out of the hash, since they do not affect the system's future
+	Times      Fields   // fields of type float64 that hold times, which are hashed relative to Hash.TimeZero
+	FloatGrain float64  // floats are rounded to a multiple of it; 0: they are not rounded
+	plans      sync.Map // plan of each struct type hashed so far, by reflect.Type
 }
 
-// Unmet returns the types that the rules name and that no hash has met so far, in order. After an exploration that
-// reaches every type of a system, each of them is a rule without effect.
+// Unmet returns, in sorted order, the types that the rules name and of which no hash has added a value so far. After an
+// exploration that covers every type of a system, the rules for these types have no effect.
 func (r *Rules) Unmet() []string {
 	met := map[string]bool{}
 	r.plans.Range(func(t, _ any) bool {
@@ -47,44 +47,45 @@
 	return slices.Compact(unmet)
 }
 
-// check returns an error if the rules name a field that the struct type t does not have, or that cannot hold what they
-// say it holds.
+// check returns an error if the rules name a field that the struct type t does not have, or treat a field as a time that
+// is not a float64 or is also ignored.
 func (r *Rules) check(t reflect.Type) error {
 	name := t.String()
 	for _, field := range r.Ignored[name] {
 		if _, ok := ownField(t, field); !ok {
-			return fmt.Errorf("rules ignore %s.%s, which is not a field", name, field)
+			return fmt.Errorf("rules ignore %s.%s, but the type has no such field", name, field)
 		}
 	}
 	for _, field := range r.Times[name] {
 		f, ok := ownField(t, field)
 		switch {
 		case !ok:
-			return fmt.Errorf("rules take %s.%s for a time, which is not a field", name, field)
+			return fmt.Errorf("rules treat %s.%s as a time, but the type has no such field", name, field)
 		case f.Type.Kind() != reflect.Float64:
-			return fmt.Errorf("rules take %s.%s for a time, which is a %s", name, field, f.Type)
+			return fmt.Errorf("rules treat %s.%s as a time, but its type is %s, not float64", name, field, f.Type)
 		case r.Ignored.has(name, field):
-			return fmt.Errorf("rules take %s.%s for a time and ignore it", name, field)
+			return fmt.Errorf("rules both ignore %s.%s and treat it as a time", name, field)
 		}
 	}
 	return nil
 }
 
-// ownField returns a struct type's field by its name; those that it has by embedding are not its own.
+// ownField returns a struct type's field by its name. Fields promoted from embedded structs are not found.
 func ownField(t reflect.Type, name string) (reflect.StructField, bool) {
 	f, ok := t.FieldByName(name)
 	return f, ok && len(f.Index) == 1
 }
 
-// Hash gathers what decides a state's future. The zero value is empty. It is used by one goroutine.
+// Hash accumulates everything that decides a state's future. The zero value is an empty hash. A Hash is used by one
+// goroutine.
 type Hash struct {
-	Rules    *Rules  // for Float and Value; nil: everything counts as it is
-	TimeZero float64 // from which the fields in Rules.Times count
+	Rules    *Rules  // rules for Float and Value; nil: all values are added as they are
+	TimeZero float64 // time to which the fields in Rules.Times are relative
 	bytes    []byte
-	depth    int // of the value that is being added
+	depth    int // nesting depth of the value that is being added
 }
 
-// plan is which fields of a struct count, and which of them are times.
+// plan holds which fields of a struct type are hashed, by index, and which of them are times.
 type plan struct {
 	fields []int
 	times  []bool
@@ -95,7 +96,7 @@
 		return p.(plan)
 	}
 	if err := r.check(t); err != nil {
-		panic("explore: " + err.Error())
+		panic("modelcheck: " + err.Error())
 	}
 	var p plan
 	name := t.String()
@@ -111,10 +112,10 @@
 	return p
 }
 
-// plainRules are of hashes without rules: everything counts.
+// plainRules are the rules of hashes that have none of their own: all fields are hashed as they are.
 var plainRules = &Rules{}
 
-// buffers are reused for the bytes of fingerprints.
+// buffers holds byte buffers that are reused between fingerprints.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 16<<10); return &b }}
 
 // fingerprintOf returns a system's fingerprint.
@@ -127,7 +128,7 @@
 	return h.Sum()
 }
 
-// Sum is the fingerprint.
+// Sum returns the fingerprint of everything added so far.
 func (h *Hash) Sum() uint64 { return xxh3.Hash(h.bytes) }
 
 // Uint adds a number.
@@ -139,19 +140,19 @@
 	h.bytes = append(h.bytes, s...)
 }
 
-// Float adds a float, rounded to the rules' grain.
+// Float adds a float, rounded to a multiple of the rules' FloatGrain.
 func (h *Hash) Float(f float64) {
 	if h.Rules != nil && h.Rules.FloatGrain > 0 && !math.IsInf(f, 0) {
 		f = math.Round(f / h.Rules.FloatGrain)
 	}
 	if f == 0 {
-		f = 0 // not minus nought
+		f = 0 // minus zero becomes zero
 	}
 	h.Uint(math.Float64bits(f))
 }
 
-// Value adds all that a value holds, unexported fields and what pointers lead to included. Functions and
-// channels add nothing: what they do must be in the state elsewhere. Maps are added in the order of their
+// Value adds everything that a value holds, including unexported fields and the values that pointers point to. Functions
+// and channels add nothing: whatever they hold must be in the state elsewhere. Maps are added in the order of their
 // entries' hashes.
 func (h *Hash) Value(v any) {
 	if h.Rules == nil {
@@ -160,12 +161,12 @@
 	h.value(reflect.ValueOf(v))
 }
 
-// maxValueDepth is how deep a state may be nested; a deeper one is taken to lead back to itself.
+// maxValueDepth is how deep a state may be nested. A deeper one is assumed to contain a cycle of pointers.
 const maxValueDepth = 64
 
 func (h *Hash) value(v reflect.Value) {
 	if h.depth++; h.depth > maxValueDepth {
-		panic("explore: a state that leads back to itself")
+		panic("modelcheck: the state is nested too deeply; it probably contains a cycle of pointers")
 	}
 	defer func() { h.depth-- }()
 	switch v.Kind() {
@@ -193,11 +194,11 @@
 		h.mapEntries(v)
 	case reflect.Struct:
 		h.structFields(v)
-	default: // functions, channels and what no state holds add nothing
+	default: // functions, channels and kinds that occur in no state add nothing
 	}
 }
 
-// flag adds a truth value.
+// flag adds a boolean.
 func (h *Hash) flag(is bool) {
 	if is {
 		h.Uint(1)
@@ -217,7 +218,7 @@
 	}
 }
 
-// mapEntries adds the entries in the order of their hashes: a map has none of its own.
+// mapEntries adds the entries in the order of their hashes, since a map has no order.
 func (h *Hash) mapEntries(v reflect.Value) {
 	var sums []uint64
 	for it := v.MapRange(); it.Next(); {
--- a/internal/modelcheck/live.go
+++ b/internal/modelcheck/live.go
@@ -1,16 +1,16 @@
 package modelcheck
 
-// EndReachable is the property that no state is without a way to the promised end.
+// EndReachable is the property that an end state can be reached from every state.
 const EndReachable = "the end can be reached"
 
 // checkLiveness looks for a state from which no end can be reached. States at the bound of depth may still reach one, and
 // count as if they did.
-func (e *explorer) checkLiveness(edge []int32) {
-	for i, reaches := range e.reachEnd(edge) {
-		if !reaches { // states are in the order of their depth: the first has a shortest trace
+func (e *explorer) checkLiveness(atDepthBound []int32) {
+	for i, reaches := range e.reachEnd(atDepthBound) {
+		if !reaches { // states are ordered by depth, so the first one has a shortest trace
 			e.counterexample = &Trace{
 				Steps: e.path(int32(i)), Property: EndReachable,
-				How: "from here no order of steps leads to it",
+				How: "no sequence of steps from here leads to an end state",
 			}
 			return
 		}
@@ -18,11 +18,11 @@
 }
 
 // reachEnd tells of each state whether it reaches an end or the edge: it goes back from those along all steps taken.
-func (e *explorer) reachEnd(edge []int32) []bool {
-	before := make([][]int32, len(e.states))
+func (e *explorer) reachEnd(atDepthBound []int32) []bool {
+	predecessors := make([][]int32, len(e.states))
 	for _, step := range e.edges {
 		from, to := step[0], step[1]
-		before[to] = append(before[to], from)
+		predecessors[to] = append(predecessors[to], from)
 	}
 	reaches := make([]bool, len(e.states))
 	var queue []int32
@@ -37,13 +37,13 @@
 			visit(int32(i))
 		}
 	}
-	for _, at := range edge {
+	for _, at := range atDepthBound {
 		visit(at)
 	}
 	for len(queue) > 0 {
 		at := queue[0]
 		queue = queue[1:]
-		for _, earlier := range before[at] {
+		for _, earlier := range predecessors[at] {
 			visit(earlier)
 		}
 	}
--- a/internal/modelcheck/resume.go
+++ b/internal/modelcheck/resume.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// Saved is an exploration that was stopped, to be resumed. Its lists have an entry a state, but for Names. It is stored
-// under the names of its fields.
+// Saved is a stopped exploration that can be resumed. Each list but Names has one entry for each state. It is stored in
+// files under the names of its fields, so they must not change.
 type Saved struct {
-	Parents  []int32 // the state before; negative for the first
-	By       []int32 // the step from there, an index into Names
-	Prints   []uint64
-	Ended    []bool
-	Names    []string // of steps
-	Expanded []bool   // all steps from the state were taken
-	Steps    int      // taken so far
+	Parents  []int32  // index of the state from which the state was first reached; negative for the first state
+	By       []int32  // step by which the state was first reached, an index into Names
+	Prints   []uint64 // fingerprint
+	Ended    []bool   // whether the state is an end state
+	Names    []string // names of the steps
+	Expanded []bool   // whether all steps from the state were taken
+	Steps    int      // number of steps taken so far
 }
 
-// save returns a stopped exploration. A state of which steps were skipped counts as not expanded: an exploration that is
-// resumed skips none.
+// save returns the stopped exploration. A state some of whose steps were skipped counts as not expanded, since a resumed
+// exploration skips no steps.
 func (e *explorer) save() *Saved {
 	saved := &Saved{Names: e.stepNames, Steps: int(e.stepsTaken.Load())}
 	for i := range e.states {
@@ -24,21 +24,21 @@
 		saved.By = append(saved.By, s.step)
 		saved.Prints = append(saved.Prints, s.fingerprint)
 		saved.Ended = append(saved.Ended, s.isEnd)
-		isWhole := s.expanded && len(s.sleep) == 0 && e.wakeSets[int32(i)] == nil
-		saved.Expanded = append(saved.Expanded, isWhole)
+		isFullyExpanded := s.expanded && len(s.sleep) == 0 && e.wakeSets[int32(i)] == nil
+		saved.Expanded = append(saved.Expanded, isFullyExpanded)
 	}
 	return saved
 }
 
-// restore takes over a stopped exploration and returns the level to go on with: the states of the least depth that were
-// not expanded, and the others as those of the next.
+// restore loads a stopped exploration and returns the level with which to continue: its states are the unexpanded ones of
+// the least depth, and all other unexpanded states are in the level after it.
 func (e *explorer) restore(saved *Saved) level {
 	for i, fingerprint := range saved.Prints {
 		e.states = append(e.states, state{
 			parent: saved.Parents[i], step: saved.By[i], fingerprint: fingerprint,
 			isEnd: saved.Ended[i], expanded: saved.Expanded[i],
 		})
-		e.seen[fingerprint%seenShards].at[fingerprint] = int32(i)
+		e.seen[fingerprint%seenShards].indexByFingerprint[fingerprint] = int32(i)
 	}
 	for _, name := range saved.Names {
 		e.internStep(name)
@@ -50,7 +50,7 @@
 func (e *explorer) firstToExpand() level {
 	depths := make([]int, len(e.states))
 	first := level{depth: math.MaxInt}
-	for i := range e.states { // a state comes after its parent
+	for i := range e.states { // a state has a higher index than its parent
 		s := &e.states[i]
 		if s.parent >= 0 {
 			depths[i] = depths[s.parent] + 1
--- a/internal/modelcheck/sleep.go
+++ b/internal/modelcheck/sleep.go
@@ -1,43 +1,45 @@
 package modelcheck
 
-// Sleep sets spare steps that commute. If a and b commute, the state after a and b is the same as after b and a, so b need
-// not be taken after the second of them: it sleeps there. A state that is reached again with fewer steps asleep has
-// to take those that were spared before: it is woken.
+// Sleep sets avoid taking steps that commute in both orders. If a and b commute, the state after a and then b is the
+// same as after b and then a. So once a state's step a has been followed, a need not be taken after that state's step b:
+// it sleeps there. If a state is reached again with fewer steps asleep, the steps that were skipped before and sleep no
+// more are woken: they have to be taken after all.
 
-// expansion is the course of one state's expansion.
+// expansion is the expansion of one state.
 type expansion struct {
-	commuter Commuter // nil where no steps commute
+	commuter Commuter // the system; nil if no steps commute
 	sleep    stepSet  // steps that need not be taken
-	only     stepSet  // the steps to take if the state was expanded before; nil: all that are not asleep
-	taken    []int32  // steps that were taken here, now or before
+	woken    stepSet  // the steps to take if the state was expanded before; nil: all that are not asleep
+	taken    []int32  // steps of this state taken so far, in this expansion or an earlier one
 }
 
-// beginExpansion returns which steps of a state are to be taken.
+// beginExpansion marks a state as expanded and returns its expansion, which holds which steps are to be taken.
 func (e *explorer) beginExpansion(at int32, s System) *expansion {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	x := &expansion{sleep: e.states[at].sleep}
+	begun := &expansion{sleep: e.states[at].sleep}
 	if e.reduces {
-		x.commuter, _ = s.(Commuter)
+		begun.commuter, _ = s.(Commuter)
 	}
 	if !e.states[at].expanded {
 		e.states[at].expanded = true
-		return x
+		return begun
 	}
-	x.only = e.wakeSets[at]
+	begun.woken = e.wakeSets[at]
 	delete(e.wakeSets, at)
-	if x.only == nil {
-		x.only = stepSet{}
+	if begun.woken == nil {
+		begun.woken = stepSet{}
 	}
-	return x
+	return begun
 }
 
-// skips tells whether a step is not to be taken, and notes it if it was taken when the state was expanded before.
+// skips reports whether a step is not to be taken. It records the step as taken if that was done in an earlier
+// expansion of the state.
 func (x *expansion) skips(step int32) bool {
-	if x.only == nil {
+	if x.woken == nil {
 		return x.sleep[step]
 	}
-	if x.only[step] {
+	if x.woken[step] {
 		return false
 	}
 	if !x.sleep[step] {
@@ -46,28 +48,28 @@
 	return true
 }
 
-// sleepAfter is the steps that need not be taken after a step: those asleep before it or taken beside it that commute
-// with it.
-func (e *explorer) sleepAfter(x *expansion, name string) stepSet {
-	if x.commuter == nil {
+// sleepAfter returns the steps that need not be taken after a step: those that were asleep before it, or that were taken
+// from the same state, and that commute with it.
+func (e *explorer) sleepAfter(current *expansion, name string) stepSet {
+	if current.commuter == nil {
 		return nil
 	}
 	after := stepSet{}
-	for step := range x.sleep {
-		if !x.only[step] && x.commuter.Commute(e.stepName(step), name) {
+	for step := range current.sleep {
+		if !current.woken[step] && current.commuter.Commute(e.stepName(step), name) {
 			after[step] = true
 		}
 	}
-	for _, step := range x.taken {
-		if x.commuter.Commute(e.stepName(step), name) {
+	for _, step := range current.taken {
+		if current.commuter.Commute(e.stepName(step), name) {
 			after[step] = true
 		}
 	}
 	return after
 }
 
-// wake notes that a state was reached again with only some steps asleep: those that were spared before and may not be now
-// are taken after all. The caller holds mu.
+// wake records that a known state was reached again with a sleep set. Steps that were skipped before and are not asleep
+// in this set have to be taken after all. The caller holds mu.
 func (e *explorer) wake(at int32, asleep stepSet) {
 	s := &e.states[at]
 	kept := stepSet{}
@@ -77,7 +79,7 @@
 			continue
 		}
 		if !s.expanded {
-			continue // it will be taken with the others
+			continue // the state's first expansion will take the step
 		}
 		if e.wakeSets[at] == nil {
 			e.wakeSets[at] = stepSet{}
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// Trace is a way to a state in which a property is broken.
+// Trace is a sequence of steps to a state in which a property is broken.
 type Trace struct {
 	Steps    []string `json:"steps"`
 	Property string   `json:"property"`
 	How      string   `json:"how"`
 }
 
-// RandomWalk takes at most so many steps, each picked by pick out of n, and returns the trace to the first property that
-// breaks on the way or is not kept after it; nil if none. It counts the steps by kind in taken.
+// RandomWalk takes at most the given number of steps and returns the trace to the first property that breaks on the
+// way, or that does not settle after it (see Settler); nil if there is none. pick chooses each step, as an index below
+// the number of possible steps n. RandomWalk counts the steps by kind in taken.
 func RandomWalk(s System, steps int, pick func(n int) int, taken map[string]int) *Trace {
 	var path []string
 	for range steps {
@@ -25,29 +26,30 @@
 		path = append(path, step)
 		taken[Kind(step)]++
 		s.Take(step)
-		if property, how := s.Broken(); property != "" {
-			return &Trace{Steps: path, Property: property, How: how}
+		if property, detail := s.Broken(); property != "" {
+			return &Trace{Steps: path, Property: property, How: detail}
 		}
 	}
-	if property, how := Settled(s); property != "" {
-		return &Trace{Steps: path, Property: property, How: how}
+	if property, detail := Settled(s); property != "" {
+		return &Trace{Steps: path, Property: property, How: detail}
 	}
 	return nil
 }
 
-// Replay takes a trace's steps on a system as it is now. It returns how many could be taken and what was broken; without a
-// property, how says which step was not possible.
-func Replay(s System, t Trace) (taken int, property, how string) {
+// Replay takes a trace's steps on a system in its first state. It returns the number of steps taken, the property that
+// is broken and how. The system may have changed since the trace was recorded: if a step is no longer possible, property
+// is empty and detail names the step.
+func Replay(s System, t Trace) (taken int, property, detail string) {
 	for _, step := range t.Steps {
 		if !slices.Contains(s.Steps(), step) {
-			return taken, "", fmt.Sprintf("step %d, %q, is not possible any more", taken+1, step)
+			return taken, "", fmt.Sprintf("step %d (%q) is not possible any more", taken+1, step)
 		}
 		s.Take(step)
 		taken++
-		if property, how = s.Broken(); property != "" {
-			return taken, property, how
+		if property, detail = s.Broken(); property != "" {
+			return taken, property, detail
 		}
 	}
-	property, how = Settled(s)
-	return taken, property, how
+	property, detail = Settled(s)
+	return taken, property, detail
 }
