--- a/internal/modelcheck/explore_test.go
+++ b/internal/modelcheck/explore_test.go
@@ -160,11 +160,11 @@
 		calls int
 	}
 	for message, rules := range map[string]*Rules{
-		"modelcheck: rules ignore modelcheck.clock.call, but the type has no such field":            {Ignored: Fields{"modelcheck.clock": {"calls", "call"}}},
-		"modelcheck: rules ignore modelcheck.clock.inherited, but the type has no such field":       {Ignored: Fields{"modelcheck.clock": {"inherited"}}},
-		"modelcheck: rules treat modelcheck.clock.sentAt as a time, but the type has no such field": {Times: Fields{"modelcheck.clock": {"at", "sentAt"}}},
-		"modelcheck: rules treat modelcheck.clock.calls as a time, but its type is int, not float64":  {Times: Fields{"modelcheck.clock": {"calls"}}},
-		"modelcheck: rules both ignore modelcheck.clock.at and treat it as a time":                  {Ignored: Fields{"modelcheck.clock": {"at"}}, Times: Fields{"modelcheck.clock": {"at"}}},
+		"modelcheck: rules ignore modelcheck.clock.call, but the type has no such field":             {Ignored: Fields{"modelcheck.clock": {"calls", "call"}}},
+		"modelcheck: rules ignore modelcheck.clock.inherited, but the type has no such field":        {Ignored: Fields{"modelcheck.clock": {"inherited"}}},
+		"modelcheck: rules treat modelcheck.clock.sentAt as a time, but the type has no such field":  {Times: Fields{"modelcheck.clock": {"at", "sentAt"}}},
+		"modelcheck: rules treat modelcheck.clock.calls as a time, but its type is int, not float64": {Times: Fields{"modelcheck.clock": {"calls"}}},
+		"modelcheck: rules both ignore modelcheck.clock.at and treat it as a time":                   {Ignored: Fields{"modelcheck.clock": {"at"}}, Times: Fields{"modelcheck.clock": {"at"}}},
 	} {
 		h := Hash{Rules: rules}
 		assert.PanicsWithValue(t, message, func() { h.Value(clock{embedded: embedded{inherited: 1}, at: 2, calls: 3}) })
