--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
-// Command adapter hosts router instances for the simulator: it reads batches from standard input and writes replies to
-// standard output, until the input ends. It ends with status 1 and one line on standard error where a batch is invalid.
+// Command adapter runs router instances for the simulator. It reads batches from standard input and writes replies to
+// standard output until the input ends. If a batch is invalid, it exits with status 1 and prints one line on standard
+// error.
 package main
 
 import (
--- a/cmd/stoatctl/main.go
+++ b/cmd/stoatctl/main.go
@@ -1,4 +1,5 @@
-// Command stoatctl manages fleets of routers: it is the operators' tool and the agent in one.
+// Command stoatctl manages fleets of routers. It is both the operators' command line tool and the agent that runs
+// routers on a machine.
 package main
 
 import (
--- a/cmd/stoatdale/main.go
+++ b/cmd/stoatdale/main.go
@@ -1,8 +1,9 @@
-// Command stoatdale is the router on sockets. It is configured by the environment and the file that GW_CONFIG names.
+// Command stoatdale is the router, which serves clients on sockets. It is configured by environment variables and the
+// file that GW_CONFIG names.
 //
-// SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reads the configuration again, SIGUSR1 logs the counters. It
-// ends with status 0 after a graceful shutdown, and with 1 and one line on standard error where it cannot start or go
-// on.
+// SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reads the configuration again, and SIGUSR1 logs the counters.
+// The program exits with status 0 after a graceful shutdown. If it cannot start or continue, it exits with status 1
+// and prints one line on standard error.
 package main
 
 import (
@@ -18,7 +19,7 @@
 	"stoatdale.example/stoatdale/service"
 )
 
-// signalQueue holds signals that arrive while an earlier one is handled.
+// signalQueue is the number of signals that can wait while an earlier one is handled.
 const signalQueue = 16
 
 func main() {
@@ -29,7 +30,7 @@
 }
 
 func run() error {
-	signals := make(chan os.Signal, signalQueue) // before anything else: an early SIGHUP would end the program
+	signals := make(chan os.Signal, signalQueue) // set up first, since an early SIGHUP would end the program
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	config, err := service.Load(os.Getenv)
 	if err != nil {
@@ -37,7 +38,8 @@
 	}
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(goMemoryLimit(config.Limits.Sizes.Memory))
-	// A log that nobody reads any more must not end the router, nor one that is read slowly hold it up.
+	// Without this, SIGPIPE would end the router when nobody reads its log any more. LogWriter keeps a slow reader of
+	// the log from blocking the router.
 	signal.Ignore(syscall.SIGPIPE)
 	log := zerolog.New(service.LogWriter(os.Stderr.Fd())).With().Timestamp().Logger()
 	router, err := service.New(config, log)
@@ -55,11 +57,11 @@
 	return err
 }
 
-// goMemoryLimit is the part of the process's memory, in bytes, that the Go runtime may take: the rest is for what the
-// runtime does not count.
+// goMemoryLimit returns the Go runtime's soft memory limit for a process memory limit, both in bytes. The rest is left
+// for memory that the runtime does not count.
 func goMemoryLimit(processMemory int64) int64 { return processMemory / 4 * 3 }
 
-// handleSignals passes signals on to the router until stop is closed.
+// handleSignals acts on signals until stop is closed: it logs the counters, reloads the configuration or drains.
 func handleSignals(router *service.Router, signals <-chan os.Signal, stop <-chan struct{}) {
 	for {
 		select {
