--- a/cmd/stoatctl/fleet_test.go
+++ b/cmd/stoatctl/fleet_test.go
@@ -16,7 +16,8 @@
 	"stoatdale.example/stoatdale/internal/lab/testserver"
 )
 
-// testFleet is a folder with keys, a fleet file of three agents and two revisions, and the agents as processes.
+// testFleet is a folder with keys, a fleet file of three agents and the documents of two revisions, and the agents'
+// processes.
 type testFleet struct {
 	t      *testing.T
 	dir    string
@@ -45,20 +46,20 @@
 	require.NoError(f.t, os.WriteFile(filepath.Join(f.dir, name), []byte(text), 0o600))
 }
 
-// must runs a command that must exit with 0.
+// must runs a command and requires that it exits with 0.
 func (f *testFleet) must(args ...string) {
 	f.t.Helper()
 	got := run(f.t, f.dir, args...)
 	require.Zero(f.t, got.exitCode, "%v: %s", args, got.stderr)
 }
 
-// as runs a fleet command as an operator.
+// as runs a fleet command as the named operator.
 func (f *testFleet) as(operator string, args ...string) result {
 	f.t.Helper()
 	return run(f.t, f.dir, append([]string{"fleet", "--fleet", "fleet.sexp", "--as", operator}, args...)...)
 }
 
-// start starts the agents and waits until all reply. They and their routers are killed at the test's end.
+// start starts the agents and waits until all of them reply. They and their routers are killed when the test ends.
 func (f *testFleet) start() {
 	for i := range 3 {
 		cmd := exec.Command(stoatctl(), "agent", "--fleet", "fleet.sexp", "--name", fmt.Sprint("a", i))
@@ -78,7 +79,7 @@
 	waitFor(f.t, 20*time.Millisecond, func() bool { return f.as("ayla", "status").exitCode == 0 }, "agents do not come up")
 }
 
-// expectOutcome checks the exit code and the outcome of a command that drove a rollout.
+// expectOutcome checks the exit code and the reported outcome of a command that ran a rollout.
 func (f *testFleet) expectOutcome(got result, exitCode int, outcome string) {
 	f.t.Helper()
 	require.Equal(f.t, exitCode, got.exitCode, got.stderr)
@@ -114,7 +115,8 @@
 	assert.Contains(t, got.stdout, `"Key":"limits.sockets"`)
 }
 
-// pauseAndResumeFromAnotherOperator has one operator roll. Another one is rejected, asks for a pause, and resumes.
+// pauseAndResumeFromAnotherOperator begins a rollout as one operator. A second operator's rollout is rejected, since the
+// first holds the lease; the second operator then pauses the first rollout and resumes it.
 func (f *testFleet) pauseAndResumeFromAnotherOperator() {
 	t := f.t
 	rolling := make(chan result, 1)
@@ -130,7 +132,7 @@
 	got = f.as("mehmet", "pause")
 	assert.Zero(t, got.exitCode, got.stderr)
 	first := <-rolling
-	assert.Zero(t, first.exitCode, "it was asked to: %s", first.stderr)
+	assert.Zero(t, first.exitCode, "a requested pause is no failure: %s", first.stderr)
 	assert.Equal(t, "paused", first.lastJSON(t)["outcome"])
 	got = f.as("mehmet", "roll", "autumn")
 	assert.Equal(t, 3, got.exitCode)
@@ -138,7 +140,7 @@
 	f.expectOutcome(f.as("mehmet", "resume", "--json"), 0, "complete")
 }
 
-// rollBackAndListHistory takes the newest rollout back, and looks at what is kept of all of them.
+// rollBackAndListHistory rolls the newest rollout back, and checks the stored history and the trace of spans.
 func (f *testFleet) rollBackAndListHistory() {
 	t := f.t
 	f.expectOutcome(f.as("mehmet", "rollback", "--json"), 0, "rolled back")
@@ -150,7 +152,7 @@
 	assert.Contains(t, string(spans), `"Name":"step"`)
 }
 
-// rollWithoutAnAgent kills an agent: the next rollout pauses, and a script sees it by the exit code.
+// rollWithoutAnAgent kills an agent. The next rollout pauses, which a script can tell by the exit code.
 func (f *testFleet) rollWithoutAnAgent() {
 	t := f.t
 	_ = f.agents[1].Process.Kill()
--- a/cmd/stoatctl/main_test.go
+++ b/cmd/stoatctl/main_test.go
@@ -36,13 +36,13 @@
 
 func stoatctl() string { return filepath.Join(programFolder, "stoatctl") }
 
-// result is how a command ended.
+// result is the exit code and the output of a command.
 type result struct {
 	exitCode       int
 	stdout, stderr string
 }
 
-// run runs stoatctl in a folder to its end.
+// run runs stoatctl in a folder and waits until it exits.
 func run(t *testing.T, dir string, args ...string) result {
 	t.Helper()
 	cmd := exec.Command(stoatctl(), args...)
--- a/cmd/stoatctl/usage_test.go
+++ b/cmd/stoatctl/usage_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestExitCodesAndMessagesOfWrongUseAndWrongFiles(t *testing.T) {
+func TestExitCodesAndMessagesOfInvalidArgumentsAndFiles(t *testing.T) {
 	t.Parallel()
 	f := newTestFleet(t)
 	f.write("bad.sexp", "(name t)\n(florr 2)")
 	f.write("tight.sexp", `(name t) (floor 1) (hall h (floor 1)) (agent a (listen 127.0.0.1:1) (hall h) (folder a) (program p))
 		(instance n (agent a) (listen 127.0.0.1:2))`)
 	f.write("bad.json", `{"discovery":"x", "settings":{}}`)
-	for _, x := range []struct {
+	for _, testCase := range []struct {
 		args     []string
 		exitCode int
 		message  string
@@ -39,8 +39,8 @@
 		{[]string{"--log", "loud", "version"}, 2, "--log"},
 		{[]string{"version", "--json"}, 0, ""},
 	} {
-		got := run(t, f.dir, x.args...)
-		assert.Equal(t, x.exitCode, got.exitCode, "%v: %s", x.args, got.stderr)
-		assert.Contains(t, got.stderr, x.message, "%v", x.args)
+		got := run(t, f.dir, testCase.args...)
+		assert.Equal(t, testCase.exitCode, got.exitCode, "%v: %s", testCase.args, got.stderr)
+		assert.Contains(t, got.stderr, testCase.message, "%v", testCase.args)
 	}
 }
