--- a/cmd/stoatdale/cancel_test.go
+++ b/cmd/stoatdale/cancel_test.go
@@ -17,7 +17,7 @@
 	cancelRequestHead  = "\x00\x00\x00\x10\x04\xd2\x16\x2e" // length and code
 )
 
-// connectWithKey returns a client that has started up, and the cancel key that it was given.
+// connectWithKey returns a client that has completed its start-up, and the cancel key that the router sent it.
 func (r *testRouter) connectWithKey() (*testClient, string) {
 	r.t.Helper()
 	client := r.dial()
@@ -35,7 +35,7 @@
 	}
 }
 
-// cancel sends a cancel request with a key on a connection of its own, and waits until the router has closed that.
+// cancel sends a cancel request with a key on a new connection, and waits until the router has closed that connection.
 func (r *testRouter) cancel(key string) {
 	r.t.Helper()
 	client := r.dial()
@@ -51,16 +51,17 @@
 	assert.NotEqual(t, first, second)
 }
 
-// The attempt that is out when its client cancels ends without an answer: it is not tried again elsewhere.
+// The attempt in flight when its client cancels later ends without an answer. The command must not be retried at the
+// other backend.
 func TestCanceledCommandIsAnsweredAtOnceAndNotRetried(t *testing.T) {
 	release := make(chan struct{})
-	breakOff := func(string) []byte { <-release; return nil }
-	a, b := newTestBackend(t, breakOff), newTestBackend(t, breakOff)
+	closeOnRelease := func(string) []byte { <-release; return nil }
+	a, b := newTestBackend(t, closeOnRelease), newTestBackend(t, closeOnRelease)
 	r := startRouter(t, listEntry(a, "a", "ready", "on"), listEntry(b, "b", "ready", "on"))
 	client, key := r.connectWithKey()
 	client.send(pg.AppendQuery(nil, readStatement("k")))
 	arrived := func() bool { return len(a.statements)+len(b.statements) == 1 }
-	require.Eventually(t, arrived, patience, time.Millisecond) // an attempt counts before its connection is up
+	require.Eventually(t, arrived, hangTimeout, time.Millisecond) // not by the counter, which precedes the connection
 	r.cancel(key)
 	assert.Equal(t, codeQueryCanceled, client.readReply())
 	close(release)
@@ -69,8 +70,8 @@
 	assert.Equal(t, 1, len(a.statements)+len(b.statements))
 }
 
-// A command that waits for an endpoint, and those behind it on its connection, are canceled without an attempt. The
-// connection takes new commands.
+// A cancel request cancels a command that waits for an endpoint, and the commands behind it on its connection, without
+// an attempt. The connection then takes new commands.
 func TestCanceledCommandThatWaitsIsNeverSent(t *testing.T) {
 	b := newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(b, "b", "draining", "on"))
--- a/cmd/stoatdale/clients_test.go
+++ b/cmd/stoatdale/clients_test.go
@@ -13,7 +13,7 @@
 func TestEmptyQueryIsAnsweredFromTheStart(t *testing.T) {
 	c := startRouter(t).dial()
 	c.send(append(pg.AppendStartupMessage(nil), pg.AppendQuery(nil, "")...))
-	assert.Empty(t, c.readReply(), "the welcome")
+	assert.Empty(t, c.readReply(), "the start-up reply")
 	assert.Equal(t, "EMPTY", c.readReply())
 }
 
@@ -42,15 +42,15 @@
 	c.send([]byte("\x00\x00\x00\x08\x04\xd2\x16\x2f"))
 	no, err := c.reader.ReadByte()
 	require.NoError(t, err)
-	assert.Equal(t, byte('N'), no, "no encryption")
+	assert.Equal(t, byte('N'), no, "the router offers no encryption")
 	c.send([]byte("\x00\x00\x00\x08\x04\xd2\x16\x2e"))
-	assert.Equal(t, " END", c.readReply(), "cancel closes")
+	assert.Equal(t, " END", c.readReply(), "a cancel request is not answered; its connection is closed")
 }
 
 func TestSilentClientsAreShedNearTheDescriptorLimit(t *testing.T) {
 	r := startRouterWith(t, routerOptions{sockets: 64})
 	for range 100 {
-		r.connect() // and sends nothing
+		r.connect() // sends no query
 	}
 	assert.Equal(t, "EMPTY", r.connect().query(""))
 	n := r.counters()
@@ -62,13 +62,13 @@
 	b := newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
 	part := pg.AppendQuery(nil, readStatement(strings.Repeat("z", 250_000)))
-	for range 100 { // more than the buffers hold
+	for range 100 { // together, more bytes than the buffers hold
 		c := r.connect()
 		go func() { _, _ = c.Write(part[:len(part)-1]) }()
 	}
 	r.waitForCounter("buffer_blocks_in_use", 4096)
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
 	n := r.counters()
-	assert.Less(t, n["buffer_blocks_in_use"], 4096+100*16.0, "what is read of one connection in one turn is bounded")
+	assert.Less(t, n["buffer_blocks_in_use"], 4096+100*16.0, "what the router reads from one connection in one turn is bounded")
 	assert.EqualValues(t, 1, n["received"])
 }
--- a/cmd/stoatdale/clock_test.go
+++ b/cmd/stoatdale/clock_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The router's wall clock was stepped before its start: all others agree on a time that it does not have. The age of data
-// is a span of real time all the same: a replica that is too stale answers nothing, and one that is fresh answers reads.
+// The router's wall clock differs from the clock of all backends, as after a clock step before its start. It must still
+// measure the age of data correctly: a replica that is too stale gets no reads, and one that is fresh gets reads.
 func TestAgeOfDataDoesNotDependOnTheRoutersWallClock(t *testing.T) {
 	for _, ahead := range []time.Duration{-time.Hour, -900 * time.Millisecond, 0, 900 * time.Millisecond, time.Hour} {
 		t.Run(fmt.Sprint("others ahead by ", ahead), func(t *testing.T) {
 			t.Parallel()
 			var lag atomic.Int64
-			lag.Store(int64(1200 * time.Millisecond)) // with a bound of half a second
+			lag.Store(int64(1200 * time.Millisecond)) // the staleness bound is half a second
 			fleetTime := func() time.Time { return time.Now().Add(ahead) }
 			applied := func() time.Time { return fleetTime().Add(-time.Duration(lag.Load())) }
 			answer := func(position func() time.Time, recovery string) answerFunc {
@@ -35,7 +35,7 @@
 			client := r.connect()
 			read := func(enough func() bool) {
 				t.Helper()
-				for end := time.Now().Add(patience / 2); !enough() && time.Now().Before(end); {
+				for end := time.Now().Add(hangTimeout / 2); !enough() && time.Now().Before(end); {
 					key := fmt.Sprint("k", time.Now().UnixNano())
 					assert.Equal(t, "value of "+key, client.query(readStatement(key)))
 					time.Sleep(5 * time.Millisecond)
@@ -45,14 +45,14 @@
 				end := time.Now().Add(wait)
 				return func() bool { return time.Now().After(end) }
 			}
-			read(after(400 * time.Millisecond)) // by then the clock is set
+			read(after(400 * time.Millisecond)) // by then the router has estimated the backends' clock
 			before := len(replica.statements)
 			read(after(time.Second))
-			assert.Len(t, replica.statements, before, "it is too stale")
+			assert.Len(t, replica.statements, before, "the replica is too stale to be read")
 			lag.Store(int64(20 * time.Millisecond))
 			fresh := func() bool { return len(replica.statements) >= before+10 }
 			read(fresh)
-			assert.True(t, fresh(), "it is fresh, and is not read")
+			assert.True(t, fresh(), "the replica is fresh, but is not read")
 		})
 	}
 }
--- a/cmd/stoatdale/commands_test.go
+++ b/cmd/stoatdale/commands_test.go
@@ -21,9 +21,9 @@
 	assert.Equal(t, "value of k1", c.query(readStatement("k1")))
 	got := receive(t, b.statements)
 	wait := regexp.MustCompile(`d=(\d+)`)
-	assert.Equal(t, wait.ReplaceAllString(readStatement("k1"), "d="), wait.ReplaceAllString(got, "d="), "but for d, byte for byte")
+	assert.Equal(t, wait.ReplaceAllString(readStatement("k1"), "d="), wait.ReplaceAllString(got, "d="), "only d, the remaining wait, may differ")
 	big := strings.Repeat("z", 40000)
-	assert.Equal(t, "value of "+big, c.query(readStatement(big)), "what is longer than a buffer chains")
+	assert.Equal(t, "value of "+big, c.query(readStatement(big)), "a statement longer than a buffer block")
 	n := r.counters()
 	assert.EqualValues(t, 2, n["received"])
 	assert.EqualValues(t, 2, n["answered"])
@@ -47,7 +47,7 @@
 	for i := range all {
 		c.send(all[i : i+1])
 	}
-	r.waitForCounter("attempts", 2) // both are in flight at once
+	r.waitForCounter("attempts", 2) // both commands are in flight
 	close(first)
 	assert.Equal(t, "value of slow", c.readReply())
 	assert.Equal(t, "EMPTY", c.readReply())
@@ -68,7 +68,7 @@
 func TestWriteThatMayHaveRunIsNotRetried(t *testing.T) {
 	a, b := newTestBackend(t, func(string) []byte { return nil }), newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"))
-	assert.Equal(t, pg.CodeSystemError, r.connect().query(writeStatement("w", 6000)), "failed, and not rejected")
+	assert.Equal(t, pg.CodeSystemError, r.connect().query(writeStatement("w", 6000)), "the command fails; it is not rejected")
 	assert.Len(t, a.statements, 1)
 	assert.Empty(t, b.statements)
 	assert.EqualValues(t, 1, r.counters()["attempt_results"].(map[string]any)["connection_lost"])
@@ -77,7 +77,7 @@
 func TestWriteIsRetriedAfterAConnectFailure(t *testing.T) {
 	b := newTestBackend(t, answerAs("off"))
 	r := startRouter(t, strings.Replace(listEntry(b, "a", "ready", "off"), b.address, "127.0.0.1:1", 1), listEntry(b, "b", "ready", "on"))
-	assert.Equal(t, "value of w", r.connect().query(writeStatement("w", 6000)), "so it may go to another")
+	assert.Equal(t, "value of w", r.connect().query(writeStatement("w", 6000)), "nothing was sent, so the write may go elsewhere")
 }
 
 func TestTimeoutFailsTheCommand(t *testing.T) {
@@ -116,7 +116,7 @@
 	c := r.connect()
 	for range 5 {
 		assert.Equal(t, "value of k", c.query(readStatement("k")))
-		time.Sleep(20 * time.Millisecond) // longer than the reuse delay
+		time.Sleep(20 * time.Millisecond) // longer than the delay before a connection is reused
 	}
 	assert.EqualValues(t, 1, r.counters()["backend_connects"])
 	assert.Empty(t, b.closed)
@@ -125,7 +125,7 @@
 func TestHealthChecksReadLoadReports(t *testing.T) {
 	b := newTestBackend(t, answerAs("on"))
 	r := startRouterWith(t, routerOptions{settings: testSettings(true)}, listEntry(b, "b", "ready", "on"))
-	const queries = 40 // as many as it takes for the backend to be checked while its position is needed
+	const queries = 40 // enough for a health check to be due while the backend's position is needed
 	c := r.connect()
 	for range queries {
 		assert.Equal(t, "value of k", c.query(readStatement("k")))
@@ -133,12 +133,12 @@
 	r.waitForCounter("health_checks", 1)
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
 	assert.Zero(t, r.counters()["health_checks_failed"])
-	assert.Len(t, b.statements, queries+1, "no statement but the client's and SHOW health")
+	assert.Len(t, b.statements, queries+1, "besides SHOW health, the backend gets only the client's statements")
 }
 
-// A session reads while its write is at the primary, which holds its answer back, and another when the
-// connection of its write has broken without one: the write may stand in the log, which the replica has not applied.
-// Once it has, the replica is read again.
+// One session reads while its write has no answer from the primary yet; another reads after the connection of its write
+// broke without an answer. In both cases the write may be in the primary's log without the replica having applied it,
+// so the reads must go to the primary. Once the replica has applied it, the replica is read again.
 func TestSessionReadAvoidsAReplicaThatMayLackItsWrite(t *testing.T) {
 	var applied atomic.Int64 // the replica's position, Unix milliseconds
 	applied.Store(time.Now().UnixMilli())
@@ -147,7 +147,7 @@
 		answer := answerAs(recovery)(statement)
 		return bytes.Replace(answer, positionOf.Find(answer), fmt.Appendf(nil, "lsn_ms\x00%d", position), 1)
 	}
-	writeSucceeds := make(chan bool) // otherwise its connection breaks
+	writeSucceeds := make(chan bool) // false: the write's connection breaks
 	a := newTestBackend(t, func(q string) []byte {
 		if strings.HasPrefix(q, "INSERT") {
 			if !<-writeSucceeds {
@@ -162,25 +162,25 @@
 	r := startRouterWith(t, routerOptions{settings: settings},
 		listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"))
 	reads, writes := r.connect(), r.connect()
-	servedBy := func(m *testBackend, what string) {
+	servedBy := func(backend *testBackend, verb string) {
 		t.Helper()
-		assert.Contains(t, receive(t, m.statements), what)
+		assert.Contains(t, receive(t, backend.statements), verb)
 		assert.Empty(t, a.statements)
 		assert.Empty(t, b.statements)
 	}
 	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
-	servedBy(b, "SELECT") // it has written nothing, and the position of b is known now
+	servedBy(b, "SELECT") // the session has written nothing; from here on the position of b is known
 
 	writes.send(pg.AppendQuery(nil, writeStatement("k7", 8000)))
 	servedBy(a, "INSERT")
 	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
 	servedBy(a, "SELECT")
 	assert.Equal(t, "value of other", reads.query(readStatement("other")))
-	servedBy(b, "SELECT") // another session's
+	servedBy(b, "SELECT") // a read of another session
 
 	writeSucceeds <- true
 	assert.Equal(t, "value of k7", writes.readReply())
-	writes.send(pg.AppendQuery(nil, writeStatement("k8", 8000))) // a session that reads nothing meanwhile
+	writes.send(pg.AppendQuery(nil, writeStatement("k8", 8000))) // a session that does not read while its write is in flight
 	servedBy(a, "INSERT")
 	writeSucceeds <- false
 	assert.Contains(t, writes.readReply(), pg.CodeSystemError)
--- a/cmd/stoatdale/discovery_test.go
+++ b/cmd/stoatdale/discovery_test.go
@@ -34,9 +34,9 @@
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
 }
 
-// Discovery goes silent with a call in flight, and returns just after the router has called again: what it has then
-// binds within the drain grace, 1 s here, so the call that it will never answer, and the backoff after that, have to be
-// over by then.
+// Discovery goes silent with a call in flight and returns just after the router has called again. A list that it holds
+// from then on must take effect within the drain grace, here 1 s. So the timeout of the call that is never answered and
+// the backoff after it must both end within the grace.
 func TestDiscoveryReturnIsNoticedWithinTheDrainGrace(t *testing.T) {
 	const silentCalls = 3
 	a, b := newTestBackend(t, answerAs("on")), newTestBackend(t, answerAs("on"))
@@ -51,18 +51,18 @@
 	}
 	returnedAt := time.Now()
 	r.waitForLog(`"generation":7`)
-	assert.Less(t, time.Since(returnedAt), time.Second, "the grace")
+	assert.Less(t, time.Since(returnedAt), time.Second, "the list takes effect within the drain grace")
 	c := r.connect()
 	for i := range 5 {
 		key := fmt.Sprint("k", i)
 		assert.Equal(t, "value of "+key, c.query(readStatement(key)))
 	}
-	assert.Empty(t, a.statements, "which drains")
+	assert.Empty(t, a.statements, "the backend drains")
 }
 
-// A polled list falls silent, and the polls that follow are refused by a crowded discovery service: what was missed is
-// noticed by the time at which it counts as notified, and the grace. With a hold of 5 s one refusal was too many, with one
-// of 3 s two were.
+// A poll is never answered, and an overloaded discovery service refuses the polls after it. The router must notice a
+// change in between by the time at which the change counts as notified, plus the drain grace. With a hold of 5 s one
+// refused poll made it late, with a hold of 3 s two did.
 func TestPolledListIsNoticedInTimeThoughTheNextPollsAreRefused(t *testing.T) {
 	t.Parallel()
 	for refusals := 1; refusals <= 2; refusals++ {
@@ -85,7 +85,7 @@
 			settings["invariants"].(map[string]any)["askWithinNs"] = 10e9
 			options := routerOptions{
 				discovery: newScriptedDiscovery(t, steps...), settings: settings, drainGrace: grace,
-				seed: "260000001f", // its backoffs are as long as those of the mean
+				seed: "260000001f", // with this seed the random backoffs have about their mean length
 			}
 			r := startRouterWith(t, options, listEntry(a, "a", "ready", "on"))
 			hold := receive(t, holds)
@@ -96,14 +96,14 @@
 	}
 }
 
-// refuseCall answers as a discovery service whose queue is full.
+// refuseCall answers like a discovery service whose queue is full.
 func refuseCall(w io.Writer, _ *http.Request) {
 	_, _ = fmt.Fprint(w, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 }
 
-// A discovery service that many routers poll is crowded: the poll after a complete list is refused, since that list has
-// filled the service's queue, and so are the calls that follow. A router that answers a refusal with another complete list
-// never gets a poll through, and hears of a change too late; one that polls for what follows hears of it at once.
+// A discovery service that many routers poll is overloaded: each complete list fills its queue, so it refuses the poll
+// after that list and the calls that follow. A router that requests another complete list after a refusal never gets a
+// poll through and notices a change too late. A router that polls again from its last generation notices it immediately.
 func TestChangeIsNoticedInTimeThoughCompleteListsCrowdDiscovery(t *testing.T) {
 	t.Parallel()
 	const grace = 250 * time.Millisecond
@@ -128,15 +128,15 @@
 	assert.Less(t, time.Since(changedAt).Seconds(), 6+grace.Seconds())
 }
 
-// crowdedDiscovery is a discovery service whose queue each complete list fills for some calls. Its list changes when a
-// router has got its second call through.
+// crowdedDiscovery is a discovery service that refuses a number of calls after each complete list, since the list fills
+// its queue. Its endpoint list changes when it admits the second call.
 type crowdedDiscovery struct {
 	mu               sync.Mutex
-	refusedAfterList []int // calls that are refused after each complete list; after the last ones, as many as before
+	refusedAfterList []int // number of calls refused after each complete list; the last number is repeated
 	refusing         int
-	calls            int // that were not refused
+	calls            int // number of calls that were not refused
 	listed, changed  discoveryStep
-	admitted         chan time.Time // gets the time of the second call that was not refused
+	admitted         chan time.Time // receives the time of the second call that was not refused
 }
 
 func (d *crowdedDiscovery) serve(w io.Writer, request *http.Request) {
--- a/cmd/stoatdale/main_test.go
+++ b/cmd/stoatdale/main_test.go
@@ -18,10 +18,10 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// patience ends a test that hangs; no test that passes waits for it.
-const patience = 20 * time.Second
+// hangTimeout ends a test that hangs; no test that passes waits for it.
+const hangTimeout = 20 * time.Second
 
-// programPath is the program that TestMain built.
+// programPath is the path of the program, which TestMain builds.
 var programPath string
 
 func TestMain(m *testing.M) {
@@ -41,22 +41,22 @@
 func TestProgramLinksNoControlPlane(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	require.NoError(t, err)
-	for _, heavy := range []string{"cobra", "bbolt", "opentelemetry", "participle", "internal/fleet", "internal/cli", "internal/lab"} {
-		assert.NotContains(t, string(out), heavy, "this belongs to stoatctl")
+	for _, excluded := range []string{"cobra", "bbolt", "opentelemetry", "participle", "internal/fleet", "internal/cli", "internal/lab"} {
+		assert.NotContains(t, string(out), excluded, "only stoatctl may link this")
 	}
 }
 
-// The platform loads a library of its own into the process, so the program that the deploy file builds must ask
-// for the C library's loader.
+// The platform loads a shared library of its own into the process. So the program that the deploy file builds must be
+// linked dynamically, with the C library's loader as its interpreter.
 func TestDeployBuildIsLinkedDynamically(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	require.NoError(t, err)
 	build := regexp.MustCompile(`(?m)^build = "mkdir -p bin && (.*) -o bin/ \./cmd/\.\.\."`).FindStringSubmatch(string(text))
 	require.NotNil(t, build, "the build line has another form")
-	made := filepath.Join(t.TempDir(), "stoatdale")
-	out, err := exec.Command("sh", "-c", build[1]+" -o "+made+" .").CombinedOutput()
+	builtPath := filepath.Join(t.TempDir(), "stoatdale")
+	out, err := exec.Command("sh", "-c", build[1]+" -o "+builtPath+" .").CombinedOutput()
 	require.NoError(t, err, string(out))
-	f, err := elf.Open(made)
+	f, err := elf.Open(builtPath)
 	require.NoError(t, err)
 	defer func() { _ = f.Close() }()
 	var loader []byte
@@ -66,11 +66,11 @@
 			require.NoError(t, err)
 		}
 	}
-	assert.Contains(t, string(loader), "/ld-", "an interpreter is named")
+	assert.Contains(t, string(loader), "/ld-", "the program names an interpreter")
 	needed, err := f.ImportedLibraries()
 	require.NoError(t, err)
 	assert.Contains(t, needed, "libc.so.6")
-	assert.Regexp(t, `(?m)^run = "exec bin/stoatdale"$`, string(text), "one process, by exec")
+	assert.Regexp(t, `(?m)^run = "exec bin/stoatdale"$`, string(text), "exec makes the router the platform's only process")
 }
 
 func TestInvalidConfigurationExitsWithOneLine(t *testing.T) {
@@ -86,7 +86,8 @@
 	assert.Equal(t, 1, strings.Count(string(out), "\n"))
 }
 
-// More endpoints, shards and zones than any settings name, in a list that is old, and the least limits.
+// The last known endpoint list holds more endpoints, shards and zones than any settings name, and the limits are the
+// lowest allowed.
 func TestStartsWithALargeEndpointListAndTheLeastLimits(t *testing.T) {
 	for _, endpoints := range []int{0, 600, 3200} {
 		var list []string
--- a/cmd/stoatdale/reload_test.go
+++ b/cmd/stoatdale/reload_test.go
@@ -24,14 +24,14 @@
 	receive(t, a.statements)
 	other := newTestDiscovery(t, listEntry(b, "b", "ready", "on"))
 	r.reload(`"discovery":"`+r.discovery.address, `"discovery":"`+other.address)
-	assert.Contains(t, r.waitForLog("reloaded"), other.address, "the file wins over the variable")
+	assert.Contains(t, r.waitForLog("reloaded"), other.address, "the file takes precedence over the environment variable")
 	r.signal(syscall.SIGHUP) // twice in a row
 	r.waitForCounter("reloads", 2)
 	r.waitForCounter("lists_received", 2)
 	for range 5 {
 		assert.Equal(t, "value of n", r.connect().query(readStatement("n")))
 	}
-	assert.Empty(t, a.statements, "which the new list does not name")
+	assert.Empty(t, a.statements, "the new list does not name this backend")
 	close(hold)
 	assert.Equal(t, "value of k", c.readReply())
 	assert.Zero(t, r.counters()["reloads_rejected"])
@@ -53,7 +53,8 @@
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
 }
 
-// The first seconds after a migration: the list is wrong about the primary, a backend hangs, and a command is in flight.
+// The first seconds after a settings migration, while the endpoint list names the wrong primary, one command is in flight
+// at a backend that hangs, and the command groups change. The router must keep what it has learnt.
 func TestMigrationKeepsWhatStillHolds(t *testing.T) {
 	hold := make(chan struct{})
 	replica := func(q string) []byte {
@@ -70,8 +71,8 @@
 	c, slow := r.connect(), r.connect()
 	assert.Equal(t, "value of w", c.query(writeStatement("w", 6000)))
 	slow.send(pg.AppendQuery(nil, strings.Replace(readStatement("slow"), "d=3000", "d=7000", 1)))
-	r.waitForCounter("attempts", 3) // the rejected write, its retry and this
-	missed := r.counters()["attempt_results"].(map[string]any)["not_served"]
+	r.waitForCounter("attempts", 3) // the rejected write, its retry and this read
+	notServed := r.counters()["attempt_results"].(map[string]any)["not_served"]
 	r.reload(`"seed":"1f"`, `"seed":"1f","move":true`, `"name":"look"`, `"name":"view"`,
 		`"classes":[`, `"classes":[{"name":"report","effect":"pure","targetNs":8e9,"deadlineNs":16e9,"worth":1},`,
 		`"needsByClass":["eventual",`, `"needsByClass":["eventual","lag_bound",`, `"classBoundNs":[0,0]`, `"classBoundNs":[0,1e9,0]`,
@@ -83,16 +84,17 @@
 	}
 	assert.Equal(t, "value of v", c.query(strings.Replace(readStatement("v"), "c=look,d=3000", "c=view,d=6000", 1)))
 	assert.Equal(t, "value of r", c.query(strings.Replace(readStatement("r"), "c=look", "c=report", 1)))
-	assert.Equal(t, pg.CodeInvalidParameterValue, c.query(readStatement("k")), "a group that is no more")
+	assert.Equal(t, pg.CodeInvalidParameterValue, c.query(readStatement("k")), "the group no longer exists")
 	close(hold)
-	assert.Equal(t, "value of slow", slow.readReply(), "what was in flight ends under the settings that it came by")
+	assert.Equal(t, "value of slow", slow.readReply(), "a command in flight ends under the settings with which it was received")
 	n := r.counters()
 	assert.EqualValues(t, 1, n["settings_migrations"])
-	assert.Equal(t, missed, n["attempt_results"].(map[string]any)["not_served"], "who is the primary was learnt and is not tested anew")
+	assert.Equal(t, notServed, n["attempt_results"].(map[string]any)["not_served"], "the router keeps what it learnt about the primary")
 	assert.Zero(t, n["throttled"].(float64)+n["failed"].(float64)+n["in_flight"].(float64))
 }
 
-// Without the key move, settings wait for a restart; how the list comes always does.
+// Without the key move, changed settings wait for a restart. A changed way to get the endpoint list (the key discovery of
+// the settings) always does.
 func TestSettingsMigrateOnlyWhereRequested(t *testing.T) {
 	b := newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
@@ -105,8 +107,8 @@
 	assert.Zero(t, r.counters()["settings_migrations"])
 }
 
-// The agent to which a router moves is behind the one before: what that one has said of a drain stands until the new one
-// has caught up.
+// After a reload, the new discovery agent is behind the earlier one. A drain that the earlier agent has announced holds
+// until the new agent has caught up.
 func TestOlderListAfterAMoveRevivesNoDrainingBackend(t *testing.T) {
 	a, b := newTestBackend(t, answerAs("on")), newTestBackend(t, answerAs("on"))
 	before := newScriptedDiscovery(t, answerList(5, listEntry(a, "a", "ready", "on"), listEntry(b, "b", "draining", "on")))
@@ -123,8 +125,8 @@
 	r.waitForLog(`"generation":3`)
 	c := r.connect()
 	assert.Contains(t, c.query(strings.Replace(readStatement("k"), "d=3000", "d=500", 1)), pg.CodeTooManyConnections)
-	assert.Empty(t, b.statements, "which drains")
+	assert.Empty(t, b.statements, "the backend drains")
 	close(caughtUp)
 	r.waitForLog(`"generation":6`)
-	assert.Equal(t, "value of n", c.query(readStatement("n")), "it is ready again")
+	assert.Equal(t, "value of n", c.query(readStatement("n")), "the backend is ready again")
 }
--- a/cmd/stoatdale/shutdown_test.go
+++ b/cmd/stoatdale/shutdown_test.go
@@ -19,10 +19,10 @@
 	receive(t, b.statements)
 	r.signal(syscall.SIGTERM)
 	r.signal(syscall.SIGTERM)
-	late := r.connect() // it goes on accepting for a while
+	late := r.connect() // the router accepts clients for a while longer
 	assert.Equal(t, "EMPTY", late.query(""))
-	assert.Equal(t, " END", idle.readReply(), "connections between commands are ended")
-	assert.Equal(t, pg.CodeCannotConnectNow+" END", silent.readReply(), "one that never sent a query is told to try elsewhere")
+	assert.Equal(t, " END", idle.readReply(), "connections without a command in flight are closed")
+	assert.Equal(t, pg.CodeCannotConnectNow+" END", silent.readReply(), "a client without a query gets an error and can go elsewhere")
 	close(hold)
 	assert.Equal(t, "value of k", c.readReply())
 	assert.Equal(t, " END", c.readReply())
--- a/cmd/stoatdale/slowstart_test.go
+++ b/cmd/stoatdale/slowstart_test.go
@@ -13,7 +13,7 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// Figures of a deployment whose endpoints have a known capacity.
+// Parameters of a deployment whose endpoints have a known capacity.
 const (
 	slowStartFloor  = 0.2
 	slowStartRamp   = 4 * time.Second
@@ -21,11 +21,11 @@
 	overloadWindow  = time.Second
 	workPerCommand  = 20 * time.Millisecond
 	backendCores    = 2
-	backendCapacity = float64(backendCores) / 0.02 // commands a second
-	backendQueue    = 4                            // beyond it a command is turned away
+	backendCapacity = float64(backendCores) / 0.02 // commands per second
+	backendQueue    = 4                            // commands in the queue or running; further ones are rejected
 )
 
-// limitedBackend answers as a replica does, with a capacity of its own, and turns away what its queue cannot hold.
+// limitedBackend answers like a replica of limited capacity. It rejects commands that its queue cannot hold.
 type limitedBackend struct {
 	*testBackend
 	cores chan struct{}
@@ -40,7 +40,7 @@
 	b := &limitedBackend{cores: make(chan struct{}, backendCores)}
 	b.testBackend = newTestBackend(t, b.work)
 	go func() {
-		for range b.statements { // they are not looked at
+		for range b.statements { // drains the channel; these tests do not check statements
 		}
 	}()
 	return b
@@ -59,7 +59,7 @@
 	return answerAs("on")(statement)
 }
 
-// enqueue notes an arrival, and reports whether the queue holds it.
+// enqueue records the arrival of a command, and reports whether the queue has room for it.
 func (b *limitedBackend) enqueue() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,8 +71,8 @@
 	return true
 }
 
-// worstWindow returns the arrivals of the window that went furthest over its bound, and that bound: N, what the settings
-// allow an endpoint of this age in the window, and the slack beside it.
+// worstWindow returns the number of arrivals in the window that went furthest over its bound, and that bound: the number
+// of commands that the settings allow an endpoint of this age in the window, plus slack.
 func (b *limitedBackend) worstWindow(startedAt time.Time) (arrivals int, bound float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,7 +92,8 @@
 	return arrivals, bound
 }
 
-// slowStartBound is how many commands bring an endpoint down that is allowed so many in a window.
+// slowStartBound returns the number of commands in a window from which on an endpoint is overloaded, for the number that
+// the settings allow it.
 func slowStartBound(allowed float64) float64 {
 	const few = 30
 	if allowed < few {
@@ -101,8 +102,8 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// An endpoint joins cold while the warm ones are sent several times what they can do. Whatever the number of routers,
-// all of them together keep to its budget in every window.
+// A cold endpoint joins while the warm ones get several times the load that they can serve. Whatever the number of
+// routers, all of them together must keep to the cold endpoint's budget in every window.
 func TestSlowStartBudgetBindsHoweverManyProcessesRun(t *testing.T) {
 	for _, routers := range []int{1, 3, 10} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
@@ -118,7 +119,7 @@
 				r := startRouterWith(t, routerOptions{settings: settings, seed: fmt.Sprintf("%x", 7919*(i+1))}, list...)
 				started = append(started, r)
 				for k := range clients / routers {
-					done.Go(func() { askUntil(stop, r, fmt.Sprintf("%x%04x", i+1, k)) })
+					done.Go(func() { queryUntil(stop, r, fmt.Sprintf("%x%04x", i+1, k)) })
 				}
 			}
 			time.Sleep(1500 * time.Millisecond)
@@ -131,15 +132,15 @@
 			close(stop)
 			done.Wait()
 			arrivals, bound := cold.worstWindow(startedAt)
-			t.Logf("%d attempts at a warm endpoint, %d at the cold one; %d in the window that went furthest, bound %.0f",
+			t.Logf("%d attempts at a warm endpoint, %d at the cold one; %d in the worst window, bound %.0f",
 				len(warm[0].arrivals), len(cold.arrivals), arrivals, bound)
-			assert.LessOrEqual(t, float64(arrivals), bound, "in the window that went furthest")
-			assert.Greater(t, len(cold.arrivals), 20, "it is used while it warms up")
+			assert.LessOrEqual(t, float64(arrivals), bound, "attempts in the worst window")
+			assert.Greater(t, len(cold.arrivals), 20, "the cold endpoint is used while it warms up")
 		})
 	}
 }
 
-// slowStartSettings are those of a deployment of so many routers, whose endpoints warm up slowly.
+// slowStartSettings returns the settings of a deployment with a number of routers, whose endpoints have a slow start.
 func slowStartSettings(routers int) map[string]any {
 	settings := testSettings(false)
 	settings["balancers"] = routers
@@ -153,8 +154,8 @@
 	return settings
 }
 
-// askUntil has a client ask one read after the other until a channel is closed.
-func askUntil(stop <-chan struct{}, r *testRouter, name string) {
+// queryUntil connects a client that sends one read after the other until a channel is closed.
+func queryUntil(stop <-chan struct{}, r *testRouter, name string) {
 	client := r.connect()
 	for n := 0; ; n++ {
 		select {
@@ -166,6 +167,6 @@
 		if reply := client.query(statement); strings.HasSuffix(reply, "END") {
 			return
 		}
-		time.Sleep(5 * time.Millisecond) // a client that is rejected asks again at once
+		time.Sleep(5 * time.Millisecond) // short, since a client that is rejected retries soon
 	}
 }
--- a/cmd/stoatdale/soak_backend_test.go
+++ b/cmd/stoatdale/soak_backend_test.go
@@ -10,38 +10,38 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// soakTrouble is what is wrong with a backend, if anything.
-type soakTrouble int32
+// soakFault is a kind of fault of a backend.
+type soakFault int32
 
 const (
-	soakServes soakTrouble = iota
+	soakNoFault soakFault = iota
 	soakHangs
-	soakRejects // unseen, as overloaded
+	soakRejects // rejects statements as overloaded, without running them
 	soakErrs
-	soakBreaks // its connections under commands
-	soakSpoils // its answers
+	soakDisconnects  // closes connections that have a command in flight
+	soakSendsGarbage // sends answers that cannot be parsed
 	soakSlow
-	soakLate     // to greet new connections
-	soakTroubles // their number
+	soakGreetsLate // is late to send the start-up reply on new connections
+	soakFaultCount // number of kinds
 )
 
-// soakGreeting is how late a backend greets that is late to do so.
-const soakGreeting = 1200 * time.Millisecond
+// soakGreetingDelay is the delay of the start-up reply of a backend with the fault soakGreetsLate.
+const soakGreetingDelay = 1200 * time.Millisecond
 
-// soakBackend is a backend whose trouble and state change.
+// soakBackend is a backend whose fault, state and replication lag change.
 type soakBackend struct {
 	*testBackend
 	id         string
 	primary    bool
-	trouble    atomic.Int32
+	fault      atomic.Int32
 	draining   atomic.Bool
-	notifiedAt atomic.Pointer[time.Time] // of the drain
-	lag        atomic.Int64              // of a replica's data, in nanoseconds
-	applied    atomic.Int64              // its position, Unix nanoseconds, which never goes back
+	notifiedAt atomic.Pointer[time.Time] // when its drain was published; nil while it does not drain
+	lag        atomic.Int64              // lag of a replica's data, in nanoseconds
+	applied    atomic.Int64              // log position in Unix nanoseconds, which never goes back
 }
 
-// appliedUpTo returns the backend's position.
-func (b *soakBackend) appliedUpTo() time.Time {
+// appliedPosition returns the backend's log position.
+func (b *soakBackend) appliedPosition() time.Time {
 	reached := time.Now().UnixNano() - b.lag.Load()
 	for {
 		before := b.applied.Load()
@@ -57,14 +57,14 @@
 func (s *soak) newBackend(number int) *soakBackend {
 	b := &soakBackend{id: fmt.Sprint("b", number), primary: number == 0}
 	b.testBackend = newTestBackend(s.t, func(statement string) []byte { return s.answer(b, statement) })
-	b.position = b.appliedUpTo
-	b.greet = func() {
-		if soakTrouble(b.trouble.Load()) == soakLate {
-			time.Sleep(soakGreeting)
+	b.position = b.appliedPosition
+	b.beforeGreeting = func() {
+		if soakFault(b.fault.Load()) == soakGreetsLate {
+			time.Sleep(soakGreetingDelay)
 		}
 	}
 	go func() {
-		for range b.statements { // the ledger has them
+		for range b.statements { // drains the channel; the ledger records the statements
 		}
 	}()
 	return b
@@ -77,70 +77,70 @@
 	return "on"
 }
 
-// answer notes a statement and answers it as the backend's trouble has it.
+// answer records a statement, checks it, and answers it as the backend's fault demands.
 func (s *soak) answer(b *soakBackend, statement string) []byte {
-	turnedAway := s.ledger.arrived(b.id, statement)
+	markNotRun := s.ledger.recordArrival(b.id, statement)
 	s.checkDrain(b)
-	position := b.appliedUpTo()
+	position := b.appliedPosition()
 	s.checkStaleness(b, statement, position)
 	refusal := func(code string) []byte {
-		turnedAway()
+		markNotRun()
 		return pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, code, "", ""))
 	}
 	if strings.HasPrefix(statement, "INSERT") && !b.primary {
 		return refusal(pg.CodeReadOnlyTransaction)
 	}
 	time.Sleep(3 * time.Millisecond)
-	switch soakTrouble(b.trouble.Load()) {
+	switch soakFault(b.fault.Load()) {
 	case soakHangs:
-		for soakTrouble(b.trouble.Load()) == soakHangs && !s.killed.Load() {
+		for soakFault(b.fault.Load()) == soakHangs && !s.killed.Load() {
 			time.Sleep(10 * time.Millisecond)
 		}
 	case soakRejects:
 		return refusal(pg.CodeTooManyConnections)
 	case soakErrs:
 		return pg.AppendReadyForQuery(pg.AppendErrorResponse(nil, false, "XX000", "", ""))
-	case soakBreaks:
+	case soakDisconnects:
 		return nil
-	case soakSpoils:
+	case soakSendsGarbage:
 		return []byte("D\x7f\xff\xff\xff nonsense")
 	case soakSlow:
 		time.Sleep(200 * time.Millisecond)
-	case soakServes, soakLate, soakTroubles:
+	case soakNoFault, soakGreetsLate, soakFaultCount:
 	}
 	return rowAnswerAt(position, "value of "+strings.Split(statement, "'")[1], b.recovery())
 }
 
-// checkStaleness notes a read that came to a replica whose data are older than its group allows.
+// checkStaleness records a violation if a read has come to a replica whose data is older than the read's group allows.
 func (s *soak) checkStaleness(b *soakBackend, statement string, position time.Time) {
 	for _, g := range s.groups {
 		if b.primary || g.staleness == 0 || !strings.Contains(statement, ",c="+g.name+",") {
 			continue
 		}
 		late := time.Since(position) - g.staleness - graceSlack
-		s.ledger.note(func() {
-			if late > s.ledger.heldUp {
-				s.ledger.broken = append(s.ledger.broken, fmt.Sprintf("%s got a read %v staler than its bound %v", b.id, late, g.staleness))
+		s.ledger.update(func() {
+			if late > s.ledger.longestStall {
+				s.ledger.violations = append(s.ledger.violations, fmt.Sprintf("%s got a read with data %v older than the bound %v", b.id, late, g.staleness))
 			}
 		})
 	}
 }
 
-// checkDrain notes a command that comes to a draining backend after the grace.
+// checkDrain records a violation if a command has come to a draining backend after the drain grace.
 func (s *soak) checkDrain(b *soakBackend) {
 	at := b.notifiedAt.Load()
 	if at == nil {
 		return
 	}
 	late := time.Since(*at) - s.grace - graceSlack
-	s.ledger.note(func() {
-		if late > s.ledger.heldUp {
-			s.ledger.broken = append(s.ledger.broken, fmt.Sprintf("%s got a command %v after the drain's grace", b.id, late))
+	s.ledger.update(func() {
+		if late > s.ledger.longestStall {
+			s.ledger.violations = append(s.ledger.violations, fmt.Sprintf("%s got a command %v after the drain grace", b.id, late))
 		}
 	})
 }
 
-// entries are the rows of the endpoint list as it is now.
+// entries returns the rows of the present endpoint list.
 func (s *soak) entries() []string {
 	var entries []string
 	for _, b := range s.backends {
@@ -153,8 +153,8 @@
 	return entries
 }
 
-// disturb gives backends troubles, and has replicas drain and return, until a channel is closed.
-func (s *soak) disturb(rng *rand.Rand, stop <-chan struct{}) {
+// injectFaults changes the backends' faults and lags, and makes replicas drain and return, until a channel is closed.
+func (s *soak) injectFaults(rng *rand.Rand, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -166,19 +166,19 @@
 			b.lag.Store(int64(time.Duration(rng.IntN(1500)) * time.Millisecond))
 		}
 		if rng.IntN(3) > 0 || b.primary {
-			trouble := soakServes
+			fault := soakNoFault
 			if rng.IntN(2) == 0 {
-				trouble = soakTrouble(rng.IntN(int(soakTroubles)))
+				fault = soakFault(rng.IntN(int(soakFaultCount)))
 			}
-			b.trouble.Store(int32(trouble))
+			b.fault.Store(int32(fault))
 			continue
 		}
 		s.toggleDrain(b)
 	}
 }
 
-// toggleDrain has a replica drain, or be ready again, and publishes that. The drain binds from 4 s after a reload at the
-// latest; here a router is held to the ordinary time, which a reload does not lengthen by more than a call.
+// toggleDrain makes a replica drain, or ready again, and publishes that. After a reload, a router need only keep to a
+// drain within 4 s; this test demands the ordinary time, which a reload lengthens by one call at most.
 func (s *soak) toggleDrain(b *soakBackend) {
 	if b.draining.Load() {
 		b.draining.Store(false)
--- a/cmd/stoatdale/soak_test.go
+++ b/cmd/stoatdale/soak_test.go
@@ -16,29 +16,29 @@
 )
 
 var (
-	soakSeeds = flag.Int("soak.seeds", 8, "seeds that TestSoak plays")
-	soakFirst = flag.Uint64("soak.first", 1, "the first of them")
+	soakSeeds = flag.Int("soak.seeds", 8, "number of seeds that TestSoak runs")
+	soakFirst = flag.Uint64("soak.first", 1, "the first seed")
 )
 
 const (
-	soakClients   = 10                      // of a router, at once
-	soakReplicas  = 3                       // beside the primary
-	soakServing   = 2500 * time.Millisecond // before a router is told to end
-	soakCrowd     = 150                     // idle clients of a run with a crowd
-	soakSockets   = 160
-	killMargin    = 700 * time.Millisecond // that the platform leaves after the longest deadline
-	longestCounts = 3 * time.Second        // of deadlines, towards the kill
+	soakClients        = 10                      // clients of the router at a time
+	soakReplicas       = 3                       // besides the primary
+	soakServingTime    = 2500 * time.Millisecond // time before the router gets SIGTERM
+	soakIdleClients    = 150                     // idle clients, in runs that have them
+	soakSockets        = 160
+	killMargin         = 700 * time.Millisecond // time between the longest deadline after SIGTERM and the platform's SIGKILL
+	maxCountedDeadline = 3 * time.Second        // longer deadlines do not delay the SIGKILL further
 )
 
-// soak is one run: a router among backends that fail, with clients of every kind, signals in series and a kill at the
-// earliest moment. It draws all of that from a seed.
+// soak is one run of a router with backends that fail and clients that behave in random ways. The run sends a series of
+// signals and kills the router at the earliest moment at which the platform may do so. All choices come from a seed.
 type soak struct {
-	t      *testing.T
-	rng    *rand.Rand
-	ledger *soakLedger
-	groups []*soakGroup
-	grace  time.Duration
-	crowd  bool
+	t            *testing.T
+	rng          *rand.Rand
+	ledger       *soakLedger
+	groups       []*soakGroup
+	grace        time.Duration
+	hasIdleCrowd bool
 
 	backends  []*soakBackend
 	router    atomic.Pointer[testRouter]
@@ -48,26 +48,26 @@
 	lastID    atomic.Uint64
 }
 
-// TestSoak plays runs one after the other. More of them, by hand: go test ./cmd/stoatdale -run TestSoak -soak.seeds 50.
+// TestSoak executes runs one after the other. To execute more: go test ./cmd/stoatdale -run TestSoak -soak.seeds 50.
 func TestSoak(t *testing.T) {
 	for seed := *soakFirst; seed < *soakFirst+uint64(*soakSeeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newSoak(t, seed)
-			s.play()
-			for _, how := range s.ledger.check() {
-				t.Error(how)
+			s.run()
+			for _, violation := range s.ledger.check() {
+				t.Error(violation)
 			}
-			t.Logf("%d commands, held up for %v at most, crowd %v", len(s.ledger.commands), s.ledger.heldUp, s.crowd)
+			t.Logf("%d commands, longest stall %v, idle clients %v", len(s.ledger.commands), s.ledger.longestStall, s.hasIdleCrowd)
 		})
 	}
 }
 
 func newSoak(t *testing.T, seed uint64) *soak {
 	rng := rand.New(rand.NewPCG(seed, 0))
-	milliseconds := func(least, most int) time.Duration {
-		return time.Duration(least+rng.IntN(most-least)) * time.Millisecond
+	milliseconds := func(low, high int) time.Duration {
+		return time.Duration(low+rng.IntN(high-low)) * time.Millisecond
 	}
-	s := &soak{t: t, rng: rng, ledger: newSoakLedger(), grace: milliseconds(400, 1500), crowd: rng.IntN(3) == 0}
+	s := &soak{t: t, rng: rng, ledger: newSoakLedger(), grace: milliseconds(400, 1500), hasIdleCrowd: rng.IntN(3) == 0}
 	s.groups = []*soakGroup{
 		{name: "look", effect: "pure", deadline: milliseconds(200, 1500)},
 		{name: "view", effect: "pure", deadline: milliseconds(200, 1500), staleness: milliseconds(200, 800)},
@@ -80,7 +80,7 @@
 	return s
 }
 
-// settings describes the deployment of this run.
+// settings returns the settings of this run.
 func (s *soak) settings() map[string]any {
 	settings := testSettings(s.rng.IntN(2) == 0)
 	var classes []any
@@ -99,18 +99,18 @@
 	return settings
 }
 
-// longestDeadline is that of the deployment's groups, as far as it counts towards the kill.
+// longestDeadline returns the longest deadline of the groups, each counted up to maxCountedDeadline.
 func (s *soak) longestDeadline() (longest time.Duration) {
 	for _, g := range s.groups {
-		longest = max(longest, min(g.deadline, longestCounts))
+		longest = max(longest, min(g.deadline, maxCountedDeadline))
 	}
 	return longest
 }
 
-func (s *soak) play() {
+func (s *soak) run() {
 	stop := make(chan struct{})
 	var background, clients sync.WaitGroup
-	background.Go(func() { s.ledger.watchMachine(stop) })
+	background.Go(func() { s.ledger.measureStalls(stop) })
 	router := startRouterWith(s.t, routerOptions{
 		settings: s.settings(), sockets: soakSockets, drainGrace: s.grace, seed: fmt.Sprintf("%x", s.rng.Uint64()>>1),
 	}, s.entries()...)
@@ -120,9 +120,9 @@
 		rng := rand.New(rand.NewPCG(s.rng.Uint64(), 0))
 		clients.Go(func() { s.client(rng) })
 	}
-	trouble := rand.New(rand.NewPCG(s.rng.Uint64(), 0))
-	background.Go(func() { s.disturb(trouble, stop) })
-	if s.crowd {
+	faultRNG := rand.New(rand.NewPCG(s.rng.Uint64(), 0))
+	background.Go(func() { s.injectFaults(faultRNG, stop) })
+	if s.hasIdleCrowd {
 		background.Go(func() { s.fillDescriptors(router) })
 	}
 	s.signals(router)
@@ -131,9 +131,10 @@
 	background.Wait()
 }
 
-// signals sends signals in series, the last of them SIGKILL at the earliest moment.
+// signals sends the router a series of signals. The last is SIGKILL, at the earliest moment at which the platform may
+// send it after SIGTERM.
 func (s *soak) signals(router *testRouter) {
-	end := time.Now().Add(soakServing)
+	end := time.Now().Add(soakServingTime)
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(s.rng.IntN(500)) * time.Millisecond)
 		for range 1 + s.rng.IntN(3) {
@@ -150,9 +151,9 @@
 	now := time.Now()
 	s.termAt.Store(&now)
 	router.signal(syscall.SIGTERM)
-	for _, also := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1} {
+	for _, extraSignal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1} {
 		if s.rng.IntN(2) == 0 {
-			_ = router.cmd.Process.Signal(also) // it may have ended by now
+			_ = router.cmd.Process.Signal(extraSignal) // fails if the router has ended by now
 		}
 	}
 	time.Sleep(time.Until(now.Add(s.longestDeadline() + killMargin)))
@@ -161,7 +162,7 @@
 	_ = router.cmd.Wait()
 }
 
-// moveDiscovery has the router watch its list at another address.
+// moveDiscovery reloads the router's configuration with the address of a new discovery service.
 func (s *soak) moveDiscovery(router *testRouter) {
 	before := s.discovery.Load()
 	next := newTestDiscovery(s.t, strings.Join(s.entries(), ","))
@@ -169,9 +170,9 @@
 	router.reload(`"discovery":"`+before.address, `"discovery":"`+next.address)
 }
 
-// fillDescriptors opens idle clients until the router has closed them or is killed.
+// fillDescriptors opens idle clients and keeps them open until the router is killed.
 func (s *soak) fillDescriptors(router *testRouter) {
-	for range soakCrowd {
+	for range soakIdleClients {
 		connection, err := net.Dial("tcp", router.address)
 		if err != nil {
 			return
--- a/cmd/stoatdale/syscalls_test.go
+++ b/cmd/stoatdale/syscalls_test.go
@@ -14,12 +14,13 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// limitDescriptors lets the program open no descriptor beyond those that it has, or any number.
+// limitDescriptors sets the program's limit of descriptors: to the number that it has open, so that it can open no more,
+// or, if unlimited, to testSockets.
 func (r *testRouter) limitDescriptors(unlimited bool) {
 	r.t.Helper()
 	limit := unix.Rlimit{Cur: testSockets, Max: testSockets * 4}
 	if !unlimited {
-		limit.Cur = 0 // becomes the lowest number that is free
+		limit.Cur = 0 // becomes the lowest free descriptor number
 		for isOpen := true; isOpen; limit.Cur++ {
 			_, err := os.Lstat(fmt.Sprintf("/proc/%d/fd/%d", r.cmd.Process.Pid, limit.Cur+1))
 			isOpen = err == nil
@@ -28,8 +29,8 @@
 	require.NoError(r.t, unix.Prlimit(r.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil))
 }
 
-// For a moment the system gives the router no descriptor. The command waits that out: nothing has been sent, and no
-// endpoint has failed.
+// For a moment the system gives the router no descriptor. The command waits until there is one: nothing has been sent,
+// and the endpoint has not failed.
 func TestCommandOutlastsALackOfDescriptors(t *testing.T) {
 	b := newTestBackend(t, answerAs("off"))
 	r := startRouter(t, listEntry(b, "b", "ready", "off"))
@@ -44,8 +45,8 @@
 	assert.Len(t, b.statements, 1)
 }
 
-// No descriptor is left for a new client while others are idle and in flight: those in flight are answered, and new
-// clients are accepted as soon as one is free.
+// No descriptor is left for a new client while another client has a command in flight. That command is answered, and the
+// new client is accepted as soon as a descriptor is free.
 func TestClientsInFlightSurviveALackOfDescriptors(t *testing.T) {
 	release := make(chan struct{})
 	b := newTestBackend(t, func(q string) []byte { <-release; return answerAs("on")(q) })
@@ -54,18 +55,18 @@
 	client.send(pg.AppendQuery(nil, readStatement("k")))
 	receive(t, b.statements)
 	r.limitDescriptors(false)
-	waiting := r.dial() // completes in the backlog
+	waiting := r.dial() // the system completes the connection in the listener's backlog
 	waiting.send(append(pg.AppendStartupMessage(nil), pg.AppendQuery(nil, "")...))
 	time.Sleep(200 * time.Millisecond)
 	close(release)
 	assert.Equal(t, "value of k", client.readReply())
 	r.limitDescriptors(true)
-	assert.Empty(t, waiting.readReply(), "the welcome")
+	assert.Empty(t, waiting.readReply(), "the start-up reply")
 	assert.Equal(t, "EMPTY", waiting.readReply())
 }
 
-// A request that is written while its resting connection is being ended was not taken: the router does not read it, so
-// that its client may send it elsewhere.
+// A request that its client writes while the router closes the idle connection must not be read by the router, so that
+// the client may safely send it to another one.
 func TestRequestThatCrossesTheEndOfItsConnectionIsNotRead(t *testing.T) {
 	b := newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
@@ -77,13 +78,13 @@
 	raw, err := client.Conn.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
 	var socketError int
-	for deadline := time.Now().Add(patience); socketError == 0 && time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(hangTimeout); socketError == 0 && time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		require.NoError(t, raw.Control(func(fd uintptr) {
 			socketError, err = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR)
 		}))
 		require.NoError(t, err)
 	}
-	assert.NotZero(t, socketError, "closing over what was not read resets the connection")
+	assert.NotZero(t, socketError, "closing a connection with unread data resets it")
 	assert.Empty(t, b.statements)
 	assert.Contains(t, r.waitForLog(`"message":"counters"`), `"received":0`)
 }
--- a/cmd/stoatdale/testbackend_test.go
+++ b/cmd/stoatdale/testbackend_test.go
@@ -15,33 +15,33 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// answerFunc is what a backend sends for a statement; nil: it closes the connection.
+// answerFunc returns what a backend sends for a statement; nil makes it close the connection.
 type answerFunc func(statement string) []byte
 
-// testBackend is a database server that answers health checks itself and statements as the test says.
+// testBackend is a database server that answers health checks itself, and statements by a function of the test.
 type testBackend struct {
-	address    string
-	statements chan string   // every statement but health checks, in order
-	closed     chan struct{} // one value for each connection that has ended
-	answer     answerFunc
-	position   func() time.Time // that it reports to health checks
-	greet      func()           // is called before a connection is greeted
+	address        string
+	statements     chan string   // all statements except health checks, in order
+	closed         chan struct{} // one value for each connection that has ended
+	answer         answerFunc
+	position       func() time.Time // the log position that it reports to health checks
+	beforeGreeting func()           // called before the start-up reply on each connection
 }
 
-// newTestBackend serves until the test ends.
+// newTestBackend starts a backend that serves until the test ends.
 func newTestBackend(t *testing.T, answer answerFunc) *testBackend {
 	t.Helper()
-	const most = 1000 // statements or connections of one test
+	const maxEvents = 1000 // the most statements, or connections, of one test
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	backend := &testBackend{
-		address:    listener.Addr().String(),
-		statements: make(chan string, most),
-		closed:     make(chan struct{}, most),
-		answer:     answer,
-		position:   time.Now,
-		greet:      func() {},
+		address:        listener.Addr().String(),
+		statements:     make(chan string, maxEvents),
+		closed:         make(chan struct{}, maxEvents),
+		answer:         answer,
+		position:       time.Now,
+		beforeGreeting: func() {},
 	}
 	go func() {
 		for {
@@ -61,7 +61,7 @@
 	if skipStartup(reader) != nil {
 		return
 	}
-	b.greet()
+	b.beforeGreeting()
 	_, _ = connection.Write(pg.AppendStartupReply(nil, pg.CancelKey{}))
 	for {
 		kind, body, err := readMessage(reader)
@@ -76,7 +76,7 @@
 	}
 }
 
-// reply answers a health check, or a statement as the test says.
+// reply returns the answer to a health check, or the test's answer to a statement; nil closes the connection.
 func (b *testBackend) reply(statement string) []byte {
 	if statement == "SHOW health" {
 		position := float64(b.position().UnixMilli()) / 1000
@@ -107,11 +107,11 @@
 	return head[0], body, err
 }
 
-// rowAnswer is an answer of one value, with the present as the backend's log position and whether it is in recovery: "on"
-// or "off".
+// rowAnswer returns an answer of one value. The backend's log position in it is the present time; recovery is "on" for a
+// replica and "off" for a primary.
 func rowAnswer(value, recovery string) []byte { return rowAnswerAt(time.Now(), value, recovery) }
 
-// rowAnswerAt is a rowAnswer with another log position.
+// rowAnswerAt returns a rowAnswer with another log position.
 func rowAnswerAt(position time.Time, value, recovery string) []byte {
 	b := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
 	b = pg.AppendMessage(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
@@ -120,7 +120,8 @@
 	return pg.AppendReadyForQuery(pg.AppendParameterStatus(b, "recovery", recovery))
 }
 
-// answerAs answers each statement with "value of" and its key, in recovery or not.
+// answerAs returns a function that answers each statement with "value of" and its key, as a replica (recovery "on") or
+// as a primary ("off").
 func answerAs(recovery string) answerFunc {
 	return func(statement string) []byte {
 		key := strings.Split(statement, "'")[1]
--- a/cmd/stoatdale/testclient_test.go
+++ b/cmd/stoatdale/testclient_test.go
@@ -15,7 +15,7 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// testClient is one connection to the program.
+// testClient is one client connection to the router.
 type testClient struct {
 	t *testing.T
 	net.Conn
@@ -28,11 +28,11 @@
 	connection, err := net.Dial("tcp", r.address)
 	require.NoError(r.t, err)
 	r.t.Cleanup(func() { _ = connection.Close() })
-	_ = connection.SetDeadline(time.Now().Add(patience))
+	_ = connection.SetDeadline(time.Now().Add(hangTimeout))
 	return &testClient{r.t, connection, bufio.NewReader(connection)}
 }
 
-// connect returns a client that has started up.
+// connect returns a client that has completed its start-up.
 func (r *testRouter) connect() *testClient {
 	r.t.Helper()
 	client := r.dial()
@@ -47,8 +47,8 @@
 	require.NoError(c.t, err)
 }
 
-// readReply reads up to ReadyForQuery. It returns the value of a row, EMPTY for an empty query, or an error as its code
-// and detail; " END" is added where the connection ended before.
+// readReply reads up to ReadyForQuery. It returns the value of a row, EMPTY for an empty query, or the code and detail of
+// an error. If the connection ends before ReadyForQuery, it appends " END".
 func (c *testClient) readReply() string {
 	c.t.Helper()
 	reply := ""
@@ -70,7 +70,7 @@
 	}
 }
 
-// errorText is the code and the detail of an ErrorResponse.
+// errorText returns the code and the detail of an ErrorResponse.
 func errorText(body []byte) string {
 	fields := map[byte]string{}
 	for _, field := range bytes.Split(body, []byte{0}) {
@@ -88,13 +88,13 @@
 	return c.readReply()
 }
 
-// readStatement reads a key by the command group look.
+// readStatement returns a statement of the command group look that reads a key.
 func readStatement(key string) string {
 	return fmt.Sprintf("SELECT doc FROM items WHERE id = '%s' /* id=%08x,c=look,d=3000,cluster=2 */",
 		key, crc32.ChecksumIEEE([]byte(key)))
 }
 
-// writeStatement writes a key by the command group order, with a client timeout.
+// writeStatement returns a statement of the command group order that writes a key, with a client timeout.
 func writeStatement(key string, timeoutMs int) string {
 	const form = `INSERT INTO items (id, doc) VALUES ('%s', '\x9f') RETURNING doc /* id=02,c=order,d=%d,k=5c,cluster=2 */`
 	return fmt.Sprintf(form, key, timeoutMs)
--- a/cmd/stoatdale/testdiscovery_test.go
+++ b/cmd/stoatdale/testdiscovery_test.go
@@ -14,16 +14,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testDiscovery is a discovery service. A list is published as its rows; its generation is its number.
+// testDiscovery is a discovery service. Lists are published one after the other; the generation of a list is its number,
+// counted from 1.
 type testDiscovery struct {
 	address string
 	mu      sync.Mutex
 	cond    *sync.Cond
-	lists   []string // each complete
+	lists   []string // the rows of each complete list, in JSON
 	silent  bool
 }
 
-// newTestDiscovery serves a list until the test ends.
+// newTestDiscovery starts a discovery service with a first list. It serves until the test ends.
 func newTestDiscovery(t *testing.T, first string) *testDiscovery {
 	t.Helper()
 	d := &testDiscovery{lists: []string{first}}
@@ -37,7 +38,7 @@
 	return d
 }
 
-// publish replaces the list.
+// publish replaces the endpoint list.
 func (d *testDiscovery) publish(instances string) {
 	d.mu.Lock()
 	d.lists = append(d.lists, instances)
@@ -45,14 +46,15 @@
 	d.cond.Broadcast()
 }
 
-// silence lets polls go unanswered until another list is published.
+// silence leaves all calls unanswered until a second list is published.
 func (d *testDiscovery) silence() {
 	d.mu.Lock()
 	d.silent = true
 	d.mu.Unlock()
 }
 
-// ServeHTTP answers a poll, and holds one for a later list until there is one.
+// ServeHTTP answers a call with the present list. A poll that names the present generation is held until a later list is
+// published.
 func (d *testDiscovery) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,11 +64,11 @@
 	_, _ = fmt.Fprintf(w, `{"generation":%d,"reset":true,"instances":[%s]}`, len(d.lists), d.lists[len(d.lists)-1])
 }
 
-// discoveryStep is what a scripted discovery service does at one request; it may leave it unanswered.
+// discoveryStep handles one request to a scripted discovery service. It may leave the request unanswered.
 type discoveryStep func(w io.Writer, request *http.Request)
 
-// newScriptedDiscovery serves requests by one step each, in the order in which they come on whatever connection; those
-// after the last step stay unanswered. It returns its address.
+// newScriptedDiscovery starts a discovery service and returns its address. It handles each request by the next step, in
+// the order in which requests arrive on all connections. Requests after the last step stay unanswered.
 func newScriptedDiscovery(t *testing.T, steps ...discoveryStep) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,7 +98,7 @@
 	return listener.Addr().String()
 }
 
-// answerList answers with a complete endpoint list.
+// answerList returns a step that answers with a complete endpoint list.
 func answerList(generation int, endpoints ...string) discoveryStep {
 	list := fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(endpoints, ","))
 	return func(w io.Writer, _ *http.Request) {
@@ -104,7 +106,7 @@
 	}
 }
 
-// listEntry is one row of an endpoint list.
+// listEntry returns one row of an endpoint list, in JSON.
 func listEntry(backend *testBackend, id, state, recovery string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"h","cell":2,"lifecycle":%q,"recovery":%q}`,
 		id, backend.address, state, recovery)
--- a/cmd/stoatdale/testrouter_test.go
+++ b/cmd/stoatdale/testrouter_test.go
@@ -16,24 +16,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testRouter is the program as a process of its own, with a discovery service that the test controls.
+// testRouter is the router in a process of its own, with a discovery service that the test controls.
 type testRouter struct {
 	t          *testing.T
 	cmd        *exec.Cmd
-	address    string      // where clients connect
-	configPath string      // of its configuration document
-	log        chan string // lines; closed at the program's end
+	address    string      // address at which it accepts clients
+	configPath string      // path of its configuration document
+	log        chan string // its log lines; closed when the program ends
 	discovery  *testDiscovery
 }
 
-// routerOptions are what a test sets of a router's configuration. Zero values stand for the defaults below.
+// routerOptions are the parts of a router's configuration that a test can set. Zero values mean the defaults below.
 type routerOptions struct {
-	seed       string // of its random decisions; empty: testSeed
+	seed       string // seed of its random decisions; empty: testSeed
 	sockets    int
 	memoryMB   int
-	discovery  string         // address; empty: the test's discovery service
+	discovery  string         // address of the discovery service; empty: testRouter.discovery
 	settings   map[string]any // nil: testSettings without health checks
-	drainGrace time.Duration  // 0: not told
+	drainGrace time.Duration  // 0: not part of the configuration
 }
 
 const (
@@ -42,7 +42,7 @@
 	testMemoryMB = 48
 )
 
-// testSettings describes a deployment with a command group that reads and one that writes.
+// testSettings returns the settings of a deployment with one command group that reads and one that writes.
 func testSettings(healthChecks bool) map[string]any {
 	group := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "targetNs": 4e9, "deadlineNs": 8e9, "worth": 1}
@@ -69,7 +69,7 @@
 	return startRouterWith(t, routerOptions{}, endpoints...)
 }
 
-// startRouterWith starts the program and waits until it serves. It is killed at the test's end.
+// startRouterWith starts the program and waits until it serves. The program is killed when the test ends.
 func startRouterWith(t *testing.T, options routerOptions, endpoints ...string) *testRouter {
 	t.Helper()
 	list := strings.Join(endpoints, ",")
@@ -94,7 +94,7 @@
 	return r
 }
 
-// complete fills in the defaults.
+// complete sets options that are zero to their defaults, and adds the drain grace to the settings.
 func (o *routerOptions) complete(discovery string) {
 	if o.seed == "" {
 		o.seed = testSeed
@@ -116,7 +116,7 @@
 	}
 }
 
-// document is the configuration of a router that knew an endpoint list last.
+// document returns the configuration document of a router whose last known endpoint list is list.
 func (o *routerOptions) document(t *testing.T, list string) []byte {
 	t.Helper()
 	document, err := json.Marshal(map[string]any{
@@ -129,10 +129,10 @@
 	return document
 }
 
-// waitForLog waits for a line of the log that contains a text.
+// waitForLog waits for a log line that contains a text, and returns the line.
 func (r *testRouter) waitForLog(text string) string {
 	r.t.Helper()
-	for timeout := time.After(patience); ; {
+	for timeout := time.After(hangTimeout); ; {
 		select {
 		case line, ok := <-r.log:
 			if !ok {
@@ -147,7 +147,7 @@
 	}
 }
 
-// counters has the program log its counters.
+// counters makes the program log its counters by SIGUSR1, and returns them.
 func (r *testRouter) counters() map[string]any {
 	r.t.Helper()
 	r.signal(syscall.SIGUSR1)
@@ -156,11 +156,11 @@
 	return line.Counters
 }
 
-// waitForCounter waits until a counter has reached a value.
-func (r *testRouter) waitForCounter(name string, least float64) {
+// waitForCounter waits until a counter has reached a minimum.
+func (r *testRouter) waitForCounter(name string, minimum float64) {
 	r.t.Helper()
-	for deadline := time.Now().Add(patience); r.counters()[name].(float64) < least; {
-		require.True(r.t, time.Now().Before(deadline), "%s stays under %v", name, least)
+	for deadline := time.Now().Add(hangTimeout); r.counters()[name].(float64) < minimum; {
+		require.True(r.t, time.Now().Before(deadline), "%s stays under %v", name, minimum)
 	}
 }
 
@@ -169,7 +169,7 @@
 	require.NoError(r.t, r.cmd.Process.Signal(s))
 }
 
-// reload replaces texts in the configuration, given as pairs of old and new, and has the program read it again.
+// reload replaces texts in the configuration, given as pairs of old and new, and makes the program reload it by SIGHUP.
 func (r *testRouter) reload(pairs ...string) {
 	r.t.Helper()
 	config, err := os.ReadFile(r.configPath)
@@ -182,13 +182,13 @@
 	r.signal(syscall.SIGHUP)
 }
 
-// receive waits for a value.
+// receive waits for a value on a channel.
 func receive[T any](t *testing.T, values <-chan T) T {
 	t.Helper()
 	select {
 	case value := <-values:
 		return value
-	case <-time.After(patience):
+	case <-time.After(hangTimeout):
 		require.Fail(t, "nothing came")
 		panic("unreachable")
 	}
