--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -71,7 +71,7 @@
 		t.AppendRow(table.Row{i + 1, step})
 	}
 	t.Render()
-	printf(out, "broken: %s\n  %s\n", trace.Property, trace.How)
+	printf(out, "broken: %s\n  %s\n", trace.Property, trace.Detail)
 }
 
 // walkFlags are the flags of explore walk.
--- a/internal/cli/explore_run.go
+++ b/internal/cli/explore_run.go
@@ -190,7 +190,7 @@
 		return err
 	}
 	if report.broken != nil {
-		return exitErrorf(ExitFailed, "broken: %s: %s", report.broken.Property, report.broken.How)
+		return exitErrorf(ExitFailed, "broken: %s: %s", report.broken.Property, report.broken.Detail)
 	}
 	if !report.Complete {
 		return exitError(ExitPaused, errors.New("an exploration ended before it was complete"))
--- a/internal/modelcheck/breadth.go
+++ b/internal/modelcheck/breadth.go
@@ -303,7 +303,7 @@
 		if a.parent != noParent {
 			steps = append(steps, e.stepNames[a.step])
 		}
-		e.recordCounterexample(Trace{Steps: steps, Property: property, How: detail})
+		e.recordCounterexample(Trace{Steps: steps, Property: property, Detail: detail})
 	}
 	return at
 }
@@ -321,14 +321,14 @@
 	if e.stopReason.Load() != nil {
 		return
 	}
-	property, detail := Settled(s)
+	property, detail := Settle(s)
 	if property == "" {
 		return
 	}
 	path := e.path(at)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.recordCounterexample(Trace{Steps: path, Property: property, How: detail})
+	e.recordCounterexample(Trace{Steps: path, Property: property, Detail: detail})
 }
 
 // result returns the result of the exploration so far.
--- a/internal/modelcheck/deep.go
+++ b/internal/modelcheck/deep.go
@@ -90,7 +90,7 @@
 func (d *depthFirst) takeSteps(ctx context.Context, s System, path []string) {
 	steps := s.Steps()
 	if len(steps) == 0 {
-		if property, detail := Settled(s); property != "" {
+		if property, detail := Settle(s); property != "" {
 			d.recordCounterexample(path, property, detail)
 		}
 		return
@@ -108,5 +108,5 @@
 }
 
 func (d *depthFirst) recordCounterexample(path []string, property, detail string) {
-	d.result.Counterexample = &Trace{Steps: append([]string{}, path...), Property: property, How: detail}
+	d.result.Counterexample = &Trace{Steps: append([]string{}, path...), Property: property, Detail: detail}
 }
--- a/internal/modelcheck/explore_test.go
+++ b/internal/modelcheck/explore_test.go
@@ -171,13 +171,13 @@
 	}
 }
 
-func TestUnmetReturnsTheTypesThatNoHashHasMet(t *testing.T) {
+func TestUnusedTypesReturnsTheTypesThatNoHashHasMet(t *testing.T) {
 	type clock struct{ at, unused float64 }
 	rules := &Rules{Ignored: Fields{"modelcheck.clock": {"unused"}, "modelcheck.watch": {"face"}}, Times: Fields{"modelcheck.clock": {"at"}, "modelcheck.bell": {"at"}}}
-	assert.Equal(t, []string{"modelcheck.bell", "modelcheck.clock", "modelcheck.watch"}, rules.Unmet())
+	assert.Equal(t, []string{"modelcheck.bell", "modelcheck.clock", "modelcheck.watch"}, rules.UnusedTypes())
 	h := Hash{Rules: rules}
 	h.Value(clock{at: 1, unused: 2})
-	assert.Equal(t, []string{"modelcheck.bell", "modelcheck.watch"}, rules.Unmet())
+	assert.Equal(t, []string{"modelcheck.bell", "modelcheck.watch"}, rules.UnusedTypes())
 }
 
 func TestDepthFirstFindsTheSameWithLittleMemory(t *testing.T) {
--- a/internal/modelcheck/hash.go
+++ b/internal/modelcheck/hash.go
@@ -19,7 +19,7 @@
 
 // Rules define how values are added to a hash. They are created once for a system and shared by all its hashes, and must
 // not change once a hash has used them. A rule for a field that its type does not have is an error: Hash.Value panics
-// when it first hashes a value of the type. Unmet returns the types of rules that no hash has applied.
+// when it first hashes a value of the type. UnusedTypes returns the types of rules that no hash has applied.
 type Rules struct {
 	Ignored    Fields   // fields that are left out of the hash, since they do not affect the system's future
 	Times      Fields   // fields of type float64 that hold times, which are hashed relative to Hash.TimeZero
@@ -27,9 +27,9 @@
 	plans      sync.Map // plan of each struct type hashed so far, by reflect.Type
 }
 
-// Unmet returns, in sorted order, the types that the rules name and of which no hash has added a value so far. After an
-// exploration that covers every type of a system, the rules for these types have no effect.
-func (r *Rules) Unmet() []string {
+// UnusedTypes returns, in sorted order, the types that the rules name and of which no hash has added a value so far.
+// After an exploration that covers every type of a system, the rules for these types have no effect.
+func (r *Rules) UnusedTypes() []string {
 	met := map[string]bool{}
 	r.plans.Range(func(t, _ any) bool {
 		met[t.(reflect.Type).String()] = true
--- a/internal/modelcheck/live.go
+++ b/internal/modelcheck/live.go
@@ -10,7 +10,7 @@
 		if !reaches { // states are ordered by depth, so the first one has a shortest trace
 			e.counterexample = &Trace{
 				Steps: e.path(int32(i)), Property: EndReachable,
-				How: "no sequence of steps from here leads to an end state",
+				Detail: "no sequence of steps from here leads to an end state",
 			}
 			return
 		}
--- a/internal/modelcheck/models/chart.go
+++ b/internal/modelcheck/models/chart.go
@@ -56,7 +56,7 @@
 		}
 	}
 	fmt.Fprintf(&b, `<text x="8" y="%d" fill="#b00">broken: %s</text><text x="8" y="%d" fill="#b00">%s</text>`+"\n</svg>\n",
-		height-high, html.EscapeString(t.Property), height-8, html.EscapeString(t.How))
+		height-high, html.EscapeString(t.Property), height-8, html.EscapeString(t.Detail))
 	return b.Bytes()
 }
 
--- a/internal/modelcheck/models/recorded_test.go
+++ b/internal/modelcheck/models/recorded_test.go
@@ -84,7 +84,7 @@
 		Trace: modelcheck.Trace{
 			Steps:    []string{"up 0", "answer 0", "move"},
 			Property: "after a move no list of the address before is taken",
-			How:      "a list from 0 is taken while 1 is watched",
+			Detail:   "a list from 0 is taken while 1 is watched",
 		},
 	}, got)
 	again := filepath.Join(t.TempDir(), "trace.json")
--- a/internal/modelcheck/models/systems_test.go
+++ b/internal/modelcheck/models/systems_test.go
@@ -61,7 +61,7 @@
 		within := bounds[0].Explore(0)
 		within.MaxStates = 2000
 		modelcheck.Run(context.Background(), k.New(bounds[0], ""), within, nil)
-		assert.Empty(t, rules[k.Name].Unmet(), "%s: rules name types that are not met", k.Name)
+		assert.Empty(t, rules[k.Name].UnusedTypes(), "%s: rules name types that are not met", k.Name)
 	}
 }
 
@@ -128,7 +128,7 @@
 				property, how := s.Broken()
 				require.Empty(t, property, how)
 			}
-			property, how := modelcheck.Settled(s)
+			property, how := modelcheck.Settle(s)
 			require.Empty(t, property, how)
 		})
 	}
--- a/internal/modelcheck/system.go
+++ b/internal/modelcheck/system.go
@@ -33,8 +33,9 @@
 	Settle() (property, detail string)
 }
 
-// Settled calls Settle on a system that is a Settler. It returns empty texts if the system settles or is no Settler.
-func Settled(s System) (property, detail string) {
+// Settle calls the method Settle of a system that is a Settler. It returns empty texts if the system settles or is no
+// Settler.
+func Settle(s System) (property, detail string) {
 	if settler, ok := s.(Settler); ok {
 		return settler.Settle()
 	}
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -9,7 +9,7 @@
 type Trace struct {
 	Steps    []string `json:"steps"`
 	Property string   `json:"property"`
-	How      string   `json:"how"`
+	Detail   string   `json:"how"`
 }
 
 // RandomWalk takes at most the given number of steps and returns the trace to the first property that breaks on the
@@ -27,11 +27,11 @@
 		taken[Kind(step)]++
 		s.Take(step)
 		if property, detail := s.Broken(); property != "" {
-			return &Trace{Steps: path, Property: property, How: detail}
+			return &Trace{Steps: path, Property: property, Detail: detail}
 		}
 	}
-	if property, detail := Settled(s); property != "" {
-		return &Trace{Steps: path, Property: property, How: detail}
+	if property, detail := Settle(s); property != "" {
+		return &Trace{Steps: path, Property: property, Detail: detail}
 	}
 	return nil
 }
@@ -50,6 +50,6 @@
 			return taken, property, detail
 		}
 	}
-	property, detail = Settled(s)
+	property, detail = Settle(s)
 	return taken, property, detail
 }
