--- a/internal/modelcheck/hash.go
+++ b/internal/modelcheck/hash.go
@@ -30,21 +30,21 @@
 // UnusedTypes returns, in sorted order, the types that the rules name and of which no hash has added a value so far.
 // After an exploration that covers every type of a system, the rules for these types have no effect.
 func (r *Rules) UnusedTypes() []string {
-	met := map[string]bool{}
+	used := map[string]bool{}
 	r.plans.Range(func(t, _ any) bool {
-		met[t.(reflect.Type).String()] = true
+		used[t.(reflect.Type).String()] = true
 		return true
 	})
-	var unmet []string
+	var unused []string
 	for _, fields := range []Fields{r.Ignored, r.Times} {
 		for name := range fields {
-			if !met[name] {
-				unmet = append(unmet, name)
+			if !used[name] {
+				unused = append(unused, name)
 			}
 		}
 	}
-	slices.Sort(unmet)
-	return slices.Compact(unmet)
+	slices.Sort(unused)
+	return slices.Compact(unused)
 }
 
 // check returns an error if the rules name a field that the struct type t does not have, or treat a field as a time that
