--- a/cmd/stoatdale/cancel_test.go
+++ b/cmd/stoatdale/cancel_test.go
@@ -61,7 +61,7 @@
 	client, key := r.connectWithKey()
 	client.send(pg.AppendQuery(nil, readStatement("k")))
 	arrived := func() bool { return len(a.statements)+len(b.statements) == 1 }
-	require.Eventually(t, arrived, hangTimeout, time.Millisecond) // not by the counter, which precedes the connection
+	require.Eventually(t, arrived, hangTimeout, time.Millisecond) // the counter attempts rises before the connection is up
 	r.cancel(key)
 	assert.Equal(t, codeQueryCanceled, client.readReply())
 	close(release)
--- a/internal/modelcheck/live.go
+++ b/internal/modelcheck/live.go
@@ -3,8 +3,8 @@
 // EndReachable is the property that an end state can be reached from every state.
 const EndReachable = "the end can be reached"
 
-// checkLiveness looks for a state from which no end can be reached. States at the bound of depth may still reach one, and
-// count as if they did.
+// checkLiveness looks for a state from which no end state can be reached, and records it as the counterexample. States at
+// the bound of depth may still reach an end state, so they count as if they did.
 func (e *explorer) checkLiveness(atDepthBound []int32) {
 	for i, reaches := range e.reachEnd(atDepthBound) {
 		if !reaches { // states are ordered by depth, so the first one has a shortest trace
@@ -17,7 +17,8 @@
 	}
 }
 
-// reachEnd tells of each state whether it reaches an end or the edge: it goes back from those along all steps taken.
+// reachEnd returns, for each state, whether an end state or a state at the bound of depth can be reached from it. It
+// follows all steps taken backwards from those states.
 func (e *explorer) reachEnd(atDepthBound []int32) []bool {
 	predecessors := make([][]int32, len(e.states))
 	for _, step := range e.edges {
