--- a/internal/modelcheck/models/systems_test.go
+++ b/internal/modelcheck/models/systems_test.go
@@ -63,7 +63,7 @@
 		explorerBounds := bounds[0].ExplorerBounds(0)
 		explorerBounds.MaxStates = 2000
 		modelcheck.Run(context.Background(), k.New(bounds[0], ""), explorerBounds, nil)
-		assert.Empty(t, rules[k.Name].Unmet(), "%s: hash rules name types that no state holds", k.Name)
+		assert.Empty(t, rules[k.Name].UnusedTypes(), "%s: hash rules name types that no state holds", k.Name)
 	}
 }
 
@@ -132,7 +132,7 @@
 				property, detail := s.Broken()
 				require.Empty(t, property, detail)
 			}
-			property, detail := modelcheck.Settled(s)
+			property, detail := modelcheck.Settle(s)
 			require.Empty(t, property, detail)
 		})
 	}
