--- a/internal/fleet/lease/campaign.go
+++ b/internal/fleet/lease/campaign.go
@@ -1,24 +1,24 @@
 package lease
 
-// Majority returns how many of so many agents form a majority: any two majorities share an agent.
+// Majority returns the size of the smallest majority of the given number of agents. Any two majorities share an agent.
 func Majority(agents int) int { return agents/2 + 1 }
 
-// Campaign is the requester's side: it collects the agents' replies to one request.
+// Campaign is the requester's side of one lease request. It collects the agents' replies and determines the result.
 type Campaign struct {
 	Request      Request
-	agents       int // in all
-	replies      map[int]Denial
-	newestRecord Record
-	blockedBy    State // another holder's lease; of several, the one that lasts longest
-	highestEpoch uint64
+	agents       int            // number of agents in the fleet
+	replies      map[int]Denial // by agent; an unreachable agent counts as NotHolder
+	newestRecord Record         // newest record that a granting agent reported
+	blockedBy    State          // another holder's lease that a denying agent reported; the longest-lasting of several
+	highestEpoch uint64         // highest epoch in the request and the replies
 }
 
-// NewCampaign returns a campaign without a reply. Agents are numbered from 0.
+// NewCampaign returns a campaign that has no replies yet. Agents are numbered from 0.
 func NewCampaign(r Request, agents int) *Campaign {
 	return &Campaign{Request: r, agents: agents, replies: map[int]Denial{}, highestEpoch: r.Epoch}
 }
 
-// AddReply takes in one agent's reply, with its lease and record as they are after it.
+// AddReply adds one agent's reply: its denial, or Granted, and its lease and record after it handled the request.
 func (c *Campaign) AddReply(agent int, denial Denial, s State, r Record) {
 	c.replies[agent] = denial
 	c.highestEpoch = max(c.highestEpoch, s.Epoch)
@@ -34,24 +34,24 @@
 	}
 }
 
-// AddUnreachable notes that an agent cannot be reached. A reply that was heard before stands.
+// AddUnreachable records that an agent cannot be reached. An earlier reply of that agent stays valid.
 func (c *Campaign) AddUnreachable(agent int) {
 	if _, replied := c.replies[agent]; !replied {
 		c.replies[agent] = NotHolder
 	}
 }
 
-// Result is how a campaign stands.
+// Result is the result of a campaign so far.
 type Result int
 
 // Results of a campaign. Won and Lost are final.
 const (
 	Pending Result = iota
 	Won            // a majority has granted the request
-	Lost           // so many agents denied it or cannot be reached that no majority is left
+	Lost           // too many agents denied it or cannot be reached for a majority to grant it
 )
 
-// Result tells how the campaign stands.
+// Result returns the campaign's result so far.
 func (c *Campaign) Result() Result {
 	granted := 0
 	for _, denial := range c.replies {
@@ -69,17 +69,17 @@
 	return Pending
 }
 
-// NewestRecord returns the newest record that the granting agents store. Once the campaign is won, no newer one
-// can come up under a lower epoch, for that would need a majority too.
+// NewestRecord returns the newest record that the granting agents have stored. Once the campaign is won, a majority
+// can no longer store a newer record under a lower epoch, because every majority includes a granting agent.
 func (c *Campaign) NewestRecord() Record { return c.newestRecord }
 
-// BlockedBy returns another holder's lease that was given as the reason of a denial; the zero value if there is none.
+// BlockedBy returns another holder's lease that led an agent to deny the request, or the zero value if there is none.
 func (c *Campaign) BlockedBy() State { return c.blockedBy }
 
-// HighestEpoch returns the highest epoch heard of: the next request must be above it.
+// HighestEpoch returns the highest epoch in the request and the replies. The next request needs a higher one.
 func (c *Campaign) HighestEpoch() uint64 { return c.highestEpoch }
 
-// GrantedBy tells whether an agent has granted the request.
+// GrantedBy reports whether an agent has granted the request.
 func (c *Campaign) GrantedBy(agent int) bool {
 	denial, replied := c.replies[agent]
 	return replied && denial == Granted
--- a/internal/fleet/lease/campaign_test.go
+++ b/internal/fleet/lease/campaign_test.go
@@ -13,11 +13,11 @@
 	assert.Equal(t, Pending, c.Result())
 	c.AddReply(2, HeldByOther, State{Epoch: 8, Holder: "b", Held: true, RemainingSeconds: 3}, Record{Version: Version{Epoch: 8, Number: 1}})
 	c.AddUnreachable(3)
-	c.AddUnreachable(0) // has replied already
+	c.AddUnreachable(0) // agent 0 has replied, so this changes nothing
 	assert.Equal(t, Pending, c.Result())
 	c.AddReply(4, Granted, State{Epoch: 3}, Record{})
 	assert.Equal(t, Won, c.Result())
-	assert.Equal(t, "new", string(c.NewestRecord().Body), "of those who granted")
+	assert.Equal(t, "new", string(c.NewestRecord().Body), "only records of granting agents count")
 	assert.Equal(t, "b", c.BlockedBy().Holder)
 	assert.EqualValues(t, 8, c.HighestEpoch())
 	assert.True(t, c.GrantedBy(4))
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -3,30 +3,31 @@
 // Request asks an agent for a lease under an epoch.
 type Request struct {
 	Epoch    uint64 `cbor:"Epoch"`
-	Holder   string `cbor:"Holder"`   // identifies one running tool; no two share it
-	Takeover bool   `cbor:"Takeover"` // also from a holder whose lease has not expired
+	Holder   string `cbor:"Holder"`   // identifies one running tool; every tool has a different one
+	Takeover bool   `cbor:"Takeover"` // grant it even if another holder's lease has not expired
 }
 
-// State is what an agent reports of the lease that it granted last.
+// State is an agent's report of the lease that it granted last.
 type State struct {
-	Epoch            uint64  `cbor:"Epoch"`  // the highest granted; requests with a lower one are denied
-	Holder           string  `cbor:"Holder"` // to whom it was granted
-	Held             bool    `cbor:"Held"`   // neither expired nor released
-	HeldSeconds      float64 `cbor:"Since"`  // since Holder acquired it
-	RemainingSeconds float64 `cbor:"Left"`   // until it expires; 0 if it is not held
+	Epoch            uint64  `cbor:"Epoch"`  // highest epoch granted; requests with a lower one are denied
+	Holder           string  `cbor:"Holder"` // holder to whom Epoch was granted
+	Held             bool    `cbor:"Held"`   // the lease has neither expired nor been released
+	HeldSeconds      float64 `cbor:"Since"`  // time since Holder acquired the lease
+	RemainingSeconds float64 `cbor:"Left"`   // time until the lease expires; 0 if it is not held
 }
 
-// Denial is why an agent does not do what it was asked.
+// Denial is the reason for which an agent denies a call, or Granted.
 type Denial int
 
-// Denials. Granted, the zero value, is none. The numbers are sent: their order must stay.
+// Denials. The zero value, Granted, means that the agent has not denied the call. The numbers are sent to other
+// processes, so their order must stay.
 const (
 	Granted     Denial = iota
-	StaleEpoch         // a higher epoch was granted: the caller is fenced off, or must request a higher one
+	StaleEpoch         // a higher epoch was granted: the caller is fenced off or must request a higher epoch
 	HeldByOther        // another holder's lease has not expired
-	NotHolder          // this epoch was granted to another holder, or not by this agent
+	NotHolder          // this agent granted the epoch to another holder, or has not granted it
 	Expired            // the caller's lease has expired by this agent's clock
-	StaleRecord        // a newer record is stored
+	StaleRecord        // the agent has stored a newer record
 )
 
 var denials = [...]string{
@@ -34,35 +35,36 @@
 	"the claim has run out", "a newer record is kept",
 }
 
-// String returns the denial as a text for people.
+// String returns the denial as text for operators.
 func (d Denial) String() string { return denials[d] }
 
-// PersistentState is what an agent must have stored before it acknowledges a call that changed it.
+// PersistentState is the part of a lease that an agent stores durably. An agent acknowledges a call that changes it only
+// after the change is stored.
 type PersistentState struct {
-	Epoch  uint64 `cbor:"Epoch"`  // the highest granted
-	Holder string `cbor:"Holder"` // to whom it was granted
-	Held   bool   `cbor:"Held"`   // neither expired nor released
-	Record Record `cbor:"Record"` // the newest that a holder had stored
+	Epoch  uint64 `cbor:"Epoch"`  // highest epoch granted
+	Holder string `cbor:"Holder"` // holder to whom Epoch was granted
+	Held   bool   `cbor:"Held"`   // the lease has neither expired nor been released
+	Record Record `cbor:"Record"` // newest record that a holder has sent to this agent
 }
 
-// Lease is an agent's side of the lease. The zero value has granted nothing. It is a plain value: a caller that
-// fails to store a change goes back to a copy taken before.
+// Lease is an agent's side of the lease. The zero value has granted nothing. Assignment copies a Lease in full, so a
+// caller that fails to store a change can restore a copy that it took before the change.
 type Lease struct {
 	PersistentState
-	TermSeconds float64 // after which a lease expires unless it is renewed
-	now         float64 // the latest time handed in
-	heldSince   float64
-	expiresAt   float64
+	TermSeconds float64 // time after which a lease expires unless it is renewed
+	now         float64 // latest time passed by a caller, in seconds
+	heldSince   float64 // when Holder acquired the lease, in seconds
+	expiresAt   float64 // when the lease expires unless it is renewed, in seconds
 }
 
-// Restore returns the lease of an agent that starts again. Its clock is a new one, so a lease that was held counts
-// as renewed at now: it may last too long by that, and never too short.
+// Restore returns the lease of an agent that has restarted. Times of the clock before the restart mean nothing on the
+// new one, so a lease that was held counts as renewed at now. It may therefore last too long, but never too short.
 func Restore(p PersistentState, termSeconds, now float64) Lease {
 	return Lease{PersistentState: p, TermSeconds: termSeconds, now: now, heldSince: now, expiresAt: now + termSeconds}
 }
 
-// advance takes in the time and expires the lease. A time before the latest counts as that one: an expired lease
-// must not become valid again.
+// advance sets the time and ends the lease if it has expired. If now is before the latest time, the latest time stays:
+// otherwise an expired lease could become valid again.
 func (l *Lease) advance(now float64) {
 	l.now = max(l.now, now)
 	if l.Held && l.now >= l.expiresAt {
@@ -70,7 +72,7 @@
 	}
 }
 
-// State reports the lease as of now.
+// State returns the state of the lease at now.
 func (l *Lease) State(now float64) State {
 	l.advance(now)
 	s := State{Epoch: l.Epoch, Holder: l.Holder, Held: l.Held, HeldSeconds: l.now - l.heldSince}
@@ -80,8 +82,8 @@
 	return s
 }
 
-// Acquire grants the lease under a new epoch, or denies it. A repeat of the request that was granted last is
-// granted again.
+// Acquire grants the lease under a higher epoch, or denies the request. It grants a repeat of the request that it granted
+// last.
 func (l *Lease) Acquire(now float64, r Request) Denial {
 	l.advance(now)
 	switch {
@@ -100,7 +102,8 @@
 	return Granted
 }
 
-// Renew tells whether the holder may act here now, and extends its lease by a term if so.
+// Renew extends the holder's lease to one term from now and returns Granted if the holder may act at this agent.
+// Otherwise it returns the reason.
 func (l *Lease) Renew(now float64, epoch uint64, holder string) Denial {
 	l.advance(now)
 	switch {
@@ -115,7 +118,7 @@
 	return Granted
 }
 
-// StoreRecord renews the lease and replaces the stored record by one of the holder's that is not older.
+// StoreRecord renews the lease and replaces the stored record by the holder's, unless the stored one is newer.
 func (l *Lease) StoreRecord(now float64, epoch uint64, holder string, r Record) Denial {
 	if denial := l.Renew(now, epoch, holder); denial != Granted {
 		return denial
@@ -127,7 +130,8 @@
 	return Granted
 }
 
-// Release ends the lease before it expires. Lower epochs stay denied. Releasing an expired lease is granted.
+// Release ends the lease before it expires. The agent goes on denying lower epochs. Releasing an expired lease returns
+// Granted.
 func (l *Lease) Release(now float64, epoch uint64, holder string) Denial {
 	if denial := l.Renew(now, epoch, holder); denial != Granted && denial != Expired {
 		return denial
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -20,7 +20,7 @@
 	assert.Equal(t, StaleEpoch, l.Renew(5, 1, "a"), "fenced")
 	assert.Equal(t, NotHolder, l.Renew(5, 2, "a"))
 	assert.Equal(t, NotHolder, l.Renew(5, 3, "b"), "never granted here")
-	assert.Equal(t, Granted, l.Acquire(5, Request{Epoch: 3, Holder: "b"}), "a holder may go higher")
+	assert.Equal(t, Granted, l.Acquire(5, Request{Epoch: 3, Holder: "b"}), "the holder may request a higher epoch")
 	assert.Equal(t, StaleEpoch, l.Renew(5, 2, "b"))
 }
 
@@ -28,9 +28,9 @@
 	l := newLease()
 	l.Acquire(0, Request{Epoch: 1, Holder: "a"})
 	assert.Equal(t, Granted, l.Renew(9, 1, "a"))
-	assert.Equal(t, Granted, l.Renew(18, 1, "a"), "renewed by being used")
+	assert.Equal(t, Granted, l.Renew(18, 1, "a"), "the call before renewed it")
 	assert.Equal(t, Expired, l.Renew(28, 1, "a"))
-	assert.Equal(t, Expired, l.Renew(20, 1, "a"), "a clock that goes back brings nothing to life")
+	assert.Equal(t, Expired, l.Renew(20, 1, "a"), "an expired lease stays expired when the clock goes back")
 	assert.Equal(t, Granted, l.Acquire(28, Request{Epoch: 2, Holder: "b"}))
 	assert.Equal(t, Granted, l.Release(28, 2, "b"))
 	assert.Equal(t, Expired, l.Renew(28, 2, "b"))
@@ -54,7 +54,7 @@
 	l.Acquire(0, Request{Epoch: 2, Holder: "a"})
 	assert.Equal(t, Granted, l.StoreRecord(0, 2, "a", Record{Version: Version{Epoch: 2, Number: 5}}))
 	assert.Equal(t, StaleRecord, l.StoreRecord(0, 2, "a", Record{Version: Version{Epoch: 2, Number: 4}}))
-	assert.Equal(t, StaleRecord, l.StoreRecord(0, 2, "a", Record{Version: Version{Epoch: 1, Number: 9}}), "of another epoch than the holder's")
+	assert.Equal(t, StaleRecord, l.StoreRecord(0, 2, "a", Record{Version: Version{Epoch: 1, Number: 9}}), "its epoch is not the holder's")
 	assert.Equal(t, Granted, l.StoreRecord(0, 2, "a", Record{Version: Version{Epoch: 2, Number: 5}}), "a repeat")
 }
 
--- a/internal/fleet/lease/model_test.go
+++ b/internal/fleet/lease/model_test.go
@@ -12,10 +12,10 @@
 
 const modelTermSeconds = 10
 
-// candidate is a tool that requests leases, one after another, and stores records while it holds one.
+// candidate is a tool that requests one lease after another and stores records while it holds one.
 type candidate struct {
 	campaign *Campaign
-	records  uint64 // stored under the campaign's epoch
+	records  uint64 // number of records sent under the campaign's epoch
 }
 
 // lateCall is a holder's call that may arrive at an agent at any later time.
@@ -24,15 +24,15 @@
 	holder string
 }
 
-// leaseModel is candidates and agents that restart and whose clocks leap, with messages lost and late.
+// leaseModel simulates candidates and agents. Agents restart, their clocks jump, and messages are lost or late.
 type leaseModel struct {
 	agents      []Lease
-	clocks      []float64 // of the agents
+	clocks      []float64 // by agent, in seconds
 	candidates  []candidate
-	winners     map[uint64]string // holder by epoch
+	winners     map[uint64]string // holder that won each epoch
 	lateCalls   []lateCall
-	actedEpochs []uint64 // highest epoch that acted, by agent
-	stored      Version  // of the newest record that a majority was seen to store
+	actedEpochs []uint64 // highest epoch under which a holder acted, by agent
+	stored      Version  // version of the newest record that a majority has stored
 }
 
 func newLeaseModel(agents int) *leaseModel {
@@ -86,7 +86,7 @@
 	*c = candidate{campaign: NewCampaign(r, len(m.agents))}
 }
 
-// request delivers a candidate's request to an agent, and its reply unless that is lost.
+// request delivers a candidate's request to an agent, and delivers the reply unless it is lost.
 func (m *leaseModel) request(t *rapid.T, c *candidate, agent int) {
 	if c.campaign == nil {
 		return
@@ -102,19 +102,19 @@
 	}
 	epoch := c.campaign.Request.Epoch
 	if winner, taken := m.winners[epoch]; taken {
-		assert.Equal(t, winner, c.campaign.Request.Holder, "two hold epoch %d", epoch)
+		assert.Equal(t, winner, c.campaign.Request.Holder, "two candidates hold epoch %d", epoch)
 	}
 	m.winners[epoch] = c.campaign.Request.Holder
 }
 
-// storeRecord has a lease holder store a record with those agents that it reaches.
+// storeRecord sends a record of a lease holder to the agents that it reaches.
 func (m *leaseModel) storeRecord(t *rapid.T, c *candidate) {
 	if c.campaign == nil || c.campaign.Result() != Won {
 		return
 	}
 	epoch, holder := c.campaign.Request.Epoch, c.campaign.Request.Holder
 	found := c.campaign.NewestRecord().Version.Epoch
-	assert.False(t, found < m.stored.Epoch && m.stored.Epoch < epoch, "a stored record was not found")
+	assert.False(t, found < m.stored.Epoch && m.stored.Epoch < epoch, "the winner did not find a record that a majority had stored")
 	c.records++
 	r := Record{Version: Version{Epoch: epoch, Number: c.records}}
 	granted := 0
