--- a/internal/fleet/rollout/current_step.go
+++ b/internal/fleet/rollout/current_step.go
@@ -2,17 +2,18 @@
 
 import "math"
 
-// maxStepsNotApplied is how many steps in a row may not be applied before the rollout pauses.
+// maxStepsNotApplied is the number of consecutive steps that were not applied after which the rollout pauses.
 const maxStepsNotApplied = 3
 
-// A share of unanswered commands is larger than before only if chance does not explain it: the count must exceed
-// what the earlier share predicts by this many standard deviations and, as small counts vary more, commands.
+// Margins within which chance explains a larger share of unanswered commands. The number of unanswered commands must
+// exceed the number expected from the earlier share by more than unansweredDeviations standard deviations plus
+// unansweredAllowance commands. The allowance is there because small numbers vary more.
 const (
 	unansweredDeviations = 3
 	unansweredAllowance  = 1
 )
 
-// beginStep decides on a step of an instance.
+// beginStep decides to begin a step of an instance, or to pause if a rollback has no revision to return it to.
 func (p *Planner) beginStep(instance int, o *Observation) Decision {
 	r := p.Rollout
 	r.StepsBegun++
@@ -23,7 +24,7 @@
 	}
 	if r.RollingBack {
 		if o.PreviousRevision == "" {
-			reason := Reason{Kind: ReasonCannotRollBack, Instance: instance, Detail: "it ran nothing before"}
+			reason := Reason{Kind: ReasonCannotRollBack, Instance: instance, Detail: "it has no previous revision"}
 			return p.finish(Paused, reason)
 		}
 		r.CurrentStep.Revision = o.PreviousRevision
@@ -31,7 +32,7 @@
 	return p.decide(ActionBeginStep, r, Reason{})
 }
 
-// continueStep decides while there is a current step. It tells whether the step is completed; then there is no decision.
+// continueStep decides what to do about the current step. If the step is completed, it returns true and no decision.
 func (p *Planner) continueStep(now float64, observations []Observation) (decision Decision, completed bool) {
 	step := p.Rollout.CurrentStep
 	if p.Rollout.excludes(step.Instance) {
@@ -65,7 +66,8 @@
 	return p.soak(o)
 }
 
-// stepNotApplied gives the current step up. The instance is chosen anew, or the rollout pauses after several in a row.
+// stepNotApplied decides to drop the current step, so that the planner can choose the instance again. After
+// maxStepsNotApplied of these in a row the rollout pauses.
 func (p *Planner) stepNotApplied() Decision {
 	r := p.Rollout
 	instance := r.CurrentStep.Instance
@@ -79,8 +81,8 @@
 	return p.decide(ActionCompleteStep, r, Reason{})
 }
 
-// resendStep has the current step sent if it is still allowed: what was observed when it was decided, perhaps by
-// another tool, may no longer hold.
+// resendStep decides to send the current step if it is still allowed. The observations on which the step was decided,
+// perhaps by another tool, may be out of date.
 func (p *Planner) resendStep(now float64, observations []Observation) Decision {
 	step := p.Rollout.CurrentStep
 	reason := p.findBusy(now, observations)
@@ -102,7 +104,7 @@
 	return decision
 }
 
-// soak watches the changed instance serve before the next one is touched.
+// soak checks that the changed instance serves well for the soak time before the planner changes the next one.
 func (p *Planner) soak(o *Observation) (decision Decision, completed bool) {
 	instance := p.Rollout.CurrentStep.Instance
 	after := o.CommandsSinceStep
@@ -121,8 +123,8 @@
 	return Decision{}, true
 }
 
-// moreUnanswered tells whether the share of unanswered commands has grown by more than chance explains. It guards
-// against a revision with which a router is ready but fails.
+// moreUnanswered reports whether the share of unanswered commands has grown by more than chance explains. This detects
+// a revision with which a router is ready but fails to answer commands.
 func moreUnanswered(before, after CommandCounts) bool {
 	if after.Completed == 0 {
 		return false
--- a/internal/fleet/rollout/decision.go
+++ b/internal/fleet/rollout/decision.go
@@ -1,22 +1,23 @@
 package rollout
 
-// Action is what is to be done next in a rollout.
+// Action is what a coordinator has to do next in a rollout.
 type Action int
 
-// Actions. For all but ActionWait and ActionResendStep, Decision.Rollout must be stored by a majority of agents first.
+// Actions. Except for ActionWait and ActionResendStep, a majority of agents must store Decision.Rollout before the
+// decision takes effect.
 const (
-	ActionWait          Action = iota // observe again
+	ActionWait          Action = iota // do nothing until the next observations
 	ActionBeginStep                   // store the rollout with its new step
-	ActionResendStep                  // send Decision.Step, which its agent has not begun
-	ActionCompleteStep                // the current step is over: store that
-	ActionFinish                      // store the rollout's new state: it has ended or pauses
-	ActionStartRollback               // store that the rollout rolls back from here
+	ActionResendStep                  // send Decision.Step, which the instance's agent has not begun
+	ActionCompleteStep                // the current step has ended: store the rollout without it
+	ActionFinish                      // store the rollout's new state: it has ended or paused
+	ActionStartRollback               // store the rollout as rolling back
 )
 
-// Decision is what to do next.
+// Decision is a planner's decision about what to do next.
 type Decision struct {
 	Action  Action
-	Step    Step    // to be sent for ActionResendStep; else the rollout's current step
-	Rollout Rollout // as it is to be stored
-	Reason  Reason  // of a wait, a pause, an end or a rollback
+	Step    Step    // the step to send for ActionResendStep; otherwise the rollout's current step
+	Rollout Rollout // the rollout as the agents must store it
+	Reason  Reason  // why the rollout waits, pauses, ends or rolls back
 }
--- a/internal/fleet/rollout/fleet.go
+++ b/internal/fleet/rollout/fleet.go
@@ -2,35 +2,35 @@
 
 import "slices"
 
-// Fleet is the instances that a rollout changes and the limits that it keeps to.
+// Fleet is the set of instances that a rollout changes, with the limits that the rollout must observe.
 type Fleet struct {
 	Instances        []Instance
-	ZoneMinAvailable []int // by zone: how many of its instances must serve
-	MinAvailable     int   // how many instances of the fleet must serve
+	ZoneMinAvailable []int // minimum number of serving instances, by zone
+	MinAvailable     int   // minimum number of serving instances in the whole fleet
 	Timing           Timing
 }
 
-// Instance is where one router belongs.
+// Instance is the place of one router in the fleet.
 type Instance struct {
 	Zone  int // index into Fleet.ZoneMinAvailable
 	Agent int // index of the agent that runs the router
 }
 
-// Timing is how long a rollout waits for what.
+// Timing holds the periods and timeouts of a rollout.
 type Timing struct {
-	SoakSeconds           float64 // a changed instance must have served well before the next is changed
-	StaleAfterSeconds     float64 // an older observation says nothing any more
-	ContactTimeoutSeconds float64 // the rollout pauses if an obstacle, such as an unknown instance, lasts
-	StepTimeoutSeconds    float64 // the rollout pauses if a step has no result
+	SoakSeconds           float64 // time for which a changed instance must serve well before the next is changed
+	StaleAfterSeconds     float64 // age above which an observation is ignored
+	ContactTimeoutSeconds float64 // the rollout pauses if an obstacle, such as an unknown instance, lasts this long
+	StepTimeoutSeconds    float64 // the rollout pauses if a step has no result within this time
 }
 
-// instanceCounts counts some of a fleet's instances.
+// instanceCounts holds numbers of instances, by zone and in the whole fleet.
 type instanceCounts struct {
 	byZone []int
 	total  int
 }
 
-// count counts the instances for which include is true.
+// count counts the instances for which include returns true.
 func (f *Fleet) count(include func(instance int) bool) instanceCounts {
 	c := instanceCounts{byZone: make([]int, len(f.ZoneMinAvailable))}
 	for i := range f.Instances {
@@ -42,8 +42,8 @@
 	return c
 }
 
-// CheckFeasible tells why the minimums allow no step in one of the zones even if all instances but the excluded ones
-// served; ReasonNone if they allow one in each. The list excluded must be sorted.
+// CheckFeasible checks whether the minimums allow a step in every zone while all instances except the excluded ones
+// serve. It returns the reason for the first zone in which they don't, or ReasonNone. The list excluded must be sorted.
 func CheckFeasible(f *Fleet, excluded []int) Reason {
 	available := f.count(func(instance int) bool { return !containsSorted(excluded, instance) })
 	if available.total == 0 {
@@ -60,7 +60,8 @@
 	return Reason{}
 }
 
-// checkMinimums tells whether enough instances would still serve with one of the zone's serving instances less.
+// checkMinimums checks whether enough instances would still serve if one serving instance of the zone stopped. It returns
+// the reason if not, or ReasonNone.
 func (f *Fleet) checkMinimums(serving instanceCounts, zone int) Reason {
 	if have := serving.byZone[zone] - 1; have < f.ZoneMinAvailable[zone] {
 		return Reason{Kind: ReasonZoneMinimum, Zone: zone, Have: have, Need: f.ZoneMinAvailable[zone]}
--- a/internal/fleet/rollout/planner.go
+++ b/internal/fleet/rollout/planner.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// Planner decides over one rollout. Beside the rollout it keeps only how long it has been waiting for the same
-// thing: a new planner for the same rollout waits anew.
+// Planner decides what happens next in one rollout. Besides the rollout it keeps only since when it has been waiting and
+// for which reason, so a new planner for the same rollout starts its timeouts again.
 type Planner struct {
-	Fleet   *Fleet  // not changed
-	Rollout Rollout // as a majority of agents stores it; the caller replaces it once a decision is stored
+	Fleet   *Fleet  // the planner does not change it
+	Rollout Rollout // as a majority of agents stores it; the caller replaces it after a decision is stored
 
-	waitReason   Reason
-	waitingSince float64 // -Inf: it is not waiting
+	waitReason   Reason  // why the planner waits
+	waitingSince float64 // in seconds; -Inf if it is not waiting
 }
 
 // NewPlanner returns a planner that continues a rollout.
@@ -17,8 +17,8 @@
 	return &Planner{Fleet: f, Rollout: r, waitingSince: math.Inf(-1)}
 }
 
-// Next decides what to do at a time, given one observation of each instance and what an operator has requested of
-// the rollout from another tool. A request is followed once no step is under way.
+// Next decides what to do now, given one observation of each instance and the request, if any, that an operator has
+// sent with another tool. The planner follows a request only while no step is under way.
 func (p *Planner) Next(now float64, observations []Observation, request OperatorRequest) Decision {
 	if p.Rollout.State != Running {
 		return p.wait(Reason{Kind: ReasonNothingToDo})
@@ -50,19 +50,19 @@
 	return p.nextInstance(now, observations)
 }
 
-// StepRefused decides to pause because the agent of the current step refuses to begin it. The step stays in the
-// rollout: whoever resumes it resolves the step first.
+// StepRefused returns the decision to pause because the agent of the current step refuses to begin it. The step stays in
+// the rollout: the tool that resumes the rollout resolves the step first.
 func (p *Planner) StepRefused(detail string) Decision {
 	reason := Reason{Kind: ReasonStepRefused, Instance: p.Rollout.CurrentStep.Instance, Detail: detail}
 	return p.finish(Paused, reason)
 }
 
-// ServingCount counts the instances that serve.
+// ServingCount returns the number of instances that serve at now.
 func (p *Planner) ServingCount(now float64, observations []Observation) int {
 	return p.countServing(now, observations).total
 }
 
-// FinishedCount counts the instances that are where the rollout wants them.
+// FinishedCount returns the number of instances that the rollout no longer has to change.
 func (p *Planner) FinishedCount(observations []Observation) int {
 	finished := 0
 	for i := range observations {
@@ -77,17 +77,17 @@
 	return p.Fleet.count(func(instance int) bool { return p.serving(&observations[instance], now) })
 }
 
-// known tells whether an observation is not stale.
+// known reports whether an observation is recent enough to count.
 func (p *Planner) known(o *Observation, now float64) bool {
 	return now-o.SeenAt <= p.Fleet.Timing.StaleAfterSeconds
 }
 
-// serving tells whether an instance counts as serving: it is known to be ready and not in a step.
+// serving reports whether an instance counts as serving. It must be known, ready and not in a step.
 func (p *Planner) serving(o *Observation, now float64) bool {
 	return p.known(o, now) && o.State == ProcessReady && !o.stepPending()
 }
 
-// finished tells whether an instance is where the rollout wants it. A rollback wants only those instances back
+// finished reports whether the rollout no longer has to change an instance. A rollback has to change only the instances
 // that the rollout has changed.
 func (p *Planner) finished(o *Observation) bool {
 	changed := o.LastStep.RolloutID == p.Rollout.ID
@@ -103,8 +103,8 @@
 	return o.LastResult == StepNotApplied && o.Revision == o.PreviousRevision
 }
 
-// findBusy looks for an instance that may be in a step of another rollout, and gives the reason of the first:
-// excluded instances aside, each must be known and in no step.
+// findBusy returns the reason for the first instance that may be in a step, or ReasonNone. Every instance that is not
+// excluded must be known and not in a step.
 func (p *Planner) findBusy(now float64, observations []Observation) Reason {
 	for i := range observations {
 		o := &observations[i]
@@ -121,8 +121,8 @@
 	return Reason{}
 }
 
-// nextInstance begins a step of the next instance. One that does not serve comes first: its step cannot lower the
-// number of serving instances.
+// nextInstance decides to begin a step of the next instance that the minimums allow. Instances that do not serve come
+// first, because a step of theirs cannot lower the number of serving instances.
 func (p *Planner) nextInstance(now float64, observations []Observation) Decision {
 	for i := range observations {
 		if p.remaining(i, observations) && !p.serving(&observations[i], now) {
@@ -150,12 +150,13 @@
 	return p.finishAll(observations)
 }
 
-// remaining tells whether an instance is still to be changed.
+// remaining reports whether the rollout still has to change an instance.
 func (p *Planner) remaining(instance int, observations []Observation) bool {
 	return !p.Rollout.excludes(instance) && !p.finished(&observations[instance])
 }
 
-// finishAll ends a rollout in which only excluded instances may remain. If some do, it pauses.
+// finishAll decides to end a rollout when no instance except excluded ones remains to be changed. If an excluded instance
+// remains, the rollout pauses instead.
 func (p *Planner) finishAll(observations []Observation) Decision {
 	skipped := 0
 	for _, i := range p.Rollout.ExcludedInstances {
@@ -172,11 +173,11 @@
 	return p.finish(Complete, Reason{})
 }
 
-// rollBackOrPause reacts to a failure: a rollout rolls back, a rollback pauses.
+// rollBackOrPause decides what follows a failed step: a rollout rolls back, and a rollback pauses.
 func (p *Planner) rollBackOrPause(reason Reason) Decision {
 	if p.Rollout.RollingBack {
 		reason.Kind = ReasonCannotRollBack
-		reason.Detail = "the way back failed too: " + reason.Detail
+		reason.Detail = "the rollback failed too: " + reason.Detail
 		return p.finish(Paused, reason)
 	}
 	return p.startRollback(reason)
@@ -191,7 +192,8 @@
 	return p.decide(ActionStartRollback, r, cause)
 }
 
-// finish ends or pauses the rollout. Its current step stays: whoever resumes the rollout resolves the step first.
+// finish decides to end or pause the rollout. The current step stays in the rollout: the tool that resumes the rollout
+// resolves the step first.
 func (p *Planner) finish(s State, reason Reason) Decision {
 	r := p.Rollout
 	r.State = s
@@ -199,15 +201,15 @@
 	return p.decide(ActionFinish, r, reason)
 }
 
-// decide returns a decision that changes the rollout to r. Whatever was waited for is over.
+// decide returns a decision that changes the rollout to r, and ends any wait.
 func (p *Planner) decide(action Action, r Rollout, reason Reason) Decision {
 	p.waitingSince = math.Inf(-1)
 	p.waitReason = Reason{}
 	return Decision{Action: action, Step: r.CurrentStep, Rollout: r, Reason: reason}
 }
 
-// waitFor waits for a reason to pass, and pauses the rollout after a timeout. Reasons that differ only in their
-// numbers are the same wait.
+// waitFor decides to wait until a reason no longer holds, or to pause the rollout after a timeout. A reason of the same
+// kind and instance continues the wait, even if its other fields differ.
 func (p *Planner) waitFor(now float64, reason Reason, timeoutSeconds float64) Decision {
 	waiting := p.waitingSince != math.Inf(-1)
 	sameReason := p.waitReason.Kind == reason.Kind && p.waitReason.Instance == reason.Instance
--- a/internal/fleet/rollout/reason.go
+++ b/internal/fleet/rollout/reason.go
@@ -1,36 +1,36 @@
 package rollout
 
-// ReasonKind tells reasons apart.
+// ReasonKind is the kind of a reason.
 type ReasonKind int
 
-// Kinds of reasons, with the fields of Reason that they use. The numbers are stored: their order must stay.
+// Kinds of reasons, with the fields of Reason that each of them sets. The numbers are stored, so their order must stay.
 const (
 	ReasonNone              ReasonKind = iota
 	ReasonOperator                     // an operator requested it
 	ReasonAgentUnreachable             // Instance's agent does not answer
-	ReasonProcessUnknown               // Instance's agent does not know its process yet
+	ReasonProcessUnknown               // Instance's agent does not know the state of its process yet
 	ReasonInstanceBusy                 // Instance is in a step of another rollout
-	ReasonStepUnresolved               // Instance's step has no result in time
-	ReasonZoneMinimum                  // Zone would be left with Have serving instances and needs Need
-	ReasonFleetMinimum                 // the fleet would be left with Have serving instances and needs Need
-	ReasonStepFailed                   // Instance did not come up with the revision; Detail says why
-	ReasonSoakFailed                   // Instance was not ready during its soak; Detail is its state
-	ReasonMoreUnanswered               // Instance left Have of Need commands unanswered, a larger share than before
-	ReasonCannotRollBack               // Instance's rollback failed, or it ran nothing before; Detail says which
-	ReasonInstancesExcluded            // Have excluded instances have not been changed
-	ReasonStepNeverApplied             // Instance's step was not applied Have times in a row
-	ReasonStepRefused                  // Instance's agent refuses the step; Detail says why
-	ReasonNothingToDo                  // no instance remains, or the rollout is not running
+	ReasonStepUnresolved               // Instance's step has no result within the step timeout
+	ReasonZoneMinimum                  // a step would leave Zone with Have serving instances; it needs Need
+	ReasonFleetMinimum                 // a step would leave the fleet with Have serving instances; it needs Need
+	ReasonStepFailed                   // Instance did not become ready with the revision; Detail is the cause
+	ReasonSoakFailed                   // Instance was not ready during its soak; Detail is its process state
+	ReasonMoreUnanswered               // Instance left Have of Need commands unanswered, a larger share than before its step
+	ReasonCannotRollBack               // Instance's rollback failed, or it has no previous revision; Detail says which
+	ReasonInstancesExcluded            // Have instances were excluded and have not been changed
+	ReasonStepNeverApplied             // Instance's step was not applied; Have such steps came in a row
+	ReasonStepRefused                  // Instance's agent refuses to begin the step; Detail is the cause
+	ReasonNothingToDo                  // no instance remains to be changed, or the rollout is not running
 )
 
-// Reason says why a rollout waits, pauses, ends or rolls back. Which fields are set depends on Kind.
+// Reason is why a rollout waits, pauses, ends or rolls back. Kind determines which other fields are set.
 type Reason struct {
 	Kind     ReasonKind `cbor:"Kind"`
 	Instance int        `cbor:"Instance"` // index into Fleet.Instances
 	Zone     int        `cbor:"Hall"`     // index into Fleet.ZoneMinAvailable
 	Have     int        `cbor:"Have"`
 	Need     int        `cbor:"Need"`
-	Detail   string     `cbor:"Detail"` // for people
+	Detail   string     `cbor:"Detail"` // text for operators
 }
 
 func (r Reason) isSet() bool { return r.Kind != ReasonNone }
