--- a/internal/fleet/coordinator/calls.go
+++ b/internal/fleet/coordinator/calls.go
@@ -6,20 +6,20 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// maxRefusals is how often in a row an agent may refuse a step before the rollout pauses.
+// maxRefusals is the number of consecutive refusals of a step by its agent after which the rollout pauses.
 const maxRefusals = 3
 
-// pendingCall is a call whose outcome is awaited.
+// pendingCall is a call that has neither a reply nor a failure yet.
 type pendingCall struct {
-	agent         int
+	agent         int // index
 	verb          protocol.Verb
-	sentAt        float64
-	epoch         uint64
-	recordVersion lease.Version // for StoreRecordVerb
-	stepNumber    uint64        // for BeginStepVerb
+	sentAt        float64       // in seconds
+	epoch         uint64        // epoch of the request
+	recordVersion lease.Version // version of the record in the request, for StoreRecordVerb
+	stepNumber    uint64        // number of the step in the request, for BeginStepVerb
 }
 
-// send makes a call out of a request and notes it as pending.
+// send makes a call with a request and records it as pending.
 func (c *Coordinator) send(now float64, agent int, r protocol.Request) OutgoingCall {
 	c.lastCallID++
 	call := pendingCall{
@@ -40,7 +40,7 @@
 	return OutgoingCall{ID: c.lastCallID, Agent: agent, Request: r}
 }
 
-// dueQuery returns the request that asks an agent for its status or its grant, if one is due.
+// dueQuery returns the status or lease request to send to an agent, and whether one is due.
 func (c *Coordinator) dueQuery(now float64, agent int) (protocol.Request, bool) {
 	a := &c.agents[agent]
 	if a.pendingQuery != 0 || now < a.nextQuery {
@@ -61,7 +61,8 @@
 	}
 }
 
-// dueCommand returns the request that changes something at an agent, if one is due.
+// dueCommand returns the command to send to an agent (release the lease, store a record or begin a step), and whether one
+// is due.
 func (c *Coordinator) dueCommand(now float64, agent int) (protocol.Request, bool) {
 	a := &c.agents[agent]
 	if a.pendingCommand != 0 || now < a.nextCommand {
@@ -94,7 +95,7 @@
 	return protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: c.campaign.Request}
 }
 
-// holderRequest returns a request under the coordinator's lease.
+// holderRequest returns a request that carries the coordinator's holder name and epoch.
 func (c *Coordinator) holderRequest(verb protocol.Verb) protocol.Request {
 	r := protocol.Request{Verb: verb, Holder: c.config.Holder}
 	if c.campaign != nil {
@@ -103,7 +104,8 @@
 	return r
 }
 
-// takePending ends the wait for a call's outcome. It is false for a call whose outcome is no longer awaited.
+// takePending removes a call from the pending calls and returns it with its agent. It returns false if the call is not
+// pending: the phase in which it was made has ended.
 func (c *Coordinator) takePending(now float64, id uint64) (pendingCall, *agent, bool) {
 	call, awaited := c.pendingCalls[id]
 	if !awaited {
@@ -121,7 +123,8 @@
 	return call, a, true
 }
 
-// HandleFailure tells that a call has no reply, and why, for people. What it asked for may have been done.
+// HandleFailure handles a call that failed without a reply. The agent may have done what the call asked for. failure is
+// text for operators.
 func (c *Coordinator) HandleFailure(now float64, id uint64, failure string) {
 	call, a, awaited := c.takePending(now, id)
 	if !awaited {
@@ -141,7 +144,7 @@
 	}
 }
 
-// HandleReply takes in the reply to a call.
+// HandleReply handles the reply to a call.
 func (c *Coordinator) HandleReply(now float64, id uint64, r protocol.Reply) {
 	call, a, awaited := c.takePending(now, id)
 	if !awaited {
@@ -171,7 +174,7 @@
 	}
 }
 
-// handleRunningReply takes in the reply to a call under the current epoch.
+// handleRunningReply handles the reply to a call that was made under the current epoch in phaseRunning.
 func (c *Coordinator) handleRunningReply(now float64, call pendingCall, a *agent, r protocol.Reply) {
 	if r.Denial != lease.Granted || r.LeaseState.Epoch > call.epoch {
 		c.handleDenial(now, call.epoch, a, r)
@@ -193,11 +196,11 @@
 			return
 		}
 		c.stepRefused(now, call.stepNumber, r.Failure)
-	default: // observations have been taken in
+	default: // HandleReply has recorded the observations of a status reply
 	}
 }
 
-// handleDenial reacts to a reply that denies the epoch or tells of a higher one.
+// handleDenial handles a reply that denies the epoch or reports a higher one.
 func (c *Coordinator) handleDenial(now float64, epoch uint64, a *agent, r protocol.Reply) {
 	a.granted = false
 	if r.LeaseState.Epoch > epoch || r.Denial == lease.StaleEpoch {
@@ -205,7 +208,7 @@
 		c.requestLease(now, max(r.LeaseState.Epoch, epoch)+1, false)
 		return
 	}
-	// The lease has expired there or was never granted: it is requested there again.
+	// The lease has expired at this agent, or the agent never granted it: the coordinator requests it again.
 	a.nextCommand = now + c.config.Timing.PollSeconds
 	if r.Denial == lease.Expired {
 		c.requestLease(now, epoch+1, false)
@@ -221,8 +224,8 @@
 	}
 }
 
-// takeObservations takes in what an agent reports of its instances. In phaseRunning it counts only from an agent that
-// has granted the epoch. It is taken to be as old as the call.
+// takeObservations records an agent's report of its instances. In phaseRunning it ignores the report of an agent that has
+// not granted the epoch. An observation counts as made at the time the call was sent, less the age that the agent reports.
 func (c *Coordinator) takeObservations(call pendingCall, r protocol.Reply) {
 	if c.phase == phaseRunning {
 		underEpoch := r.Denial == lease.Granted && call.epoch == c.campaign.Request.Epoch
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -9,65 +9,65 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// phase is what a coordinator is doing.
+// phase is a coordinator's current activity.
 type phase int
 
 const (
 	phasePolling         phase = iota // asks every agent for its status
 	phaseRequestingLease              // asks every agent for the lease
-	phaseBackoff                      // waits after a campaign that nobody won
+	phaseBackoff                      // waits before it polls again
 	phaseRunning                      // drives the rollout under the lease
-	phaseReleasing                    // gives the lease back
-	phaseOver
+	phaseReleasing                    // releases the lease at the agents that granted it
+	phaseOver                         // the outcome is final
 )
 
-// agent is what is known of one agent. Of its calls, at most one query (status, lease) and one command (all others)
-// are pending.
+// agent is what a coordinator knows of one agent. At most one query (a status or lease request) and one command (any other
+// call) to an agent are pending.
 type agent struct {
-	replied         bool // in this phase, or its call has failed
-	granted         bool // it has granted the campaign's epoch
-	leaseState      lease.State
-	record          lease.Record
-	operatorRequest protocol.OperatorRequest
-	failure         string // of its last call
-	pendingQuery    uint64 // id, or 0
-	pendingCommand  uint64 // id, or 0
-	nextQuery       float64
-	nextCommand     float64
-	stored          bool // it has stored Coordinator.storing
-	released        bool // it has released the lease, or cannot be reached, or had not granted it
+	replied         bool                     // the agent has replied in this phase, or a call to it has failed
+	granted         bool                     // the agent has granted the campaign's epoch
+	leaseState      lease.State              // from the agent's last reply
+	record          lease.Record             // from the last status reply while polling
+	operatorRequest protocol.OperatorRequest // from the last status reply
+	failure         string                   // failure of the last call or in its reply; empty if there was none
+	pendingQuery    uint64                   // ID of the pending query; 0 if there is none
+	pendingCommand  uint64                   // ID of the pending command; 0 if there is none
+	nextQuery       float64                  // earliest time of the next query, in seconds
+	nextCommand     float64                  // earliest time of the next command, in seconds
+	stored          bool                     // the agent has stored the record in Coordinator.storing
+	released        bool                     // the agent has released the lease, had not granted it, or cannot be reached
 }
 
-// Coordinator drives one rollout. It is used from one goroutine.
+// Coordinator drives one rollout. Only one goroutine may use it.
 type Coordinator struct {
 	config           Config
-	instancesByAgent [][]int
+	instancesByAgent [][]int // indices of each agent's instances
 
 	phase     phase
-	phaseTime float64 // when the phase began; in phaseBackoff, when it ends
-	outcome   Outcome
-	events    []Event
+	phaseTime float64 // when the phase began, in seconds; in phaseBackoff, when the phase ends
+	outcome   Outcome // final in phaseOver
+	events    []Event // not yet returned by TakeEvents
 
 	agents       []agent
-	pendingCalls map[uint64]pendingCall
+	pendingCalls map[uint64]pendingCall // by ID
 	lastCallID   uint64
 
 	campaign      *lease.Campaign
-	lostCampaigns int     // in a row, lost to nobody
-	lastMajority  float64 // when a majority was last known to follow
-
-	planner      *rollout.Planner // set with the first lease
-	rollout      protocol.Rollout // as a majority stores it
-	observations []rollout.Observation
-	statuses     []protocol.InstanceStatus
-	storing      *pendingRecord // nil: none
-	recordNumber uint64         // of the newest record under this epoch
-	stepToSend   rollout.Step   // Number 0: none
-	nextStepSend float64
-	refusals     int // of the current step by its agent, in a row
+	lostCampaigns int     // consecutive campaigns that were lost while no other holder had the lease
+	lastMajority  float64 // when a majority last granted the lease or stored a record, in seconds; now while none is to be stored
+
+	planner      *rollout.Planner          // nil before the first lease
+	rollout      protocol.Rollout          // as a majority of agents stores it
+	observations []rollout.Observation     // by instance
+	statuses     []protocol.InstanceStatus // by instance; newest reports, for View
+	storing      *pendingRecord            // the record that the agents are to store; nil if there is none
+	recordNumber uint64                    // number of the newest record under this epoch
+	stepToSend   rollout.Step              // Number is 0 if there is none
+	nextStepSend float64                   // earliest time to send a step, in seconds
+	refusals     int                       // number of consecutive replies that refused the current step
 }
 
-// New returns a coordinator that has made no call.
+// New returns a coordinator that has not made any call yet.
 func New(config Config) *Coordinator {
 	c := &Coordinator{
 		config:           config,
@@ -85,10 +85,10 @@
 	return c
 }
 
-// Outcome tells how the coordinator ended, and whether it has.
+// Outcome returns the coordinator's outcome, and whether the coordinator has ended and the outcome is final.
 func (c *Coordinator) Outcome() (Outcome, bool) { return c.outcome, c.phase == phaseOver }
 
-// Quit has the coordinator release its lease and end. A step under way continues by itself.
+// Quit makes the coordinator release its lease and end. The agent of a step under way completes the step on its own.
 func (c *Coordinator) Quit(now float64) {
 	ending := c.phase == phaseReleasing && c.outcome.Kind != OutcomeNoMajority
 	if ending || c.phase == phaseOver {
@@ -98,14 +98,14 @@
 	c.release(now, Outcome{Kind: OutcomeInterrupted, Rollout: c.rollout})
 }
 
-// TakeEvents returns what has happened since the last call.
+// TakeEvents returns the events since the last call.
 func (c *Coordinator) TakeEvents() []Event {
 	events := c.events
 	c.events = nil
 	return events
 }
 
-// View returns how the rollout stands at a time.
+// View returns the state of the rollout at now.
 func (c *Coordinator) View(now float64) View {
 	v := View{Rollout: c.rollout, Instances: c.statuses}
 	if c.planner != nil {
@@ -116,11 +116,11 @@
 	return v
 }
 
-// PendingCalls returns the number of calls whose outcome is awaited.
+// PendingCalls returns the number of calls that have neither a reply nor a failure yet.
 func (c *Coordinator) PendingCalls() int { return len(c.pendingCalls) }
 
-// Tick returns the calls that are due, and the time of the next Tick at the latest. It may be called at any time
-// before, such as after a reply.
+// Tick returns the calls that are due, and the time by which the caller must call Tick again. The caller may call it
+// earlier, for example after a reply.
 func (c *Coordinator) Tick(now float64) (calls []OutgoingCall, next float64) {
 	next = now + c.config.Timing.PollSeconds
 	switch c.phase {
@@ -154,7 +154,7 @@
 	return calls, next
 }
 
-// enter begins a phase. Calls that are pending belong to the phase before; their outcomes are not awaited.
+// enter begins a phase. Pending calls belong to the phase before, so their outcomes will be ignored.
 func (c *Coordinator) enter(now float64, p phase) {
 	c.phase = p
 	c.phaseTime = now
@@ -172,7 +172,8 @@
 	clear(c.pendingCalls)
 }
 
-// decide asks the planner, unless a decision is being stored.
+// decide asks the planner for the next decision. While the agents are storing a decision, it only checks
+// whether the majority timeout has passed.
 func (c *Coordinator) decide(now float64) {
 	if c.storing != nil {
 		if now-c.lastMajority >= c.config.Timing.MajorityTimeoutSeconds {
@@ -193,7 +194,8 @@
 	}
 }
 
-// operatorRequest returns what an operator has requested of this run of the rollout with one of the agents.
+// operatorRequest returns the operator request for this run of the rollout that agents report. If they report several, the
+// one with the highest action counts.
 func (c *Coordinator) operatorRequest() protocol.OperatorRequest {
 	var strongest protocol.OperatorRequest
 	for i := range c.agents {
--- a/internal/fleet/coordinator/lease.go
+++ b/internal/fleet/coordinator/lease.go
@@ -9,13 +9,15 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// maxLostCampaigns is how many campaigns in a row a coordinator may lose to nobody before it gives up.
+// maxLostCampaigns is the number of consecutive campaigns, lost while no other holder had the lease, after which a
+// coordinator gives up.
 const maxLostCampaigns = 6
 
 // minBackoffPolls is the shortest backoff after a lost campaign, in poll intervals.
 const minBackoffPolls = 0.2
 
-// replies counts the agents that have replied in this phase or whose call has failed, and those that have replied.
+// replies returns the number of agents that have replied in this phase or to which a call has failed (settled), and the
+// number of those that have replied.
 func (c *Coordinator) replies() (settled, replied int) {
 	for i := range c.agents {
 		if !c.agents[i].replied {
@@ -29,8 +31,8 @@
 	return settled, replied
 }
 
-// checkStatuses requests the lease once every agent has reported its status or cannot be reached, unless another
-// holder has it.
+// checkStatuses requests the lease once every agent has reported its status or cannot be reached. If another holder has the
+// lease, the coordinator ends instead.
 func (c *Coordinator) checkStatuses(now float64) {
 	settled, replied := c.replies()
 	if settled < len(c.agents) {
@@ -54,19 +56,19 @@
 	c.finish(Outcome{Kind: kind, Holder: holder, Rollout: c.newestKnownRollout()})
 }
 
-// requestLease starts a campaign.
+// requestLease starts a campaign for the lease under an epoch.
 func (c *Coordinator) requestLease(now float64, epoch uint64, takeover bool) {
 	r := lease.Request{Epoch: epoch, Holder: c.config.Holder, Takeover: takeover}
 	c.campaign = lease.NewCampaign(r, len(c.agents))
 	c.storing = nil
 	c.stepToSend = rollout.Step{}
 	for i := range c.observations {
-		c.observations[i].SeenAt = math.Inf(-1) // an observation under another epoch says nothing of this one
+		c.observations[i].SeenAt = math.Inf(-1) // an observation under another epoch does not count under this one
 	}
 	c.enter(now, phaseRequestingLease)
 }
 
-// checkCampaign goes on once every agent has replied to the request or cannot be reached.
+// checkCampaign acts on the campaign's result once every agent has replied to the request or cannot be reached.
 func (c *Coordinator) checkCampaign(now float64) {
 	if settled, _ := c.replies(); settled < len(c.agents) {
 		return
@@ -80,8 +82,8 @@
 	}
 }
 
-// otherHolder returns the highest epoch that agents report, and another holder's lease; held is set if a majority
-// reports it.
+// otherHolder returns the highest epoch that agents report, and the lease of another holder that lasts longest. held is
+// true if a majority of agents reports a lease of the same other holder.
 func (c *Coordinator) otherHolder() (highestEpoch uint64, holder lease.State, held bool) {
 	reports := map[string]int{}
 	for i := range c.agents {
@@ -101,8 +103,8 @@
 	return highestEpoch, holder, held
 }
 
-// newestKnownRollout returns the rollout of the newest record that any agent reports, for people: a majority need not
-// have stored it. A record that cannot be read is shown as none.
+// newestKnownRollout returns the rollout of the newest record that any agent reports, to show it to an operator. Possibly
+// no majority has stored the record. If the record cannot be decoded, it returns an empty rollout.
 func (c *Coordinator) newestKnownRollout() protocol.Rollout {
 	var newest lease.Record
 	for i := range c.agents {
@@ -123,13 +125,13 @@
 		c.release(now, Outcome{Kind: OutcomeLeaseHeld, Holder: holder, Rollout: c.newestKnownRollout()})
 	case c.lostCampaigns >= maxLostCampaigns:
 		c.release(now, Outcome{Kind: OutcomeNoMajority, Holder: holder, Rollout: c.rollout})
-	default: // two requested it at once, or too few agents can be reached
+	default: // two coordinators requested the lease at the same time, or too few agents can be reached
 		c.lostCampaigns++
 		c.release(now, Outcome{Kind: OutcomeNoMajority})
 	}
 }
 
-// campaignWon starts to drive the rollout of the newest record, changed as the task wants it.
+// campaignWon starts to drive the rollout of the newest record, after changing it as the task requires.
 func (c *Coordinator) campaignWon(now float64) {
 	c.lostCampaigns = 0
 	c.lastMajority = now
@@ -157,7 +159,8 @@
 	c.storeRollout(now, r, rollout.ActionWait, rollout.Reason{})
 }
 
-// release gives the lease back where it was granted. Then the coordinator ends, or begins anew after a backoff.
+// release starts to release the lease at the agents that granted it. After that the coordinator ends with the outcome, or
+// polls again after a backoff.
 func (c *Coordinator) release(now float64, o Outcome) {
 	c.outcome = o
 	c.enter(now, phaseReleasing)
@@ -182,8 +185,8 @@
 	c.phaseTime = now + c.config.Timing.PollSeconds*backoffPolls
 }
 
-// retryAfterRelease tells whether the coordinator tries again to find a majority, and after how many poll intervals.
-// Random backoffs, which grow before the first lease, keep competing coordinators from blocking one another for ever.
+// retryAfterRelease reports whether the coordinator tries again to reach a majority, and after how many poll intervals. The
+// backoffs are random, and grow before the first lease; otherwise competing coordinators could block one another forever.
 func (c *Coordinator) retryAfterRelease(now float64) (backoffPolls float64, retry bool) {
 	if c.outcome.Kind != OutcomeNoMajority {
 		return 0, false
@@ -200,7 +203,7 @@
 	return minBackoffPolls + c.config.Random(), true
 }
 
-// finish ends the coordinator.
+// finish ends the coordinator with an outcome, to which it adds the failures of calls.
 func (c *Coordinator) finish(o Outcome) {
 	for i := range c.agents {
 		if failure := c.agents[i].failure; failure != "" {
--- a/internal/fleet/coordinator/record.go
+++ b/internal/fleet/coordinator/record.go
@@ -6,16 +6,16 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// pendingRecord is a record that a majority has yet to store, and what led to it.
+// pendingRecord is a record that a majority of agents has not stored yet, with the decision that it stores.
 type pendingRecord struct {
 	record  lease.Record
-	rollout protocol.Rollout // the record's body
+	rollout protocol.Rollout // the record's body, decoded
 	action  rollout.Action
 	reason  rollout.Reason
-	step    rollout.Step // the current step before
+	step    rollout.Step // the current step before the decision
 }
 
-// decodeRollout reads a record's body. A record without one holds no rollout.
+// decodeRollout decodes a record's body. For a record without a body it returns an empty rollout.
 func decodeRollout(record lease.Record) (protocol.Rollout, error) {
 	var r protocol.Rollout
 	if record.Body == nil {
@@ -25,7 +25,7 @@
 	return r, err
 }
 
-// storeDecision has a decision stored by a majority.
+// storeDecision starts to store a decision at the agents.
 func (c *Coordinator) storeDecision(now float64, decision rollout.Decision) {
 	r := c.rollout
 	r.Rollout = decision.Rollout
@@ -35,7 +35,7 @@
 	c.storeRollout(now, r, decision.Action, decision.Reason)
 }
 
-// storeRollout has the agents store a rollout. commitIfStored continues once a majority has.
+// storeRollout starts to store a rollout at the agents. commitIfStored continues once a majority has stored it.
 func (c *Coordinator) storeRollout(now float64, r protocol.Rollout, action rollout.Action, reason rollout.Reason) {
 	c.recordNumber++
 	version := lease.Version{Epoch: c.campaign.Request.Epoch, Number: c.recordNumber}
@@ -52,7 +52,7 @@
 	}
 }
 
-// commitIfStored takes a decision as made once a majority of agents has stored it.
+// commitIfStored puts a decision into effect once a majority of agents has stored it.
 func (c *Coordinator) commitIfStored(now float64) {
 	stored := 0
 	for i := range c.agents {
@@ -71,7 +71,7 @@
 	step := committed.step
 	if committed.action == rollout.ActionBeginStep {
 		step = committed.rollout.CurrentStep
-		c.nextStepSend = now // the planner has it sent if it is still allowed
+		c.nextStepSend = now // the planner then decides whether the step may still be sent
 		c.refusals = 0
 	}
 	c.events = append(c.events, Event{
--- a/internal/fleet/coordinator/run.go
+++ b/internal/fleet/coordinator/run.go
@@ -5,8 +5,8 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// startRun returns the rollout that a run of the task begins with, given the stored one, or the outcome for which
-// there is none.
+// startRun returns the rollout with which a run of the task begins, given the stored rollout. If the task cannot run, it
+// returns the outcome that says why.
 func (c *Config) startRun(r protocol.Rollout) (protocol.Rollout, *Outcome) {
 	if c.Task.Operation == OperationBegin {
 		return c.beginRollout(r)
--- a/internal/fleet/coordinator/task.go
+++ b/internal/fleet/coordinator/task.go
@@ -6,96 +6,98 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// Operation is what an operator wants of a rollout.
+// Operation is an operator's command to a coordinator.
 type Operation int
 
 // Operations.
 const (
 	OperationBegin    Operation = iota // begin a new rollout
-	OperationResume                    // continue the one that paused or whose tool is gone
-	OperationRollback                  // roll the newest one back
-	OperationPause                     // pause the one under way
-	OperationAbort                     // give the one under way up; instances stay as they are
+	OperationResume                    // continue the rollout that has paused or whose tool has stopped
+	OperationRollback                  // roll back the newest rollout
+	OperationPause                     // pause the rollout under way
+	OperationAbort                     // abort the rollout under way; instances keep the revisions that they run
 )
 
-// Task is what a coordinator is to do.
+// Task is the work of one coordinator.
 type Task struct {
 	Operation         Operation
-	Rollout           protocol.Rollout // for OperationBegin; State, Run and ExcludedInstances are set by the coordinator
-	Operator          string           // name
-	FleetDigest       string           // of the list of instances; a rollout over another list is not continued
-	Takeover          bool             // take the lease also from a holder whose lease has not expired
-	ExcludedInstances []int            // that this run leaves out
+	Rollout           protocol.Rollout // for OperationBegin; the coordinator sets State, Run and ExcludedInstances
+	Operator          string           // the operator's name
+	FleetDigest       string           // digest of the list of instances; a rollout over another list is not continued
+	Takeover          bool             // take the lease even from a holder whose lease has not expired
+	ExcludedInstances []int            // indices of instances that this run does not change
 }
 
-// Timing is how often a coordinator calls and how long it tries.
+// Timing holds a coordinator's call interval and its timeout.
 type Timing struct {
-	PollSeconds            float64 // between two status calls to an agent, and before a call is repeated
-	MajorityTimeoutSeconds float64 // for which a coordinator with a lease tries to reach a majority
+	PollSeconds            float64 // interval between two status calls to an agent, and before a call is repeated
+	MajorityTimeoutSeconds float64 // time for which a coordinator with a lease tries to reach a majority
 }
 
-// Config is what a coordinator needs.
+// Config is the configuration of a coordinator.
 type Config struct {
 	Fleet         *rollout.Fleet
-	InstanceNames []string // of Fleet.Instances
-	Agents        int      // how many there are; they are numbered from 0
-	AgentsDigest  string   // of the list of agents
-	Holder        string   // as which the lease is requested: no two coordinators share it
+	InstanceNames []string // names of Fleet.Instances, in their order
+	Agents        int      // number of agents; agents are numbered from 0
+	AgentsDigest  string   // digest of the list of agents; agents deny calls with another one
+	Holder        string   // identifies this coordinator in lease requests; every coordinator has a different one
 	Timing        Timing
 	Task          Task
-	Random        func() float64 // from 0 to 1; spreads competing requests
+	Random        func() float64 // returns a number from 0 to 1, for the backoffs of competing coordinators
 }
 
-// OutgoingCall is a call to be made. Its outcome goes to HandleReply or HandleFailure under its ID.
+// OutgoingCall is a call that the caller of Tick has to make. The caller passes its reply to HandleReply, or its failure to
+// HandleFailure, with its ID.
 type OutgoingCall struct {
 	ID      uint64
-	Agent   int
+	Agent   int // index of the agent to call
 	Request protocol.Request
 }
 
-// OutcomeKind tells outcomes apart.
+// OutcomeKind is the kind of an outcome.
 type OutcomeKind int
 
-// Kinds of outcomes. All but OutcomeEnded mean that this coordinator has not changed the rollout, or no longer does.
+// Kinds of outcomes. All except OutcomeEnded mean that this coordinator did not change the rollout or stopped changing it.
 const (
-	OutcomeEnded             OutcomeKind = iota // the rollout has ended or paused: see Rollout.State
+	OutcomeEnded             OutcomeKind = iota // the rollout has ended or paused; Rollout.State is its state
 	OutcomeLeaseHeld                            // Holder has the lease
-	OutcomeNoMajority                           // no majority of agents can be reached, or grants the lease
-	OutcomeUnfinishedRollout                    // Rollout, another one, is under way or paused
-	OutcomeInfeasible                           // the minimums allow no step: see Reason
-	OutcomeNoRollout                            // there is no rollout to continue
-	OutcomeOtherFleet                           // Rollout goes over another list of instances
+	OutcomeNoMajority                           // no majority of agents can be reached, or none grants the lease
+	OutcomeUnfinishedRollout                    // another rollout, Rollout, is under way or paused
+	OutcomeInfeasible                           // the minimums allow no step; Reason is the cause
+	OutcomeNoRollout                            // there is no rollout to continue, or its record cannot be decoded
+	OutcomeOtherFleet                           // Rollout is over another list of instances
 	OutcomeFenced                               // Holder has taken the lease over
-	OutcomeInterrupted                          // Quit was called; the rollout can be resumed
+	OutcomeInterrupted                          // the caller called Quit; the rollout can be resumed
 )
 
-// Outcome is how a coordinator ended.
+// Outcome is the final result of a coordinator.
 type Outcome struct {
 	Kind    OutcomeKind
-	Rollout protocol.Rollout // as it was last known
+	Rollout protocol.Rollout // the rollout as the coordinator last knew it
 	Holder  lease.State      // another holder's lease
 	Reason  rollout.Reason
-	Faults  []string // what agents gave as reasons of failed calls, for people; sorted
+	Faults  []string // distinct failures of calls to agents, as text for operators; sorted
 }
 
-// Event is something that has happened, for a live view and traces. One of these sets of fields is filled: AcquiredEpoch
-// and RecordVersion for a lease; StepRefusal, Step and Rollout for a refused step; all others for a stored decision.
+// Event is one event of a rollout, for a live view and traces. It is of one of three kinds. An acquired lease sets
+// AcquiredEpoch and RecordVersion. A refused step sets StepRefusal, Step and Rollout. A stored decision sets Action,
+// Rollout, Reason, Step and RecordVersion. At is always set.
 type Event struct {
 	At            float64 // seconds on the coordinator's clock
 	Action        rollout.Action
 	Rollout       protocol.Rollout
 	Reason        rollout.Reason
-	Step          rollout.Step  // begun, completed or refused
-	AcquiredEpoch uint64        // of the lease that was granted; 0: none
-	RecordVersion lease.Version // of the record that was found with the lease, or that a majority stores now
-	StepRefusal   string        // why the agent refuses the step, for people
+	Step          rollout.Step  // the step that was begun, completed or refused
+	AcquiredEpoch uint64        // epoch of the acquired lease; 0 if the event is of another kind
+	RecordVersion lease.Version // version of the newest record found with the lease, or of the record that a majority has stored
+	StepRefusal   string        // why the agent refuses the step, as text for operators
 }
 
-// View is how a rollout stands, for people.
+// View is the state of a rollout, for operators.
 type View struct {
 	Rollout   protocol.Rollout
-	Finished  int // instances that are where the rollout wants them
-	Serving   int // instances
+	Finished  int // number of instances that the rollout no longer has to change
+	Serving   int // number of instances that serve
 	Instances []protocol.InstanceStatus
-	Epoch     uint64 // of the lease; 0: none yet
+	Epoch     uint64 // epoch of the lease; 0 before the first lease
 }
