--- a/internal/fleet/control/client.go
+++ b/internal/fleet/control/client.go
@@ -1,5 +1,5 @@
-// Package control is the operator's side of a fleet: it asks all agents, shows how the fleet stands, stores revisions at the
-// agents and drives rollouts.
+// Package control is the operator's side of a fleet. It sends requests to all agents, reports the fleet's status, stores
+// revisions at the agents and drives rollouts.
 package control
 
 import (
@@ -17,13 +17,13 @@
 )
 
 const (
-	maxConcurrentCalls = 128         // of agents at the same time
-	minCallTimeout     = time.Second // of a call, for whatever poll interval
-	pollsPerCall       = 4           // poll intervals that a call may take
-	largeCallFactor    = 5           // by which calls that carry revisions may take longer
+	maxConcurrentCalls = 128         // calls to agents at the same time
+	minCallTimeout     = time.Second // shortest timeout of a call, however short the poll interval is
+	pollsPerCall       = 4           // timeout of a call, in poll intervals
+	largeCallFactor    = 5           // factor by which the timeout of calls that may carry large contents is longer
 )
 
-// Client speaks to the agents of a fleet for one operator. Its methods may be called from several goroutines.
+// Client calls the agents of a fleet on behalf of one operator. Several goroutines may call its methods.
 type Client struct {
 	Fleet       *inventory.Fleet
 	Operator    string
@@ -31,8 +31,8 @@
 	callTimeout time.Duration
 }
 
-// New returns a client that has not connected to any agent. It fails if the operator's certificate in the folder cannot be
-// used now.
+// New returns a client that has not connected to any agent yet. It fails if the operator's certificate in the folder is
+// missing or not valid now.
 func New(f *inventory.Fleet, folder pki.Folder, operator string) (*Client, error) {
 	source := folder.Credentials(pki.Operator, operator)
 	if err := source.Check(); err != nil {
@@ -53,14 +53,14 @@
 	}
 }
 
-// Answer is what one agent answered to a request.
+// Answer is one agent's answer to a request.
 type Answer struct {
 	Agent string
 	Reply protocol.Reply
-	Err   error // the agent could not be asked, or reports a failure; of type *api.AgentError
+	Err   error // the call failed or the agent reports a failure; of type *api.AgentError
 }
 
-// Broadcast sends a request to every agent. The answers are in the order of the fleet file.
+// Broadcast sends a request to every agent and returns their answers in the order of the fleet file.
 func (c *Client) Broadcast(ctx context.Context, request protocol.Request) []Answer {
 	answers := make([]Answer, len(c.agents))
 	var calls errgroup.Group
@@ -75,11 +75,11 @@
 			return nil
 		})
 	}
-	_ = calls.Wait() // errors stand in the answers
+	_ = calls.Wait() // the calls return no error; answers holds the errors
 	return answers
 }
 
-// call sends a request to one agent, by its index.
+// call sends a request to the agent with the given index.
 func (c *Client) call(ctx context.Context, agent int, request protocol.Request) (protocol.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout(request.Verb))
 	defer cancel()
--- a/internal/fleet/control/client_test.go
+++ b/internal/fleet/control/client_test.go
@@ -39,15 +39,15 @@
 	goleak.VerifyTestMain(m)
 }
 
-// rig is a fleet of agents in this process, with stand-in routers, spoken to over TLS.
+// rig is a fleet of agents in this process that start stand-in routers. Clients call the agents over TLS.
 type rig struct {
 	t      *testing.T
 	fleet  *inventory.Fleet
 	keys   pki.Folder
-	agents []func() // that stop them; nil for those that are stopped
+	agents []func() // function that stops each agent; nil if the agent is stopped
 }
 
-// newRig starts n agents with one instance each, in one zone, which all but one must serve.
+// newRig starts n agents with one instance each. All instances are in one zone, and all but one must serve.
 func newRig(t *testing.T, n int) *rig {
 	dir := t.TempDir()
 	text := fmt.Sprintf("(name t) (floor %d) (hall h (floor 1)) (times (soak 200ms) (fresh 1s) (contact 2s) (step 20s) (claim 2s) (look 50ms) (ready 2s) (grace 100ms))\n", n-1)
@@ -81,7 +81,7 @@
 	return r
 }
 
-// startAgent starts an agent; its end is like a kill: routers go on, nothing is saved.
+// startAgent starts an agent. Stopping the agent has the effect of a kill: its routers go on and the agent saves nothing.
 func (r *rig) startAgent(i int) {
 	me := &r.fleet.Agents[i]
 	s, err := agent.OpenStore(me)
@@ -101,7 +101,7 @@
 
 func (r *rig) stopAgent(i int) { r.agents[i](); r.agents[i] = nil }
 
-// client is one of an operator's.
+// client returns a new client of an operator.
 func (r *rig) client(operator string) *Client {
 	t, err := New(r.fleet, r.keys, operator)
 	require.NoError(r.t, err)
@@ -109,7 +109,8 @@
 	return t
 }
 
-// push pushes a revision whose routers conduct themselves so; sockets make it another one.
+// push pushes a revision with which routers behave as conduct says. A different number of sockets makes it a different
+// revision.
 func (r *rig) push(t *Client, name string, conduct testserver.Conduct, sockets int) protocol.Revision {
 	r.t.Helper()
 	doc := testserver.Deployment("127.0.0.1:9", 0.1, map[string]any{"stand": conduct, "limits": map[string]any{"sockets": sockets}})
@@ -122,21 +123,21 @@
 	return protocol.Revision{Digest: p.Digest, Name: name}
 }
 
-// drive carries a task out to its end.
+// drive carries out a task until it ends.
 func (r *rig) drive(t *Client, task coordinator.Task, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return t.Drive(ctx, task, watch)
 }
 
-// requireComplete requires that a rollout has brought its revision to all instances.
+// requireComplete requires that a rollout has completed: all instances run its revision.
 func (r *rig) requireComplete(o coordinator.Outcome) {
 	r.t.Helper()
 	require.Equal(r.t, coordinator.OutcomeEnded, o.Kind, "%v", o)
 	require.Equal(r.t, rollout.Complete, o.Rollout.State, "%v", o)
 }
 
-// assertAllRun asserts that all instances run a revision and serve.
+// assertAllRun asserts that all instances run the revision with a digest and are ready.
 func (r *rig) assertAllRun(t *Client, digest string) {
 	r.t.Helper()
 	s := t.Status(context.Background())
@@ -162,7 +163,7 @@
 		"fails":  {testserver.Conduct{Fails: true}, "commands unanswered in its soak, a larger share than before"},
 	} {
 		if name == "fails" {
-			r.fleet.Times.Soak = 2 // long enough for a reading of the counters
+			r.fleet.Times.Soak = 2 // long enough for the agent to read the counters
 		}
 		o := r.drive(ayla, ayla.NewRollout(r.push(ayla, name, c.conduct, 100), true), nil)
 		assert.Equal(t, rollout.RolledBack, o.Rollout.State, name)
@@ -174,7 +175,7 @@
 	file := filepath.Join(t.TempDir(), "x.json")
 	require.NoError(t, os.WriteFile(file, []byte(`{"discovery":"nowhere"}`), 0o600))
 	_, err := ayla.ReadRevision(file)
-	assert.ErrorContains(t, err, "x.json: instance n0: discovery:", "refused before any agent is asked")
+	assert.ErrorContains(t, err, "x.json: instance n0: discovery:", "the file is rejected before any agent is called")
 }
 
 func TestAnotherClientResumesAnInterruptedRollout(t *testing.T) {
@@ -210,7 +211,7 @@
 		}
 	})
 	r.requireComplete(o)
-	assert.LessOrEqual(t, steps, 3, "it goes on where the other was")
+	assert.LessOrEqual(t, steps, 3, "it continues where the other client stopped")
 	r.assertAllRun(mehmet, b.Digest)
 	o = r.drive(mehmet, coordinator.Task{Operation: coordinator.OperationRollback, Operator: "mehmet"}, nil)
 	assert.Equal(t, rollout.RolledBack, o.Rollout.State)
@@ -239,7 +240,7 @@
 	won := -1
 	for i, o := range got {
 		if o.Kind == coordinator.OutcomeEnded && o.Rollout.State == rollout.Complete {
-			assert.Equal(t, -1, won, "both cannot have it")
+			assert.Equal(t, -1, won, "both rollouts completed")
 			won = i
 		}
 	}
@@ -272,7 +273,7 @@
 	assert.Equal(t, rollout.Paused, o.Rollout.State)
 	assert.Contains(t, mehmet.Explain(o.Reason), "agent a3 of instance n3 is not heard from")
 	o = r.drive(mehmet, coordinator.Task{Operation: coordinator.OperationResume, Operator: "mehmet", ExcludedInstances: []int{3}}, nil)
-	assert.Equal(t, "1 instances were left out and are not done", mehmet.Explain(o.Reason))
+	assert.Equal(t, "1 instances were left out and have not been changed", mehmet.Explain(o.Reason))
 	r.startAgent(3)
 	r.requireComplete(r.drive(ayla, coordinator.Task{Operation: coordinator.OperationResume, Operator: "ayla"}, nil))
 	r.assertAllRun(ayla, b.Digest)
@@ -300,7 +301,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, a.Digest, found.Digest)
 	_, err = ayla.FindRevision(context.Background(), "nothing")
-	require.ErrorContains(t, err, `no agent keeps a revision "nothing"`)
+	require.ErrorContains(t, err, `no agent has stored a revision "nothing"`)
 	var missing *RevisionNotFoundError
 	require.ErrorAs(t, err, &missing)
 	assert.Equal(t, "nothing", missing.Called)
--- a/internal/fleet/control/drive.go
+++ b/internal/fleet/control/drive.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	idBytes            = 6  // of chance in an identifier
-	answersPerAgent    = 4  // that wait for the driver without holding up a call
-	minAnswerQueueSize = 16 // with few agents
+	idBytes            = 6  // random bytes in an identifier
+	answersPerAgent    = 4  // answers per agent that are queued for the driver before calls have to wait
+	minAnswerQueueSize = 16 // length added to the queue, for fleets with few agents
 )
 
-// NewID returns an identifier that nothing else has, by chance.
+// NewID returns a random identifier, long enough that no other is likely to be the same.
 func NewID() string {
 	var random [idBytes]byte
-	_, _ = rand.Read(random[:]) // it never fails
+	_, _ = rand.Read(random[:]) // rand.Read never fails
 	return hex.EncodeToString(random[:])
 }
 
-// NewRollout is the task of rolling a revision out. With restart, instances are restarted also where a reload would do.
+// NewRollout returns the task of rolling out a revision. With restart, instances are restarted even where a reload would be
+// enough.
 func (c *Client) NewRollout(r protocol.Revision, restart bool) coordinator.Task {
 	digest := c.Fleet.InstancesDigest()
 	return coordinator.Task{
@@ -45,7 +46,8 @@
 	}
 }
 
-// RequestAction leaves a request with the agents for whoever drives a rollout, and returns how many took it.
+// RequestAction sends the agents a request for the tool that drives a rollout, and returns the number of agents that accepted
+// it. The tool receives the request from the agents.
 func (c *Client) RequestAction(ctx context.Context, r protocol.Rollout, action rollout.OperatorRequest) int {
 	request := protocol.Request{
 		Verb:            protocol.RequestActionVerb,
@@ -61,18 +63,18 @@
 	return accepted
 }
 
-// NewestRollout is the newest rollout that an agent knows, and whether a tool holds the lease to drive it now.
+// NewestRollout returns the newest rollout that any agent reports. driven is true if a tool holds the lease now.
 func (c *Client) NewestRollout(ctx context.Context) (rollout protocol.Rollout, driven, found bool) {
 	answers := c.Broadcast(ctx, protocol.Request{Verb: protocol.StatusVerb})
 	rollout, found = newestRecord(answers)
 	return rollout, leaseStatus(answers).Held, found
 }
 
-// Drive carries a task out and returns its outcome. Once ctx ends the lease is given back, and the rollout waits to be
-// resumed. watch, if it is not nil, is called in turn with what has come about.
+// Drive carries out a task and returns its outcome. When ctx ends, it releases the lease, and the rollout can be resumed.
+// Unless watch is nil, Drive calls it with the rollout's state and the new events each time the coordinator has decided.
 func (c *Client) Drive(ctx context.Context, task coordinator.Task, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
 	d := c.newDriver(task, watch)
-	calls, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the lease is still to be given back
+	calls, cancel := context.WithCancel(context.WithoutCancel(ctx)) // ctx may end before the lease is released
 	defer d.calling.Wait()
 	defer cancel()
 	interrupted := ctx.Done()
@@ -94,27 +96,27 @@
 	}
 }
 
-// driver joins a coordinator, which decides, to the agents.
+// driver makes the calls of a coordinator and passes it the agents' answers.
 type driver struct {
 	client      *Client
 	coordinator *coordinator.Coordinator
 	watch       func(coordinator.View, []coordinator.Event)
 	startedAt   time.Time
 	answers     chan callAnswer
-	slots       chan struct{} // one for each call at the same time
+	slots       chan struct{} // holds one element for each call that is being made
 	calling     sync.WaitGroup
 }
 
-// callAnswer is what came of a call of the coordinator's.
+// callAnswer is the reply to a call of the coordinator, or its error.
 type callAnswer struct {
-	id    uint64
+	id    uint64 // of the coordinator.OutgoingCall
 	reply protocol.Reply
 	err   error
 }
 
 func (c *Client) newDriver(task coordinator.Task, watch func(coordinator.View, []coordinator.Event)) *driver {
 	task.FleetDigest = c.Fleet.InstancesDigest()
-	host, _ := os.Hostname() // for people only
+	host, _ := os.Hostname() // shown to operators only
 	coordinator := coordinator.New(coordinator.Config{
 		Fleet:         c.Fleet.PlannerFleet(),
 		InstanceNames: c.Fleet.InstanceNames(),
@@ -138,10 +140,10 @@
 	}
 }
 
-// now is the time on the coordinator's clock, in seconds.
+// now returns the time on the coordinator's clock, in seconds.
 func (d *driver) now() float64 { return time.Since(d.startedAt).Seconds() }
 
-// advance has the coordinator decide, makes the calls that it asks for, and returns how long it may be left alone.
+// advance lets the coordinator decide, starts the calls that it returns, and returns the time until the next advance is due.
 func (d *driver) advance(ctx context.Context) time.Duration {
 	calls, wake := d.coordinator.Tick(d.now())
 	for _, call := range calls {
@@ -162,7 +164,7 @@
 	d.answers <- callAnswer{id: call.ID, reply: reply, err: err}
 }
 
-// takeAnswers hands the coordinator an answer and all others that have come meanwhile.
+// takeAnswers passes the coordinator an answer and all other answers that have arrived.
 func (d *driver) takeAnswers(a callAnswer) {
 	for {
 		if a.err != nil {
--- a/internal/fleet/control/history.go
+++ b/internal/fleet/control/history.go
@@ -10,13 +10,13 @@
 	"stoatdale.example/stoatdale/internal/fleet/protocol"
 )
 
-// History is what the agents keep of revisions and rollouts, each newest first. Revisions are without their contents.
+// History lists the revisions and rollouts that the agents have stored, the newest first. The revisions have no content.
 type History struct {
 	Revisions []protocol.Revision
 	Rollouts  []protocol.Rollout
 }
 
-// History gathers the history of all agents. It fails if none can be reached, with the errors of all.
+// History collects the history from all agents. If every call fails, it returns the errors of all of them.
 func (c *Client) History(ctx context.Context) (History, error) {
 	revisions := map[string]protocol.Revision{} // by digest
 	rollouts := map[string]protocol.Rollout{}   // by ID
@@ -47,7 +47,7 @@
 	}, nil
 }
 
-// isLater tells whether a record of the rollout was written after the known one.
+// isLater reports whether other, a record of the same rollout, was written after known.
 func isLater(known, other protocol.Rollout) bool {
 	if known.Run != other.Run {
 		return known.Run < other.Run
--- a/internal/fleet/control/preview.go
+++ b/internal/fleet/control/preview.go
@@ -8,28 +8,28 @@
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 )
 
-// InstanceChange is how an instance would take a revision.
+// InstanceChange is what an agent would do to bring a revision to an instance.
 type InstanceChange string
 
-// Ways to take a revision. Their values are printed.
+// Changes of an instance. The values are printed.
 const (
-	ChangeUnknown InstanceChange = "unknown" // its agent does not report it
-	ChangeNone    InstanceChange = "none"    // it runs the revision
-	ChangeStart   InstanceChange = "start"   // it runs nothing
+	ChangeUnknown InstanceChange = "unknown" // no agent reports the instance
+	ChangeNone    InstanceChange = "none"    // the instance runs the revision already
+	ChangeStart   InstanceChange = "start"   // the instance has no revision yet
 	ChangeReload  InstanceChange = "reload"
 	ChangeRestart InstanceChange = "restart"
 )
 
-// RevisionEffect is what a revision would mean for one instance.
+// RevisionEffect is the change that a revision would cause at one instance.
 type RevisionEffect struct {
 	Instance string         `json:"instance"`
 	Change   InstanceChange `json:"how"`
-	Keys     []string       `json:"keys,omitempty"` // that need a restart
+	Keys     []string       `json:"keys,omitempty"` // configuration keys whose change needs a restart
 }
 
-// PreviewEffects tells what a revision would mean for each instance, in the order of the fleet file.
+// PreviewEffects returns the change that a revision would cause at each instance, in the order of the fleet file.
 func (c *Client) PreviewEffects(ctx context.Context, content []byte) ([]RevisionEffect, error) {
-	running := map[string]string{} // digests by instance
+	running := map[string]string{} // digest of the revision that each instance runs, by instance name
 	for _, answer := range c.Broadcast(ctx, protocol.Request{Verb: protocol.StatusVerb}) {
 		for _, instance := range answer.Reply.Instances {
 			running[instance.Name] = instance.Revision
@@ -62,7 +62,7 @@
 	return effects, nil
 }
 
-// fetchContent adds a revision's content to contents unless it is there.
+// fetchContent fetches a revision's content into contents unless contents has it already.
 func (c *Client) fetchContent(ctx context.Context, contents map[string][]byte, digest string) error {
 	if contents[digest] != nil {
 		return nil
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// replaceEffect is what it means for an instance to go from one revision to another.
+// replaceEffect returns the effect of replacing one revision by another at an instance that runs the first.
 func replaceEffect(instance *inventory.Instance, from, to []byte) (RevisionEffect, error) {
 	effect := RevisionEffect{Instance: instance.Name, Change: ChangeReload}
 	before, err := revision.Check(from, instance.RevisionInstance())
--- a/internal/fleet/control/revisions.go
+++ b/internal/fleet/control/revisions.go
@@ -12,39 +12,39 @@
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 )
 
-// minDigestPrefix is how many characters of a digest find a revision.
+// minDigestPrefix is the minimum length of a digest prefix by which FindRevision finds a revision.
 const minDigestPrefix = 4
 
-// RevisionNotFoundError is the error of a revision that no agent has.
+// RevisionNotFoundError reports that no agent has a revision.
 type RevisionNotFoundError struct {
-	Called string // a name, or the beginning of a digest
+	Called string // the name or digest prefix that was searched for
 }
 
 func (e *RevisionNotFoundError) Error() string {
-	return fmt.Sprintf("no agent keeps a revision %q: see fleet history, or push it", e.Called)
+	return fmt.Sprintf("no agent has stored a revision %q: see fleet history, or push it", e.Called)
 }
 
-// AmbiguousRevisionError is the error of a beginning that several revisions' digests have.
+// AmbiguousRevisionError reports that the digests of several revisions begin with the same prefix.
 type AmbiguousRevisionError struct {
 	Prefix  string
-	Matches int
+	Matches int // number of revisions
 }
 
 func (e *AmbiguousRevisionError) Error() string {
-	return fmt.Sprintf("%d revisions begin with %q", e.Matches, e.Prefix)
+	return fmt.Sprintf("the digests of %d revisions begin with %q", e.Matches, e.Prefix)
 }
 
-// PushResult is what came of PushRevision.
+// PushResult is the result of PushRevision.
 type PushResult struct {
 	Digest  string        `json:"revision"`
 	Name    string        `json:"name,omitempty"`
-	Stored  int           `json:"kept"` // by so many agents
-	Agents  int           `json:"agents"`
+	Stored  int           `json:"kept"`              // number of agents that have stored the revision
+	Agents  int           `json:"agents"`            // number of agents in the fleet
 	Missing []AgentStatus `json:"missing,omitempty"` // agents that have not stored it
 }
 
-// ReadRevision reads a revision's file, checks it for every instance without asking an agent, and returns its canonical
-// content. Errors begin with the file.
+// ReadRevision reads a revision from a file, checks it for every instance without calling an agent, and returns its canonical
+// content. Error texts name the file.
 func (c *Client) ReadRevision(file string) ([]byte, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -62,7 +62,8 @@
 	return content, nil
 }
 
-// PushRevision has every agent store a revision. content is canonical; name is for people and may be empty.
+// PushRevision sends a revision to every agent to store. The content must be canonical; the name is for operators and may be
+// empty.
 func (c *Client) PushRevision(ctx context.Context, content []byte, name string) PushResult {
 	pushed := protocol.Revision{
 		Digest:   revision.Digest(content),
@@ -82,8 +83,8 @@
 	return result
 }
 
-// FindRevision finds a revision by its name, the newest if several have it, or by the beginning of its digest. Its errors
-// are *RevisionNotFoundError, *AmbiguousRevisionError and those of History.
+// FindRevision finds a revision by its name or by a prefix of its digest. If several revisions have the name, it returns the
+// newest. Its errors are *RevisionNotFoundError, *AmbiguousRevisionError and those of History.
 func (c *Client) FindRevision(ctx context.Context, called string) (protocol.Revision, error) {
 	history, err := c.History(ctx)
 	if err != nil {
@@ -122,6 +123,6 @@
 			return reply.Revisions[0].Content, nil
 		}
 	}
-	failures = append(failures, fmt.Errorf("no agent that can be heard keeps revision %s", revision.ShortDigest(digest)))
+	failures = append(failures, fmt.Errorf("no reachable agent has stored revision %s", revision.ShortDigest(digest)))
 	return nil, errors.Join(failures...)
 }
--- a/internal/fleet/control/status.go
+++ b/internal/fleet/control/status.go
@@ -11,14 +11,14 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// Status is how a fleet stands, as far as its agents can be reached.
+// Status is the status of a fleet as its reachable agents report it.
 type Status struct {
 	Fleet     string           `json:"fleet"`
-	Serving   int              `json:"serving"` // instances
-	Total     int              `json:"of"`
+	Serving   int              `json:"serving"` // number of instances that serve
+	Total     int              `json:"of"`      // number of instances in the fleet file
 	Agents    []AgentStatus    `json:"agents"`
 	Instances []InstanceStatus `json:"instances"`
-	Rollout   *RolloutStatus   `json:"rollout,omitempty"` // the newest
+	Rollout   *RolloutStatus   `json:"rollout,omitempty"` // the newest rollout that an agent reports
 	Lease     *LeaseStatus     `json:"claim,omitempty"`
 }
 
@@ -35,31 +35,31 @@
 	Name               string  `json:"name"`
 	Zone               string  `json:"hall"`
 	Agent              string  `json:"agent"`
-	Known              bool    `json:"known"` // its agent reports it
+	Known              bool    `json:"known"` // an agent reports the instance
 	State              string  `json:"life"`
 	Revision           string  `json:"revision,omitempty"` // short digest
-	TargetRevision     string  `json:"wants,omitempty"`    // short digest of the one that it is to run, if another
+	TargetRevision     string  `json:"wants,omitempty"`    // short digest of the revision that it is to run, if that is another one
 	ProcessID          int     `json:"process,omitempty"`
 	Crashes            int     `json:"crashes,omitempty"`
-	EndedCommands      uint64  `json:"ended"`          // lately
-	UnansweredCommands uint64  `json:"unanswered"`     // of them
-	ReadySeconds       float64 `json:"ready_seconds"`  // since it became ready
-	Step               string  `json:"step,omitempty"` // that is open, or why the last one failed
+	EndedCommands      uint64  `json:"ended"`          // commands completed within a recent window
+	UnansweredCommands uint64  `json:"unanswered"`     // completed commands of that window that got no answer
+	ReadySeconds       float64 `json:"ready_seconds"`  // time since the instance became ready
+	Step               string  `json:"step,omitempty"` // the step under way, or why the last step failed
 }
 
-// LeaseStatus is who may change the fleet.
+// LeaseStatus is the status of the lease, whose holder may change the fleet.
 type LeaseStatus struct {
-	Epoch           uint64  `json:"epoch"` // the highest that an agent knows
+	Epoch           uint64  `json:"epoch"` // highest epoch that an agent reports
 	Holder          string  `json:"holder"`
-	Held            bool    `json:"held"`   // by a majority of agents
-	Grants          int     `json:"grants"` // agents that grant it to Holder
-	SinceSeconds    float64 `json:"since_seconds"`
-	LeftSeconds     float64 `json:"left_seconds"` // unless it is renewed
-	Agents          int     `json:"agents"`
+	Held            bool    `json:"held"`          // a majority of agents grants the lease to Holder
+	Grants          int     `json:"grants"`        // number of agents that grant the lease to Holder
+	SinceSeconds    float64 `json:"since_seconds"` // time since Holder acquired the lease
+	LeftSeconds     float64 `json:"left_seconds"`  // time until the lease expires unless it is renewed
+	Agents          int     `json:"agents"`        // number of agents in the fleet
 	ReachableAgents int     `json:"heard"`
 }
 
-// Status asks all agents how the fleet stands.
+// Status requests the status of all agents and returns the fleet's.
 func (c *Client) Status(ctx context.Context) Status {
 	return c.summarize(c.Broadcast(ctx, protocol.Request{Verb: protocol.StatusVerb}))
 }
@@ -97,7 +97,7 @@
 	return status
 }
 
-// instanceStatus is the status of an instance by its agent's report, if there is one.
+// instanceStatus returns the status of an instance. known is false if no agent has reported the instance.
 func (c *Client) instanceStatus(instance *inventory.Instance, report protocol.InstanceStatus, known bool) InstanceStatus {
 	status := InstanceStatus{
 		Name:  instance.Name,
@@ -121,14 +121,14 @@
 	status.UnansweredCommands = report.RecentCommands.Unanswered
 	switch {
 	case report.LastStep.Number != 0 && report.LastResult == rollout.StepPending:
-		status.Step = fmt.Sprintf("step %d of %s is open", report.LastStep.Number, report.LastStep.RolloutID)
+		status.Step = fmt.Sprintf("step %d of rollout %s is under way", report.LastStep.Number, report.LastStep.RolloutID)
 	case report.LastResult == rollout.StepFailed:
 		status.Step = "failed: " + report.LastFailure
 	}
 	return status
 }
 
-// leaseStatus is the lease that most agents grant.
+// leaseStatus returns the status of the lease that the largest number of agents grants.
 func leaseStatus(answers []Answer) *LeaseStatus {
 	status := &LeaseStatus{Agents: len(answers)}
 	grants := map[string]int{}
@@ -155,7 +155,7 @@
 	return status
 }
 
-// newestRecord is the rollout in the newest record that an agent has, which a majority need not have stored.
+// newestRecord returns the rollout in the newest record that any agent reports. Possibly no majority has stored the record.
 func newestRecord(answers []Answer) (rollout protocol.Rollout, found bool) {
 	var newest lease.Record
 	for _, answer := range answers {
--- a/internal/fleet/control/trace.go
+++ b/internal/fleet/control/trace.go
@@ -16,17 +16,17 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// Trace writes a rollout and its steps to a file as spans of OpenTelemetry.
+// Trace writes a rollout and its steps to a file as OpenTelemetry spans.
 type Trace struct {
 	client   *Client
 	file     *os.File
 	provider *sdk.TracerProvider
 	tracer   trace.Tracer
 	rollout  trace.Span
-	step     trace.Span // nil: none is open
+	step     trace.Span // span of the step under way; nil if there is none
 }
 
-// NewTrace begins to append spans to a file, one JSON object each. Close ends it.
+// NewTrace starts a trace that appends its spans to a file, each as one JSON object. The caller must call Close.
 func (c *Client) NewTrace(path string) (*Trace, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return t, nil
 }
 
-// Record takes in what has come about in a rollout. It is made to be called by Drive.
+// Record adds the events of a rollout to the trace. It has the form that Drive needs for its watch parameter.
 func (t *Trace) Record(_ coordinator.View, events []coordinator.Event) {
 	for _, e := range events {
 		if e.AcquiredEpoch != 0 {
@@ -54,7 +54,7 @@
 			t.beginStep(e.Step)
 		case rollout.ActionCompleteStep, rollout.ActionStartRollback, rollout.ActionFinish:
 			t.endStep(e)
-		default: // nothing has begun or ended
+		default: // no step has begun or ended
 		}
 	}
 }
@@ -80,10 +80,10 @@
 	t.step = nil
 }
 
-// Close ends the spans with the rollout's outcome and writes them.
+// Close ends the open spans, adds the rollout's outcome to the rollout's span, and writes all spans to the file.
 func (t *Trace) Close(o coordinator.Outcome) error {
 	if t.step != nil {
-		t.step.SetStatus(codes.Error, "the tool ended")
+		t.step.SetStatus(codes.Error, "the tool ended before the step")
 		t.step.End()
 	}
 	t.rollout.SetAttributes(
