--- a/internal/fleet/revision/diff.go
+++ b/internal/fleet/revision/diff.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Change is one difference between two revisions.
+// Change is one difference between two revisions. Values are JSON texts.
 type Change struct {
-	Key  string `json:"Key"`  // with those of the objects and the indices of the lists that it is in
-	From string `json:"From"` // as JSON; empty: it is not there
-	To   string `json:"To"`
+	Key  string `json:"Key"`  // path of the key, with the keys of the objects and the indices of the lists that contain it
+	From string `json:"From"` // value in the first revision; empty if it lacks the key
+	To   string `json:"To"`   // value in the second revision; empty if it lacks the key
 }
 
-// Diff lists the differences between two revisions, in the order of their keys. Lists of different lengths are one
-// difference.
+// Diff returns the differences between two revisions, in the order of their keys. It reports two lists of different lengths
+// as one difference.
 func Diff(from, to []byte) ([]Change, error) {
 	before, err := decodeDocument("the first revision", from)
 	if err != nil {
@@ -78,7 +78,7 @@
 func jsonText(value any) string {
 	raw, err := json.Marshal(value)
 	if err != nil {
-		return err.Error() // no value of a document gives one
+		return err.Error() // does not happen for a value of a document
 	}
 	return string(raw)
 }
--- a/internal/fleet/revision/document.go
+++ b/internal/fleet/revision/document.go
@@ -9,18 +9,18 @@
 	"strconv"
 )
 
-// maxDepth is how deep a revision's objects and lists may nest.
+// maxDepth is the maximum nesting depth of a revision's objects and lists.
 const maxDepth = 64
 
 var (
-	errNoObject     = errors.New("a revision is a JSON object")
-	errTrailingText = errors.New("something follows the document")
+	errNoObject     = errors.New("a revision must be a JSON object")
+	errTrailingText = errors.New("more text follows the JSON object")
 )
 
-// document is a JSON object. Its numbers are json.Number, so that they are written as they were read.
+// document is a JSON object. Its numbers are of type json.Number, so that they are written as they were read.
 type document = map[string]any
 
-// decodeDocument reads a JSON object. file names it in errors.
+// decodeDocument decodes a JSON object. Errors name it by file.
 func decodeDocument(file string, raw []byte) (document, error) {
 	if len(raw) > MaxBytes {
 		return nil, &TooLongError{File: file, Bytes: len(raw)}
@@ -47,10 +47,10 @@
 	return doc, nil
 }
 
-// decodeValue reads one value, whose path is for errors. It refuses a key that is given twice.
+// decodeValue decodes one value. It rejects an object that contains a key twice. Errors name the value by its path.
 func decodeValue(decoder *json.Decoder, path string, depth int) (any, error) {
 	if depth > maxDepth {
-		return nil, fmt.Errorf("%s nests more than %d deep", path, maxDepth)
+		return nil, fmt.Errorf("%s is nested more than %d levels deep", path, maxDepth)
 	}
 	token, err := decoder.Token()
 	if err != nil {
@@ -65,7 +65,7 @@
 	return token, nil
 }
 
-// decodeObject reads an object after its opening brace.
+// decodeObject decodes an object whose opening brace has been read.
 func decodeObject(decoder *json.Decoder, path string, depth int) (document, error) {
 	doc := document{}
 	for decoder.More() {
@@ -73,7 +73,7 @@
 		if err != nil {
 			return nil, err
 		}
-		key, _ := token.(string) // the decoder refuses other keys
+		key, _ := token.(string) // the decoder rejects keys that are not strings
 		keyPath := joinKey(path, key)
 		if _, twice := doc[key]; twice {
 			return nil, &DuplicateKeyError{Key: keyPath}
@@ -86,7 +86,7 @@
 	return doc, err
 }
 
-// decodeList reads a list after its opening bracket.
+// decodeList decodes a list whose opening bracket has been read.
 func decodeList(decoder *json.Decoder, path string, depth int) ([]any, error) {
 	list := []any{}
 	for decoder.More() {
@@ -100,7 +100,7 @@
 	return list, err
 }
 
-// joinKey is the path of a key of the object at a path.
+// joinKey returns the path of a key in the object at a path.
 func joinKey(path, key string) string {
 	if path == "" {
 		return key
@@ -108,10 +108,10 @@
 	return path + "." + key
 }
 
-// joinIndex is the path of an element of the list at a path.
+// joinIndex returns the path of an element in the list at a path.
 func joinIndex(path string, index int) string { return path + "[" + strconv.Itoa(index) + "]" }
 
-// lineAndColumn are those of an offset in a text, from 1.
+// lineAndColumn returns the line and column of an offset in a text. Both count from 1.
 func lineAndColumn(raw []byte, offset int64) (line, column int) {
 	before := raw[:min(offset, int64(len(raw)))]
 	line = bytes.Count(before, []byte{'\n'}) + 1
--- a/internal/fleet/revision/errors.go
+++ b/internal/fleet/revision/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// SyntaxError is the error of a revision that is no JSON object, or that gives a key twice.
+// SyntaxError reports that a revision is not a JSON object or contains a key twice.
 type SyntaxError struct {
 	File         string
-	Line, Column int // from 1
+	Line, Column int // both count from 1
 	Err          error
 }
 
@@ -15,28 +15,28 @@
 
 func (e *SyntaxError) Unwrap() error { return e.Err }
 
-// DuplicateKeyError is the error of a key that is given twice. A reader would take one of the two without a word.
+// DuplicateKeyError reports that an object contains a key twice. A JSON decoder would silently use one of the two values.
 type DuplicateKeyError struct {
-	Key string // with those of the objects and the indices of the lists that it is in
+	Key string // path of the key, with the keys of the objects and the indices of the lists that contain it
 }
 
 func (e *DuplicateKeyError) Error() string { return e.Key + " is given twice" }
 
-// TooLongError is the error of a revision above MaxBytes.
+// TooLongError reports that a revision is longer than MaxBytes.
 type TooLongError struct {
 	File  string
 	Bytes int
 }
 
 func (e *TooLongError) Error() string {
-	return fmt.Sprintf("%s: %d bytes, %d at most", e.File, e.Bytes, MaxBytes)
+	return fmt.Sprintf("%s: the revision has %d bytes, and may have %d at most", e.File, e.Bytes, MaxBytes)
 }
 
-// InstanceKeyError is the error of a revision that holds a key that belongs to an instance.
+// InstanceKeyError reports that a revision contains a key that is set for each instance.
 type InstanceKeyError struct {
 	File, Key string
 }
 
 func (e *InstanceKeyError) Error() string {
-	return fmt.Sprintf("%s: the key %s belongs to an instance, and is put in for each", e.File, e.Key)
+	return fmt.Sprintf("%s: the key %s belongs to an instance and is set for each; remove it from the revision", e.File, e.Key)
 }
--- a/internal/fleet/revision/revision.go
+++ b/internal/fleet/revision/revision.go
@@ -1,6 +1,6 @@
 // Package revision handles the configurations that are rolled out to routers. A revision is one JSON document that all
-// routers of a fleet share, identified by the digest of its content. What belongs to one instance, such as its name and
-// address, is put in for it, and the router's own reader checks the result.
+// routers of a fleet share, identified by the digest of its content. Render adds the values that belong to one instance, such
+// as its name and address, and Check parses the result with the router's own parser (package config).
 package revision
 
 import (
@@ -16,12 +16,12 @@
 	"stoatdale.example/stoatdale/internal/config"
 )
 
-// MaxBytes is the most that a revision may have.
+// MaxBytes is the maximum length of a revision, in bytes.
 const MaxBytes = 4 << 20
 
 const (
-	digestBytes      = 16 // of the hash that a digest keeps
-	shortDigestChars = 10
+	digestBytes      = 16 // length of the part of the hash that forms a digest
+	shortDigestChars = 10 // length of a short digest
 )
 
 // Keys of a router's configuration that Render sets.
@@ -31,25 +31,26 @@
 	seedKey      = "seed"
 	discoveryKey = "discovery"
 	settingsKey  = "settings"
-	indexKey     = "me" // in settings
+	indexKey     = "me" // in the object settings
 )
 
-// instanceKeys belong to an instance: a revision must not hold them.
+// instanceKeys are the keys that are set for each instance. A revision must not contain them.
 var instanceKeys = []string{nameKey, listenKey, seedKey}
 
-// errNoSettings is the error of an instance's index in a revision without settings.
-var errNoSettings = errors.New("settings is missing, or no object")
+// errNoSettings is the error of Render if an instance has a router index and the revision has no settings to set it in.
+var errNoSettings = errors.New("settings is missing or is not an object")
 
-// Instance is what belongs to one instance and not to the revision.
+// Instance holds the values of one instance that are not in the revision.
 type Instance struct {
 	Name        string
 	Listen      string // address and port
-	Discovery   string // address and port in place of the revision's; empty: as the revision has it
-	RouterIndex int    // in place of settings.me; below 0: as the revision has it
+	Discovery   string // address and port that replace the revision's; empty to keep the revision's
+	RouterIndex int    // replaces settings.me; negative to keep the revision's
 }
 
-// Canonical returns a revision in the one form that its digest is taken of: compact, with its keys in order and numbers as
-// they were written. Errors begin with the file and match *SyntaxError, *TooLongError or *InstanceKeyError.
+// Canonical returns a revision in canonical form, from which its digest is computed: compact JSON with sorted keys, and with
+// numbers as they were written. Error texts begin with the file. Errors match *SyntaxError, *TooLongError or
+// *InstanceKeyError.
 func Canonical(file string, raw []byte) ([]byte, error) {
 	doc, err := decodeDocument(file, raw)
 	if err != nil {
@@ -67,21 +68,21 @@
 	return canonical, nil
 }
 
-// isInstanceKey tells whether a key belongs to an instance. The router's reader takes keys in any case.
+// isInstanceKey reports whether a key is set for each instance. It ignores case, because the router's parser does.
 func isInstanceKey(key string) bool {
 	return slices.ContainsFunc(instanceKeys, func(own string) bool { return strings.EqualFold(own, key) })
 }
 
-// Digest identifies canonical content.
+// Digest returns the digest that identifies a revision with the given canonical content.
 func Digest(canonical []byte) string {
 	sum := sha256.Sum256(canonical)
 	return hex.EncodeToString(sum[:digestBytes])
 }
 
-// ShortDigest is the beginning of a digest, for people.
+// ShortDigest returns the beginning of a digest, for display to operators.
 func ShortDigest(digest string) string { return digest[:min(len(digest), shortDigestChars)] }
 
-// Render returns the configuration of one instance under a revision. seed is for one start of the router.
+// Render returns the configuration of one instance under a revision. The seed must be new for each start of the router.
 func Render(canonical []byte, instance Instance, seed uint64) ([]byte, error) {
 	doc, err := decodeDocument("revision", canonical)
 	if err != nil {
@@ -107,8 +108,8 @@
 	return raw, nil
 }
 
-// Check has the router's own reader check what one instance would be given, and returns what it reads. Errors name the
-// instance, and match *config.Error where the reader refuses a key.
+// Check parses the configuration that one instance would get under a revision, with the router's own parser, and returns
+// it. An error of the parser is wrapped with the instance's name, and matches *config.Error if the parser rejects a key.
 func Check(canonical []byte, instance Instance) (config.Config, error) {
 	const anySeed = 1
 	raw, err := Render(canonical, instance, anySeed)
@@ -122,12 +123,12 @@
 	return config, nil
 }
 
-// RestartKeys names the keys for which an instance must be restarted to go from one configuration to another; none: a
-// reload is enough.
+// RestartKeys returns the keys whose change needs a restart of an instance that goes from one configuration to another. If
+// there are none, a reload is enough.
 func RestartKeys(from, to *config.Config) []string { return from.RestartKeys(to) }
 
-// DrainSeconds is how long a router may take to end once it is told to: the longest that a command may wait, the time in
-// which clients are still accepted, and a grace, in seconds.
+// DrainSeconds returns the longest time, in seconds, that a router may take to shut down: the longest that a client's command
+// may wait, plus the time in which the router still accepts clients, plus a grace.
 func DrainSeconds(config *config.Config, graceSeconds float64) float64 {
 	durations := &config.Limits.Durations
 	return durations.MaxClientTimeout + durations.AcceptLinger + graceSeconds
--- a/internal/fleet/revision/revision_test.go
+++ b/internal/fleet/revision/revision_test.go
@@ -11,7 +11,7 @@
 	"stoatdale.example/stoatdale/internal/config"
 )
 
-// sample is a revision that the router's reader takes.
+// sample is a revision that the router's parser accepts.
 const sample = `{
  "limits": {"sockets": 600, "memory_mb": 100},
  "discovery": "127.2.0.1:8500",
@@ -23,10 +23,10 @@
   "limits":{"mostTries":4,"dialTimeoutNs":250000000,"connIdleNs":15000000000,"probes":true},
   "invariants":{"startCapacity":0.2,"rampTimeNs":9000000000,"overloadFactor":2,"fallNs":2000000000}}}`
 
-// here is the instance of most tests.
+// here is the instance that most tests use.
 var here = Instance{Name: "n1", Listen: "127.0.0.1:5432", RouterIndex: 1}
 
-// canonical is a text in its canonical form.
+// canonical returns a revision's text in canonical form.
 func canonical(t *testing.T, text string) []byte {
 	t.Helper()
 	c, err := Canonical("f", []byte(text))
@@ -39,7 +39,7 @@
 	again := canonical(t, string(c))
 	assert.Equal(t, c, again)
 	other := strings.Replace(sample, `"sockets": 600, "memory_mb": 100`, `"memory_mb":100,"sockets":600`, 1)
-	assert.Equal(t, Digest(c), Digest(canonical(t, other)), "however it is written")
+	assert.Equal(t, Digest(c), Digest(canonical(t, other)), "the order of keys does not change the digest")
 	assert.NotEqual(t, Digest(c), Digest(canonical(t, strings.Replace(sample, "600", "601", 1))))
 	assert.Contains(t, string(canonical(t, strings.Replace(sample, "500000000", "500000000.0000001", 1))), "500000000.0000001", "numbers stay as written")
 }
@@ -64,11 +64,11 @@
 		`{"Seed":"1"}`:                "the key Seed belongs to an instance",
 		"{\n \"a\":1,\n \"a\":2}":     "f:3:5: a is given twice",
 		`{"a":{"b":[{"c":1,"c":2}]}}`: "a.b[0].c is given twice",
-		`[1]`:                         "f:1:1: a revision is a JSON object",
-		`{"a":1} x`:                   "something follows",
+		`[1]`:                         "f:1:1: a revision must be a JSON object",
+		`{"a":1} x`:                   "more text follows",
 		`{"a":`:                       "unexpected EOF",
 		`{"a" 1}`:                     "f:1:",
-		strings.Repeat(`{"a":`, 70) + "1" + strings.Repeat("}", 70): "nests more than",
+		strings.Repeat(`{"a":`, 70) + "1" + strings.Repeat("}", 70): "is nested more than 64 levels deep",
 	} {
 		_, err := Canonical("f", []byte(text))
 		require.ErrorContains(t, err, says, text)
@@ -119,5 +119,5 @@
 	assert.Equal(t, []Change{{"a.b[1]", "2", "3"}, {"a.c", "1", ""}, {"a.e", "", "[]"}}, d)
 	raw, err := json.Marshal(d[0])
 	require.NoError(t, err)
-	assert.JSONEq(t, `{"Key":"a.b[1]","From":"2","To":"3"}`, string(raw), "as fleet diff --json prints it")
+	assert.JSONEq(t, `{"Key":"a.b[1]","From":"2","To":"3"}`, string(raw), "the form that fleet diff --json prints")
 }
