--- a/internal/fleet/inventory/check.go
+++ b/internal/fleet/inventory/check.go
@@ -8,22 +8,22 @@
 	"stoatdale.example/stoatdale/internal/sexp"
 )
 
-// How many polls fit at least into the times that depend on them.
+// Minimum numbers of poll intervals that the times depending on them must hold.
 const (
 	minPollsWhileFresh = 2
 	minPollsPerLease   = 4
 )
 
-// checker checks what the types of a fleet file cannot say.
+// checker checks the rules of a fleet file that the types of its fields do not enforce.
 type checker struct {
 	fleet     *Fleet
-	file      sexp.Position // for errors that have no place of their own
-	listeners map[netip.AddrPort]string
-	instances map[string]bool
-	perZone   []int // instances, in the order of the fleet's zones
+	file      sexp.Position             // position of errors that concern the file as a whole
+	listeners map[netip.AddrPort]string // agent or instance that listens on each address, as in errors
+	instances map[string]bool           // by name; true for those already checked
+	perZone   []int                     // number of instances, by the zone's index
 }
 
-// check checks a decoded file and fills in its indices.
+// check checks a decoded fleet file and sets zoneIndex and agentIndex.
 func (f *Fleet) check(file string) error {
 	f.zoneIndex = map[string]int{}
 	f.agentIndex = map[string]int{}
@@ -65,9 +65,9 @@
 	}
 	switch {
 	case times.FreshFor < minPollsWhileFresh*times.PollInterval:
-		return errorAt(c.file, "times: fresh must be twice look at least, or nothing is ever known")
+		return errorAt(c.file, "times: fresh must be at least twice look, or no instance is ever known")
 	case times.LeaseTerm < minPollsPerLease*times.PollInterval:
-		return errorAt(c.file, "times: claim must be four times look at least, or claims run out in use")
+		return errorAt(c.file, "times: claim must be at least four times look, or a claim can expire while it is in use")
 	case len(c.fleet.Agents) == 0:
 		return errorAt(c.file, "the file has no agent")
 	case len(c.fleet.Instances) == 0:
@@ -102,10 +102,10 @@
 	return nil
 }
 
-// checkListener checks that an address has a port and is that of no other agent or instance.
+// checkListener checks that an address has a port and that no other agent or instance listens on it.
 func (c *checker) checkListener(at sexp.Position, address netip.AddrPort, who string) error {
 	if address.Port() == 0 {
-		return errorAt(at, "%s: listen wants a port", who)
+		return errorAt(at, "%s: listen needs a port", who)
 	}
 	if other, taken := c.listeners[address]; taken {
 		return errorAt(at, "%s listens on %s, as %s does", who, address, other)
@@ -131,9 +131,9 @@
 	case !known:
 		return errorAt(x.Position, "instance %s: there is no agent %s", x.Name, x.Agent)
 	case !isFolderName(x.Name):
-		return errorAt(x.Position, "instance %q: the name must do as a folder's", x.Name)
+		return errorAt(x.Position, "instance %q: the name must be usable as a folder name", x.Name)
 	case x.RouterIndex != nil && *x.RouterIndex < 0:
-		return errorAt(x.Position, "instance %s: me must not be below 0", x.Name)
+		return errorAt(x.Position, "instance %s: me must not be negative", x.Name)
 	}
 	if x.Discovery != "" {
 		if _, err := netip.ParseAddrPort(x.Discovery); err != nil {
@@ -148,20 +148,20 @@
 	return nil
 }
 
-// isFolderName tells whether a name stands for one folder in another, and is not hidden there.
+// isFolderName reports whether a name can be that of a folder within another folder and is not a hidden one.
 func isFolderName(name string) bool {
 	return name != "" && name[0] != '.' && !strings.ContainsAny(name, "/\x00")
 }
 
-// checkMinimums checks that the instances that must stay available are there at all.
+// checkMinimums checks that no minimum of serving instances exceeds the number of instances.
 func (c *checker) checkMinimums() error {
 	for i, zone := range c.fleet.Zones {
 		if zone.MinAvailable < 0 || zone.MinAvailable > c.perZone[i] {
-			return errorAt(zone.Position, "hall %s: its floor is %d, and it has %d instances", zone.Name, zone.MinAvailable, c.perZone[i])
+			return errorAt(zone.Position, "hall %s: its floor is %d, but it has %d instances", zone.Name, zone.MinAvailable, c.perZone[i])
 		}
 	}
 	if c.fleet.MinAvailable < 0 || c.fleet.MinAvailable > len(c.fleet.Instances) {
-		return errorAt(c.file, "the floor is %d, and there are %d instances", c.fleet.MinAvailable, len(c.fleet.Instances))
+		return errorAt(c.file, "the floor is %d, but there are %d instances", c.fleet.MinAvailable, len(c.fleet.Instances))
 	}
 	return nil
 }
--- a/internal/fleet/inventory/inventory_test.go
+++ b/internal/fleet/inventory/inventory_test.go
@@ -26,7 +26,7 @@
 	assert.Equal(t, []rollout.Instance{{Zone: 0, Agent: 0}, {Zone: 1, Agent: 1}}, p.Instances)
 	assert.Equal(t, []int{1, 0}, p.ZoneMinAvailable)
 	assert.InDelta(t, 2, p.Timing.SoakSeconds, 0)
-	assert.InDelta(t, 30, p.Timing.ContactTimeoutSeconds, 0, "what is not given has a default")
+	assert.InDelta(t, 30, p.Timing.ContactTimeoutSeconds, 0, "a time that the file does not set has a default")
 	assert.Equal(t, revision.Instance{Name: "n1", Listen: "127.0.0.1:5001", RouterIndex: 0}, f.Instances[0].RevisionInstance())
 	assert.Equal(t, revision.Instance{Name: "n2", Listen: "127.0.0.1:5002", Discovery: "127.0.0.1:8500", RouterIndex: -1}, f.Instances[1].RevisionInstance())
 	again, err := Parse("f", f.Text())
@@ -41,21 +41,21 @@
 func TestErrorsNamePlaceAndKey(t *testing.T) {
 	for change, says := range map[[2]string]string{
 		{"(name haulage)", ""}:                               "f:1:1: the file lacks the key name",
-		{"(floor 1)\n(times", "(floor 9)\n(times"}:           "the floor is 9, and there are 2 instances",
-		{"(hall gebze (floor 1))", "(hall gebze (floor 2))"}: "f:3:1: hall gebze: its floor is 2, and it has 1 instances",
+		{"(floor 1)\n(times", "(floor 9)\n(times"}:           "the floor is 9, but there are 2 instances",
+		{"(hall gebze (floor 1))", "(hall gebze (floor 2))"}: "f:3:1: hall gebze: its floor is 2, but it has 1 instances",
 		{"(hall izmit (floor 0))", "(hall gebze (floor 0))"}: "f:3:24: hall gebze is given twice",
 		{"(hall izmit) (fold", "(hall nowhere) (fold"}:       "f:5:1: agent a2: there is no hall nowhere",
 		{"(agent a2 (l", "(agent a1 (l"}:                     "f:5:1: agent a1 is given twice",
 		{"(instance n2", "(instance n1"}:                     "f:7:1: instance n1 is given twice",
-		{"(instance n2", "(instance ../n1"}:                  "must do as a folder's",
+		{"(instance n2", "(instance ../n1"}:                  "must be usable as a folder name",
 		{"(agent a2) (listen", "(agent a3) (listen"}:         "f:7:1: instance n2: there is no agent a3",
 		{"127.0.0.1:5002", "127.0.0.1:7001"}:                 "instance n2 listens on 127.0.0.1:7001, as agent a1 does",
-		{"127.0.0.1:5002", "127.0.0.1:0"}:                    "listen wants a port",
+		{"127.0.0.1:5002", "127.0.0.1:0"}:                    "listen needs a port",
 		{"127.0.0.1:8500", "somewhere"}:                      "discovery:",
-		{"(look 250ms)", "(look 2s)"}:                        "fresh must be twice look",
-		{"(look 250ms)", "(claim 1s)"}:                       "claim must be four times look",
+		{"(look 250ms)", "(look 2s)"}:                        "fresh must be at least twice look",
+		{"(look 250ms)", "(claim 1s)"}:                       "claim must be at least four times look",
 		{"(look 250ms)", "(step 0s)"}:                        "times: step must be above 0",
-		{"(me 0)", "(me -1)"}:                                "me must not be below 0",
+		{"(me 0)", "(me -1)"}:                                "me must not be negative",
 		{"(me 0)", "(mee 0)"}:                                `instance has no key "mee"; did you mean me?`,
 	} {
 		require.Contains(t, sample, change[0])
--- a/internal/fleet/inventory/lookup.go
+++ b/internal/fleet/inventory/lookup.go
@@ -10,10 +10,11 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// digestBytes is how much of a hash a digest of a list keeps.
+// digestBytes is the length of the part of a list's hash that forms its digest.
 const digestBytes = 8
 
-// PlannerFleet is the fleet as the planner sees it: instances, zones and agents are indices in the file's order.
+// PlannerFleet returns the fleet in the form that the planner uses, with instances, zones and agents as indices in the order
+// of the file.
 func (f *Fleet) PlannerFleet() *rollout.Fleet {
 	p := &rollout.Fleet{
 		MinAvailable: f.MinAvailable,
@@ -35,7 +36,7 @@
 	return p
 }
 
-// InstanceNames are the names of the instances, in the file's order.
+// InstanceNames returns the names of the instances, in the order of the file.
 func (f *Fleet) InstanceNames() []string {
 	var names []string
 	for _, x := range f.Instances {
@@ -44,7 +45,7 @@
 	return names
 }
 
-// Agent returns the agent of a name, or nil.
+// Agent returns the agent with a name, or nil if there is none.
 func (f *Fleet) Agent(name string) *Agent {
 	if i, ok := f.agentIndex[name]; ok {
 		return &f.Agents[i]
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// InstancesOf returns an agent's instances, in the file's order.
+// InstancesOf returns an agent's instances, in the order of the file.
 func (f *Fleet) InstancesOf(agent string) []Instance {
 	var instances []Instance
 	for _, x := range f.Instances {
@@ -63,7 +64,7 @@
 	return instances
 }
 
-// RevisionInstance is what belongs to the instance in its configuration.
+// RevisionInstance returns the values of the instance that revision.Render sets in its configuration.
 func (x *Instance) RevisionInstance() revision.Instance {
 	instance := revision.Instance{Name: x.Name, Listen: x.Listen.String(), Discovery: x.Discovery, RouterIndex: -1}
 	if x.RouterIndex != nil {
@@ -72,8 +73,8 @@
 	return instance
 }
 
-// AgentsDigest identifies the list of agents, a majority of whom grants leases: a tool and an agent that go by different
-// lists must not work together.
+// AgentsDigest returns a digest that identifies the list of agents. A majority of these agents grants a lease, so a tool and
+// an agent with different lists must not work together.
 func (f *Fleet) AgentsDigest() string {
 	var list strings.Builder
 	for _, agent := range f.Agents {
@@ -82,7 +83,8 @@
 	return digest(list.String())
 }
 
-// InstancesDigest identifies the list of instances, whose indices a rollout's record refers to.
+// InstancesDigest returns a digest that identifies the list of instances. Rollout records refer to instances by their indices
+// in this list.
 func (f *Fleet) InstancesDigest() string {
 	var list strings.Builder
 	for _, x := range f.Instances {
