--- a/internal/fleet/control/drive.go
+++ b/internal/fleet/control/drive.go
@@ -75,7 +75,7 @@
 func (c *Client) Drive(ctx context.Context, task coordinator.Task, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
 	d := c.newDriver(task, watch)
 	calls, cancel := context.WithCancel(context.WithoutCancel(ctx)) // ctx may end before the lease is released
-	defer d.calling.Wait()
+	defer d.runningCalls.Wait()
 	defer cancel()
 	interrupted := ctx.Done()
 	for {
@@ -85,8 +85,8 @@
 		}
 		timer := time.NewTimer(wait)
 		select {
-		case a := <-d.answers:
-			d.takeAnswers(a)
+		case answer := <-d.answers:
+			d.handleAnswers(answer)
 		case <-timer.C:
 		case <-interrupted:
 			interrupted = nil
@@ -98,13 +98,13 @@
 
 // driver makes the calls of a coordinator and passes it the agents' answers.
 type driver struct {
-	client      *Client
-	coordinator *coordinator.Coordinator
-	watch       func(coordinator.View, []coordinator.Event)
-	startedAt   time.Time
-	answers     chan callAnswer
-	slots       chan struct{} // holds one element for each call that is being made
-	calling     sync.WaitGroup
+	client       *Client
+	coordinator  *coordinator.Coordinator
+	watch        func(coordinator.View, []coordinator.Event)
+	startedAt    time.Time
+	answers      chan callAnswer
+	slots        chan struct{} // holds one element for each call that is being made
+	runningCalls sync.WaitGroup
 }
 
 // callAnswer is the reply to a call of the coordinator, or its error.
@@ -145,16 +145,16 @@
 
 // advance lets the coordinator decide, starts the calls that it returns, and returns the time until the next advance is due.
 func (d *driver) advance(ctx context.Context) time.Duration {
-	calls, wake := d.coordinator.Tick(d.now())
+	calls, nextTick := d.coordinator.Tick(d.now())
 	for _, call := range calls {
-		d.calling.Go(func() { d.makeCall(ctx, call) })
+		d.runningCalls.Go(func() { d.makeCall(ctx, call) })
 	}
 	if d.watch != nil {
 		d.watch(d.coordinator.View(d.now()), d.coordinator.TakeEvents())
 	} else {
 		d.coordinator.TakeEvents()
 	}
-	return time.Duration(max(0, wake-d.now()) * float64(time.Second))
+	return time.Duration(max(0, nextTick-d.now()) * float64(time.Second))
 }
 
 func (d *driver) makeCall(ctx context.Context, call coordinator.OutgoingCall) {
@@ -164,16 +164,16 @@
 	d.answers <- callAnswer{id: call.ID, reply: reply, err: err}
 }
 
-// takeAnswers passes the coordinator an answer and all other answers that have arrived.
-func (d *driver) takeAnswers(a callAnswer) {
+// handleAnswers passes the coordinator an answer and all other answers that have arrived.
+func (d *driver) handleAnswers(answer callAnswer) {
 	for {
-		if a.err != nil {
-			d.coordinator.HandleFailure(d.now(), a.id, a.err.Error())
+		if answer.err != nil {
+			d.coordinator.HandleFailure(d.now(), answer.id, answer.err.Error())
 		} else {
-			d.coordinator.HandleReply(d.now(), a.id, a.reply)
+			d.coordinator.HandleReply(d.now(), answer.id, answer.reply)
 		}
 		select {
-		case a = <-d.answers:
+		case answer = <-d.answers:
 		default:
 			return
 		}
--- a/internal/fleet/coordinator/calls.go
+++ b/internal/fleet/coordinator/calls.go
@@ -48,9 +48,9 @@
 	}
 	switch c.phase {
 	case phasePolling:
-		return protocol.Request{Verb: protocol.StatusVerb}, !a.replied
+		return protocol.Request{Verb: protocol.StatusVerb}, !a.settled
 	case phaseRequestingLease:
-		return c.leaseRequest(), !a.replied
+		return c.leaseRequest(), !a.settled
 	case phaseRunning:
 		if !a.granted {
 			return c.leaseRequest(), true
@@ -104,9 +104,9 @@
 	return r
 }
 
-// takePending removes a call from the pending calls and returns it with its agent. It returns false if the call is not
+// removePending removes a call from the pending calls and returns it with its agent. It returns false if the call is not
 // pending: the phase in which it was made has ended.
-func (c *Coordinator) takePending(now float64, id uint64) (pendingCall, *agent, bool) {
+func (c *Coordinator) removePending(now float64, id uint64) (pendingCall, *agent, bool) {
 	call, awaited := c.pendingCalls[id]
 	if !awaited {
 		return call, nil, false
@@ -126,7 +126,7 @@
 // HandleFailure handles a call that failed without a reply. The agent may have done what the call asked for. failure is
 // text for operators.
 func (c *Coordinator) HandleFailure(now float64, id uint64, failure string) {
-	call, a, awaited := c.takePending(now, id)
+	call, a, awaited := c.removePending(now, id)
 	if !awaited {
 		return
 	}
@@ -134,9 +134,9 @@
 	a.nextCommand = now + c.config.Timing.PollSeconds
 	switch c.phase {
 	case phasePolling:
-		a.replied = true
+		a.settled = true
 	case phaseRequestingLease:
-		a.replied = true
+		a.settled = true
 		c.campaign.AddUnreachable(call.agent)
 	case phaseReleasing:
 		a.released = true
@@ -146,7 +146,7 @@
 
 // HandleReply handles the reply to a call.
 func (c *Coordinator) HandleReply(now float64, id uint64, r protocol.Reply) {
-	call, a, awaited := c.takePending(now, id)
+	call, a, awaited := c.removePending(now, id)
 	if !awaited {
 		return
 	}
@@ -154,14 +154,14 @@
 	a.failure = r.Failure
 	if call.verb == protocol.StatusVerb {
 		a.operatorRequest = r.OperatorRequest
-		c.takeObservations(call, r)
+		c.recordObservations(call, r)
 	}
 	switch c.phase {
 	case phasePolling:
-		a.replied = true
+		a.settled = true
 		a.record = r.Record
 	case phaseRequestingLease:
-		a.replied = true
+		a.settled = true
 		a.granted = r.Denial == lease.Granted
 		c.campaign.AddReply(call.agent, r.Denial, r.LeaseState, r.Record)
 	case phaseReleasing:
@@ -224,9 +224,9 @@
 	}
 }
 
-// takeObservations records an agent's report of its instances. In phaseRunning it ignores the report of an agent that has
+// recordObservations records an agent's report of its instances. In phaseRunning it ignores the report of an agent that has
 // not granted the epoch. An observation counts as made at the time the call was sent, less the age that the agent reports.
-func (c *Coordinator) takeObservations(call pendingCall, r protocol.Reply) {
+func (c *Coordinator) recordObservations(call pendingCall, r protocol.Reply) {
 	if c.phase == phaseRunning {
 		underEpoch := r.Denial == lease.Granted && call.epoch == c.campaign.Request.Epoch
 		if !underEpoch {
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -18,13 +18,13 @@
 	phaseBackoff                      // waits before it polls again
 	phaseRunning                      // drives the rollout under the lease
 	phaseReleasing                    // releases the lease at the agents that granted it
-	phaseOver                         // the outcome is final
+	phaseEnded                        // the outcome is final
 )
 
 // agent is what a coordinator knows of one agent. At most one query (a status or lease request) and one command (any other
 // call) to an agent are pending.
 type agent struct {
-	replied         bool                     // the agent has replied in this phase, or a call to it has failed
+	settled         bool                     // the agent has replied in this phase, or a call to it has failed
 	granted         bool                     // the agent has granted the campaign's epoch
 	leaseState      lease.State              // from the agent's last reply
 	record          lease.Record             // from the last status reply while polling
@@ -45,7 +45,7 @@
 
 	phase     phase
 	phaseTime float64 // when the phase began, in seconds; in phaseBackoff, when the phase ends
-	outcome   Outcome // final in phaseOver
+	outcome   Outcome // final in phaseEnded
 	events    []Event // not yet returned by TakeEvents
 
 	agents       []agent
@@ -86,12 +86,12 @@
 }
 
 // Outcome returns the coordinator's outcome, and whether the coordinator has ended and the outcome is final.
-func (c *Coordinator) Outcome() (Outcome, bool) { return c.outcome, c.phase == phaseOver }
+func (c *Coordinator) Outcome() (Outcome, bool) { return c.outcome, c.phase == phaseEnded }
 
 // Quit makes the coordinator release its lease and end. The agent of a step under way completes the step on its own.
 func (c *Coordinator) Quit(now float64) {
 	ending := c.phase == phaseReleasing && c.outcome.Kind != OutcomeNoMajority
-	if ending || c.phase == phaseOver {
+	if ending || c.phase == phaseEnded {
 		return
 	}
 	c.lostCampaigns = maxLostCampaigns
@@ -136,12 +136,12 @@
 		c.decide(now)
 	case phaseReleasing:
 		c.checkReleased(now)
-	case phaseOver:
+	case phaseEnded:
 	}
-	if c.phase == phaseOver || c.phase == phaseBackoff {
+	if c.phase == phaseEnded || c.phase == phaseBackoff {
 		return nil, next
 	}
-	soonest := now + c.config.Timing.PollSeconds/4
+	earliestQuery := now + c.config.Timing.PollSeconds/4
 	for i := range c.agents {
 		if r, due := c.dueQuery(now, i); due {
 			calls = append(calls, c.send(now, i, r))
@@ -149,7 +149,7 @@
 		if r, due := c.dueCommand(now, i); due {
 			calls = append(calls, c.send(now, i, r))
 		}
-		next = min(next, max(c.agents[i].nextQuery, soonest))
+		next = min(next, max(c.agents[i].nextQuery, earliestQuery))
 	}
 	return calls, next
 }
@@ -160,7 +160,7 @@
 	c.phaseTime = now
 	for i := range c.agents {
 		a := &c.agents[i]
-		a.replied = false
+		a.settled = false
 		a.pendingQuery, a.pendingCommand = 0, 0
 		a.nextQuery, a.nextCommand = now, now
 		a.failure = ""
--- a/internal/fleet/coordinator/lease.go
+++ b/internal/fleet/coordinator/lease.go
@@ -16,11 +16,11 @@
 // minBackoffPolls is the shortest backoff after a lost campaign, in poll intervals.
 const minBackoffPolls = 0.2
 
-// replies returns the number of agents that have replied in this phase or to which a call has failed (settled), and the
+// countReplies returns the number of agents that have replied in this phase or to which a call has failed (settled), and the
 // number of those that have replied.
-func (c *Coordinator) replies() (settled, replied int) {
+func (c *Coordinator) countReplies() (settled, replied int) {
 	for i := range c.agents {
-		if !c.agents[i].replied {
+		if !c.agents[i].settled {
 			continue
 		}
 		settled++
@@ -34,7 +34,7 @@
 // checkStatuses requests the lease once every agent has reported its status or cannot be reached. If another holder has the
 // lease, the coordinator ends instead.
 func (c *Coordinator) checkStatuses(now float64) {
-	settled, replied := c.replies()
+	settled, replied := c.countReplies()
 	if settled < len(c.agents) {
 		return
 	}
@@ -70,7 +70,7 @@
 
 // checkCampaign acts on the campaign's result once every agent has replied to the request or cannot be reached.
 func (c *Coordinator) checkCampaign(now float64) {
-	if settled, _ := c.replies(); settled < len(c.agents) {
+	if settled, _ := c.countReplies(); settled < len(c.agents) {
 		return
 	}
 	switch c.campaign.Result() {
@@ -143,9 +143,9 @@
 		return
 	}
 	if c.planner == nil {
-		var impossible *Outcome
-		if r, impossible = c.config.startRun(r); impossible != nil {
-			c.release(now, *impossible)
+		var failure *Outcome
+		if r, failure = c.config.startRun(r); failure != nil {
+			c.release(now, *failure)
 			return
 		}
 	} else if r.ID != c.rollout.ID || r.Run != c.rollout.Run {
@@ -213,5 +213,5 @@
 	slices.Sort(o.Faults)
 	o.Faults = slices.Compact(o.Faults)
 	c.outcome = o
-	c.phase = phaseOver
+	c.phase = phaseEnded
 }
--- a/internal/fleet/coordinator/run.go
+++ b/internal/fleet/coordinator/run.go
@@ -29,8 +29,8 @@
 }
 
 func (c *Config) continueRollout(r protocol.Rollout) (protocol.Rollout, *Outcome) {
-	over := r.State.Terminal() && c.Task.Operation != OperationRollback
-	if r.ID == "" || over {
+	ended := r.State.Terminal() && c.Task.Operation != OperationRollback
+	if r.ID == "" || ended {
 		return r, &Outcome{Kind: OutcomeNoRollout, Rollout: r}
 	}
 	if r.InstancesDigest != c.Task.FleetDigest {
--- a/internal/fleet/inventory/check.go
+++ b/internal/fleet/inventory/check.go
@@ -16,11 +16,11 @@
 
 // checker checks the rules of a fleet file that the types of its fields do not enforce.
 type checker struct {
-	fleet     *Fleet
-	file      sexp.Position             // position of errors that concern the file as a whole
-	listeners map[netip.AddrPort]string // agent or instance that listens on each address, as in errors
-	instances map[string]bool           // by name; true for those already checked
-	perZone   []int                     // number of instances, by the zone's index
+	fleet            *Fleet
+	filePosition     sexp.Position             // position of errors that concern the file as a whole
+	listeners        map[netip.AddrPort]string // agent or instance that listens on each address, as in errors
+	instances        map[string]bool           // by name; true for those already checked
+	instancesPerZone []int                     // number of instances, by the zone's index
 }
 
 // check checks a decoded fleet file and sets zoneIndex and agentIndex.
@@ -28,22 +28,22 @@
 	f.zoneIndex = map[string]int{}
 	f.agentIndex = map[string]int{}
 	c := &checker{
-		fleet:     f,
-		file:      sexp.Position{File: file, Line: 1, Column: 1},
-		listeners: map[netip.AddrPort]string{},
-		instances: map[string]bool{},
-		perZone:   make([]int, len(f.Zones)),
+		fleet:            f,
+		filePosition:     sexp.Position{File: file, Line: 1, Column: 1},
+		listeners:        map[netip.AddrPort]string{},
+		instances:        map[string]bool{},
+		instancesPerZone: make([]int, len(f.Zones)),
 	}
-	for _, step := range []func() error{c.checkTimes, c.checkZones, c.checkAgents, c.checkInstances, c.checkMinimums} {
-		if err := step(); err != nil {
+	for _, check := range []func() error{c.checkTimes, c.checkZones, c.checkAgents, c.checkInstances, c.checkMinimums} {
+		if err := check(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func errorAt(at sexp.Position, format string, args ...any) error {
-	return &sexp.Error{Position: at, Reason: fmt.Sprintf(format, args...)}
+func errorAt(position sexp.Position, format string, args ...any) error {
+	return &sexp.Error{Position: position, Reason: fmt.Sprintf(format, args...)}
 }
 
 func (c *checker) checkTimes() error {
@@ -60,18 +60,18 @@
 		{"ready", times.ReadyTimeout},
 	} {
 		if t.value <= 0 {
-			return errorAt(c.file, "times: %s must be above 0", t.key)
+			return errorAt(c.filePosition, "times: %s must be above 0", t.key)
 		}
 	}
 	switch {
 	case times.FreshFor < minPollsWhileFresh*times.PollInterval:
-		return errorAt(c.file, "times: fresh must be at least twice look, or no instance is ever known")
+		return errorAt(c.filePosition, "times: fresh must be at least twice look, or no instance is ever known")
 	case times.LeaseTerm < minPollsPerLease*times.PollInterval:
-		return errorAt(c.file, "times: claim must be at least four times look, or a claim can expire while it is in use")
+		return errorAt(c.filePosition, "times: claim must be at least four times look, or a claim can expire while it is in use")
 	case len(c.fleet.Agents) == 0:
-		return errorAt(c.file, "the file has no agent")
+		return errorAt(c.filePosition, "the file has no agent")
 	case len(c.fleet.Instances) == 0:
-		return errorAt(c.file, "the file has no instance")
+		return errorAt(c.filePosition, "the file has no instance")
 	}
 	return nil
 }
@@ -103,14 +103,14 @@
 }
 
 // checkListener checks that an address has a port and that no other agent or instance listens on it.
-func (c *checker) checkListener(at sexp.Position, address netip.AddrPort, who string) error {
+func (c *checker) checkListener(position sexp.Position, address netip.AddrPort, owner string) error {
 	if address.Port() == 0 {
-		return errorAt(at, "%s: listen needs a port", who)
+		return errorAt(position, "%s: listen needs a port", owner)
 	}
 	if other, taken := c.listeners[address]; taken {
-		return errorAt(at, "%s listens on %s, as %s does", who, address, other)
+		return errorAt(position, "%s listens on %s, as %s does", owner, address, other)
 	}
-	c.listeners[address] = who
+	c.listeners[address] = owner
 	return nil
 }
 
@@ -123,28 +123,28 @@
 	return nil
 }
 
-func (c *checker) checkInstance(x *Instance) error {
-	agent, known := c.fleet.agentIndex[x.Agent]
+func (c *checker) checkInstance(instance *Instance) error {
+	agent, known := c.fleet.agentIndex[instance.Agent]
 	switch {
-	case c.instances[x.Name]:
-		return errorAt(x.Position, "instance %s is given twice", x.Name)
+	case c.instances[instance.Name]:
+		return errorAt(instance.Position, "instance %s is given twice", instance.Name)
 	case !known:
-		return errorAt(x.Position, "instance %s: there is no agent %s", x.Name, x.Agent)
-	case !isFolderName(x.Name):
-		return errorAt(x.Position, "instance %q: the name must be usable as a folder name", x.Name)
-	case x.RouterIndex != nil && *x.RouterIndex < 0:
-		return errorAt(x.Position, "instance %s: me must not be negative", x.Name)
+		return errorAt(instance.Position, "instance %s: there is no agent %s", instance.Name, instance.Agent)
+	case !isFolderName(instance.Name):
+		return errorAt(instance.Position, "instance %q: the name must be usable as a folder name", instance.Name)
+	case instance.RouterIndex != nil && *instance.RouterIndex < 0:
+		return errorAt(instance.Position, "instance %s: me must not be negative", instance.Name)
 	}
-	if x.Discovery != "" {
-		if _, err := netip.ParseAddrPort(x.Discovery); err != nil {
-			return errorAt(x.Position, "instance %s: discovery: %v", x.Name, err)
+	if instance.Discovery != "" {
+		if _, err := netip.ParseAddrPort(instance.Discovery); err != nil {
+			return errorAt(instance.Position, "instance %s: discovery: %v", instance.Name, err)
 		}
 	}
-	if err := c.checkListener(x.Position, x.Listen, "instance "+x.Name); err != nil {
+	if err := c.checkListener(instance.Position, instance.Listen, "instance "+instance.Name); err != nil {
 		return err
 	}
-	c.instances[x.Name] = true
-	c.perZone[c.fleet.zoneIndex[c.fleet.Agents[agent].Zone]]++
+	c.instances[instance.Name] = true
+	c.instancesPerZone[c.fleet.zoneIndex[c.fleet.Agents[agent].Zone]]++
 	return nil
 }
 
@@ -156,12 +156,13 @@
 // checkMinimums checks that no minimum of serving instances exceeds the number of instances.
 func (c *checker) checkMinimums() error {
 	for i, zone := range c.fleet.Zones {
-		if zone.MinAvailable < 0 || zone.MinAvailable > c.perZone[i] {
-			return errorAt(zone.Position, "hall %s: its floor is %d, but it has %d instances", zone.Name, zone.MinAvailable, c.perZone[i])
+		if zone.MinAvailable < 0 || zone.MinAvailable > c.instancesPerZone[i] {
+			return errorAt(zone.Position, "hall %s: its floor is %d, but it has %d instances",
+				zone.Name, zone.MinAvailable, c.instancesPerZone[i])
 		}
 	}
 	if c.fleet.MinAvailable < 0 || c.fleet.MinAvailable > len(c.fleet.Instances) {
-		return errorAt(c.file, "the floor is %d, but there are %d instances", c.fleet.MinAvailable, len(c.fleet.Instances))
+		return errorAt(c.filePosition, "the floor is %d, but there are %d instances", c.fleet.MinAvailable, len(c.fleet.Instances))
 	}
 	return nil
 }
--- a/internal/fleet/inventory/lookup.go
+++ b/internal/fleet/inventory/lookup.go
@@ -16,7 +16,7 @@
 // PlannerFleet returns the fleet in the form that the planner uses, with instances, zones and agents as indices in the order
 // of the file.
 func (f *Fleet) PlannerFleet() *rollout.Fleet {
-	p := &rollout.Fleet{
+	plannerFleet := &rollout.Fleet{
 		MinAvailable: f.MinAvailable,
 		Timing: rollout.Timing{
 			SoakSeconds:           float64(f.Times.Soak),
@@ -26,21 +26,21 @@
 		},
 	}
 	for _, zone := range f.Zones {
-		p.ZoneMinAvailable = append(p.ZoneMinAvailable, zone.MinAvailable)
+		plannerFleet.ZoneMinAvailable = append(plannerFleet.ZoneMinAvailable, zone.MinAvailable)
 	}
-	for _, x := range f.Instances {
-		agent := f.agentIndex[x.Agent]
+	for _, instance := range f.Instances {
+		agent := f.agentIndex[instance.Agent]
 		zone := f.zoneIndex[f.Agents[agent].Zone]
-		p.Instances = append(p.Instances, rollout.Instance{Zone: zone, Agent: agent})
+		plannerFleet.Instances = append(plannerFleet.Instances, rollout.Instance{Zone: zone, Agent: agent})
 	}
-	return p
+	return plannerFleet
 }
 
 // InstanceNames returns the names of the instances, in the order of the file.
 func (f *Fleet) InstanceNames() []string {
 	var names []string
-	for _, x := range f.Instances {
-		names = append(names, x.Name)
+	for _, instance := range f.Instances {
+		names = append(names, instance.Name)
 	}
 	return names
 }
@@ -56,19 +56,19 @@
 // InstancesOf returns an agent's instances, in the order of the file.
 func (f *Fleet) InstancesOf(agent string) []Instance {
 	var instances []Instance
-	for _, x := range f.Instances {
-		if x.Agent == agent {
-			instances = append(instances, x)
+	for _, instance := range f.Instances {
+		if instance.Agent == agent {
+			instances = append(instances, instance)
 		}
 	}
 	return instances
 }
 
 // RevisionInstance returns the values of the instance that revision.Render sets in its configuration.
-func (x *Instance) RevisionInstance() revision.Instance {
-	instance := revision.Instance{Name: x.Name, Listen: x.Listen.String(), Discovery: x.Discovery, RouterIndex: -1}
-	if x.RouterIndex != nil {
-		instance.RouterIndex = *x.RouterIndex
+func (i *Instance) RevisionInstance() revision.Instance {
+	instance := revision.Instance{Name: i.Name, Listen: i.Listen.String(), Discovery: i.Discovery, RouterIndex: -1}
+	if i.RouterIndex != nil {
+		instance.RouterIndex = *i.RouterIndex
 	}
 	return instance
 }
@@ -87,8 +87,8 @@
 // in this list.
 func (f *Fleet) InstancesDigest() string {
 	var list strings.Builder
-	for _, x := range f.Instances {
-		fmt.Fprintf(&list, "%q %q ", x.Name, x.Agent)
+	for _, instance := range f.Instances {
+		fmt.Fprintf(&list, "%q %q ", instance.Name, instance.Agent)
 	}
 	return digest(list.String())
 }
--- a/internal/fleet/revision/document.go
+++ b/internal/fleet/revision/document.go
@@ -13,7 +13,7 @@
 const maxDepth = 64
 
 var (
-	errNoObject     = errors.New("a revision must be a JSON object")
+	errNotObject    = errors.New("a revision must be a JSON object")
 	errTrailingText = errors.New("more text follows the JSON object")
 )
 
@@ -42,7 +42,7 @@
 	}
 	doc, ok := value.(document)
 	if !ok {
-		return nil, &SyntaxError{File: file, Line: 1, Column: 1, Err: errNoObject}
+		return nil, &SyntaxError{File: file, Line: 1, Column: 1, Err: errNotObject}
 	}
 	return doc, nil
 }
--- a/internal/fleet/revision/revision.go
+++ b/internal/fleet/revision/revision.go
@@ -70,7 +70,7 @@
 
 // isInstanceKey reports whether a key is set for each instance. It ignores case, because the router's parser does.
 func isInstanceKey(key string) bool {
-	return slices.ContainsFunc(instanceKeys, func(own string) bool { return strings.EqualFold(own, key) })
+	return slices.ContainsFunc(instanceKeys, func(instanceKey string) bool { return strings.EqualFold(instanceKey, key) })
 }
 
 // Digest returns the digest that identifies a revision with the given canonical content.
