--- a/internal/fleet/control/client_test.go
+++ b/internal/fleet/control/client_test.go
@@ -41,23 +41,23 @@
 
 // rig is a fleet of agents in this process that start stand-in routers. Clients call the agents over TLS.
 type rig struct {
-	t      *testing.T
-	fleet  *inventory.Fleet
-	keys   pki.Folder
-	agents []func() // function that stops each agent; nil if the agent is stopped
+	t         *testing.T
+	fleet     *inventory.Fleet
+	keys      pki.Folder
+	stopFuncs []func() // function that stops each agent; nil if the agent is stopped
 }
 
 // newRig starts n agents with one instance each. All instances are in one zone, and all but one must serve.
 func newRig(t *testing.T, n int) *rig {
 	dir := t.TempDir()
-	text := fmt.Sprintf("(name t) (floor %d) (hall h (floor 1)) (times (soak 200ms) (fresh 1s) (contact 2s) (step 20s) (claim 2s) (look 50ms) (ready 2s) (grace 100ms))\n", n-1)
+	fleetFile := fmt.Sprintf("(name t) (floor %d) (hall h (floor 1)) (times (soak 200ms) (fresh 1s) (contact 2s) (step 20s) (claim 2s) (look 50ms) (ready 2s) (grace 100ms))\n", n-1)
 	for i := range n {
-		text += fmt.Sprintf("(agent a%d (listen %s) (hall h) (folder %q) (program %q))\n(instance n%d (agent a%d) (listen %s))\n",
+		fleetFile += fmt.Sprintf("(agent a%d (listen %s) (hall h) (folder %q) (program %q))\n(instance n%d (agent a%d) (listen %s))\n",
 			i, testserver.Host()+":7400", filepath.Join(dir, fmt.Sprint("a", i)), os.Args[0], i, i, testserver.Host()+":5432")
 	}
-	f, err := inventory.Parse("f", []byte(text))
+	f, err := inventory.Parse("f", []byte(fleetFile))
 	require.NoError(t, err)
-	r := &rig{t: t, fleet: f, keys: pki.Folder(filepath.Join(dir, "keys")), agents: make([]func(), n)}
+	r := &rig{t: t, fleet: f, keys: pki.Folder(filepath.Join(dir, "keys")), stopFuncs: make([]func(), n)}
 	require.NoError(t, r.keys.CreateAuthority("t", time.Hour, time.Now()))
 	for _, o := range []string{"ayla", "mehmet"} {
 		require.NoError(t, r.keys.Issue(pki.Operator, o, time.Minute, time.Now()))
@@ -67,7 +67,7 @@
 		r.startAgent(i)
 	}
 	t.Cleanup(func() {
-		for _, end := range r.agents {
+		for _, end := range r.stopFuncs {
 			if end != nil {
 				end()
 			}
@@ -83,51 +83,51 @@
 
 // startAgent starts an agent. Stopping the agent has the effect of a kill: its routers go on and the agent saves nothing.
 func (r *rig) startAgent(i int) {
-	me := &r.fleet.Agents[i]
-	s, err := agent.OpenStore(me)
+	entry := &r.fleet.Agents[i]
+	store, err := agent.OpenStore(entry)
 	require.NoError(r.t, err)
-	a, err := agent.New(r.fleet, me.Name, "test", s, zerolog.New(io.Discard))
+	a, err := agent.New(r.fleet, entry.Name, "test", store, zerolog.New(io.Discard))
 	require.NoError(r.t, err)
-	l, err := net.Listen("tcp", me.Listen.String())
+	l, err := net.Listen("tcp", entry.Listen.String())
 	require.NoError(r.t, err)
-	server := api.NewServer(l, a, r.keys.Credentials(pki.Agent, me.Name), api.SupportedVersions, zerolog.New(io.Discard))
+	server := api.NewServer(l, a, r.keys.Credentials(pki.Agent, entry.Name), api.SupportedVersions, zerolog.New(io.Discard))
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Add(2)
 	go func() { defer done.Done(); _ = server.Serve() }()
 	go func() { defer done.Done(); a.Run(ctx) }()
-	r.agents[i] = func() { server.Close(); cancel(); done.Wait(); _ = s.Close() }
+	r.stopFuncs[i] = func() { server.Close(); cancel(); done.Wait(); _ = store.Close() }
 }
 
-func (r *rig) stopAgent(i int) { r.agents[i](); r.agents[i] = nil }
+func (r *rig) stopAgent(i int) { r.stopFuncs[i](); r.stopFuncs[i] = nil }
 
 // client returns a new client of an operator.
 func (r *rig) client(operator string) *Client {
-	t, err := New(r.fleet, r.keys, operator)
+	client, err := New(r.fleet, r.keys, operator)
 	require.NoError(r.t, err)
-	r.t.Cleanup(t.Close)
-	return t
+	r.t.Cleanup(client.Close)
+	return client
 }
 
 // push pushes a revision with which routers behave as conduct says. A different number of sockets makes it a different
 // revision.
-func (r *rig) push(t *Client, name string, conduct testserver.Conduct, sockets int) protocol.Revision {
+func (r *rig) push(client *Client, name string, conduct testserver.Conduct, sockets int) protocol.Revision {
 	r.t.Helper()
 	doc := testserver.Deployment("127.0.0.1:9", 0.1, map[string]any{"stand": conduct, "limits": map[string]any{"sockets": sockets}})
 	file := filepath.Join(r.t.TempDir(), name+".json")
 	require.NoError(r.t, os.WriteFile(file, testserver.JSON(doc), 0o600))
-	content, err := t.ReadRevision(file)
+	content, err := client.ReadRevision(file)
 	require.NoError(r.t, err)
-	p := t.PushRevision(context.Background(), content, name)
+	p := client.PushRevision(context.Background(), content, name)
 	require.Empty(r.t, p.Missing)
 	return protocol.Revision{Digest: p.Digest, Name: name}
 }
 
 // drive carries out a task until it ends.
-func (r *rig) drive(t *Client, task coordinator.Task, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
+func (r *rig) drive(client *Client, task coordinator.Task, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return t.Drive(ctx, task, watch)
+	return client.Drive(ctx, task, watch)
 }
 
 // requireComplete requires that a rollout has completed: all instances run its revision.
@@ -138,12 +138,12 @@
 }
 
 // assertAllRun asserts that all instances run the revision with a digest and are ready.
-func (r *rig) assertAllRun(t *Client, digest string) {
+func (r *rig) assertAllRun(client *Client, digest string) {
 	r.t.Helper()
-	s := t.Status(context.Background())
-	for _, x := range s.Instances {
-		assert.Equal(r.t, revision.ShortDigest(digest), x.Revision, x.Name)
-		assert.Equal(r.t, "ready", x.State, x.Name)
+	status := client.Status(context.Background())
+	for _, instance := range status.Instances {
+		assert.Equal(r.t, revision.ShortDigest(digest), instance.Revision, instance.Name)
+		assert.Equal(r.t, "ready", instance.State, instance.Name)
 	}
 }
 
@@ -156,7 +156,7 @@
 	time.Sleep(1200 * time.Millisecond) // counters are read once a second
 	for name, c := range map[string]struct {
 		conduct testserver.Conduct
-		says    string
+		message string
 	}{
 		"exits":  {testserver.Conduct{Exit: 7}, "it ended with status 7: stand-in: told to end"},
 		"silent": {testserver.Conduct{Silent: true}, "it was not ready within 2 s"},
@@ -167,7 +167,7 @@
 		}
 		o := r.drive(ayla, ayla.NewRollout(r.push(ayla, name, c.conduct, 100), true), nil)
 		assert.Equal(t, rollout.RolledBack, o.Rollout.State, name)
-		assert.Contains(t, ayla.Explain(o.Reason), c.says)
+		assert.Contains(t, ayla.Explain(o.Reason), c.message)
 		assert.Contains(t, ayla.Explain(o.Reason), "instance n0")
 		r.assertAllRun(ayla, good.Digest)
 		r.fleet.Times.Soak = 0.2
@@ -197,10 +197,10 @@
 		}
 	})
 	require.Equal(t, coordinator.OutcomeInterrupted, o.Kind)
-	s := mehmet.Status(context.Background())
-	require.NotNil(t, s.Rollout)
-	assert.Equal(t, "running", s.Rollout.State)
-	assert.Equal(t, "ayla", s.Rollout.StartedBy)
+	status := mehmet.Status(context.Background())
+	require.NotNil(t, status.Rollout)
+	assert.Equal(t, "running", status.Rollout.State)
+	assert.Equal(t, "ayla", status.Rollout.StartedBy)
 	assert.Equal(t, coordinator.OutcomeUnfinishedRollout, r.drive(mehmet, mehmet.NewRollout(a, false), nil).Kind)
 	steps := 0
 	o = r.drive(mehmet, coordinator.Task{Operation: coordinator.OperationResume, Operator: "mehmet"}, func(_ coordinator.View, events []coordinator.Event) {
@@ -216,10 +216,10 @@
 	o = r.drive(mehmet, coordinator.Task{Operation: coordinator.OperationRollback, Operator: "mehmet"}, nil)
 	assert.Equal(t, rollout.RolledBack, o.Rollout.State)
 	r.assertAllRun(mehmet, a.Digest)
-	h, err := ayla.History(context.Background())
+	history, err := ayla.History(context.Background())
 	require.NoError(t, err)
-	assert.Len(t, h.Revisions, 2)
-	assert.Len(t, h.Rollouts, 2)
+	assert.Len(t, history.Revisions, 2)
+	assert.Len(t, history.Rollouts, 2)
 }
 
 func TestOneOfTwoOperatorsRollsOutAndTheOtherIsDenied(t *testing.T) {
@@ -227,25 +227,28 @@
 	r := newRig(t, 4)
 	ayla, mehmet := r.client("ayla"), r.client("mehmet")
 	a, b := r.push(ayla, "a", testserver.Conduct{}, 100), r.push(mehmet, "b", testserver.Conduct{}, 101)
-	var got [2]coordinator.Outcome
-	var both sync.WaitGroup
-	for i, x := range []struct {
-		t *Client
-		r protocol.Revision
+	var outcomes [2]coordinator.Outcome
+	var drives sync.WaitGroup
+	for i, operator := range []struct {
+		client   *Client
+		revision protocol.Revision
 	}{{ayla, a}, {mehmet, b}} {
-		both.Add(1)
-		go func() { defer both.Done(); got[i] = r.drive(x.t, x.t.NewRollout(x.r, false), nil) }()
+		drives.Add(1)
+		go func() {
+			defer drives.Done()
+			outcomes[i] = r.drive(operator.client, operator.client.NewRollout(operator.revision, false), nil)
+		}()
 	}
-	both.Wait()
+	drives.Wait()
 	won := -1
-	for i, o := range got {
+	for i, o := range outcomes {
 		if o.Kind == coordinator.OutcomeEnded && o.Rollout.State == rollout.Complete {
 			assert.Equal(t, -1, won, "both rollouts completed")
 			won = i
 		}
 	}
-	require.NotEqual(t, -1, won, "%v", got)
-	loser := got[1-won]
+	require.NotEqual(t, -1, won, "%v", outcomes)
+	loser := outcomes[1-won]
 	assert.Equal(t, coordinator.OutcomeLeaseHeld, loser.Kind)
 	assert.True(t, strings.HasPrefix(loser.Holder.Holder, []string{"ayla/", "mehmet/"}[won]), loser.Holder.Holder)
 	r.assertAllRun(ayla, []protocol.Revision{a, b}[won].Digest)
@@ -259,10 +262,10 @@
 	a := r.push(ayla, "a", testserver.Conduct{}, 100)
 	r.requireComplete(r.drive(ayla, ayla.NewRollout(a, false), nil))
 	b := r.push(ayla, "b", testserver.Conduct{Ready: 0.3}, 101)
-	asked := false
+	requested := false
 	o := r.drive(ayla, ayla.NewRollout(b, false), func(v coordinator.View, _ []coordinator.Event) {
-		if !asked && v.Rollout.CurrentStep.Number == 1 {
-			asked = true
+		if !requested && v.Rollout.CurrentStep.Number == 1 {
+			requested = true
 			assert.Equal(t, 4, mehmet.RequestAction(context.Background(), v.Rollout, rollout.RequestPause))
 		}
 	})
@@ -288,9 +291,9 @@
 		doc := testserver.Deployment(discovery, 0.1, map[string]any{"stand": testserver.Conduct{}, "limits": map[string]any{"sockets": sockets}})
 		content, err := revision.Canonical("f", testserver.JSON(doc))
 		require.NoError(t, err)
-		e, err := ayla.PreviewEffects(context.Background(), content)
+		effects, err := ayla.PreviewEffects(context.Background(), content)
 		require.NoError(t, err)
-		return e
+		return effects
 	}
 	assert.Equal(t, RevisionEffect{Instance: "n0", Change: "start"}, effects(100, "127.0.0.1:9")[0])
 	r.requireComplete(r.drive(ayla, ayla.NewRollout(a, false), nil))
--- a/internal/fleet/coordinator/coordinator_test.go
+++ b/internal/fleet/coordinator/coordinator_test.go
@@ -17,8 +17,8 @@
 	assert.Equal(t, OutcomeEnded, o.Kind)
 	assert.Equal(t, rollout.Complete, o.Rollout.State)
 	assert.Equal(t, []string{"n0 new", "n1 new", "n2 new"}, e.steps)
-	for _, d := range e.handlers {
-		assert.False(t, d.Lease.State(e.now).Held, "the lease was released")
+	for _, handler := range e.handlers {
+		assert.False(t, handler.Lease.State(e.now).Held, "the lease was released")
 	}
 	o = e.finish(e.newCoordinator("h2", Task{Operation: OperationRollback, Operator: "ayla"}))
 	assert.Equal(t, rollout.RolledBack, o.Rollout.State)
@@ -44,7 +44,7 @@
 	assert.Equal(t, OutcomeLeaseHeld, o.Kind)
 	assert.Equal(t, "a", o.Holder.Holder)
 	assert.Equal(t, "r1", o.Rollout.ID)
-	assert.Equal(t, rollout.Complete, e.finish(a).Rollout.State, "and the winner goes on")
+	assert.Equal(t, rollout.Complete, e.finish(a).Rollout.State, "the holder of the lease goes on")
 }
 
 func TestOfTwoCoordinatorsAtOnceOneWins(t *testing.T) {
@@ -77,7 +77,7 @@
 	assert.Equal(t, OutcomeFenced, o.Kind)
 	assert.Equal(t, "b", o.Holder.Holder)
 	assert.Equal(t, rollout.Complete, e.finish(b).Rollout.State)
-	assert.Equal(t, []string{"n0 new", "n1 new", "n2 new", "n3 new"}, e.steps, "each once")
+	assert.Equal(t, []string{"n0 new", "n1 new", "n2 new", "n3 new"}, e.steps, "each step began once")
 }
 
 func TestRolloutIsResumedOnceTheLeaseOfAStoppedToolHasExpired(t *testing.T) {
@@ -92,7 +92,7 @@
 	o := e.finish(e.newCoordinator("e", Task{Operation: OperationResume}))
 	assert.Equal(t, rollout.Complete, o.Rollout.State)
 	assert.EqualValues(t, 2, o.Rollout.Run)
-	assert.Equal(t, OutcomeNoRollout, e.finish(e.newCoordinator("g", Task{Operation: OperationResume})).Kind, "it is over")
+	assert.Equal(t, OutcomeNoRollout, e.finish(e.newCoordinator("g", Task{Operation: OperationResume})).Kind, "the rollout has ended")
 }
 
 func TestUnreachableAgentPausesTheRolloutUntilItsInstanceIsExcluded(t *testing.T) {
@@ -124,7 +124,7 @@
 	e.unreachable[1], e.unreachable[2] = true, true
 	o := e.finish(b)
 	assert.Equal(t, OutcomeNoMajority, o.Kind)
-	assert.LessOrEqual(t, len(e.steps), 1, "what had begun may end, no other begins")
+	assert.LessOrEqual(t, len(e.steps), 1, "the step under way may end, but no other begins")
 }
 
 func TestInfeasibleTaskEndsBeforeAnyStep(t *testing.T) {
@@ -139,17 +139,17 @@
 func TestStepIsHeldBackWhenAnotherInstanceFailsBeforeIt(t *testing.T) {
 	e := newEnvironment(t, 3)
 	a := e.newCoordinator("a", beginTask("r1", "new"))
-	for range 400 { // until the step is kept, and not yet sent
+	for range 400 { // until a majority has stored the step, which is not sent yet
 		e.pass(0.05, a)
 		if a.rollout.CurrentStep.Number == 1 || len(e.steps) > 0 {
 			break
 		}
 	}
-	require.Empty(t, e.steps, "the step's record comes first")
-	x := e.supervisor(2)
-	x.ProcessExited(e.now, "by itself")
-	e.limits.MinBackoffSeconds = 1e9 // it does not come back
-	a.observations[2] = x.Observe(e.now)
+	require.Empty(t, e.steps, "the step must be stored before it is sent")
+	supervised := e.supervisor(2)
+	supervised.ProcessExited(e.now, "by itself")
+	e.limits.MinBackoffSeconds = 1e9 // the instance stays down
+	a.observations[2] = supervised.Observe(e.now)
 	a.observations[2].SeenAt = e.now
 	a.agents[2].nextQuery = e.now + 1e9
 	o := e.finish(a)
@@ -163,12 +163,12 @@
 		a := e.newCoordinator("a", beginTask("r1", "new"))
 		e.pass(0.9, a)
 		require.NotEmpty(t, e.steps)
-		for i, d := range e.handlers {
-			left := protocol.OperatorRequest{RolloutID: "r1", Run: 1, Action: request, Operator: "ayla"}
+		for i, handler := range e.handlers {
+			operatorRequest := protocol.OperatorRequest{RolloutID: "r1", Run: 1, Action: request, Operator: "ayla"}
 			if i == 0 {
-				left.Run = 9 // of another run: passed over
+				operatorRequest.Run = 9 // a request for another run is ignored
 			}
-			d.Handle(e.now, protocol.Request{Verb: protocol.RequestActionVerb, OperatorRequest: left})
+			handler.Handle(e.now, protocol.Request{Verb: protocol.RequestActionVerb, OperatorRequest: operatorRequest})
 		}
 		o := e.finish(a)
 		assert.Equal(t, state, o.Rollout.State)
@@ -176,7 +176,7 @@
 	}
 	e := newEnvironment(t, 3)
 	e.pass(0.9, e.newCoordinator("a", beginTask("r1", "new")))
-	e.pass(5) // its tool is gone: another does it
+	e.pass(5) // the tool has stopped and its lease expired: another tool aborts the rollout
 	o := e.finish(e.newCoordinator("b", Task{Operation: OperationAbort, Operator: "ayla"}))
 	assert.Equal(t, rollout.Aborted, o.Rollout.State)
 	assert.Equal(t, rollout.Complete, e.finish(e.newCoordinator("c", beginTask("r2", "other"))).Rollout.State)
@@ -198,14 +198,14 @@
 	e.pass(0.9, a)
 	a.Quit(e.now)
 	assert.Equal(t, OutcomeInterrupted, e.finish(a).Kind)
-	assert.Equal(t, rollout.Complete, e.finish(e.newCoordinator("b", Task{Operation: OperationResume})).Rollout.State, "at once")
+	assert.Equal(t, rollout.Complete, e.finish(e.newCoordinator("b", Task{Operation: OperationResume})).Rollout.State, "the lease need not expire first")
 }
 
 func TestAgentClockThatLeapsDoesNotEndTheRollout(t *testing.T) {
 	e := newEnvironment(t, 3)
 	a := e.newCoordinator("a", beginTask("r1", "new"))
 	e.pass(0.9, a)
-	e.handlers[1].Lease.Renew(e.now+100, 1, "a") // its clock leapt: the lease has expired there
+	e.handlers[1].Lease.Renew(e.now+100, 1, "a") // the agent's clock jumps, so the lease has expired at this agent
 	assert.Equal(t, rollout.Complete, e.finish(a).Rollout.State, "the holder requests a higher epoch and goes on")
 	assert.Len(t, e.steps, 3)
 }
@@ -216,14 +216,14 @@
 	e.pass(0.3, a)
 	require.Equal(t, phaseRunning, a.phase)
 	a.agents[0].nextQuery = 0
-	sends, _ := a.Tick(e.now)
-	for _, s := range sends {
-		if s.Agent == 0 && s.Request.Verb == protocol.StatusVerb {
-			a.HandleReply(e.now, s.ID, protocol.Reply{Denial: lease.NotHolder, Instances: []protocol.InstanceStatus{{Name: "n0", Observation: rollout.Observation{State: rollout.ProcessCrashLooping}}}})
+	calls, _ := a.Tick(e.now)
+	for _, call := range calls {
+		if call.Agent == 0 && call.Request.Verb == protocol.StatusVerb {
+			a.HandleReply(e.now, call.ID, protocol.Reply{Denial: lease.NotHolder, Instances: []protocol.InstanceStatus{{Name: "n0", Observation: rollout.Observation{State: rollout.ProcessCrashLooping}}}})
 			assert.NotEqual(t, rollout.ProcessCrashLooping, a.observations[0].State)
-			assert.False(t, a.agents[0].granted, "and is asked for its grant anew")
+			assert.False(t, a.agents[0].granted, "the coordinator requests the lease from it again")
 			return
 		}
 	}
-	require.Fail(t, "agent 0 was not looked at")
+	require.Fail(t, "agent 0 was not asked for its status")
 }
--- a/internal/fleet/coordinator/environment_test.go
+++ b/internal/fleet/coordinator/environment_test.go
@@ -17,18 +17,18 @@
 	turnSeconds = 0.05
 )
 
-// environment is agents of one instance each, whose actions take effect at once, and a network without delay.
+// environment simulates agents with one instance each, whose actions take effect immediately, and a network without delay.
 type environment struct {
 	t           *testing.T
 	now         float64
 	fleet       *rollout.Fleet
-	names       []string // of the instances
+	names       []string // names of the instances
 	limits      supervisor.Limits
-	handlers    []*supervisor.RequestHandler // of the agents
-	unreachable map[int]bool                 // agents
+	handlers    []*supervisor.RequestHandler // by agent
+	unreachable map[int]bool                 // agents that cannot be reached
 	refusing    map[int]bool                 // agents that refuse steps
-	exiting     map[string]bool              // revisions whose process exits at once
-	steps       []string                     // that were begun, in order
+	exiting     map[string]bool              // revisions whose process exits immediately
+	steps       []string                     // steps that were begun, in order, as "instance revision"
 }
 
 func newEnvironment(t *testing.T, agents int) *environment {
@@ -59,29 +59,29 @@
 }
 
 func (e *environment) carryOut(agent int, actions []supervisor.Action) {
-	for _, a := range actions {
-		e.carryOut(agent, e.do(e.supervisor(agent), a).Actions)
+	for _, action := range actions {
+		e.carryOut(agent, e.do(e.supervisor(agent), action).Actions)
 	}
 }
 
-func (e *environment) do(s *supervisor.Supervisor, a supervisor.Action) supervisor.Transition {
-	switch a.Kind {
+func (e *environment) do(supervised *supervisor.Supervisor, action supervisor.Action) supervisor.Transition {
+	switch action.Kind {
 	case supervisor.ActionFindProcess:
-		return s.ProcessFound(e.now, true)
+		return supervised.ProcessFound(e.now, true)
 	case supervisor.ActionPrepareRevision:
-		return s.RevisionPrepared(e.now, supervisor.Preparation{DrainSeconds: 1}, nil)
+		return supervised.RevisionPrepared(e.now, supervisor.Preparation{DrainSeconds: 1}, nil)
 	case supervisor.ActionInstallRevision:
-		return s.RevisionInstalled(e.now, nil)
+		return supervised.RevisionInstalled(e.now, nil)
 	case supervisor.ActionStart:
-		started := s.ProcessStarted(e.now, a.Incarnation, nil)
-		if e.exiting[s.Revision] {
-			return s.ProcessExited(e.now, "status 1")
+		started := supervised.ProcessStarted(e.now, action.Incarnation, nil)
+		if e.exiting[supervised.Revision] {
+			return supervised.ProcessExited(e.now, "status 1")
 		}
 		return started
 	case supervisor.ActionHealthCheck:
-		return s.HealthChecked(e.now, true)
+		return supervised.HealthChecked(e.now, true)
 	case supervisor.ActionTerminate:
-		return s.ProcessExited(e.now, "ended")
+		return supervised.ProcessExited(e.now, "ended")
 	case supervisor.ActionReadCounters, supervisor.ActionKill, supervisor.ActionReload:
 	}
 	return supervisor.Transition{}
@@ -99,33 +99,33 @@
 	return Task{Operation: OperationBegin, Rollout: protocol.Rollout{Rollout: rollout.Rollout{ID: id, Revision: revision}}}
 }
 
-// turn lets a coordinator make its calls, and hands it what comes of them.
-func (e *environment) turn(d *Coordinator) {
-	calls, _ := d.Tick(e.now)
-	for _, c := range calls {
-		e.deliver(d, c)
+// turn makes the calls that a coordinator has due and passes it their replies and failures.
+func (e *environment) turn(c *Coordinator) {
+	calls, _ := c.Tick(e.now)
+	for _, call := range calls {
+		e.deliver(c, call)
 	}
 }
 
-func (e *environment) deliver(d *Coordinator, c OutgoingCall) {
-	handler := e.handlers[c.Agent]
+func (e *environment) deliver(c *Coordinator, call OutgoingCall) {
+	handler := e.handlers[call.Agent]
 	switch {
-	case e.unreachable[c.Agent]:
-		d.HandleFailure(e.now, c.ID, "unreachable")
+	case e.unreachable[call.Agent]:
+		c.HandleFailure(e.now, call.ID, "unreachable")
 		return
-	case c.Request.Verb == protocol.BeginStepVerb && e.refusing[c.Agent]:
-		d.HandleReply(e.now, c.ID, protocol.Reply{Failure: "disk full", LeaseState: handler.Lease.State(e.now)})
+	case call.Request.Verb == protocol.BeginStepVerb && e.refusing[call.Agent]:
+		c.HandleReply(e.now, call.ID, protocol.Reply{Failure: "disk full", LeaseState: handler.Lease.State(e.now)})
 		return
 	}
-	reply, changes := handler.Handle(e.now, c.Request)
+	reply, changes := handler.Handle(e.now, call.Request)
 	if changes.ChangedInstance >= 0 {
-		e.steps = append(e.steps, fmt.Sprint(c.Request.InstanceName, " ", c.Request.Step.Revision))
+		e.steps = append(e.steps, fmt.Sprint(call.Request.InstanceName, " ", call.Request.Step.Revision))
 	}
-	e.carryOut(c.Agent, changes.Actions)
-	d.HandleReply(e.now, c.ID, reply)
+	e.carryOut(call.Agent, changes.Actions)
+	c.HandleReply(e.now, call.ID, reply)
 }
 
-// pass lets time pass for the agents and some coordinators.
+// pass simulates a period of time for the agents and the given coordinators.
 func (e *environment) pass(seconds float64, coordinators ...*Coordinator) {
 	for end := e.now + seconds; e.now < end; e.now += turnSeconds {
 		for i := range e.handlers {
@@ -133,20 +133,20 @@
 				e.carryOut(i, s.Tick(e.now).Actions)
 			}
 		}
-		for _, d := range coordinators {
-			e.turn(d)
+		for _, c := range coordinators {
+			e.turn(c)
 		}
 	}
 }
 
-// finish lets time pass until a coordinator has ended.
-func (e *environment) finish(d *Coordinator) Outcome {
+// finish simulates time until a coordinator has ended, and returns its outcome.
+func (e *environment) finish(c *Coordinator) Outcome {
 	e.t.Helper()
 	for range 200 {
-		if o, ended := d.Outcome(); ended {
+		if o, ended := c.Outcome(); ended {
 			return o
 		}
-		e.pass(1, d)
+		e.pass(1, c)
 	}
 	require.Fail(e.t, "the coordinator does not end")
 	panic("unreachable")
--- a/internal/fleet/inventory/inventory_test.go
+++ b/internal/fleet/inventory/inventory_test.go
@@ -22,11 +22,11 @@
 func TestFleetFileIsRead(t *testing.T) {
 	f, err := Parse("f", []byte(sample))
 	require.NoError(t, err)
-	p := f.PlannerFleet()
-	assert.Equal(t, []rollout.Instance{{Zone: 0, Agent: 0}, {Zone: 1, Agent: 1}}, p.Instances)
-	assert.Equal(t, []int{1, 0}, p.ZoneMinAvailable)
-	assert.InDelta(t, 2, p.Timing.SoakSeconds, 0)
-	assert.InDelta(t, 30, p.Timing.ContactTimeoutSeconds, 0, "a time that the file does not set has a default")
+	plannerFleet := f.PlannerFleet()
+	assert.Equal(t, []rollout.Instance{{Zone: 0, Agent: 0}, {Zone: 1, Agent: 1}}, plannerFleet.Instances)
+	assert.Equal(t, []int{1, 0}, plannerFleet.ZoneMinAvailable)
+	assert.InDelta(t, 2, plannerFleet.Timing.SoakSeconds, 0)
+	assert.InDelta(t, 30, plannerFleet.Timing.ContactTimeoutSeconds, 0, "a time that the file does not set has a default")
 	assert.Equal(t, revision.Instance{Name: "n1", Listen: "127.0.0.1:5001", RouterIndex: 0}, f.Instances[0].RevisionInstance())
 	assert.Equal(t, revision.Instance{Name: "n2", Listen: "127.0.0.1:5002", Discovery: "127.0.0.1:8500", RouterIndex: -1}, f.Instances[1].RevisionInstance())
 	again, err := Parse("f", f.Text())
@@ -39,7 +39,7 @@
 }
 
 func TestErrorsNamePlaceAndKey(t *testing.T) {
-	for change, says := range map[[2]string]string{
+	for change, message := range map[[2]string]string{
 		{"(name haulage)", ""}:                               "f:1:1: the file lacks the key name",
 		{"(floor 1)\n(times", "(floor 9)\n(times"}:           "the floor is 9, but there are 2 instances",
 		{"(hall gebze (floor 1))", "(hall gebze (floor 2))"}: "f:3:1: hall gebze: its floor is 2, but it has 1 instances",
@@ -60,7 +60,7 @@
 	} {
 		require.Contains(t, sample, change[0])
 		_, err := Parse("f", []byte(strings.Replace(sample, change[0], change[1], 1)))
-		require.ErrorContains(t, err, says)
+		require.ErrorContains(t, err, message)
 	}
 	_, err := Parse("f", []byte("(name x) (floor 0)"))
 	require.ErrorContains(t, err, "no agent")
--- a/internal/fleet/revision/revision_test.go
+++ b/internal/fleet/revision/revision_test.go
@@ -23,8 +23,8 @@
   "limits":{"mostTries":4,"dialTimeoutNs":250000000,"connIdleNs":15000000000,"probes":true},
   "invariants":{"startCapacity":0.2,"rampTimeNs":9000000000,"overloadFactor":2,"fallNs":2000000000}}}`
 
-// here is the instance that most tests use.
-var here = Instance{Name: "n1", Listen: "127.0.0.1:5432", RouterIndex: 1}
+// testInstance is the instance that most tests use.
+var testInstance = Instance{Name: "n1", Listen: "127.0.0.1:5432", RouterIndex: 1}
 
 // canonical returns a revision's text in canonical form.
 func canonical(t *testing.T, text string) []byte {
@@ -45,21 +45,21 @@
 }
 
 func TestRenderSetsTheKeysOfAnInstance(t *testing.T) {
-	s, err := Check(canonical(t, sample), here)
+	parsed, err := Check(canonical(t, sample), testInstance)
 	require.NoError(t, err)
-	assert.Equal(t, "n1", s.Name)
-	assert.Equal(t, "127.0.0.1:5432", s.Listen.String())
-	assert.Equal(t, 1, s.Settings.Instance)
-	assert.Equal(t, "127.2.0.1:8500", s.Discovery.String())
-	s, err = Check(canonical(t, sample), Instance{Name: "n1", Listen: "127.0.0.1:1", Discovery: "127.0.0.9:1", RouterIndex: -1})
+	assert.Equal(t, "n1", parsed.Name)
+	assert.Equal(t, "127.0.0.1:5432", parsed.Listen.String())
+	assert.Equal(t, 1, parsed.Settings.Instance)
+	assert.Equal(t, "127.2.0.1:8500", parsed.Discovery.String())
+	parsed, err = Check(canonical(t, sample), Instance{Name: "n1", Listen: "127.0.0.1:1", Discovery: "127.0.0.9:1", RouterIndex: -1})
 	require.NoError(t, err)
-	assert.Equal(t, 2, s.Settings.Instance)
-	assert.Equal(t, "127.0.0.9:1", s.Discovery.String())
-	assert.InDelta(t, 20+0.45+1, DrainSeconds(&s, 1), 1e-9)
+	assert.Equal(t, 2, parsed.Settings.Instance)
+	assert.Equal(t, "127.0.0.9:1", parsed.Discovery.String())
+	assert.InDelta(t, 20+0.45+1, DrainSeconds(&parsed, 1), 1e-9)
 }
 
 func TestInvalidRevisionsAreRejectedWithPlaceAndKey(t *testing.T) {
-	for text, says := range map[string]string{
+	for text, message := range map[string]string{
 		`{"name":"x"}`:                "f: the key name belongs to an instance",
 		`{"Seed":"1"}`:                "the key Seed belongs to an instance",
 		"{\n \"a\":1,\n \"a\":2}":     "f:3:5: a is given twice",
@@ -71,16 +71,16 @@
 		strings.Repeat(`{"a":`, 70) + "1" + strings.Repeat("}", 70): "is nested more than 64 levels deep",
 	} {
 		_, err := Canonical("f", []byte(text))
-		require.ErrorContains(t, err, says, text)
+		require.ErrorContains(t, err, message, text)
 	}
 	_, err := Canonical("f", make([]byte, MaxBytes+1))
 	require.ErrorContains(t, err, "at most")
-	for change, says := range map[string]string{
+	for change, message := range map[string]string{
 		`"targetNs"`: "instance n1: settings: classes[0]", `"known"`: "instance n1: known is missing",
 		`"settings":`: "settings is missing",
 	} {
-		_, err := Check(canonical(t, strings.Replace(sample, change, strings.Replace(change, `"`, `"x`, 1), 1)), here)
-		assert.ErrorContains(t, err, says)
+		_, err := Check(canonical(t, strings.Replace(sample, change, strings.Replace(change, `"`, `"x`, 1), 1)), testInstance)
+		assert.ErrorContains(t, err, message)
 	}
 }
 
@@ -97,18 +97,18 @@
 	var tooLong *TooLongError
 	require.ErrorAs(t, err, &tooLong)
 	assert.Equal(t, TooLongError{File: "f", Bytes: MaxBytes + 1}, *tooLong)
-	_, err = Check(canonical(t, strings.Replace(sample, `"targetNs"`, `"xtargetNs"`, 1)), here)
+	_, err = Check(canonical(t, strings.Replace(sample, `"targetNs"`, `"xtargetNs"`, 1)), testInstance)
 	var config *config.Error
 	require.ErrorAs(t, err, &config)
 }
 
 func TestRestartKeysAreNamed(t *testing.T) {
-	a, err := Check(canonical(t, sample), here)
+	a, err := Check(canonical(t, sample), testInstance)
 	require.NoError(t, err)
-	b, err := Check(canonical(t, strings.Replace(sample, "127.2.0.1:8500", "127.2.0.2:8500", 1)), here)
+	b, err := Check(canonical(t, strings.Replace(sample, "127.2.0.1:8500", "127.2.0.2:8500", 1)), testInstance)
 	require.NoError(t, err)
 	assert.Empty(t, RestartKeys(&a, &b))
-	b, err = Check(canonical(t, strings.Replace(strings.Replace(sample, "600", "601", 1), `"mostTries":4`, `"mostTries":5`, 1)), here)
+	b, err = Check(canonical(t, strings.Replace(strings.Replace(sample, "600", "601", 1), `"mostTries":4`, `"mostTries":5`, 1)), testInstance)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"limits", "settings"}, RestartKeys(&a, &b))
 }
--- a/internal/fleet/rollout/model_test.go
+++ b/internal/fleet/rollout/model_test.go
@@ -9,14 +9,14 @@
 	_ "stoatdale.example/stoatdale/internal/lab/fixed"
 )
 
-// fleetModel is a fleet in a rollout: instances that stop by themselves, agents that fall silent and return, steps
-// with every result, and tools that continue another's rollout.
+// fleetModel simulates a fleet in a rollout. Instances stop without a step, agents become unreachable and return, steps
+// end with every result, and tools continue the rollout of another tool.
 type fleetModel struct {
 	fleet    *Fleet
 	now      float64
-	actual   []Observation
-	observed []Observation
-	silent   []bool // agents
+	actual   []Observation // true state of each instance
+	observed []Observation // what the planner last saw of each instance
+	silent   []bool        // by agent; true for agents that cannot be reached
 	planner  *Planner
 }
 
@@ -55,13 +55,13 @@
 	o := &m.actual[pick.Draw(t, "which")]
 	switch rapid.IntRange(0, 8).Draw(t, "event") {
 	case 0:
-		o.State = ProcessDown // by itself
+		o.State = ProcessDown // stops without a step
 	case 1:
 		m.silent[pick.Draw(t, "silent")] = true
 	case 2, 3:
 		clear(m.silent)
 	case 4:
-		m.planner = NewPlanner(m.fleet, m.planner.Rollout) // another tool continues
+		m.planner = NewPlanner(m.fleet, m.planner.Rollout) // another tool continues the rollout
 	case 5, 6:
 		m.endStep(t, o)
 	default:
@@ -81,7 +81,7 @@
 	}
 }
 
-// observe shows the planner those instances whose agents are not silent.
+// observe updates the observations of those instances whose agents are not silent.
 func (m *fleetModel) observe() {
 	for i := range m.actual {
 		m.actual[i].ReadySeconds++
@@ -102,7 +102,7 @@
 		m.planner.Rollout = d.Rollout
 	}
 	if d.Action == ActionFinish && d.Rollout.State == Paused {
-		m.planner.Rollout.State = Running // resumed
+		m.planner.Rollout.State = Running // as if an operator resumed it
 	}
 	if d.Action == ActionFinish && d.Rollout.State == Complete {
 		for i := range m.actual {
@@ -111,8 +111,8 @@
 	}
 }
 
-// checkStep checks that no other step is open and that the minimums hold without the step's instance, unless it
-// does not serve.
+// checkStep checks that no other step is pending, and that the minimums hold without the step's instance if that
+// instance serves.
 func (m *fleetModel) checkStep(t *rapid.T, step Step) {
 	open := 0
 	for i := range m.actual {
@@ -120,7 +120,7 @@
 			open++
 		}
 	}
-	assert.Zero(t, open, "a step is open elsewhere")
+	assert.Zero(t, open, "another step is pending")
 	zone := m.fleet.Instances[step.Instance].Zone
 	inZone, inFleet := 0, 0
 	for i := range m.observed {
@@ -134,7 +134,7 @@
 	}
 	notServing := m.observed[step.Instance].State != ProcessReady
 	enough := inZone >= m.fleet.ZoneMinAvailable[zone] && inFleet >= m.fleet.MinAvailable
-	assert.True(t, notServing || enough, "below a minimum")
+	assert.True(t, notServing || enough, "a step of a serving instance goes below a minimum")
 }
 
 func (m *fleetModel) seenReady(instance int) bool {
--- a/internal/fleet/rollout/planner_test.go
+++ b/internal/fleet/rollout/planner_test.go
@@ -11,7 +11,7 @@
 
 var testTiming = Timing{SoakSeconds: 2, StaleAfterSeconds: 1, ContactTimeoutSeconds: 10, StepTimeoutSeconds: 30}
 
-// sixInstances is a fleet of three zones with two instances each, one agent per instance.
+// sixInstances returns a fleet of three zones with two instances each. Every instance has its own agent.
 func sixInstances() *Fleet {
 	f := &Fleet{ZoneMinAvailable: []int{1, 1, 1}, MinAvailable: 4, Timing: testTiming}
 	for i := range 6 {
@@ -20,22 +20,23 @@
 	return f
 }
 
-// allServing observes all instances ready on revision a.
-func allServing(f *Fleet, now float64) []Observation {
-	s := make([]Observation, len(f.Instances))
-	for i := range s {
-		s[i] = Observation{SeenAt: now, State: ProcessReady, Revision: "a", ReadySeconds: 100}
+// allServing returns observations of a fleet in which all instances are ready with revision a.
+func allServing(fleet *Fleet, now float64) []Observation {
+	observations := make([]Observation, len(fleet.Instances))
+	for i := range observations {
+		observations[i] = Observation{SeenAt: now, State: ProcessReady, Revision: "a", ReadySeconds: 100}
 	}
-	return s
+	return observations
 }
 
 func newRunningPlanner() *Planner {
 	return NewPlanner(sixInstances(), Rollout{ID: "r", Revision: "b", State: Running})
 }
 
-// recordStep has the step's instance begin it and, unless the result is pending, end it.
-func recordStep(s []Observation, step Step, result StepResult) {
-	o := &s[step.Instance]
+// recordStep changes the observations as if the step's instance had begun the step and, unless the result is pending, ended
+// it.
+func recordStep(observations []Observation, step Step, result StepResult) {
+	o := &observations[step.Instance]
 	if o.LastStep.RolloutID != step.RolloutID {
 		o.PreviousRevision = o.Revision
 	}
@@ -47,72 +48,72 @@
 
 func TestInstancesChangeOneAtATimeWithASoakBetween(t *testing.T) {
 	p := newRunningPlanner()
-	s := allServing(p.Fleet, 0)
+	observations := allServing(p.Fleet, 0)
 	for n := range 6 {
-		d := p.Next(0, s, RequestNone)
+		d := p.Next(0, observations, RequestNone)
 		require.Equal(t, ActionBeginStep, d.Action, "%v", d.Reason)
 		assert.Equal(t, n, d.Step.Instance)
 		assert.EqualValues(t, n+1, d.Step.Number)
 		p.Rollout = d.Rollout
-		assert.Equal(t, ActionResendStep, p.Next(0, s, RequestNone).Action, "its agent has not begun it")
-		recordStep(s, d.Step, StepPending)
-		assert.Equal(t, ActionWait, p.Next(0, s, RequestNone).Action)
-		recordStep(s, d.Step, StepSucceeded)
-		assert.Equal(t, ActionWait, p.Next(0, s, RequestNone).Action, "the soak")
-		s[n].ReadySeconds = testTiming.SoakSeconds
-		d = p.Next(0, s, RequestNone)
+		assert.Equal(t, ActionResendStep, p.Next(0, observations, RequestNone).Action, "the agent has not begun the step")
+		recordStep(observations, d.Step, StepPending)
+		assert.Equal(t, ActionWait, p.Next(0, observations, RequestNone).Action)
+		recordStep(observations, d.Step, StepSucceeded)
+		assert.Equal(t, ActionWait, p.Next(0, observations, RequestNone).Action, "the soak is not over")
+		observations[n].ReadySeconds = testTiming.SoakSeconds
+		d = p.Next(0, observations, RequestNone)
 		require.Equal(t, ActionCompleteStep, d.Action)
 		p.Rollout = d.Rollout
 	}
-	d := p.Next(0, s, RequestNone)
+	d := p.Next(0, observations, RequestNone)
 	assert.Equal(t, ActionFinish, d.Action)
 	assert.Equal(t, Complete, d.Rollout.State)
 }
 
 func TestStepWaitsUntilMinimumsAndObservationsAllowIt(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(s []Observation)
-		what  Action
-		says  Reason
-		step  int
+		change func(s []Observation)
+		action Action
+		reason Reason
+		step   int
 	}{
-		"one that is down is changed first": {func(s []Observation) { s[3].State = ProcessDown }, ActionBeginStep, Reason{}, 3},
-		"its zone waits, others go on": {func(s []Observation) {
+		"an instance that is down is changed first": {func(s []Observation) { s[3].State = ProcessDown }, ActionBeginStep, Reason{}, 3},
+		"other zones go on while one zone is at its minimum": {func(s []Observation) {
 			s[0].State = ProcessDown
 			s[0].LastStep = Step{RolloutID: "r", Number: 1}
 			s[0].LastResult = StepSucceeded
 		}, ActionBeginStep, Reason{}, 2},
-		"two down leave none to spare":          {func(s []Observation) { stopFinished(s, 0, 2) }, ActionWait, Reason{Kind: ReasonZoneMinimum, Instance: 1, Zone: 0, Have: 0, Need: 1}, 0},
-		"draining does not serve":               {func(s []Observation) { stopFinished(s, 0, 2); s[0].State = ProcessDraining }, ActionWait, Reason{Kind: ReasonZoneMinimum, Instance: 1, Zone: 0, Have: 0, Need: 1}, 0},
-		"unknown process may be busy":           {func(s []Observation) { s[5].State = ProcessUnknown }, ActionWait, Reason{Kind: ReasonProcessUnknown, Instance: 5}, 0},
-		"not seen for too long":                 {func(s []Observation) { s[5].SeenAt = -1.1 }, ActionWait, Reason{Kind: ReasonAgentUnreachable, Instance: 5}, 0},
-		"never seen":                            {func(s []Observation) { s[5].SeenAt = math.Inf(-1) }, ActionWait, Reason{Kind: ReasonAgentUnreachable, Instance: 5}, 0},
-		"a step of another rollout is resolved": {func(s []Observation) { s[4].LastStep = Step{RolloutID: "q", Number: 9} }, ActionWait, Reason{Kind: ReasonInstanceBusy, Instance: 4}, 0},
+		"two instances down leave none to spare": {func(s []Observation) { stopFinished(s, 0, 2) }, ActionWait, Reason{Kind: ReasonZoneMinimum, Instance: 1, Zone: 0, Have: 0, Need: 1}, 0},
+		"a draining instance does not serve":     {func(s []Observation) { stopFinished(s, 0, 2); s[0].State = ProcessDraining }, ActionWait, Reason{Kind: ReasonZoneMinimum, Instance: 1, Zone: 0, Have: 0, Need: 1}, 0},
+		"an unknown process may be busy":         {func(s []Observation) { s[5].State = ProcessUnknown }, ActionWait, Reason{Kind: ReasonProcessUnknown, Instance: 5}, 0},
+		"not seen for too long":                  {func(s []Observation) { s[5].SeenAt = -1.1 }, ActionWait, Reason{Kind: ReasonAgentUnreachable, Instance: 5}, 0},
+		"never seen":                             {func(s []Observation) { s[5].SeenAt = math.Inf(-1) }, ActionWait, Reason{Kind: ReasonAgentUnreachable, Instance: 5}, 0},
+		"a step of another rollout is resolved":  {func(s []Observation) { s[4].LastStep = Step{RolloutID: "q", Number: 9} }, ActionWait, Reason{Kind: ReasonInstanceBusy, Instance: 4}, 0},
 	} {
 		p := newRunningPlanner()
-		s := allServing(p.Fleet, 0)
-		c.spoil(s)
-		d := p.Next(0, s, RequestNone)
-		assert.Equal(t, c.what, d.Action, name)
-		assert.Equal(t, c.says, d.Reason, name)
-		if c.what == ActionBeginStep {
+		observations := allServing(p.Fleet, 0)
+		c.change(observations)
+		d := p.Next(0, observations, RequestNone)
+		assert.Equal(t, c.action, d.Action, name)
+		assert.Equal(t, c.reason, d.Reason, name)
+		if c.action == ActionBeginStep {
 			assert.Equal(t, c.step, d.Step.Instance, name)
 			continue
 		}
-		for i := range s {
-			s[i].SeenAt += testTiming.ContactTimeoutSeconds
+		for i := range observations {
+			observations[i].SeenAt += testTiming.ContactTimeoutSeconds
 		}
-		d = p.Next(testTiming.ContactTimeoutSeconds, s, RequestNone)
+		d = p.Next(testTiming.ContactTimeoutSeconds, observations, RequestNone)
 		assert.Equal(t, ActionFinish, d.Action, name)
 		assert.Equal(t, Paused, d.Rollout.State, name)
-		assert.Equal(t, c.says, d.Rollout.Reason, name)
+		assert.Equal(t, c.reason, d.Rollout.Reason, name)
 	}
 }
 
-// stopFinished stops instances that the rollout has already changed, so that changing them cannot help.
-func stopFinished(s []Observation, which ...int) {
-	for _, i := range which {
-		s[i].State, s[i].LastStep, s[i].LastResult = ProcessDown, Step{RolloutID: "r", Number: 1}, StepSucceeded
+// stopFinished stops instances that the rollout has already changed and so will not change again.
+func stopFinished(observations []Observation, instances ...int) {
+	for _, i := range instances {
+		observations[i].State, observations[i].LastStep, observations[i].LastResult = ProcessDown, Step{RolloutID: "r", Number: 1}, StepSucceeded
 	}
 }
 
@@ -124,40 +125,40 @@
 	f.ZoneMinAvailable[1], f.MinAvailable = 0, 6
 	assert.Equal(t, Reason{Kind: ReasonFleetMinimum, Have: 5, Need: 6}, CheckFeasible(f, nil))
 	f.MinAvailable = 0
-	assert.Equal(t, Reason{Kind: ReasonZoneMinimum, Zone: 0, Have: 0, Need: 1}, CheckFeasible(f, []int{1}), "left out ones do not serve")
+	assert.Equal(t, Reason{Kind: ReasonZoneMinimum, Zone: 0, Have: 0, Need: 1}, CheckFeasible(f, []int{1}), "excluded instances count as not serving")
 	assert.Equal(t, ReasonNothingToDo, CheckFeasible(f, []int{0, 1, 2, 3, 4, 5}).Kind)
 }
 
 func TestBadRevisionRollsBack(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(x *Observation)
-		kind  ReasonKind
+		change func(o *Observation)
+		kind   ReasonKind
 	}{
-		"the step fails":          {func(x *Observation) { x.LastResult, x.LastFailure, x.State = StepFailed, "refused", ProcessDown }, ReasonStepFailed},
-		"it ends in its soak":     {func(x *Observation) { x.State = ProcessDown }, ReasonSoakFailed},
-		"it keeps ending":         {func(x *Observation) { x.State = ProcessCrashLooping }, ReasonSoakFailed},
-		"it leaves more commands": {func(x *Observation) { x.CommandsSinceStep = CommandCounts{Completed: 100, Unanswered: 20} }, ReasonMoreUnanswered},
+		"the step fails":                     {func(o *Observation) { o.LastResult, o.LastFailure, o.State = StepFailed, "refused", ProcessDown }, ReasonStepFailed},
+		"it exits during its soak":           {func(o *Observation) { o.State = ProcessDown }, ReasonSoakFailed},
+		"it keeps exiting":                   {func(o *Observation) { o.State = ProcessCrashLooping }, ReasonSoakFailed},
+		"it leaves more commands unanswered": {func(o *Observation) { o.CommandsSinceStep = CommandCounts{Completed: 100, Unanswered: 20} }, ReasonMoreUnanswered},
 	} {
 		p := newRunningPlanner()
-		s := allServing(p.Fleet, 0)
-		s[0].RecentCommands = CommandCounts{Completed: 1000, Unanswered: 50}
-		p.Rollout = p.Next(0, s, RequestNone).Rollout
-		recordStep(s, p.Rollout.CurrentStep, StepSucceeded)
-		c.spoil(&s[0])
-		d := p.Next(0, s, RequestNone)
+		observations := allServing(p.Fleet, 0)
+		observations[0].RecentCommands = CommandCounts{Completed: 1000, Unanswered: 50}
+		p.Rollout = p.Next(0, observations, RequestNone).Rollout
+		recordStep(observations, p.Rollout.CurrentStep, StepSucceeded)
+		c.change(&observations[0])
+		d := p.Next(0, observations, RequestNone)
 		require.Equal(t, ActionStartRollback, d.Action, name)
 		assert.Equal(t, c.kind, d.Rollout.RollbackCause.Kind, name)
 		p.Rollout = d.Rollout
-		d = p.Next(0, s, RequestNone)
+		d = p.Next(0, observations, RequestNone)
 		require.Equal(t, ActionBeginStep, d.Action, name)
 		assert.Equal(t, Step{RolloutID: "r", Number: 2, Instance: 0, Revision: "a", Rollback: true}, d.Step, name)
 		p.Rollout = d.Rollout
-		recordStep(s, d.Step, StepSucceeded)
-		s[0].ReadySeconds = testTiming.SoakSeconds
-		p.Rollout = p.Next(0, s, RequestNone).Rollout
-		d = p.Next(0, s, RequestNone)
+		recordStep(observations, d.Step, StepSucceeded)
+		observations[0].ReadySeconds = testTiming.SoakSeconds
+		p.Rollout = p.Next(0, observations, RequestNone).Rollout
+		d = p.Next(0, observations, RequestNone)
 		assert.Equal(t, RolledBack, d.Rollout.State, name)
-		assert.Equal(t, c.kind, d.Rollout.Reason.Kind, "the cause is still told: %s", name)
+		assert.Equal(t, c.kind, d.Rollout.Reason.Kind, "the reason is still the cause of the rollback: %s", name)
 	}
 }
 
@@ -172,34 +173,34 @@
 func TestFailedRollbackPauses(t *testing.T) {
 	p := newRunningPlanner()
 	p.Rollout.RollingBack = true
-	s := allServing(p.Fleet, 0)
-	recordStep(s, Step{RolloutID: "r", Number: 1, Instance: 2, Revision: "b"}, StepSucceeded)
-	p.Rollout = p.Next(0, s, RequestNone).Rollout
-	assert.Equal(t, 2, p.Rollout.CurrentStep.Instance, "only what was touched goes back")
-	recordStep(s, p.Rollout.CurrentStep, StepFailed)
-	d := p.Next(0, s, RequestNone)
+	observations := allServing(p.Fleet, 0)
+	recordStep(observations, Step{RolloutID: "r", Number: 1, Instance: 2, Revision: "b"}, StepSucceeded)
+	p.Rollout = p.Next(0, observations, RequestNone).Rollout
+	assert.Equal(t, 2, p.Rollout.CurrentStep.Instance, "only the instance that was changed is rolled back")
+	recordStep(observations, p.Rollout.CurrentStep, StepFailed)
+	d := p.Next(0, observations, RequestNone)
 	assert.Equal(t, Paused, d.Rollout.State)
 	assert.Equal(t, ReasonCannotRollBack, d.Reason.Kind)
-	s[2].PreviousRevision, s[2].LastResult = "", StepSucceeded
-	s[2].LastStep.Rollback = false
+	observations[2].PreviousRevision, observations[2].LastResult = "", StepSucceeded
+	observations[2].LastStep.Rollback = false
 	p = newRunningPlanner()
 	p.Rollout.RollingBack = true
-	assert.Equal(t, ReasonCannotRollBack, p.Next(0, s, RequestNone).Reason.Kind, "nothing ran before")
+	assert.Equal(t, ReasonCannotRollBack, p.Next(0, observations, RequestNone).Reason.Kind, "the instance has no previous revision")
 }
 
 func TestUnresolvedStepBlocksOthersUntilItsInstanceIsExcluded(t *testing.T) {
 	p := newRunningPlanner()
-	s := allServing(p.Fleet, 0)
-	p.Rollout = p.Next(0, s, RequestNone).Rollout
-	s[0].SeenAt = -5
-	assert.Equal(t, ActionWait, p.Next(0, s, RequestNone).Action)
-	for i := range s {
-		s[i].SeenAt += testTiming.ContactTimeoutSeconds
+	observations := allServing(p.Fleet, 0)
+	p.Rollout = p.Next(0, observations, RequestNone).Rollout
+	observations[0].SeenAt = -5
+	assert.Equal(t, ActionWait, p.Next(0, observations, RequestNone).Action)
+	for i := range observations {
+		observations[i].SeenAt += testTiming.ContactTimeoutSeconds
 	}
-	d := p.Next(testTiming.ContactTimeoutSeconds, s, RequestNone)
+	d := p.Next(testTiming.ContactTimeoutSeconds, observations, RequestNone)
 	assert.Equal(t, Paused, d.Rollout.State)
 	assert.Equal(t, Reason{Kind: ReasonAgentUnreachable, Instance: 0}, d.Rollout.Reason)
-	assert.NotZero(t, d.Rollout.CurrentStep.Number, "the step stays on record")
+	assert.NotZero(t, d.Rollout.CurrentStep.Number, "the step stays in the rollout")
 	p = NewPlanner(p.Fleet, d.Rollout)
 	p.Rollout.State, p.Rollout.ExcludedInstances = Running, []int{0}
 	d = p.Next(20, allServing(p.Fleet, 20), RequestNone)
@@ -210,14 +211,14 @@
 
 func TestStepThatIsNotAppliedIsRetriedThreeTimes(t *testing.T) {
 	p := newRunningPlanner()
-	s := allServing(p.Fleet, 0)
+	observations := allServing(p.Fleet, 0)
 	for n := range maxStepsNotApplied {
-		d := p.Next(0, s, RequestNone)
+		d := p.Next(0, observations, RequestNone)
 		require.Equal(t, ActionBeginStep, d.Action)
 		assert.EqualValues(t, n+1, d.Step.Number)
 		p.Rollout = d.Rollout
-		recordStep(s, d.Step, StepNotApplied)
-		d = p.Next(0, s, RequestNone)
+		recordStep(observations, d.Step, StepNotApplied)
+		d = p.Next(0, observations, RequestNone)
 		p.Rollout = d.Rollout
 	}
 	assert.Equal(t, Paused, p.Rollout.State)
@@ -225,16 +226,16 @@
 }
 
 func TestOperatorRequestsAreFollowedBetweenSteps(t *testing.T) {
-	for wish, state := range map[OperatorRequest]State{RequestPause: Paused, RequestAbort: Aborted} {
+	for request, state := range map[OperatorRequest]State{RequestPause: Paused, RequestAbort: Aborted} {
 		p := newRunningPlanner()
-		s := allServing(p.Fleet, 0)
-		p.Rollout = p.Next(0, s, RequestNone).Rollout
-		recordStep(s, p.Rollout.CurrentStep, StepPending)
-		assert.Equal(t, ActionWait, p.Next(0, s, wish).Action, "the step comes to its end first")
-		recordStep(s, p.Rollout.CurrentStep, StepSucceeded)
-		s[0].ReadySeconds = testTiming.SoakSeconds
-		p.Rollout = p.Next(0, s, wish).Rollout
-		assert.Equal(t, state, p.Next(0, s, wish).Rollout.State)
+		observations := allServing(p.Fleet, 0)
+		p.Rollout = p.Next(0, observations, RequestNone).Rollout
+		recordStep(observations, p.Rollout.CurrentStep, StepPending)
+		assert.Equal(t, ActionWait, p.Next(0, observations, request).Action, "the request waits until the step has ended")
+		recordStep(observations, p.Rollout.CurrentStep, StepSucceeded)
+		observations[0].ReadySeconds = testTiming.SoakSeconds
+		p.Rollout = p.Next(0, observations, request).Rollout
+		assert.Equal(t, state, p.Next(0, observations, request).Rollout.State)
 	}
 	p := newRunningPlanner()
 	assert.Equal(t, ActionStartRollback, p.Next(0, allServing(p.Fleet, 0), RequestRollback).Action)
@@ -242,24 +243,24 @@
 
 func TestStepIsSentOnlyWhileMinimumsAllowIt(t *testing.T) {
 	p := newRunningPlanner()
-	s := allServing(p.Fleet, 0)
-	p.Rollout = p.Next(0, s, RequestNone).Rollout
-	s[1].State = ProcessDown // the other one of its zone, by itself
-	d := p.Next(0, s, RequestNone)
+	observations := allServing(p.Fleet, 0)
+	p.Rollout = p.Next(0, observations, RequestNone).Rollout
+	observations[1].State = ProcessDown // the other instance of the zone stops without a step
+	d := p.Next(0, observations, RequestNone)
 	assert.Equal(t, ActionWait, d.Action)
 	assert.Equal(t, ReasonZoneMinimum, d.Reason.Kind)
-	s[1].State = ProcessReady
-	d = p.Next(0, s, RequestNone)
+	observations[1].State = ProcessReady
+	d = p.Next(0, observations, RequestNone)
 	assert.Equal(t, ActionResendStep, d.Action)
 	assert.False(t, d.Step.OnlyIfNotServing, "the minimums were checked")
-	s[4].SeenAt = -5
-	assert.Equal(t, ReasonAgentUnreachable, p.Next(0, s, RequestNone).Reason.Kind)
-	s[4].SeenAt = 0
-	s[0].State, s[1].State = ProcessDown, ProcessDown
-	d = p.Next(0, s, RequestNone)
-	assert.Equal(t, ActionResendStep, d.Action, "one that does not serve can only gain")
-	assert.True(t, d.Step.OnlyIfNotServing, "and its agent is told that this is why")
-	assert.False(t, p.Rollout.CurrentStep.OnlyIfNotServing, "of this call only: the step may be sent again with the minimums checked")
+	observations[4].SeenAt = -5
+	assert.Equal(t, ReasonAgentUnreachable, p.Next(0, observations, RequestNone).Reason.Kind)
+	observations[4].SeenAt = 0
+	observations[0].State, observations[1].State = ProcessDown, ProcessDown
+	d = p.Next(0, observations, RequestNone)
+	assert.Equal(t, ActionResendStep, d.Action, "a step of an instance that does not serve cannot lower the number of serving instances")
+	assert.True(t, d.Step.OnlyIfNotServing, "the step tells the agent that the minimums were not checked")
+	assert.False(t, p.Rollout.CurrentStep.OnlyIfNotServing, "only the sent step is marked: it may be sent again after a check of the minimums")
 	d = p.StepRefused("full")
 	assert.Equal(t, Reason{Kind: ReasonStepRefused, Detail: "full"}, d.Rollout.Reason)
 	assert.NotZero(t, d.Rollout.CurrentStep.Number)
@@ -272,13 +273,13 @@
 			for i := range n {
 				f.Instances = append(f.Instances, Instance{Zone: i * 10 / n})
 			}
-			s := allServing(f, 0)
+			observations := allServing(f, 0)
 			for i := range n / 2 {
-				s[i].LastStep, s[i].LastResult = Step{RolloutID: "r", Number: 1}, StepSucceeded
+				observations[i].LastStep, observations[i].LastResult = Step{RolloutID: "r", Number: 1}, StepSucceeded
 			}
 			p := NewPlanner(f, Rollout{ID: "r", Revision: "b", State: Running})
 			for b.Loop() {
-				if d := p.Next(0, s, RequestNone); d.Action != ActionBeginStep {
+				if d := p.Next(0, observations, RequestNone); d.Action != ActionBeginStep {
 					b.Fatal(d.Action)
 				}
 			}
