--- a/internal/fleet/control/revisions.go
+++ b/internal/fleet/control/revisions.go
@@ -85,27 +85,27 @@
 
 // FindRevision finds a revision by its name or by a prefix of its digest. If several revisions have the name, it returns the
 // newest. Its errors are *RevisionNotFoundError, *AmbiguousRevisionError and those of History.
-func (c *Client) FindRevision(ctx context.Context, called string) (protocol.Revision, error) {
+func (c *Client) FindRevision(ctx context.Context, nameOrDigest string) (protocol.Revision, error) {
 	history, err := c.History(ctx)
 	if err != nil {
 		return protocol.Revision{}, err
 	}
 	var matches []protocol.Revision
 	for _, r := range history.Revisions {
-		if r.Name == called {
+		if r.Name == nameOrDigest {
 			return r, nil
 		}
-		if len(called) >= minDigestPrefix && strings.HasPrefix(r.Digest, called) {
+		if len(nameOrDigest) >= minDigestPrefix && strings.HasPrefix(r.Digest, nameOrDigest) {
 			matches = append(matches, r)
 		}
 	}
 	switch len(matches) {
 	case 0:
-		return protocol.Revision{}, &RevisionNotFoundError{Called: called}
+		return protocol.Revision{}, &RevisionNotFoundError{Called: nameOrDigest}
 	case 1:
 		return matches[0], nil
 	default:
-		return protocol.Revision{}, &AmbiguousRevisionError{Prefix: called, Matches: len(matches)}
+		return protocol.Revision{}, &AmbiguousRevisionError{Prefix: nameOrDigest, Matches: len(matches)}
 	}
 }
 
--- a/internal/fleet/lease/campaign.go
+++ b/internal/fleet/lease/campaign.go
@@ -6,7 +6,7 @@
 // Campaign is the requester's side of one lease request. It collects the agents' replies and determines the result.
 type Campaign struct {
 	Request      Request
-	agents       int            // number of agents in the fleet
+	agentCount   int            // number of agents in the fleet
 	replies      map[int]Denial // by agent; an unreachable agent counts as NotHolder
 	newestRecord Record         // newest record that a granting agent reported
 	blockedBy    State          // another holder's lease that a denying agent reported; the longest-lasting of several
@@ -15,7 +15,7 @@
 
 // NewCampaign returns a campaign that has no replies yet. Agents are numbered from 0.
 func NewCampaign(r Request, agents int) *Campaign {
-	return &Campaign{Request: r, agents: agents, replies: map[int]Denial{}, highestEpoch: r.Epoch}
+	return &Campaign{Request: r, agentCount: agents, replies: map[int]Denial{}, highestEpoch: r.Epoch}
 }
 
 // AddReply adds one agent's reply: its denial, or Granted, and its lease and record after it handled the request.
@@ -59,8 +59,8 @@
 			granted++
 		}
 	}
-	outstanding := c.agents - len(c.replies)
-	switch majority := Majority(c.agents); {
+	outstanding := c.agentCount - len(c.replies)
+	switch majority := Majority(c.agentCount); {
 	case granted >= majority:
 		return Won
 	case outstanding+granted < majority:
