--- a/internal/cli/fleet_drive.go
+++ b/internal/cli/fleet_drive.go
@@ -104,7 +104,7 @@
 // reportOutcome shows how a rollout's driver ended, and returns the exit error that it stands for.
 func (a *app) reportOutcome(client *control.Client, outcome coordinator.Outcome) error {
 	rollout := client.DescribeRollout(outcome.Rollout)
-	report := driveReport{Outcome: rollout.State, Why: rollout.Why, Rollout: rollout, Faults: outcome.Faults}
+	report := driveReport{Outcome: rollout.State, Why: rollout.Reason, Rollout: rollout, Faults: outcome.Failures}
 	var exit error
 	if outcome.Kind == coordinator.OutcomeEnded {
 		exit = endedRolloutError(outcome, rollout)
@@ -114,7 +114,7 @@
 	}
 	if err := a.show(report, func(out io.Writer) {
 		printf(out, "rollout %s: %s\n", rollout.ID, report.Outcome)
-		for _, fault := range outcome.Faults {
+		for _, fault := range outcome.Failures {
 			printf(out, "%s\n", fault)
 		}
 	}); err != nil {
@@ -130,13 +130,13 @@
 	}
 	switch outcome.Rollout.State {
 	case rollout.Paused:
-		err := fmt.Errorf("the rollout is paused: %s", state.Why)
+		err := fmt.Errorf("the rollout is paused: %s", state.Reason)
 		if state.RollingBack {
 			err = fmt.Errorf("%w; it was going back: %s", err, state.Cause)
 		}
 		return exitError(ExitPaused, err)
 	case rollout.RolledBack:
-		return exitErrorf(ExitFailed, "the rollout went back: %s", state.Why)
+		return exitErrorf(ExitFailed, "the rollout went back: %s", state.Reason)
 	case rollout.None, rollout.Running, rollout.Complete, rollout.Aborted:
 	}
 	return nil
--- a/internal/cli/fleet_history.go
+++ b/internal/cli/fleet_history.go
@@ -47,7 +47,7 @@
 	printf(out, "\n")
 	rollouts := newTable(out, "rollout", "revision", "by", "began", "state", "")
 	for _, x := range r.Rollouts {
-		rollouts.AppendRow(table.Row{x.ID, x.Revision + " " + x.RevisionName, x.StartedBy, x.StartedAt, x.State, x.Why})
+		rollouts.AppendRow(table.Row{x.ID, x.Revision + " " + x.RevisionName, x.StartedBy, x.StartedAt, x.State, x.Reason})
 	}
 	rollouts.Render()
 }
--- a/internal/cli/fleet_status.go
+++ b/internal/cli/fleet_status.go
@@ -66,7 +66,7 @@
 		if x.TargetRevision != "" {
 			revision += " -> " + x.TargetRevision
 		}
-		unanswered := fmt.Sprintf("%d of %d", x.UnansweredCommands, x.EndedCommands)
+		unanswered := fmt.Sprintf("%d of %d", x.UnansweredCommands, x.CompletedCommands)
 		t.AppendRow(table.Row{x.Name, x.Zone, x.Agent, x.State, revision, x.ProcessID, x.Crashes, unanswered, x.Step})
 	}
 	t.Render()
@@ -88,8 +88,8 @@
 	if rollout.RollingBack {
 		printf(out, ", going back (%s)", rollout.Cause)
 	}
-	if rollout.Why != "" {
-		printf(out, ": %s", rollout.Why)
+	if rollout.Reason != "" {
+		printf(out, ": %s", rollout.Reason)
 	}
 	if rollout.Step != "" {
 		printf(out, " (%s)", rollout.Step)
@@ -103,7 +103,7 @@
 		return
 	}
 	printf(out, "%s holds the claim under epoch %d since %.0f s, for %.0f s more unless renewed (%d of %d agents)\n",
-		lease.Holder, lease.Epoch, lease.SinceSeconds, lease.LeftSeconds, lease.Grants, lease.Agents)
+		lease.Holder, lease.Epoch, lease.HeldSeconds, lease.RemainingSeconds, lease.Grants, lease.Agents)
 }
 
 func (a *app) fleetLeaseCommand(flags *fleetFlags) *cobra.Command {
--- a/internal/drill/lease_operator.go
+++ b/internal/drill/lease_operator.go
@@ -58,7 +58,7 @@
 		task.Operation = operations[r.rng.IntN(len(operations))]
 	}
 	o.coordinator = coordinator.New(coordinator.Config{
-		Fleet: r.fleet, InstanceNames: r.instanceNames, Agents: len(r.agents), Holder: o.holder,
+		Fleet: r.fleet, InstanceNames: r.instanceNames, AgentCount: len(r.agents), Holder: o.holder,
 		Timing: coordinator.Timing{PollSeconds: 0.3, MajorityTimeoutSeconds: 4}, Task: task, Random: r.rng.Float64,
 	})
 	o.startedAt = r.timestamp()
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -194,7 +194,7 @@
 	d.logf("agents are up; the first revision goes out")
 	o := d.client.Drive(ctx, d.client.NewRollout(protocol.Revision{Digest: d.firstRevision, Name: "first"}, false), nil)
 	if o.Kind != coordinator.OutcomeEnded || o.Rollout.State != rollout.Complete {
-		return fmt.Errorf("the first rollout: %d %s %s %v", o.Kind, o.Rollout.State, d.client.Explain(o.Reason), o.Faults)
+		return fmt.Errorf("the first rollout: %d %s %s %v", o.Kind, o.Rollout.State, d.client.Explain(o.Reason), o.Failures)
 	}
 	return nil
 }
@@ -254,7 +254,7 @@
 	r.Paused = state == rollout.Paused
 	switch {
 	case outcome.Kind != coordinator.OutcomeEnded:
-		r.Fail("the rollout ended as no rollout ends: %d, held by %s, %v", outcome.Kind, outcome.Holder.Holder, outcome.Faults)
+		r.Fail("the rollout ended as no rollout ends: %d, held by %s, %v", outcome.Kind, outcome.Holder.Holder, outcome.Failures)
 	case d.options.AgentStaysGone && (!r.Paused || outcome.Reason.Kind != rollout.ReasonInstancesExcluded):
 		r.Fail("with an agent gone the rollout ended %s: %s", r.State, r.Reason)
 	case !d.options.AgentStaysGone && state != rollout.Complete:
--- a/internal/fleet/control/client_test.go
+++ b/internal/fleet/control/client_test.go
@@ -307,7 +307,7 @@
 	require.ErrorContains(t, err, `no agent has stored a revision "nothing"`)
 	var missing *RevisionNotFoundError
 	require.ErrorAs(t, err, &missing)
-	assert.Equal(t, "nothing", missing.Called)
+	assert.Equal(t, "nothing", missing.NameOrDigest)
 	_, err = New(r.fleet, r.keys, "nobody")
 	require.ErrorContains(t, err, "operator nobody:")
 	path := filepath.Join(t.TempDir(), "spans")
--- a/internal/fleet/control/drive.go
+++ b/internal/fleet/control/drive.go
@@ -120,7 +120,7 @@
 	coordinator := coordinator.New(coordinator.Config{
 		Fleet:         c.Fleet.PlannerFleet(),
 		InstanceNames: c.Fleet.InstanceNames(),
-		Agents:        len(c.agents),
+		AgentCount:    len(c.agents),
 		AgentsDigest:  c.Fleet.AgentsDigest(),
 		Holder:        api.HolderName(c.Operator, host+"/"+NewID()),
 		Timing: coordinator.Timing{
--- a/internal/fleet/control/explain.go
+++ b/internal/fleet/control/explain.go
@@ -11,19 +11,19 @@
 
 // RolloutStatus describes a rollout to an operator.
 type RolloutStatus struct {
-	ID           string   `json:"id"`
-	Revision     string   `json:"revision"` // short digest
-	RevisionName string   `json:"name,omitempty"`
-	State        string   `json:"state"`
-	RollingBack  bool     `json:"back"`
-	Why          string   `json:"why,omitempty"`   // why it paused or ended
-	Cause        string   `json:"cause,omitempty"` // why it rolls back
-	StartedBy    string   `json:"by"`
-	RequestedBy  string   `json:"asked,omitempty"`    // operator whose request the tool followed last
-	StartedAt    string   `json:"began"`              // RFC 3339
-	Steps        uint64   `json:"steps"`              // number of steps begun
-	LeftOut      []string `json:"left_out,omitempty"` // names of excluded instances
-	Step         string   `json:"step,omitempty"`     // the step under way
+	ID                string   `json:"id"`
+	Revision          string   `json:"revision"` // short digest
+	RevisionName      string   `json:"name,omitempty"`
+	State             string   `json:"state"`
+	RollingBack       bool     `json:"back"`
+	Reason            string   `json:"why,omitempty"`   // why it paused or ended
+	Cause             string   `json:"cause,omitempty"` // why it rolls back
+	StartedBy         string   `json:"by"`
+	RequestedBy       string   `json:"asked,omitempty"`    // operator whose request the tool followed last
+	StartedAt         string   `json:"began"`              // RFC 3339
+	Steps             uint64   `json:"steps"`              // number of steps begun
+	ExcludedInstances []string `json:"left_out,omitempty"` // names of excluded instances
+	Step              string   `json:"step,omitempty"`     // the step under way
 }
 
 // DescribeRollout describes a rollout to an operator, with the names of the fleet file.
@@ -34,7 +34,7 @@
 		RevisionName: r.RevisionName,
 		State:        r.State.String(),
 		RollingBack:  r.RollingBack,
-		Why:          c.Explain(r.Reason),
+		Reason:       c.Explain(r.Reason),
 		Cause:        c.Explain(r.RollbackCause),
 		StartedBy:    r.StartedBy,
 		RequestedBy:  r.RequestedBy,
@@ -42,7 +42,7 @@
 		Steps:        r.StepsBegun,
 	}
 	for _, i := range r.ExcludedInstances {
-		status.LeftOut = append(status.LeftOut, c.instanceName(i))
+		status.ExcludedInstances = append(status.ExcludedInstances, c.instanceName(i))
 	}
 	if r.CurrentStep.Number != 0 {
 		status.Step = fmt.Sprintf("step %d, %s", r.CurrentStep.Number, c.instanceName(r.CurrentStep.Instance))
--- a/internal/fleet/control/revisions.go
+++ b/internal/fleet/control/revisions.go
@@ -17,11 +17,11 @@
 
 // RevisionNotFoundError reports that no agent has a revision.
 type RevisionNotFoundError struct {
-	Called string // the name or digest prefix that was searched for
+	NameOrDigest string // the name or digest prefix that was searched for
 }
 
 func (e *RevisionNotFoundError) Error() string {
-	return fmt.Sprintf("no agent has stored a revision %q: see fleet history, or push it", e.Called)
+	return fmt.Sprintf("no agent has stored a revision %q: see fleet history, or push it", e.NameOrDigest)
 }
 
 // AmbiguousRevisionError reports that the digests of several revisions begin with the same prefix.
@@ -101,7 +101,7 @@
 	}
 	switch len(matches) {
 	case 0:
-		return protocol.Revision{}, &RevisionNotFoundError{Called: nameOrDigest}
+		return protocol.Revision{}, &RevisionNotFoundError{NameOrDigest: nameOrDigest}
 	case 1:
 		return matches[0], nil
 	default:
--- a/internal/fleet/control/status.go
+++ b/internal/fleet/control/status.go
@@ -41,7 +41,7 @@
 	TargetRevision     string  `json:"wants,omitempty"`    // short digest of the revision that it is to run, if that is another one
 	ProcessID          int     `json:"process,omitempty"`
 	Crashes            int     `json:"crashes,omitempty"`
-	EndedCommands      uint64  `json:"ended"`          // commands completed within a recent window
+	CompletedCommands  uint64  `json:"ended"`          // commands completed within a recent window
 	UnansweredCommands uint64  `json:"unanswered"`     // completed commands of that window that got no answer
 	ReadySeconds       float64 `json:"ready_seconds"`  // time since the instance became ready
 	Step               string  `json:"step,omitempty"` // the step under way, or why the last step failed
@@ -49,14 +49,14 @@
 
 // LeaseStatus is the status of the lease, whose holder may change the fleet.
 type LeaseStatus struct {
-	Epoch           uint64  `json:"epoch"` // highest epoch that an agent reports
-	Holder          string  `json:"holder"`
-	Held            bool    `json:"held"`          // a majority of agents grants the lease to Holder
-	Grants          int     `json:"grants"`        // number of agents that grant the lease to Holder
-	SinceSeconds    float64 `json:"since_seconds"` // time since Holder acquired the lease
-	LeftSeconds     float64 `json:"left_seconds"`  // time until the lease expires unless it is renewed
-	Agents          int     `json:"agents"`        // number of agents in the fleet
-	ReachableAgents int     `json:"heard"`
+	Epoch            uint64  `json:"epoch"` // highest epoch that an agent reports
+	Holder           string  `json:"holder"`
+	Held             bool    `json:"held"`          // a majority of agents grants the lease to Holder
+	Grants           int     `json:"grants"`        // number of agents that grant the lease to Holder
+	HeldSeconds      float64 `json:"since_seconds"` // time since Holder acquired the lease
+	RemainingSeconds float64 `json:"left_seconds"`  // time until the lease expires unless it is renewed
+	Agents           int     `json:"agents"`        // number of agents in the fleet
+	ReachableAgents  int     `json:"heard"`
 }
 
 // Status requests the status of all agents and returns the fleet's.
@@ -117,7 +117,7 @@
 		status.TargetRevision = revision.ShortDigest(report.TargetRevision)
 	}
 	status.ReadySeconds = report.ReadySeconds
-	status.EndedCommands = report.RecentCommands.Completed
+	status.CompletedCommands = report.RecentCommands.Completed
 	status.UnansweredCommands = report.RecentCommands.Unanswered
 	switch {
 	case report.LastStep.Number != 0 && report.LastResult == rollout.StepPending:
@@ -148,8 +148,8 @@
 		}
 		status.Holder = lease.Holder
 		status.Grants = grants[lease.Holder]
-		status.SinceSeconds = max(status.SinceSeconds, lease.HeldSeconds)
-		status.LeftSeconds = max(status.LeftSeconds, lease.RemainingSeconds)
+		status.HeldSeconds = max(status.HeldSeconds, lease.HeldSeconds)
+		status.RemainingSeconds = max(status.RemainingSeconds, lease.RemainingSeconds)
 	}
 	status.Held = status.Grants >= lease.Majority(len(answers))
 	return status
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -71,8 +71,8 @@
 func New(config Config) *Coordinator {
 	c := &Coordinator{
 		config:           config,
-		instancesByAgent: make([][]int, config.Agents),
-		agents:           make([]agent, config.Agents),
+		instancesByAgent: make([][]int, config.AgentCount),
+		agents:           make([]agent, config.AgentCount),
 		pendingCalls:     map[uint64]pendingCall{},
 		observations:     make([]rollout.Observation, len(config.InstanceNames)),
 		statuses:         make([]protocol.InstanceStatus, len(config.InstanceNames)),
--- a/internal/fleet/coordinator/environment_test.go
+++ b/internal/fleet/coordinator/environment_test.go
@@ -89,7 +89,7 @@
 
 func (e *environment) newCoordinator(holder string, task Task) *Coordinator {
 	return New(Config{
-		Fleet: e.fleet, InstanceNames: e.names, Agents: len(e.handlers), Holder: holder, Task: task,
+		Fleet: e.fleet, InstanceNames: e.names, AgentCount: len(e.handlers), Holder: holder, Task: task,
 		Timing: Timing{PollSeconds: pollSeconds, MajorityTimeoutSeconds: 2},
 		Random: func() float64 { return 0.5 },
 	})
--- a/internal/fleet/coordinator/lease.go
+++ b/internal/fleet/coordinator/lease.go
@@ -207,11 +207,11 @@
 func (c *Coordinator) finish(o Outcome) {
 	for i := range c.agents {
 		if failure := c.agents[i].failure; failure != "" {
-			o.Faults = append(o.Faults, failure)
+			o.Failures = append(o.Failures, failure)
 		}
 	}
-	slices.Sort(o.Faults)
-	o.Faults = slices.Compact(o.Faults)
+	slices.Sort(o.Failures)
+	o.Failures = slices.Compact(o.Failures)
 	c.outcome = o
 	c.phase = phaseEnded
 }
--- a/internal/fleet/coordinator/task.go
+++ b/internal/fleet/coordinator/task.go
@@ -38,7 +38,7 @@
 type Config struct {
 	Fleet         *rollout.Fleet
 	InstanceNames []string // names of Fleet.Instances, in their order
-	Agents        int      // number of agents; agents are numbered from 0
+	AgentCount    int      // number of agents; agents are numbered from 0
 	AgentsDigest  string   // digest of the list of agents; agents deny calls with another one
 	Holder        string   // identifies this coordinator in lease requests; every coordinator has a different one
 	Timing        Timing
@@ -72,11 +72,11 @@
 
 // Outcome is the final result of a coordinator.
 type Outcome struct {
-	Kind    OutcomeKind
-	Rollout protocol.Rollout // the rollout as the coordinator last knew it
-	Holder  lease.State      // another holder's lease
-	Reason  rollout.Reason
-	Faults  []string // distinct failures of calls to agents, as text for operators; sorted
+	Kind     OutcomeKind
+	Rollout  protocol.Rollout // the rollout as the coordinator last knew it
+	Holder   lease.State      // another holder's lease
+	Reason   rollout.Reason
+	Failures []string // distinct failures of calls to agents, as text for operators; sorted
 }
 
 // Event is one event of a rollout, for a live view and traces. It is of one of three kinds. An acquired lease sets
--- a/internal/modelcheck/models/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -121,7 +121,7 @@
 		task.Operation = coordinator.OperationResume
 	}
 	x.coordinator = coordinator.New(coordinator.Config{
-		Fleet: r.fleet, InstanceNames: r.names, Agents: len(r.agents), Holder: x.holder,
+		Fleet: r.fleet, InstanceNames: r.names, AgentCount: len(r.agents), Holder: x.holder,
 		Timing: coordinator.Timing{PollSeconds: rollTick, MajorityTimeoutSeconds: 50}, Task: task,
 		Random: func() float64 { return 0.5 },
 	})
