--- a/internal/fleet/control/client_test.go
+++ b/internal/fleet/control/client_test.go
@@ -28,10 +28,10 @@
 	"stoatdale.example/stoatdale/internal/pki"
 )
 
-// testTimeout ends a test that hangs; no test that passes waits for it.
+// testTimeout ends a test that hangs. A test that passes never waits for it.
 const testTimeout = 60 * time.Second
 
-// TestMain is also the stand-in router that agents start.
+// TestMain runs the tests. If an agent has started this program, TestMain runs a stand-in router instead.
 func TestMain(m *testing.M) {
 	if os.Getenv("STOATDALE_MARK") != "" {
 		testserver.Router()
@@ -153,7 +153,7 @@
 	ayla := r.client("ayla")
 	good := r.push(ayla, "good", testserver.Conduct{}, 100)
 	r.requireComplete(r.drive(ayla, ayla.NewRollout(good, false), nil))
-	time.Sleep(1200 * time.Millisecond) // counters are read once a second
+	time.Sleep(1200 * time.Millisecond) // agents read the counters once a second
 	for name, c := range map[string]struct {
 		conduct testserver.Conduct
 		message string
--- a/internal/fleet/coordinator/coordinator_test.go
+++ b/internal/fleet/coordinator/coordinator_test.go
@@ -36,7 +36,7 @@
 	assert.Equal(t, []string{"old", "old", "old"}, e.revisions())
 }
 
-func TestLaterCoordinatorIsToldTheHolder(t *testing.T) {
+func TestLaterCoordinatorReportsTheHolder(t *testing.T) {
 	e := newEnvironment(t, 3)
 	a, b := e.newCoordinator("a", beginTask("r1", "new")), e.newCoordinator("b", beginTask("r2", "other"))
 	e.pass(1, a)
@@ -47,7 +47,7 @@
 	assert.Equal(t, rollout.Complete, e.finish(a).Rollout.State, "the holder of the lease goes on")
 }
 
-func TestOfTwoCoordinatorsAtOnceOneWins(t *testing.T) {
+func TestOneOfTwoConcurrentCoordinatorsWins(t *testing.T) {
 	e := newEnvironment(t, 4)
 	a, b := e.newCoordinator("a", beginTask("r1", "new")), e.newCoordinator("b", beginTask("r2", "other"))
 	for range 400 {
@@ -147,7 +147,7 @@
 	}
 	require.Empty(t, e.steps, "the step must be stored before it is sent")
 	supervised := e.supervisor(2)
-	supervised.ProcessExited(e.now, "by itself")
+	supervised.ProcessExited(e.now, "without a step")
 	e.limits.MinBackoffSeconds = 1e9 // the instance stays down
 	a.observations[2] = supervised.Observe(e.now)
 	a.observations[2].SeenAt = e.now
--- a/internal/fleet/rollout/fleet.go
+++ b/internal/fleet/rollout/fleet.go
@@ -61,7 +61,7 @@
 }
 
 // checkMinimums checks whether enough instances would still serve if one serving instance of the zone stopped. It returns
-// the reason if not, or ReasonNone.
+// the reason if not, and ReasonNone otherwise.
 func (f *Fleet) checkMinimums(serving instanceCounts, zone int) Reason {
 	if have := serving.byZone[zone] - 1; have < f.ZoneMinAvailable[zone] {
 		return Reason{Kind: ReasonZoneMinimum, Zone: zone, Have: have, Need: f.ZoneMinAvailable[zone]}
