--- a/internal/fleet/inventory/lookup.go
+++ b/internal/fleet/inventory/lookup.go
@@ -10,12 +10,13 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// digestBytes is how much of a hash a digest of a list keeps.
+// digestBytes is the length of the part of a list's hash that forms its digest.
 const digestBytes = 8
 
-// PlannerFleet is the fleet as the planner sees it: instances, zones and agents are indices in the file's order.
+// PlannerFleet returns the fleet in the form that the planner uses, with instances, zones and agents as indices in the order
+// of the file.
 func (f *Fleet) PlannerFleet() *rollout.Fleet {
-	p := &rollout.Fleet{
+	plannerFleet := &rollout.Fleet{
 		MinAvailable: f.MinAvailable,
 		Timing: rollout.Timing{
 			SoakSeconds:           float64(f.Times.Soak),
@@ -25,26 +26,26 @@
 		},
 	}
 	for _, zone := range f.Zones {
-		p.ZoneMinAvailable = append(p.ZoneMinAvailable, zone.MinAvailable)
+		plannerFleet.ZoneMinAvailable = append(plannerFleet.ZoneMinAvailable, zone.MinAvailable)
 	}
-	for _, x := range f.Instances {
-		agent := f.agentIndex[x.Agent]
+	for _, instance := range f.Instances {
+		agent := f.agentIndex[instance.Agent]
 		zone := f.zoneIndex[f.Agents[agent].Zone]
-		p.Instances = append(p.Instances, rollout.Instance{Zone: zone, Agent: agent})
+		plannerFleet.Instances = append(plannerFleet.Instances, rollout.Instance{Zone: zone, Agent: agent})
 	}
-	return p
+	return plannerFleet
 }
 
-// InstanceNames are the names of the instances, in the file's order.
+// InstanceNames returns the names of the instances, in the order of the file.
 func (f *Fleet) InstanceNames() []string {
 	var names []string
-	for _, x := range f.Instances {
-		names = append(names, x.Name)
+	for _, instance := range f.Instances {
+		names = append(names, instance.Name)
 	}
 	return names
 }
 
-// Agent returns the agent of a name, or nil.
+// Agent returns the agent with a name, or nil if there is none.
 func (f *Fleet) Agent(name string) *Agent {
 	if i, ok := f.agentIndex[name]; ok {
 		return &f.Agents[i]
@@ -52,28 +53,28 @@
 	return nil
 }
 
-// InstancesOf returns an agent's instances, in the file's order.
+// InstancesOf returns an agent's instances, in the order of the file.
 func (f *Fleet) InstancesOf(agent string) []Instance {
 	var instances []Instance
-	for _, x := range f.Instances {
-		if x.Agent == agent {
-			instances = append(instances, x)
+	for _, instance := range f.Instances {
+		if instance.Agent == agent {
+			instances = append(instances, instance)
 		}
 	}
 	return instances
 }
 
-// RevisionInstance is what belongs to the instance in its configuration.
-func (x *Instance) RevisionInstance() revision.Instance {
-	instance := revision.Instance{Name: x.Name, Listen: x.Listen.String(), Discovery: x.Discovery, RouterIndex: -1}
-	if x.RouterIndex != nil {
-		instance.RouterIndex = *x.RouterIndex
+// RevisionInstance returns the values of the instance that revision.Render sets in its configuration.
+func (i *Instance) RevisionInstance() revision.Instance {
+	instance := revision.Instance{Name: i.Name, Listen: i.Listen.String(), Discovery: i.Discovery, RouterIndex: -1}
+	if i.RouterIndex != nil {
+		instance.RouterIndex = *i.RouterIndex
 	}
 	return instance
 }
 
-// AgentsDigest identifies the list of agents, a majority of whom grants leases: a tool and an agent that go by different
-// lists must not work together.
+// AgentsDigest returns a digest that identifies the list of agents. A majority of these agents grants a lease, so a tool and
+// an agent with different lists must not work together.
 func (f *Fleet) AgentsDigest() string {
 	var list strings.Builder
 	for _, agent := range f.Agents {
@@ -82,11 +83,12 @@
 	return digest(list.String())
 }
 
-// InstancesDigest identifies the list of instances, whose indices a rollout's record refers to.
+// InstancesDigest returns a digest that identifies the list of instances. Rollout records refer to instances by their indices
+// in this list.
 func (f *Fleet) InstancesDigest() string {
 	var list strings.Builder
-	for _, x := range f.Instances {
-		fmt.Fprintf(&list, "%q %q ", x.Name, x.Agent)
+	for _, instance := range f.Instances {
+		fmt.Fprintf(&list, "%q %q ", instance.Name, instance.Agent)
 	}
 	return digest(list.String())
 }
--- a/internal/modelcheck/models/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -136,7 +136,7 @@
 		task.Operation = coordinator.OperationResume
 	}
 	tool.coordinator = coordinator.New(coordinator.Config{
-		Fleet: r.fleet, InstanceNames: r.names, Agents: len(r.agents), Holder: tool.holder,
+		Fleet: r.fleet, InstanceNames: r.names, AgentCount: len(r.agents), Holder: tool.holder,
 		Timing: coordinator.Timing{PollSeconds: rolloutTickSeconds, MajorityTimeoutSeconds: 50}, Task: task,
 		Random: func() float64 { return 0.5 },
 	})
