--- a/internal/cli/agent.go
+++ b/internal/cli/agent.go
@@ -19,8 +19,8 @@
 	var fleetFile, keysFolder, name string
 	c := &cobra.Command{
 		Use: "agent", Short: "Runs this machine's agent",
-		Long: "The agent starts, watches and changes the routers that the fleet file gives to it, as the fleet tool asks. Its routers\n" +
-			"outlive it: ending it or losing it takes none out of service, and the next one finds them. It ends on SIGTERM.",
+		Long: "The agent starts, monitors and changes the routers that the fleet file assigns to it, as the fleet commands request.\n" +
+			"The routers keep running when the agent stops or crashes, and the next agent process finds them. SIGTERM stops the agent.",
 		Example: "  stoatctl agent --fleet deploy/fleet.sexp --name a1 --keys /etc/stoatdale/keys --log info",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -39,13 +39,14 @@
 		},
 	}
 	c.Flags().StringVar(&fleetFile, "fleet", "deploy/fleet.sexp", "fleet file")
-	c.Flags().StringVar(&name, "name", "", "this agent's name in the fleet file")
-	c.Flags().StringVar(&keysFolder, "keys", "keys", "folder of the keys")
+	c.Flags().StringVar(&name, "name", "", "name of this agent in the fleet file")
+	c.Flags().StringVar(&keysFolder, "keys", "keys", "folder with keys and certificates")
 	_ = c.MarkFlagRequired("name")
 	return c
 }
 
-// runAgent serves the agent's API and runs its supervisors until ctx is canceled or the API fails. Its routers go on.
+// runAgent serves the agent's API and runs its supervisors until ctx is canceled or the API fails. Its routers keep
+// running.
 func (a *app) runAgent(ctx context.Context, fleet *inventory.Fleet, self *inventory.Agent, folder pki.Folder) error {
 	source := folder.Credentials(pki.Agent, self.Name)
 	if err := source.Check(); err != nil {
@@ -70,7 +71,7 @@
 	serverEnded := make(chan error, 1)
 	go func() {
 		serverEnded <- server.Serve()
-		cancel() // an agent that no operator can reach is of no use
+		cancel() // operators cannot reach an agent without its API, so the agent stops
 	}()
 	a.log.Info().Str("agent", self.Name).Stringer("listen", self.Listen).Str("program", programVersion()).
 		Int("instances", len(fleet.InstancesOf(self.Name))).Msg("serving")
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of stoatctl. Its commands read flags and files, call packages that can be used without
-// it, and show the results as text or JSON.
+// Package cli implements the command line of stoatctl. Its commands parse flags, read files, call packages that do not
+// depend on cli, and print the results as text or JSON.
 package cli
 
 import (
@@ -15,9 +15,9 @@
 	"github.com/spf13/cobra"
 )
 
-const suggestionDistance = 2 // edits between an unknown command and one that is suggested
+const suggestionDistance = 2 // maximum edit distance between an unknown command and a suggested one
 
-// app is what the commands share.
+// app holds the output streams, global flags and logger that all commands share.
 type app struct {
 	stdout, stderr io.Writer
 	asJSON         bool
@@ -25,8 +25,8 @@
 	log            zerolog.Logger // set once the flags are parsed
 }
 
-// Main runs the command line with the arguments after the program's name, and returns the exit status. SIGINT and SIGTERM
-// cancel the command's context.
+// Main runs stoatctl and returns its exit status. args are the arguments after the program's name. SIGINT and SIGTERM cancel
+// the command's context.
 func Main(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -49,9 +49,10 @@
 
 func (a *app) rootCommand() *cobra.Command {
 	root := &cobra.Command{
-		Use:           "stoatctl",
-		Short:         "Manages fleets of stoatdale routers",
-		Long:          "stoatctl manages fleets of stoatdale routers: the operators' tool, and the agent that runs on each machine.\n\n" + exitCodesHelp,
+		Use:   "stoatctl",
+		Short: "Manages fleets of stoatdale routers",
+		Long: "stoatctl manages fleets of stoatdale routers. Operators change fleets with it, and each machine runs it as an agent.\n\n" +
+			exitCodesHelp,
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
@@ -63,14 +64,14 @@
 			return nil
 		},
 	}
-	root.PersistentFlags().StringVar(&a.logLevel, "log", "warn", "least level that is logged on standard error: debug, info, warn, error")
+	root.PersistentFlags().StringVar(&a.logLevel, "log", "warn", "lowest level logged on standard error: debug, info, warn or error")
 	root.AddCommand(a.fleetCommand(), a.agentCommand(), a.keysCommand(), a.drillCommand(), a.exploreCommand(), a.labCommand(),
 		a.versionCommand())
 	return commandGroup(root)
 }
 
-// commandGroup makes c a command that only holds others: without one of them it prints its help, and an unknown one is an
-// error that suggests a near name.
+// commandGroup configures c as a command that only groups subcommands. Without a subcommand c prints its help. For an unknown
+// subcommand c returns an error that suggests a similar name.
 func commandGroup(c *cobra.Command) *cobra.Command {
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -23,15 +23,15 @@
 
 func (a *app) drillCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "drill", Short: "Plays a failure on loopback, with checkers of what must hold",
-		Long: "A drill ends with status 0 if all that must hold held, and 1 if not; with --json its last line is one object. --break puts\n" +
-			"in a fault that its checkers must tell.",
+		Use: "drill", Short: "Runs a failure drill and checks what must hold during the failure",
+		Long: "A drill exits with status 0 if all checks passed and 1 if one failed. With --json the last line of its output is one\n" +
+			"JSON object. --break injects a fault that the checks must detect.",
 	}
 	c.AddCommand(a.drillLeaseCommand(), a.drillRolloutCommand(), a.drillSizesCommand())
 	return commandGroup(c)
 }
 
-// drawSeed draws a seed if the flag --seed was not given, and prints it on standard error.
+// drawSeed draws a random seed if the flag --seed was not given, and prints the seed on standard error.
 func (a *app) drawSeed(cmd *cobra.Command, seed *uint64) {
 	if !cmd.Flags().Changed("seed") {
 		*seed = rand.Uint64()
@@ -39,7 +39,7 @@
 	printf(a.stderr, "seed %d\n", *seed)
 }
 
-// describeFaults lists faults by name, a line each, with what they do.
+// describeFaults returns one line for each fault, sorted by name, with its description.
 func describeFaults(known map[string]string) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(known)) {
@@ -50,7 +50,7 @@
 
 func checkFaultName(name string, known map[string]string) error {
 	if _, ok := known[name]; name != "" && !ok {
-		return exitErrorf(ExitUsage, "--break: there is no fault %q; there are%s", name, describeFaults(known))
+		return exitErrorf(ExitUsage, "--break: there is no fault %q; the faults are:%s", name, describeFaults(known))
 	}
 	return nil
 }
@@ -58,9 +58,10 @@
 func (a *app) drillLeaseCommand() *cobra.Command {
 	var options drill.LeaseOptions
 	c := &cobra.Command{
-		Use: "claims", Short: "Operators, agents and a bad network: at most one holder of an epoch acts, ever",
-		Long: "The decisions of plan, claim and agents in virtual time, on a network that loses, delays, repeats and reorders, with tools and\n" +
-			"agents that die. Histories are checked for an order in which one step at a time is taken by the holder of the epoch.\n\nFaults:" +
+		Use: "claims", Short: "Checks that only the holder of the claim acts, despite crashes and a faulty network",
+		Long: "Runs the real planner, claim and agent decisions in virtual time, on a network that loses, delays, duplicates and\n" +
+			"reorders messages, while operators' tools and agents crash. The history of each round must have an\n" +
+			"order in which the holder of the epoch takes one step at a time.\n\nFaults:" +
 			describeFaults(drill.LeaseFaults),
 		Example: "  stoatctl drill claims --operators 2 --rounds 200 --seed 1 --json", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -75,15 +76,15 @@
 			return a.reportDrill(report, report.Report)
 		},
 	}
-	c.Flags().IntVar(&options.Operators, "operators", 2, "operators at once")
-	c.Flags().IntVar(&options.Rounds, "rounds", 200, "worlds that are played")
-	c.Flags().Uint64Var(&options.Seed, "seed", 0, "of all chance; drawn if not given")
-	c.Flags().StringVar(&options.Fault, "break", "", "fault to put in")
+	c.Flags().IntVar(&options.Operators, "operators", 2, "number of operators that work at the same time")
+	c.Flags().IntVar(&options.Rounds, "rounds", 200, "number of simulated rounds")
+	c.Flags().Uint64Var(&options.Seed, "seed", 0, "seed of all random choices; drawn if not given")
+	c.Flags().StringVar(&options.Fault, "break", "", "fault to inject")
 	a.addJSONFlag(c)
 	return c
 }
 
-// reportDrill prints a drill's report, and returns the exit error of the promise that broke.
+// reportDrill prints a drill's report, and returns an exit error if a check failed.
 func (a *app) reportDrill(report any, r drill.Report) error {
 	if err := drill.Print(a.stdout, a.asJSON, report); err != nil {
 		return err
@@ -97,10 +98,11 @@
 func (a *app) drillRolloutCommand() *cobra.Command {
 	var options drill.RolloutOptions
 	c := &cobra.Command{
-		Use: "rollout", Short: "Rolls a fleet of real routers on loopback under load, with one agent killed midway",
-		Long: "Real routers and agents, one agent an instance, stand-in members, and clients that count what came of every command. It\n" +
-			"ends with every instance on one revision and no command lost. With --agent-stays-gone the rollout pauses, the\n" +
-			"instance is left out by word, and it ends paused with all others done.\n\nFaults:" + describeFaults(drill.RolloutFaults),
+		Use: "rollout", Short: "Rolls out a revision to real routers on loopback under load, and can kill an agent midway",
+		Long: "Runs real routers, one agent for each, simulated backends, and clients that count the outcome of every command. In the\n" +
+			"end every instance must run the same revision and no command may be lost. With --agent-stays-gone the rollout pauses, the\n" +
+			"drill resumes it without that agent's instance, and it must end paused with all others done.\n\nFaults:" +
+			describeFaults(drill.RolloutFaults),
 		Example: "  stoatctl drill rollout --instances 20 --kill-agent --json", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := checkFaultName(options.Fault, drill.RolloutFaults); err != nil {
@@ -121,19 +123,20 @@
 			return a.reportDrill(report, report.Report)
 		},
 	}
-	c.Flags().IntVar(&options.Instances, "instances", 20, "routers, each with an agent of its own")
-	c.Flags().BoolVar(&options.KillAgent, "kill-agent", false, "kill an agent in its step midway, and bring it back")
-	c.Flags().BoolVar(&options.AgentStaysGone, "agent-stays-gone", false, "kill an agent in its step midway, for good")
-	c.Flags().BoolVar(&options.HardRestart, "hard", false, "the baseline: kill each router and have it started again, without a drain")
-	c.Flags().StringVar(&options.Folder, "keep", "", "folder that keeps logs, stores and spans")
-	c.Flags().StringVar(&options.RouterProgram, "router", "", "program of the router; that beside this program if not given")
-	c.Flags().Uint64Var(&options.Seed, "seed", 0, "of all chance; drawn if not given")
-	c.Flags().StringVar(&options.Fault, "break", "", "fault to put in")
+	c.Flags().IntVar(&options.Instances, "instances", 20, "number of routers, each with its own agent")
+	c.Flags().BoolVar(&options.KillAgent, "kill-agent", false, "kill an agent during a step midway, and start it again")
+	c.Flags().BoolVar(&options.AgentStaysGone, "agent-stays-gone", false, "kill an agent during a step midway, and leave it down")
+	c.Flags().BoolVar(&options.HardRestart, "hard", false, "run the baseline: kill each router without a drain, for its agent to restart")
+	c.Flags().StringVar(&options.Folder, "keep", "", "folder in which to keep logs, stores and trace spans")
+	c.Flags().StringVar(&options.RouterProgram, "router", "", "program of the router; if not given, stoatdale beside this program")
+	c.Flags().Uint64Var(&options.Seed, "seed", 0, "seed of all random choices; drawn if not given")
+	c.Flags().StringVar(&options.Fault, "break", "", "fault to inject")
 	a.addJSONFlag(c)
 	return c
 }
 
-// findPrograms sets the programs of the agents and, if it was not given, of the routers.
+// findPrograms sets the agents' program to this one and, if --router was not given, the routers' program to the stoatdale
+// beside it. It returns an error if there is no router program.
 func findPrograms(options *drill.RolloutOptions) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -152,8 +155,8 @@
 func (a *app) drillSizesCommand() *cobra.Command {
 	var options drill.SizeOptions
 	c := &cobra.Command{
-		Use: "sizes", Short: "Measures how a plan step and fleet status grow with the fleet",
-		Long:    "Stand-in agents in this process answer over TLS. The largest fleet by default needs 2,000 descriptors.",
+		Use: "sizes", Short: "Measures how the times of a planner decision and of fleet status grow with the fleet",
+		Long:    "Simulated agents in this process answer over TLS. The largest fleet by default needs 2,000 file descriptors.",
 		Example: "  stoatctl drill sizes --instances 20,200,2000,20000 --json", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if options.PerAgent < 1 || options.Rounds < 1 || len(options.Instances) == 0 {
@@ -161,7 +164,7 @@
 			}
 			for _, n := range options.Instances {
 				if n < 1 || n > maxSizeInstances {
-					return exitErrorf(ExitUsage, "--instances: %d is not within 1 and %d", n, maxSizeInstances)
+					return exitErrorf(ExitUsage, "--instances: %d is not between 1 and %d", n, maxSizeInstances)
 				}
 			}
 			report, err := drill.RunSizes(cmd.Context(), options)
@@ -171,9 +174,9 @@
 			return a.reportDrill(report, report.Report)
 		},
 	}
-	c.Flags().IntSliceVar(&options.Instances, "instances", []int{20, 200, 2000, 20000}, "sizes of the fleet")
-	c.Flags().IntVar(&options.PerAgent, "per-agent", 20, "instances of one agent")
-	c.Flags().IntVar(&options.Rounds, "rounds", 9, "times that status is asked for, over connections that stand")
+	c.Flags().IntSliceVar(&options.Instances, "instances", []int{20, 200, 2000, 20000}, "fleet sizes to measure, in instances")
+	c.Flags().IntVar(&options.PerAgent, "per-agent", 20, "instances for each agent")
+	c.Flags().IntVar(&options.Rounds, "rounds", 9, "status requests to time for each fleet, over established connections")
 	a.addJSONFlag(c)
 	return c
 }
--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -14,7 +14,7 @@
 
 func (a *app) exploreCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "explore", Short: "Takes the code that serves through every order of events within bounds",
+		Use: "explore", Short: "Model-checks the serving code: explores every order of events within bounds",
 		Long: "Exit status 1 if a property is broken, 4 if an exploration ended before it was complete.",
 	}
 	c.AddCommand(a.exploreListCommand(), a.exploreRunCommand(), a.exploreWalkCommand(), a.exploreInjectCommand(),
@@ -22,11 +22,11 @@
 	return commandGroup(c)
 }
 
-// listedSystem is one system of explore list, with what each of its faults does.
+// listedSystem is one system in the output of explore list, with the description of each of its faults by name.
 type listedSystem struct {
-	System string            `json:"system"`
-	Words  string            `json:"words"`
-	Faults map[string]string `json:"faults"`
+	System      string            `json:"system"`
+	Description string            `json:"words"`
+	Faults      map[string]string `json:"faults"`
 }
 
 func (a *app) exploreListCommand() *cobra.Command {
@@ -35,7 +35,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			var list []listedSystem
 			for _, kind := range models.Kinds() {
-				entry := listedSystem{System: kind.Name, Words: kind.Description, Faults: map[string]string{}}
+				entry := listedSystem{System: kind.Name, Description: kind.Description, Faults: map[string]string{}}
 				for name, fault := range kind.Faults {
 					entry.Faults[name] = fault.Description
 				}
@@ -55,7 +55,7 @@
 	return c
 }
 
-// loadSystem finds a system and reads its bounds from a file. Its errors are of usage.
+// loadSystem returns the system of that name and its bounds from a file. All its errors have the code ExitUsage.
 func loadSystem(name, boundsFile string) (models.Kind, []models.Bounds, error) {
 	kind, err := models.FindKind(name)
 	if err != nil {
@@ -77,28 +77,28 @@
 // walkFlags are the flags of explore walk.
 type walkFlags struct {
 	boundsFile string
-	fault      string // empty: none
-	traceFile  string // empty: not kept
+	fault      string // to inject; empty: none
+	traceFile  string // empty: the trace is not saved
 	seed       uint64
 	walks      int
-	steps      int           // of a walk
-	duration   time.Duration // after which no walk begins
+	steps      int           // in one walk
+	duration   time.Duration // after which no new walk begins
 }
 
 func (f *walkFlags) register(c *cobra.Command) {
-	c.Flags().StringVar(&f.boundsFile, "bounds", "deploy/bounds/large.sexp", "file of bounds, whose first for the system counts")
-	c.Flags().StringVar(&f.fault, "inject", "", "bug to put in")
-	c.Flags().StringVar(&f.traceFile, "trace", "", "file for the trace to a broken property")
-	c.Flags().Uint64Var(&f.seed, "seed", 0, "of all chance; drawn if not given")
-	c.Flags().IntVar(&f.walks, "walks", 10000, "ways")
-	c.Flags().IntVar(&f.steps, "steps", 200, "steps of one way")
-	c.Flags().DurationVar(&f.duration, "for", time.Minute, "time after which no other way is begun")
+	c.Flags().StringVar(&f.boundsFile, "bounds", "deploy/bounds/large.sexp", "file of bounds; the system's first bounds are used")
+	c.Flags().StringVar(&f.fault, "inject", "", "bug to inject")
+	c.Flags().StringVar(&f.traceFile, "trace", "", "file in which to save the trace that breaks a property")
+	c.Flags().Uint64Var(&f.seed, "seed", 0, "seed of all random choices; drawn if not given")
+	c.Flags().IntVar(&f.walks, "walks", 10000, "number of random walks")
+	c.Flags().IntVar(&f.steps, "steps", 200, "number of steps in one walk")
+	c.Flags().DurationVar(&f.duration, "for", time.Minute, "time after which no new walk begins")
 }
 
 func (a *app) exploreWalkCommand() *cobra.Command {
 	var flags walkFlags
 	c := &cobra.Command{
-		Use: "walk SYSTEM", Short: "Takes ways at random through bounds that are too large to be explored", Args: cobra.ExactArgs(1),
+		Use: "walk SYSTEM", Short: "Takes random walks within bounds that are too large to explore completely", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			kind, bounds, err := loadSystem(args[0], flags.boundsFile)
 			if err != nil {
@@ -133,7 +133,7 @@
 func (a *app) exploreShowCommand() *cobra.Command {
 	var chartFile string
 	c := &cobra.Command{
-		Use: "show TRACE", Short: "Shows a trace step by step, and as a sequence chart", Args: cobra.ExactArgs(1),
+		Use: "show TRACE", Short: "Shows a trace step by step, and can draw it as a sequence chart", Args: cobra.ExactArgs(1),
 		Example: "  stoatctl explore show trace.json --svg trace.svg",
 		RunE: func(_ *cobra.Command, args []string) error {
 			trace, err := models.LoadTrace(args[0])
@@ -148,37 +148,37 @@
 			return a.show(trace, func(out io.Writer) { printTrace(out, &trace) })
 		},
 	}
-	c.Flags().StringVar(&chartFile, "svg", "", "file for the sequence chart")
+	c.Flags().StringVar(&chartFile, "svg", "", "file in which to save the sequence chart")
 	a.addJSONFlag(c)
 	return c
 }
 
-// replayReport is what became of a trace's steps on the code as it is now. Its keys are in the order of their names.
+// replayReport is the result of replaying a trace on the current code. Its fields are in the order of their JSON keys.
 type replayReport struct {
-	Broken string `json:"broken"` // the property; empty: none
-	How    string `json:"how"`
-	Steps  int    `json:"of"` // of the trace
-	Taken  int    `json:"taken"`
+	BrokenProperty string `json:"broken"` // the broken property; empty: none
+	Explanation    string `json:"how"`
+	Steps          int    `json:"of"`    // steps of the trace
+	Taken          int    `json:"taken"` // steps that could be replayed
 }
 
 func (a *app) exploreReplayCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "replay TRACE", Short: "Takes the steps of a trace on the code as it is now",
-		Long: "Exit status 1 if a property is broken, 0 if none is: made for bisecting.", Args: cobra.ExactArgs(1),
+		Use: "replay TRACE", Short: "Replays the steps of a trace on the current code",
+		Long: "Exit status 1 if a property is broken, 0 if none is. This suits bisecting.", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			trace, err := models.LoadTrace(args[0])
 			if err != nil {
 				return exitError(ExitUsage, err)
 			}
 			report := replayReport{Steps: len(trace.Steps)}
-			report.Taken, report.Broken, report.How = trace.Replay()
+			report.Taken, report.BrokenProperty, report.Explanation = trace.Replay()
 			if err := a.show(report, func(out io.Writer) {
-				printf(out, "%d of %d steps taken\n%s\n", report.Taken, report.Steps, report.How)
+				printf(out, "%d of %d steps taken\n%s\n", report.Taken, report.Steps, report.Explanation)
 			}); err != nil {
 				return err
 			}
-			if report.Broken != "" {
-				return exitError(ExitFailed, fmt.Errorf("broken: %s: %s", report.Broken, report.How))
+			if report.BrokenProperty != "" {
+				return exitError(ExitFailed, fmt.Errorf("broken: %s: %s", report.BrokenProperty, report.Explanation))
 			}
 			return nil
 		},
--- a/internal/cli/explore_inject.go
+++ b/internal/cli/explore_inject.go
@@ -13,21 +13,24 @@
 	"stoatdale.example/stoatdale/internal/modelcheck/models"
 )
 
-// injectReport is which of the injected faults were found.
+// injectReport lists the injected faults and whether each was found.
 type injectReport struct {
 	Faults []models.InjectionResult `json:"bugs"`
-	OK     bool                     `json:"ok"` // all were found, and nothing was without them
+	OK     bool                     `json:"ok"` // each fault was found, and without it no property broke
 }
 
 func (r *injectReport) print(out io.Writer) {
 	t := newTable(out, "system", "bug", "found", "steps", "states", "seconds", "clean without it", "breaks")
-	for _, x := range r.Faults {
-		t.AppendRow(table.Row{x.System, x.Fault, x.Found, x.TraceLength, x.States, fmt.Sprintf("%.2f", x.Seconds), x.Clean, x.Property})
+	for _, result := range r.Faults {
+		t.AppendRow(table.Row{
+			result.System, result.Fault, result.Found, result.TraceLength, result.States, fmt.Sprintf("%.2f", result.Seconds),
+			result.Clean, result.Property,
+		})
 	}
 	t.Render()
 }
 
-// missed counts the faults that were not found, or whose bounds are not clean without them.
+// missed returns the number of faults that were not found, or in whose bounds a property breaks without the fault.
 func (r *injectReport) missed() int {
 	missed := 0
 	for i := range r.Faults {
@@ -41,24 +44,24 @@
 // injectFlags are the flags of explore inject.
 type injectFlags struct {
 	all         bool
-	traceFolder string // empty: traces are not kept
-	workers     int    // 0: one a core
+	traceFolder string // empty: traces are not saved
+	workers     int    // 0: one for each core
 }
 
 func (f *injectFlags) register(c *cobra.Command) {
 	c.Flags().BoolVar(&f.all, "all", false, "all bugs of all systems")
-	c.Flags().StringVar(&f.traceFolder, "keep", "", "folder for the traces")
-	c.Flags().IntVar(&f.workers, "workers", 0, "cores; 0: all")
+	c.Flags().StringVar(&f.traceFolder, "keep", "", "folder in which to save the traces")
+	c.Flags().IntVar(&f.workers, "workers", 0, "number of cores to use; 0: all")
 }
 
 func (a *app) exploreInjectCommand() *cobra.Command {
 	var flags injectFlags
 	c := &cobra.Command{
-		Use: "inject [NAME...]", Short: "Puts bugs in and sees that each is found, and that nothing is found without it",
+		Use: "inject [NAME...]", Short: "Injects bugs, and checks that each is found and that nothing is found without it",
 		Example: "  stoatctl explore inject --all --json",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if flags.all == (len(args) > 0) {
-				return exitError(ExitUsage, errors.New("give names of bugs, or --all"))
+				return exitError(ExitUsage, errors.New("give either names of bugs or --all"))
 			}
 			report, err := injectFaults(cmd.Context(), args, &flags)
 			if err != nil {
@@ -68,7 +71,7 @@
 				return err
 			}
 			if missed := report.missed(); missed > 0 {
-				return exitErrorf(ExitFailed, "%d bugs were not found, or their bounds are not clean without them", missed)
+				return exitErrorf(ExitFailed, "%d bugs were not found, or a property broke without them", missed)
 			}
 			return nil
 		},
@@ -78,20 +81,21 @@
 	return c
 }
 
-// injectFaults explores every system with each fault of the given names, or with all faults.
+// injectFaults explores each system once for each of its faults that names contains, or for all its faults with --all. A name
+// that no system has is an error.
 func injectFaults(ctx context.Context, names []string, flags *injectFlags) (*injectReport, error) {
-	unmet := map[string]bool{}
+	notFound := map[string]bool{}
 	for _, name := range names {
-		unmet[name] = true
+		notFound[name] = true
 	}
-	wanted := func(name string) bool { return flags.all || unmet[name] }
+	wanted := func(name string) bool { return flags.all || notFound[name] }
 	var report injectReport
 	for _, kind := range models.Kinds() {
 		for _, name := range kind.FaultNames() {
 			if !wanted(name) {
 				continue
 			}
-			delete(unmet, name)
+			delete(notFound, name)
 			found := models.Inject(ctx, kind, name, flags.workers)
 			if err := saveInjectTrace(found, flags.traceFolder); err != nil {
 				return nil, err
@@ -99,7 +103,7 @@
 			report.Faults = append(report.Faults, found)
 		}
 	}
-	for name := range unmet {
+	for name := range notFound {
 		return nil, exitErrorf(ExitUsage, "there is no bug %q; see explore list", name)
 	}
 	report.OK = report.missed() == 0
--- a/internal/cli/explore_run.go
+++ b/internal/cli/explore_run.go
@@ -18,34 +18,34 @@
 
 // exploreFlags are the flags of explore run.
 type exploreFlags struct {
-	boundsFile  string
-	traceFile   string // for the trace to a broken property
-	fault       string // to inject; empty: none
-	workers     int    // 0: one a core
-	whole       bool   // take every step, also of those that commute
-	depthFirst  bool
-	stoppedFile string // written if the exploration ends before it is complete
-	resumeFile  string // of an earlier exploration to go on with
+	boundsFile   string
+	traceFile    string // for the trace that breaks a property
+	fault        string // to inject; empty: none
+	workers      int    // 0: one for each core
+	takeAllSteps bool   // take every step, including those that commute
+	depthFirst   bool
+	stoppedFile  string // written if the exploration ends before it is complete
+	resumeFile   string // of a stopped exploration to continue
 }
 
 func (f *exploreFlags) register(c *cobra.Command) {
 	c.Flags().StringVar(&f.boundsFile, "bounds", "deploy/bounds/ci.sexp", "file of bounds")
-	c.Flags().StringVar(&f.traceFile, "trace", "", "file for the trace to a broken property")
-	c.Flags().StringVar(&f.fault, "inject", "", "bug to put in")
-	c.Flags().IntVar(&f.workers, "workers", 0, "cores; 0: all")
-	c.Flags().BoolVar(&f.whole, "whole", false, "take every step, also of those that commute")
-	c.Flags().BoolVar(&f.depthFirst, "deep", false, "depth first, with a memory that the bounds' states bound")
-	c.Flags().StringVar(&f.stoppedFile, "stop", "", "file for an exploration that ends before it is complete")
+	c.Flags().StringVar(&f.traceFile, "trace", "", "file in which to save the trace that breaks a property")
+	c.Flags().StringVar(&f.fault, "inject", "", "bug to inject")
+	c.Flags().IntVar(&f.workers, "workers", 0, "number of cores to use; 0: all")
+	c.Flags().BoolVar(&f.takeAllSteps, "whole", false, "take every step, including those that commute")
+	c.Flags().BoolVar(&f.depthFirst, "deep", false, "explore depth first, and keep at most as many states as the bounds allow")
+	c.Flags().StringVar(&f.stoppedFile, "stop", "", "file in which to save an exploration that ends before it is complete")
 	c.Flags().StringVar(&f.resumeFile, "resume", "",
-		"file of such an exploration, which is gone on with under the first bounds' states, memory and time")
+		"file of a saved exploration to continue, within the states, memory and time of the first bounds")
 }
 
 func (a *app) exploreRunCommand() *cobra.Command {
 	var flags exploreFlags
 	c := &cobra.Command{
-		Use: "run SYSTEM", Short: "Explores a system in the bounds of a file", Args: cobra.ExactArgs(1),
-		Long: "With --stop, what ended before it was complete is kept in a file, and --resume goes on from there. --deep goes depth first\n" +
-			"and keeps no more states than the bounds say; it needs a bound of depth.",
+		Use: "run SYSTEM", Short: "Explores a system within the bounds in a file", Args: cobra.ExactArgs(1),
+		Long: "With --stop, an exploration that ends before it is complete is saved to a file, and --resume continues it. --deep\n" +
+			"explores depth first and keeps no more states than the bounds allow; it needs a bound on depth.",
 		Example: "  stoatctl explore run command --bounds deploy/bounds/ci.sexp --json",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			run, err := newExploration(args[0], &flags)
@@ -60,7 +60,7 @@
 	return c
 }
 
-// exploration is a system that is explored in some bounds, one after the other.
+// exploration is a system with the bounds within which it is explored, one after the other.
 type exploration struct {
 	flags  *exploreFlags
 	kind   models.Kind
@@ -69,7 +69,8 @@
 	saved  *modelcheck.Saved // where an earlier exploration stopped; nil: from the start
 }
 
-// newExploration reads what the flags name. All its errors are of usage.
+// newExploration loads the system, the bounds and the stopped exploration that the flags name. All its errors have the code
+// ExitUsage.
 func newExploration(system string, flags *exploreFlags) (*exploration, error) {
 	kind, err := models.FindKind(system)
 	if err != nil {
@@ -91,13 +92,13 @@
 		return nil, exitError(ExitUsage, err)
 	}
 	if stopped.System != kind.Name {
-		return nil, exitErrorf(ExitUsage, "--resume: %s is of system %s", flags.resumeFile, stopped.System)
+		return nil, exitErrorf(ExitUsage, "--resume: %s holds an exploration of system %s", flags.resumeFile, stopped.System)
 	}
 	e.resume(stopped)
 	return e, nil
 }
 
-// resume goes on with a stopped exploration, under the present limits of states, memory and time.
+// resume sets e to continue a stopped exploration, with the limits on states, memory and time of the first bounds in e.
 func (e *exploration) resume(stopped models.Stopped) {
 	limits := e.bounds[0]
 	stopped.Bounds.States = limits.States
@@ -108,13 +109,13 @@
 	e.saved = &stopped.Saved
 }
 
-// run explores in one of the bounds.
+// run explores the system within one of its bounds.
 func (e *exploration) run(ctx context.Context, bounds models.Bounds, report func(modelcheck.Progress)) (modelcheck.Result, error) {
 	limits := bounds.ExplorerBounds(e.flags.workers)
-	limits.TakeAllSteps = e.flags.whole
+	limits.TakeAllSteps = e.flags.takeAllSteps
 	if e.flags.depthFirst {
 		if limits.MaxDepth == 0 {
-			return modelcheck.Result{}, exitErrorf(ExitUsage, "%s: --deep needs a bound of depth", bounds.Place)
+			return modelcheck.Result{}, exitErrorf(ExitUsage, "%s: --deep needs a bound on depth", bounds.Place)
 		}
 		return modelcheck.RunDepthFirst(ctx, e.kind.New(bounds, e.fault), limits), nil
 	}
@@ -126,7 +127,7 @@
 	return result, stopped.Save(e.flags.stoppedFile)
 }
 
-// exploreReport is one system's exploration in all its bounds.
+// exploreReport is the result of exploring one system within all its bounds.
 type exploreReport struct {
 	System        string              `json:"system"`
 	OK            bool                `json:"ok"`
@@ -165,7 +166,7 @@
 	}
 }
 
-// explore explores in all bounds up to the first broken property, and shows the report.
+// explore explores a system within each of its bounds in turn until a property breaks, and prints the report.
 func (a *app) explore(ctx context.Context, e *exploration) error {
 	report := exploreReport{System: e.kind.Name, OK: true, Complete: true}
 	for _, bounds := range e.bounds {
@@ -198,7 +199,7 @@
 	return nil
 }
 
-// exploreProgress returns a function that writes progress to standard error at intervals.
+// exploreProgress returns a function that writes the progress to standard error, at most once each exploreProgressInterval.
 func (a *app) exploreProgress(system string) func(modelcheck.Progress) {
 	last := time.Now()
 	return func(p modelcheck.Progress) {
@@ -206,6 +207,6 @@
 			return
 		}
 		last = time.Now()
-		printf(a.stderr, "%s: %d states, depth %d, %d to go on from, %d MB\n", system, p.States, p.Depth, p.Frontier, p.HeapBytes>>20)
+		printf(a.stderr, "%s: %d states, depth %d, %d states to expand, %d MB\n", system, p.States, p.Depth, p.Frontier, p.HeapBytes>>20)
 	}
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -13,7 +13,7 @@
 	"stoatdale.example/stoatdale/internal/pki"
 )
 
-// fleetFlags are common to the commands that call agents.
+// fleetFlags are the flags that the commands that call agents share.
 type fleetFlags struct {
 	file       string
 	keysFolder string
@@ -33,7 +33,7 @@
 	return client, nil
 }
 
-// withClient makes a command's function of one that needs a client, which is closed when it returns.
+// withClient returns a command's function that opens a client, calls run with it, and closes the client when run returns.
 func (f *fleetFlags) withClient(
 	run func(ctx context.Context, client *control.Client, args []string) error,
 ) func(*cobra.Command, []string) error {
@@ -51,19 +51,19 @@
 	var flags fleetFlags
 	c := &cobra.Command{
 		Use: "fleet", Short: "Shows a fleet and changes it, one instance at a time",
-		Long: "A rollout takes one instance at a time, never goes below the floors of the fleet file, and holds a claim that a majority\n" +
-			"of agents grants, so that no two operators change the fleet at once. It survives this tool: resume goes on from\n" +
-			"any machine.\n\n" + exitCodesHelp,
+		Long: "A rollout changes one instance at a time and keeps the number of serving instances at or above the floors of the fleet\n" +
+			"file. It holds a claim that a majority of agents grants, so that no two operators change the fleet at the same time.\n" +
+			"If this tool is lost, fleet resume continues the rollout from any machine.\n\n" + exitCodesHelp,
 	}
 	c.PersistentFlags().StringVar(&flags.file, "fleet", "deploy/fleet.sexp", "fleet file")
-	c.PersistentFlags().StringVar(&flags.keysFolder, "keys", "keys", "folder of the keys")
-	c.PersistentFlags().StringVar(&flags.operator, "as", os.Getenv("USER"), "operator whose certificate is shown")
+	c.PersistentFlags().StringVar(&flags.keysFolder, "keys", "keys", "folder with keys and certificates")
+	c.PersistentFlags().StringVar(&flags.operator, "as", os.Getenv("USER"), "operator whose certificate is presented to the agents")
 	pause := haltRequest{
 		verb: "pause", summary: "Pauses the rollout before its next step",
 		request: rollout.RequestPause, operation: coordinator.OperationPause,
 	}
 	abort := haltRequest{
-		verb: "abort", summary: "Gives the rollout up: instances stay as they are",
+		verb: "abort", summary: "Aborts the rollout and leaves the instances as they are",
 		request: rollout.RequestAbort, operation: coordinator.OperationAbort,
 	}
 	c.AddCommand(a.fleetCheckCommand(), a.fleetStatusCommand(&flags), a.fleetDiffCommand(&flags), a.fleetPushCommand(&flags),
--- a/internal/cli/fleet_check.go
+++ b/internal/cli/fleet_check.go
@@ -11,32 +11,32 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// checkReport is what fleet check found in files without faults.
+// checkReport is the result of fleet check for valid files.
 type checkReport struct {
 	Agents         int    `json:"agents"`
 	Fleet          string `json:"fleet"`
 	Zones          int    `json:"halls"`
 	Instances      int    `json:"instances"`
-	RevisionDigest string `json:"revision,omitempty"` // of the revision that was checked too
+	RevisionDigest string `json:"revision,omitempty"` // of the checked revision; empty: none was given
 }
 
 func (r *checkReport) print(out io.Writer) {
 	printf(out, "%s: %d halls, %d agents, %d instances\n", r.Fleet, r.Zones, r.Agents, r.Instances)
 	if r.RevisionDigest != "" {
-		printf(out, "revision %s is right for all of them\n", r.RevisionDigest)
+		printf(out, "revision %s is valid for all instances\n", r.RevisionDigest)
 	}
 }
 
 func (a *app) fleetCheckCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "check FILE [REVISION.json]", Short: "Checks a fleet file, and a revision for its instances",
+		Use: "check FILE [REVISION.json]", Short: "Checks a fleet file, and optionally a revision against its instances",
 		Example: "  stoatctl fleet check deploy/fleet.sexp winter.json", Args: cobra.RangeArgs(1, 2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			fleet, err := inventory.Load(args[0])
 			if err != nil {
 				return exitError(ExitUsage, err)
 			}
-			client := &control.Client{Fleet: fleet} // without agents: it reads files and explains reasons
+			client := &control.Client{Fleet: fleet} // not connected to agents: it only reads files and explains reasons
 			report := checkReport{Fleet: fleet.Name, Zones: len(fleet.Zones), Agents: len(fleet.Agents), Instances: len(fleet.Instances)}
 			if len(args) == 2 {
 				content, err := client.ReadRevision(args[1])
--- a/internal/cli/fleet_drive.go
+++ b/internal/cli/fleet_drive.go
@@ -14,20 +14,20 @@
 	"stoatdale.example/stoatdale/internal/fleet/rollout"
 )
 
-// driveFlags are the flags of commands that drive a rollout.
+// driveFlags are the flags of the commands that drive a rollout.
 type driveFlags struct {
 	takeOver  bool
 	leaveOut  []string // names of instances
-	traceFile string   // empty: no trace
+	traceFile string   // empty: no trace is written
 }
 
 func (f *driveFlags) register(c *cobra.Command) {
-	c.Flags().BoolVar(&f.takeOver, "take-over", false, "take the claim also from a tool that holds it; that one is fenced off")
-	c.Flags().StringSliceVar(&f.leaveOut, "leave-out", nil, "instances that this run goes on without, known or not")
-	c.Flags().StringVar(&f.traceFile, "trace", "", "file for OpenTelemetry spans of the rollout and its steps")
+	c.Flags().BoolVar(&f.takeOver, "take-over", false, "take the claim even if another tool holds it, and fence that tool off")
+	c.Flags().StringSliceVar(&f.leaveOut, "leave-out", nil, "instances to leave out of this run, whether known or not")
+	c.Flags().StringVar(&f.traceFile, "trace", "", "file in which to save OpenTelemetry spans of the rollout and its steps")
 }
 
-// excludedInstances returns the numbers of the instances that are left out.
+// excludedInstances returns the indexes in names of the instances that --leave-out lists.
 func (f *driveFlags) excludedInstances(names []string) ([]int, error) {
 	var excluded []int
 	for _, name := range f.leaveOut {
@@ -40,7 +40,7 @@
 	return excluded, nil
 }
 
-// drive carries a task out, shows its progress, and returns its outcome as an exit error.
+// drive carries out a task and shows its progress. It returns an exit error unless the task ended as the operator asked.
 func (a *app) drive(ctx context.Context, client *control.Client, task coordinator.Task, flags *driveFlags) error {
 	names := client.Fleet.InstanceNames()
 	excluded, err := flags.excludedInstances(names)
@@ -93,24 +93,24 @@
 	}
 }
 
-// driveReport is what a command that drove a rollout prints.
+// driveReport is the output of a command that drove a rollout.
 type driveReport struct {
 	Outcome string                 `json:"outcome"`
-	Why     string                 `json:"why,omitempty"`
+	Reason  string                 `json:"why,omitempty"`
 	Rollout *control.RolloutStatus `json:"rollout,omitempty"`
 	Faults  []string               `json:"faults,omitempty"`
 }
 
-// reportOutcome shows how a rollout's driver ended, and returns the exit error that it stands for.
+// reportOutcome prints how driving a rollout ended, and returns the exit error for that outcome.
 func (a *app) reportOutcome(client *control.Client, outcome coordinator.Outcome) error {
 	rollout := client.DescribeRollout(outcome.Rollout)
-	report := driveReport{Outcome: rollout.State, Why: rollout.Why, Rollout: rollout, Faults: outcome.Faults}
+	report := driveReport{Outcome: rollout.State, Reason: rollout.Why, Rollout: rollout, Faults: outcome.Faults}
 	var exit error
 	if outcome.Kind == coordinator.OutcomeEnded {
 		exit = endedRolloutError(outcome, rollout)
 	} else if unfinished := describeUnfinished(client, outcome, rollout); unfinished.outcome != "" {
-		report.Outcome, report.Why = unfinished.outcome, unfinished.why
-		exit = exitError(unfinished.code, errors.New(unfinished.why))
+		report.Outcome, report.Reason = unfinished.outcome, unfinished.reason
+		exit = exitError(unfinished.code, errors.New(unfinished.reason))
 	}
 	if err := a.show(report, func(out io.Writer) {
 		printf(out, "rollout %s: %s\n", rollout.ID, report.Outcome)
@@ -123,7 +123,7 @@
 	return exit
 }
 
-// endedRolloutError is the exit error of a rollout that ended or paused, or nil if it ended as the operator asked.
+// endedRolloutError returns the exit error of a rollout that ended or paused, or nil if it ended as the operator asked.
 func endedRolloutError(outcome coordinator.Outcome, state *control.RolloutStatus) error {
 	if outcome.Reason.Kind == rollout.ReasonOperator {
 		return nil
@@ -132,48 +132,48 @@
 	case rollout.Paused:
 		err := fmt.Errorf("the rollout is paused: %s", state.Why)
 		if state.RollingBack {
-			err = fmt.Errorf("%w; it was going back: %s", err, state.Cause)
+			err = fmt.Errorf("%w; it was being rolled back: %s", err, state.Cause)
 		}
 		return exitError(ExitPaused, err)
 	case rollout.RolledBack:
-		return exitErrorf(ExitFailed, "the rollout went back: %s", state.Why)
+		return exitErrorf(ExitFailed, "the rollout was rolled back: %s", state.Why)
 	case rollout.None, rollout.Running, rollout.Complete, rollout.Aborted:
 	}
 	return nil
 }
 
-// unfinishedDrive is how a driver ended that did not bring the rollout to its end.
+// unfinishedDrive is the outcome of driving a rollout that stopped before the rollout ended.
 type unfinishedDrive struct {
 	outcome string
-	why     string
+	reason  string
 	code    ExitCode
 }
 
 func rejectedDrive(format string, args ...any) unfinishedDrive {
-	return unfinishedDrive{outcome: "refused", why: fmt.Sprintf(format, args...), code: ExitRejected}
+	return unfinishedDrive{outcome: "refused", reason: fmt.Sprintf(format, args...), code: ExitRejected}
 }
 
 func describeUnfinished(client *control.Client, outcome coordinator.Outcome, rollout *control.RolloutStatus) unfinishedDrive {
 	holder := outcome.Holder
 	switch outcome.Kind {
-	case coordinator.OutcomeEnded: // reportOutcome looks at the rollout's state instead
+	case coordinator.OutcomeEnded: // reportOutcome reports the rollout's state instead
 	case coordinator.OutcomeLeaseHeld:
-		return rejectedDrive("%s holds the claim since %.0f s, for %.0f s more unless renewed; --take-over fences it off",
+		return rejectedDrive("%s holds the claim: held for %.0f s, expires in %.0f s unless renewed; --take-over fences that tool off",
 			holder.Holder, holder.HeldSeconds, holder.RemainingSeconds)
 	case coordinator.OutcomeFenced:
 		return unfinishedDrive{"fenced", "the claim was taken over by " + holder.Holder, ExitRejected}
 	case coordinator.OutcomeNoMajority:
-		return unfinishedDrive{"paused", "no majority of agents can be heard: nothing more was begun", ExitPaused}
+		return unfinishedDrive{"paused", "no majority of agents can be reached, so no further step was begun", ExitPaused}
 	case coordinator.OutcomeUnfinishedRollout:
 		return rejectedDrive("rollout %s by %s is %s: resume, abort or roll it back first", rollout.ID, rollout.StartedBy, rollout.State)
 	case coordinator.OutcomeInfeasible:
 		return rejectedDrive("no step is possible: %s", client.Explain(outcome.Reason))
 	case coordinator.OutcomeNoRollout:
-		return rejectedDrive("there is no rollout to go on with")
+		return rejectedDrive("there is no rollout that this command could act on")
 	case coordinator.OutcomeOtherFleet:
-		return rejectedDrive("the rollout goes over another list of instances than this fleet file's")
+		return rejectedDrive("the rollout covers a different list of instances than this fleet file")
 	case coordinator.OutcomeInterrupted:
-		return unfinishedDrive{"paused", "interrupted; the claim was given back, and fleet resume goes on", ExitPaused}
+		return unfinishedDrive{"paused", "interrupted; the claim was released, and fleet resume continues the rollout", ExitPaused}
 	}
 	return unfinishedDrive{}
 }
--- a/internal/cli/fleet_history.go
+++ b/internal/cli/fleet_history.go
@@ -19,7 +19,7 @@
 	PushedAt string `json:"at"` // RFC 3339, UTC
 }
 
-// historyReport is what fleet history prints: newest first.
+// historyReport is the output of fleet history: revisions and rollouts, newest first.
 type historyReport struct {
 	Revisions []pushedRevision        `json:"revisions"`
 	Rollouts  []control.RolloutStatus `json:"rollouts"`
@@ -27,27 +27,30 @@
 
 func newHistoryReport(client *control.Client, history control.History) *historyReport {
 	var report historyReport
-	for _, x := range history.Revisions {
+	for _, stored := range history.Revisions {
 		report.Revisions = append(report.Revisions, pushedRevision{
-			Digest: x.Digest, Name: x.Name, PushedBy: x.PushedBy, PushedAt: time.Unix(x.PushedAt, 0).UTC().Format(time.RFC3339),
+			Digest: stored.Digest, Name: stored.Name, PushedBy: stored.PushedBy,
+			PushedAt: time.Unix(stored.PushedAt, 0).UTC().Format(time.RFC3339),
 		})
 	}
-	for _, x := range history.Rollouts {
-		report.Rollouts = append(report.Rollouts, *client.DescribeRollout(x))
+	for _, stored := range history.Rollouts {
+		report.Rollouts = append(report.Rollouts, *client.DescribeRollout(stored))
 	}
 	return &report
 }
 
 func (r *historyReport) print(out io.Writer) {
 	revisions := newTable(out, "revision", "name", "by", "at")
-	for _, x := range r.Revisions {
-		revisions.AppendRow(table.Row{revision.ShortDigest(x.Digest), x.Name, x.PushedBy, x.PushedAt})
+	for _, pushed := range r.Revisions {
+		revisions.AppendRow(table.Row{revision.ShortDigest(pushed.Digest), pushed.Name, pushed.PushedBy, pushed.PushedAt})
 	}
 	revisions.Render()
 	printf(out, "\n")
 	rollouts := newTable(out, "rollout", "revision", "by", "began", "state", "")
-	for _, x := range r.Rollouts {
-		rollouts.AppendRow(table.Row{x.ID, x.Revision + " " + x.RevisionName, x.StartedBy, x.StartedAt, x.State, x.Why})
+	for _, status := range r.Rollouts {
+		rollouts.AppendRow(table.Row{
+			status.ID, status.Revision + " " + status.RevisionName, status.StartedBy, status.StartedAt, status.State, status.Why,
+		})
 	}
 	rollouts.Render()
 }
--- a/internal/cli/fleet_revisions.go
+++ b/internal/cli/fleet_revisions.go
@@ -16,10 +16,10 @@
 func (a *app) fleetPushCommand(flags *fleetFlags) *cobra.Command {
 	var name string
 	c := &cobra.Command{
-		Use: "push FILE", Short: "Has every agent keep a revision; nothing runs it yet",
-		Long: "The file is what all routers share: the document of GW_CONFIG without name, listen and seed. It is checked by the\n" +
-			"router's own reader for every instance before any agent is asked, and again at the agents. Exit status 4 if some\n" +
-			"agents could not take it: push again once they can be heard.",
+		Use: "push FILE", Short: "Stores a revision at every agent, without running it",
+		Long: "The file holds the settings that all routers share: the document of GW_CONFIG without name, listen and seed. Before\n" +
+			"any agent is called, the router's own parser checks the file for every instance; each agent checks it again. Exit status 4\n" +
+			"if some agents did not store it: push again once they can be reached.",
 		Example: "  stoatctl fleet push winter.json --name winter", Args: cobra.ExactArgs(1),
 		RunE: flags.withClient(func(ctx context.Context, client *control.Client, args []string) error {
 			content, err := client.ReadRevision(args[0])
@@ -39,20 +39,21 @@
 				return exitError(ExitFailed, errors.New(pushed.Missing[0].Failure))
 			}
 			if len(pushed.Missing) > 0 {
-				return exitErrorf(ExitPaused, "%d agents do not keep the revision", len(pushed.Missing))
+				return exitErrorf(ExitPaused, "%d agents did not store the revision", len(pushed.Missing))
 			}
 			return nil
 		}),
 	}
-	c.Flags().StringVar(&name, "name", "", "name to find the revision by")
+	c.Flags().StringVar(&name, "name", "", "name by which other commands find the revision")
 	a.addJSONFlag(c)
 	return c
 }
 
 func (a *app) fleetDiffCommand(flags *fleetFlags) *cobra.Command {
 	c := &cobra.Command{
-		Use: "diff REVISION [REVISION]", Short: "Shows what a revision changes, and how each instance would take it",
-		Long:    "REVISION is a file, the name of a pushed revision or the beginning of its digest. With one, it is held against what runs.",
+		Use: "diff REVISION [REVISION]", Short: "Shows what a revision changes, and how it would change each instance",
+		Long: "REVISION is a file, the name of a pushed revision or the beginning of its digest. One REVISION is compared\n" +
+			"with the running fleet; of two, the changes from the first to the second are shown.",
 		Example: "  stoatctl fleet diff winter.json\n  stoatctl fleet diff autumn winter", Args: cobra.RangeArgs(1, 2),
 		RunE: flags.withClient(func(ctx context.Context, client *control.Client, args []string) error {
 			if len(args) == 2 {
@@ -65,25 +66,25 @@
 	return c
 }
 
-// diffReport is what a revision changes.
+// diffReport lists the changes that a revision makes.
 type diffReport struct {
 	Changes []revision.Change        `json:"changes"`
-	Effects []control.RevisionEffect `json:"instances,omitempty"` // on each instance, if compared with what runs
+	Effects []control.RevisionEffect `json:"instances,omitempty"` // on each instance; empty if two revisions were compared
 }
 
 func (r *diffReport) print(out io.Writer) {
-	for _, x := range r.Changes {
+	for _, change := range r.Changes {
 		switch {
-		case x.From == "":
-			printf(out, "+ %s: %s\n", x.Key, x.To)
-		case x.To == "":
-			printf(out, "- %s: %s\n", x.Key, x.From)
+		case change.From == "":
+			printf(out, "+ %s: %s\n", change.Key, change.To)
+		case change.To == "":
+			printf(out, "- %s: %s\n", change.Key, change.From)
 		default:
-			printf(out, "  %s: %s -> %s\n", x.Key, x.From, x.To)
+			printf(out, "  %s: %s -> %s\n", change.Key, change.From, change.To)
 		}
 	}
-	for _, x := range r.Effects {
-		printf(out, "%s: %s %s\n", x.Instance, x.Change, strings.Join(x.Keys, ", "))
+	for _, effect := range r.Effects {
+		printf(out, "%s: %s %s\n", effect.Instance, effect.Change, strings.Join(effect.Keys, ", "))
 	}
 }
 
@@ -100,8 +101,8 @@
 	return a.showChanges(&diffReport{}, from, to)
 }
 
-// showPreview shows what a revision would change in the fleet as it runs. Keys are compared with the revision of the first
-// instance that has one: in a fleet between rollouts all run the same.
+// showPreview shows what a revision would change in the running fleet. It compares keys with the revision of the first
+// instance that has one, since between rollouts all instances run the same revision.
 func (a *app) showPreview(ctx context.Context, client *control.Client, name string) error {
 	to, err := revisionContent(ctx, client, name)
 	if err != nil {
@@ -124,7 +125,8 @@
 	return a.showChanges(&report, from, to)
 }
 
-// showChanges shows report with the changes between two contents. Without from, as when nothing runs yet, there are none.
+// showChanges adds the changes between two contents to the report, and prints the report. With a nil from, when no instance
+// runs a revision yet, it adds none.
 func (a *app) showChanges(report *diffReport, from, to []byte) error {
 	if from != nil {
 		var err error
@@ -135,7 +137,8 @@
 	return a.show(report, report.print)
 }
 
-// revisionContent reads a revision from the file of that name, if there is one, else from the agents.
+// revisionContent returns the content of the file of that name if it exists, else of the pushed revision with that name or
+// beginning of its digest.
 func revisionContent(ctx context.Context, client *control.Client, name string) ([]byte, error) {
 	if _, err := os.Stat(name); err == nil {
 		content, err := client.ReadRevision(name)
--- a/internal/cli/fleet_rollout.go
+++ b/internal/cli/fleet_rollout.go
@@ -18,9 +18,10 @@
 	var drive driveFlags
 	var restart, dryRun bool
 	c := &cobra.Command{
-		Use: "roll REVISION", Short: "Brings a pushed revision to all instances, one at a time",
-		Long: "Each instance is drained, changed, seen ready and watched for the soak before the next is touched. If it does not come\n" +
-			"up, or leaves a larger share of commands unanswered than before, all that were touched go back by themselves.",
+		Use: "roll REVISION", Short: "Rolls out a pushed revision to all instances, one at a time",
+		Long: "Each instance is drained and changed, must become ready, and is observed for the soak time before the next one is\n" +
+			"changed. If it does not become ready, or leaves a larger share of commands unanswered than before, all changed instances are\n" +
+			"rolled back automatically.",
 		Example: "  stoatctl fleet roll winter\n  stoatctl fleet roll winter --dry-run", Args: cobra.ExactArgs(1),
 		RunE: flags.withClient(func(ctx context.Context, client *control.Client, args []string) error {
 			found, err := client.FindRevision(ctx, args[0])
@@ -34,7 +35,7 @@
 		}),
 	}
 	drive.register(c)
-	c.Flags().BoolVar(&restart, "restart", false, "restart also where a reload would do, as after a new program was put in place")
+	c.Flags().BoolVar(&restart, "restart", false, "restart also where a reload would suffice, for example to run a new program")
 	c.Flags().BoolVar(&dryRun, "dry-run", false, "only show what would change")
 	a.addJSONFlag(c)
 	return c
@@ -43,7 +44,7 @@
 func (a *app) fleetResumeCommand(flags *fleetFlags) *cobra.Command {
 	var drive driveFlags
 	c := &cobra.Command{
-		Use: "resume", Short: "Goes on with the rollout that paused, or whose tool is gone",
+		Use: "resume", Short: "Continues a rollout that has paused or whose tool is gone",
 		Example: "  stoatctl fleet resume --leave-out n7", Args: cobra.NoArgs,
 		RunE: flags.withClient(func(ctx context.Context, client *control.Client, _ []string) error {
 			return a.drive(ctx, client, coordinator.Task{Operation: coordinator.OperationResume, Operator: client.Operator}, &drive)
@@ -57,8 +58,8 @@
 func (a *app) fleetRollbackCommand(flags *fleetFlags) *cobra.Command {
 	var drive driveFlags
 	c := &cobra.Command{
-		Use: "rollback [REVISION]", Short: "Takes the newest rollout back, or rolls an earlier revision out",
-		Long:    "Without a name, each instance that the newest rollout touched goes back to what it ran before.",
+		Use: "rollback [REVISION]", Short: "Rolls back the newest rollout, or rolls out an earlier revision",
+		Long:    "Without REVISION, each instance that the newest rollout changed returns to the revision that it ran before.",
 		Example: "  stoatctl fleet rollback\n  stoatctl fleet rollback autumn", Args: cobra.MaximumNArgs(1),
 		RunE: flags.withClient(func(ctx context.Context, client *control.Client, args []string) error {
 			if len(args) == 1 {
@@ -70,7 +71,7 @@
 			}
 			newest, driven, found := client.NewestRollout(ctx)
 			if found && driven && !newest.State.Terminal() && !drive.takeOver {
-				return a.requestOfDriver(ctx, client, newest, rollout.RequestRollback)
+				return a.askDriver(ctx, client, newest, rollout.RequestRollback)
 			}
 			return a.drive(ctx, client, coordinator.Task{Operation: coordinator.OperationRollback, Operator: client.Operator}, &drive)
 		}),
@@ -80,59 +81,62 @@
 	return c
 }
 
-// haltRequest is a command that stops a rollout, which the tool that drives it is asked for, or this one does itself.
+// haltRequest describes a command that stops a rollout. If another tool drives the rollout, the command sends that tool a
+// request; otherwise the command stops the rollout itself.
 type haltRequest struct {
 	verb      string
 	summary   string
-	request   rollout.OperatorRequest // if another tool drives
-	operation coordinator.Operation   // if none does
+	request   rollout.OperatorRequest // sent if another tool drives the rollout
+	operation coordinator.Operation   // carried out by this tool otherwise
 }
 
 func (a *app) fleetHaltCommand(flags *fleetFlags, halt haltRequest) *cobra.Command {
 	var drive driveFlags
 	c := &cobra.Command{
 		Use: halt.verb, Short: halt.summary,
-		Long: "If a tool drives the rollout it is asked, and does so once its step has ended. Else this tool does it.",
+		Long: "If another tool drives the rollout, that tool is asked to do it, and does so once its current step has ended.\n" +
+			"Otherwise this command does it.",
 		Args: cobra.NoArgs,
 		RunE: flags.withClient(func(ctx context.Context, client *control.Client, _ []string) error {
 			newest, driven, found := client.NewestRollout(ctx)
 			if found && driven && newest.State == rollout.Running && !drive.takeOver {
-				return a.requestOfDriver(ctx, client, newest, halt.request)
+				return a.askDriver(ctx, client, newest, halt.request)
 			}
 			return a.drive(ctx, client, coordinator.Task{Operation: halt.operation, Operator: client.Operator}, &drive)
 		}),
 	}
-	c.Flags().BoolVar(&drive.takeOver, "take-over", false, "do not ask the tool that drives: take the claim from it")
+	c.Flags().BoolVar(&drive.takeOver, "take-over", false, "take the claim from the tool that drives the rollout")
 	a.addJSONFlag(c)
 	return c
 }
 
-// requestOfDriver stores a request for the tool that drives the rollout, and polls until it is done or cannot be.
-func (a *app) requestOfDriver(ctx context.Context, client *control.Client, rollout protocol.Rollout, request rollout.OperatorRequest) error {
+// askDriver stores a request at the agents for the tool that drives the rollout. It polls until the tool has carried
+// out the request, or cannot do so any more.
+func (a *app) askDriver(ctx context.Context, client *control.Client, rollout protocol.Rollout, request rollout.OperatorRequest) error {
 	if agents := client.RequestAction(ctx, rollout, request); agents == 0 {
-		return exitError(ExitFailed, errors.New("no agent took the wish"))
+		return exitError(ExitFailed, errors.New("no agent stored the request"))
 	}
 	for {
 		newest, driven, found := client.NewestRollout(ctx)
 		switch {
 		case !found || newest.ID != rollout.ID || newest.Run != rollout.Run:
-			return exitError(ExitFailed, errors.New("another rollout, or another run of it, has come meanwhile"))
+			return exitError(ExitFailed, errors.New("another rollout, or another run of this one, has started meanwhile"))
 		case requestDone(request, newest):
 			return a.showRolloutState(newest)
 		case newest.State.Terminal():
 			return exitErrorf(ExitRejected, "rollout %s has ended meanwhile: %s", newest.ID, newest.State)
 		case !driven:
-			return exitError(ExitPaused, errors.New("the tool that drove the rollout is gone: say it again"))
+			return exitError(ExitPaused, errors.New("the tool that drove the rollout is gone: repeat the command"))
 		}
 		select {
 		case <-time.After(time.Duration(float64(client.Fleet.Times.PollInterval) * float64(time.Second))):
 		case <-ctx.Done():
-			return exitError(ExitPaused, errors.New("interrupted; the wish stands"))
+			return exitError(ExitPaused, errors.New("interrupted; the request remains stored"))
 		}
 	}
 }
 
-// requestDone tells whether the rollout is as the operator has requested.
+// requestDone reports whether the rollout is in the state that the operator requested.
 func requestDone(request rollout.OperatorRequest, current protocol.Rollout) bool {
 	switch request {
 	case rollout.RequestNone:
--- a/internal/cli/fleet_status.go
+++ b/internal/cli/fleet_status.go
@@ -14,10 +14,10 @@
 )
 
 func (a *app) fleetStatusCommand(flags *fleetFlags) *cobra.Command {
-	var interval time.Duration // 0: once
+	var interval time.Duration // 0: show the status once
 	c := &cobra.Command{
-		Use: "status", Short: "Shows agents, instances, the rollout and who holds the claim",
-		Long: "Exit status 1 if an agent cannot be heard.", Example: "  stoatctl fleet status --watch 2s", Args: cobra.NoArgs,
+		Use: "status", Short: "Shows the agents, the instances, the rollout and the holder of the claim",
+		Long: "Exit status 1 if an agent cannot be reached.", Example: "  stoatctl fleet status --watch 2s", Args: cobra.NoArgs,
 		RunE: flags.withClient(func(ctx context.Context, client *control.Client, _ []string) error {
 			if interval > 0 {
 				return a.watchStatus(ctx, client, interval)
@@ -34,7 +34,7 @@
 			return nil
 		}),
 	}
-	c.Flags().DurationVar(&interval, "watch", 0, "show it again each so often, until interrupted")
+	c.Flags().DurationVar(&interval, "watch", 0, "interval at which the status is shown again, until interrupted")
 	a.addJSONFlag(c)
 	return c
 }
@@ -44,7 +44,7 @@
 	return status, a.show(status, func(out io.Writer) { printStatus(out, &status) })
 }
 
-// watchStatus shows the status again and again until ctx is canceled.
+// watchStatus shows the status at the interval until ctx is canceled.
 func (a *app) watchStatus(ctx context.Context, client *control.Client, interval time.Duration) error {
 	for {
 		if _, err := a.showStatus(ctx, client); err != nil {
@@ -61,13 +61,16 @@
 func printStatus(out io.Writer, status *control.Status) {
 	printf(out, "%s: %d of %d serve\n\n", status.Fleet, status.Serving, status.Total)
 	t := newTable(out, "instance", "hall", "agent", "life", "revision", "process", "crashes", "unanswered", "")
-	for _, x := range status.Instances {
-		revision := x.Revision
-		if x.TargetRevision != "" {
-			revision += " -> " + x.TargetRevision
+	for _, instance := range status.Instances {
+		revision := instance.Revision
+		if instance.TargetRevision != "" {
+			revision += " -> " + instance.TargetRevision
 		}
-		unanswered := fmt.Sprintf("%d of %d", x.UnansweredCommands, x.EndedCommands)
-		t.AppendRow(table.Row{x.Name, x.Zone, x.Agent, x.State, revision, x.ProcessID, x.Crashes, unanswered, x.Step})
+		unanswered := fmt.Sprintf("%d of %d", instance.UnansweredCommands, instance.EndedCommands)
+		t.AppendRow(table.Row{
+			instance.Name, instance.Zone, instance.Agent, instance.State, revision, instance.ProcessID, instance.Crashes, unanswered,
+			instance.Step,
+		})
 	}
 	t.Render()
 	for _, agent := range status.Agents {
@@ -108,7 +111,7 @@
 
 func (a *app) fleetLeaseCommand(flags *fleetFlags) *cobra.Command {
 	c := &cobra.Command{
-		Use: "claim", Short: "Tells who may change the fleet, since when and until when", Args: cobra.NoArgs,
+		Use: "claim", Short: "Shows who holds the claim to change the fleet, since when and until when", Args: cobra.NoArgs,
 		RunE: flags.withClient(func(ctx context.Context, client *control.Client, _ []string) error {
 			lease := client.Status(ctx).Lease
 			return a.show(lease, func(out io.Writer) { printLease(out, lease) })
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -19,7 +19,7 @@
 	defaultCertificateDays = 365
 )
 
-// keysFlags are common to the commands of certificates.
+// keysFlags are the flags that the commands on certificates share.
 type keysFlags struct {
 	folder string
 }
@@ -29,12 +29,12 @@
 func (a *app) keysCommand() *cobra.Command {
 	var flags keysFlags
 	c := &cobra.Command{
-		Use: "keys", Short: "Makes, renews and shows the certificates of a fleet",
-		Long: "The fleet's authority and its certificates lie in one folder. Agents and operators need authority.pem and their own\n" +
-			"file of it; authority.key.pem stays with whoever issues. Files may be replaced while agents run: the next\n" +
-			"connection uses them.",
+		Use: "keys", Short: "Issues, renews and shows the certificates of a fleet",
+		Long: "One folder holds the fleet's certificate authority and its certificates. Each agent and operator needs\n" +
+			"authority.pem and its own file from that folder. authority.key.pem stays with the person who issues\n" +
+			"certificates. Files may be replaced while agents run: the next connection uses the new ones.",
 	}
-	c.PersistentFlags().StringVar(&flags.folder, "keys", "keys", "folder of the keys")
+	c.PersistentFlags().StringVar(&flags.folder, "keys", "keys", "folder with keys and certificates")
 	c.AddCommand(keysInitCommand(&flags), keysRenewAuthorityCommand(&flags), keysIssueCommand(&flags), a.keysShowCommand(&flags))
 	return commandGroup(c)
 }
@@ -42,14 +42,14 @@
 func keysInitCommand(flags *keysFlags) *cobra.Command {
 	var days int
 	c := &cobra.Command{
-		Use: "init FLEET", Short: "Makes the fleet's authority", Args: cobra.ExactArgs(1),
+		Use: "init FLEET", Short: "Creates the fleet's certificate authority", Args: cobra.ExactArgs(1),
 		Example: "  stoatctl keys init haulage --days 3650",
 		RunE: func(_ *cobra.Command, args []string) error {
 			if certificates, err := flags.keys().List(); err == nil && len(certificates) > 0 {
 				return exitErrorf(ExitRejected, "%s holds certificates already: stoatctl keys renew-authority keeps the old ones trusted",
 					flags.folder)
 			}
-			return makeAuthority(flags, args[0], days)
+			return createAuthority(flags, args[0], days)
 		},
 	}
 	addAuthorityDaysFlag(c, &days)
@@ -59,21 +59,21 @@
 func keysRenewAuthorityCommand(flags *keysFlags) *cobra.Command {
 	var days int
 	c := &cobra.Command{
-		Use: "renew-authority FLEET", Short: "Makes a new authority beside the old, which stays trusted until it runs out",
-		Long: "Bring authority.pem to all agents and operators first, then issue and bring their own files: at no moment is\n" +
-			"anybody refused.",
+		Use: "renew-authority FLEET", Short: "Creates a new authority beside the old one, which stays trusted until it expires",
+		Long: "Copy authority.pem to all agents and operators first, then issue and copy their own files. In this order no\n" +
+			"connection is refused at any time.",
 		Args: cobra.ExactArgs(1), Example: "  stoatctl keys renew-authority haulage",
-		RunE: func(_ *cobra.Command, args []string) error { return makeAuthority(flags, args[0], days) },
+		RunE: func(_ *cobra.Command, args []string) error { return createAuthority(flags, args[0], days) },
 	}
 	addAuthorityDaysFlag(c, &days)
 	return c
 }
 
 func addAuthorityDaysFlag(c *cobra.Command, days *int) {
-	c.Flags().IntVar(days, "days", defaultAuthorityDays, "days that the authority lasts")
+	c.Flags().IntVar(days, "days", defaultAuthorityDays, "days until the authority expires")
 }
 
-func makeAuthority(flags *keysFlags, fleet string, days int) error {
+func createAuthority(flags *keysFlags, fleet string, days int) error {
 	return exitError(ExitFailed, flags.keys().CreateAuthority(fleet, time.Duration(days)*day, time.Now()))
 }
 
@@ -81,7 +81,7 @@
 	var days int
 	var fleetFile string
 	c := &cobra.Command{
-		Use: "issue agent|operator NAME...", Short: "Makes or renews certificates",
+		Use: "issue agent|operator NAME...", Short: "Issues or renews certificates",
 		Example: "  stoatctl keys issue operator ayla\n  stoatctl keys issue agent --fleet deploy/fleet.sexp     # all agents of the file",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -96,7 +96,7 @@
 				}
 			}
 			if len(names) == 0 {
-				return exitError(ExitUsage, errors.New("nobody is named: give names, or --fleet FILE for all agents of it"))
+				return exitError(ExitUsage, errors.New("no name is given: give names, or --fleet FILE for all agents in the file"))
 			}
 			for _, name := range names {
 				if err := flags.keys().Issue(role, name, time.Duration(days)*day, time.Now()); err != nil {
@@ -106,16 +106,16 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&days, "days", defaultCertificateDays, "days that a certificate lasts")
-	c.Flags().StringVar(&fleetFile, "fleet", "", "issue for all agents of this fleet file")
+	c.Flags().IntVar(&days, "days", defaultCertificateDays, "days until a certificate expires")
+	c.Flags().StringVar(&fleetFile, "fleet", "", "fleet file, for all of whose agents certificates are issued")
 	return c
 }
 
 func (a *app) keysShowCommand(flags *keysFlags) *cobra.Command {
 	var warnDays int
 	c := &cobra.Command{
-		Use: "show", Short: "Lists the certificates and until when they count",
-		Long: "Exit status 1 if one has run out or runs out within --warn days.", Args: cobra.NoArgs,
+		Use: "show", Short: "Lists the certificates and when they expire",
+		Long: "Exit status 1 if a certificate has expired or expires within --warn days.", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			certificates, err := flags.keys().List()
 			if err != nil {
@@ -123,22 +123,25 @@
 			}
 			if err := a.show(certificates, func(out io.Writer) {
 				t := newTable(out, "file", "who", "until", "days left")
-				for _, x := range certificates {
-					t.AppendRow(table.Row{x.File, x.Subject, x.NotAfter.Format(time.DateOnly), int(time.Until(x.NotAfter) / day)})
+				for _, certificate := range certificates {
+					t.AppendRow(table.Row{
+						certificate.File, certificate.Subject, certificate.NotAfter.Format(time.DateOnly), int(time.Until(certificate.NotAfter) / day),
+					})
 				}
 				t.Render()
 			}); err != nil {
 				return err
 			}
-			for _, x := range certificates {
-				if time.Until(x.NotAfter) < time.Duration(warnDays)*day {
-					return exitErrorf(ExitFailed, "%s: the certificate of %s runs out on %s", x.File, x.Subject, x.NotAfter.Format(time.DateOnly))
+			for _, certificate := range certificates {
+				if time.Until(certificate.NotAfter) < time.Duration(warnDays)*day {
+					return exitErrorf(ExitFailed, "%s: the certificate of %s runs out on %s", certificate.File, certificate.Subject,
+						certificate.NotAfter.Format(time.DateOnly))
 				}
 			}
 			return nil
 		},
 	}
-	c.Flags().IntVar(&warnDays, "warn", 0, "days before the end from which a certificate is told of")
+	c.Flags().IntVar(&warnDays, "warn", 0, "days before its expiry from which a certificate is an error")
 	a.addJSONFlag(c)
 	return c
 }
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -21,17 +21,17 @@
 
 func (a *app) labCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "lab", Short: "Plays experiments on a model of deployments, in virtual time",
-		Long: "Exit status 1 if the module breaks a rule, 4 if an experiment ended before it was complete.",
+		Use: "lab", Short: "Runs experiments on a model of deployments, in virtual time",
+		Long: "Exit status 1 if the policy module, the router's own, breaks a rule; 4 if an experiment ended before it was complete.",
 	}
 	c.AddCommand(a.labRunCommand(), a.labCompareCommand(), a.labReportCommand())
 	return commandGroup(c)
 }
 
 const (
-	modulePolicy = "module" // the router's own; others are held against it
+	modulePolicy = "module" // the router's own policy, with which the others are compared
 
-	// Files of a folder of results.
+	// Files in a results folder.
 	experimentFile = "experiment.sexp"
 	runsFile       = "runs.json"
 	reportFile     = "report.html"
@@ -40,21 +40,21 @@
 	resultFolderMode = 0o755
 )
 
-// experimentResults are an experiment's results, as they are printed and, with --out, saved.
+// experimentResults holds an experiment's results, as they are printed and, with --out, saved.
 type experimentResults struct {
 	Name     string           `json:"name"`
-	OK       bool             `json:"ok"` // the module kept all rules
+	OK       bool             `json:"ok"` // the policy module broke no rule
 	Policies []experiment.Row `json:"policies"`
 	Runs     []experiment.Run `json:"runs,omitempty"`
-	Commands int              `json:"commands"`      // of clients in all runs, retries not counted
-	Out      string           `json:"out,omitempty"` // folder that they were saved in
+	Commands int              `json:"commands"`      // that clients sent in all runs, without retries
+	Folder   string           `json:"out,omitempty"` // folder in which the results were saved
 }
 
 func (a *app) labRunCommand() *cobra.Command {
-	var folder string // empty: results are not kept
+	var folder string // empty: the results are not saved
 	var workers int
 	c := &cobra.Command{
-		Use: "run FILE", Short: "Plays an experiment: every policy with every seed", Args: cobra.ExactArgs(1),
+		Use: "run FILE", Short: "Runs an experiment: every policy with every seed", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -69,7 +69,7 @@
 			if err != nil {
 				return err
 			}
-			results.Out = folder
+			results.Folder = folder
 			elapsed := time.Since(began)
 			if folder != "" {
 				if err := saveResults(folder, text, spec, results); err != nil {
@@ -80,19 +80,19 @@
 				return err
 			}
 			if !results.OK {
-				return exitErrorf(ExitFailed, "experiment %s: the module broke a rule", spec.Name)
+				return exitErrorf(ExitFailed, "experiment %s: the policy module broke a rule", spec.Name)
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&folder, "out", "", "folder for the experiment's file and all figures")
-	c.Flags().IntVar(&workers, "workers", 0, "cores; 0: all")
+	c.Flags().StringVar(&folder, "out", "", "folder in which to save the experiment's file, results and report")
+	c.Flags().IntVar(&workers, "workers", 0, "number of cores to use; 0: all")
 	a.addJSONFlag(c)
 	return c
 }
 
-// runExperiment plays every policy of an experiment with every seed, and writes its progress to standard error. It fails if
-// ctx is canceled before the end.
+// runExperiment runs every policy of an experiment with every seed, and writes the progress to standard error. It returns an
+// error if ctx is canceled before the end.
 func (a *app) runExperiment(ctx context.Context, spec *model.Spec, workers int) (experimentResults, error) {
 	runs, err := experiment.Play(ctx, spec, workers, func(p experiment.Progress) {
 		printf(a.stderr, "%s: %d of %d runs, %s left\n", spec.Name, p.Done, p.Of, p.Left.Round(time.Second))
@@ -112,7 +112,7 @@
 
 func (a *app) labCompareCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "compare A B", Short: "Compares two experiments that were kept, paired by seed", Args: cobra.ExactArgs(2),
+		Use: "compare A B", Short: "Compares two saved experiments, paired by seed", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var runs [2][]experiment.Run
 			for i, folder := range args {
@@ -128,10 +128,10 @@
 			}
 			return a.show(differences, func(out io.Writer) {
 				t := newTable(out, "policy", "pairs", args[0], args[1], "difference", "nine in ten", "")
-				for _, x := range differences {
+				for _, difference := range differences {
 					t.AppendRow(table.Row{
-						x.Policy, x.Pairs, fmt.Sprintf("%.4f", x.A), fmt.Sprintf("%.4f", x.B), fmt.Sprintf("%+.4f", x.Mean),
-						fmt.Sprintf("%+.4f to %+.4f", x.Low, x.High), x.Told(),
+						difference.Policy, difference.Pairs, fmt.Sprintf("%.4f", difference.A), fmt.Sprintf("%.4f", difference.B),
+						fmt.Sprintf("%+.4f", difference.Mean), fmt.Sprintf("%+.4f to %+.4f", difference.Low, difference.High), difference.Told(),
 					})
 				}
 				t.Render()
@@ -144,7 +144,7 @@
 
 func (a *app) labReportCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "report DIR", Short: "Makes the page of an experiment that was kept anew", Args: cobra.ExactArgs(1),
+		Use: "report DIR", Short: "Writes the report page of a saved experiment again", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			folder := args[0]
 			results, err := loadResults(folder)
@@ -180,10 +180,10 @@
 	return results, nil
 }
 
-// saveResults writes the text of an experiment's file, its results and its report to a folder. The same file, seeds and
-// build give the same bytes.
+// saveResults writes text (the experiment's file), the results and the report page to a folder. The same file, seeds and build
+// give the same bytes.
 func saveResults(folder string, text []byte, spec *model.Spec, results experimentResults) error {
-	results.Out = "" // the folder may be moved
+	results.Folder = "" // not saved, since the folder may be moved
 	encoded, err := json.MarshalIndent(results, "", "  ")
 	if err != nil {
 		return fmt.Errorf("experiment: %w", err)
@@ -206,10 +206,10 @@
 
 func (r *experimentResults) print(out io.Writer, elapsed time.Duration) {
 	t := newTable(out, "policy", "service", "least", "most", "in target", "reads on primary", "dispatches", "rules broken")
-	for _, x := range r.Policies {
+	for _, policy := range r.Policies {
 		t.AppendRow(table.Row{
-			x.Policy, fmt.Sprintf("%.3f", x.Service), fmt.Sprintf("%.3f", x.Least), fmt.Sprintf("%.3f", x.Most), fmt.Sprintf("%.3f", x.InTarget),
-			fmt.Sprintf("%.3f", x.Primary), fmt.Sprintf("%.2f", x.Dispatches), strings.Join(x.Broken, "; "),
+			policy.Policy, fmt.Sprintf("%.3f", policy.Service), fmt.Sprintf("%.3f", policy.Least), fmt.Sprintf("%.3f", policy.Most),
+			fmt.Sprintf("%.3f", policy.InTarget), fmt.Sprintf("%.3f", policy.Primary), fmt.Sprintf("%.2f", policy.Dispatches), strings.Join(policy.Broken, "; "),
 		})
 	}
 	t.Render()
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -9,12 +9,12 @@
 	"github.com/spf13/cobra"
 )
 
-// addJSONFlag gives a command the flag --json, which show looks at.
+// addJSONFlag adds the flag --json, which show uses, to a command.
 func (a *app) addJSONFlag(cmd *cobra.Command) {
 	cmd.Flags().BoolVar(&a.asJSON, "json", false, "print one JSON object on standard output")
 }
 
-// show prints a value on standard output: as one line of JSON with --json, else as printText writes it for people.
+// show prints a value on standard output: with --json as one line of JSON, otherwise as the text that printText writes.
 func (a *app) show(value any, printText func(out io.Writer)) error {
 	if !a.asJSON {
 		printText(a.stdout)
@@ -28,12 +28,12 @@
 	return err
 }
 
-// printf writes text for people. A reader that has gone away, as in a pipe to head, is no failure of the command.
+// printf writes text for people. It ignores write errors: if a reader such as head closes the pipe, the command has not failed.
 func printf(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format, args...)
 }
 
-// newTable returns a table for people that renders to out.
+// newTable returns a table with the given column names that renders to out as text.
 func newTable(out io.Writer, columns ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(out)
--- a/internal/cli/progress.go
+++ b/internal/cli/progress.go
@@ -28,7 +28,7 @@
 	b.writer.SetOutputWriter(a.stderr)
 	b.writer.SetAutoStop(false)
 	b.writer.AppendTracker(b.tracker)
-	go b.writer.Render() // until stop
+	go b.writer.Render() // returns after stop
 	return b
 }
 
@@ -45,7 +45,7 @@
 	b.tracker.UpdateMessage(message)
 }
 
-// stop ends the display; the writer's goroutine ends with it.
+// stop ends the display and the goroutine that renders it.
 func (b *progressBar) stop() {
 	if b.writer != nil {
 		b.writer.Stop()
--- a/internal/cli/recorded_test.go
+++ b/internal/cli/recorded_test.go
@@ -11,7 +11,8 @@
 	"stoatdale.example/stoatdale/internal/lab/model"
 )
 
-// TestSavedResultsOfAnEarlierReleaseRoundTrip loads the results of an earlier release and saves them again: the same bytes.
+// TestSavedResultsOfAnEarlierReleaseRoundTrip checks that results that an earlier release saved can be loaded, and that saving
+// them again writes the same bytes.
 func TestSavedResultsOfAnEarlierReleaseRoundTrip(t *testing.T) {
 	recorded := filepath.Join("..", "lab", "experiment", "testdata", "small")
 	results, err := loadResults(recorded)
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -9,7 +9,7 @@
 
 const shortCommitLength = 10
 
-// programVersion names this program and the commit or module version that it was built from.
+// programVersion returns the name of this program and the commit or module version that it was built from.
 func programVersion() string {
 	version := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -25,7 +25,7 @@
 
 func (a *app) versionCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "version", Short: "Tells the program's version", Args: cobra.NoArgs,
+		Use: "version", Short: "Prints the version of the program", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return a.show(map[string]string{"program": programVersion()}, func(out io.Writer) { printf(out, "%s\n", programVersion()) })
 		},
