--- a/internal/cli/agent.go
+++ b/internal/cli/agent.go
@@ -79,7 +79,7 @@
 	server.Close()
 	err = <-serverEnded
 	if err == nil || errors.Is(err, net.ErrClosed) {
-		a.log.Info().Msg("ended; the routers go on")
+		a.log.Info().Msg("agent stopped; its routers keep running")
 		return nil
 	}
 	return err
