--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -1,5 +1,6 @@
-// Package drill runs failure drills: a failure that a subsystem is built for, and checkers of what must hold in it.
-// Operators rehearse with them, and CI runs the short ones. With its seed a drill makes the same choices again.
+// Package drill runs failure drills. A drill causes a failure that a subsystem must survive, and checks what must hold during
+// that failure. Operators rehearse with the drills, and CI runs the short ones. A drill with the same seed makes the same
+// random choices again.
 package drill
 
 import (
@@ -8,16 +9,16 @@
 	"io"
 )
 
-// Report is the part of a drill's result that all drills have. Each drill embeds it in a report with figures of its own.
+// Report holds the results that all drills have. Each drill embeds it in a report with its own figures.
 type Report struct {
 	Drill     string  `json:"drill"`
 	Seed      uint64  `json:"seed"`
 	Seconds   float64 `json:"seconds"`
-	OK        bool    `json:"ok"`               // nothing was violated
-	Violation string  `json:"broken,omitempty"` // the first one, and how to see it again
+	OK        bool    `json:"ok"`               // no check failed
+	Violation string  `json:"broken,omitempty"` // the first violation, and how to reproduce it; empty: none
 }
 
-// Fail records a violation. Only the first one is described.
+// Fail records a violation. The report describes only the first one.
 func (r *Report) Fail(format string, args ...any) {
 	if r.Violation == "" {
 		r.Violation = fmt.Sprintf(format, args...)
@@ -25,7 +26,7 @@
 	r.OK = false
 }
 
-// Print writes a drill's report: as one line of JSON, or indented for people.
+// Print writes a drill's report to out as JSON: on one line if asJSON is set, otherwise indented for people.
 func Print(out io.Writer, asJSON bool, report any) error {
 	var encoded []byte
 	var err error
--- a/internal/drill/event_queue.go
+++ b/internal/drill/event_queue.go
@@ -1,13 +1,14 @@
 package drill
 
-// event is a call at a virtual time. Events of the same time are called in the order in which they were scheduled.
+// event is a function call scheduled for a virtual time. Events at the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at       float64 // virtual seconds
-	sequence uint64
+	sequence uint64  // order of scheduling
 	call     func()
 }
 
-// eventQueue is a heap of events, the next one first. It implements heap.Interface.
+// eventQueue is a heap of events with the next event first. It implements heap.Interface.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
--- a/internal/drill/fleet_size.go
+++ b/internal/drill/fleet_size.go
@@ -25,43 +25,43 @@
 )
 
 const (
-	readySeconds = 100 // that simulated instances have been ready
-	microseconds = 1e6 // in a second
-	milliseconds = 1e3
+	readySeconds = 100 // seconds for which simulated instances report that they have been ready
+	microseconds = 1e6 // per second
+	milliseconds = 1e3 // per second
 
-	sizeCertificateLasts = 30 * time.Minute
-	planDecisions        = 201 // that the median is of
+	sizeCertificateLifetime = 30 * time.Minute
+	planDecisions           = 201 // planner decisions that are timed for the median
 )
 
-// SizeOptions are the parameters of the size drill: fleets of simulated agents in this process, which answer over TLS like
-// real ones.
+// SizeOptions are the parameters of the size drill. It measures fleets of simulated agents in this process, which answer over
+// TLS like real agents.
 type SizeOptions struct {
-	Instances []int // of one fleet each
-	PerAgent  int   // instances of one agent
-	Rounds    int   // status requests over established connections
+	Instances []int // sizes of the measured fleets
+	PerAgent  int   // instances for each agent
+	Rounds    int   // timed status requests for each fleet, over established connections
 }
 
-// SizesReport is how the cost of a planner's decision and of a status request grows with the fleet.
+// SizesReport is the result of the size drill: how the times of a planner decision and of a status request grow with the fleet.
 type SizesReport struct {
 	Report
 	Cores          int     `json:"cores"`
 	PerAgent       int     `json:"instances_an_agent"`
 	Sizes          []Size  `json:"sizes"`           // one for each of SizeOptions.Instances
-	PlanExponent   float64 `json:"plan_exponent"`   // of time over instances, from the first size to the last
-	StatusExponent float64 `json:"status_exponent"` // the same, over established connections
+	PlanExponent   float64 `json:"plan_exponent"`   // exponent of plan time over instances, from the first size to the last
+	StatusExponent float64 `json:"status_exponent"` // exponent of status time over instances, over established connections
 }
 
-// Size holds the figures of one fleet.
+// Size holds the measurements of one fleet.
 type Size struct {
 	Instances        int     `json:"instances"`
 	Agents           int     `json:"agents"`
-	PlanMicroseconds float64 `json:"plan_step_us"`    // median
-	FirstStatusMs    float64 `json:"status_first_ms"` // with a TLS handshake for each agent
+	PlanMicroseconds float64 `json:"plan_step_us"`    // median time of a planner decision
+	FirstStatusMs    float64 `json:"status_first_ms"` // first status request, with a TLS handshake for each agent
 	MedianStatusMs   float64 `json:"status_ms"`
 	MaxStatusMs      float64 `json:"status_most_ms"`
 }
 
-// staticAgent is a simulated agent that reports all its instances as serving.
+// staticAgent is a simulated agent that always reports all its instances as serving.
 type staticAgent struct {
 	name          string
 	instanceNames []string
@@ -70,7 +70,7 @@
 // Handle implements api.Handler.
 func (a *staticAgent) Handle(_ context.Context, _ string, request protocol.Request) (protocol.Reply, error) {
 	if request.Verb != protocol.StatusVerb {
-		return protocol.Reply{Failure: "this agent only looks"}, nil
+		return protocol.Reply{Failure: "this simulated agent answers only status requests"}, nil
 	}
 	reply := protocol.Reply{Agent: a.name, Program: "stand-in", LeaseState: lease.State{Epoch: 3}}
 	for _, name := range a.instanceNames {
@@ -87,7 +87,7 @@
 	return reply, nil
 }
 
-// RunSizes runs the size drill. It returns an error if a fleet could not be set up, or ctx is canceled.
+// RunSizes runs the size drill. It returns an error if it cannot set up a fleet, or if ctx is canceled.
 func RunSizes(ctx context.Context, options SizeOptions) (SizesReport, error) {
 	began := time.Now()
 	report := SizesReport{Report: Report{Drill: "sizes", OK: true}, Cores: runtime.GOMAXPROCS(0), PerAgent: options.PerAgent}
@@ -108,7 +108,7 @@
 	return report, ctx.Err()
 }
 
-// measureSize measures one fleet. Wrong answers fail the report.
+// measureSize measures one fleet. It records a violation in the report if a status does not show all instances as serving.
 func measureSize(ctx context.Context, options SizeOptions, instances int, report *SizesReport) (Size, error) {
 	fleet, err := startSimulatedFleet(instances, options.PerAgent)
 	defer fleet.close()
@@ -126,7 +126,7 @@
 		status := client.Status(ctx)
 		elapsed := time.Since(began).Seconds() * milliseconds
 		if status.Serving != instances {
-			report.Fail("status with %d instances told of %d", instances, status.Serving)
+			report.Fail("status of a fleet of %d instances reported %d as serving", instances, status.Serving)
 		}
 		return elapsed
 	}
@@ -141,7 +141,7 @@
 	return size, nil
 }
 
-// simulatedFleet is a fleet of static agents that serve on loopback.
+// simulatedFleet is a fleet whose static agents serve their API on loopback.
 type simulatedFleet struct {
 	folder  string // temporary
 	keys    pki.Folder
@@ -150,7 +150,8 @@
 	serving sync.WaitGroup
 }
 
-// startSimulatedFleet starts as many agents as the instances need. The fleet must be closed, also if an error is returned.
+// startSimulatedFleet starts a fleet with as many agents as the instances need. The caller must close the fleet, even if an
+// error is returned.
 func startSimulatedFleet(instances, perAgent int) (*simulatedFleet, error) {
 	folder, err := os.MkdirTemp("", "sizes")
 	if err != nil {
@@ -160,7 +161,7 @@
 	if err := f.keys.CreateAuthority("sizes", time.Hour, time.Now()); err != nil {
 		return f, err
 	}
-	if err := f.keys.Issue(pki.Operator, operatorName, sizeCertificateLasts, time.Now()); err != nil {
+	if err := f.keys.Issue(pki.Operator, operatorName, sizeCertificateLifetime, time.Now()); err != nil {
 		return f, err
 	}
 	f.file = &inventory.Fleet{
@@ -178,7 +179,7 @@
 	return f, err
 }
 
-// startAgent starts an agent that has the instances from first up to, not including, end.
+// startAgent starts an agent with the instances from first up to, but not including, end.
 func (f *simulatedFleet) startAgent(name string, first, end int) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -193,7 +194,7 @@
 			Listen: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 5432),
 		})
 	}
-	if err := f.keys.Issue(pki.Agent, name, sizeCertificateLasts, time.Now()); err != nil {
+	if err := f.keys.Issue(pki.Agent, name, sizeCertificateLifetime, time.Now()); err != nil {
 		_ = listener.Close()
 		return err
 	}
@@ -203,11 +204,11 @@
 	})
 	server := api.NewServer(listener, handler, f.keys.Credentials(pki.Agent, name), api.SupportedVersions, zerolog.Nop())
 	f.servers = append(f.servers, server)
-	f.serving.Go(func() { _ = server.Serve() }) // ends when close closes the server
+	f.serving.Go(func() { _ = server.Serve() }) // returns when close closes the server
 	return nil
 }
 
-// close ends the agents and removes the folder.
+// close stops the agents and removes the folder.
 func (f *simulatedFleet) close() {
 	for _, server := range f.servers {
 		server.Close()
@@ -218,7 +219,8 @@
 	}
 }
 
-// measurePlan returns the median time in microseconds of a planner's decision over a fleet of which half is done.
+// measurePlan returns the median time in microseconds of a planner decision in the middle of a rollout, when half of the
+// instances are done.
 func measurePlan(fleet *rollout.Fleet) float64 {
 	observations := make([]rollout.Observation, len(fleet.Instances))
 	for i := range observations {
--- a/internal/drill/lease.go
+++ b/internal/drill/lease.go
@@ -14,13 +14,13 @@
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
-// LeaseOptions are the parameters of the lease drill. Each round is a simulation of its own in virtual time: a few agents,
-// operators whose tools crash and start again, and a network that loses, delays, duplicates and reorders messages.
+// LeaseOptions are the parameters of the lease drill. Each round is a separate simulation in virtual time. It has a few agents,
+// operators whose tools crash and restart, and a network that loses, delays, duplicates and reorders messages.
 type LeaseOptions struct {
-	Operators int // at once
+	Operators int // that work at the same time
 	Rounds    int
 	Seed      uint64
-	Fault     string // a key of LeaseFaults that the checkers must find; empty: none
+	Fault     string // key of LeaseFaults; an injected fault that the checks must detect; empty: none
 }
 
 // Faults of the lease drill.
@@ -30,11 +30,11 @@
 	faultUnkept   = "unkept"
 )
 
-// LeaseFaults are the faults that can be injected into the lease drill, each with what it does.
+// LeaseFaults maps the name of each fault that can be injected into the lease drill to its description.
 var LeaseFaults = map[string]string{
-	faultUnfenced: "agents carry out a step whoever asks for it, under any epoch",
-	faultForget:   "agents that start again have forgotten what they promised",
-	faultUnkept:   "agents say that they keep records, and do not",
+	faultUnfenced: "agents carry out steps for any requester and under any epoch",
+	faultForget:   "agents lose their stored lease when they restart",
+	faultUnkept:   "agents confirm that they stored a record, but do not store it",
 }
 
 // LeaseReport is the result of the lease drill. Its counts are over all rounds.
@@ -43,32 +43,32 @@
 	Operators          int `json:"operators"`
 	Rounds             int `json:"rounds"`
 	LeasesAcquired     int `json:"claims"`
-	Denied             int `json:"denied"` // coordinators that met another holder, or were fenced
-	StepsBegun         int `json:"steps"`  // by agents
-	StepsNotApplied    int `json:"undone"` // of them
+	Denied             int `json:"denied"` // coordinators that found the lease held by another, or were fenced
+	StepsBegun         int `json:"steps"`  // steps that agents began
+	StepsNotApplied    int `json:"undone"` // begun steps that were not applied
 	RolloutsEnded      int `json:"ended"`
 	Crashes            int `json:"deaths"` // of tools and agents
-	StaleSteps         int `json:"late"`   // rejected: under an older epoch or an expired lease
+	StaleSteps         int `json:"late"`   // steps that agents rejected: under an older epoch or an expired lease
 	MessagesLost       int `json:"lost"`
 	MessagesDuplicated int `json:"doubled"`
-	HistoriesUnchecked int `json:"unchecked"` // the checker ran out of time
+	HistoriesUnchecked int `json:"unchecked"` // histories whose check timed out
 }
 
 const (
-	roundSeconds = 90.0 // of virtual time
+	roundSeconds = 90.0 // virtual seconds in a round
 
 	minAgents       = 3
-	agentsSpread    = 3 // agents are minAgents to minAgents+agentsSpread-1
-	agentFaults     = 4 // crashes and clock jumps in a round
+	agentsSpread    = 3 // a round has minAgents to minAgents+agentsSpread-1 agents
+	agentFaults     = 4 // agent crashes and clock jumps scheduled in a round
 	clockRateSpread = 0.2
 	slowestClock    = 0.9
 
-	operatorStartSpread = 0.002 // seconds: operators begin at almost the same time
+	operatorStartSpread = 0.002 // virtual seconds within which all operators begin: almost the same time
 
-	leaseSeconds = 5 // that agents grant
+	leaseSeconds = 5 // term of the lease that agents grant
 )
 
-// RunLease runs the lease drill until its last round, the first violation, or ctx is canceled.
+// RunLease runs the lease drill. It ends after its last round, at the first violation, or when ctx is canceled.
 func RunLease(ctx context.Context, options LeaseOptions) LeaseReport {
 	began := time.Now()
 	report := LeaseReport{
@@ -96,27 +96,27 @@
 	options       LeaseOptions
 	number        int
 	report        *LeaseReport
-	rng           *rand.Rand // the only source of chance: the order of draws decides the round
+	rng           *rand.Rand // the only source of randomness; the order of draws determines the round
 	now           float64    // virtual seconds
 	events        eventQueue
-	sequence      uint64 // of events and of the history: all that happens is in one order
+	sequence      uint64 // last sequence number; events and history share one sequence, so all that happens has one order
 	fleet         *rollout.Fleet
-	instanceNames []string // one instance an agent
+	instanceNames []string // one instance for each agent
 	limits        supervisor.Limits
 	agents        []*simulatedAgent
 	operators     []*simulatedOperator
-	toolsStarted  int           // by all operators
-	newestStored  lease.Version // newest record that a majority confirmed to store
+	toolsStarted  int           // number of tools that all operators have started
+	newestStored  lease.Version // version of the newest record that a majority confirmed that it stored
 	history       []porcupine.Operation
-	stepStored    map[stepKey]int64 // when the record of a step was first sent to be stored
+	stepStoredAt  map[stepKey]int64 // timestamp at which a step's record was first sent to be stored
 }
 
 func newLeaseRound(options LeaseOptions, number int, report *LeaseReport) *leaseRound {
 	r := &leaseRound{
 		options: options, number: number, report: report,
-		rng:        rand.New(rand.NewPCG(options.Seed, uint64(number))),
-		stepStored: map[stepKey]int64{},
-		limits:     supervisor.DefaultLimits(),
+		rng:          rand.New(rand.NewPCG(options.Seed, uint64(number))),
+		stepStoredAt: map[stepKey]int64{},
+		limits:       supervisor.DefaultLimits(),
 		fleet: &rollout.Fleet{
 			ZoneMinAvailable: []int{0}, MinAvailable: 1,
 			Timing: rollout.Timing{SoakSeconds: 0.3, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 6, StepTimeoutSeconds: 20},
@@ -144,13 +144,13 @@
 	return r
 }
 
-// after schedules a call in so many virtual seconds.
+// after schedules a call to run after the given number of virtual seconds.
 func (r *leaseRound) after(seconds float64, call func()) {
 	r.sequence++
 	heap.Push(&r.events, event{at: r.now + seconds, sequence: r.sequence, call: call})
 }
 
-// run carries out events up to the round's end or the first violation.
+// run executes events in order until the round ends or a check fails.
 func (r *leaseRound) run() {
 	for len(r.events) > 0 && r.report.OK {
 		next := heap.Pop(&r.events).(event)
@@ -162,12 +162,12 @@
 	}
 }
 
-// violation records a broken promise with what is needed to see it again.
-func (r *leaseRound) violation(format string, args ...any) {
+// recordViolation records a recordViolation in the report, with the round and seed that reproduce it.
+func (r *leaseRound) recordViolation(format string, args ...any) {
 	r.report.Fail("round %d, seed %d: %s", r.number, r.options.Seed, fmt.Sprintf(format, args...))
 }
 
-// injectAgentFault has an agent crash, or its clock jump.
+// injectAgentFault makes a random agent's clock jump or the agent crash.
 func (r *leaseRound) injectAgentFault() {
 	agent := r.agents[r.rng.IntN(len(r.agents))]
 	if r.rng.IntN(4) == 0 {
--- a/internal/drill/lease_agent.go
+++ b/internal/drill/lease_agent.go
@@ -8,37 +8,38 @@
 	"stoatdale.example/stoatdale/internal/fleet/supervisor"
 )
 
-// Virtual seconds that an agent's actions take.
+// Durations of an agent's actions, in virtual seconds.
 const (
 	findProcessSeconds = 0.01
-	actionSeconds      = 0.02 // preparing, installing, starting, checking
+	actionSeconds      = 0.02 // to prepare or install a revision, start a router or check its health
 	reloadSeconds      = 0.05
-	minExitSeconds     = 0.05 // of a router that was told to end
-	meanExitSeconds    = 0.3  // beyond that
+	minExitSeconds     = 0.05 // least time in which a router that was signaled to end exits
+	meanExitSeconds    = 0.3  // mean of the random time on top of minExitSeconds
 	drainSeconds       = 3
 
 	minTickSeconds = 0.01
 	never          = 1e9 // later than any time of a round
 )
 
-// simulatedAgent is an agent with one router. Its decisions are those of the real agent; its store, processes and clock are
+// simulatedAgent is an agent with one router. It uses the decision code of the real agent; its store, processes and clock are
 // simulated.
 type simulatedAgent struct {
 	round       *leaseRound
 	index       int
 	handler     supervisor.RequestHandler
 	storedLease lease.PersistentState
-	record      supervisor.Record // as it is stored
+	record      supervisor.Record // as last stored
 	alive       bool
-	incarnation int     // events of an earlier one are dropped
-	startedAt   float64 // virtual seconds
-	clockRate   float64 // seconds of its clock a virtual second
-	clockOffset float64 // seconds that its clock has jumped
-	nextTick    float64 // virtual seconds; an earlier scheduled tick is dropped
+	incarnation int     // number of this run of the agent; events of an earlier one are dropped
+	startedAt   float64 // virtual time of the last start, in seconds
+	clockRate   float64 // seconds by which the agent's clock advances in a virtual second
+	clockOffset float64 // seconds by which the agent's clock has jumped since the last start
+	nextTick    float64 // virtual time in seconds; a tick that was scheduled for another time is dropped
 	router      simulatedRouter
-	openStep    string // name of the step that is open; empty: none
+	openStep    string // step that has begun and not ended, as the history names it; empty: none
 }
 
+// simulatedRouter is the router process of a simulated agent.
 type simulatedRouter struct {
 	running     bool
 	incarnation uint64
@@ -53,7 +54,7 @@
 	}
 }
 
-// crash ends the agent and has it start again after so many virtual seconds. Its router goes on.
+// crash stops the agent and schedules its restart after the given number of virtual seconds. Its router keeps running.
 func (a *simulatedAgent) crash(downSeconds float64) {
 	if !a.alive {
 		return
@@ -64,10 +65,10 @@
 	a.round.after(downSeconds, a.start)
 }
 
-// now is the time of the agent's own clock.
+// now returns the time of the agent's own clock in seconds.
 func (a *simulatedAgent) now() float64 { return (a.round.now-a.startedAt)*a.clockRate + a.clockOffset }
 
-// start restores the agent from what it has stored.
+// start starts the agent with its stored lease and record.
 func (a *simulatedAgent) start() {
 	r := a.round
 	a.alive = true
@@ -89,10 +90,11 @@
 
 func (a *simulatedAgent) supervisor() *supervisor.Supervisor { return &a.handler.Supervisors[0] }
 
-// supervisorEvent is a call of the agent's supervisor.
+// supervisorEvent passes an event to the agent's supervisor and returns the transition.
 type supervisorEvent func(s *supervisor.Supervisor) supervisor.Transition
 
-// after schedules an event in so many virtual seconds, unless the agent crashes before.
+// after schedules a supervisor event after the given number of virtual seconds. The event is dropped if the agent crashes
+// before.
 func (a *simulatedAgent) after(seconds float64, e supervisorEvent) {
 	incarnation := a.incarnation
 	a.round.after(seconds, func() {
@@ -102,7 +104,7 @@
 	})
 }
 
-// handle has the supervisor take an event, and does what it asks for: store first, then act.
+// handle passes an event to the supervisor, stores the record if the transition requires it, and then performs the actions.
 func (a *simulatedAgent) handle(e supervisorEvent) {
 	transition := e(a.supervisor())
 	if transition.Store {
@@ -112,7 +114,7 @@
 	a.scheduleTick()
 }
 
-// store makes the record durable; now and then the agent crashes right after it.
+// store makes the record durable. In one of 40 calls the agent crashes right afterwards.
 func (a *simulatedAgent) store() {
 	a.record = a.supervisor().Record
 	a.recordStepChange()
@@ -157,7 +159,7 @@
 
 func (a *simulatedAgent) startRouter(incarnation uint64) {
 	if a.router.running {
-		a.round.violation("a second router was started by agent %d at %.3f", a.index, a.round.now)
+		a.round.recordViolation("agent %d started a second router at %.3f", a.index, a.round.now)
 	}
 	a.router = simulatedRouter{running: true, incarnation: incarnation}
 	a.after(actionSeconds, func(s *supervisor.Supervisor) supervisor.Transition {
@@ -165,7 +167,7 @@
 	})
 }
 
-// endRouter has the router exit after a while, also if the agent crashes meanwhile.
+// endRouter makes the router exit after a random time, even if the agent crashes in the meantime.
 func (a *simulatedAgent) endRouter() {
 	incarnation := a.router.incarnation
 	a.round.after(minExitSeconds+a.round.rng.ExpFloat64()*meanExitSeconds, func() {
@@ -193,7 +195,7 @@
 	})
 }
 
-// answer handles a request. It returns false if the agent is down, or crashes before it replies.
+// answer handles a request and returns the reply. It returns false if the agent is down or crashes before it replies.
 func (a *simulatedAgent) answer(request protocol.Request) (protocol.Reply, bool) {
 	if !a.alive {
 		return protocol.Reply{}, false
@@ -216,7 +218,7 @@
 	}
 	if changes.ChangedInstance >= 0 {
 		a.store()
-		if !a.alive { // it crashed between the store and the reply
+		if !a.alive { // the agent crashed after storing, before replying
 			return protocol.Reply{}, false
 		}
 	}
--- a/internal/drill/lease_history.go
+++ b/internal/drill/lease_history.go
@@ -11,21 +11,21 @@
 
 const historyCheckTimeout = 5 * time.Second
 
-// Client numbers in the history. Operators count from 0; each agent has one number for the ends of its steps, and each
-// beginning of a step one of its own, since it overlaps with others of the same operator.
+// Client numbers in the history. Operators are numbered from 0. Each agent has one number for the ends of its steps. Each begin
+// of a step has its own number, because begins of the same operator may overlap.
 const (
 	firstAgentClient = 100
 	firstBeginClient = 200
 )
 
-// stepKey names a step under the lease that it was decided under.
+// stepKey identifies a step and the epoch of the lease under which it was decided.
 type stepKey struct {
 	epoch     uint64
 	rolloutID string
 	number    uint64
 }
 
-// operationKind is what an operation of the history does.
+// operationKind is the kind of an operation in the history.
 type operationKind int
 
 const (
@@ -34,41 +34,42 @@
 	endStep
 )
 
-// leaseOperation is one operation of the history.
+// leaseOperation is the input of one operation in the history.
 type leaseOperation struct {
 	kind   operationKind
-	epoch  uint64 // not of endStep
-	holder string // not of endStep
-	step   string // not of acquireLease
+	epoch  uint64 // unset for endStep
+	holder string // unset for endStep
+	step   string // unset for acquireLease
 }
 
-// leaseModelState is the state of the sequential model: who holds the lease, and which step is open.
+// leaseModelState is the state of the sequential model: the holder of the lease and the open step.
 type leaseModelState struct {
 	epoch    uint64
 	holder   string
 	openStep string // empty: none
 }
 
-// leaseModel is what a lease promises: the epoch grows, only its holder acts, and no step begins while another is open.
+// leaseModel is the sequential specification of a lease: the epoch grows, only the holder of the epoch begins steps, and no step
+// begins while another is open.
 var leaseModel = porcupine.Model{
 	Init: func() any { return leaseModelState{} },
 	Step: func(state, input, _ any) (bool, any) {
-		s, o := state.(leaseModelState), input.(leaseOperation)
-		switch o.kind {
+		current, operation := state.(leaseModelState), input.(leaseOperation)
+		switch operation.kind {
 		case acquireLease:
-			return o.epoch > s.epoch, leaseModelState{o.epoch, o.holder, s.openStep}
+			return operation.epoch > current.epoch, leaseModelState{operation.epoch, operation.holder, current.openStep}
 		case beginStep:
-			allowed := s.openStep == "" && s.epoch == o.epoch && s.holder == o.holder
-			return allowed, leaseModelState{s.epoch, s.holder, o.step}
+			allowed := current.openStep == "" && current.epoch == operation.epoch && current.holder == operation.holder
+			return allowed, leaseModelState{current.epoch, current.holder, operation.step}
 		case endStep:
-			return s.openStep == o.step, leaseModelState{s.epoch, s.holder, ""}
+			return current.openStep == operation.step, leaseModelState{current.epoch, current.holder, ""}
 		}
-		return false, s
+		return false, current
 	},
 	DescribeOperation: func(input, _ any) string { return fmt.Sprintf("%+v", input) },
 }
 
-// timestamp is a time for the history.
+// timestamp returns the next time for the history. Timestamps are sequence numbers, not virtual seconds.
 func (r *leaseRound) timestamp() int64 {
 	r.sequence++
 	return int64(r.sequence)
@@ -78,7 +79,8 @@
 	r.history = append(r.history, porcupine.Operation{ClientId: client, Input: o, Call: call, Return: returned})
 }
 
-// recordStepChange adds a step that has begun or ended to the history, and checks that no other is open.
+// recordStepChange adds the begin or end of the agent's step to the history. When a step begins, it checks that no other agent
+// has an open step.
 func (a *simulatedAgent) recordStepChange() {
 	step := ""
 	if a.record.Step.Number != 0 && a.record.Result == rollout.StepPending {
@@ -110,35 +112,35 @@
 	r.report.StepsBegun++
 	for _, other := range r.agents {
 		if other != a && other.openStep != "" {
-			r.violation("at %.3f step %s begins while %s is open", r.now, a.openStep, other.openStep)
+			r.recordViolation("at %.3f step %s began while step %s was open", r.now, a.openStep, other.openStep)
 		}
 	}
 	lease := a.handler.Lease
-	call, stored := r.stepStored[stepKey{epoch: lease.Epoch, rolloutID: a.record.Step.RolloutID, number: a.record.Step.Number}]
+	call, stored := r.stepStoredAt[stepKey{epoch: lease.Epoch, rolloutID: a.record.Step.RolloutID, number: a.record.Step.Number}]
 	if !stored {
-		call = r.timestamp() // the check of the history finds a step of which no record was stored
+		call = r.timestamp() // no record of the step was sent to be stored, which the check of the history detects
 	}
 	begin := leaseOperation{kind: beginStep, epoch: lease.Epoch, holder: lease.Holder, step: a.openStep}
 	r.recordOperation(firstBeginClient+len(r.history), begin, call, r.timestamp())
 }
 
-// checkHistory checks that each epoch had one holder, and that some order of the operations follows the model.
+// checkHistory checks that each epoch had only one holder, and that the operations can be ordered as leaseModel requires.
 func (r *leaseRound) checkHistory() {
 	holders := map[uint64]string{}
 	for _, entry := range r.history {
-		o := entry.Input.(leaseOperation)
-		if o.kind == endStep {
+		operation := entry.Input.(leaseOperation)
+		if operation.kind == endStep {
 			continue
 		}
-		if holder, taken := holders[o.epoch]; taken && holder != o.holder {
-			r.violation("epoch %d was %s's and %s's", o.epoch, holder, o.holder)
+		if holder, taken := holders[operation.epoch]; taken && holder != operation.holder {
+			r.recordViolation("epoch %d was held by both %s and %s", operation.epoch, holder, operation.holder)
 		}
-		holders[o.epoch] = o.holder
+		holders[operation.epoch] = operation.holder
 	}
 	switch porcupine.CheckOperationsTimeout(leaseModel, r.history, historyCheckTimeout) {
 	case porcupine.Ok:
 	case porcupine.Illegal:
-		r.violation("the history of claims and steps is in no possible order")
+		r.recordViolation("no order of claims and steps explains the history")
 	case porcupine.Unknown:
 		r.report.HistoriesUnchecked++
 	}
--- a/internal/drill/lease_operator.go
+++ b/internal/drill/lease_operator.go
@@ -11,39 +11,39 @@
 
 // The simulated network.
 const (
-	lossChance      = 0.08 // of a message
-	duplicateChance = 0.08 // of a request
-	slowChance      = 0.06 // of a message
+	lossChance      = 0.08 // probability that a message is lost
+	duplicateChance = 0.08 // probability that a request is sent twice
+	slowChance      = 0.06 // probability that a message is slow
 
 	minDelaySeconds      = 0.001
-	meanDelaySeconds     = 0.01 // beyond the least
-	meanSlowDelaySeconds = 4    // beyond that, of a slow message
+	meanDelaySeconds     = 0.01 // mean of the random delay on top of minDelaySeconds
+	meanSlowDelaySeconds = 4    // mean of the further delay of a slow message
 
 	callTimeoutSeconds = 1
 )
 
-// Virtual seconds of operators' tools.
+// Durations of operators' tools, in virtual seconds.
 const (
 	toolStartSeconds        = 0.001
-	meanToolLifeSeconds     = 8  // of one that crashes
-	meanCrashPauseSeconds   = 10 // before the operator starts the tool again
-	meanOutcomePauseSeconds = 2
+	meanToolLifeSeconds     = 8  // of a tool that crashes
+	meanCrashPauseSeconds   = 10 // after a crash, before the operator restarts the tool
+	meanOutcomePauseSeconds = 2  // after an outcome, before the operator restarts the tool
 )
 
-// simulatedOperator is an operator whose tool drives a rollout with the real coordinator, again and again.
+// simulatedOperator is an operator who starts a tool again and again. Each tool drives a rollout with the real coordinator.
 type simulatedOperator struct {
 	round         *leaseRound
 	index         int
-	coordinator   *coordinator.Coordinator // nil: no tool runs
-	holder        string                   // name of the tool's lease; each tool has its own
-	run           int                      // of the tool; events of an earlier run are dropped
-	startedAt     int64                    // timestamp of the history
-	versionBefore lease.Version            // stored by a majority when the tool started
-	lastRollout   protocol.Rollout         // as the last tool left it
-	nextTick      float64                  // virtual seconds; an earlier scheduled tick is dropped
+	coordinator   *coordinator.Coordinator // nil if no tool runs
+	holder        string                   // name under which the tool holds the lease; each tool has its own
+	run           int                      // number of the tool's run; events of an earlier run are dropped
+	startedAt     int64                    // history timestamp at which the tool started
+	versionBefore lease.Version            // newest version that a majority had stored when the tool started
+	lastRollout   protocol.Rollout         // as the last tool with an outcome left it
+	nextTick      float64                  // virtual time in seconds; a tick that was scheduled for another time is dropped
 }
 
-// start has the operator's tool start: it begins a rollout, or goes on with the one there is.
+// start starts the operator's tool. The tool begins a rollout, or resumes, rolls back or aborts the last one if it is unfinished.
 func (o *simulatedOperator) start() {
 	r := o.round
 	o.run++
@@ -54,7 +54,9 @@
 		Rollout: protocol.Rollout{Rollout: rollout.Rollout{ID: o.holder, Revision: fmt.Sprint("r", r.toolsStarted)}},
 	}
 	if o.lastRollout.ID != "" && !o.lastRollout.State.Terminal() {
-		operations := []coordinator.Operation{coordinator.OperationResume, coordinator.OperationResume, coordinator.OperationRollback, coordinator.OperationAbort}
+		operations := []coordinator.Operation{
+			coordinator.OperationResume, coordinator.OperationResume, coordinator.OperationRollback, coordinator.OperationAbort,
+		}
 		task.Operation = operations[r.rng.IntN(len(operations))]
 	}
 	o.coordinator = coordinator.New(coordinator.Config{
@@ -80,14 +82,14 @@
 	})
 }
 
-// stop ends the tool and has it start again after a pause.
+// stop ends the tool and schedules the start of another one after a pause.
 func (o *simulatedOperator) stop(pauseSeconds float64) {
 	o.coordinator = nil
 	o.run++
 	o.round.after(toolStartSeconds+pauseSeconds, o.start)
 }
 
-// tick lets the coordinator go on, sends its calls and schedules the next tick.
+// tick calls the coordinator's Tick, handles its events, sends its calls and schedules the next tick.
 func (o *simulatedOperator) tick() {
 	r := o.round
 	calls, wake := o.coordinator.Tick(r.now)
@@ -96,7 +98,7 @@
 	}
 	for _, call := range calls {
 		if call.Request.Verb == protocol.StoreRecordVerb {
-			o.noteStoredStep(call.Request)
+			o.recordStoredStep(call.Request)
 		}
 		o.send(call)
 	}
@@ -113,8 +115,8 @@
 	})
 }
 
-// handleEvent follows the versions that a majority stores, and checks that a new holder finds none older than was stored
-// before it asked for the lease.
+// handleEvent tracks the newest version that a majority has stored. It checks that a new holder of the lease does not read a
+// version older than the newest one stored before its tool started.
 func (o *simulatedOperator) handleEvent(e coordinator.Event) {
 	r := o.round
 	if e.AcquiredEpoch == 0 {
@@ -124,7 +126,8 @@
 		return
 	}
 	if e.RecordVersion.Before(o.versionBefore) {
-		r.violation("%s found record %v, but %v had been kept before it bid", o.holder, e.RecordVersion, o.versionBefore)
+		r.recordViolation("%s found record %v, but %v had been stored before it requested the lease",
+			o.holder, e.RecordVersion, o.versionBefore)
 	}
 	r.report.LeasesAcquired++
 	acquire := leaseOperation{kind: acquireLease, epoch: e.AcquiredEpoch, holder: o.holder}
@@ -145,19 +148,19 @@
 	o.stop(r.rng.ExpFloat64() * meanOutcomePauseSeconds)
 }
 
-// noteStoredStep remembers when the record of a step was first sent to be stored: from then on agents may begin it.
-func (o *simulatedOperator) noteStoredStep(request protocol.Request) {
+// recordStoredStep records when the record of a step was first sent to be stored. From then on agents may begin the step.
+func (o *simulatedOperator) recordStoredStep(request protocol.Request) {
 	var rollout protocol.Rollout
 	if protocol.Decode("record", request.Record.Body, &rollout) != nil || rollout.CurrentStep.Number == 0 {
 		return
 	}
 	key := stepKey{epoch: request.Epoch, rolloutID: rollout.ID, number: rollout.CurrentStep.Number}
-	if _, known := o.round.stepStored[key]; !known {
-		o.round.stepStored[key] = o.round.timestamp()
+	if _, known := o.round.stepStoredAt[key]; !known {
+		o.round.stepStoredAt[key] = o.round.timestamp()
 	}
 }
 
-// messageDelay draws how many virtual seconds a message takes, or that it is lost.
+// messageDelay draws the delay of a message in virtual seconds. It returns false if the message is lost.
 func (r *leaseRound) messageDelay() (seconds float64, delivered bool) {
 	if r.rng.Float64() < lossChance {
 		r.report.MessagesLost++
@@ -170,25 +173,27 @@
 	return seconds, true
 }
 
-// pendingCall is a call of a tool that waits for its first reply or its timeout.
+// pendingCall is a tool's call that waits for its first reply or its timeout.
 type pendingCall struct {
 	operator *simulatedOperator
-	run      int
-	id       uint64
-	over     bool
+	run      int    // of the operator's tool that made the call
+	id       uint64 // of the coordinator's call
+	ended    bool   // the coordinator has been given the outcome
 }
 
-// end tells the coordinator how the call ended, unless it was told already or its tool is gone.
-func (c *pendingCall) end(tell func(coordinator *coordinator.Coordinator)) {
-	if c.operator.run != c.run || c.over {
+// end passes the outcome of the call to the coordinator and ticks its tool. It does nothing if the call has already ended or
+// the tool is gone.
+func (c *pendingCall) end(pass func(coordinator *coordinator.Coordinator)) {
+	if c.operator.run != c.run || c.ended {
 		return
 	}
-	c.over = true
-	tell(c.operator.coordinator)
+	c.ended = true
+	pass(c.operator.coordinator)
 	c.operator.tick()
 }
 
-// send sends a call. Its reply counts until the timeout; the request may arrive later than that, and more than once.
+// send sends a call's request over the simulated network. A reply is accepted until the timeout. The request may arrive later
+// than that, and more than once.
 func (o *simulatedOperator) send(call coordinator.OutgoingCall) {
 	r := o.round
 	pending := &pendingCall{operator: o, run: o.run, id: call.ID}
@@ -207,7 +212,7 @@
 	})
 }
 
-// deliver has the agent handle a request, and sends its reply back.
+// deliver passes a request to its agent and sends the agent's reply back over the simulated network.
 func (r *leaseRound) deliver(call coordinator.OutgoingCall, pending *pendingCall) {
 	reply, replied := r.agents[call.Agent].answer(call.Request)
 	seconds, delivered := r.messageDelay()
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -19,19 +19,19 @@
 	"stoatdale.example/stoatdale/internal/lab/testserver"
 )
 
-// RolloutOptions are the parameters of the rollout drill: real routers and agents on loopback, one agent an instance, under
-// a steady load.
+// RolloutOptions are the parameters of the rollout drill. It runs real routers and agents on loopback under a steady load, with
+// one agent for each instance.
 type RolloutOptions struct {
 	Instances      int
-	KillAgent      bool // kill an agent midway, in its step, and start it again
-	AgentStaysGone bool // kill an agent midway, in its step, for good
-	HardRestart    bool // the baseline: kill each router without a drain, and change no revision
+	KillAgent      bool // kill an agent midway, during a step of its instance, and restart it
+	AgentStaysGone bool // kill an agent midway, during a step of its instance, and leave it down
+	HardRestart    bool // run the baseline: kill each router without a drain, and change no revision
 	Seed           uint64
-	Folder         string // for logs, stores and traces; empty: a temporary one, which is removed
+	Folder         string // for logs, stores and traces; empty: a temporary folder, removed at the end
 	RouterProgram  string
-	ToolProgram    string    // stoatctl, which is the agent too
-	Fault          string    // a key of RolloutFaults that the checkers must find; empty: none
-	Progress       io.Writer // lines for people; nil: none
+	ToolProgram    string    // stoatctl, which also runs as the agent
+	Fault          string    // key of RolloutFaults; an injected fault that the checks must detect; empty: none
+	Progress       io.Writer // receives progress lines for people; nil: none
 }
 
 // Faults of the rollout drill.
@@ -41,32 +41,32 @@
 	faultStray      = "stray"
 )
 
-// RolloutFaults are the faults that can be injected into the rollout drill, each with what it does.
+// RolloutFaults maps the name of each fault that can be injected into the rollout drill to its description.
 var RolloutFaults = map[string]string{
-	faultKillRouter: "each router is killed as its step begins, instead of being drained",
-	faultTwoAtOnce:  "while one instance is in its step another router is killed",
-	faultStray:      "one instance is given another revision behind the fleet's back",
+	faultKillRouter: "kills each router without a drain when its step begins",
+	faultTwoAtOnce:  "kills another router during the step of an instance",
+	faultStray:      "replaces the configuration file of one instance with a different one after the rollout",
 }
 
 // RolloutReport is the result of the rollout drill.
 type RolloutReport struct {
 	Report
 	Instances         int     `json:"instances"`
-	Finished          int     `json:"done"` // instances
+	Finished          int     `json:"done"` // instances that the rollout changed
 	State             string  `json:"state"`
 	Reason            string  `json:"why,omitempty"`
-	PausedOn          string  `json:"paused_on,omitempty"` // why the rollout paused before an instance was excluded
+	PausedOn          string  `json:"paused_on,omitempty"` // reason why the rollout paused, before the drill excluded the instance
 	Paused            bool    `json:"paused"`
-	Consistent        bool    `json:"consistent"`    // each finished instance runs the revision in one process
-	MinServing        int     `json:"least_serving"` // routers that served at one moment
+	Consistent        bool    `json:"consistent"`    // each finished instance runs the revision, in one process
+	MinServing        int     `json:"least_serving"` // least number of routers that served at one moment
 	CommandsSent      int     `json:"asked"`
 	Answered          int     `json:"answered"`
 	Rejected          int     `json:"throttled"`
 	Failed            int     `json:"failed"`
 	Lost              int     `json:"lost"`
 	Late              int     `json:"late"`        // answered after the client timeout
-	ConnectionsClosed int     `json:"turned_away"` // before the command was taken; it was sent again
-	RanTwice          int     `json:"doubled"`     // commands that are not idempotent
+	ConnectionsClosed int     `json:"turned_away"` // connections closed before a command was accepted; the command was sent again
+	RanTwice          int     `json:"doubled"`     // commands that are not idempotent and ran more than once
 	MedianMs          float64 `json:"median_ms"`
 	P999Ms            float64 `json:"p999_ms"`
 	StepMedianSeconds float64 `json:"step_median_seconds"`
@@ -82,12 +82,12 @@
 	clientsPerRouter = 2
 	clientThinkTime  = 20 * time.Millisecond
 	writeShare       = 0.2
-	serviceTime      = 12 * time.Millisecond // of a database server
+	serviceTime      = 12 * time.Millisecond // that a simulated database server takes for a command
 
-	baselineTime = 500 * time.Millisecond // of load before the rollout, for the soak to compare with
+	baselineTime = 500 * time.Millisecond // of load before the rollout, with which the soak compares
 
 	operatorName = "drill"
-	baseline     = "baseline" // state of a drill with HardRestart
+	baseline     = "baseline" // state reported with HardRestart
 
 	firstSockets  = 256 // limits.sockets of the first revision
 	secondSockets = 300
@@ -95,32 +95,32 @@
 	noInstance = -1
 )
 
-// rolloutDrill is a rollout drill that is running.
+// rolloutDrill is a running rollout drill.
 type rolloutDrill struct {
-	options        RolloutOptions
-	report         *RolloutReport
-	rng            *rand.Rand
-	folder         string // absolute
-	fleet          *inventory.Fleet
-	client         *control.Client
-	members        [3]*testserver.Member // the primary and two replicas
-	discovery      *testserver.Discovery
-	load           *testserver.Load
-	firstRevision  string // digest
-	secondRevision string // digest
-	minServing     atomic.Int64
-	stepSeconds    []float64
-	stepBegan      map[uint64]time.Time // by the step's number
-	killAfter      int                  // finished instances after which an agent is killed
-	killedInstance int                  // whose agent was killed, or noInstance
+	options           RolloutOptions
+	report            *RolloutReport
+	rng               *rand.Rand
+	folder            string // absolute
+	fleet             *inventory.Fleet
+	client            *control.Client
+	backends          [3]*testserver.Member // the primary and two replicas
+	discovery         *testserver.Discovery
+	load              *testserver.Load
+	firstRevision     string // digest of the revision before the drilled rollout
+	secondRevision    string // digest of the revision that the drilled rollout brings
+	minServing        atomic.Int64
+	stepSeconds       []float64
+	stepBegan         map[uint64]time.Time // when each unfinished step began, by its number
+	killAfterFinished int                  // number of finished instances from which an agent is killed
+	killedInstance    int                  // index of the instance whose agent was killed, or noInstance
 
 	mu      sync.Mutex // guards agents and orphans
 	agents  []*exec.Cmd
-	orphans []int // processes of routers whose agent may be gone
+	orphans []int // process IDs of routers whose agent may be gone
 }
 
-// RunRollout runs the rollout drill. It returns an error if the drill could not be run to its end, as when ctx is canceled;
-// what the drill is for is in the report.
+// RunRollout runs the rollout drill. It returns an error if the drill could not run to its end, for example because ctx was
+// canceled. Failed checks are in the report.
 func RunRollout(ctx context.Context, options RolloutOptions) (RolloutReport, error) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, drillTimeout)
@@ -132,7 +132,7 @@
 		stepBegan:      map[uint64]time.Time{},
 		killedInstance: noInstance,
 	}
-	d.killAfter = options.Instances/2 + d.rng.IntN(max(1, options.Instances/4))
+	d.killAfterFinished = options.Instances/2 + d.rng.IntN(max(1, options.Instances/4))
 	err := d.setUp(ctx)
 	if err == nil {
 		err = d.run(ctx)
@@ -145,19 +145,20 @@
 	return report, ctx.Err()
 }
 
-// logf writes a line for people.
+// logf writes a progress line for people.
 func (d *rolloutDrill) logf(format string, args ...any) {
 	if d.options.Progress != nil {
 		_, _ = fmt.Fprintf(d.options.Progress, format+"\n", args...)
 	}
 }
 
-// run rolls the first revision out, and then the second one under load.
+// run rolls out the first revision and then, under load, the second one. With HardRestart it runs the baseline instead of the
+// second rollout.
 func (d *rolloutDrill) run(ctx context.Context) error {
 	if err := d.rollOutFirst(ctx); err != nil {
 		return err
 	}
-	d.logf("routers serve; the load begins")
+	d.logf("the routers serve; starting the load")
 	d.load.Start(d.options.Seed)
 	d.minServing.Store(int64(d.options.Instances))
 	watchContext, stopWatching := context.WithCancel(ctx)
@@ -182,7 +183,7 @@
 	return d.check(ctx)
 }
 
-// rollOutFirst pushes both revisions and brings the first one to all instances.
+// rollOutFirst pushes both revisions and rolls out the first one to all instances.
 func (d *rolloutDrill) rollOutFirst(ctx context.Context) error {
 	var err error
 	if d.firstRevision, err = d.pushRevision(ctx, "first", firstSockets); err != nil {
@@ -191,17 +192,18 @@
 	if d.secondRevision, err = d.pushRevision(ctx, "second", secondSockets); err != nil {
 		return err
 	}
-	d.logf("agents are up; the first revision goes out")
-	o := d.client.Drive(ctx, d.client.NewRollout(protocol.Revision{Digest: d.firstRevision, Name: "first"}, false), nil)
-	if o.Kind != coordinator.OutcomeEnded || o.Rollout.State != rollout.Complete {
-		return fmt.Errorf("the first rollout: %d %s %s %v", o.Kind, o.Rollout.State, d.client.Explain(o.Reason), o.Faults)
+	d.logf("the agents are up; rolling out the first revision")
+	outcome := d.client.Drive(ctx, d.client.NewRollout(protocol.Revision{Digest: d.firstRevision, Name: "first"}, false), nil)
+	if outcome.Kind != coordinator.OutcomeEnded || outcome.Rollout.State != rollout.Complete {
+		return fmt.Errorf("the first rollout did not complete: outcome %d, state %s, reason %s, faults %v",
+			outcome.Kind, outcome.Rollout.State, d.client.Explain(outcome.Reason), outcome.Faults)
 	}
 	return nil
 }
 
-// rollOutSecond drives the rollout that the drill is about.
+// rollOutSecond drives the drilled rollout, that of the second revision, and checks its outcome.
 func (d *rolloutDrill) rollOutSecond(ctx context.Context) error {
-	d.logf("the second revision goes out")
+	d.logf("rolling out the second revision")
 	var trace *control.Trace
 	if d.options.Folder != "" {
 		var err error
@@ -230,8 +232,8 @@
 	return nil
 }
 
-// driveSecond drives the second revision's rollout. If it pauses since an agent stays gone, the drill resumes it without
-// that instance, as an operator would.
+// driveSecond drives the rollout of the second revision. If the rollout pauses because an agent stays gone, the drill resumes it
+// without that agent's instance, as an operator would.
 func (d *rolloutDrill) driveSecond(ctx context.Context, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
 	outcome := d.client.Drive(ctx, d.client.NewRollout(protocol.Revision{Digest: d.secondRevision, Name: "second"}, false), watch)
 	paused := outcome.Kind == coordinator.OutcomeEnded && outcome.Rollout.State == rollout.Paused
@@ -240,12 +242,12 @@
 		return outcome
 	}
 	d.report.PausedOn = d.client.Explain(outcome.Reason)
-	d.logf("paused: %s; it is left out by word", d.report.PausedOn)
+	d.logf("paused: %s; resuming without that instance", d.report.PausedOn)
 	task := coordinator.Task{Operation: coordinator.OperationResume, Operator: operatorName, ExcludedInstances: []int{d.killedInstance}}
 	return d.client.Drive(ctx, task, watch)
 }
 
-// recordOutcome checks that the rollout ended as it must.
+// recordOutcome adds the rollout's outcome to the report and checks that the rollout ended as the options require.
 func (d *rolloutDrill) recordOutcome(outcome coordinator.Outcome) {
 	r := d.report
 	state := outcome.Rollout.State
@@ -254,15 +256,16 @@
 	r.Paused = state == rollout.Paused
 	switch {
 	case outcome.Kind != coordinator.OutcomeEnded:
-		r.Fail("the rollout ended as no rollout ends: %d, held by %s, %v", outcome.Kind, outcome.Holder.Holder, outcome.Faults)
+		r.Fail("the rollout did not end: outcome %d, claim held by %q, faults %v", outcome.Kind, outcome.Holder.Holder, outcome.Faults)
 	case d.options.AgentStaysGone && (!r.Paused || outcome.Reason.Kind != rollout.ReasonInstancesExcluded):
-		r.Fail("with an agent gone the rollout ended %s: %s", r.State, r.Reason)
+		r.Fail("with an agent gone the rollout ended as %s: %s", r.State, r.Reason)
 	case !d.options.AgentStaysGone && state != rollout.Complete:
-		r.Fail("the rollout ended %s: %s", r.State, r.Reason)
+		r.Fail("the rollout ended as %s: %s", r.State, r.Reason)
 	}
 }
 
-// handleEvent measures steps and injects faults as they begin. Faults that take a while run in the group.
+// handleEvent measures the duration of steps, and injects faults when a step begins. Faults that take a while run in the wait
+// group faults.
 func (d *rolloutDrill) handleEvent(ctx context.Context, view coordinator.View, e coordinator.Event, faults *sync.WaitGroup) {
 	switch e.Action {
 	case rollout.ActionBeginStep:
--- a/internal/drill/rollout_check.go
+++ b/internal/drill/rollout_check.go
@@ -21,11 +21,11 @@
 	queryTimeout        = time.Second
 	configFile          = "config.json"
 
-	minCommandsPerRouter = 10 // fewer are no load to judge by
+	minCommandsPerRouter = 10 // with fewer commands the load is too small to judge by
 )
 
-// watchServing follows which routers serve, and the least number of them at one moment, until ctx is canceled. Its
-// goroutines run in the group.
+// watchServing polls which routers serve, and stores the least number that served at one moment, until ctx is canceled. Its
+// goroutines run in the wait group watchers.
 func (d *rolloutDrill) watchServing(ctx context.Context, watchers *sync.WaitGroup) {
 	serving := make([]atomic.Bool, d.options.Instances)
 	for i := range serving {
@@ -46,7 +46,7 @@
 	})
 }
 
-// watchRouter stores, again and again, whether a router answers an empty query on a connection of the watcher's own.
+// watchRouter polls a router with an empty query on its own connection, and stores whether the router answers.
 func watchRouter(ctx context.Context, address string, serving *atomic.Bool) {
 	var c *testserver.Client
 	defer func() {
@@ -57,7 +57,7 @@
 	for ctx.Err() == nil {
 		var err error
 		if c != nil {
-			if _, _, err = c.Ask("", queryTimeout); err != nil { // a router closes connections that are idle for long
+			if _, _, err = c.Ask("", queryTimeout); err != nil { // the router may have closed the idle connection, so dial again
 				_ = c.Close()
 				c = nil
 			}
@@ -72,7 +72,7 @@
 	}
 }
 
-// recordCounts takes what the load has counted, with the response times of answered commands, into the report.
+// recordCounts adds the load's counts, the response times of answered commands and the step durations to the report.
 func (d *rolloutDrill) recordCounts(counts testserver.Counts, responseTimes []time.Duration) {
 	r := d.report
 	r.CommandsSent = counts.Asked
@@ -96,7 +96,8 @@
 	}
 }
 
-// check looks at the processes, files and answers that are there at the end, and at what the load counted.
+// check checks the final processes, configuration files and answers of all instances, and the counts of the load. The baseline
+// is not checked.
 func (d *rolloutDrill) check(ctx context.Context) error {
 	if d.options.Fault == faultStray {
 		if err := os.WriteFile(filepath.Join(d.instanceFolder(0), configFile), []byte("{}"), 0o600); err != nil {
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// checkInstances checks that each instance runs the second revision in one process, but for one whose agent stays gone:
-// that agent may have told it to end.
+// checkInstances checks that each instance runs the second revision in one process. An instance whose agent stays gone may have
+// no process, since the agent may have told it to end.
 func (d *rolloutDrill) checkInstances(ctx context.Context) error {
 	running, err := agent.RunningRouters(d.folder)
 	if err != nil {
@@ -130,7 +131,7 @@
 		agentIsGone := d.options.AgentStaysGone && i == d.killedInstance
 		if processes > 1 || processes == 0 && !agentIsGone {
 			d.report.Consistent = false
-			d.report.Fail("instance %s has %d processes", instance.Name, processes)
+			d.report.Fail("instance %s has %d processes, not one", instance.Name, processes)
 		}
 		if agentIsGone {
 			continue
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// checkInstance checks that an instance's configuration is the revision's but for the seed, which each start draws, and
-// that its router answers.
+// checkInstance checks that an instance's configuration file matches the revision, except for the seed, which is drawn at each
+// start, and that its router answers.
 func (d *rolloutDrill) checkInstance(i int, content []byte) error {
 	have, err := os.ReadFile(filepath.Join(d.instanceFolder(i), configFile))
 	if err != nil {
@@ -160,13 +161,13 @@
 	}
 	for _, change := range changes {
 		if change.Key != "seed" {
-			return fmt.Errorf("its file differs from the revision at %s", change.Key)
+			return fmt.Errorf("its configuration file differs from the revision at %s", change.Key)
 		}
 	}
 	return checkAnswers(d.load.Routers[i])
 }
 
-// checkAnswers checks that a router answers an empty query as one.
+// checkAnswers checks that a router answers an empty query with an empty result.
 func checkAnswers(address string) error {
 	c, err := testserver.Dial(address, dialTimeout)
 	if err != nil {
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// checkCounts checks what clients and database servers have seen.
+// checkCounts checks the number of finished instances and what the clients, the backends and watchServing counted.
 func (d *rolloutDrill) checkCounts() {
 	r := d.report
 	wanted := d.options.Instances
@@ -193,7 +194,7 @@
 	minAvailable := d.options.Instances - d.allowedUnavailable()
 	switch {
 	case r.Finished != wanted:
-		r.Fail("%d instances are done, and should be %d", r.Finished, wanted)
+		r.Fail("%d instances are done instead of %d", r.Finished, wanted)
 	case r.Lost > 0:
 		r.Fail("%d commands were lost", r.Lost)
 	case r.Late > 0:
@@ -201,8 +202,8 @@
 	case r.RanTwice > 0:
 		r.Fail("%d mutating commands ran more than once", r.RanTwice)
 	case r.MinServing < minAvailable:
-		r.Fail("only %d routers served at one moment, and the floor is %d", r.MinServing, minAvailable)
+		r.Fail("only %d routers served at one moment, below the floor of %d", r.MinServing, minAvailable)
 	case r.CommandsSent < minCommandsPerRouter*d.options.Instances:
-		r.Fail("the load was no load: %d commands", r.CommandsSent)
+		r.Fail("the load was too small to judge by: %d commands", r.CommandsSent)
 	}
 }
--- a/internal/drill/rollout_faults.go
+++ b/internal/drill/rollout_faults.go
@@ -14,20 +14,20 @@
 
 const (
 	agentDowntime       = 2 * time.Second
-	maxKillDelayMs      = 900                    // of an agent: the seed decides whether before, while or after it acts
-	secondRouterDelay   = 600 * time.Millisecond // as the step's own router has ended
-	secondRouterStep    = 2                      // number of the step in which a second router is killed
+	maxKillDelayMs      = 900                    // into a step; the seed decides whether the agent dies before, while or after it acts
+	secondRouterDelay   = 600 * time.Millisecond // by then the step's own router has ended
+	secondRouterStep    = 2                      // number of the step during which a second router is killed
 	restartDetectTime   = 100 * time.Millisecond
 	restartPollInterval = 10 * time.Millisecond
 	restartPause        = 300 * time.Millisecond
 	dialTimeout         = time.Second
 )
 
-// injectFaults does what the drill is for as a step begins.
+// injectFaults kills agents and routers as the options require when a step begins.
 func (d *rolloutDrill) injectFaults(ctx context.Context, view coordinator.View, step rollout.Step, faults *sync.WaitGroup) {
 	instance := step.Instance
 	killsAgent := d.options.KillAgent || d.options.AgentStaysGone
-	if killsAgent && d.killedInstance == noInstance && view.Finished >= d.killAfter {
+	if killsAgent && d.killedInstance == noInstance && view.Finished >= d.killAfterFinished {
 		d.killedInstance = instance
 		d.report.KilledAgent = d.fleet.Agents[instance].Name
 		delay := time.Duration(d.rng.IntN(maxKillDelayMs)) * time.Millisecond
@@ -44,15 +44,15 @@
 	}
 }
 
-// killAgent kills an agent after a delay, and starts it again unless it is to stay gone.
+// killAgent kills an agent after a delay, and restarts it unless AgentStaysGone is set.
 func (d *rolloutDrill) killAgent(ctx context.Context, i int, delay time.Duration) {
 	time.Sleep(delay)
 	d.mu.Lock()
 	cmd := d.agents[i]
 	d.mu.Unlock()
 	name := d.fleet.Agents[i].Name
-	d.logf("agent %s is killed %d ms into the step of %s", name, delay.Milliseconds(), d.fleet.Instances[i].Name)
-	d.noteRouters()
+	d.logf("killing agent %s, %d ms into the step of %s", name, delay.Milliseconds(), d.fleet.Instances[i].Name)
+	d.recordRunningRouters()
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
 	if d.options.AgentStaysGone {
@@ -63,14 +63,14 @@
 	case <-ctx.Done():
 		return
 	}
-	d.logf("agent %s comes back", name)
+	d.logf("restarting agent %s", name)
 	if err := d.startAgent(i); err != nil {
 		d.logf("%v", err)
 	}
 }
 
-// noteRouters remembers the routers that run: tearDown waits for those whose agent was killed.
-func (d *rolloutDrill) noteRouters() {
+// recordRunningRouters adds the running routers to orphans, because tearDown must wait for those whose agent was killed.
+func (d *rolloutDrill) recordRunningRouters() {
 	running, err := agent.RunningRouters(d.folder)
 	if err != nil {
 		return
@@ -82,7 +82,7 @@
 	}
 }
 
-// instanceFolder is the folder of an instance's files, below its agent's.
+// instanceFolder returns the folder of an instance's files, which is inside its agent's folder.
 func (d *rolloutDrill) instanceFolder(i int) string {
 	return filepath.Join(d.fleet.Agents[i].Folder, d.fleet.Instances[i].Name)
 }
@@ -93,8 +93,8 @@
 	}
 }
 
-// restartHard is the baseline, as a loop in a shell would do it: kill each router, and wait until its agent has started it
-// again. It changes no revision; what counts is what it costs clients.
+// restartHard runs the baseline, which does what a shell loop would do: it kills each router and waits until its agent has
+// restarted it. It changes no revision; it measures what such restarts cost the clients.
 func (d *rolloutDrill) restartHard(ctx context.Context) error {
 	for i := range d.fleet.Instances {
 		began := time.Now()
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// awaitRouter waits until a router accepts a client.
+// awaitRouter waits until a router accepts a client connection, or ctx is canceled.
 func awaitRouter(ctx context.Context, address string) error {
 	for {
 		if c, err := testserver.Dial(address, dialTimeout); err == nil {
--- a/internal/drill/rollout_setup.go
+++ b/internal/drill/rollout_setup.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	authorityLasts   = 24 * time.Hour
-	certificateLasts = time.Hour
+	authorityLifetime   = 24 * time.Hour
+	certificateLifetime = time.Hour
 
 	agentPort  = ":7400"
 	routerPort = ":5432"
@@ -34,16 +34,16 @@
 	killInterval       = 20 * time.Millisecond
 )
 
-// setUp makes the folder, keys and fleet file, and starts database servers, discovery and agents.
+// setUp creates the folder, keys and fleet file, and starts the backends, discovery and the agents.
 func (d *rolloutDrill) setUp(ctx context.Context) error {
-	// Routers whose agent is killed become children of this process, which waits for them in tearDown.
+	// Makes routers whose agent is killed children of this process, so that tearDown can wait for them.
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("subreaper: %w", err)
 	}
 	if err := d.makeFolder(); err != nil {
 		return err
 	}
-	if err := d.startMembers(); err != nil {
+	if err := d.startBackends(); err != nil {
 		return err
 	}
 	if err := d.writeFleet(); err != nil {
@@ -83,17 +83,18 @@
 	return os.MkdirAll(d.folder, 0o700)
 }
 
-// startMembers starts the database servers and their discovery, and makes the load that counts what they are sent.
-func (d *rolloutDrill) startMembers() error {
+// startBackends starts the backends (simulated database servers) and discovery, and creates the load, which counts the
+// statements that backends receive.
+func (d *rolloutDrill) startBackends() error {
 	d.load = &testserver.Load{
 		Clients: clientsPerRouter * d.options.Instances, Think: clientThinkTime, Timeout: clientTimeout, Writes: writeShare,
 	}
-	for i := range d.members {
+	for i := range d.backends {
 		readOnly := "on"
 		if i == 0 {
 			readOnly = "off"
 		}
-		member, err := testserver.NewMember(func(statement string) []byte {
+		backend, err := testserver.NewMember(func(statement string) []byte {
 			d.load.Seen(statement)
 			time.Sleep(serviceTime)
 			return testserver.Row("v", readOnly)
@@ -101,10 +102,10 @@
 		if err != nil {
 			return err
 		}
-		d.members[i] = member
+		d.backends[i] = backend
 	}
-	discovery, err := testserver.NewDiscovery(d.members[0].Entry("a", "ready", "off"), d.members[1].Entry("b", "ready", "on"),
-		d.members[2].Entry("c", "ready", "on"))
+	discovery, err := testserver.NewDiscovery(d.backends[0].Entry("a", "ready", "off"), d.backends[1].Entry("b", "ready", "on"),
+		d.backends[2].Entry("c", "ready", "on"))
 	if err != nil {
 		return err
 	}
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// allowedUnavailable is how many instances the fleet's minimums allow not to serve: one in its step and, since what is not
-// known counts as not serving, one whose agent is gone.
+// allowedUnavailable returns how many instances the floors of the fleet file allow not to serve: the instance in its step and,
+// if AgentStaysGone is set, the instance whose agent is gone. Its state is unknown, which counts as not serving.
 func (d *rolloutDrill) allowedUnavailable() int {
 	if d.options.AgentStaysGone {
 		return 2
@@ -121,7 +122,7 @@
 	return 1
 }
 
-// writeFleet writes and loads the fleet file: up to three zones, one agent an instance.
+// writeFleet writes and loads the fleet file, with up to three zones and one agent for each instance.
 func (d *rolloutDrill) writeFleet() error {
 	instances, unavailable := d.options.Instances, d.allowedUnavailable()
 	fleet := inventory.Fleet{
@@ -163,17 +164,17 @@
 
 func zoneName(zone int) string { return fmt.Sprint("hall", zone+1) }
 
-// issueKeys makes an authority, and certificates of the operator and all agents.
+// issueKeys creates an authority and issues certificates to the operator and all agents.
 func issueKeys(folder pki.Folder, fleet *inventory.Fleet) error {
 	now := time.Now()
-	if err := folder.CreateAuthority("drill", authorityLasts, now); err != nil {
+	if err := folder.CreateAuthority("drill", authorityLifetime, now); err != nil {
 		return err
 	}
-	if err := folder.Issue(pki.Operator, operatorName, certificateLasts, now); err != nil {
+	if err := folder.Issue(pki.Operator, operatorName, certificateLifetime, now); err != nil {
 		return err
 	}
 	for _, a := range fleet.Agents {
-		if err := folder.Issue(pki.Agent, a.Name, certificateLasts, now); err != nil {
+		if err := folder.Issue(pki.Agent, a.Name, certificateLifetime, now); err != nil {
 			return err
 		}
 	}
@@ -190,7 +191,7 @@
 	cmd := exec.Command(d.options.ToolProgram, "agent", "--fleet", d.fleetFile(), "--name", name,
 		"--keys", filepath.Join(d.folder, "keys"))
 	cmd.Stderr = log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt from the terminal reaches the drill alone
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt from the terminal reaches only the drill, not its agents
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("agent %s: %w", name, err)
 	}
@@ -200,7 +201,7 @@
 	return nil
 }
 
-// awaitAgents waits until all agents reply and know their routers.
+// awaitAgents waits until all agents reply and know the state of their routers.
 func (d *rolloutDrill) awaitAgents(ctx context.Context) error {
 	for {
 		status := d.client.Status(ctx)
@@ -209,7 +210,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("agents do not come up: %+v", status.Agents)
+			return fmt.Errorf("not all agents came up: %+v", status.Agents)
 		case <-time.After(agentsPollInterval):
 		}
 	}
@@ -229,7 +230,7 @@
 	return true
 }
 
-// pushRevision has all agents store a revision, and returns its digest. Revisions differ in the limit of sockets.
+// pushRevision stores a revision at all agents and returns its digest. The drill's revisions differ in limits.sockets.
 func (d *rolloutDrill) pushRevision(ctx context.Context, name string, sockets int) (digest string, err error) {
 	settings := testserver.Deployment(d.discovery.At, clientTimeout.Seconds(), map[string]any{
 		"limits": map[string]any{"memory_mb": 48, "sockets": sockets},
@@ -244,12 +245,12 @@
 	return revision.Digest(content), nil
 }
 
-// tearDown ends all processes and servers, also after a setUp that failed, and removes a temporary folder.
+// tearDown ends all processes and servers, even after a failed setUp, and removes the folder if it is temporary.
 func (d *rolloutDrill) tearDown() {
 	if d.client != nil {
 		d.client.Close()
 	}
-	d.noteRouters()
+	d.recordRunningRouters()
 	d.killAgents()
 	for range killAttempts {
 		if killed, err := agent.KillRouters(d.folder); err != nil || killed == 0 {
@@ -263,9 +264,9 @@
 	if d.discovery != nil {
 		d.discovery.Close()
 	}
-	for _, member := range d.members {
-		if member != nil {
-			member.Close()
+	for _, backend := range d.backends {
+		if backend != nil {
+			backend.Close()
 		}
 	}
 	if d.options.Folder == "" && d.folder != "" {
