--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,4 +1,4 @@
-// Package docs checks that the pages name what exists.
+// Package docs checks that the files, packages, symbols, tests, counters and log messages that the pages name exist.
 package docs
 
 import (
@@ -22,27 +22,28 @@
 const (
 	root            = ".."
 	modulePath      = "stoatdale.example/stoatdale"
-	seedOfTests     = "internal/lab/fixed" // imported by tests alone
-	labelWidth      = 14                   // of the diagram's first column, which names the layer
-	mostGlossary    = 40
-	fewestNamesRead = 100 // fewer would mean that the page is not read as it is written
+	testSeedFolder  = "internal/lab/fixed" // imported only by tests
+	labelWidth      = 14                   // width of a diagram's first column, which holds the label of the layer
+	maxGlossaryRows = 40
+	minNamesRead    = 100 // with fewer names the test probably misreads the page
 )
 
 var (
 	quotedName  = regexp.MustCompile("`([^`\n]+)`")
 	symbolName  = regexp.MustCompile(`^[a-z][a-z0-9]*(\.\w+){0,2}$`)
 	diagramName = regexp.MustCompile(`\b[a-z][a-z0-9]*\b`)
-	fence       = regexp.MustCompile("(?s)```.*?```")
+	codeBlock   = regexp.MustCompile("(?s)```.*?```")
 )
 
-// source is what the module declares. Folders are relative to the root.
+// source holds what the module's source declares, imports and logs. Folders are relative to the root.
 type source struct {
-	packages map[string]string          // name of a package, or of a program's folder, to its folder
-	symbols  map[string]map[string]bool // folder to "New", "Core" and "Core.Settle"
-	imports  map[string]map[string]bool // folder to folders of this module
-	messages map[string]bool            // of log lines, where the source has them as a literal
+	packages map[string]string          // folder by the name of the package or, for a program, of its folder
+	symbols  map[string]map[string]bool // declared names by folder, in the form "New", "Core" and "Core.Settle"
+	imports  map[string]map[string]bool // imported folders of this module by importing folder
+	messages map[string]bool            // log messages that the source passes to Msg as a literal
 }
 
+// readSource parses all Go files of the module but the tests.
 func readSource(t *testing.T) source {
 	t.Helper()
 	s := source{packages: map[string]string{}, symbols: map[string]map[string]bool{}, imports: map[string]map[string]bool{}, messages: map[string]bool{}}
@@ -83,7 +84,8 @@
 	return nil
 }
 
-// addPackage notes a package's name. A program goes by its folder's name, unless a package has it.
+// addPackage records the folder of a package under its name. A program is recorded under its folder's name, unless a package
+// has that name. Two packages with one name are an error.
 func (s *source) addPackage(name, folder string) error {
 	if s.symbols[folder] != nil {
 		return nil
@@ -103,7 +105,7 @@
 	return nil
 }
 
-// addMessages notes the messages that a file logs: the literals that zerolog's Msg is called with.
+// addMessages records the messages that a file logs: the literals that are passed to zerolog's Msg.
 func (s *source) addMessages(file *ast.File) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		call, isCall := n.(*ast.CallExpr)
@@ -126,7 +128,7 @@
 			symbols[d.Name.Name] = true
 			return
 		}
-		symbols[receiver(d.Recv.List[0].Type)+"."+d.Name.Name] = true
+		symbols[receiverType(d.Recv.List[0].Type)+"."+d.Name.Name] = true
 	case *ast.GenDecl:
 		for _, spec := range d.Specs {
 			switch x := spec.(type) {
@@ -159,13 +161,13 @@
 	}
 }
 
-// receiver is the name of a method's type.
-func receiver(expr ast.Expr) string {
+// receiverType returns the name of the type of a method's receiver.
+func receiverType(expr ast.Expr) string {
 	switch x := expr.(type) {
 	case *ast.StarExpr:
-		return receiver(x.X)
+		return receiverType(x.X)
 	case *ast.IndexExpr:
-		return receiver(x.X)
+		return receiverType(x.X)
 	case *ast.Ident:
 		return x.Name
 	default:
@@ -173,7 +175,7 @@
 	}
 }
 
-// check returns an error if a name of a page is neither a file or folder, nor a package, nor a symbol of one.
+// check returns an error if a name is not that of an existing file, folder, package or symbol of a package.
 func (s *source) check(name string) error {
 	if strings.Contains(name, "/") {
 		if _, err := os.Stat(filepath.Join(root, name)); err != nil {
@@ -182,7 +184,7 @@
 		return nil
 	}
 	if !symbolName.MatchString(name) {
-		return fmt.Errorf("%s is not written as a package, or as a symbol with its package", name)
+		return fmt.Errorf("%s is not written as a package or as package.Symbol", name)
 	}
 	pkg, symbol, hasSymbol := strings.Cut(name, ".")
 	folder, found := s.packages[pkg]
@@ -195,11 +197,11 @@
 	return nil
 }
 
-// diagramRows returns the names in each row of a page's diagrams, from the top down. A line without a label goes on with
-// the row above it.
+// diagramRows returns the names in each row of a page's diagrams, from the top down. A line without a label continues the row
+// above it.
 func diagramRows(page string) [][]string {
 	var rows [][]string
-	for _, diagram := range fence.FindAllString(page, -1) {
+	for _, diagram := range codeBlock.FindAllString(page, -1) {
 		for _, line := range strings.Split(diagram, "\n") {
 			if len(line) < labelWidth {
 				continue
@@ -215,38 +217,38 @@
 	return rows
 }
 
-// checkLayers returns an error for each package that a page's diagrams do not show, or that imports one which they show
-// above it. A name that is shown twice, as that of a program and of a package, counts where it is shown last.
+// checkLayers returns an error for each package that a page's diagrams do not show, and for each import of a package that they
+// show above the importing package. A name shown twice, for a program and for a package, has the layer of its last row.
 func (s *source) checkLayers(page string) (errs []error) {
-	layers := map[string]int{} // of a package's folder, from the top down
+	layers := map[string]int{} // layer by the package's folder; 0 is the top
 	for layer, row := range diagramRows(page) {
 		for _, name := range row {
 			layers[s.packages[name]] = layer
 		}
 	}
 	for name, folder := range s.packages {
-		if folder == seedOfTests {
+		if folder == testSeedFolder {
 			continue
 		}
 		layer, shown := layers[folder]
 		if !shown {
-			errs = append(errs, fmt.Errorf("%s is not in the drawing of layers", name))
+			errs = append(errs, fmt.Errorf("%s is not in the layer diagram", name))
 		}
 		for imported := range s.imports[folder] {
 			if layers[imported] < layer {
-				errs = append(errs, fmt.Errorf("%s imports %s, which stands above it", folder, imported))
+				errs = append(errs, fmt.Errorf("%s imports %s, which is in a layer above it", folder, imported))
 			}
 		}
 	}
 	return errs
 }
 
-// checkPage returns the names that a page has in its text and its diagrams, and an error for each that does not exist.
+// checkPage returns the names in a page's text and diagrams, and an error for each name that does not exist.
 func (s *source) checkPage(page string) (names []string, errs []error) {
 	for _, row := range diagramRows(page) {
 		names = append(names, row...)
 	}
-	for _, quoted := range quotedName.FindAllStringSubmatch(fence.ReplaceAllString(page, ""), -1) {
+	for _, quoted := range quotedName.FindAllStringSubmatch(codeBlock.ReplaceAllString(page, ""), -1) {
 		names = append(names, quoted[1])
 	}
 	for _, name := range names {
@@ -263,14 +265,14 @@
 	s := readSource(t)
 	names, errs := s.checkPage(string(page))
 	assert.Empty(t, errs)
-	assert.GreaterOrEqual(t, len(names), fewestNamesRead)
+	assert.GreaterOrEqual(t, len(names), minNamesRead)
 }
 
 func TestEveryPackageIsOnTheArchitecturePage(t *testing.T) {
 	page, err := os.ReadFile("architecture.md")
 	require.NoError(t, err)
 	for _, folder := range readSource(t).packages {
-		if folder != seedOfTests {
+		if folder != testSeedFolder {
 			assert.Contains(t, string(page), "`"+folder+"`")
 		}
 	}
@@ -282,13 +284,13 @@
 	s := readSource(t)
 	assert.Empty(t, s.checkLayers(string(page)))
 
-	upsideDown := strings.Replace(string(page), " containers   buffer", " containers   stand", 1)
-	upsideDown = strings.Replace(upsideDown, "api  store                     stand", "api  store                     buffer", 1)
-	errs := s.checkLayers(upsideDown)
-	require.NotEmpty(t, errs, "a drawing that is wrong is told")
-	require.ErrorContains(t, errors.Join(errs...), "internal/pg imports internal/buffer, which stands above it")
-	missing := strings.Replace(string(page), "buffer  idtable", "idtable", 1)
-	require.ErrorContains(t, errors.Join(s.checkLayers(missing)...), "buffer is not in the drawing of layers")
+	wrongDiagram := strings.Replace(string(page), " containers   buffer", " containers   stand", 1)
+	wrongDiagram = strings.Replace(wrongDiagram, "api  store                     stand", "api  store                     buffer", 1)
+	errs := s.checkLayers(wrongDiagram)
+	require.NotEmpty(t, errs, "a wrong diagram is an error")
+	require.ErrorContains(t, errors.Join(errs...), "internal/pg imports internal/buffer, which is in a layer above it")
+	withoutBuffer := strings.Replace(string(page), "buffer  idtable", "idtable", 1)
+	require.ErrorContains(t, errors.Join(s.checkLayers(withoutBuffer)...), "buffer is not in the layer diagram")
 }
 
 func TestGlossaryIsShort(t *testing.T) {
@@ -296,9 +298,9 @@
 	require.NoError(t, err)
 	_, glossary, found := strings.Cut(string(page), "## Glossary")
 	require.True(t, found)
-	rows := strings.Count(glossary, "\n| ") - 2 // without the head and the line below it
+	rows := strings.Count(glossary, "\n| ") - 2 // without the table's header and the line below it
 	assert.Positive(t, rows)
-	assert.LessOrEqual(t, rows, mostGlossary)
+	assert.LessOrEqual(t, rows, maxGlossaryRows)
 }
 
 func TestNameThatDoesNotExistIsAnError(t *testing.T) {
@@ -306,7 +308,7 @@
 	page := "A `dispatcher.Dispatcher.RunTurn` in `internal/dispatcher`.\n\n```\n programs     stoatdale\n```\n"
 	_, errs := s.checkPage(page)
 	assert.Empty(t, errs)
-	for planted, says := range map[string]string{
+	for plantedText, wantError := range map[string]string{
 		"`dispatcher.Dispatcher.Planted`":   "declares no Dispatcher.Planted",
 		"`dispatcher.Planted`":              "declares no Planted",
 		"`planted.Core`":                    "there is no package planted",
@@ -315,8 +317,8 @@
 		"`Planted`":                         "is not written as a package",
 		"```\n programs     planted\n```\n": "there is no package planted",
 	} {
-		_, errs := s.checkPage(page + planted)
-		require.Len(t, errs, 1, planted)
-		assert.ErrorContains(t, errs[0], says)
+		_, errs := s.checkPage(page + plantedText)
+		require.Len(t, errs, 1, plantedText)
+		assert.ErrorContains(t, errs[0], wantError)
 	}
 }
--- a/docs/oncall_test.go
+++ b/docs/oncall_test.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	fewestCountersRead = 40 // fewer would mean that the page is not read as it is written
+	minCountersRead = 40 // with fewer names the test probably misreads the page
 )
 
 var (
 	renamedRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| `([^`]+)` \\|")
-	// What the page names beside counters and log lines: a key of the configuration, an error's text.
-	otherNames = map[string]bool{"move": true, "no reply": true}
+	// Quoted names on the page that are neither counters nor log messages: a configuration key and the text of an error.
+	otherQuotedNames = map[string]bool{"move": true, "no reply": true}
 )
 
-// counterKeys returns the names under which the counters are logged; those of a group as "group.name".
+// counterKeys returns the names under which the counters are logged. The counters of a group have names of the form
+// "group.name".
 func counterKeys(t *testing.T) map[string]bool {
 	t.Helper()
 	var line bytes.Buffer
@@ -47,7 +48,7 @@
 	return keys
 }
 
-// section returns what stands between two headings of the on-call page.
+// section returns the text between two headings of the on-call page.
 func section(t *testing.T, from, to string) string {
 	t.Helper()
 	page, err := os.ReadFile("on-call.md")
@@ -62,7 +63,7 @@
 const (
 	routerHeading   = "## The router on sockets: log and counters"
 	countersHeading = "### Counters: old and new names"
-	linesHeading    = "### Log lines: old and new messages"
+	logLinesHeading = "### Log lines: old and new messages"
 	errorsHeading   = "### Errors: old and new texts"
 )
 
@@ -71,31 +72,31 @@
 	read := 0
 	for _, quoted := range quotedName.FindAllStringSubmatch(section(t, routerHeading, countersHeading), -1) {
 		name := quoted[1]
-		if strings.HasPrefix(name, "(") || otherNames[name] {
+		if strings.HasPrefix(name, "(") || otherQuotedNames[name] {
 			continue
 		}
 		read++
-		assert.True(t, counters[name] || messages[name], "%s is neither a counter nor a log line", name)
+		assert.True(t, counters[name] || messages[name], "%s is neither a counter nor a log message", name)
 	}
-	assert.GreaterOrEqual(t, read, fewestCountersRead)
+	assert.GreaterOrEqual(t, read, minCountersRead)
 	assert.False(t, counters["planted"] || messages["planted"])
 }
 
 func TestOnCallPageRenamesCountersToThoseThatExist(t *testing.T) {
 	counters := counterKeys(t)
-	rows := renamedRow.FindAllStringSubmatch(section(t, countersHeading, linesHeading), -1)
+	rows := renamedRow.FindAllStringSubmatch(section(t, countersHeading, logLinesHeading), -1)
 	for _, row := range rows {
 		earlier, now := row[1], row[2]
 		assert.True(t, counters[now], "%s is not a counter", now)
 		assert.False(t, counters[earlier], "%s is still a counter", earlier)
 	}
-	assert.GreaterOrEqual(t, len(rows), fewestCountersRead/2)
+	assert.GreaterOrEqual(t, len(rows), minCountersRead/2)
 }
 
 func TestOnCallPageRenamesLogLinesToThoseThatExist(t *testing.T) {
 	messages := readSource(t).messages
-	rows := renamedRow.FindAllStringSubmatch(section(t, linesHeading, errorsHeading), -1)
-	kept := map[string]bool{} // messages that one program has kept and another renamed
+	rows := renamedRow.FindAllStringSubmatch(section(t, logLinesHeading, errorsHeading), -1)
+	kept := map[string]bool{} // messages that one program still logs and another has renamed
 	for _, row := range rows {
 		kept[row[1]] = kept[row[1]] || row[1] == row[2]
 	}
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -11,18 +11,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fewestDottedNamesRead is how many names of functions the pages have at least; fewer would mean that they are not read.
-const fewestDottedNamesRead = 40
+// minNamesAndPathsRead is the least number of paths and dotted names that the pages must have. With fewer, the test probably
+// misreads the pages.
+const minNamesAndPathsRead = 40
 
 var (
-	dottedName = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Za-z]\w*)(\.\w+)?$`)
-	ownPath    = regexp.MustCompile(`^(cmd|deploy|docs|internal|service)/[\w./-]+$`)
-	isFileName = map[string]bool{".go": true, ".html": true, ".json": true, ".md": true, ".sexp": true, ".toml": true}
-	// Pages that tell what was once: their names are of their time.
-	pagesOfTheirTime = map[string]bool{"results.md": true, "questions.md": true, "ROADMAP.md": true}
+	dottedName     = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Za-z]\w*)(\.\w+)?$`)
+	repositoryPath = regexp.MustCompile(`^(cmd|deploy|docs|internal|service)/[\w./-]+$`)
+	fileExtensions = map[string]bool{".go": true, ".html": true, ".json": true, ".md": true, ".sexp": true, ".toml": true}
+	// Pages about the past, which may name what no longer exists.
+	historicalPages = map[string]bool{"results.md": true, "questions.md": true, "ROADMAP.md": true}
 )
 
-// declares tells whether a package has a symbol, or a method or field of that name on any of its types.
+// declares reports whether a package declares a symbol of that name, or a method or field of that name on any of its types.
 func (s *source) declares(folder, symbol string) bool {
 	if s.symbols[folder][symbol] {
 		return true
@@ -35,11 +36,11 @@
 	return false
 }
 
-// unknownNames returns the names in a page that are paths of this repository without a file or folder, or of the form
-// package.Symbol, with a package of this module that does not declare the symbol, and how many of both forms it read.
+// unknownNames checks the names in a page that are paths of this repository, or of the form package.Symbol with a package of
+// this module. It returns those whose file, folder or symbol does not exist, and the number of names that it checked.
 func (s *source) unknownNames(page string) (unknown []string, read int) {
 	for _, quoted := range quotedName.FindAllStringSubmatch(page, -1) {
-		if ownPath.MatchString(quoted[1]) {
+		if repositoryPath.MatchString(quoted[1]) {
 			read++
 			if _, err := os.Stat(filepath.Join(root, strings.TrimSuffix(quoted[1], "/..."))); err != nil {
 				unknown = append(unknown, quoted[1])
@@ -47,7 +48,7 @@
 			continue
 		}
 		parts := dottedName.FindStringSubmatch(quoted[1])
-		if parts == nil || isFileName[filepath.Ext(quoted[1])] {
+		if parts == nil || fileExtensions[filepath.Ext(quoted[1])] {
 			continue
 		}
 		folder, isPackage := s.packages[parts[1]]
@@ -66,18 +67,18 @@
 	s := readSource(t)
 	pages, err := filepath.Glob("*.md")
 	require.NoError(t, err)
-	all := 0
+	totalRead := 0
 	for _, page := range append(pages, "../README.md") {
-		if pagesOfTheirTime[page] {
+		if historicalPages[page] {
 			continue
 		}
 		text, err := os.ReadFile(page)
 		require.NoError(t, err)
 		unknown, read := s.unknownNames(string(text))
 		assert.Empty(t, unknown, page)
-		all += read
+		totalRead += read
 	}
-	assert.GreaterOrEqual(t, all, fewestDottedNamesRead)
+	assert.GreaterOrEqual(t, totalRead, minNamesAndPathsRead)
 
 	unknown, _ := s.unknownNames("`internal/planted`, `internal/dispatcher`, `dispatcher.Planted`, `buffer.Chain.Planted`, `buffer.Chain`, `main.run`")
 	assert.Equal(t, []string{"internal/planted", "dispatcher.Planted", "buffer.Chain.Planted"}, unknown)
--- a/docs/terms_audit_test.go
+++ b/docs/terms_audit_test.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	auditColumns    = 8
-	fewestAuditRows = 100 // fewer would mean that the page is not read as it is written
+	auditColumns = 8
+	minAuditRows = 100 // with fewer rows the test probably misreads the page
 )
 
 var (
-	auditID   = regexp.MustCompile(`^[A-Z]\d+$`)
-	auditMark = regexp.MustCompile(`^(holds|fixed: .+|open(: .+)?|not reached(: .+)?)$`)
-	testName  = regexp.MustCompile(`\bTest[A-Z]\w+`)
+	auditID     = regexp.MustCompile(`^[A-Z]\d+$`)
+	auditStatus = regexp.MustCompile(`^(holds|fixed: .+|open(: .+)?|not reached(: .+)?)$`)
+	testName    = regexp.MustCompile(`\bTest[A-Z]\w+`)
 )
 
 // auditRow is one row of the audit's table.
 type auditRow struct {
-	id    string
-	tests string
-	mark  string
+	id     string
+	tests  string
+	status string
 }
 
+// readAudit returns the rows of the audit's table.
 func readAudit(t *testing.T) []auditRow {
 	t.Helper()
 	page, err := os.ReadFile("terms-audit.md")
@@ -45,12 +46,12 @@
 			continue
 		}
 		require.Len(t, cells, auditColumns, id)
-		rows = append(rows, auditRow{id: id, tests: strings.TrimSpace(cells[6]), mark: strings.TrimSpace(cells[7])})
+		rows = append(rows, auditRow{id: id, tests: strings.TrimSpace(cells[6]), status: strings.TrimSpace(cells[7])})
 	}
 	return rows
 }
 
-// testFunctions returns the names of all test functions of the module.
+// testFunctions returns the names of all functions in the module's test files.
 func testFunctions(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -75,28 +76,29 @@
 	return names
 }
 
-// Each row of the audit has an id of its own and a known mark, and one that holds or was fixed names tests that exist, or
-// its proof, or the bench's plays.
+// TestAuditNamesWhatExists checks that each row of the audit has a unique id and a known status. A row that is neither open nor
+// unreached must name existing tests, or refer to a proof or to the bench.
 func TestAuditNamesWhatExists(t *testing.T) {
 	rows, exists := readAudit(t), testFunctions(t)
-	require.Greater(t, len(rows), fewestAuditRows)
+	require.Greater(t, len(rows), minAuditRows)
 	seen := map[string]bool{}
 	for _, row := range rows {
 		assert.Regexp(t, auditID, row.id)
-		assert.False(t, seen[row.id], "%s stands twice", row.id)
+		assert.False(t, seen[row.id], "%s is the id of two rows", row.id)
 		seen[row.id] = true
-		assert.Regexp(t, auditMark, row.mark, row.id)
+		assert.Regexp(t, auditStatus, row.status, row.id)
 		tests := testName.FindAllString(row.tests, -1)
 		for _, name := range tests {
 			assert.True(t, exists[name], "%s: no test is named %s", row.id, name)
 		}
-		shown := len(tests) > 0 || strings.HasPrefix(row.tests, "by proof") || strings.HasPrefix(row.tests, "by the bench")
-		unfinished := strings.HasPrefix(row.mark, "open") || strings.HasPrefix(row.mark, "not reached")
-		assert.True(t, shown || unfinished, "%s shows nothing", row.id)
+		hasEvidence := len(tests) > 0 || strings.HasPrefix(row.tests, "by proof") || strings.HasPrefix(row.tests, "by the bench")
+		unfinished := strings.HasPrefix(row.status, "open") || strings.HasPrefix(row.status, "not reached")
+		assert.True(t, hasEvidence || unfinished, "%s names no test, proof or bench", row.id)
 	}
 }
 
-// Whatever decides stands under policy in the deploy file: every file of the module but its package comment.
+// TestPolicyNamesEveryFileOfTheModule checks that policy in the deploy file lists every file of the routing module, which makes
+// the decisions. Only doc.go, which holds the package comment, and tests are not listed.
 func TestPolicyNamesEveryFileOfTheModule(t *testing.T) {
 	deploy, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	require.NoError(t, err)
