--- a/internal/cli/explore_run.go
+++ b/internal/cli/explore_run.go
@@ -24,7 +24,7 @@
 	workers      int    // 0: one for each core
 	takeAllSteps bool   // take every step, including those that commute
 	depthFirst   bool
-	stoppedFile  string // written if the exploration ends before it is complete
+	stoppedFile  string // written if an exploration ends before it is complete
 	resumeFile   string // of a stopped exploration to continue
 }
 
--- a/internal/cli/fleet_drive.go
+++ b/internal/cli/fleet_drive.go
@@ -23,7 +23,7 @@
 
 func (f *driveFlags) register(c *cobra.Command) {
 	c.Flags().BoolVar(&f.takeOver, "take-over", false, "take the claim even if another tool holds it, and fence that tool off")
-	c.Flags().StringSliceVar(&f.leaveOut, "leave-out", nil, "instances to leave out of this run, whether known or not")
+	c.Flags().StringSliceVar(&f.leaveOut, "leave-out", nil, "instances to leave out of this run, even if their state is unknown")
 	c.Flags().StringVar(&f.traceFile, "trace", "", "file in which to save OpenTelemetry spans of the rollout and its steps")
 }
 
@@ -123,7 +123,8 @@
 	return exit
 }
 
-// endedRolloutError returns the exit error of a rollout that ended or paused, or nil if it ended as the operator asked.
+// endedRolloutError returns the exit error of a rollout that ended or paused, or nil if it completed or ended as the operator
+// asked.
 func endedRolloutError(outcome coordinator.Outcome, state *control.RolloutStatus) error {
 	if outcome.Reason.Kind == rollout.ReasonOperator {
 		return nil
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -107,7 +107,7 @@
 		},
 	}
 	c.Flags().IntVar(&days, "days", defaultCertificateDays, "days until a certificate expires")
-	c.Flags().StringVar(&fleetFile, "fleet", "", "fleet file, for all of whose agents certificates are issued")
+	c.Flags().StringVar(&fleetFile, "fleet", "", "issue also for all agents in this fleet file")
 	return c
 }
 
@@ -141,7 +141,7 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&warnDays, "warn", 0, "days before its expiry from which a certificate is an error")
+	c.Flags().IntVar(&warnDays, "warn", 0, "exit with status 1 if a certificate expires within this many days")
 	a.addJSONFlag(c)
 	return c
 }
--- a/internal/drill/lease.go
+++ b/internal/drill/lease.go
@@ -17,7 +17,7 @@
 // LeaseOptions are the parameters of the lease drill. Each round is a separate simulation in virtual time. It has a few agents,
 // operators whose tools crash and restart, and a network that loses, delays, duplicates and reorders messages.
 type LeaseOptions struct {
-	Operators int // that work at the same time
+	Operators int // number of operators that work at the same time
 	Rounds    int
 	Seed      uint64
 	Fault     string // key of LeaseFaults; an injected fault that the checks must detect; empty: none
@@ -162,7 +162,7 @@
 	}
 }
 
-// recordViolation records a recordViolation in the report, with the round and seed that reproduce it.
+// recordViolation records a violation in the report, with the round and seed that reproduce it.
 func (r *leaseRound) recordViolation(format string, args ...any) {
 	r.report.Fail("round %d, seed %d: %s", r.number, r.options.Seed, fmt.Sprintf(format, args...))
 }
--- a/internal/drill/lease_agent.go
+++ b/internal/drill/lease_agent.go
@@ -114,7 +114,7 @@
 	a.scheduleTick()
 }
 
-// store makes the record durable. In one of 40 calls the agent crashes right afterwards.
+// store makes the record durable. With a chance of 1 in 40 the agent crashes right afterwards.
 func (a *simulatedAgent) store() {
 	a.record = a.supervisor().Record
 	a.recordStepChange()
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -100,7 +100,7 @@
 	options           RolloutOptions
 	report            *RolloutReport
 	rng               *rand.Rand
-	folder            string // absolute
+	folder            string // absolute path of the drill's files
 	fleet             *inventory.Fleet
 	client            *control.Client
 	backends          [3]*testserver.Member // the primary and two replicas
