--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -3,14 +3,17 @@
 import "math"
 
 const (
-	lowestQueueShare     = 0.4 // share of the queue limit for a group with a value density near 0
-	queueShare           = 0.4 // share of the least acceptable queueing time to use; commands wait here instead
+	lowestQueueShare = 0.4 // share of the queue limit for a group with a value density near 0
+	// Share of the least acceptable queueing time up to which endpoints may have queues. Other commands wait
+	// in the router.
+	queueShare           = 0.4
 	lowTrafficQueueShare = 0.3 // added to queueShare for a router with no traffic, and less the more it has
 	earlyLeaveThreshold  = 0.5 // above this share of early disconnects, earlyLeaveDelay bounds the useful time
 	retryQueueShare      = 0.2 // share of its queue limit that applies to a client's retry
-	// Attempts that an endpoint may get whatever its queue limit: it has to show its latency at some load.
+	// Number of attempts that an endpoint may have in its queue whatever the queue limit. The router has
+	// to observe its latency under some load.
 	freeAttempts = 2
-	// Most such attempts at an endpoint by all routers together.
+	// Most such attempts at an endpoint from all routers together.
 	freeAttemptsTotal = 3
 )
 
@@ -56,15 +59,16 @@
 		return Decision{Action: Fail, CancelAttempt: noIndex}
 	}
 	d := Decision{Action: Reject, CancelAttempt: noIndex}
-	// A client's retry that is too late for the objective is best sent late. One still in time may come
-	// immediately.
+	// If the client's retry cannot meet the objective any more, the client is asked to send it as late as
+	// possible. A retry that still can may come immediately.
 	if r.config.RetryAfterAllowed && now+2*g.serviceTime*(1-latencySlack) > c.ArrivedAt+g.LatencyObjective {
 		d.RetryAfter = r.config.MaxRetryAfter
 	}
 	return d
 }
 
-// favourWorstGroup raises the fairness weight of the worst-served group by the weight configured for it.
+// favourWorstGroup raises the fairness weight of the worst-served group by the weight configured for it,
+// if it gets a smaller share of answers in time than all groups together, weighted by value.
 func (r *Router) favourWorstGroup() {
 	worst, worstServed := noIndex, math.Inf(1)
 	var earned, possible float64
@@ -94,7 +98,7 @@
 // share of the shortest queueing time that any group of at least its value density can accept, and
 // smaller for a lower density. PrimaryOnly groups are considered only at a primary.
 func (r *Router) queueLimitOf(g *group, atPrimary bool) float64 {
-	own := r.valueDensity(g)
+	ownDensity := r.valueDensity(g)
 	acceptable, highest := math.Inf(1), roundOff
 	for k := range r.groups {
 		other := &r.groups[k]
@@ -103,11 +107,11 @@
 		}
 		density := r.valueDensity(other)
 		highest = math.Max(highest, density)
-		if density >= own {
+		if density >= ownDensity {
 			acceptable = math.Min(acceptable, math.Max(0, other.LatencyObjective-other.serviceTime))
 		}
 	}
 	share := queueShare +
 		lowTrafficQueueShare*math.Max(0, 1-r.warmAttemptRate*r.longestObjective/lowTrafficAttempts)
-	return share * acceptable * (lowestQueueShare + (1-lowestQueueShare)*math.Min(1, own/highest))
+	return share * acceptable * (lowestQueueShare + (1-lowestQueueShare)*math.Min(1, ownDensity/highest))
 }
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -22,7 +22,7 @@
 		"the group asks for one seventh of the total value")
 }
 
-// Commands past their objective were sent again immediately until they had no attempts left.
+// Commands past their objective were once sent again immediately until they had no attempts left.
 func TestNothingIsSentThatIsOfNoUseAnyMore(t *testing.T) {
 	r := testRouter(t, testConfig())
 	assert.Equal(t, Reject, r.Route(10.6, newCommand(eventualReads)).Action)
@@ -73,8 +73,8 @@
 	assert.True(t, r.admits(10.1, c, &r.groups[eventualReads], 1, 0))
 }
 
-// A write went back to the primary that had just rejected it as overloaded: 1.8 attempts per command in a
-// burst.
+// A write went back to the primary that had just rejected it as overloaded, which cost 1.8 attempts per
+// command in a burst.
 func TestOverloadedEndpointRestsForAMeanServiceTime(t *testing.T) {
 	r := testRouter(t, testConfig())
 	r.fleetServiceTime, r.fleetLatency = 0.1, 0.1
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// After this many predicted response times, an answer that later answers have overtaken counts as lost.
+	// After this many predicted response times, an attempt without an answer counts as lost if its endpoint
+	// has answered others since it was sent.
 	lostFactor = 5.0
 	// Share of catchUpWait to wait after a command's first attempt that did not leave this process.
 	firstUnsentPauseShare = 0.1
@@ -55,7 +56,8 @@
 func (r *Router) attemptDeadline(c *Command, g *group) float64 {
 	deadline := c.ClientDeadline
 	if c.uncertainRuns > 0 && g.Idempotency == IdempotentWithKey {
-		// An attempt that is not complete at the endpoint by then must not run any more.
+		// Endpoints forget the key then. An attempt that is not complete at its endpoint by that time must
+		// not run any more.
 		deadline = min(deadline, c.firstUncertainAt+g.IdempotencyWindow)
 	}
 	if g.Idempotency == Idempotent && g.LateValue == 0 && !r.connectionsCostly() {
@@ -71,24 +73,24 @@
 	a := &c.Attempts[k]
 	e := &r.endpoints[a.Endpoint]
 	timeout := r.silenceTimeout(e)
-	d := Decision{Action: Wait, ReviewAt: now + timeout/2, CancelAttempt: noIndex}
+	decision := Decision{Action: Wait, ReviewAt: now + timeout/2, CancelAttempt: noIndex}
 	silent := e.unansweredAttempts > 0 && now-e.unansweredSince > timeout
 	if silent && !a.overdue && now-a.SentAt > timeout {
 		a.overdue = true
 		r.recordFailure(now, e)
 	}
-	// The endpoint has answered other attempts since: the answer is lost, or the command is very expensive.
+	// If the endpoint has answered other attempts since, the answer is lost or the command very expensive.
 	if lostAt := a.SentAt + lostFactor*r.predictedResponse(a.Endpoint, g); now < lostAt {
-		d.ReviewAt = min(d.ReviewAt, lostAt+r.config.BatchInterval)
+		decision.ReviewAt = min(decision.ReviewAt, lostAt+r.config.BatchInterval)
 	} else if !a.lost && e.lastAnswerAt > a.SentAt {
 		a.lost = true
 		e.queued--
 	}
 	if r.mayCancel(c, g, a) && r.worthRetry(now, c, g, a) {
 		a.cancelRequested = true
-		d.CancelAttempt = k
+		decision.CancelAttempt = k
 	}
-	return d
+	return decision
 }
 
 // mayCancel reports whether attempt a may be canceled so that the command can be retried.
@@ -233,8 +235,8 @@
 	case Canceled, NeverSent:
 	}
 	if end.Result == TimedOut || end.Result == Canceled {
-		// On average the answer would have taken as long again. Attempts abandoned by clients once
-		// counted as quick answers, which attracted more commands.
+		// On average the answer would have taken the expected latency longer. Attempts abandoned by
+		// clients once counted as quick answers, which attracted more commands.
 		r.recordLatency(g, e, a, end.Elapsed+r.expectedLatency(e, a.queuePosition))
 	}
 }
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -73,7 +73,7 @@
 	assert.Equal(t, 1, e.queued)
 	e.lastAnswerAt, e.unansweredAttempts = 10.2, 0
 	r.Route(11, c)
-	assert.Equal(t, 0, e.queued, "lost: the endpoint has answered a later attempt")
+	assert.Equal(t, 0, e.queued, "lost: the endpoint has answered another attempt since")
 	r.AttemptEnded(12, c, AttemptResult{Result: TimedOut, Elapsed: 2, Position: -1})
 	assert.Equal(t, 0, e.queued)
 	assert.Less(t, e.latencySum, 0.5)
@@ -124,7 +124,7 @@
 		c.ClientDeadline = 10.1 + remaining
 		require.Equal(t, Forward, r.Route(10, c).Action)
 		e := &r.endpoints[c.Attempts[0].Endpoint]
-		e.lastAnswerAt, e.unansweredAttempts = 10.05, 0 // it has answered a later attempt
+		e.lastAnswerAt, e.unansweredAttempts = 10.05, 0 // it has answered another attempt since
 		decision := r.Route(10.1, c)
 		assert.Equal(t, wantRetry, decision.CancelAttempt == 0, "%v seconds remain", remaining)
 	}
--- a/internal/router/consistency.go
+++ b/internal/router/consistency.go
@@ -8,11 +8,11 @@
 const (
 	catchUpWait       = 0.1     // seconds for which a read waits for a replica to catch up
 	maxSessions       = 1 << 16 // number of remembered sessions at which the older half is forgotten
-	retentionTimeouts = 8       // longest client timeouts for which sessions and removed endpoints are kept
+	retentionTimeouts = 8       // sessions and removed endpoints are kept for this many longest client timeouts
 )
 
 // requiredPosition returns the log position, as a time, that a replica must have applied to serve a read
-// sent now.
+// sent now. A replica that has applied it covers the read.
 func (r *Router) requiredPosition(now float64, c *Command, g *group) float64 {
 	switch g.Consistency {
 	case Linearizable:
@@ -27,8 +27,8 @@
 }
 
 // sessionPosition returns the position that a read must cover for its session. It includes what the
-// session has learned while the read waited. A write in flight counts as done: it may be in the log with
-// its answer under way.
+// session has learned while the read waited. Unless clients send tokens, a write in flight counts as done:
+// it may be in the log with its answer under way.
 func (r *Router) sessionPosition(now float64, c *Command) float64 {
 	s := r.session(c.Session)
 	position := max(s.lastWrite, s.highestRead, r.shards[c.Shard].positionFloor)
@@ -87,8 +87,8 @@
 }
 
 // collectCandidates sets r.candidates to the endpoints that may serve a read at a position, and
-// r.healthyReplicas. It returns the ejected endpoint whose recovery attempt has been due longest, or
-// noIndex. That may be the primary, whose data is always current.
+// r.healthyReplicas. For an idempotent read it returns the ejected endpoint with the earliest recovery
+// time, or noIndex. That may be the primary, whose data is always current.
 func (r *Router) collectCandidates(now float64, c *Command, g *group, position float64) int {
 	primary, recovering := r.primary(c.Shard), noIndex
 	r.candidates, r.healthyReplicas = r.candidates[:0], 0
--- a/internal/router/consistency_test.go
+++ b/internal/router/consistency_test.go
@@ -122,9 +122,9 @@
 	assert.Less(t, c.requiredPosition, 10.0, "an age of 0 means that no write is known")
 }
 
-// A session's read is sent while a write of the session is in flight, or after one that broke. The
-// endpoint may have run the write while its answer was under way, so the read has to see it. A lagging
-// replica was read (rule 5).
+// A session's read is sent while a write of the session is in flight, or after one that failed. The
+// endpoint may have run the write although no answer has come, so the read has to see it. Such a read once
+// went to a lagging replica (rule 5).
 func TestSessionReadCoversWritesThatMayHaveRun(t *testing.T) {
 	config := testConfig()
 	config.CommandGroups[writes].Idempotency = IdempotentWithKey
@@ -133,15 +133,15 @@
 		result *AttemptResult // result of the write at 10.1; nil: still in flight
 		covers float64        // position that a replica must have at 10.15 to serve the session's read
 	}{
-		"out":       {nil, 10.15},
-		"broke":     {&AttemptResult{Result: ConnectionLost}, 10.1},
-		"timed out": {&AttemptResult{Result: TimedOut}, 10.1},
-		"erred":     {&AttemptResult{Result: Errored}, 10.1},
-		"left":      {&AttemptResult{Result: Canceled}, 10.1},
-		"answered":  {&AttemptResult{Result: Answered}, 10.05},
-		"never ran": {&AttemptResult{Result: ConnectFailed}, 10},
-		"full":      {&AttemptResult{Result: Overloaded}, 10},
-		"missed":    {&AttemptResult{Result: NotServed}, 10},
+		"in flight":       {nil, 10.15},
+		"connection lost": {&AttemptResult{Result: ConnectionLost}, 10.1},
+		"timed out":       {&AttemptResult{Result: TimedOut}, 10.1},
+		"errored":         {&AttemptResult{Result: Errored}, 10.1},
+		"canceled":        {&AttemptResult{Result: Canceled}, 10.1},
+		"answered":        {&AttemptResult{Result: Answered}, 10.05},
+		"connect failed":  {&AttemptResult{Result: ConnectFailed}, 10},
+		"overloaded":      {&AttemptResult{Result: Overloaded}, 10},
+		"not served":      {&AttemptResult{Result: NotServed}, 10},
 	} {
 		for _, offset := range []float64{-0.001, 0.001} { // offset of the replicas' position from covers
 			r := testRouter(t, config)
@@ -158,7 +158,7 @@
 			r.AttemptEnded(10, firstRead, AttemptResult{Result: Answered, Elapsed: 0.01, Final: true, Position: 10})
 			c := newCommand(writes)
 			require.Equal(t, 0, r.Route(10, c).Endpoint)
-			// It arrived before the write ended and has waited for a replica since.
+			// This read arrived before the write ended and has waited for a replica since.
 			waitingRead := newCommand(sessionReads)
 			waitingRead.routed, waitingRead.requiredPosition = true, 10
 			if write.result != nil {
--- a/internal/router/health.go
+++ b/internal/router/health.go
@@ -61,8 +61,8 @@
 		e.startFromList = false
 	}
 	if !math.IsInf(e.unreachableSince, 1) {
-		// What was sent meanwhile never reached it. Counted as its silence, it would eject it again
-		// immediately.
+		// The attempts sent meanwhile never reached the endpoint. Counted as its silence, they would eject
+		// it again immediately.
 		e.ejected, e.failureCount = false, 0
 		e.unansweredAttempts, e.unreachableSince = 0, math.Inf(1)
 	}
@@ -85,8 +85,8 @@
 func (r *Router) updateEjection(now float64, i int) bool {
 	e := &r.endpoints[i]
 	r.decay(now, e)
-	// One attempt that has ended shows little: because of such, hundreds of routers ejected a seventh of a
-	// healthy fleet.
+	// A single unanswered attempt that has ended shows little. When that was enough, hundreds of routers
+	// ejected a seventh of a healthy fleet.
 	silent := e.unansweredAttempts > 1 || e.inFlight > 0 && e.unansweredAttempts > 0
 	overdue := silent && now-e.unansweredSince > r.silenceTimeout(e)
 	if overdue || e.failureShare() > r.medianFailureShare+failureMargin {
--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Failed connections that were accidental once put warm endpoints into slow start, and commands were
+// A single accidental connection failure once put a warm endpoint into slow start, and commands were
 // rejected on days with little traffic.
 func TestOneFailedConnectionDoesNotCountAsARestart(t *testing.T) {
 	r := testRouter(t, testConfig())
@@ -187,8 +187,8 @@
 	assert.InDelta(t, 21.7, e.startedAt, 0, "unreachable for longer than by accident, it may have restarted")
 }
 
-// A health check that ended with an error once had its position recorded, which broke rule 5 when a whole
-// fleet joined on one day.
+// The position in a health check that ended with an error was once recorded, so that a replica counted as
+// fresher than it was. That broke rule 5 when a whole fleet joined on one day.
 func TestReportOfAFailedHealthCheckSaysNothingOfData(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for _, result := range []Result{Errored, Overloaded, NotServed, TimedOut, ConnectionLost} {
--- a/internal/router/latency.go
+++ b/internal/router/latency.go
@@ -12,7 +12,7 @@
 	// Where attempts to an endpoint are rare, the time of this many takes the place of one longest
 	// objective.
 	decayAttempts = 2
-	// Most times the expected latency that a single answer counts for.
+	// A single answer counts for at most this many times the expected latency.
 	maxTailFactor = 3.0
 	// Weight of one answer in the exponentially weighted means of the fleet and of the groups.
 	averageWeight = 0.05
@@ -76,7 +76,7 @@
 	r.shards[e.shard].decay(now, decayObjectives*r.longestObjective)
 }
 
-// recordLatency adds an attempt's answer time, or the least that it would have been, to the latency
+// recordLatency adds an attempt's answer time, or an estimate of what it would have been, to the latency
 // statistics.
 func (r *Router) recordLatency(g *group, e *endpoint, a *Attempt, elapsed float64) {
 	if expected := r.expectedLatency(e, a.queuePosition); expected > 0 {
--- a/internal/router/maintenance.go
+++ b/internal/router/maintenance.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// Health checks per command to learn positions, and again as many to find ejected endpoints that are
-	// back. Checks requested for a certain read come on top.
+	// Number of health checks per command that learn positions, and also of those that find out whether
+	// ejected endpoints are back. Checks requested for a certain read come on top.
 	checksPerCommand = 0.25
 	// Share of the poll window until a failed poll of the endpoint list is first repeated.
 	pollRetryShare = 0.0625
@@ -35,7 +35,8 @@
 	}
 	due.HealthCheck, r.pendingChecks = append(due.HealthCheck, r.pendingChecks...), r.pendingChecks[:0]
 	next := r.lastReviewAt + r.reviewInterval/2
-	// A change missed in the list binds this router however rarely it reviews the endpoints.
+	// A change of the list binds this router even if it has missed it, so the next poll must not wait for
+	// the next review.
 	if r.config.PollList && !r.subscribed {
 		return max(0, min(next, r.nextPollAt)-now), due
 	}
@@ -54,7 +55,8 @@
 	r.lastReviewAt = now
 }
 
-// reviewEndpoints requests the health checks that are due, and returns the endpoints that it has forgotten.
+// reviewEndpoints requests the health checks that are due. It forgets endpoints that were removed long ago
+// and returns their indexes.
 func (r *Router) reviewEndpoints(now float64) (released []int) {
 	for i := range r.endpoints {
 		e := &r.endpoints[i]
@@ -116,8 +118,8 @@
 		r.medianFailureShare = median(failureShares)
 	}
 	if warm > 0 {
-		// The rates fall no faster than an endpoint warms up. While most endpoints are ejected, little is
-		// sent.
+		// The rates fall no faster than an endpoint warms up. Otherwise they would fall while most
+		// endpoints are ejected and little is sent.
 		kept := 1 - r.reviewInterval/r.config.SlowStart
 		r.warmAttemptRate = max(rate/warm, r.warmAttemptRate*kept)
 		r.warmThroughput = max(throughput/warm, r.warmThroughput*kept)
--- a/internal/router/migration_test.go
+++ b/internal/router/migration_test.go
@@ -19,7 +19,7 @@
 	old.shards[0].latencySum, old.shards[0].answerCount = 40, 100
 	old.shards[0].positionFloor, old.fleetLatency, old.warmAttemptRate = 9.5, 0.4, 50
 	config := testConfig()
-	// Other groups in another order.
+	// The new settings have fewer groups, and the session reads have another index.
 	config.CommandGroups = append(config.CommandGroups[:1:1], config.CommandGroups[sessionReads])
 	r := New(config, 8)
 	r.MigrateFrom(12, old)
@@ -39,18 +39,18 @@
 	assert.Equal(t, 1, r.chooseReplica(12, c, &r.groups[1], r.session(9).highestRead),
 		"the replica covers what the session has read")
 	assert.InDelta(t, 10.7, r.sessionPosition(12, c), 0)
-	writes := &Command{Group: 1, Session: 7, ArrivedAt: 12, ClientDeadline: 14}
-	assert.InDelta(t, 12.5, r.sessionPosition(12.5, writes), 0,
+	command := &Command{Group: 1, Session: 7, ArrivedAt: 12, ClientDeadline: 14}
+	assert.InDelta(t, 12.5, r.sessionPosition(12.5, command), 0,
 		"the session's writes are in flight at the old router")
 	// A write of the session starts at the new router.
-	r.recordSession(writes, &group{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, 1, math.Inf(-1))
-	for out := 1.0; out >= 0; out-- {
-		old.sessions.Put(7, session{lastWrite: math.Inf(-1), highestRead: math.Inf(-1), writesInFlight: out})
-		r.MergeSession(writes, old)
-		assert.InDelta(t, 12.5, r.sessionPosition(12.5, writes), 0)
+	r.recordSession(command, &group{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, 1, math.Inf(-1))
+	for remaining := 1.0; remaining >= 0; remaining-- {
+		old.sessions.Put(7, session{lastWrite: math.Inf(-1), highestRead: math.Inf(-1), writesInFlight: remaining})
+		r.MergeSession(command, old)
+		assert.InDelta(t, 12.5, r.sessionPosition(12.5, command), 0)
 	}
-	r.recordSession(writes, &group{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, -1, math.Inf(-1))
-	assert.InDelta(t, 10.7, r.sessionPosition(12.5, writes), 0, "no write is in flight any more")
+	r.recordSession(command, &group{CommandGroup: CommandGroup{Consistency: PrimaryOnly}}, -1, math.Inf(-1))
+	assert.InDelta(t, 10.7, r.sessionPosition(12.5, command), 0, "no write is in flight any more")
 	other := &Command{Group: 1, Session: 4, ArrivedAt: 12, ClientDeadline: 14}
 	assert.InDelta(t, 9.5, r.sessionPosition(12, other), 0, "the position floor is kept")
 	old.endpoints[1].position, old.shards[0].endpoints[0] = 0, 7
--- a/internal/router/primary.go
+++ b/internal/router/primary.go
@@ -46,7 +46,8 @@
 		return r.chooseEjectedPrimary(now, c, primary)
 	}
 	i := r.candidates[r.random.IntN(len(r.candidates))]
-	// With the same interval, the tests of a hundred routers overload endpoints that restart in slow start.
+	// With an interval that did not grow with the number of routers, the tests of a hundred routers would
+	// overload endpoints that restart in slow start.
 	intervalFactor := max(1, math.Sqrt(float64(r.config.RouterCount))/2)
 	r.endpoints[i].nextRoleTestAt = now + roleTestShare*r.longestObjective*intervalFactor
 	return i
--- a/internal/router/rolling/rolling.go
+++ b/internal/router/rolling/rolling.go
@@ -8,7 +8,7 @@
 type Counter struct {
 	all    []float64 // number of events in each slot
 	marked []float64 // number of marked events in each slot
-	newest int64     // number of the newest slot since time 0
+	newest int64     // number of the newest slot, counted from time 0
 }
 
 // New returns a counter with the given number of slots per second.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// Share of a command's time that it may wait. One that no endpoint has received is given up after it,
-	// and a read waits for a replica no longer than this share of its useful time.
+	// A command that no endpoint has received is given up after this share of its client's time. A read
+	// waits for a replica no longer than this share of the time in which its answer is useful.
 	maxWaitShare = 0.5
 	// Share of catchUpWait between two calls of Route for a command that waits.
 	waitReviewShare = 0.05
-	// Number of answers that the wider mean counts for in the mean of an endpoint, shard or group.
+	// Number of results that a prior counts for in an estimate. The prior is, for example, the mean of the
+	// shard for an endpoint, and that of the fleet for a shard.
 	priorWeight = 2.0
 	// Relative rounding error of a reported position. It is also the least value of a divisor.
 	roundOff = 1.0 / (1 << 23)
@@ -27,6 +28,7 @@
 		config: config, random: mwc.New(seed), sessions: generational.New[uint64, session](),
 		readCounter: rolling.New(fallbackSlots), lastReviewAt: math.Inf(-1),
 	}
+	// Tightest staleness bound or session-read objective.
 	interval := math.Inf(1)
 	for _, g := range config.CommandGroups {
 		r.groups = append(r.groups, newGroup(g))
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -76,8 +76,8 @@
 	assert.NotEqual(t, Reject, decision.Action, "an endpoint has received it")
 }
 
-// A list from an agent that is behind calls endpoints ready that an earlier list has marked as draining
-// or removed.
+// A list from an agent that is behind calls endpoints ready that a newer list, received before it, has
+// marked as draining or removed.
 func TestOutdatedRowRevivesNothingOfTheSameLife(t *testing.T) {
 	r := testRouter(t, testConfig())
 	row := func(i int, state EndpointState, startedAt float64, outdated bool) EndpointInfo {
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -40,7 +40,7 @@
 }
 
 // serveUncovered chooses an endpoint for a read that no replica is known to cover and that has not fallen
-// back to the primary.
+// back to the primary. healthy reports whether the primary is known and not ejected.
 func (r *Router) serveUncovered(now float64, c *Command, g *group, primary int, healthy bool) (int, bool) {
 	waitIsUseless := !r.checkPosition(now, c, primary) || c.tooStale
 	if r.config.ReplicasCheckReads && (!waitIsUseless || !healthy) {
@@ -48,7 +48,7 @@
 			return i, false
 		}
 	}
-	// The read waits no longer than leaves time for its answer.
+	// The read waits only so long that an answer can still be useful.
 	wait := min(catchUpWait, maxWaitShare*(r.usefulUntil(c, g)-c.ArrivedAt))
 	if healthy && (waitIsUseless || now-c.ArrivedAt >= wait) {
 		return r.admitPrimary(now, c, g, primary), true
@@ -56,7 +56,8 @@
 	return noIndex, false
 }
 
-// chooseReplica spreads reads evenly over the replicas that cover them, answer, and are not crowded.
+// chooseReplica returns an endpoint for a read, or noIndex. It spreads reads evenly over the replicas that
+// cover them, answer, and are not crowded. An ejected endpoint comes first if its recovery attempt is due.
 func (r *Router) chooseReplica(now float64, c *Command, g *group, position float64) int {
 	if i := r.collectCandidates(now, c, g, position); i >= 0 && r.recoveryDue(now, c, g, i) {
 		r.endpoints[i].nextRecoveryAt, r.lastRecoveryAt = now+r.longestObjective, now
@@ -108,8 +109,8 @@
 		return r.predictedResponse(i, g) > longest
 	})
 	r.preferOwnZone()
-	// Hundreds of routers that each spread a few reads over all endpoints would connect anew for most of
-	// them.
+	// Hundreds of routers that each spread a few reads over all endpoints would need a new connection for
+	// most reads.
 	if r.hasLowTraffic() {
 		r.prefer(func(i int) bool { return r.endpoints[i].idleConnections > 0 })
 	}
--- a/internal/router/selection_test.go
+++ b/internal/router/selection_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Reads of any age that run for seconds, spread evenly, stopped the log on every replica of their shard,
-// and other reads queued behind them.
+// Eventual reads that run for seconds, spread evenly, kept every replica of their shard from applying the
+// log, and other reads queued behind them.
 func TestHeavyReadsGoToOneReplica(t *testing.T) {
 	config := testConfig()
 	config.CommandGroups[eventualReads].LatencyObjective,
--- a/internal/router/slowstart.go
+++ b/internal/router/slowstart.go
@@ -12,8 +12,8 @@
 
 // slowStartAdmits reports whether endpoint i may get an attempt. An endpoint in slow start has a budget:
 // the commands that a warm endpoint answers to this router, scaled by the least capacity to which it has
-// grown by now. All routers apply the same rule. The commands sent to warm endpoints are no measure, as a
-// burst brings several times what they can answer; the commands that they answer never exceed it.
+// grown by now. All routers apply the same rule. The commands sent to warm endpoints are no measure: in a
+// burst they are several times what these endpoints can answer. The commands answered never exceed that.
 func (r *Router) slowStartAdmits(now float64, i int) bool {
 	e := &r.endpoints[i]
 	age := now - e.startedAt
--- a/internal/router/slowstart_test.go
+++ b/internal/router/slowstart_test.go
@@ -30,7 +30,7 @@
 	const routers, draws, window = 100, 20, 2.0
 	config := testConfig()
 	config.RouterCount = routers
-	// Share of the full capacity one second after the start, in the middle of the window.
+	// Share of the full capacity in the middle of the window, which begins one second after the start.
 	share := config.SlowStartFloor + (1-config.SlowStartFloor)*(1+window/2)/config.SlowStart
 	allowed := config.OverloadFactor * share * 10 * window // a warm endpoint answers ten commands per second
 	total := 0
@@ -81,7 +81,7 @@
 	}
 	capacity := (0.2 + 1) / 2 * 10 / work // commands that one slot can answer during slow start
 	assert.Greater(t, float64(sent), 0.7*capacity)
-	assert.Less(t, float64(sent), 1.3*capacity, "half of what the overload factor of 2 allows")
+	assert.Less(t, float64(sent), 1.3*capacity, "well below the twofold load that the overload factor allows")
 }
 
 // In a burst, warm endpoints get several times the commands they can answer and reject the rest. An
@@ -139,7 +139,7 @@
 	r.chargeSlowStart(10, e, &r.groups[eventualReads])
 	assert.InDelta(t, -3.2, e.slowStartBudget, 1e-9)
 	assert.False(t, r.slowStartAdmits(10.5, 1))
-	assert.InDelta(t, -2.7, e.slowStartBudget, 0.51, "at most one more is granted and deducted")
+	assert.InDelta(t, -2.7, e.slowStartBudget, 0.51, "at most one command is granted, less the overdraft")
 	r.chargeSlowStart(25, e, &r.groups[eventualReads])
-	assert.InDelta(t, -2.7, e.slowStartBudget, 0.51, "a warm endpoint has no budget")
+	assert.InDelta(t, -2.7, e.slowStartBudget, 0.51, "attempts at a warm endpoint are not charged")
 }
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -11,7 +11,8 @@
 
 // This file holds the state of a router as plain data, with the functions that update it. It holds no
 // tuned value. Times are seconds on the caller's clock. A time at which something last happened is
-// negative infinity as long as it has not happened, unless its comment says otherwise.
+// negative infinity as long as it has not happened, unless its comment says otherwise. A log position is
+// kept as a time: an endpoint at a position has applied what was written to the log until then.
 
 // noIndex is used in place of an endpoint's or an attempt's index where there is none.
 const noIndex = -1
@@ -75,10 +76,10 @@
 	nextRecoveryAt       float64 // when it may get a recovery attempt while ejected
 	nextRoleTestAt       float64 // when a write may test again whether it is the primary
 	lastCheckAt          float64 // when a health check was last requested
-	slowStartBudget      float64 // work it may still get in slow start, as relativeWork; negative if overdrawn
+	slowStartBudget      float64 // work it may still get in slow start, in relativeWork; negative if overdrawn
 	slowStartBudgetSetAt float64 // when that budget was last granted
 	lastOverloadAt       float64 // when it last rejected a command as overloaded
-	unreachableSince     float64 // when contact first failed after its last answer; else positive infinity
+	unreachableSince     float64 // when contact first failed since its last answer; else positive infinity
 	lastUnreachableAt    float64 // when contact last failed
 }
 
@@ -108,9 +109,9 @@
 	shards    []shard    // by shard index
 	random    mwc.Source // for all random choices
 
-	longestObjective float64 // longest LatencyObjective of the groups that are not Eventual, in seconds
+	longestObjective float64 // longest LatencyObjective of groups that are not Eventual, in seconds; see New
 	longestTimeout   float64 // longest ClientTimeout of all groups, in seconds
-	reviewInterval   float64 // tightest staleness bound or session-read objective, in seconds
+	reviewInterval   float64 // seconds; Maintain reviews all endpoints every half of it; see New
 	decayTime        float64 // time constant with which the sums of an endpoint decay, in seconds
 
 	fleetLatency       float64 // mean normalized answer time without heavy groups, in seconds
@@ -120,7 +121,7 @@
 	medianFailureShare float64 // median of the endpoints' failure shares
 	connectCost        float64 // seconds that a new connection adds to an answer time
 	warmAttemptRate    float64 // attempts per second that this router sends to a warm endpoint
-	warmThroughput     float64 // commands of mean service time that a warm endpoint answers it per second
+	warmThroughput     float64 // commands of mean service time per second that a warm endpoint answers to it
 	commandCount       float64 // decaying number of commands
 
 	checkInterval        float64 // seconds after a position report until a check; infinite for none
@@ -128,7 +129,7 @@
 	recoveryInterval     float64 // seconds between two recovery attempts to any endpoints
 	pendingChecks        []int   // endpoints for which the next Maintain requests a health check
 	lastReviewAt         float64 // when Maintain last reviewed all endpoints
-	lastRecoveryAt       float64 // when the last recovery attempt to any endpoint was sent
+	lastRecoveryAt       float64 // when an endpoint was last chosen for a recovery attempt
 
 	sessions          generational.Map[uint64, session] // by session id
 	sessionsRotatedAt float64                           // when the older generation of sessions was last dropped
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -47,7 +47,7 @@
 	ReplicasCheckReads bool    // replicas reject reads (NotServed) for which their data is too old
 	LoadReports        bool    // health checks return the endpoint's log position and role
 	PollList           bool    // the router has to poll for the endpoint list and its changes
-	PollWindow         float64 // a changed list binds the router after this time even if it did not poll
+	PollWindow         float64 // time after which a changed list binds even a router that has not polled it
 	SoftRemoval        bool    // an endpoint that left the list without draining may still be used
 	CanCancel          bool    // attempts can be canceled
 	HealthChecks       bool    // the router may request health checks
@@ -56,9 +56,9 @@
 	MaxAttempts        int     // most attempts for one command
 	ConnectTimeout     float64 // time after which a connection attempt fails
 	SlowStartFloor     float64 // share of its full capacity that an endpoint has when it starts
-	SlowStart          float64 // time from its start until an endpoint has its full capacity
-	OverloadFactor     float64 // load, over its present capacity, that overloads an endpoint in slow start
-	OverloadWindow     float64 // time for which that load has to last to overload the endpoint
+	SlowStart          float64 // time from its start until an endpoint is warm: it has its full capacity
+	OverloadFactor     float64 // ratio of load to present capacity that overloads an endpoint in slow start
+	OverloadWindow     float64 // time for which that ratio has to last to overload the endpoint
 }
 
 // CommandGroup is the configuration of one group of commands. All durations are in seconds.
@@ -131,7 +131,7 @@
 	newConnection   bool // no idle connection was expected to be open when it was sent
 	overdue         bool // has been counted as a failure because no answer came in time
 	cancelRequested bool // a decision has asked the caller to cancel it
-	lost            bool // the endpoint has answered later attempts; no longer counted as queued
+	lost            bool // late, and the endpoint has answered others since; no longer counted as queued
 }
 
 // Result is the way in which an attempt or a health check ended.
