--- a/internal/inflight/decisions_test.go
+++ b/internal/inflight/decisions_test.go
@@ -15,9 +15,9 @@
 var updateDecisions = flag.Bool("update-decisions", false, "record testdata/decisions.txt again")
 
 const (
-	simulatedSeeds     = 160  // number of seeds; each draws settings of its own
-	callsPerSimulation = 8000 // calls after which a simulation ends
-	callsOfFlood       = 400_000
+	simulatedSeeds     = 160     // number of seeds; each draws settings of its own
+	callsPerSimulation = 8000    // calls after which a simulation ends
+	callsOfFlood       = 400_000 // calls after which the flood ends
 )
 
 // TestDecisionsAreAsRecorded simulates fleets, each drawn from a seed, and compares a digest of every thousand calls
--- a/internal/inflight/simulation_test.go
+++ b/internal/inflight/simulation_test.go
@@ -11,10 +11,11 @@
 
 const (
 	callsPerDigest = 1000
-	startTime      = 100.0
-	// minStep advances the clock if the tracker asks to be called again immediately.
+	startTime      = 100.0 // seconds
+	// Least time in seconds from a call of ReviewDue to the time at which the next one is due. It advances the clock if
+	// the tracker asks to be called again immediately.
 	minStep   = 1e-4
-	floodStep = 5e-3
+	floodStep = 5e-3 // the same in a flood
 	// floodSeed selects a flood of commands, most of them in a session of their own, which fills the memory for sessions.
 	floodSeed = 1 << 20
 )
@@ -129,7 +130,7 @@
 	digest
 	now     float64
 	queue   events
-	order   int
+	order   int // number of events scheduled so far
 	config  router.Config
 	router  *router.Router // the current router, which receives new commands
 	tracker *inflight.Tracker
@@ -138,14 +139,14 @@
 	nextID       uint32
 
 	endpoints          []endpoint
-	freeIndices        []int // indices of released endpoints
-	shards             int
-	subscribed         bool
+	freeIndices        []int   // indices of released endpoints
+	shards             int     // number of shards
+	subscribed         bool    // the router gets changes of the endpoint list
 	meanCommandGap     float64 // mean time in seconds between two commands
 	leaveShare         float64 // share of clients that may leave before their answer
-	sessions           int
-	errorsAreFinal     bool // errors of backends are final answers
-	flood              bool
+	sessions           int     // number of sessions
+	errorsAreFinal     bool    // errors of backends are final answers
+	flood              bool    // this is the simulation of floodSeed
 	meanChangeInterval float64 // mean time in seconds between two changes of the fleet
 }
 
--- a/internal/inflight/tracker.go
+++ b/internal/inflight/tracker.go
@@ -65,10 +65,10 @@
 
 // SwitchRouter passes new commands to another router from now on. That router takes over what the current one has learned,
 // as far as it is still valid under the new settings. Commands in flight stay with the current router until they end.
-func (t *Tracker) SwitchRouter(now float64, fresh *router.Router) {
-	fresh.MigrateFrom(now, t.router)
+func (t *Tracker) SwitchRouter(now float64, newRouter *router.Router) {
+	newRouter.MigrateFrom(now, t.router)
 	t.earlierRouters = append(t.earlierRouters, t.router)
-	t.router = fresh
+	t.router = newRouter
 }
 
 // UpdateEndpoints passes an update of the endpoint list to the current router and to the earlier routers that still have
@@ -148,19 +148,19 @@
 }
 
 // execute has the executor carry out a decision, and schedules the review that the decision asks for.
-func (t *Tracker) execute(c *command, d router.Decision) {
-	if d.CancelAttempt >= 0 {
-		t.executor.Cancel(c.id, d.CancelAttempt)
+func (t *Tracker) execute(c *command, decision router.Decision) {
+	if decision.CancelAttempt >= 0 {
+		t.executor.Cancel(c.id, decision.CancelAttempt)
 	}
 	if c.answered {
 		return
 	}
-	switch d.Action {
+	switch decision.Action {
 	case router.Forward:
-		t.executor.Forward(c.id, len(c.Attempts)-1, d.Endpoint, d.AttemptDeadline)
+		t.executor.Forward(c.id, len(c.Attempts)-1, decision.Endpoint, decision.AttemptDeadline)
 	case router.Reject:
 		c.answered = true
-		t.executor.Reject(c.id, d.RetryAfter)
+		t.executor.Reject(c.id, decision.RetryAfter)
 	case router.Fail:
 		c.answered = true
 		t.executor.Fail(c.id)
@@ -170,8 +170,8 @@
 		t.release(c)
 		return
 	}
-	if d.ReviewAt > 0 {
-		c.reviewAt = d.ReviewAt
-		t.reviews.push(d.ReviewAt, c)
+	if decision.ReviewAt > 0 {
+		c.reviewAt = decision.ReviewAt
+		t.reviews.push(decision.ReviewAt, c)
 	}
 }
