--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -77,7 +77,7 @@
 	for name, test := range map[string]struct {
 		sent   []byte
 		result router.Result
-		open   int
+		open   int // connections that stay open
 	}{
 		"overloaded":            {pg.AppendReadyForQuery(errorResponse(pg.CodeTooManyConnections, false)), router.Overloaded, 1},
 		"overloaded and closed": {errorResponse(pg.CodeTooManyConnections, true), router.Overloaded, 0},
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -34,9 +34,9 @@
 	answer             pg.Answer // the part of the answer received so far
 	attempt            *Attempt  // nil if the connection carries no attempt
 	carriesHealthCheck bool      // true while the connection carries a health check
-	checkStartedAt     float64
-	idleSince          float64
-	writeDeadline      float64 // time by which the query must be written completely
+	checkStartedAt     float64   // time at which the health check was requested
+	idleSince          float64   // time at which the connection last became idle
+	writeDeadline      float64   // time by which the query must be written completely
 	timer              *eventloop.Timer
 }
 
--- a/internal/dispatcher/attempt.go
+++ b/internal/dispatcher/attempt.go
@@ -89,8 +89,8 @@
 	d.tracker.ShiftReportedTimes(behind)
 }
 
-// isWrite reports whether the command must run at a primary, under the current settings. A group that they do not have
-// counts as one of writes.
+// isWrite reports whether the command must run at a primary, under the current settings. A group that is not in the
+// settings counts as a group of writes.
 func (d *Dispatcher) isWrite(command *Command) bool {
 	groups := d.settings.CommandGroups
 	return command.Group >= len(groups) || groups[command.Group].Consistency == router.PrimaryOnly
--- a/internal/dispatcher/clock.go
+++ b/internal/dispatcher/clock.go
@@ -30,10 +30,10 @@
 // The router treats a negative position as unknown, and the rounding error of a position grows with its value. The epoch is
 // therefore early enough for the position of any replica that is worth reading, and late enough to keep the rounding error
 // under a millisecond.
-func newClock(l *eventloop.Loop, durations *config.Durations) clock {
+func newClock(loop *eventloop.Loop, durations *config.Durations) clock {
 	return clock{
-		loop:                l,
-		unixAtStart:         float64(l.StartedAt().UnixNano()) / nanosecondsPerSecond,
+		loop:                loop,
+		unixAtStart:         float64(loop.StartedAt().UnixNano()) / nanosecondsPerSecond,
 		positionEpoch:       -durations.PositionEpoch,
 		maxSkewSeconds:      durations.MaxClockSkew,
 		confirmationTimeout: durations.ClockConfirmation,
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -45,10 +45,10 @@
 
 // New returns a dispatcher that starts with the endpoint list in config. It starts watching the list at once, unless the
 // settings say that the list is polled only on demand. The dispatcher keeps using config, which must outlive it.
-func New(config *config.Config, l *eventloop.Loop, blocks *buffer.Pool, counters *metrics.Counters, log zerolog.Logger) *Dispatcher {
+func New(config *config.Config, loop *eventloop.Loop, blocks *buffer.Pool, counters *metrics.Counters, log zerolog.Logger) *Dispatcher {
 	d := &Dispatcher{
-		loop:      l,
-		clock:     newClock(l, &config.Limits.Durations),
+		loop:      loop,
+		clock:     newClock(loop, &config.Limits.Durations),
 		settings:  &config.Settings,
 		seed:      config.Seed,
 		counters:  counters,
@@ -63,8 +63,8 @@
 	}
 	d.router = d.newRouter()
 	d.tracker = inflight.New(d.router, d)
-	d.backends = backend.New(l, &config.Limits, blocks, d, counters)
-	d.watch = discovery.New(l, &config.Limits, config.Discovery, config.Settings.PollList, blocks, d, log)
+	d.backends = backend.New(loop, &config.Limits, blocks, d, counters)
+	d.watch = discovery.New(loop, &config.Limits, config.Discovery, config.Settings.PollList, blocks, d, log)
 	d.pendingEvents.listUpdates = []listUpdate{{source: listFromConfig, list: config.KnownList}}
 	if !config.Settings.PollList {
 		d.watch.Poll()
