--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -7,68 +7,69 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// backend is a database server: a primary or replica of a shard.
+// backend is a simulated database server, the primary or a replica of a shard.
 type backend struct {
 	world       *World
-	node        int
-	shard       int
+	index       int // in World.backends and in the endpoint list
+	shard       int // index of its shard
 	primary     bool
-	drains      bool
-	listedState router.EndpointState // the state that routers were last told
-	listedSince float64
-	down        bool
-	hung        bool
-	cut         bool
-	slow        float64
-	started     float64 // virtual time in seconds; -Inf: long ago
-	busy        int
-	inTransit   int // attempts under way on the network
+	draining    bool
+	listedState router.EndpointState // state in the list that routers received last
+	listedSince float64              // virtual time in seconds
+	down        bool                 // after a crash
+	hung        bool                 // neither begins nor answers commands
+	cut         bool                 // not reachable over the network
+	slowdown    float64              // factor by which commands take longer
+	startedAt   float64              // virtual time in seconds, or -Inf if it is warm from the beginning
+	busySlots   int
+	inTransit   int // attempts that have been sent to it and not arrived
 	queue       []*attempt
-	working     map[*attempt]bool
-	applied     float64  // commit time of the newest record that it has applied
-	log         []record // shipped and not yet applied, in order of commits
-	until       float64  // when the apply thread will have applied all of them
-	cold        invariant.Cold
+	executing   map[*attempt]bool
+	applied     float64  // commit time of the newest applied record
+	log         []record // records not yet applied, in order of commit
+	applyDoneAt float64  // time at which all records in log will be applied
+	coldCheck   invariant.Cold
 }
 
-// attempt is one transmission of a command to a backend.
+// attempt is one attempt to have a backend execute a command.
 type attempt struct {
 	command  *command
 	number   int
-	at       *backend
-	sent     float64
-	open     bool // its router still waits for the result
+	backend  *backend
+	sentAt   float64
+	pending  bool // the router waits for the result
 	started  bool
-	position float64 // of the data that it read
+	position float64 // position of the data that it read or wrote
 }
 
-// capacityShare is the part of its capacity that it has at the time: less than 1 while it warms up.
+// capacityShare returns the share of its full capacity that the backend has at the time. It is below 1 while the backend
+// warms up.
 func (b *backend) capacityShare(now float64) float64 {
 	f := &b.world.spec.Fleet
-	return math.Min(1, f.ColdShare+(1-f.ColdShare)*math.Max(0, now-b.started)/float64(f.WarmIn))
+	return math.Min(1, f.ColdShare+(1-f.ColdShare)*math.Max(0, now-b.startedAt)/float64(f.WarmIn))
 }
 
-// receive takes in an attempt: it begins, waits in the queue or is rejected.
+// receive handles an attempt that arrives. It begins the attempt, queues it or rejects it.
 func (b *backend) receive(a *attempt) {
 	w := b.world
 	switch {
-	case b.cut: // nothing arrives; the attempt times out
+	case b.cut: // the attempt never arrives, so it times out
 		return
 	case b.down:
 		w.deliverResult(a, router.ConnectFailed, w.networkDelay())
 		return
 	}
-	if now := w.now; now-b.started < float64(w.spec.Fleet.WarmIn) {
-		b.cold.Sent(now, b.started)
-		if p, how := b.cold.Broken(); p != "" {
+	if now := w.now; now-b.startedAt < float64(w.spec.Fleet.WarmIn) {
+		b.coldCheck.Sent(now, b.startedAt)
+		if p, how := b.coldCheck.Broken(); p != "" {
 			w.recordViolation(p, how)
-			b.cold = w.coldBudget()
+			b.coldCheck = w.newColdCheck()
 			b.crash()
 			w.after(float64(w.spec.Fleet.WarmIn)/4, b.start)
 			return
 		}
 	}
-	if b.busy >= w.spec.Fleet.Slots || b.hung {
+	if b.busySlots >= w.spec.Fleet.Slots || b.hung {
 		if len(b.queue) >= w.spec.Fleet.Queue {
 			w.deliverResult(a, router.Overloaded, w.networkDelay())
 			return
@@ -79,7 +80,8 @@
 	b.begin(a)
 }
 
-// begin executes an attempt. Attempts that were canceled before are not begun.
+// begin executes an attempt, or rejects a write that arrives at a replica. Callers pass only attempts that are
+// not canceled.
 func (b *backend) begin(a *attempt) {
 	w := b.world
 	g := &w.spec.Groups[a.command.group]
@@ -88,21 +90,21 @@
 		b.beginQueued()
 		return
 	}
-	b.busy++
+	b.busySlots++
 	a.started = true
 	a.position = b.position(w.now)
-	b.working[a] = true
-	took := w.drawWork(a.command.group) * b.slow / b.capacityShare(w.now)
+	b.executing[a] = true
+	took := w.drawWork(a.command.group) * b.slowdown / b.capacityShare(w.now)
 	w.after(took, func() { b.finish(a) })
 }
 
 func (b *backend) finish(a *attempt) {
-	if !b.working[a] { // it crashed, or the attempt was canceled
+	if !b.executing[a] { // the backend has crashed, or the attempt is canceled
 		return
 	}
-	delete(b.working, a)
-	b.busy--
-	if b.hung { // it is done, and no answer is sent
+	delete(b.executing, a)
+	b.busySlots--
+	if b.hung { // it has executed the attempt, but sends no answer
 		return
 	}
 	if consistencies[b.world.spec.Groups[a.command.group].Need] == router.PrimaryOnly {
@@ -114,12 +116,13 @@
 	b.beginQueued()
 }
 
-// beginQueued begins the next attempt of the queue whose router still waits, if a slot is free.
+// beginQueued begins the first attempt in the queue whose router still waits for it, if a slot is free. It drops those
+// before it.
 func (b *backend) beginQueued() {
-	for len(b.queue) > 0 && b.busy < b.world.spec.Fleet.Slots && !b.hung {
+	for len(b.queue) > 0 && b.busySlots < b.world.spec.Fleet.Slots && !b.hung {
 		a := b.queue[0]
 		b.queue = b.queue[1:]
-		if a.open {
+		if a.pending {
 			b.begin(a)
 			return
 		}
@@ -128,36 +131,36 @@
 
 // cancel stops an attempt that is being executed.
 func (b *backend) cancel(a *attempt) {
-	if b.working[a] && !b.hung {
-		delete(b.working, a)
-		b.busy--
+	if b.executing[a] && !b.hung {
+		delete(b.executing, a)
+		b.busySlots--
 		b.beginQueued()
 	}
 }
 
-// crash loses the connections of all attempts, executed and queued.
+// crash stops the backend. All attempts that it executes or has queued end with a lost connection.
 func (b *backend) crash() {
 	b.down = true
 	var lost []*attempt
-	for a := range b.working {
+	for a := range b.executing {
 		lost = append(lost, a)
 	}
 	lost = append(sortAttempts(lost), b.queue...)
-	b.working, b.queue, b.busy = map[*attempt]bool{}, nil, 0
+	b.executing, b.queue, b.busySlots = map[*attempt]bool{}, nil, 0
 	for _, a := range lost {
 		b.world.deliverResult(a, router.ConnectionLost, b.world.networkDelay())
 	}
 }
 
-// start ends a crash. The backend warms up.
+// start restarts the backend after a crash. It then warms up.
 func (b *backend) start() {
 	b.down, b.hung = false, false
-	b.started = b.world.now
-	b.cold = b.world.coldBudget()
+	b.startedAt = b.world.now
+	b.coldCheck = b.world.newColdCheck()
 	b.world.publishEndpoints()
 }
 
-// resume ends a hang: queued attempts begin.
+// resume ends a hang and begins queued attempts, one for each slot.
 func (b *backend) resume() {
 	b.hung = false
 	for range b.world.spec.Fleet.Slots {
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -8,54 +8,55 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// baselinePolicy knows the endpoint list and its own attempts. Reads go where choose says, all else to the listed
-// primary; an attempt that never ran is retried elsewhere, idempotent commands also if they may have run.
+// baselinePolicy is a simple policy that knows only the endpoint list and its own attempts. It sends reads to a random one
+// of the backends that choose returns, and everything else to the primary in the list. It retries an attempt that never ran
+// at another backend. It also retries idempotent commands that may have run.
 type baselinePolicy struct {
 	instance     *instance
 	choose       func(b *baselinePolicy, s *baselineCommand) []int
-	seesBackends bool // it knows the true state of backends at once
+	seesBackends bool // whether it knows the true state of backends without delay
 	random       *rand.Rand
-	list         []router.EndpointInfo
-	out          []int // attempts by node
-	turn         int
-	wrote        map[uint64]float64 // when sessions last wrote, for the window; emptied with each that has run out
+	endpoints    []router.EndpointInfo
+	inFlight     []int // attempts in flight by backend
+	nextReplica  int
+	lastWrites   map[uint64]float64 // time of the last write of each session, deleted after primaryWindow
 	commands     map[uint32]*baselineCommand
 }
 
 // baselineCommand is a command that a baseline policy has not finished.
 type baselineCommand struct {
-	id      uint32
-	command router.Command
-	ran     bool
-	tried   []int
-	at      int
+	id         uint32
+	command    router.Command
+	mayHaveRun bool
+	tried      []int
+	endpoint   int
 }
 
 const (
 	baselineMaxAttempts = 3
-	primaryWindow       = 1.0 // seconds after a session's write in which its reads go to the primary
+	primaryWindow       = 1.0 // seconds after a session's write during which the policy window sends its reads to the primary
 )
 
 func newBaseline(choose func(b *baselinePolicy, s *baselineCommand) []int) func(r *instance) Policy {
 	return func(r *instance) Policy {
 		return &baselinePolicy{
-			instance: r, choose: choose, random: rand.New(rand.NewPCG(r.world.seed, hashName("simple")+uint64(r.index)<<8+uint64(r.boots))),
-			out: make([]int, len(r.world.backends)), wrote: map[uint64]float64{}, commands: map[uint32]*baselineCommand{},
+			instance: r, choose: choose, random: rand.New(rand.NewPCG(r.world.seed, hashName("simple")+uint64(r.index)<<8+uint64(r.starts))),
+			inFlight: make([]int, len(r.world.backends)), lastWrites: map[uint64]float64{}, commands: map[uint32]*baselineCommand{},
 		}
 	}
 }
 
 // UpdateEndpoints implements Policy.
-func (b *baselinePolicy) UpdateEndpoints(_ float64, l []router.EndpointInfo) { b.list = l }
+func (b *baselinePolicy) UpdateEndpoints(_ float64, l []router.EndpointInfo) { b.endpoints = l }
 
-// HealthChecked implements Policy: a baseline makes no health checks.
+// HealthChecked implements Policy. Baselines make no health checks.
 func (b *baselinePolicy) HealthChecked(float64, int, bool, float64, float64, bool) {}
 
-// ReviewDue implements Policy: no command waits for a review; only old writes are forgotten.
+// ReviewDue implements Policy. It only deletes old writes, because commands never wait for a review.
 func (b *baselinePolicy) ReviewDue(now float64) (float64, []int) {
-	for s, at := range b.wrote {
+	for s, at := range b.lastWrites {
 		if now-at > primaryWindow {
-			delete(b.wrote, s)
+			delete(b.lastWrites, s)
 		}
 	}
 	return now + primaryWindow, nil
@@ -65,7 +66,7 @@
 func (b *baselinePolicy) Add(_ float64, id uint32, c router.Command) {
 	s := &baselineCommand{id: id, command: c}
 	b.commands[id] = s
-	b.place(s)
+	b.startAttempt(s)
 }
 
 // ClientGone implements Policy.
@@ -75,13 +76,14 @@
 	return &b.instance.world.spec.Groups[s.command.Group]
 }
 
+// primary returns the index of the shard's primary, or -1 if the list has none.
 func (b *baselinePolicy) primary(shard int) int {
 	for _, m := range b.instance.world.shards[shard] {
 		if b.seesBackends && m.primary {
-			return m.node
+			return m.index
 		}
 	}
-	for _, l := range b.list {
+	for _, l := range b.endpoints {
 		if l.Shard == shard && l.Primary {
 			return l.Index
 		}
@@ -89,9 +91,10 @@
 	return -1
 }
 
-// replicas that are listed ready and were not tried for this command.
-func (b *baselinePolicy) replicas(s *baselineCommand) (out []int) {
-	for _, l := range b.list {
+// untriedReplicas returns the replicas of the command's shard that are ready in the list and that the command has not
+// tried yet.
+func (b *baselinePolicy) untriedReplicas(s *baselineCommand) (out []int) {
+	for _, l := range b.endpoints {
 		if l.Shard == s.command.Shard && !l.Primary && l.State == router.Ready && !slices.Contains(s.tried, l.Index) {
 			out = append(out, l.Index)
 		}
@@ -99,7 +102,8 @@
 	return out
 }
 
-func (b *baselinePolicy) place(s *baselineCommand) {
+// startAttempt sends the command to a backend, or ends it if there is none or it has used up its attempts.
+func (b *baselinePolicy) startAttempt(s *baselineCommand) {
 	at := b.primary(s.command.Shard)
 	if consistencies[b.group(s).Need] != router.PrimaryOnly {
 		if some := b.choose(b, s); len(some) > 0 {
@@ -108,16 +112,16 @@
 	}
 	if at < 0 || len(s.tried) >= baselineMaxAttempts {
 		delete(b.commands, s.id)
-		if s.ran && idempotencies[b.group(s).Effect] != router.Idempotent {
+		if s.mayHaveRun && idempotencies[b.group(s).Effect] != router.Idempotent {
 			b.instance.Fail(s.id)
 		} else {
 			b.instance.Reject(s.id, 0)
 		}
 		return
 	}
-	s.at = at
+	s.endpoint = at
 	s.tried = append(s.tried, at)
-	b.out[at]++
+	b.inFlight[at]++
 	b.instance.Forward(s.id, len(s.tried)-1, at, s.command.ClientDeadline)
 }
 
@@ -127,31 +131,32 @@
 	if s == nil {
 		return
 	}
-	b.out[s.at]--
+	b.inFlight[s.endpoint]--
 	if o.Result == router.Answered {
 		if consistencies[b.group(s).Need] == router.PrimaryOnly {
-			b.wrote[s.command.Session] = now
+			b.lastWrites[s.command.Session] = now
 		}
 		delete(b.commands, id)
 		return
 	}
-	s.ran = s.ran || o.Result == router.ConnectionLost || o.Result == router.TimedOut
-	if now < s.command.ClientDeadline && (!s.ran || idempotencies[b.group(s).Effect] == router.Idempotent) {
-		b.place(s)
+	s.mayHaveRun = s.mayHaveRun || o.Result == router.ConnectionLost || o.Result == router.TimedOut
+	if now < s.command.ClientDeadline && (!s.mayHaveRun || idempotencies[b.group(s).Effect] == router.Idempotent) {
+		b.startAttempt(s)
 		return
 	}
 	delete(b.commands, id)
 	b.instance.Fail(id)
 }
 
-// backendStalled cancels attempts at a backend that will not answer, if the policy is omniscient and they may be retried.
+// backendStalled cancels the attempts at a backend that does not answer any more, if the policy is omniscient and the
+// commands may be retried.
 func (b *baselinePolicy) backendStalled(node int) {
 	if !b.seesBackends {
 		return
 	}
 	var ids []uint32
 	for id, s := range b.commands {
-		if s.at == node && idempotencies[b.group(s).Effect] == router.Idempotent && len(s.tried) < baselineMaxAttempts {
+		if s.endpoint == node && idempotencies[b.group(s).Effect] == router.Idempotent && len(s.tried) < baselineMaxAttempts {
 			ids = append(ids, id)
 		}
 	}
@@ -161,64 +166,73 @@
 	}
 }
 
-// primaryOnly sends reads to the primary too.
+// primaryOnly chooses no replica, so that reads go to the primary too.
 func primaryOnly(*baselinePolicy, *baselineCommand) []int { return nil }
 
-func anyReplica(b *baselinePolicy, s *baselineCommand) []int { return b.replicas(s) }
+// anyReplica chooses all untried replicas, whatever the age of their data.
+func anyReplica(b *baselinePolicy, s *baselineCommand) []int { return b.untriedReplicas(s) }
 
+// primaryForAWindow chooses the primary for reads shortly after a write of their session, and all untried replicas for
+// other reads.
 func primaryForAWindow(b *baselinePolicy, s *baselineCommand) []int {
-	if at, wrote := b.wrote[s.command.Session]; wrote && s.command.ArrivedAt-at <= primaryWindow {
+	if at, wrote := b.lastWrites[s.command.Session]; wrote && s.command.ArrivedAt-at <= primaryWindow {
 		return nil
 	}
-	return b.replicas(s)
+	return b.untriedReplicas(s)
 }
 
+// roundRobin chooses the untried replicas in turn.
 func roundRobin(b *baselinePolicy, s *baselineCommand) []int {
-	all := b.replicas(s)
+	all := b.untriedReplicas(s)
 	if len(all) == 0 {
 		return nil
 	}
-	b.turn++
-	return all[b.turn%len(all) : b.turn%len(all)+1]
+	b.nextReplica++
+	return all[b.nextReplica%len(all) : b.nextReplica%len(all)+1]
 }
 
-// fewest are those with the fewest attempts of this router.
-func (b *baselinePolicy) fewest(some []int) []int {
+// withFewestAttempts are those with the withFewestAttempts attempts of this router.
+func (b *baselinePolicy) withFewestAttempts(some []int) []int {
 	least := math.MaxInt
 	for _, i := range some {
-		least = min(least, b.out[i])
+		least = min(least, b.inFlight[i])
 	}
-	return slices.DeleteFunc(some, func(i int) bool { return b.out[i] > least })
+	return slices.DeleteFunc(some, func(i int) bool { return b.inFlight[i] > least })
 }
 
-func leastDispatches(b *baselinePolicy, s *baselineCommand) []int { return b.fewest(b.replicas(s)) }
+// leastAttempts chooses the untried replicas with the fewest attempts from this router in flight.
+func leastAttempts(b *baselinePolicy, s *baselineCommand) []int {
+	return b.withFewestAttempts(b.untriedReplicas(s))
+}
 
+// twoChoices draws two untried replicas at random and chooses the one with fewer attempts in flight, or both if equal.
 func twoChoices(b *baselinePolicy, s *baselineCommand) []int {
-	all := b.replicas(s)
+	all := b.untriedReplicas(s)
 	for len(all) > 2 {
 		i := b.random.IntN(len(all))
 		all = slices.Delete(all, i, i+1)
 	}
-	return b.fewest(all)
+	return b.withFewestAttempts(all)
 }
 
-// omniscient knows every backend's true state, which no router can: what could be had. Of those that cover a read and
-// work, it takes the one whose queue is the shortest for its pace, the primary too.
+// omniscient chooses by the true state of the backends, which no router can know. It shows what the best policy could
+// achieve. Of the working backends whose data is new enough for the read, the primary included, it chooses the one with
+// the shortest queue relative to its speed.
 func omniscient(b *baselinePolicy, s *baselineCommand) []int {
 	w := b.instance.world
 	c := b.instance.commands[s.id]
 	best, least := []int(nil), math.Inf(1)
 	for _, m := range w.shards[s.command.Shard] {
-		if m.down || m.hung || m.cut || m.listedState != router.Ready || slices.Contains(s.tried, m.node) {
+		if m.down || m.hung || m.cut || m.listedState != router.Ready || slices.Contains(s.tried, m.index) {
 			continue
 		}
 		if consistencies[b.group(s).Need] != router.Eventual && m.position(w.now) < math.Max(c.Needs, c.Seen) {
 			continue
 		}
-		// One that drains or falls behind while the attempt is on its way is the price of the way.
-		queue := float64(m.busy+len(m.queue)+m.inTransit+1) * m.slow / m.capacityShare(w.now)
+		// The backend may still start to drain or fall behind while the attempt is on the network.
+		queue := float64(m.busySlots+len(m.queue)+m.inTransit+1) * m.slowdown / m.capacityShare(w.now)
 		if queue < least {
-			best, least = []int{m.node}, queue
+			best, least = []int{m.index}, queue
 		}
 	}
 	return best
--- a/internal/lab/model/check.go
+++ b/internal/lab/model/check.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	maxRuns           = 10_000      // that one file may ask for: seeds times policies
-	maxCommandsPerRun = 200_000_000 // that clients may send in one run
-	maxSeconds        = 86_400      // of one run
+	maxRuns           = 10_000      // maximum number of runs of an experiment: seeds times policies
+	maxCommandsPerRun = 200_000_000 // maximum number of commands in one run, retries not counted
+	maxSeconds        = 86_400      // maximum duration of a run: a day
 )
 
-// specError is a fault of an experiment's file at a position.
+// specError returns an error at a position of an experiment's file.
 func specError(at sexp.Position, format string, args ...any) error {
 	return &sexp.Error{Position: at, Reason: fmt.Sprintf(format, args...)}
 }
 
-// check tells whether the experiment can be run. Its errors are *sexp.Error; the first that is found is returned.
+// check returns an error if the experiment cannot be run. The error is the first one found and of type *sexp.Error.
 func (s *Spec) check(file string) error {
 	top := sexp.Position{File: file, Line: 1, Column: 1}
 	if err := s.Fleet.check(); err != nil {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// check tells whether each number of the fleet is within its range.
+// check returns an error if a number of the fleet is out of its range.
 func (f *Fleet) check() error {
 	counts := []struct {
 		key         string
@@ -64,7 +64,7 @@
 	}
 	for _, count := range counts {
 		if count.value < count.least || count.value > count.most {
-			return specError(f.Place, "%s is %d, and must be within %d and %d", count.key, count.value, count.least, count.most)
+			return specError(f.Place, "%s is %d, but must be between %d and %d", count.key, count.value, count.least, count.most)
 		}
 	}
 	quantities := []struct {
@@ -85,65 +85,68 @@
 	}
 	for _, quantity := range quantities {
 		if quantity.value < 0 || quantity.value == 0 && !quantity.zeroIsOK {
-			return specError(f.Place, "%s is %g, and must be above 0", quantity.key, quantity.value)
+			return specError(f.Place, "%s is %g, but must be above 0", quantity.key, quantity.value)
 		}
 	}
 	return nil
 }
 
-// checkExtent checks what is played: its length, its groups, and how many runs there are.
+// checkExtent checks the duration of a run, the shares of the fleet, that there are command groups, and the number of
+// runs.
 func (s *Spec) checkExtent(top sexp.Position) error {
 	runs := len(s.Seeds) * len(s.Policies)
 	switch {
 	case s.Seconds <= 0 || s.Seconds > maxSeconds:
-		return specError(top, "seconds is %g, and must be above 0 and at most a day", float64(s.Seconds))
+		return specError(top, "seconds is %g, but must be above 0 and at most a day", float64(s.Seconds))
 	case s.Fleet.Heavy < 0 || s.Fleet.Heavy > 1 || s.Fleet.ColdShare > 1:
-		return specError(s.Fleet.Place, "heavy and cold-share are shares, from 0 to 1")
+		return specError(s.Fleet.Place, "heavy and cold-share are shares and must be between 0 and 1")
 	case len(s.Groups) == 0:
-		return specError(top, "group: there is none, so there is no load")
+		return specError(top, "group: there must be at least one command group")
 	case runs == 0 || runs > maxRuns:
-		return specError(top, "seeds times policies are %d runs, and must be 1 to %d", runs, maxRuns)
+		return specError(top, "seeds times policies are %d runs, but must be between 1 and %d", runs, maxRuns)
 	}
 	return nil
 }
 
+// check returns an error if a setting of the group is invalid.
 func (g *Group) check() error {
 	if _, known := consistencies[g.Need]; !known {
-		return specError(g.Place, "need: %q is none of write, current, session, bound and any", g.Need)
+		return specError(g.Place, "need: %q is not one of write, current, session, bound and any", g.Need)
 	}
 	if _, known := idempotencies[g.Effect]; !known {
-		return specError(g.Place, "effect: %q is none of replayable, keyed and mutating", g.Effect)
+		return specError(g.Place, "effect: %q is not one of replayable, keyed and mutating", g.Effect)
 	}
 	if err := g.checkNumbers(); err != nil {
 		return err
 	}
 	switch {
 	case g.Need == "bound" && g.Bound <= 0:
-		return specError(g.Place, "bound: a group with need bound must say how old its data may be")
+		return specError(g.Place, "bound: a group with need bound must have a bound above 0")
 	case g.Need == "write" && g.Effect == "replayable":
-		return specError(g.Place, "effect: a write is keyed or mutating")
+		return specError(g.Place, "effect: the effect of a write must be keyed or mutating")
 	}
 	return nil
 }
 
-// checkNumbers checks the group's load, value and times.
+// checkNumbers checks the numbers of the group's load, benefit and times.
 func (g *Group) checkNumbers() error {
 	loadOutOfRange := g.Rate < 0 || g.Work <= 0 || g.Spread < 0
 	lateOutOfRange := g.Late < 0 || g.Late > 1
 	valueOutOfRange := g.Benefit < 0 || g.Memory < 0 || lateOutOfRange
 	switch {
 	case loadOutOfRange || valueOutOfRange:
-		return specError(g.Place, "rate, work, spread, benefit, late and memory may not be negative, work not 0, late not above 1")
+		return specError(g.Place, "rate, work, spread, benefit, late and memory must not be negative, work must be above 0, late must not be above 1")
 	case g.Target <= 0 || g.Timeout < g.Target:
 		return specError(g.Place, "timeout is %g and target %g: the target must be above 0 and no later than the timeout", float64(g.Timeout), float64(g.Target))
 	}
 	return nil
 }
 
-// checkLoad checks the sum of all groups: how much is played, and whether the primaries can serve the writes at all.
+// checkLoad checks the load of all groups together: the number of commands in a run, and that the primaries have enough
+// slots for the writes.
 func (s *Spec) checkLoad(top sexp.Position) error {
 	commands := 0.0
-	busySlots := 0.0 // of primaries, by writes
+	busySlots := 0.0 // slots of primaries that writes keep busy
 	for i := range s.Groups {
 		group := &s.Groups[i]
 		commands += group.Rate * float64(s.Seconds)
@@ -152,44 +155,44 @@
 		}
 	}
 	if commands > maxCommandsPerRun {
-		return specError(top, "%.0f commands are asked for in one run, and %d are the most", commands, maxCommandsPerRun)
+		return specError(top, "a run has %.0f commands, but at most %d are allowed", commands, maxCommandsPerRun)
 	}
 	if capacity := float64(s.Fleet.Sets * s.Fleet.Slots); busySlots > capacity {
-		return specError(s.Fleet.Place, "writes keep %.1f slots of primaries busy, and there are %.0f: no policy can serve that", busySlots, capacity)
+		return specError(s.Fleet.Place, "writes keep %.1f slots of primaries busy, but there are only %.0f, so no policy can serve them", busySlots, capacity)
 	}
 	return nil
 }
 
-// checkFault checks one fault by itself and beside the others.
+// checkFault checks a fault, also in combination with the others.
 func (s *Spec) checkFault(index int) error {
 	fault := &s.Faults[index]
-	lasts, known := faultLasts[fault.Kind]
+	lasts, known := faultHasDuration[fault.Kind]
 	if !known {
 		return specError(fault.Place, "there is no fault %q", fault.Kind)
 	}
 	outsideRun := fault.At < 0 || fault.At >= s.Seconds
 	wrongDuration := fault.For < 0 || lasts && fault.For == 0
 	if outsideRun || wrongDuration {
-		return specError(fault.Place, "at must be within the run, and for above 0 where the fault lasts")
+		return specError(fault.Place, "at must be within the run, and for must be above 0 if the fault has a duration")
 	}
 	if err := s.checkFaultTarget(fault); err != nil {
 		return err
 	}
 	if fault.Kind == "slow" && fault.Times <= 1 {
-		return specError(fault.Place, "times is %g, and slow means above 1", fault.Times)
+		return specError(fault.Place, "times is %g, but must be above 1 for slow", fault.Times)
 	}
-	if fault.Kind == "elect" && fault.Member == 0 && !s.replacedBefore(fault) {
+	if fault.Kind == "elect" && fault.Member == 0 && !s.replacedByEarlierElection(fault) {
 		return specError(fault.Place, "member 0 is the primary already")
 	}
 	return s.checkOverlap(index)
 }
 
-// checkFaultTarget tells whether there is the router or backend that the fault concerns.
+// checkFaultTarget returns an error if the router or backend of the fault does not exist.
 func (s *Spec) checkFaultTarget(fault *Fault) error {
 	fleet := &s.Fleet
 	if fault.Kind == "restart" {
 		if fault.Router < 0 || fault.Router >= fleet.Routers {
-			return specError(fault.Place, "router is %d, and there are %d", fault.Router, fleet.Routers)
+			return specError(fault.Place, "router is %d, but there are only %d routers", fault.Router, fleet.Routers)
 		}
 		return nil
 	}
@@ -201,15 +204,16 @@
 	return nil
 }
 
-// replacedBefore tells whether another backend is elected before the election, so that the first primary is none by then.
-func (s *Spec) replacedBefore(election *Fault) bool {
+// replacedByEarlierElection reports whether another backend of the shard is elected before the given election, so that the first primary
+// is no longer the primary by then.
+func (s *Spec) replacedByEarlierElection(election *Fault) bool {
 	return slices.ContainsFunc(s.Faults, func(other Fault) bool {
 		sameSet := other.Kind == "elect" && other.Set == election.Set
 		return sameSet && other.Member != 0 && other.At < election.At
 	})
 }
 
-// checkOverlap tells whether the fault can happen beside the others of its backend.
+// checkOverlap returns an error if the fault contradicts another fault of the same backend.
 func (s *Spec) checkOverlap(index int) error {
 	fault := &s.Faults[index]
 	for i := range s.Faults {
@@ -219,19 +223,19 @@
 		}
 		startsDuring := fault.startsDuring(other)
 		overlaps := startsDuring || other.startsDuring(fault)
-		sameBefore := i < index && faultLasts[fault.Kind] && fault.Kind == other.Kind
+		sameBefore := i < index && faultHasDuration[fault.Kind] && fault.Kind == other.Kind
 		if sameBefore && overlaps {
 			return specError(fault.Place, "the same member has this fault at %s already", other.Place)
 		}
 		impossibleIfDown := fault.Kind == "hang" && overlaps || fault.Kind == "elect" && startsDuring
 		if other.Kind == "crash" && impossibleIfDown {
-			return specError(fault.Place, "the member is down by then, by the crash at %s", other.Place)
+			return specError(fault.Place, "the member is down by then because of the crash at %s", other.Place)
 		}
 	}
 	return nil
 }
 
-// startsDuring tells whether the fault starts while the other lasts.
+// startsDuring reports whether the fault starts during the other fault.
 func (x *Fault) startsDuring(other *Fault) bool {
 	return x.At >= other.At && x.At < other.At+other.For
 }
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -8,7 +8,7 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// command is one request of a client; each retry by the client is another.
+// command is one request of a client. Each retry by the client is another command.
 type command struct {
 	invariant.Command
 	id            uint32
@@ -16,29 +16,31 @@
 	group         int
 	session       uint64
 	shard         int
-	arrived       float64
-	first         float64 // when its client first sent it, in seconds
-	attemptNumber int     // of the client's attempts, from 1
-	done          bool
+	arrivedAt     float64
+	firstSentAt   float64 // virtual time in seconds at which the client sent its first attempt
+	attemptNumber int     // number of the client's attempt, from 1
+	ended         bool
 	attempts      []*attempt
 }
 
-// session is a client's session at a router: the positions of its last write and its latest read.
-type session struct{ wrote, seen float64 }
+// session holds the positions of the last write and the latest read of a client's session at a router.
+type session struct{ lastWrite, latestRead float64 }
 
-// frontMargin is how much before its client's timeout a router gives a command up, so that the answer still gets there.
+// answerMargin is the time in seconds before the client timeout at which a router gives up a command, so that its answer
+// still arrives in time.
 const answerMargin = 0.005
 
-// clientTries is how often a client asks in all.
+// maxClientAttempts is the maximum number of attempts by a client, the first included.
 const maxClientAttempts = 3
 
-// nextArrival schedules the group's next command. Load is open: it does not wait for answers.
-func (w *World) nextArrival(group int) {
+// scheduleArrival schedules the group's next command. The load is open: clients
+// do not wait for answers before they send the next command.
+func (w *World) scheduleArrival(group int) {
 	g := &w.spec.Groups[group]
 	if g.Rate == 0 {
 		return
 	}
-	at := w.now + w.arrive[group].ExpFloat64()/g.Rate
+	at := w.now + w.arrivalStreams[group].ExpFloat64()/g.Rate
 	if at >= float64(w.spec.Seconds) {
 		return
 	}
@@ -50,39 +52,39 @@
 			w.tally.Series = append(w.tally.Series, Second{})
 		}
 		w.tally.Series[int(w.now)].Benefit += g.Benefit
-		w.ask(group, uint64(n)+1, w.now, 1)
-		w.nextArrival(group)
+		w.sendCommand(group, uint64(n)+1, w.now, 1)
+		w.scheduleArrival(group)
 	})
 }
 
-// ask has a client send a command to the router that its session uses.
-func (w *World) ask(group int, id uint64, first float64, attemptNumber int) {
+// sendCommand sends a client's command to the router of its session. first is the time of the client's first attempt.
+func (w *World) sendCommand(group int, id uint64, first float64, attemptNumber int) {
 	r := w.routers[id%uint64(len(w.routers))]
 	s := r.session(id)
-	r.last++
+	r.lastID++
 	c := &command{
-		id: r.last, router: r, group: group, session: id, shard: int(id % uint64(len(w.shards))),
-		arrived: w.now, first: first, attemptNumber: attemptNumber,
+		id: r.lastID, router: r, group: group, session: id, shard: int(id % uint64(len(w.shards))),
+		arrivedAt: w.now, firstSentAt: first, attemptNumber: attemptNumber,
 	}
-	w.expect(c, s)
+	w.setExpectations(c, s)
 	r.commands[c.id] = c
-	w.at(c.GiveUp, func() { w.giveUp(c) })
+	w.at(c.GiveUp, func() { w.clientTimedOut(c) })
 	r.policy.Add(w.now, c.id, w.routerCommand(c, s))
 	r.review()
 }
 
-// session is the client's session at this router; its first command begins it.
+// session returns the client session with the ID at this router, and creates it if there is none.
 func (r *instance) session(id uint64) *session {
 	s := r.sessions[id]
 	if s == nil {
-		s = &session{wrote: math.Inf(-1), seen: math.Inf(-1)}
+		s = &session{lastWrite: math.Inf(-1), latestRead: math.Inf(-1)}
 		r.sessions[id] = s
 	}
 	return s
 }
 
-// expect tells the checkers what must hold for the command.
-func (w *World) expect(c *command, s *session) {
+// setExpectations sets the fields of the command by which the checker verifies how it is handled.
+func (w *World) setExpectations(c *command, s *session) {
 	g := &w.spec.Groups[c.group]
 	c.Effect = invariant.Effect(idempotencies[g.Effect])
 	c.GiveUp = w.now + float64(g.Timeout)
@@ -91,46 +93,48 @@
 	c.Seen = math.Inf(-1)
 	switch consistencies[g.Need] {
 	case router.SessionConsistent:
-		c.Needs = s.wrote
-		c.Seen = s.seen
+		c.Needs = s.lastWrite
+		c.Seen = s.latestRead
 	case router.Linearizable:
 		c.Needs = w.lastCommit(c.shard)
 	case router.BoundedStaleness:
 		c.Needs = w.now - float64(g.Bound)
-	case router.PrimaryOnly, router.Eventual: // no position to cover
+	case router.PrimaryOnly, router.Eventual: // no position is required
 	}
 }
 
-// routerCommand is the command as the router's policy sees it.
+// routerCommand returns the command as the policy receives it.
 func (w *World) routerCommand(c *command, s *session) router.Command {
 	seen := router.Command{
 		Group: c.group, Session: c.session, Shard: c.shard, ArrivedAt: w.now,
 		ClientDeadline: c.GiveUp - answerMargin, ClientRetry: c.attemptNumber > 1,
 	}
 	needsOwnWrites := consistencies[w.spec.Groups[c.group].Need] == router.SessionConsistent
-	if needsOwnWrites && !math.IsInf(s.wrote, -1) {
-		// Zero would say that the session has not written: a write of this moment is given as the smallest negative age.
-		seen.LastWriteAge = cmp.Or(w.now-s.wrote, -math.SmallestNonzeroFloat64)
+	if needsOwnWrites && !math.IsInf(s.lastWrite, -1) {
+		// An age of zero means that the session has not written. For a write at this very time, use the negative number
+		// closest to zero.
+		seen.LastWriteAge = cmp.Or(w.now-s.lastWrite, -math.SmallestNonzeroFloat64)
 	}
 	return seen
 }
 
-// giveUp ends a command whose client's timeout has passed without an answer.
-func (w *World) giveUp(c *command) {
-	if c.done {
+// clientTimedOut ends a command that has no answer when its client timeout has passed.
+func (w *World) clientTimedOut(c *command) {
+	if c.ended {
 		return
 	}
-	w.check.Overdue(w.now+1e-9, "a command of "+w.spec.Groups[c.group].Name, &c.Command)
-	c.done = true
-	w.check.Ended(&c.Command)
+	w.checker.Overdue(w.now+1e-9, "a command of "+w.spec.Groups[c.group].Name, &c.Command)
+	c.ended = true
+	w.checker.Ended(&c.Command)
 	c.router.policy.ClientGone(w.now, c.id)
 	c.router.review()
 	c.router.release(c)
 }
 
-// retryLater has a rejected client send its command again after a delay in seconds, if it has attempts left.
+// retryLater makes a client repeat a rejected command after a delay in seconds, unless it has used up its attempts or the
+// run has ended by then.
 func (w *World) retryLater(c *command, after float64) {
 	if c.attemptNumber < maxClientAttempts && w.now+after < float64(w.spec.Seconds)+1 {
-		w.after(after, func() { w.ask(c.group, c.session, c.first, c.attemptNumber+1) })
+		w.after(after, func() { w.sendCommand(c.group, c.session, c.firstSentAt, c.attemptNumber+1) })
 	}
 }
--- a/internal/lab/model/events.go
+++ b/internal/lab/model/events.go
@@ -2,13 +2,14 @@
 
 import "container/heap"
 
-// event is an action at a virtual time. Events of one time are carried out in the order in which they were scheduled.
+// event is an action at a virtual time. Events at the same time run in the order in which they were scheduled.
 type event struct {
 	at  float64
 	seq uint64
 	do  func()
 }
 
+// events is a heap of events by time, for container/heap.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -25,9 +26,11 @@
 	return x
 }
 
+// at schedules do for a virtual time in seconds.
 func (w *World) at(t float64, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{t, w.seq, do})
 }
 
+// after schedules do for after a delay in seconds.
 func (w *World) after(d float64, do func()) { w.at(w.now+d, do) }
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -6,20 +6,20 @@
 	"stoatdale.example/stoatdale/internal/sexp"
 )
 
-// Fault is a fault of a backend or router, with its start and duration.
+// Fault is a fault of a backend or router.
 type Fault struct {
-	Kind   string        `sexp:",name"` // crash, hang, cut, slow, drain, elect or restart
-	Set    int           `sexp:"set"`
-	Member int           `sexp:"member"` // 0 is the first primary
-	Router int           `sexp:"router"` // for restart
-	At     sexp.Seconds  `sexp:"at,must"`
-	For    sexp.Seconds  `sexp:"for"`
-	Times  float64       `sexp:"times"` // slower, for slow
-	Place  sexp.Position `sexp:",place"`
+	Kind   string        `sexp:",name"`   // crash, hang, cut, slow, drain, elect or restart
+	Set    int           `sexp:"set"`     // index of the backend's shard
+	Member int           `sexp:"member"`  // index of the backend in its shard; 0 is the primary at the start
+	Router int           `sexp:"router"`  // index of the router, for restart
+	At     sexp.Seconds  `sexp:"at,must"` // start, from the beginning of the run
+	For    sexp.Seconds  `sexp:"for"`     // duration
+	Times  float64       `sexp:"times"`   // factor by which commands take longer, for slow
+	Place  sexp.Position `sexp:",place"`  // position in the file, for errors
 }
 
-// schedule schedules the start and the end of a fault.
-func (w *World) schedule(x Fault, policy string) {
+// scheduleFault schedules the start and end of a fault. policy is the one that a restarted router runs.
+func (w *World) scheduleFault(x Fault, policy string) {
 	begin, end := func() {}, func() {}
 	if x.Kind == "restart" {
 		r := w.routers[x.Router]
@@ -34,7 +34,7 @@
 		case "cut":
 			begin, end = func() { b.cut = true; w.backendStalled(b) }, func() { b.cut = false }
 		case "slow":
-			begin, end = func() { b.slow *= x.Times }, func() { b.slow /= x.Times }
+			begin, end = func() { b.slowdown *= x.Times }, func() { b.slowdown /= x.Times }
 		case "drain":
 			begin = func() { w.drain(b, true) }
 			end = func() { w.drain(b, false) }
@@ -43,25 +43,27 @@
 		}
 	}
 	w.at(float64(x.At), begin)
-	if faultLasts[x.Kind] {
+	if faultHasDuration[x.Kind] {
 		w.at(float64(x.At+x.For), end)
 	}
 }
 
+// backendStalled tells baseline policies that a backend does not answer any more.
 func (w *World) backendStalled(b *backend) {
 	for _, r := range w.routers {
 		if policy, isBaseline := r.policy.(*baselinePolicy); isBaseline {
-			policy.backendStalled(b.node)
+			policy.backendStalled(b.index)
 		}
 	}
 }
 
+// drain changes whether a backend is draining and publishes the change.
 func (w *World) drain(b *backend, drains bool) {
-	b.drains = drains
+	b.draining = drains
 	w.publishEndpoints()
 }
 
-// elect makes a replica the primary. What it has not applied yet it applies first, so that no commit is lost.
+// elect makes a replica the primary. The replica first applies all records of the old primary, so that no commit is lost.
 func (w *World) elect(b *backend) {
 	if b.primary || b.down {
 		return
@@ -76,20 +78,20 @@
 	w.publishEndpoints()
 }
 
-// restart restarts a router, which knows nothing but the endpoint list afterwards. Its clients retry.
+// restart restarts a router, which then knows only the endpoint list. Its clients retry their commands.
 func (r *instance) restart(policy string) {
-	for id := uint32(1); id <= r.last; id++ {
+	for id := uint32(1); id <= r.lastID; id++ {
 		c := r.commands[id]
-		if c == nil || c.done {
+		if c == nil || c.ended {
 			continue
 		}
-		c.done = true
-		r.world.check.Ended(&c.Command)
+		c.ended = true
+		r.world.checker.Ended(&c.Command)
 		r.world.retryLater(c, r.world.networkDelay())
 	}
 	r.commands = map[uint32]*command{}
 	for _, s := range r.sessions {
-		s.seen = math.Inf(-1) // what it has shown is promised by one router
+		s.latestRead = math.Inf(-1) // a router guarantees monotonic reads only until it restarts
 	}
 	r.start(policy)
 }
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -8,30 +8,32 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// instance is one router: its policy and the sessions whose clients use it. It carries out what the policy decides.
+// instance is a simulated router. It holds the policy and the sessions of its clients, and carries out the decisions of
+// the policy.
 type instance struct {
-	world    *World
-	index    int
-	policy   Policy
-	boots    int
-	commands map[uint32]*command
-	last     uint32
-	sessions map[uint64]*session
-	due      float64 // when the next review is due
+	world      *World
+	index      int
+	policy     Policy
+	starts     int
+	commands   map[uint32]*command
+	lastID     uint32
+	sessions   map[uint64]*session
+	nextReview float64 // when the next review is due
 }
 
-// logStartBeforeRun is how long before the run the log began, in seconds: positions count from there.
+// logStartBeforeRun is the time between the start of the database log and the start of the run, in seconds. Positions
+// count from the start of the log.
 const logStartBeforeRun = 1000
 
-// start starts a router for the first time, or again with the knowledge of the endpoint list alone.
+// start starts or restarts the router with a new policy, which knows only the endpoint list.
 func (r *instance) start(policy string) {
-	r.boots++
+	r.starts++
 	r.policy = policyConstructors[policy](r)
 	r.policy.UpdateEndpoints(r.world.now, r.world.knownEndpoints)
 	r.review()
 }
 
-// config is the module's configuration for the experiment.
+// config returns the configuration of the router module for the experiment.
 func (r *instance) config() router.Config {
 	f := &r.world.spec.Fleet
 	s := router.Config{
@@ -48,18 +50,19 @@
 	return s
 }
 
-// review calls the policy for what is due, and schedules the next review when the policy asks for it.
+// review has the policy handle everything that is due, sends the health checks that the policy asks for, and schedules the
+// next review for the time that the policy returns.
 func (r *instance) review() {
 	w := r.world
 	next, probes := r.policy.ReviewDue(w.now)
 	for _, n := range probes {
 		r.checkHealth(n)
 	}
-	if next = math.Max(next, w.now+1e-4); next < r.due || r.due <= w.now {
-		r.due = next
+	if next = math.Max(next, w.now+1e-4); next < r.nextReview || r.nextReview <= w.now {
+		r.nextReview = next
 		w.at(next, func() {
-			if r.due == next {
-				r.due = math.Inf(1)
+			if r.nextReview == next {
+				r.nextReview = math.Inf(1)
 				r.review()
 			}
 		})
@@ -94,7 +97,7 @@
 func (r *instance) Forward(id uint32, number, node int, until float64) {
 	w, c, b := r.world, r.commands[id], r.world.backends[node]
 	g := &w.spec.Groups[c.group]
-	w.check.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &invariant.Member{
+	w.checker.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &invariant.Member{
 		Set: b.shard, Away: b.listedState == router.Draining,
 		AwaySince: b.listedSince,
 	})
@@ -105,7 +108,7 @@
 			w.tally.Primary++
 		}
 	}
-	a := &attempt{command: c, number: number, at: b, sent: w.now, open: true}
+	a := &attempt{command: c, number: number, backend: b, sentAt: w.now, pending: true}
 	c.attempts = append(c.attempts, a)
 	if b.cut {
 		w.deliverResult(a, router.ConnectFailed, float64(w.spec.Fleet.Dial))
@@ -113,7 +116,7 @@
 		b.inTransit++
 		w.after(w.networkDelay(), func() {
 			b.inTransit--
-			if a.open {
+			if a.pending {
 				b.receive(a)
 			}
 		})
@@ -129,7 +132,7 @@
 	for _, a := range r.commands[id].attempts {
 		if a.number == number {
 			r.world.after(r.world.networkDelay(), func() {
-				a.at.cancel(a)
+				a.backend.cancel(a)
 				r.world.deliverResult(a, router.Canceled, r.world.networkDelay())
 			})
 		}
@@ -150,44 +153,45 @@
 	r.finish(id)
 }
 
-// finish records the final answer to a command. It returns nil if the command is not known.
+// finish records the final answer to a command and returns the command, or nil if there is none with the ID.
 func (r *instance) finish(id uint32) *command {
 	c := r.commands[id]
 	if c == nil {
 		return nil
 	}
-	r.world.check.Answered(r.world.now, "a command of "+r.world.spec.Groups[c.group].Name, &c.Command)
-	c.done = true
+	r.world.checker.Answered(r.world.now, "a command of "+r.world.spec.Groups[c.group].Name, &c.Command)
+	c.ended = true
 	r.release(c)
 	return c
 }
 
-// release forgets a command that is done and has no attempt in flight.
+// release deletes a command that has ended and has no attempt in flight.
 func (r *instance) release(c *command) {
 	for _, a := range c.attempts {
-		if a.open {
+		if a.pending {
 			return
 		}
 	}
-	if c.done && r.commands[c.id] == c {
+	if c.ended && r.commands[c.id] == c {
 		delete(r.commands, c.id)
 	}
 }
 
-// attemptEnded reports an attempt's result to its policy. Only the first result of an attempt counts.
+// attemptEnded reports the result of an attempt to the policy. It ignores all but the first result of an attempt. primary
+// is the role of the backend, position that of its data.
 func (r *instance) attemptEnded(a *attempt, e router.Result, primary bool, position float64) {
 	c, w := a.command, r.world
-	if !a.open {
+	if !a.pending {
 		return
 	}
-	a.open = false
+	a.pending = false
 	ran := e == router.Answered || e == router.ConnectionLost || e == router.TimedOut || e == router.Canceled
-	w.check.Back(&c.Command, a.sent, a.at.shard, ran)
-	if r.commands[c.id] != c { // its router has restarted
+	w.checker.Back(&c.Command, a.sentAt, a.backend.shard, ran)
+	if r.commands[c.id] != c { // the router has restarted
 		return
 	}
 	g := &w.spec.Groups[c.group]
-	o := router.AttemptResult{Attempt: a.number, Result: e, Elapsed: w.now - a.sent, Final: e == router.Answered, Position: -1}
+	o := router.AttemptResult{Attempt: a.number, Result: e, Elapsed: w.now - a.sentAt, Final: e == router.Answered, Position: -1}
 	if e == router.Answered || e == router.NotServed {
 		if o.Role = router.RoleReplica; primary {
 			o.Role = router.RolePrimary
@@ -196,7 +200,7 @@
 	if e == router.Answered && !math.IsInf(position, -1) {
 		o.Position = position + logStartBeforeRun
 	}
-	if e == router.Answered && !c.done {
+	if e == router.Answered && !c.ended {
 		r.recordAnswer(c, g, a, position)
 	}
 	r.policy.AttemptEnded(w.now, c.id, o)
@@ -204,20 +208,20 @@
 	r.review()
 }
 
-// recordAnswer counts a backend's answer that reaches its client.
+// recordAnswer checks and counts an answer that reaches its client.
 func (r *instance) recordAnswer(c *command, g *Group, a *attempt, position float64) {
 	w, s := r.world, r.sessions[c.session]
 	if consistencies[g.Need] == router.PrimaryOnly {
-		s.wrote = math.Max(s.wrote, position)
+		s.lastWrite = math.Max(s.lastWrite, position)
 	} else {
-		w.check.Served("a command of "+g.Name, &c.Command, a.at.node, &invariant.Member{Covers: position})
+		w.checker.Served("a command of "+g.Name, &c.Command, a.backend.index, &invariant.Member{Covers: position})
 		if consistencies[g.Need] == router.SessionConsistent {
-			s.seen = math.Max(s.seen, position)
+			s.latestRead = math.Max(s.latestRead, position)
 		}
 	}
-	w.check.Answered(w.now, "a command of "+g.Name, &c.Command)
-	c.done = true
-	took := w.now - c.first
+	w.checker.Answered(w.now, "a command of "+g.Name, &c.Command)
+	c.ended = true
+	took := w.now - c.firstSentAt
 	w.tally.Answered++
 	w.tally.Times[c.group] = append(w.tally.Times[c.group], took)
 	earned := g.Benefit * g.Late
@@ -226,5 +230,5 @@
 		earned = g.Benefit
 	}
 	w.tally.Earned += earned
-	w.tally.Series[int(c.first)].Earned += earned
+	w.tally.Series[int(c.firstSentAt)].Earned += earned
 }
--- a/internal/lab/model/policy.go
+++ b/internal/lab/model/policy.go
@@ -8,8 +8,8 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// Policy decides where commands go. It learns what a router learns and nothing else, except for the omniscient baseline.
-// Times are virtual and in seconds.
+// Policy decides where commands go. Only the omniscient baseline uses information that a real router does not get. Times
+// are virtual and in seconds.
 type Policy interface {
 	Add(now float64, id uint32, c router.Command)
 	ClientGone(now float64, id uint32)
@@ -19,7 +19,8 @@
 	HealthChecked(now float64, node int, ok bool, took, position float64, primary bool)
 }
 
-// policyConstructors are the policies by name. All but the module are baselines to measure it against.
+// policyConstructors maps the names of policies to their constructors. All but module are baselines for comparison with
+// it.
 var policyConstructors map[string]func(r *instance) Policy
 
 func init() {
@@ -29,7 +30,7 @@
 		"any":         newBaseline(anyReplica),
 		"window":      newBaseline(primaryForAWindow),
 		"round-robin": newBaseline(roundRobin),
-		"least":       newBaseline(leastDispatches),
+		"least":       newBaseline(leastAttempts),
 		"two-choices": newBaseline(twoChoices),
 		"ceiling": func(r *instance) Policy {
 			b := newBaseline(omniscient)(r).(*baselinePolicy)
@@ -39,7 +40,7 @@
 	}
 }
 
-// Policies are the names of all policies, sorted.
+// Policies returns the sorted names of all policies.
 func Policies() []string {
 	var out []string
 	for n := range policyConstructors {
@@ -49,14 +50,14 @@
 	return out
 }
 
-// module is the router module, as it serves in production.
+// module is the policy of the router module that is used in production.
 type module struct {
 	*inflight.Tracker
 	router *router.Router
 }
 
 func newModule(r *instance) Policy {
-	seed := rand.New(rand.NewPCG(r.world.seed, hashName("routers")+uint64(r.index)<<8+uint64(r.boots))).Uint64()
+	seed := rand.New(rand.NewPCG(r.world.seed, hashName("routers")+uint64(r.index)<<8+uint64(r.starts))).Uint64()
 	m := router.New(r.config(), seed)
 	return &module{inflight.New(m, r), m}
 }
--- a/internal/lab/model/replication.go
+++ b/internal/lab/model/replication.go
@@ -2,17 +2,18 @@
 
 import "math"
 
-type record struct{ commit, done float64 }
+// record is a log record that a replica has to apply. Times are virtual and in seconds.
+type record struct{ committedAt, appliedAt float64 }
 
-// position is the commit time up to which its data goes. A replica with nothing to apply lags by the delays of shipping
-// and applying alone.
+// position returns the commit time up to which the backend has all data. A replica with nothing to apply lags only by the
+// time to ship and apply a record.
 func (b *backend) position(now float64) float64 {
 	if b.primary {
 		return now
 	}
 	n := 0
-	for n < len(b.log) && b.log[n].done <= now {
-		b.applied = math.Max(b.applied, b.log[n].commit)
+	for n < len(b.log) && b.log[n].appliedAt <= now {
+		b.applied = math.Max(b.applied, b.log[n].committedAt)
 		n++
 	}
 	if b.log = b.log[n:]; len(b.log) > 0 {
@@ -24,13 +25,14 @@
 	return b.applied
 }
 
-// receiveRecord takes in a record of the primary's log: one thread applies the records one after another.
+// receiveRecord schedules a record of the primary's log on a replica, whose single thread applies records one after
+// another. commit is the time of the commit, apply the time to apply the record, in seconds.
 func (b *backend) receiveRecord(commit, apply float64) {
-	b.until = math.Max(b.until, commit+float64(b.world.spec.Fleet.Ship)) + apply
-	b.log = append(b.log, record{commit, b.until})
+	b.applyDoneAt = math.Max(b.applyDoneAt, commit+float64(b.world.spec.Fleet.Ship)) + apply
+	b.log = append(b.log, record{commit, b.applyDoneAt})
 }
 
-// lastCommit is the position that a linearizable read must cover.
+// lastCommit returns the position of the last commit in a shard, which a linearizable read must cover.
 func (w *World) lastCommit(shard int) float64 {
 	last := math.Inf(-1)
 	for _, b := range w.shards[shard] {
@@ -39,7 +41,7 @@
 	return last
 }
 
-// commit records a write of the primary, ships it to the replicas and returns its position.
+// commit commits a write on the primary, ships it to the replicas and returns its position.
 func (w *World) commit(b *backend) float64 {
 	f := &w.spec.Fleet
 	apply := float64(f.Apply)
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -13,7 +13,7 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// World is one run of an experiment: one policy with one seed. It is used by one goroutine.
+// World is the state of one run of an experiment, of one policy with one seed. It is not safe for concurrent use.
 type World struct {
 	spec           *Spec
 	now            float64
@@ -21,19 +21,19 @@
 	events         events
 	shards         [][]*backend
 	backends       []*backend
-	knownEndpoints []router.EndpointInfo // the list that routers were last told; a restarted one begins with it
+	knownEndpoints []router.EndpointInfo // list that routers received last; a restarted router begins with it
 	routers        []*instance
-	check          invariant.Commands
-	violations     map[string]string // properties that were violated, with the first violation
+	checker        invariant.Commands
+	violations     map[string]string // violated properties, each with its first violation
 	seed           uint64
-	arrive         []*rand.Rand // by group
+	arrivalStreams []*rand.Rand // by command group
 	workTimes      []distuv.LogNormal
 	applyStream    *rand.Rand
 	sessionStream  *rand.Rand
 	tally          Tally
 }
 
-// New sets up a run of a checked experiment under the named policy. Run starts it.
+// New prepares a run of an experiment that Load has checked, with the named policy. Run performs it.
 func New(s *Spec, policy string, seed int) *World {
 	w := &World{
 		spec: s, seed: uint64(seed), violations: map[string]string{},
@@ -51,18 +51,18 @@
 		w.addLoad(i, seed)
 	}
 	for _, fault := range s.Faults {
-		w.schedule(fault, policy)
+		w.scheduleFault(fault, policy)
 	}
 	return w
 }
 
-// addShard adds a primary and its replicas.
+// addShard adds a shard of a primary and its replicas.
 func (w *World) addShard() {
 	var shard []*backend
 	for i := range w.spec.Fleet.Replicas + 1 {
 		b := &backend{
-			world: w, node: len(w.backends), shard: len(w.shards), primary: i == 0, listedState: router.Ready,
-			slow: 1, started: math.Inf(-1), applied: math.Inf(-1), working: map[*attempt]bool{}, cold: w.coldBudget(),
+			world: w, index: len(w.backends), shard: len(w.shards), primary: i == 0, listedState: router.Ready,
+			slowdown: 1, startedAt: math.Inf(-1), applied: math.Inf(-1), executing: map[*attempt]bool{}, coldCheck: w.newColdCheck(),
 		}
 		shard = append(shard, b)
 		w.backends = append(w.backends, b)
@@ -70,31 +70,32 @@
 	w.shards = append(w.shards, shard)
 }
 
-// addRouter adds a router and starts it.
+// addRouter adds and starts a router.
 func (w *World) addRouter(policy string) {
 	r := &instance{
 		world: w, index: len(w.routers),
-		commands: map[uint32]*command{}, sessions: map[uint64]*session{}, due: math.Inf(1),
+		commands: map[uint32]*command{}, sessions: map[uint64]*session{}, nextReview: math.Inf(1),
 	}
 	w.routers = append(w.routers, r)
 	r.start(policy)
 }
 
-// addLoad starts a group's arrivals.
+// addLoad creates the random streams of a command group and schedules its first command.
 func (w *World) addLoad(group, seed int) {
 	g := &w.spec.Groups[group]
-	w.arrive = append(w.arrive, newStream(seed, "arrive "+g.Name))
+	w.arrivalStreams = append(w.arrivalStreams, newStream(seed, "arrive "+g.Name))
 	w.workTimes = append(w.workTimes, distuv.LogNormal{
 		Mu: math.Log(float64(g.Work)) - g.Spread*g.Spread/2, Sigma: g.Spread,
 		Src: rand.NewPCG(uint64(seed), hashName("work "+g.Name)),
 	})
-	w.nextArrival(group)
+	w.scheduleArrival(group)
 }
 
 func (w *World) networkDelay() float64 { return float64(w.spec.Fleet.Way) }
 
-// coldBudget is the load that a backend bears while it warms up: as many commands as its slots get through.
-func (w *World) coldBudget() invariant.Cold {
+// newColdCheck returns the check that a backend is not overloaded while it warms up. Its full capacity is the number of
+// commands per second that its slots execute at the mean execution time of the load.
+func (w *World) newColdCheck() invariant.Cold {
 	f := &w.spec.Fleet
 	rate, work := 0.0, 0.0
 	for _, g := range w.spec.Groups {
@@ -112,8 +113,8 @@
 	}
 }
 
-// Run plays the run to its end and returns the counts and the violated properties, each with its first violation. Commands
-// that are in flight at the end have until their timeout. It may be called once.
+// Run performs the run. It returns the counts, and the violated properties with the first violation of each. Commands in
+// flight at the end are simulated up to their timeout. Run may be called only once.
 func (w *World) Run() (Tally, map[string]string) {
 	end := float64(w.spec.Seconds)
 	most := 0.0
@@ -127,23 +128,23 @@
 		e.do()
 	}
 	for _, r := range w.routers {
-		for id := uint32(1); id <= r.last; id++ { // in order: the first that is found is told
+		for id := uint32(1); id <= r.lastID; id++ { // by ascending ID, so that the same violation is always the first
 			if c := r.commands[id]; c != nil {
-				w.check.Overdue(w.now, "a command", &c.Command)
+				w.checker.Overdue(w.now, "a command", &c.Command)
 			}
 		}
 	}
-	w.recordViolation(w.check.Broken())
+	w.recordViolation(w.checker.Broken())
 	return w.tally, w.violations
 }
 
-// deliverResult delivers an attempt's result to its router after a delay in seconds.
+// deliverResult delivers the result of an attempt to its router after a delay in seconds.
 func (w *World) deliverResult(l *attempt, e router.Result, after float64) {
-	primary, position := l.at.primary, l.position
+	primary, position := l.backend.primary, l.position
 	w.after(after, func() { l.command.router.attemptEnded(l, e, primary, position) })
 }
 
-// publishEndpoints sends the present endpoint list to every router. It arrives after the delay of the list.
+// publishEndpoints sends the current endpoint list to all routers. They receive it after the delay of the list.
 func (w *World) publishEndpoints() {
 	l := w.endpoints()
 	w.after(float64(w.spec.Fleet.List), func() {
@@ -153,7 +154,7 @@
 			r.review()
 		}
 		for _, b := range w.backends {
-			if s := l[b.node].State; s != b.listedState {
+			if s := l[b.index].State; s != b.listedState {
 				b.listedState, b.listedSince = s, w.now
 			}
 		}
@@ -163,8 +164,8 @@
 func (w *World) endpoints() []router.EndpointInfo {
 	var l []router.EndpointInfo
 	for _, b := range w.backends {
-		x := router.EndpointInfo{Index: b.node, Shard: b.shard, State: router.Ready, StartedAt: b.started, Primary: b.primary}
-		if b.drains {
+		x := router.EndpointInfo{Index: b.index, Shard: b.shard, State: router.Ready, StartedAt: b.startedAt, Primary: b.primary}
+		if b.draining {
 			x.State = router.Draining
 		}
 		l = append(l, x)
@@ -172,12 +173,12 @@
 	return l
 }
 
-// sortAttempts sorts attempts by the time at which they were sent, in place: maps have no order of their own, and the
-// same seed must give the same run.
+// sortAttempts sorts attempts in place by the time at which they were sent. Callers collect them from a map, whose order
+// is random, and the same seed must give the same run.
 func sortAttempts(attempts []*attempt) []*attempt {
 	slices.SortFunc(attempts, func(a, b *attempt) int {
 		return cmp.Or(
-			cmp.Compare(a.sent, b.sent),
+			cmp.Compare(a.sentAt, b.sentAt),
 			cmp.Compare(a.command.router.index, b.command.router.index),
 			cmp.Compare(a.command.id, b.command.id),
 			cmp.Compare(a.number, b.number),
--- a/internal/lab/model/world_test.go
+++ b/internal/lab/model/world_test.go
@@ -9,38 +9,39 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// reckless breaks one rule, as its name says.
-type reckless struct {
+// faultyPolicy is a baseline with a bug, which makes it violate one property.
+type faultyPolicy struct {
 	*baselinePolicy
-	how string
+	bug string
 }
 
-func (b *reckless) Add(now float64, id uint32, c router.Command) {
+func (b *faultyPolicy) Add(now float64, id uint32, c router.Command) {
 	b.baselinePolicy.Add(now, id, c)
 	s := b.commands[id]
-	if s != nil && b.how == "after the end" {
+	if s != nil && b.bug == "after the end" {
 		b.instance.Reject(id, 0)
 	}
-	if s != nil && (b.how == "after the end" || b.how == "two at once") {
-		b.place(s)
+	if s != nil && (b.bug == "after the end" || b.bug == "two at once") {
+		b.startAttempt(s)
 	}
 }
 
-func (b *reckless) AttemptEnded(now float64, id uint32, o router.AttemptResult) {
+func (b *faultyPolicy) AttemptEnded(now float64, id uint32, o router.AttemptResult) {
 	s := b.commands[id]
 	switch {
 	case s == nil || o.Result == router.Answered:
-	case b.how == "silent":
+	case b.bug == "silent":
 		delete(b.commands, id)
 		return
-	case b.how == "again" && o.Result == router.ConnectionLost:
-		b.place(s)
+	case b.bug == "again" && o.Result == router.ConnectionLost:
+		b.startAttempt(s)
 		return
 	}
 	b.baselinePolicy.AttemptEnded(now, id, o)
 }
 
-// Every checker is shown failing by a policy that breaks its rule, in a world in which the careful one breaks none.
+// A checker that cannot fail proves nothing. Each property is violated by a policy with the bug for it, in a simulation in
+// which the policy without a bug violates none.
 func TestEveryCheckerFails(t *testing.T) {
 	spec := func() *Spec {
 		return &Spec{
@@ -67,7 +68,7 @@
 			if how == "drains" {
 				choose = func(*baselinePolicy, *baselineCommand) []int { return []int{1} }
 			}
-			return &reckless{newBaseline(choose)(r).(*baselinePolicy), how}
+			return &faultyPolicy{newBaseline(choose)(r).(*baselinePolicy), how}
 		}
 		_, violations := New(spec(), "reckless", 1).Run()
 		if property == "" {
@@ -76,7 +77,7 @@
 		}
 		assert.Contains(t, violations, property, how)
 	}
-	policyConstructors["reckless"] = func(r *instance) Policy { return &reckless{newBaseline(anyReplica)(r).(*baselinePolicy), "again"} }
+	policyConstructors["reckless"] = func(r *instance) Policy { return &faultyPolicy{newBaseline(anyReplica)(r).(*baselinePolicy), "again"} }
 	s := spec()
 	s.Groups[0].Rate, s.Groups[1].Rate, s.Groups[1].Memory = 0, 80, 0.001
 	_, violations := New(s, "reckless", 1).Run()
