--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -7,19 +7,20 @@
 	"slices"
 )
 
-// Difference of two experiments in one policy's service: B less A, paired by seed, so that what the load did to both
-// goes out of it. Low and High hold nine in ten of the means that the same pairs, drawn anew, come to.
+// Difference is the difference in service of one policy between two experiments, B minus A. Runs are paired by seed, so
+// that the effect of the load, which is the same in both, cancels out. Low and High are the bounds of a 90 % bootstrap
+// interval of the mean difference.
 type Difference struct {
 	Policy string  `json:"policy"`
-	Pairs  int     `json:"pairs"`
-	A      float64 `json:"a"` // mean service
-	B      float64 `json:"b"`
-	Mean   float64 `json:"difference"`
+	Pairs  int     `json:"pairs"`      // number of seeds
+	A      float64 `json:"a"`          // mean service in the first experiment
+	B      float64 `json:"b"`          // mean service in the second experiment
+	Mean   float64 `json:"difference"` // mean of B minus A
 	Low    float64 `json:"low"`
 	High   float64 `json:"high"`
 }
 
-// Told says in a word what a difference tells.
+// Told returns the verdict on the difference in words.
 func (d Difference) Told() string {
 	switch {
 	case d.Pairs < fewPairs:
@@ -29,17 +30,17 @@
 	case d.High < 0:
 		return "worse"
 	}
-	return "no difference told"
+	return "no clear difference"
 }
 
 const (
-	fewPairs = 4    // under which no interval means anything
-	redraws  = 2000 // of the pairs
-	tail     = 0.05 // of the means on either side of the interval
+	fewPairs = 4    // minimum number of pairs; with fewer the interval means nothing
+	redraws  = 2000 // number of bootstrap samples of the pairs
+	tail     = 0.05 // share of the samples' means on either side of the interval
 )
 
-// Compare pairs two experiments' runs, by policy and seed. Runs that only one of them has are an error: what is left
-// out must not look like a result.
+// Compare pairs the runs of two experiments by policy and seed, and returns the difference of each policy. It returns an
+// error if only one of them has a run, because a comparison without that run would look complete.
 func Compare(a, b []Run) ([]Difference, error) {
 	type pair struct{ a, b float64 }
 	type key struct {
@@ -79,7 +80,7 @@
 		for _, p := range pairs[policy] {
 			d.A, d.B, d.Mean = d.A+p.a/n, d.B+p.b/n, d.Mean+(p.b-p.a)/n
 		}
-		rng := rand.New(rand.NewPCG(1, uint64(d.Pairs))) // the same pairs, the same interval
+		rng := rand.New(rand.NewPCG(1, uint64(d.Pairs))) // fixed seed: the same pairs give the same interval
 		means := make([]float64, redraws)
 		for i := range means {
 			for range pairs[policy] {
--- a/internal/lab/experiment/recorded_test.go
+++ b/internal/lab/experiment/recorded_test.go
@@ -12,10 +12,10 @@
 	"stoatdale.example/stoatdale/internal/lab/model"
 )
 
-// testdata/small is the result of an experiment as stoatctl lab run --out keeps it, written by an earlier release.
-// Operators compare results over releases, so every value must be read, and written the same.
+// testdata/small is a result that an earlier release saved with stoatctl lab run --out. Operators compare results between
+// releases, so every value must be read, and be written unchanged.
 
-// kept is the object in runs.json; package cli has the type that the tool itself uses.
+// kept is the object in runs.json. It mirrors the type in package cli that the tool uses.
 type kept struct {
 	Name     string `json:"name"`
 	OK       bool   `json:"ok"`
--- a/internal/lab/experiment/sim.go
+++ b/internal/lab/experiment/sim.go
@@ -1,5 +1,5 @@
-// Package experiment plays experiments in virtual time, as many runs at once as there are cores. Each run is one world from
-// one seed, so results are the same whatever the number of cores; they come in the order of the file.
+// Package experiment runs experiments in virtual time, in parallel on all cores. Each run is a simulation of its own with
+// its own seed, so the results do not depend on the number of cores. They are in the order of the experiment's file.
 package experiment
 
 import (
@@ -17,18 +17,18 @@
 	"stoatdale.example/stoatdale/internal/lab/model"
 )
 
-// Run is one policy with one seed.
+// Run is the result of one policy with one seed.
 type Run struct {
 	Policy  string            `json:"policy"`
 	Seed    int               `json:"seed"`
 	Service float64           `json:"service"`
 	Tally   model.Tally       `json:"tally"`
 	Groups  []Group           `json:"groups"`
-	Broken  map[string]string `json:"broken,omitempty"` // rules, with the first way
-	Seconds float64           `json:"-"`                // of wall time, which differs from run to run
+	Broken  map[string]string `json:"broken,omitempty"` // violated properties, each with its first violation
+	Seconds float64           `json:"-"`                // wall time of the run, not saved because it is not reproducible
 }
 
-// Group is how a command group was answered: seconds from its client's first asking on.
+// Group is the response times of a command group in seconds, from the client's first attempt to the answer.
 type Group struct {
 	Name     string  `json:"name"`
 	Answered int     `json:"answered"`
@@ -37,13 +37,14 @@
 	P999     float64 `json:"p999"`
 }
 
-// Progress is told as runs end.
+// Progress is the state of an experiment after a run has ended.
 type Progress struct {
-	Done, Of int
-	Left     time.Duration // as the runs so far went
+	Done, Of int           // runs that have ended, and all runs
+	Left     time.Duration // estimated wall time until the end, from the mean of the runs so far
 }
 
-// Play plays all of an experiment's runs. It ends early, with what is done, when ctx ends.
+// Play performs all runs of an experiment on the given number of workers, or on one per core if that is 0. It calls tell,
+// if not nil, after each run. If ctx ends before all runs have, Play returns an error that says how many have.
 func Play(ctx context.Context, s *model.Spec, workers int, tell func(Progress)) ([]Run, error) {
 	if workers == 0 {
 		workers = runtime.GOMAXPROCS(0)
@@ -82,7 +83,7 @@
 	}
 	all.Wait()
 	if err := ctx.Err(); err != nil && done < len(runs) {
-		return nil, fmt.Errorf("experiment %s: %d of %d runs were played: %w", s.Name, done, len(runs), err)
+		return nil, fmt.Errorf("experiment %s: %d of %d runs have ended: %w", s.Name, done, len(runs), err)
 	}
 	return runs, nil
 }
@@ -102,7 +103,8 @@
 	r.Seconds = time.Since(began).Seconds()
 }
 
-// quantile of numbers in order: the least that so large a share does not exceed; 0 of none.
+// quantile returns the q-quantile of sorted numbers: the smallest of them such that at least the share q of all numbers
+// is not greater. It returns 0 if there are no numbers.
 func quantile(x []float64, q float64) float64 {
 	if len(x) == 0 {
 		return 0
@@ -110,20 +112,20 @@
 	return stat.Quantile(q, stat.Empirical, x, nil)
 }
 
-// Row is a policy over all seeds.
+// Row is the result of one policy over all seeds.
 type Row struct {
 	Policy     string   `json:"policy"`
 	Runs       int      `json:"runs"`
-	Service    float64  `json:"service"` // mean
-	Least      float64  `json:"least"`
-	Most       float64  `json:"most"`
-	InTarget   float64  `json:"in_target"`   // share of what clients asked
-	Primary    float64  `json:"primary"`     // share of reads that went there
-	Dispatches float64  `json:"per_command"` // dispatches a command asked
-	Broken     []string `json:"broken,omitempty"`
+	Service    float64  `json:"service"`          // mean of the runs
+	Least      float64  `json:"least"`            // lowest service of a run
+	Most       float64  `json:"most"`             // highest service of a run
+	InTarget   float64  `json:"in_target"`        // share of commands answered within the latency objective
+	Primary    float64  `json:"primary"`          // share of read attempts that went to a primary
+	Dispatches float64  `json:"per_command"`      // attempts per command
+	Broken     []string `json:"broken,omitempty"` // violated properties, sorted
 }
 
-// Table has a row for each policy, in the order of the file.
+// Table summarizes the runs in one row for each policy, in the order in which the policies first appear.
 func Table(runs []Run) []Row {
 	var rows []Row
 	for _, r := range runs {
--- a/internal/lab/experiment/sim_test.go
+++ b/internal/lab/experiment/sim_test.go
@@ -15,7 +15,7 @@
 	"stoatdale.example/stoatdale/internal/lab/model"
 )
 
-// small is an experiment with room for lines in place of its last, and of its faults.
+// small returns a small experiment with the given policies and faults.
 func small(t *testing.T, policies, faults string) *model.Spec {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "small.sexp")
@@ -48,8 +48,8 @@
 	require.NoError(t, err)
 	assert.Equal(t, string(one), string(many))
 	runs := run(t, s, 0)
-	assert.NotEqual(t, runs[0].Tally, runs[1].Tally, "another seed is another run")
-	assert.Equal(t, runs[0].Tally.Asked, runs[2].Tally.Asked, "all policies meet the same load")
+	assert.NotEqual(t, runs[0].Tally, runs[1].Tally, "runs with different seeds differ")
+	assert.Equal(t, runs[0].Tally.Asked, runs[2].Tally.Asked, "all policies get the same load")
 }
 
 func TestModuleKeepsAllRulesUnderEveryFault(t *testing.T) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// A checker that cannot fail is a defect: policies that break a rule are told to.
+// A checker that cannot fail proves nothing. The baselines violate properties, and the checkers must report it.
 func TestRulesAreSeenBroken(t *testing.T) {
 	seen := map[string]bool{}
 	for _, x := range []struct {
@@ -88,28 +88,28 @@
 			}
 		}
 	}
-	assert.True(t, seen[invariant.NotStale], "a read of any replica is older than its session's writes: %v", seen)
+	assert.True(t, seen[invariant.NotStale], "a read from any replica can be older than its session's writes: %v", seen)
 	assert.True(t, seen[invariant.NotBack], "%v", seen)
-	assert.True(t, seen[invariant.ColdBudget], "members that start are pushed over by those that do not spare them: %v", seen)
+	assert.True(t, seen[invariant.ColdBudget], "policies that do not spare starting backends overload them: %v", seen)
 }
 
 func TestPoliciesStandInTheOrderThatTheyMust(t *testing.T) {
 	s := small(t, "ceiling module any primary", "(fault slow (set 0) (member 1) (at 1s) (for 4s) (times 10))")
 	s.Seeds = []int{1, 2, 3, 4}
-	s.Groups[2].Rate = 1200 // more than a primary has room for
+	s.Groups[2].Rate = 1200 // more than a primary can serve
 	rows := Table(run(t, s, 0))
 	require.Len(t, rows, 4)
 	ceiling, module, anyReplica, primary := rows[0], rows[1], rows[2], rows[3]
 	assert.Equal(t, 4, ceiling.Runs)
 	assert.Greater(t, ceiling.Service+0.02, module.Service)
-	assert.Greater(t, module.Service, primary.Service, "one member cannot serve it all")
-	assert.Greater(t, module.Service, anyReplica.Service, "and a slow one spoils what is spread blindly")
+	assert.Greater(t, module.Service, primary.Service, "the primary alone cannot serve the load")
+	assert.Greater(t, module.Service, anyReplica.Service, "a slow replica delays reads that are spread without regard to load")
 	assert.Empty(t, module.Broken)
 	assert.InDelta(t, 1.0, primary.Primary, 0)
 	assert.Less(t, module.Primary, 0.35)
 }
 
-// Load is open: it asks as much of a policy that falls behind, whose memory the timeouts bound.
+// The load is open: clients send as many commands to a policy that falls behind. Its backlog is bounded by the timeouts.
 func TestLoadDoesNotWait(t *testing.T) {
 	s := small(t, "primary module", "")
 	s.Groups[2].Rate = 4000
@@ -146,22 +146,22 @@
 	}
 	require.NoError(t, load(good))
 	for says, change := range map[string][2]string{
-		":2:1: routers is 0":                       {"(routers 2)", "(routers 0)"},
-		":4:1: effect: a write is keyed":           {"mutating", "replayable"},
-		":4:1: need: \"wite\" is none":             {"(need write)", "(need wite)"},
-		":4:1: timeout is 0.1 and target 0.3":      {"(timeout 1s)", "(timeout 100ms)"},
-		"writes keep 20.0 slots of primaries busy": {"(rate 40)", "(rate 4000)"},
-		"there is no policy \"modul\"":             {"(policies module)", "(policies modul)"},
-		":5:1: there is no member 3 in set 0":      {"(member 1)", "(member 3)"},
-		":5:1: at must be within the run":          {"(at 2s)", "(at 20s)"},
-		":6:1: the same member has this fault at":  {"(for 1s))", "(for 1s))\n(fault hang (set 0) (member 1) (at 2500ms) (for 1s))"},
-		":6:1: the member is down by then":         {"(for 1s))", "(for 1s))\n(fault elect (set 0) (member 2) (at 3s)) (fault crash (set 0) (member 2) (at 2900ms) (for 1s))"},
-		":6:1: member 0 is the primary already":    {"(for 1s))", "(for 1s))\n(fault elect (set 0) (member 0) (at 3s))"},
-		"commands are asked for in one run":        {"(seconds 6s)", "(seconds 80000s)"},
-		"group: there is none":                     {"(group order (need write) (effect mutating) (rate 40) (work 5ms) (target 300ms) (timeout 1s) (benefit 3))", ""},
+		":2:1: routers is 0, but must be between 1 and 10000":            {"(routers 2)", "(routers 0)"},
+		":4:1: effect: the effect of a write must be keyed":              {"mutating", "replayable"},
+		":4:1: need: \"wite\" is not one of":                             {"(need write)", "(need wite)"},
+		":4:1: timeout is 0.1 and target 0.3":                            {"(timeout 1s)", "(timeout 100ms)"},
+		"writes keep 20.0 slots of primaries busy, but there are only 4": {"(rate 40)", "(rate 4000)"},
+		"there is no policy \"modul\"":                                   {"(policies module)", "(policies modul)"},
+		":5:1: there is no member 3 in set 0":                            {"(member 1)", "(member 3)"},
+		":5:1: at must be within the run":                                {"(at 2s)", "(at 20s)"},
+		":6:1: the same member has this fault at":                        {"(for 1s))", "(for 1s))\n(fault hang (set 0) (member 1) (at 2500ms) (for 1s))"},
+		":6:1: the member is down by then":                               {"(for 1s))", "(for 1s))\n(fault elect (set 0) (member 2) (at 3s)) (fault crash (set 0) (member 2) (at 2900ms) (for 1s))"},
+		":6:1: member 0 is the primary already":                          {"(for 1s))", "(for 1s))\n(fault elect (set 0) (member 0) (at 3s))"},
+		"commands, but at most 200000000 are allowed":                    {"(seconds 6s)", "(seconds 80000s)"},
+		"group: there must be at least one":                              {"(group order (need write) (effect mutating) (rate 40) (work 5ms) (target 300ms) (timeout 1s) (benefit 3))", ""},
 	} {
 		text := strings.Replace(good, change[0], change[1], 1)
-		if says == "commands are asked for in one run" {
+		if says == "commands, but at most 200000000 are allowed" {
 			text = strings.Replace(strings.Replace(text, "(rate 40)", "(rate 4000)", 1), "(work 5ms)", "(work 0.5ms)", 1)
 		}
 		err := load(text)
@@ -181,7 +181,7 @@
 func TestCompareIsPairedBySeed(t *testing.T) {
 	var a, b, other []Run
 	for seed := range 10 {
-		hard := float64(seed) / 20 // seeds differ by far more than the two experiments
+		hard := float64(seed) / 20 // service differs far more between seeds than between the experiments
 		a = append(a, Run{Policy: "module", Seed: seed, Service: 0.9 - hard})
 		b = append(b, Run{Policy: "module", Seed: seed, Service: 0.91 - hard + float64(seed%3)/1000})
 		other = append(other, Run{Policy: "module", Seed: seed, Service: 0.9 - hard + float64(seed%2*2-1)/100})
@@ -199,7 +199,7 @@
 	assert.Equal(t, "worse", d[0].Told())
 	d, err = Compare(a, other)
 	require.NoError(t, err)
-	assert.Equal(t, "no difference told", d[0].Told())
+	assert.Equal(t, "no clear difference", d[0].Told())
 	d, err = Compare(a[:3], b[:3])
 	require.NoError(t, err)
 	assert.Equal(t, "too few seeds to tell", d[0].Told())
