--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report makes a page of an experiment: one file, with its charts in it and nothing from outside, that can be read
-// on a phone, in print and without colours.
+// Package report writes an HTML page about an experiment. The page is one file that contains its charts and loads nothing.
+// It is readable on a phone, in print and without colours.
 package report
 
 import (
@@ -20,14 +20,14 @@
 	"stoatdale.example/stoatdale/internal/lab/model"
 )
 
-// Curve is a policy's service second by second, over all seeds: the share of the benefit that clients asked for in
-// that second and that was earned, whenever.
+// Curve is the service of a policy in each second, over all seeds: of the benefit of the commands that clients sent in
+// that second, the share that was earned then or later.
 type Curve struct {
 	Policy  string
-	Service []float64 // NaN where nothing was asked
+	Service []float64 // by second; NaN for a second without commands
 }
 
-// Curves are those of all policies, in the order of the runs.
+// Curves returns the curves of all policies, in the order in which the policies first appear in the runs.
 func Curves(runs []experiment.Run) []Curve {
 	var out []Curve
 	sums := map[string][]model.Second{}
@@ -55,7 +55,7 @@
 	return out
 }
 
-// lines tell policies apart without colours: by dashes, and by width.
+// lines are the line styles of the policies. They differ in dashes, width and shade of grey, not in colour.
 var lines = []struct {
 	dashes []vg.Length
 	width  vg.Length
@@ -71,7 +71,7 @@
 	{[]vg.Length{2, 2}, 2.5, 150},
 }
 
-// Chart draws the curves as SVG, with the faults marked where they begin and end.
+// Chart returns the curves as an SVG image. Vertical lines mark the start and end of each fault.
 func Chart(s *model.Spec, curves []Curve) (string, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "service"
@@ -114,13 +114,13 @@
 		return "", fmt.Errorf("chart: %w", err)
 	}
 	svg := b.String()
-	if i := strings.Index(svg, "<svg"); i > 0 { // within a page there is no declaration of its own
+	if i := strings.Index(svg, "<svg"); i > 0 { // skip the XML declaration, which is not allowed within HTML
 		svg = svg[i:]
 	}
 	return svg, nil
 }
 
-// Page is an experiment's report.
+// Page returns the report of an experiment as HTML.
 func Page(s *model.Spec, runs []experiment.Run) ([]byte, error) {
 	chart, err := Chart(s, Curves(runs))
 	if err != nil {
@@ -132,7 +132,7 @@
 		Rows  []experiment.Row
 		Runs  []experiment.Run
 		Chart template.HTML
-	}{s, experiment.Table(runs), runs, template.HTML(chart)}) // our own drawing
+	}{s, experiment.Table(runs), runs, template.HTML(chart)}) // safe to embed: Chart has made it
 	if err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -38,7 +38,7 @@
 	require.Len(t, c, 2)
 	assert.Equal(t, []float64{1, 0.6, 0.5}, c[0].Service)
 	assert.Equal(t, []float64{0, 0.2}, c[1].Service)
-	assert.True(t, math.IsNaN(Curves([]experiment.Run{{Tally: model.Tally{Series: []model.Second{{}}}}})[0].Service[0]), "nothing was asked")
+	assert.True(t, math.IsNaN(Curves([]experiment.Run{{Tally: model.Tally{Series: []model.Second{{}}}}})[0].Service[0]), "no service in a second without commands")
 }
 
 func TestPageIsWholeAndNeedsNothingFromOutside(t *testing.T) {
@@ -47,7 +47,7 @@
 	require.NoError(t, err)
 	two, err := Page(s, runs())
 	require.NoError(t, err)
-	assert.Equal(t, string(one), string(two), "the same runs, the same bytes")
+	assert.Equal(t, string(one), string(two), "the same runs give the same page")
 	text := string(one)
 	for _, says := range []string{"bad &lt;day&gt;", "a&lt;b", "<td>12.3</td>", "0.800", "a rule", "set 0, member 2", "module"} {
 		assert.Contains(t, text, says)
@@ -68,5 +68,5 @@
 			paths++
 		}
 	}
-	assert.Greater(t, paths, 4, "two curves, a fault's two marks, axes")
+	assert.Greater(t, paths, 4, "two curves, the two lines of a fault, axes")
 }
