--- a/internal/lab/fixed/fixed.go
+++ b/internal/lab/fixed/fixed.go
@@ -1,13 +1,13 @@
-// Package fixed gives the tests that draw by chance one seed, so that the same code always has the same verdict:
-// what chance finds belongs to those who look for it, not to whoever lands next. A test imports it for its effect.
-// Other draws are taken by hand: go test ./internal/modelcheck/models -rapid.seed 7 -rapid.checks 20000.
+// Package fixed sets the seed of all rapid tests, so that the same code always passes or always fails. Random seeds would
+// fail the build of an unrelated change. Tests import the package for its side effect. To test with another seed, set it
+// on the command line: go test ./internal/modelcheck/models -rapid.seed 7 -rapid.checks 20000.
 package fixed
 
 import (
 	"flag"
 	"fmt"
 
-	_ "pgregory.net/rapid" // whose flags these are
+	_ "pgregory.net/rapid" // defines the flags that init sets
 )
 
 func init() {
--- a/internal/lab/testserver/address.go
+++ b/internal/lab/testserver/address.go
@@ -8,9 +8,9 @@
 
 var hosts atomic.Int64
 
-// Host is a loopback address that nothing else of this process is given, and no other process that runs at
-// the same time. A port on it is free, unlike one that was free on 127.0.0.1 a moment ago: those are also
-// handed to outgoing connections.
+// Host returns a loopback address that it returns to no other caller, neither in this process nor in another process that
+// runs at the same time. All its ports are therefore free. A port that was free on 127.0.0.1 a moment ago may be taken:
+// the kernel also assigns such ports to outgoing connections.
 func Host() string {
 	n := hosts.Add(1)
 	pid := os.Getpid()
--- a/internal/lab/testserver/discovery.go
+++ b/internal/lab/testserver/discovery.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// Discovery is the list's agent. A caller that has the newest list waits for the next.
+// Discovery is a stand-in for the discovery service, which serves the endpoint list. The answer to a caller that has the
+// newest list is delayed until the next list, or by longPoll at most.
 type Discovery struct {
 	At string
 
 	mu    sync.Mutex
-	news  chan struct{} // closed with each list
-	lists int
-	now   string // entries
+	news  chan struct{} // closed and replaced when the list changes
+	lists int           // generation of the list
+	now   string        // the list, as JSON
 	http  *http.Server
 }
 
-const longPoll = 4 * time.Second // after which a caller gets the list it has
+const longPoll = 4 * time.Second // after which a caller gets the list that it already has
 
-// NewDiscovery starts one on a free port of loopback with a first list.
+// NewDiscovery starts a discovery service on a free port of 127.0.0.1, with a list of the entries.
 func NewDiscovery(entries ...string) (*Discovery, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,10 +35,10 @@
 	return d, nil
 }
 
-// Close ends it.
+// Close stops the service.
 func (d *Discovery) Close() { _ = d.http.Close() }
 
-// List replaces the list.
+// List replaces the endpoint list by one of the entries.
 func (d *Discovery) List(entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -47,6 +48,7 @@
 	d.news = make(chan struct{})
 }
 
+// ServeHTTP answers a call with the endpoint list.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	d.mu.Lock()
 	news, has := d.news, q.FormValue("from") == fmt.Sprint(d.lists)
--- a/internal/lab/testserver/load.go
+++ b/internal/lab/testserver/load.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// Load is clients that ask routers steadily, one command at a time each, and keep count of what came of every
-// command. What counts is seen on the wire alone: what was written, what came back, and what members were sent.
+// Load runs clients that send commands to routers, each client one command at a time, and counts the outcomes. It counts
+// only what is visible on the wire: what clients wrote and received, and which statements backends received.
 type Load struct {
-	Routers []string      // addresses
-	Clients int           // at once
-	Think   time.Duration // between an answer and the next command
-	Timeout time.Duration // the client timeout that commands state
-	Writes  float64       // share of commands that mutate
+	Routers []string      // addresses of the routers
+	Clients int           // number of concurrent clients
+	Think   time.Duration // pause of a client between an answer and its next command
+	Timeout time.Duration // client timeout, which commands state
+	Writes  float64       // share of mutating commands, from 0 to 1
 
 	mu     sync.Mutex
 	counts Counts
-	slow   []time.Duration
-	seen   map[string]int // commands that reached a member, how often
-	open   map[string]bool
+	slow   []time.Duration // of all answered commands
+	seen   map[string]int  // how often each command reached a backend
+	open   map[string]bool // commands without an answer
 	stop   chan struct{}
 	done   sync.WaitGroup
 }
 
-// Counts is what came of the commands.
+// Counts is the number of commands by outcome.
 type Counts struct {
-	Asked     int // written whole
-	Answered  int
-	Throttled int
-	Failed    int
-	Late      int // answered after the client timeout, in any way
-	Lost      int // reached a member, or were held past the client timeout, and never had an answer
-	Turned    int // connections that a router ended before it took the command
-	Doubled   int // mutating commands that reached members more than once
+	Asked     int // written completely
+	Answered  int // with a value
+	Throttled int // answered with the error 53300
+	Failed    int // answered with another error
+	Late      int // answered after the client timeout, with a value or an error
+	Lost      int // never answered, though a backend received them or the client timeout passed
+	Turned    int // never answered and never received by a backend: the router closed the connection first
+	Doubled   int // mutating commands that backends received more than once
 }
 
 var ids = regexp.MustCompile(`/\* id=([0-9a-f]+),c=([a-z]+)`)
 
-// Seen is told of each statement that a member was sent.
+// Seen records a statement that a backend received. Backends have to call it for each.
 func (l *Load) Seen(statement string) {
 	if m := ids.FindStringSubmatch(statement); m != nil {
 		l.mu.Lock()
@@ -49,7 +49,7 @@
 	}
 }
 
-// Start has the clients begin. The seed is of what they ask.
+// Start starts the clients. The seed determines the commands that they send.
 func (l *Load) Start(seed uint64) {
 	l.stop = make(chan struct{})
 	l.seen, l.open = map[string]int{}, map[string]bool{}
@@ -59,7 +59,8 @@
 	}
 }
 
-// Stop ends the clients once their commands are answered, and returns what came of all.
+// Stop stops the clients once their current commands are answered. It returns the counts of all commands and the response
+// times of the answered ones.
 func (l *Load) Stop() (Counts, []time.Duration) {
 	close(l.stop)
 	l.done.Wait()
@@ -70,7 +71,7 @@
 			l.counts.Doubled++
 		}
 	}
-	for id := range l.open { // ended without an answer: lost if they reached a member
+	for id := range l.open { // never answered: lost if a backend received the command
 		if l.seen[id] > 0 {
 			l.counts.Lost++
 		} else {
@@ -80,7 +81,7 @@
 	return l.counts, l.slow
 }
 
-// client asks the router that it was given, and the next one if that does not take it.
+// client runs one client until Stop. It starts with one of the routers and changes to the next when a connection fails.
 func (l *Load) client(n int, rng *rand.Rand) {
 	defer l.done.Done()
 	at := n % len(l.Routers)
@@ -110,7 +111,7 @@
 	}
 }
 
-// ask asks once; false: the connection is of no more use.
+// ask sends one command and counts its outcome. It returns false if the connection can no longer be used.
 func (l *Load) ask(c *Client, rng *rand.Rand) bool {
 	id := fmt.Sprintf("%016x", rng.Uint64()|1)
 	group, text := Look, "SELECT doc FROM items WHERE id = '%s' /* id=%s,c=%s,d=%d,cluster=2 */"
--- a/internal/lab/testserver/member.go
+++ b/internal/lab/testserver/member.go
@@ -1,6 +1,6 @@
-// Package testserver holds stand-ins of what surrounds a router, on loopback sockets and in real time: members,
-// discovery, clients, and a router that misbehaves as it is told. They speak the published protocols and
-// share no code with the router but the writing of messages.
+// Package testserver has stand-ins for the peers of a router, on loopback sockets and in real time: backends, discovery,
+// clients, and a router that misbehaves on request. They speak the published protocols, and the only code that they share
+// with the router is that of package pg, which encodes messages.
 package testserver
 
 import (
@@ -18,10 +18,10 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-const longest = 1 << 20 // bytes of a message
+const longest = 1 << 20 // maximum length of a message in bytes
 
-// Row is an answer of one value, as a member sends it: its position is now, and role says "off" of a primary
-// and "on" of a replica.
+// Row returns a backend's answer that consists of one value. Its position is the current time. role is the parameter
+// "recovery": "off" for a primary, "on" for a replica.
 func Row(value, role string) []byte {
 	b := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
 	b = pg.AppendMessage(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
@@ -30,12 +30,12 @@
 	return pg.AppendReadyForQuery(pg.AppendParameterStatus(b, "recovery", role))
 }
 
-// Member is a member of a set. For each statement it sends what Answer returns, and closes the connection
-// if that is nil.
+// Member is a stand-in for a backend. It answers each statement with the result of Answer, and closes the connection if
+// that is nil.
 type Member struct {
 	At     string
 	Answer func(statement string) []byte
-	Asked  atomic.Int64 // statements, without those for its health
+	Asked  atomic.Int64 // number of statements received, without health checks
 
 	l     net.Listener
 	mu    sync.Mutex
@@ -43,11 +43,11 @@
 	done  sync.WaitGroup
 }
 
-// NewMember starts one on a free port of loopback.
+// NewMember starts a backend on a free port of 127.0.0.1.
 func NewMember(answer func(string) []byte) (*Member, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("member: %w", err)
+		return nil, fmt.Errorf("backend: %w", err)
 	}
 	m := &Member{At: l.Addr().String(), Answer: answer, l: l, conns: map[net.Conn]bool{}}
 	m.done.Add(1)
@@ -55,7 +55,7 @@
 	return m, nil
 }
 
-// Close ends the member and its connections.
+// Close stops the backend and closes its connections.
 func (m *Member) Close() {
 	_ = m.l.Close()
 	m.mu.Lock()
@@ -119,24 +119,24 @@
 	}
 }
 
-// Entry is a member's line in a list.
+// Entry returns the backend's entry of the endpoint list.
 func (m *Member) Entry(id, state, recovery string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"h","cell":2,"lifecycle":%q,"recovery":%q}`,
 		id, m.At, state, recovery)
 }
 
-// List is a whole list in discovery's form.
+// List returns a complete endpoint list in the format of discovery.
 func List(generation int, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(entries, ","))
 }
 
-// Client is one connection of a client to a router.
+// Client is a client connection to a router.
 type Client struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-// Dial connects and starts up.
+// Dial connects to a router and performs the startup. within is the timeout of the connection, and again of the startup.
 func Dial(at string, within time.Duration) (*Client, error) {
 	c, err := net.DialTimeout("tcp", at, within)
 	if err != nil {
@@ -145,20 +145,20 @@
 	_ = c.SetDeadline(time.Now().Add(within))
 	x := &Client{c, bufio.NewReader(c)}
 	if _, err := c.Write(pg.AppendStartupMessage(nil)); err == nil {
-		_, _ = x.Reply() // a start-up that failed shows at the first query
+		_, _ = x.Reply() // a failed startup becomes an error of the first query
 	}
 	return x, nil
 }
 
-// Reply is what came up to ReadyForQuery.
+// Reply is the content of the messages up to ReadyForQuery.
 type Reply struct {
-	Value  string
-	Empty  bool
-	Code   string // of an error
-	Detail string
+	Value  string // of the row
+	Empty  bool   // whether it is an EmptyQueryResponse
+	Code   string // SQLSTATE of an error
+	Detail string // of an error
 }
 
-// Reply reads one answer. An error means that the connection ended in it.
+// Reply reads one answer. It returns an error if the connection ends before the answer is complete.
 func (c *Client) Reply() (Reply, error) {
 	var said Reply
 	for {
@@ -188,7 +188,8 @@
 	}
 }
 
-// Ask sends a query and reads its answer. sent tells whether all of it was written.
+// Ask sends a query and reads its answer, both within the given time. sent reports whether the query was written
+// completely.
 func (c *Client) Ask(text string, within time.Duration) (said Reply, sent bool, err error) {
 	_ = c.SetDeadline(time.Now().Add(within))
 	if _, err := c.Write(pg.AppendQuery(nil, text)); err != nil {
@@ -198,7 +199,7 @@
 	return said, true, err
 }
 
-// Ended tells whether the router has closed the connection while nothing was asked.
+// Ended reports whether the router has closed the connection. No query may be in flight.
 func (c *Client) Ended() bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.r.Peek(1)
--- a/internal/lab/testserver/router.go
+++ b/internal/lab/testserver/router.go
@@ -16,30 +16,31 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// Conduct is what a revision's key "stand" tells a stand-in router to do.
+// Conduct is the behavior of a stand-in router. It is read from the key "stand" of the router's configuration file.
 type Conduct struct {
-	Exit    int     `json:"exit"`    // end at once with this status, if not 0
-	Silent  bool    `json:"silent"`  // listen, and answer nothing
-	Ready   float64 `json:"ready"`   // seconds until it answers
-	Drain   float64 `json:"drain"`   // seconds that it takes to end once it is told to
-	Deaf    bool    `json:"deaf"`    // to SIGTERM
-	Fails   bool    `json:"fails"`   // half of the commands that it counts
-	LiveFor float64 `json:"liveFor"` // seconds, then it ends with status 1; 0: for good
+	Exit    int     `json:"exit"`    // if not 0, exit with this status at the start
+	Silent  bool    `json:"silent"`  // accept connections and answer nothing
+	Ready   float64 `json:"ready"`   // seconds from the start until it answers queries
+	Drain   float64 `json:"drain"`   // seconds from SIGTERM until it exits
+	Deaf    bool    `json:"deaf"`    // ignore SIGTERM
+	Fails   bool    `json:"fails"`   // report half of the commands in its counters as failed
+	LiveFor float64 `json:"liveFor"` // seconds until it exits with status 1; 0 means never
 }
 
-// countersStep is how many more commands each log line of counters tells.
+// countersStep is the number of commands by which the counters grow with each log line.
 const countersStep = 100
 
-// fakeRouter is a stand-in router that runs.
+// fakeRouter is a running stand-in router.
 type fakeRouter struct {
 	listener  net.Listener
 	conduct   atomic.Pointer[Conduct]
 	startedAt time.Time
-	counted   int // commands that its counters have told
+	counted   int // commands in the last log line of counters
 }
 
-// Router is a program in place of the router: it reads GW_CONFIG, answers empty queries, logs counters at
-// SIGUSR1 and takes its file anew at SIGHUP, but for what its conduct says. It does not return.
+// Router runs a stand-in router as the main function of a program. It reads the configuration file that GW_CONFIG names,
+// answers empty queries, logs counters on SIGUSR1, reloads the file on SIGHUP and exits on SIGTERM, unless its Conduct
+// says otherwise. It does not return.
 func Router() {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1)
@@ -73,7 +74,7 @@
 	}
 }
 
-// exit ends the program as one that could not start.
+// exit logs the error and exits with status 1.
 func exit(err error) {
 	fmt.Fprintln(os.Stderr, "stand-in:", err)
 	os.Exit(1)
@@ -81,7 +82,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// readConfig reads the address and the conduct from the file that GW_CONFIG names.
+// readConfig reads the listen address and the conduct from the file that GW_CONFIG names.
 func readConfig() (listen string, conduct Conduct, err error) {
 	var document struct {
 		Listen string  `json:"listen"`
@@ -94,13 +95,13 @@
 	return document.Listen, document.Stand, err
 }
 
-// logLine writes a line of the log.
+// logLine writes a JSON log line to stderr.
 func logLine(keys map[string]any) {
 	raw, _ := json.Marshal(keys)
 	_, _ = os.Stderr.Write(append(raw, '\n'))
 }
 
-// accept takes connections until the listener is closed.
+// accept serves connections until the listener is closed.
 func (r *fakeRouter) accept() {
 	for {
 		conn, err := r.listener.Accept()
@@ -111,7 +112,7 @@
 	}
 }
 
-// answers reports whether it answers queries by now.
+// answers reports whether the router answers queries at this time.
 func (r *fakeRouter) answers() bool {
 	conduct := r.conduct.Load()
 	return !conduct.Silent && time.Since(r.startedAt).Seconds() >= conduct.Ready
@@ -139,7 +140,7 @@
 	logLine(map[string]any{"level": "info", "message": "reloaded"})
 }
 
-// drain ends the program after its time to drain, unless it is deaf to the signal.
+// drain closes the listener and exits after the time to drain, unless the router ignores SIGTERM.
 func (r *fakeRouter) drain() {
 	conduct := r.conduct.Load()
 	if conduct.Deaf {
@@ -150,7 +151,8 @@
 	os.Exit(0)
 }
 
-// answerEmpty answers empty queries on a connection once answers is true.
+// answerEmpty answers each query on a connection as an empty one. If answers returns false at the connection's start, it
+// discards everything and answers nothing.
 func answerEmpty(c net.Conn, answers func() bool) {
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
--- a/internal/lab/testserver/settings.go
+++ b/internal/lab/testserver/settings.go
@@ -5,14 +5,14 @@
 	"maps"
 )
 
-// Groups of the settings here: look reads from any replica, order mutates.
+// Command groups of Deployment: commands of look read from any replica, those of order are mutating.
 const (
 	Look  = "look"
 	Order = "order"
 )
 
-// Deployment is a revision for routers among stand-ins: two command groups and one set, number 2. timeout is
-// the client timeout in seconds, more are further keys of the document.
+// Deployment returns a configuration for routers that use stand-ins, with two command groups and one shard, number 2.
+// timeout is the client timeout in seconds. The keys of more are added to the document.
 func Deployment(discovery string, timeout float64, more map[string]any) map[string]any {
 	group := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "targetNs": timeout / 2 * 1e9, "deadlineNs": timeout * 1e9, "worth": 1}
@@ -39,11 +39,11 @@
 	return doc
 }
 
-// JSON writes a document.
+// JSON encodes a document.
 func JSON(doc map[string]any) []byte {
 	raw, err := json.Marshal(doc)
 	if err != nil {
-		panic(err) // what is written here always can be
+		panic(err) // documents hold only values that can be encoded
 	}
 	return raw
 }
