--- a/internal/pki/credentials.go
+++ b/internal/pki/credentials.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// Credentials are the files with which one agent or operator makes and accepts connections.
+// Credentials names the files that one agent or operator uses for its TLS connections.
 type Credentials struct {
-	CertificateFile string           // its own certificate and key
-	TrustedFile     string           // the authority's certificates
-	Now             func() time.Time // the clock by which certificates are valid
+	CertificateFile string           // the holder's certificate and key
+	TrustedFile     string           // certificates of the authority
+	Now             func() time.Time // time at which certificates are verified
 }
 
-// Credentials are those of one agent or operator whose files lie in the folder. The files need not exist yet.
+// Credentials returns the credentials of an agent or operator, with the paths of its files in the folder. The files need
+// not exist yet.
 func (f Folder) Credentials(role Role, name string) Credentials {
 	return Credentials{CertificateFile: f.CertificateFile(role, name), TrustedFile: f.TrustedFile(), Now: time.Now}
 }
 
-// loadedCredentials are the files' content at one moment.
+// loadedCredentials is the parsed content of the files, as read at one time.
 type loadedCredentials struct {
 	own     tls.Certificate
 	trusted *x509.CertPool
@@ -33,14 +34,14 @@
 	}
 	content, err := os.ReadFile(c.TrustedFile)
 	if err != nil {
-		return loadedCredentials{}, fmt.Errorf("the authority's certificates: %w", err)
+		return loadedCredentials{}, fmt.Errorf("certificates of the authority: %w", err)
 	}
 	certificates, err := parseCertificates(c.TrustedFile, content)
 	if err != nil {
 		return loadedCredentials{}, err
 	}
 	if len(certificates) == 0 {
-		return loadedCredentials{}, fmt.Errorf("%s: no certificate in it", c.TrustedFile)
+		return loadedCredentials{}, fmt.Errorf("%s: the file contains no certificate", c.TrustedFile)
 	}
 	trusted := x509.NewCertPool()
 	for _, certificate := range certificates {
@@ -49,8 +50,8 @@
 	return loadedCredentials{own: own, trusted: trusted}, nil
 }
 
-// Check tells whether the files can be used now: they can be read, and the own certificate is valid and of a trusted
-// authority. A certificate that is not is reported as a *CertificateError.
+// Check returns an error if the files cannot be read, or if the holder's certificate is not valid now or not issued by a
+// trusted authority. The error for such a certificate is a *CertificateError.
 func (c Credentials) Check() error {
 	loaded, err := c.load()
 	if err != nil {
@@ -60,9 +61,9 @@
 	return verify(loaded.trusted, []*x509.Certificate{loaded.own.Leaf}, anybody, c.Now())
 }
 
-// ServerConfig is the TLS configuration of an agent's listener. Each connection is served with the files as they are
-// then, and its client must present a valid operator's certificate. onReject, if not nil, is called with the error of each
-// rejected connection, from that connection's goroutine.
+// ServerConfig returns the TLS configuration of an agent's listener. The files are read for each connection, and the
+// client must present a valid certificate of an operator. onReject, if not nil, is called with the error of each
+// rejected connection, from the goroutine of that connection.
 func (c Credentials) ServerConfig(onReject func(error)) *tls.Config {
 	reject := func(err error) error {
 		if onReject != nil {
@@ -94,8 +95,8 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: configForClient}
 }
 
-// ClientConfig is the TLS configuration for one connection of an operator to the named agent, with the files as they are
-// now. The connection fails with a *CertificateError if somebody else answers.
+// ClientConfig reads the files and returns the TLS configuration for one connection of an operator to the named agent.
+// The connection fails with a *CertificateError if the server does not present a valid certificate of that agent.
 func (c Credentials) ClientConfig(agent string) (*tls.Config, error) {
 	loaded, err := c.load()
 	if err != nil {
@@ -107,7 +108,7 @@
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{loaded.own},
-		// Host names play no part: verifyConnection checks the chain and the agent's identity.
+		// Certificates hold no host names. verifyConnection checks the chain and the identity of the agent.
 		InsecureSkipVerify: true,
 		VerifyConnection:   verifyConnection,
 	}, nil
--- a/internal/pki/issue.go
+++ b/internal/pki/issue.go
@@ -18,21 +18,22 @@
 	"github.com/google/renameio/v2"
 )
 
-// Modes of the files: keys are for their owner alone.
+// File modes. Only the owner may read keys.
 const (
 	folderMode  = 0o700
 	keyMode     = 0o600
 	trustedMode = 0o644
 )
 
-// serialNumberBits is the length of the random serial numbers.
+// serialNumberBits is the length of a certificate's random serial number.
 const serialNumberBits = 127
 
-// validName is the form of agents' and operators' names. They become parts of file names and URIs.
+// validName matches the valid names of agents and operators. The names become part of file names and URIs.
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// CreateAuthority creates a fleet's authority, or a new one beside the old. The old one's certificate stays trusted until
-// it expires, so that certificates of both are accepted while agents and operators get new ones. now is the time of issue.
+// CreateAuthority creates the certificate authority of a fleet, or replaces it. The certificate of the old authority stays
+// trusted until it expires, so that certificates from both are accepted while agents and operators get new ones. now is
+// the time of issue.
 func (f Folder) CreateAuthority(fleet string, lifetime time.Duration, now time.Time) error {
 	if err := os.MkdirAll(string(f), folderMode); err != nil {
 		return fmt.Errorf("keys: %w", err)
@@ -59,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	// Trust comes first: a key whose certificate nobody trusts would be of no use.
+	// The trusted certificates are written first, because a key whose certificate is not trusted would be useless.
 	trusted := append(encodeCertificate(issued.certificate), kept...)
 	if err := renameio.WriteFile(f.TrustedFile(), trusted, trustedMode); err != nil {
 		return fmt.Errorf("keys: %w", err)
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// unexpired is the PEM text of those certificates of a file's content that have not expired by now.
+// unexpired returns the certificates in the content of a file that have not expired by now, as PEM text.
 func unexpired(file string, content []byte, now time.Time) ([]byte, error) {
 	certificates, err := parseCertificates(file, content)
 	if err != nil {
@@ -85,22 +86,22 @@
 	return kept, nil
 }
 
-// Issue creates or renews the certificate of one agent or operator, with a new key. now is the time of issue. It fails if
-// the authority's certificate would expire first.
+// Issue creates or renews the certificate of an agent or operator, with a new key. now is the time of issue. Issue fails
+// if the certificate of the authority would expire before the new one.
 func (f Folder) Issue(role Role, name string, lifetime time.Duration, now time.Time) error {
 	if role != Agent && role != Operator {
 		return fmt.Errorf("keys: the role is agent or operator, not %q", role)
 	}
 	if !validName.MatchString(name) {
-		return fmt.Errorf("keys: %q is no name: letters, digits, dot, dash and underscore, 63 at most", name)
+		return fmt.Errorf("keys: invalid name %q: use at most 63 letters, digits, dots, dashes and underscores, the first a letter or digit", name)
 	}
 	authority, err := loadKeyPair(f.authorityKeyFile())
 	if err != nil {
-		return fmt.Errorf("keys: the authority: %w", err)
+		return fmt.Errorf("keys: load the authority: %w", err)
 	}
 	notAfter := now.Add(lifetime)
 	if authorityEnd := authority.Leaf.NotAfter; notAfter.After(authorityEnd) {
-		return fmt.Errorf("keys: the authority runs out on %s, before the certificate would: renew it first",
+		return fmt.Errorf("keys: the authority expires on %s, before the certificate would: renew the authority first",
 			authorityEnd.Format(time.DateOnly))
 	}
 	identity := Identity{Role: role, Name: name}
@@ -125,8 +126,8 @@
 	return nil
 }
 
-// issue creates a key and its certificate, signed by the authority or, without one, by the new key itself. The serial
-// number is set in the template.
+// issue creates a key and a certificate for it. The authority signs the certificate; if authority is nil, the certificate
+// is self-signed. issue sets the serial number of the template.
 func issue(template *x509.Certificate, authority *tls.Certificate) (keyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/pki/keys.go
+++ b/internal/pki/keys.go
@@ -1,8 +1,8 @@
-// Package pki is the certificate authority of a fleet and its use: it issues and renews the certificates of agents
-// and operators, lists them, and makes the TLS configurations with which both sides verify each other.
+// Package pki implements the certificate authority of a fleet. It issues, renews and lists the certificates of agents and
+// operators, and creates the TLS configurations with which agents and operators verify each other.
 //
-// Everything lies in one folder of PEM files. Files are read anew for each connection, so a replaced file is used from
-// the next connection on.
+// All certificates and keys are PEM files in one folder. The files are read for each connection, so a replaced file is
+// used from the next connection on.
 package pki
 
 import (
@@ -14,52 +14,53 @@
 	"time"
 )
 
-// Role is what a certificate entitles its holder to. It is part of the identity in the certificate.
+// Role is the role of a certificate's holder in the fleet. It is part of the identity in the certificate.
 type Role string
 
 const (
-	// Agent certificates are presented by the agents, which serve operators' calls.
+	// Agent is the role of agents, which serve the calls of operators.
 	Agent Role = "agent"
-	// Operator certificates are presented by the operators' tool, which calls agents.
+	// Operator is the role of operators, whose tool calls agents.
 	Operator Role = "operator"
 )
 
 const (
-	trustedFileName      = "authority.pem"     // certificates of the authority: the present one and those before it
-	authorityKeyFileName = "authority.key.pem" // its present certificate and key; only whoever issues needs it
+	trustedFileName      = "authority.pem"     // current and earlier certificates of the authority
+	authorityKeyFileName = "authority.key.pem" // current certificate and key of the authority, needed only to issue certificates
 )
 
-// Identities are URIs in the certificate, such as stoatdale://fleet/agent/a1.
+// An identity is a URI in the certificate, such as stoatdale://fleet/agent/a1.
 const (
 	identityScheme = "stoatdale"
 	identityHost   = "fleet"
 )
 
-// clockSkew is how far the clocks of two machines may differ: certificates are valid from so much before their issue.
+// clockSkew is the tolerated difference between the clocks of two machines. Certificates are valid from this long before
+// they are issued.
 const clockSkew = 5 * time.Minute
 
 // Folder is the path of the folder that holds a fleet's certificates and keys.
 type Folder string
 
-// CertificateFile is the path of one agent's or operator's certificate and key. Both are in one file, so that they are
-// replaced together.
+// CertificateFile returns the path of the certificate and key of an agent or operator. Both are in one file, so that they
+// are replaced together.
 func (f Folder) CertificateFile(role Role, name string) string {
 	return filepath.Join(string(f), fmt.Sprintf("%s-%s.pem", role, name))
 }
 
-// TrustedFile is the path of the authority's certificates, which every agent and operator needs.
+// TrustedFile returns the path of the certificates of the authority, which every agent and operator needs.
 func (f Folder) TrustedFile() string { return filepath.Join(string(f), trustedFileName) }
 
-// authorityKeyFile is the path of the authority's present certificate and key.
+// authorityKeyFile returns the path of the current certificate and key of the authority.
 func (f Folder) authorityKeyFile() string { return filepath.Join(string(f), authorityKeyFileName) }
 
-// Identity is the holder of a certificate. The zero value is that of a certificate without one.
+// Identity is the holder of a certificate, by role and name. It is zero for a certificate that names no holder.
 type Identity struct {
 	Role Role
 	Name string
 }
 
-// IdentityOf reads the identity from a certificate. It does not verify the certificate.
+// IdentityOf returns the identity in a certificate. It does not verify the certificate.
 func IdentityOf(certificate *x509.Certificate) Identity {
 	for _, uri := range certificate.URIs {
 		parts := strings.Split(uri.Path, "/")
@@ -70,10 +71,10 @@
 	return Identity{}
 }
 
-// String is the identity as it stands in the certificate's subject and in errors: "agent a1".
+// String returns the identity in the form of the certificate's subject and of errors, such as "agent a1".
 func (i Identity) String() string { return string(i.Role) + " " + i.Name }
 
-// matches tells whether the identity is the wanted one. An empty role or name of wanted stands for any.
+// matches reports whether the identity is the wanted one. An empty role or name in wanted matches any.
 func (i Identity) matches(wanted Identity) bool {
 	roleMatches := wanted.Role == "" || wanted.Role == i.Role
 	nameMatches := wanted.Name == "" || wanted.Name == i.Name
--- a/internal/pki/keys_test.go
+++ b/internal/pki/keys_test.go
@@ -24,7 +24,7 @@
 	return f
 }
 
-// talk has a client connect to a server, and returns what each of them reports.
+// connect connects a client to a server over TLS, transfers one byte and returns the errors of both sides.
 func talk(t *testing.T, server, client Credentials, agent string) (atServer, atClient error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -86,13 +86,13 @@
 	server := f.Credentials(Agent, "a1")
 	server.Now = func() time.Time { return time.Now().Add(31 * day) }
 	s, _ = talk(t, server, f.Credentials(Operator, "ayla"), "a1")
-	require.ErrorContains(t, s, "the certificate of operator ayla ran out on")
+	require.ErrorContains(t, s, "the certificate of operator ayla expired on")
 	require.ErrorIs(t, s, ErrExpired)
 	server.Now = func() time.Time { return time.Now().Add(-day) }
 	s, _ = talk(t, server, f.Credentials(Operator, "ayla"), "a1")
-	require.ErrorContains(t, s, "counts only from")
+	require.ErrorContains(t, s, "is not valid before")
 	require.ErrorIs(t, s, ErrNotYetValid)
-	require.ErrorContains(t, server.Check(), "counts only from")
+	require.ErrorContains(t, server.Check(), "is not valid before")
 }
 
 func TestReplacedFilesAreUsedFromTheNextConnection(t *testing.T) {
@@ -103,30 +103,30 @@
 	before := conf.Certificates[0].Leaf.SerialNumber
 	require.NoError(t, f.CreateAuthority("haulage", 365*day, time.Now()))
 	s, c := talk(t, server, client, "a1")
-	require.NoError(t, s, "certificates of the old authority are still good")
+	require.NoError(t, s, "certificates of the old authority stay valid")
 	require.NoError(t, c)
 	require.NoError(t, f.Issue(Operator, "ayla", 30*day, time.Now()))
 	conf, err = client.ClientConfig("a1")
 	require.NoError(t, err)
 	assert.NotEqual(t, before, conf.Certificates[0].Leaf.SerialNumber)
 	s, c = talk(t, server, client, "a1")
-	require.NoError(t, s, "one side of each")
+	require.NoError(t, s, "the client has a certificate of the new authority, the server one of the old")
 	require.NoError(t, c)
 	shown, err := f.List()
 	require.NoError(t, err)
-	assert.Len(t, shown, 5, "two of the authority, its key's, an agent's and an operator's")
+	assert.Len(t, shown, 5, "two trusted authorities, the current authority with its key, an agent and an operator")
 	require.NoError(t, f.CreateAuthority("haulage", 9000*day, time.Now().Add(400*day)))
 	shown, err = f.List()
 	require.NoError(t, err)
-	assert.Len(t, shown, 4, "those that ran out are no longer trusted")
+	assert.Len(t, shown, 4, "the expired authorities are no longer trusted")
 }
 
 func TestInvalidNamesRolesLifetimesAndFilesAreReported(t *testing.T) {
 	f := newFolder(t)
-	require.ErrorContains(t, f.Issue(Agent, "../x", day, time.Now()), "is no name")
+	require.ErrorContains(t, f.Issue(Agent, "../x", day, time.Now()), "invalid name")
 	require.ErrorContains(t, f.Issue("king", "x", day, time.Now()), "the role is")
-	require.ErrorContains(t, f.Issue(Agent, "x", 999*day, time.Now()), "renew it first")
-	require.ErrorContains(t, Folder(t.TempDir()).Issue(Agent, "x", day, time.Now()), "the authority")
+	require.ErrorContains(t, f.Issue(Agent, "x", 999*day, time.Now()), "renew the authority first")
+	require.ErrorContains(t, Folder(t.TempDir()).Issue(Agent, "x", day, time.Now()), "load the authority")
 	own := f.CertificateFile(Operator, "ayla")
 	info, err := os.Stat(own)
 	require.NoError(t, err)
@@ -134,5 +134,5 @@
 	require.NoError(t, os.WriteFile(own, []byte("-----BEGIN CERTIFICATE-----\nhalf"), 0o600))
 	require.ErrorContains(t, f.Credentials(Operator, "ayla").Check(), filepath.Base(own))
 	require.NoError(t, os.WriteFile(f.TrustedFile(), nil, 0o600))
-	require.ErrorContains(t, f.Credentials(Agent, "a1").Check(), "no certificate in it")
+	require.ErrorContains(t, f.Credentials(Agent, "a1").Check(), "contains no certificate")
 }
--- a/internal/pki/list.go
+++ b/internal/pki/list.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// CertificateInfo describes a certificate of a folder. Its JSON form is output of the command line.
+// CertificateInfo describes a certificate in a folder. The command-line tool prints it as JSON.
 type CertificateInfo struct {
-	File     string    `json:"file"`  // without the folder
+	File     string    `json:"file"`  // file name without the folder
 	Subject  string    `json:"who"`   // such as "agent a1" or "fleet haulage"
-	NotAfter time.Time `json:"until"` // when it expires
+	NotAfter time.Time `json:"until"` // time at which the certificate expires
 }
 
-// List describes all certificates of the folder, also expired ones, in the order of their files' names. A folder that
-// does not exist has none.
+// List describes all certificates in the folder, expired ones included, sorted by file name. The list is empty if the
+// folder does not exist.
 func (f Folder) List() ([]CertificateInfo, error) {
 	files, err := filepath.Glob(filepath.Join(string(f), "*.pem"))
 	if err != nil {
--- a/internal/pki/pem.go
+++ b/internal/pki/pem.go
@@ -9,7 +9,7 @@
 	"os"
 )
 
-// MaxFileBytes is the most that a file of certificates may hold, in bytes.
+// MaxFileBytes is the maximum size of a certificate file in bytes.
 const MaxFileBytes = 1 << 20
 
 // Types of PEM blocks.
@@ -24,7 +24,7 @@
 	key         *ecdsa.PrivateKey
 }
 
-// encode is the content of a file with both.
+// encode returns the certificate and key as PEM text.
 func (p keyPair) encode() ([]byte, error) {
 	key, err := x509.MarshalPKCS8PrivateKey(p.key)
 	if err != nil {
@@ -34,16 +34,16 @@
 	return append(encodeCertificate(p.certificate), encodedKey...), nil
 }
 
-// encodeCertificate is the PEM text of a certificate in DER.
+// encodeCertificate returns a DER certificate as PEM text.
 func encodeCertificate(certificate []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: certificate})
 }
 
-// parseCertificates reads all certificates from a file's content. Other blocks are skipped, and so is what follows the
-// last complete block. The path is for errors only.
+// parseCertificates parses all certificates in the content of a file. It skips other PEM blocks and anything after the
+// last complete block. file is the path for errors.
 func parseCertificates(file string, content []byte) ([]*x509.Certificate, error) {
 	if len(content) > MaxFileBytes {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(content), MaxFileBytes)
+		return nil, fmt.Errorf("%s: the file has %d bytes, at most %d are allowed", file, len(content), MaxFileBytes)
 	}
 	var certificates []*x509.Certificate
 	for rest := content; len(rest) > 0; {
@@ -64,7 +64,7 @@
 	return certificates, nil
 }
 
-// loadKeyPair reads a certificate and its key from one file.
+// loadKeyPair loads a certificate and its key from one file.
 func loadKeyPair(file string) (tls.Certificate, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/pki/recorded_test.go
+++ b/internal/pki/recorded_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testdata/haulage is a fleet's folder as an earlier release made it, for this test only: an authority of January 2026,
-// a second one beside it of February that runs out in 2036, and certificates of 90 and 100 days. All tests hand in the
-// time, so that their verdicts do not depend on today's date.
+// recordedFolder holds the keys of a test fleet that an earlier release created: an authority from January 2026, a second
+// authority from February 2026 that expires in 2036, and certificates that are valid for 90 and 100 days. All tests pass
+// in the time, so that their results do not depend on the current date.
 const recordedFolder = Folder("testdata/haulage")
 
 var (
@@ -42,10 +42,10 @@
 
 func TestRecordedCertificatesAreAcceptedOrRejectedByTime(t *testing.T) {
 	for now, says := range map[time.Time]map[string]string{
-		recordedFirst.Add(10 * day):   {"ayla": "the certificate of operator ayla counts only from 2026-02-01T02:59:05Z", "mehmet": ""},
+		recordedFirst.Add(10 * day):   {"ayla": "the certificate of operator ayla is not valid before 2026-02-01T02:59:05Z", "mehmet": ""},
 		recordedSecond.Add(time.Hour): {"ayla": "", "mehmet": ""},
-		recordedFirst.Add(110 * day):  {"ayla": "", "mehmet": "the certificate of operator mehmet ran out on 2026-04-12T03:04:05Z"},
-		recordedSecond.Add(91 * day):  {"ayla": "the certificate of operator ayla ran out on 2026-05-02T03:04:05Z"},
+		recordedFirst.Add(110 * day):  {"ayla": "", "mehmet": "the certificate of operator mehmet expired on 2026-04-12T03:04:05Z"},
+		recordedSecond.Add(91 * day):  {"ayla": "the certificate of operator ayla expired on 2026-05-02T03:04:05Z"},
 	} {
 		for operator, want := range says {
 			err := recordedSource(Operator, operator, now).Check()
@@ -66,7 +66,7 @@
 	require.ErrorContains(t, atClient, "the certificate is agent a1's, and should be agent a2's")
 }
 
-// TestRecordedAuthorityIssues renews a certificate from a copy of the recorded folder; the recorded ones stay good.
+// TestRecordedAuthorityIssues renews a certificate in a copy of the recorded folder. The recorded certificates stay valid.
 func TestRecordedAuthorityIssues(t *testing.T) {
 	f := Folder(t.TempDir())
 	require.NoError(t, os.CopyFS(string(f), os.DirFS(string(recordedFolder))))
@@ -78,6 +78,6 @@
 	require.NoError(t, atServer)
 	require.NoError(t, atClient)
 	err := f.Issue(Agent, "a1", 90*day, recordedSecond.Add(3600*day))
-	require.EqualError(t, err, "keys: the authority runs out on 2036-01-30, before the certificate would: renew it first")
+	require.EqualError(t, err, "keys: the authority expires on 2036-01-30, before the certificate would: renew the authority first")
 	assert.FileExists(t, filepath.Join(string(f), "operator-mehmet.pem"))
 }
--- a/internal/pki/verify.go
+++ b/internal/pki/verify.go
@@ -8,30 +8,31 @@
 	"time"
 )
 
-// Reasons for which a certificate is rejected, in a CertificateError.
+// Reasons in a CertificateError for rejecting a certificate.
 var (
-	ErrNoCertificate      = errors.New("no certificate was shown")
-	ErrExpired            = errors.New("ran out")
-	ErrNotYetValid        = errors.New("counts only from a later time")
+	ErrNoCertificate      = errors.New("no certificate was presented")
+	ErrExpired            = errors.New("has expired")
+	ErrNotYetValid        = errors.New("is not valid yet")
 	ErrUntrustedAuthority = errors.New("is from an authority that is not trusted here")
-	ErrWrongIdentity      = errors.New("is somebody else's")
+	ErrWrongIdentity      = errors.New("has another identity")
 )
 
-// CertificateError tells whose certificate is rejected and why.
+// CertificateError is the error for a rejected certificate.
 type CertificateError struct {
-	Subject string // as in the certificate: "operator ayla"; empty if none was presented
-	Reason  error  // one of the reasons above, or what crypto/x509 found; errors.Is and errors.As match it
+	Subject string // subject of the certificate, such as "operator ayla"; empty if none was presented
+	Reason  error  // one of the reasons above, or an error of crypto/x509; errors.Is and errors.As match it
 	message string
 }
 
 // Error implements error.
 func (e *CertificateError) Error() string { return e.message }
 
-// Unwrap is the reason.
+// Unwrap returns the reason.
 func (e *CertificateError) Unwrap() error { return e.Reason }
 
-// verify checks the first of the presented certificates: that it is valid at the time, that a trusted authority issued it
-// and that it is the wanted one's. An empty role or name of wanted stands for any. Its error is a *CertificateError.
+// verify checks that the first of the presented certificates is valid at the given time, that a trusted authority issued
+// it, and that its identity matches wanted. An empty role or name in wanted matches any. The error is a
+// *CertificateError.
 func verify(trusted *x509.CertPool, presented []*x509.Certificate, wanted Identity, now time.Time) error {
 	if len(presented) == 0 {
 		return &CertificateError{Reason: ErrNoCertificate, message: ErrNoCertificate.Error()}
@@ -51,7 +52,7 @@
 	}
 }
 
-// verifyChain checks the time and the issuer.
+// verifyChain checks that the certificate is valid at the given time and that a trusted authority issued it.
 func verifyChain(trusted *x509.CertPool, certificate *x509.Certificate, now time.Time) error {
 	subject := certificate.Subject.CommonName
 	rejected := func(reason error, detail string) error {
@@ -63,9 +64,9 @@
 	var unknownAuthority x509.UnknownAuthorityError
 	switch {
 	case now.After(certificate.NotAfter):
-		return rejected(ErrExpired, " ran out on "+certificate.NotAfter.Format(time.RFC3339))
+		return rejected(ErrExpired, " expired on "+certificate.NotAfter.Format(time.RFC3339))
 	case now.Before(certificate.NotBefore):
-		return rejected(ErrNotYetValid, " counts only from "+certificate.NotBefore.Format(time.RFC3339))
+		return rejected(ErrNotYetValid, " is not valid before "+certificate.NotBefore.Format(time.RFC3339))
 	case errors.As(err, &unknownAuthority):
 		return rejected(ErrUntrustedAuthority, " "+ErrUntrustedAuthority.Error())
 	case err != nil:
