--- a/internal/sexp/decode.go
+++ b/internal/sexp/decode.go
@@ -11,10 +11,10 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// Seconds is a span of time, written with its unit: 250ms, 5s, 2m, 1h.
+// Seconds is a duration in seconds. Files give it with a unit: 250ms, 5s, 2m, 1h.
 type Seconds float64
 
-// maxSeconds is the longest span that a file may give, in the unit that it gives.
+// maxSeconds is the largest number that a file may give for a duration, in the unit beside it.
 const maxSeconds = 1e9
 
 var timeUnits = []struct {
@@ -22,43 +22,44 @@
 	seconds float64
 }{{"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}}
 
-// Decode fills the struct that v points to from entries of the form (key value ...). A field's tag holds
-// its key and, after commas, options: `sexp:"listen,must"`.
+// Decode fills the struct that v points to from entries of the form (key value ...). The tag of a field holds its key
+// and, after commas, options: `sexp:"listen,must"`.
 //
-//   - a string, number, bool, Seconds or encoding.TextUnmarshaler takes one value, a slice of these several;
-//   - a struct takes entries of its own, and a slice of structs one element an entry of that key;
-//   - a pointer stays nil where its key is not given;
-//   - a string field with the option name takes the value that stands before the entries, and a Position with
-//     the option place where the entry stands.
+//   - A string, number, bool, Seconds or encoding.TextUnmarshaler is decoded from one value, a slice of these from one
+//     or more values.
+//   - A struct is decoded from entries of its own. A slice of structs gets one element for each entry with its key.
+//   - A pointer stays nil if its key is absent.
+//   - A string field with the option name gets the value that comes before the entries.
+//   - A Position field with the option place gets the position of the entry.
 //
-// Keys that are unknown or given twice, missing ones with the option must, and values of another form are
-// errors of type *Error.
+// Decode returns an error of type *Error for an unknown or repeated key, for an absent key with the option must, and
+// for a value of the wrong type.
 func Decode(file string, nodes []Node, v any) error {
 	return decodeStruct(Position{file, 1, 1}, "the file", nodes, reflect.ValueOf(v).Elem())
 }
 
-// Words of a field's tag after its key.
+// Options in the tag of a field, after its key.
 const (
 	optionRequired = "must"
 	optionName     = "name"
 	optionPosition = "place"
 )
 
-// field is a struct's field that has a tag.
+// field is a struct field with a sexp tag.
 type field struct {
 	key        string
 	isRequired bool
-	isName     bool // holds the value before the entries
-	isPosition bool // holds where the entry stands
+	isName     bool // the field gets the value before the entries
+	isPosition bool // the field gets the position of the entry
 	value      reflect.Value
 }
 
-// repeats tells whether the field's key may be given several times: it is a slice of structs.
+// repeats reports whether the field's key may be given several times. It may if the field is a slice of structs.
 func (f *field) repeats() bool {
 	return f.value.Kind() == reflect.Slice && isEntryType(f.value.Type().Elem())
 }
 
-// taggedFields returns the fields of a struct that have a tag, in their order.
+// taggedFields returns the fields of a struct that have a sexp tag, in the order of their declaration.
 func taggedFields(v reflect.Value) []field {
 	var tagged []field
 	for i := range v.NumField() {
@@ -79,21 +80,21 @@
 	return tagged
 }
 
-// isTextType tells whether values of a type are read from a text of their own.
+// isTextType reports whether the type decodes its own text, with encoding.TextUnmarshaler.
 func isTextType(t reflect.Type) bool {
 	return reflect.PointerTo(t).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
 }
 
-// isEntryType tells whether values of a type have entries.
+// isEntryType reports whether values of the type are decoded from entries.
 func isEntryType(t reflect.Type) bool { return t.Kind() == reflect.Struct && !isTextType(t) }
 
-// structDecoder fills one struct.
+// structDecoder decodes one struct.
 type structDecoder struct {
 	at    Position
-	what  string // is decoded, for errors
-	keys  []string
+	what  string              // key of the struct, for errors
+	keys  []string            // of all fields that are decoded from entries
 	known map[string]field    // by key
-	given map[string]Position // keys that have been given so far
+	given map[string]Position // positions of the keys decoded so far
 }
 
 func decodeStruct(at Position, what string, nodes []Node, v reflect.Value) error {
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// prepare sets the position and the name, notes the keys, and returns the nodes that are entries.
+// prepare sets the position and the name, records the keys of the other fields, and returns the nodes that are entries.
 func (d *structDecoder) prepare(nodes []Node, v reflect.Value) ([]Node, error) {
 	for _, f := range taggedFields(v) {
 		switch {
@@ -125,7 +126,7 @@
 			d.known[f.key] = f
 			d.keys = append(d.keys, f.key)
 		case len(nodes) == 0 || nodes[0].IsList:
-			return nil, errorAt(d.at, "%s wants a name after its key", d.what)
+			return nil, errorAt(d.at, "%s must have a name after its key", d.what)
 		default:
 			f.value.SetString(nodes[0].Text)
 			nodes = nodes[1:]
@@ -136,7 +137,7 @@
 
 func (d *structDecoder) decodeEntry(n Node) error {
 	if !n.IsList || len(n.List) == 0 || n.List[0].IsList {
-		return errorAt(n.Position, "%s holds entries of the form (key value ...)", d.what)
+		return errorAt(n.Position, "%s must contain only entries of the form (key value ...)", d.what)
 	}
 	key := n.List[0].Text
 	f, isKnown := d.known[key]
@@ -170,7 +171,7 @@
 	case v.Kind() == reflect.Slice:
 		return decodeSlice(n, f.key, v)
 	case len(values) != 1:
-		return errorAt(n.Position, "%s wants one value, and has %d", f.key, len(values))
+		return errorAt(n.Position, "%s must have one value, not %d", f.key, len(values))
 	}
 	return decodeValue(values[0], f.key, v)
 }
@@ -178,7 +179,7 @@
 func decodeSlice(n Node, key string, v reflect.Value) error {
 	values := n.List[1:]
 	if len(values) == 0 {
-		return errorAt(n.Position, "%s wants one value or more", key)
+		return errorAt(n.Position, "%s must have at least one value", key)
 	}
 	for _, value := range values {
 		element := reflect.New(v.Type().Elem()).Elem()
@@ -190,12 +191,12 @@
 	return nil
 }
 
-// wrongForm is the error of a value that is not of the form that its key wants.
+// wrongForm returns the error for a value of the wrong type. wanted describes the type that the key requires.
 func wrongForm(n Node, key, wanted string) error {
 	if n.IsList {
-		return errorAt(n.Position, "%s wants %s, not a list", key, wanted)
+		return errorAt(n.Position, "%s must be %s, not a list", key, wanted)
 	}
-	return errorAt(n.Position, "%s wants %s, not %q", key, wanted, n.Text)
+	return errorAt(n.Position, "%s must be %s, not %q", key, wanted, n.Text)
 }
 
 // decodeValue decodes one atom or string.
@@ -206,7 +207,7 @@
 	if v.Type() == reflect.TypeFor[Seconds]() {
 		seconds, isTime := parseSeconds(n)
 		if !isTime {
-			return wrongForm(n, key, "a time such as 250ms, 5s or 2m")
+			return wrongForm(n, key, "a duration such as 250ms, 5s or 2m")
 		}
 		v.SetFloat(seconds)
 		return nil
@@ -214,7 +215,7 @@
 	switch v.Kind() {
 	case reflect.String:
 		if n.IsList {
-			return wrongForm(n, key, "a text")
+			return wrongForm(n, key, "text")
 		}
 		v.SetString(n.Text)
 	case reflect.Bool:
@@ -225,7 +226,7 @@
 	case reflect.Int, reflect.Float64:
 		return decodeNumber(n, key, v)
 	default:
-		panic("sexp: a field of kind " + v.Kind().String())
+		panic("sexp: unsupported field kind " + v.Kind().String())
 	}
 	return nil
 }
@@ -257,7 +258,7 @@
 	return nil
 }
 
-// parseSeconds returns the seconds that an atom says, and false if it says no time.
+// parseSeconds parses an atom as a duration. isTime is false if the node is not a valid duration.
 func parseSeconds(n Node) (seconds float64, isTime bool) {
 	if n.IsList || n.Quoted {
 		return 0, false
@@ -275,7 +276,8 @@
 	return 0, false
 }
 
-// suggestKey hints at the key that was probably meant: one that differs in half of its letters at most.
+// suggestKey returns the end of the error for an unknown key: the most similar key, if it differs from the given one by
+// at most half the length plus one letter, or else all keys.
 func suggestKey(key string, keys []string) string {
 	slices.Sort(keys)
 	nearest, least := "", len(key)/2+2
--- a/internal/sexp/encode.go
+++ b/internal/sexp/encode.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// Encode is the reverse of Decode: what it returns decodes into an equal value. v points to a struct.
-// Empty values are left out.
+// Encode returns nodes that Decode decodes into a struct equal to the one that v points to. It leaves out zero values
+// of fields that are not required.
 func Encode(v any) []Node { return encodeStruct(reflect.ValueOf(v).Elem()) }
 
 func encodeStruct(v reflect.Value) []Node {
@@ -19,7 +19,7 @@
 	return nodes
 }
 
-// encodeField returns the nodes of a field: its name, or an entry or several with its key.
+// encodeField returns the nodes of a field: the name, or the entries with the field's key.
 func encodeField(f field) []Node {
 	v := f.value
 	switch {
--- a/internal/sexp/print.go
+++ b/internal/sexp/print.go
@@ -6,13 +6,13 @@
 	"unicode/utf8"
 )
 
-// maxLineWidth is how long a list may be before its parts get lines of their own, in characters.
+// maxLineWidth is the width in bytes, with indentation, up to which a list is printed on one line.
 const maxLineWidth = 100
 
-// indentWidth is by how much more the parts of a list are indented.
+// indentWidth is the number of spaces by which the elements of a list are indented.
 const indentWidth = 2
 
-// isBareAtom tells whether a text can stand without quotes.
+// isBareAtom reports whether the text can be printed as an atom, without quotes.
 func isBareAtom(text string) bool {
 	for i := range len(text) {
 		if c := text[i]; c <= ' ' || c == 0x7f || strings.IndexByte(`()";`, c) >= 0 {
@@ -22,7 +22,7 @@
 	return text != "" && utf8.ValidString(text)
 }
 
-// quote returns the string that stands for a text.
+// quote returns the text in quotes, with escapes.
 func quote(text string) string {
 	var b strings.Builder
 	b.WriteByte('"')
@@ -47,7 +47,7 @@
 	return b.String()
 }
 
-// Print returns text that Read gives back as the same nodes, but for their positions.
+// Print returns text that Read parses into the same nodes, except for their positions.
 func Print(nodes []Node) []byte {
 	var b strings.Builder
 	for _, n := range nodes {
@@ -57,7 +57,7 @@
 	return []byte(b.String())
 }
 
-// print writes a node, on one line if it fits.
+// print writes a node to b, on one line if it fits. indent is the indentation of the list around it.
 func (n Node) print(b *strings.Builder, indent int) {
 	flat := n.flat()
 	if !n.IsList || indent+len(flat) <= maxLineWidth {
@@ -77,7 +77,7 @@
 	b.WriteByte(')')
 }
 
-// flat is a node on one line.
+// flat returns the node as one line of text.
 func (n Node) flat() string {
 	switch {
 	case n.Quoted || !n.IsList && !isBareAtom(n.Text):
--- a/internal/sexp/read.go
+++ b/internal/sexp/read.go
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// document is the grammar. Text that is no bare atom is quoted, with the escapes \" \\ \n \t \r and \xHH.
+// document is the root of the grammar. Text that cannot be an atom is quoted, with the escapes \" \\ \n \t \r and \xHH.
 type document struct {
 	Nodes []*node `parser:"@@*"`
 }
@@ -39,11 +39,11 @@
 	participle.Elide("Comment", "Space"),
 )
 
-// Read parses a file's text. file is its name in errors, which are of type *Error.
+// Read parses the text of a file. The errors of invalid text are of type *Error and name the file.
 func Read(file string, text []byte) ([]Node, error) {
 	start := Position{file, 1, 1}
 	if len(text) > MaxFileBytes {
-		return nil, errorAt(start, "the file has %d bytes, %d at most", len(text), MaxFileBytes)
+		return nil, errorAt(start, "the file has %d bytes, at most %d are allowed", len(text), MaxFileBytes)
 	}
 	if !utf8.Valid(text) {
 		return nil, errorAt(start, "the file is not UTF-8")
@@ -63,18 +63,18 @@
 	return toNodes(file, parsed.Nodes)
 }
 
-// nestingScanner goes through a text byte by byte and knows the brackets that are open.
+// nestingScanner scans a text byte by byte and tracks the open brackets.
 type nestingScanner struct {
 	file      string
 	text      []byte
-	next      int // index of the byte to look at
-	line      int // from 1
-	lineStart int // index of the line's first byte
-	open      []Position
+	next      int        // index of the byte to scan next
+	line      int        // line of that byte, from 1
+	lineStart int        // index of the first byte of the line
+	open      []Position // of the brackets that are not closed yet
 }
 
-// checkNesting bounds the nesting before the parser, which recurses, sees the text. It also tells the position of a
-// bracket that is never closed, which the parser would put at the end of the file.
+// checkNesting limits the nesting of lists before the text gets to the parser, which is recursive. It also reports the
+// position of a bracket that is never closed; the parser would report the end of the file.
 func checkNesting(file string, text []byte) error {
 	s := &nestingScanner{file: file, text: text, line: 1}
 	for ; s.next < len(text); s.next++ {
@@ -94,7 +94,7 @@
 
 func (s *nestingScanner) newLine() { s.line, s.lineStart = s.line+1, s.next+1 }
 
-// scan looks at the next byte, and at all of a comment or a string that begins there.
+// scan handles the next byte, or the whole comment or string that begins with it.
 func (s *nestingScanner) scan() error {
 	switch s.text[s.next] {
 	case '\n':
@@ -117,14 +117,14 @@
 	return nil
 }
 
-// skipComment leaves next at the comment's last byte.
+// skipComment sets next to the last byte of the comment.
 func (s *nestingScanner) skipComment() {
 	for s.next+1 < len(s.text) && s.text[s.next+1] != '\n' {
 		s.next++
 	}
 }
 
-// skipString leaves next at the closing quote.
+// skipString sets next to the closing quote.
 func (s *nestingScanner) skipString() error {
 	start := s.position()
 	for s.next++; s.next < len(s.text) && s.text[s.next] != '"'; s.next++ {
@@ -172,12 +172,13 @@
 	return n, nil
 }
 
-// plainEscapes are the escapes that stand for one byte; \\xHH stands for any.
+// plainEscapes maps the character after a backslash to the byte that the escape stands for. The escape \xHH, for any
+// byte, is decoded separately.
 var plainEscapes = map[byte]byte{'"': '"', '\\': '\\', 'n': '\n', 't': '\t', 'r': '\r'}
 
-var errHexEscape = errors.New(`\x wants two hexadecimal digits`)
+var errHexEscape = errors.New(`\x must be followed by two hexadecimal digits`)
 
-// unquote returns the text that a quoted string stands for.
+// unquote removes the quotes of a string and decodes its escapes.
 func unquote(quoted string) (string, error) {
 	inner := quoted[1 : len(quoted)-1]
 	var text strings.Builder
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -1,16 +1,17 @@
-// Package sexp reads and prints S-expressions, the form of the operators' own files, and decodes them into
-// typed values. Every error names file, line and column.
+// Package sexp reads and prints S-expressions, the syntax of the files that operators write, and decodes them into
+// typed values. Every error names the file, line and column.
 package sexp
 
 import "fmt"
 
-// Bounds of a file: an operator's file is short, and what is longer or deeper is a mistake.
+// Limits of a file. Operators' files are short, so a longer or more deeply nested file is a mistake.
 const (
 	MaxFileBytes = 4 << 20
-	MaxDepth     = 64 // of lists within lists
+	MaxDepth     = 64 // levels of nested lists
 )
 
-// Position is where something stands in a file; lines and columns count from 1. It is stored under its fields' names.
+// Position is a place in a file. Lines and columns count from 1. Stored records encode it under its field names, so
+// these cannot change.
 type Position struct {
 	File         string
 	Line, Column int
@@ -18,7 +19,7 @@
 
 func (p Position) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
 
-// Error says what is wrong at a position.
+// Error is a syntax or value error at a position of a file.
 type Error struct {
 	Position Position
 	Reason   string
@@ -33,14 +34,14 @@
 // Node is an atom, a string or a list.
 type Node struct {
 	Position Position
-	Text     string // of an atom or a string
-	Quoted   bool   // a string
-	List     []Node // if IsList
+	Text     string // of an atom or, without quotes and escapes, of a string
+	Quoted   bool   // whether the node is a string
+	List     []Node // elements, if IsList
 	IsList   bool
 }
 
-// Atom returns a node of bare text, or a string where the text cannot stand bare.
+// Atom returns an atom of the text, or a string if the text needs quotes.
 func Atom(text string) Node { return Node{Text: text, Quoted: !isBareAtom(text)} }
 
-// List returns a node that holds others.
+// List returns a list of the nodes.
 func List(nodes ...Node) Node { return Node{List: nodes, IsList: true} }
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -63,23 +63,23 @@
 	for text, says := range map[string]string{
 		"(cuont 3)":                     `f:1:2: the file has no key "cuont"; did you mean count?`,
 		"(zzzzzzz 3)":                   `it has count, item, on, share, times, wait`,
-		"\n (count three)":              `f:2:9: count wants a whole number, not "three"`,
+		"\n (count three)":              `f:2:9: count must be a whole number, not "three"`,
 		"(count 3)\n(count 4)":          "f:2:1: count is given twice, first on line 1",
-		"(count)":                       "count wants one value, and has 0",
-		"(on maybe)":                    `on wants yes or no, not "maybe"`,
-		"(wait 5)":                      `wait wants a time such as 250ms, 5s or 2m, not "5"`,
-		"(wait -5s)":                    "wait wants a time",
-		"(share (1))":                   "f:1:8: share wants a number, not a list",
+		"(count)":                       "count must have one value, not 0",
+		"(on maybe)":                    `on must be yes or no, not "maybe"`,
+		"(wait 5)":                      `wait must be a duration such as 250ms, 5s or 2m, not "5"`,
+		"(wait -5s)":                    "wait must be a duration",
+		"(share (1))":                   "f:1:8: share must be a number, not a list",
 		"(times)":                       "f:1:1: times lacks the key soak",
-		"(item (at 127.0.0.1:80))":      "item wants a name",
+		"(item (at 127.0.0.1:80))":      "item must have a name after its key",
 		"(item a)":                      "f:1:1: item lacks the key at",
 		"(item a (at here))":            "f:1:13: at: ",
-		"count":                         "holds entries of the form",
+		"count":                         "the file must contain only entries of the form",
 		"(count 3":                      "f:1:1: this bracket is never closed",
 		"\n  )":                         "f:2:3: this bracket closes nothing",
 		"(wait \"x":                     "f:1:7: this string is never closed",
 		`(wait "\q")`:                   `f:1:7: unknown escape \q`,
-		`(wait "\xz")`:                  "two hexadecimal digits",
+		`(wait "\xz")`:                  "must be followed by two hexadecimal digits",
 		strings.Repeat("(", MaxDepth+1): "nest more than",
 	} {
 		_, err := decodeWhole(text)
@@ -88,7 +88,7 @@
 		require.ErrorAs(t, err, &f, text)
 	}
 	_, err := Read("f", make([]byte, MaxFileBytes+1))
-	require.ErrorContains(t, err, "at most")
+	require.ErrorContains(t, err, "at most 4194304 are allowed")
 }
 
 func withoutPositions(nodes []Node) []Node {
