--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -61,8 +61,8 @@
 	}
 	if now := w.now; now-b.startedAt < float64(w.spec.Fleet.WarmIn) {
 		b.coldCheck.Sent(now, b.startedAt)
-		if p, how := b.coldCheck.Broken(); p != "" {
-			w.recordViolation(p, how)
+		if property, detail := b.coldCheck.Broken(); property != "" {
+			w.recordViolation(property, detail)
 			b.coldCheck = w.newColdCheck()
 			b.crash()
 			w.after(float64(w.spec.Fleet.WarmIn)/4, b.start)
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -17,8 +17,8 @@
 	seesBackends bool // whether it knows the true state of backends without delay
 	random       *rand.Rand
 	endpoints    []router.EndpointInfo
-	inFlight     []int // attempts in flight by backend
-	nextReplica  int
+	inFlight     []int              // attempts in flight by backend
+	nextReplica  int                // reads so far, for round-robin
 	lastWrites   map[uint64]float64 // time of the last write of each session, deleted after primaryWindow
 	commands     map[uint32]*baselineCommand
 }
@@ -27,9 +27,9 @@
 type baselineCommand struct {
 	id         uint32
 	command    router.Command
-	mayHaveRun bool
-	tried      []int
-	endpoint   int
+	mayHaveRun bool  // whether an earlier attempt may have been executed
+	tried      []int // backends of all attempts so far
+	endpoint   int   // backend of the current attempt
 }
 
 const (
@@ -47,7 +47,9 @@
 }
 
 // UpdateEndpoints implements Policy.
-func (b *baselinePolicy) UpdateEndpoints(_ float64, l []router.EndpointInfo) { b.endpoints = l }
+func (b *baselinePolicy) UpdateEndpoints(_ float64, endpoints []router.EndpointInfo) {
+	b.endpoints = endpoints
+}
 
 // HealthChecked implements Policy. Baselines make no health checks.
 func (b *baselinePolicy) HealthChecked(float64, int, bool, float64, float64, bool) {}
@@ -72,20 +74,21 @@
 // ClientGone implements Policy.
 func (b *baselinePolicy) ClientGone(_ float64, id uint32) { delete(b.commands, id) }
 
-func (b *baselinePolicy) group(s *baselineCommand) *Group {
-	return &b.instance.world.spec.Groups[s.command.Group]
+func (b *baselinePolicy) group(c *baselineCommand) *Group {
+	return &b.instance.world.spec.Groups[c.command.Group]
 }
 
-// primary returns the index of the shard's primary, or -1 if the list has none.
+// primary returns the index of the shard's primary in the endpoint list, or -1 if there is none. The omniscient policy
+// gets the actual primary instead.
 func (b *baselinePolicy) primary(shard int) int {
-	for _, m := range b.instance.world.shards[shard] {
-		if b.seesBackends && m.primary {
-			return m.index
+	for _, candidate := range b.instance.world.shards[shard] {
+		if b.seesBackends && candidate.primary {
+			return candidate.index
 		}
 	}
-	for _, l := range b.endpoints {
-		if l.Shard == shard && l.Primary {
-			return l.Index
+	for _, e := range b.endpoints {
+		if e.Shard == shard && e.Primary {
+			return e.Index
 		}
 	}
 	return -1
@@ -93,55 +96,55 @@
 
 // untriedReplicas returns the replicas of the command's shard that are ready in the list and that the command has not
 // tried yet.
-func (b *baselinePolicy) untriedReplicas(s *baselineCommand) (out []int) {
-	for _, l := range b.endpoints {
-		if l.Shard == s.command.Shard && !l.Primary && l.State == router.Ready && !slices.Contains(s.tried, l.Index) {
-			out = append(out, l.Index)
+func (b *baselinePolicy) untriedReplicas(c *baselineCommand) (replicas []int) {
+	for _, e := range b.endpoints {
+		if e.Shard == c.command.Shard && !e.Primary && e.State == router.Ready && !slices.Contains(c.tried, e.Index) {
+			replicas = append(replicas, e.Index)
 		}
 	}
-	return out
+	return replicas
 }
 
 // startAttempt sends the command to a backend, or ends it if there is none or it has used up its attempts.
-func (b *baselinePolicy) startAttempt(s *baselineCommand) {
-	at := b.primary(s.command.Shard)
-	if consistencies[b.group(s).Need] != router.PrimaryOnly {
-		if some := b.choose(b, s); len(some) > 0 {
-			at = some[b.random.IntN(len(some))]
+func (b *baselinePolicy) startAttempt(c *baselineCommand) {
+	endpoint := b.primary(c.command.Shard)
+	if consistencies[b.group(c).Need] != router.PrimaryOnly {
+		if candidates := b.choose(b, c); len(candidates) > 0 {
+			endpoint = candidates[b.random.IntN(len(candidates))]
 		}
 	}
-	if at < 0 || len(s.tried) >= baselineMaxAttempts {
-		delete(b.commands, s.id)
-		if s.mayHaveRun && idempotencies[b.group(s).Effect] != router.Idempotent {
-			b.instance.Fail(s.id)
+	if endpoint < 0 || len(c.tried) >= baselineMaxAttempts {
+		delete(b.commands, c.id)
+		if c.mayHaveRun && idempotencies[b.group(c).Effect] != router.Idempotent {
+			b.instance.Fail(c.id)
 		} else {
-			b.instance.Reject(s.id, 0)
+			b.instance.Reject(c.id, 0)
 		}
 		return
 	}
-	s.endpoint = at
-	s.tried = append(s.tried, at)
-	b.inFlight[at]++
-	b.instance.Forward(s.id, len(s.tried)-1, at, s.command.ClientDeadline)
+	c.endpoint = endpoint
+	c.tried = append(c.tried, endpoint)
+	b.inFlight[endpoint]++
+	b.instance.Forward(c.id, len(c.tried)-1, endpoint, c.command.ClientDeadline)
 }
 
 // AttemptEnded implements Policy.
-func (b *baselinePolicy) AttemptEnded(now float64, id uint32, o router.AttemptResult) {
-	s := b.commands[id]
-	if s == nil {
+func (b *baselinePolicy) AttemptEnded(now float64, id uint32, result router.AttemptResult) {
+	c := b.commands[id]
+	if c == nil {
 		return
 	}
-	b.inFlight[s.endpoint]--
-	if o.Result == router.Answered {
-		if consistencies[b.group(s).Need] == router.PrimaryOnly {
-			b.lastWrites[s.command.Session] = now
+	b.inFlight[c.endpoint]--
+	if result.Result == router.Answered {
+		if consistencies[b.group(c).Need] == router.PrimaryOnly {
+			b.lastWrites[c.command.Session] = now
 		}
 		delete(b.commands, id)
 		return
 	}
-	s.mayHaveRun = s.mayHaveRun || o.Result == router.ConnectionLost || o.Result == router.TimedOut
-	if now < s.command.ClientDeadline && (!s.mayHaveRun || idempotencies[b.group(s).Effect] == router.Idempotent) {
-		b.startAttempt(s)
+	c.mayHaveRun = c.mayHaveRun || result.Result == router.ConnectionLost || result.Result == router.TimedOut
+	if now < c.command.ClientDeadline && (!c.mayHaveRun || idempotencies[b.group(c).Effect] == router.Idempotent) {
+		b.startAttempt(c)
 		return
 	}
 	delete(b.commands, id)
@@ -150,13 +153,13 @@
 
 // backendStalled cancels the attempts at a backend that does not answer any more, if the policy is omniscient and the
 // commands may be retried.
-func (b *baselinePolicy) backendStalled(node int) {
+func (b *baselinePolicy) backendStalled(endpoint int) {
 	if !b.seesBackends {
 		return
 	}
 	var ids []uint32
-	for id, s := range b.commands {
-		if s.endpoint == node && idempotencies[b.group(s).Effect] == router.Idempotent && len(s.tried) < baselineMaxAttempts {
+	for id, c := range b.commands {
+		if c.endpoint == endpoint && idempotencies[b.group(c).Effect] == router.Idempotent && len(c.tried) < baselineMaxAttempts {
 			ids = append(ids, id)
 		}
 	}
@@ -170,69 +173,71 @@
 func primaryOnly(*baselinePolicy, *baselineCommand) []int { return nil }
 
 // anyReplica chooses all untried replicas, whatever the age of their data.
-func anyReplica(b *baselinePolicy, s *baselineCommand) []int { return b.untriedReplicas(s) }
+func anyReplica(b *baselinePolicy, c *baselineCommand) []int { return b.untriedReplicas(c) }
 
 // primaryForAWindow chooses the primary for reads shortly after a write of their session, and all untried replicas for
 // other reads.
-func primaryForAWindow(b *baselinePolicy, s *baselineCommand) []int {
-	if at, wrote := b.lastWrites[s.command.Session]; wrote && s.command.ArrivedAt-at <= primaryWindow {
+func primaryForAWindow(b *baselinePolicy, c *baselineCommand) []int {
+	if at, wrote := b.lastWrites[c.command.Session]; wrote && c.command.ArrivedAt-at <= primaryWindow {
 		return nil
 	}
-	return b.untriedReplicas(s)
+	return b.untriedReplicas(c)
 }
 
 // roundRobin chooses the untried replicas in turn.
-func roundRobin(b *baselinePolicy, s *baselineCommand) []int {
-	all := b.untriedReplicas(s)
-	if len(all) == 0 {
+func roundRobin(b *baselinePolicy, c *baselineCommand) []int {
+	candidates := b.untriedReplicas(c)
+	if len(candidates) == 0 {
 		return nil
 	}
 	b.nextReplica++
-	return all[b.nextReplica%len(all) : b.nextReplica%len(all)+1]
+	return candidates[b.nextReplica%len(candidates) : b.nextReplica%len(candidates)+1]
 }
 
 // withFewestAttempts are those with the withFewestAttempts attempts of this router.
-func (b *baselinePolicy) withFewestAttempts(some []int) []int {
-	least := math.MaxInt
-	for _, i := range some {
-		least = min(least, b.inFlight[i])
+func (b *baselinePolicy) withFewestAttempts(candidates []int) []int {
+	fewest := math.MaxInt
+	for _, i := range candidates {
+		fewest = min(fewest, b.inFlight[i])
 	}
-	return slices.DeleteFunc(some, func(i int) bool { return b.inFlight[i] > least })
+	return slices.DeleteFunc(candidates, func(i int) bool { return b.inFlight[i] > fewest })
 }
 
 // leastAttempts chooses the untried replicas with the fewest attempts from this router in flight.
-func leastAttempts(b *baselinePolicy, s *baselineCommand) []int {
-	return b.withFewestAttempts(b.untriedReplicas(s))
+func leastAttempts(b *baselinePolicy, c *baselineCommand) []int {
+	return b.withFewestAttempts(b.untriedReplicas(c))
 }
 
 // twoChoices draws two untried replicas at random and chooses the one with fewer attempts in flight, or both if equal.
-func twoChoices(b *baselinePolicy, s *baselineCommand) []int {
-	all := b.untriedReplicas(s)
-	for len(all) > 2 {
-		i := b.random.IntN(len(all))
-		all = slices.Delete(all, i, i+1)
+func twoChoices(b *baselinePolicy, c *baselineCommand) []int {
+	candidates := b.untriedReplicas(c)
+	for len(candidates) > 2 {
+		i := b.random.IntN(len(candidates))
+		candidates = slices.Delete(candidates, i, i+1)
 	}
-	return b.withFewestAttempts(all)
+	return b.withFewestAttempts(candidates)
 }
 
 // omniscient chooses by the true state of the backends, which no router can know. It shows what the best policy could
 // achieve. Of the working backends whose data is new enough for the read, the primary included, it chooses the one with
 // the shortest queue relative to its speed.
-func omniscient(b *baselinePolicy, s *baselineCommand) []int {
+func omniscient(b *baselinePolicy, c *baselineCommand) []int {
 	w := b.instance.world
-	c := b.instance.commands[s.id]
-	best, least := []int(nil), math.Inf(1)
-	for _, m := range w.shards[s.command.Shard] {
-		if m.down || m.hung || m.cut || m.listedState != router.Ready || slices.Contains(s.tried, m.index) {
+	simulated := b.instance.commands[c.id]
+	best, shortest := []int(nil), math.Inf(1)
+	for _, candidate := range w.shards[c.command.Shard] {
+		if candidate.down || candidate.hung || candidate.cut || candidate.listedState != router.Ready ||
+			slices.Contains(c.tried, candidate.index) {
 			continue
 		}
-		if consistencies[b.group(s).Need] != router.Eventual && m.position(w.now) < math.Max(c.Needs, c.Seen) {
+		if consistencies[b.group(c).Need] != router.Eventual && candidate.position(w.now) < math.Max(simulated.Needs, simulated.Seen) {
 			continue
 		}
 		// The backend may still start to drain or fall behind while the attempt is on the network.
-		queue := float64(m.busySlots+len(m.queue)+m.inTransit+1) * m.slowdown / m.capacityShare(w.now)
-		if queue < least {
-			best, least = []int{m.index}, queue
+		queue := float64(candidate.busySlots+len(candidate.queue)+candidate.inTransit+1) *
+			candidate.slowdown / candidate.capacityShare(w.now)
+		if queue < shortest {
+			best, shortest = []int{candidate.index}, queue
 		}
 	}
 	return best
--- a/internal/lab/model/check.go
+++ b/internal/lab/model/check.go
@@ -135,9 +135,9 @@
 	valueOutOfRange := g.Benefit < 0 || g.Memory < 0 || lateOutOfRange
 	switch {
 	case loadOutOfRange || valueOutOfRange:
-		return specError(g.Place, "rate, work, spread, benefit, late and memory must not be negative, work must be above 0, late must not be above 1")
+		return specError(g.Place, "work must be above 0, late between 0 and 1, and rate, spread, benefit and memory not negative")
 	case g.Target <= 0 || g.Timeout < g.Target:
-		return specError(g.Place, "timeout is %g and target %g: the target must be above 0 and no later than the timeout", float64(g.Timeout), float64(g.Target))
+		return specError(g.Place, "timeout is %g and target %g, but target must be above 0 and at most the timeout", float64(g.Timeout), float64(g.Target))
 	}
 	return nil
 }
@@ -158,7 +158,7 @@
 		return specError(top, "a run has %.0f commands, but at most %d are allowed", commands, maxCommandsPerRun)
 	}
 	if capacity := float64(s.Fleet.Sets * s.Fleet.Slots); busySlots > capacity {
-		return specError(s.Fleet.Place, "writes keep %.1f slots of primaries busy, but there are only %.0f, so no policy can serve them", busySlots, capacity)
+		return specError(s.Fleet.Place, "writes keep %.1f slots of primaries busy, but there are only %.0f", busySlots, capacity)
 	}
 	return nil
 }
@@ -196,20 +196,20 @@
 		}
 		return nil
 	}
-	setExists := fault.Set >= 0 && fault.Set < fleet.Sets
-	memberExists := fault.Member >= 0 && fault.Member <= fleet.Replicas
-	if !setExists || !memberExists {
+	shardExists := fault.Set >= 0 && fault.Set < fleet.Sets
+	backendExists := fault.Member >= 0 && fault.Member <= fleet.Replicas
+	if !shardExists || !backendExists {
 		return specError(fault.Place, "there is no member %d in set %d", fault.Member, fault.Set)
 	}
 	return nil
 }
 
-// replacedByEarlierElection reports whether another backend of the shard is elected before the given election, so that the first primary
-// is no longer the primary by then.
+// replacedByEarlierElection reports whether another backend of the shard is elected before the given election, so that
+// the first primary is no longer the primary by then.
 func (s *Spec) replacedByEarlierElection(election *Fault) bool {
 	return slices.ContainsFunc(s.Faults, func(other Fault) bool {
-		sameSet := other.Kind == "elect" && other.Set == election.Set
-		return sameSet && other.Member != 0 && other.At < election.At
+		sameShard := other.Kind == "elect" && other.Set == election.Set
+		return sameShard && other.Member != 0 && other.At < election.At
 	})
 }
 
@@ -236,6 +236,6 @@
 }
 
 // startsDuring reports whether the fault starts during the other fault.
-func (x *Fault) startsDuring(other *Fault) bool {
-	return x.At >= other.At && x.At < other.At+other.For
+func (f *Fault) startsDuring(other *Fault) bool {
+	return f.At >= other.At && f.At < other.At+other.For
 }
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -45,25 +45,25 @@
 		return
 	}
 	w.at(at, func() {
-		n := w.sessionStream.IntN(w.spec.Fleet.Sessions)
+		sessionIndex := w.sessionStream.IntN(w.spec.Fleet.Sessions)
 		w.tally.Asked++
 		w.tally.Benefit += g.Benefit
 		for len(w.tally.Series) <= int(w.now) {
 			w.tally.Series = append(w.tally.Series, Second{})
 		}
 		w.tally.Series[int(w.now)].Benefit += g.Benefit
-		w.sendCommand(group, uint64(n)+1, w.now, 1)
+		w.sendCommand(group, uint64(sessionIndex)+1, w.now, 1)
 		w.scheduleArrival(group)
 	})
 }
 
 // sendCommand sends a client's command to the router of its session. first is the time of the client's first attempt.
-func (w *World) sendCommand(group int, id uint64, first float64, attemptNumber int) {
-	r := w.routers[id%uint64(len(w.routers))]
-	s := r.session(id)
+func (w *World) sendCommand(group int, sessionID uint64, first float64, attemptNumber int) {
+	r := w.routers[sessionID%uint64(len(w.routers))]
+	s := r.session(sessionID)
 	r.lastID++
 	c := &command{
-		id: r.lastID, router: r, group: group, session: id, shard: int(id % uint64(len(w.shards))),
+		id: r.lastID, router: r, group: group, session: sessionID, shard: int(sessionID % uint64(len(w.shards))),
 		arrivedAt: w.now, firstSentAt: first, attemptNumber: attemptNumber,
 	}
 	w.setExpectations(c, s)
@@ -105,7 +105,7 @@
 
 // routerCommand returns the command as the policy receives it.
 func (w *World) routerCommand(c *command, s *session) router.Command {
-	seen := router.Command{
+	received := router.Command{
 		Group: c.group, Session: c.session, Shard: c.shard, ArrivedAt: w.now,
 		ClientDeadline: c.GiveUp - answerMargin, ClientRetry: c.attemptNumber > 1,
 	}
@@ -113,9 +113,9 @@
 	if needsOwnWrites && !math.IsInf(s.lastWrite, -1) {
 		// An age of zero means that the session has not written. For a write at this very time, use the negative number
 		// closest to zero.
-		seen.LastWriteAge = cmp.Or(w.now-s.lastWrite, -math.SmallestNonzeroFloat64)
+		received.LastWriteAge = cmp.Or(w.now-s.lastWrite, -math.SmallestNonzeroFloat64)
 	}
-	return seen
+	return received
 }
 
 // clientTimedOut ends a command that has no answer when its client timeout has passed.
--- a/internal/lab/model/events.go
+++ b/internal/lab/model/events.go
@@ -20,10 +20,10 @@
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
 func (e *events) Pop() any {
 	old := *e
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	old[len(old)-1] = event{}
 	*e = old[:len(old)-1]
-	return x
+	return last
 }
 
 // at schedules do for a virtual time in seconds.
@@ -33,4 +33,4 @@
 }
 
 // after schedules do for after a delay in seconds.
-func (w *World) after(d float64, do func()) { w.at(w.now+d, do) }
+func (w *World) after(delay float64, do func()) { w.at(w.now+delay, do) }
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -19,14 +19,14 @@
 }
 
 // scheduleFault schedules the start and end of a fault. policy is the one that a restarted router runs.
-func (w *World) scheduleFault(x Fault, policy string) {
+func (w *World) scheduleFault(fault Fault, policy string) {
 	begin, end := func() {}, func() {}
-	if x.Kind == "restart" {
-		r := w.routers[x.Router]
+	if fault.Kind == "restart" {
+		r := w.routers[fault.Router]
 		begin = func() { r.restart(policy) }
 	} else {
-		b := w.shards[x.Set][x.Member]
-		switch x.Kind {
+		b := w.shards[fault.Set][fault.Member]
+		switch fault.Kind {
 		case "crash":
 			begin, end = b.crash, b.start
 		case "hang":
@@ -34,7 +34,7 @@
 		case "cut":
 			begin, end = func() { b.cut = true; w.backendStalled(b) }, func() { b.cut = false }
 		case "slow":
-			begin, end = func() { b.slowdown *= x.Times }, func() { b.slowdown /= x.Times }
+			begin, end = func() { b.slowdown *= fault.Times }, func() { b.slowdown /= fault.Times }
 		case "drain":
 			begin = func() { w.drain(b, true) }
 			end = func() { w.drain(b, false) }
@@ -42,9 +42,9 @@
 			begin = func() { w.elect(b) }
 		}
 	}
-	w.at(float64(x.At), begin)
-	if faultHasDuration[x.Kind] {
-		w.at(float64(x.At+x.For), end)
+	w.at(float64(fault.At), begin)
+	if faultHasDuration[fault.Kind] {
+		w.at(float64(fault.At+fault.For), end)
 	}
 }
 
@@ -68,10 +68,10 @@
 	if b.primary || b.down {
 		return
 	}
-	for _, x := range w.shards[b.shard] {
-		if x.primary {
-			b.applied = math.Max(b.applied, x.applied)
-			x.primary = false
+	for _, other := range w.shards[b.shard] {
+		if other.primary {
+			b.applied = math.Max(b.applied, other.applied)
+			other.primary = false
 		}
 	}
 	b.primary, b.log = true, nil
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -14,11 +14,11 @@
 	world      *World
 	index      int
 	policy     Policy
-	starts     int
+	starts     int // number of starts and restarts
 	commands   map[uint32]*command
-	lastID     uint32
+	lastID     uint32 // ID of the newest command
 	sessions   map[uint64]*session
-	nextReview float64 // when the next review is due
+	nextReview float64 // virtual time of the next review in seconds, or +Inf
 }
 
 // logStartBeforeRun is the time between the start of the database log and the start of the run, in seconds. Positions
@@ -36,27 +36,27 @@
 // config returns the configuration of the router module for the experiment.
 func (r *instance) config() router.Config {
 	f := &r.world.spec.Fleet
-	s := router.Config{
+	config := router.Config{
 		RouterCount: f.Routers, Instance: r.index, TotalWeight: 1, BatchInterval: 0.005, PositionEpoch: -logStartBeforeRun, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
 		MaxAttempts: 4, ConnectTimeout: float64(f.Dial), SlowStartFloor: f.ColdShare, SlowStart: float64(f.WarmIn), OverloadFactor: f.Overload, OverloadWindow: float64(f.FallSpan),
 	}
 	for i := range r.world.spec.Groups {
 		g := &r.world.spec.Groups[i]
-		s.CommandGroups = append(s.CommandGroups, router.CommandGroup{
+		config.CommandGroups = append(config.CommandGroups, router.CommandGroup{
 			Consistency: consistencies[g.Need], Idempotency: idempotencies[g.Effect], KeyScope: router.ShardScope, LatencyObjective: float64(g.Target),
 			ClientTimeout: float64(g.Timeout), PriorityWeight: g.Benefit, LateValue: g.Late, MaxStaleness: float64(g.Bound), IdempotencyWindow: float64(g.Memory),
 		})
 	}
-	return s
+	return config
 }
 
 // review has the policy handle everything that is due, sends the health checks that the policy asks for, and schedules the
 // next review for the time that the policy returns.
 func (r *instance) review() {
 	w := r.world
-	next, probes := r.policy.ReviewDue(w.now)
-	for _, n := range probes {
-		r.checkHealth(n)
+	next, healthChecks := r.policy.ReviewDue(w.now)
+	for _, endpoint := range healthChecks {
+		r.checkHealth(endpoint)
 	}
 	if next = math.Max(next, w.now+1e-4); next < r.nextReview || r.nextReview <= w.now {
 		r.nextReview = next
@@ -70,13 +70,13 @@
 }
 
 // checkHealth sends a health check to a backend.
-func (r *instance) checkHealth(node int) {
-	w, b, p, sent := r.world, r.world.backends[node], r.policy, r.world.now
+func (r *instance) checkHealth(endpoint int) {
+	w, b, p, sent := r.world, r.world.backends[endpoint], r.policy, r.world.now
 	w.tally.Probes++
-	back := func(ok bool, position float64) func() {
+	deliver := func(ok bool, position float64) func() {
 		return func() {
 			if r.policy == p { // the router has not restarted meanwhile
-				p.HealthChecked(w.now, node, ok, w.now-sent, position, b.primary)
+				p.HealthChecked(w.now, endpoint, ok, w.now-sent, position, b.primary)
 				r.review()
 			}
 		}
@@ -84,20 +84,20 @@
 	w.after(w.networkDelay(), func() {
 		switch {
 		case b.cut || b.hung:
-			w.after(float64(w.spec.Fleet.Dial)-w.networkDelay(), back(false, -1))
+			w.after(float64(w.spec.Fleet.Dial)-w.networkDelay(), deliver(false, -1))
 		case b.down:
-			w.after(w.networkDelay(), back(false, -1))
+			w.after(w.networkDelay(), deliver(false, -1))
 		default:
-			w.after(w.networkDelay(), back(true, b.position(w.now)+logStartBeforeRun))
+			w.after(w.networkDelay(), deliver(true, b.position(w.now)+logStartBeforeRun))
 		}
 	})
 }
 
 // Forward implements inflight.Executor.
-func (r *instance) Forward(id uint32, number, node int, until float64) {
-	w, c, b := r.world, r.commands[id], r.world.backends[node]
+func (r *instance) Forward(id uint32, number, endpoint int, deadline float64) {
+	w, c, b := r.world, r.commands[id], r.world.backends[endpoint]
 	g := &w.spec.Groups[c.group]
-	w.checker.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &invariant.Member{
+	w.checker.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, endpoint, &invariant.Member{
 		Set: b.shard, Away: b.listedState == router.Draining,
 		AwaySince: b.listedSince,
 	})
@@ -121,7 +121,7 @@
 			}
 		})
 	}
-	w.at(math.Min(until, c.GiveUp), func() {
+	w.at(math.Min(deadline, c.GiveUp), func() {
 		b.cancel(a)
 		r.attemptEnded(a, router.TimedOut, false, 0)
 	})
@@ -140,10 +140,10 @@
 }
 
 // Reject implements inflight.Executor.
-func (r *instance) Reject(id uint32, comeBack float64) {
+func (r *instance) Reject(id uint32, retryAfter float64) {
 	r.world.tally.Throttled++
 	if c := r.finish(id); c != nil {
-		r.world.retryLater(c, math.Max(comeBack, 0.05))
+		r.world.retryLater(c, math.Max(retryAfter, 0.05))
 	}
 }
 
@@ -179,31 +179,31 @@
 
 // attemptEnded reports the result of an attempt to the policy. It ignores all but the first result of an attempt. primary
 // is the role of the backend, position that of its data.
-func (r *instance) attemptEnded(a *attempt, e router.Result, primary bool, position float64) {
+func (r *instance) attemptEnded(a *attempt, result router.Result, primary bool, position float64) {
 	c, w := a.command, r.world
 	if !a.pending {
 		return
 	}
 	a.pending = false
-	ran := e == router.Answered || e == router.ConnectionLost || e == router.TimedOut || e == router.Canceled
+	ran := result == router.Answered || result == router.ConnectionLost || result == router.TimedOut || result == router.Canceled
 	w.checker.Back(&c.Command, a.sentAt, a.backend.shard, ran)
 	if r.commands[c.id] != c { // the router has restarted
 		return
 	}
 	g := &w.spec.Groups[c.group]
-	o := router.AttemptResult{Attempt: a.number, Result: e, Elapsed: w.now - a.sentAt, Final: e == router.Answered, Position: -1}
-	if e == router.Answered || e == router.NotServed {
-		if o.Role = router.RoleReplica; primary {
-			o.Role = router.RolePrimary
+	report := router.AttemptResult{Attempt: a.number, Result: result, Elapsed: w.now - a.sentAt, Final: result == router.Answered, Position: -1}
+	if result == router.Answered || result == router.NotServed {
+		if report.Role = router.RoleReplica; primary {
+			report.Role = router.RolePrimary
 		}
 	}
-	if e == router.Answered && !math.IsInf(position, -1) {
-		o.Position = position + logStartBeforeRun
+	if result == router.Answered && !math.IsInf(position, -1) {
+		report.Position = position + logStartBeforeRun
 	}
-	if e == router.Answered && !c.ended {
+	if result == router.Answered && !c.ended {
 		r.recordAnswer(c, g, a, position)
 	}
-	r.policy.AttemptEnded(w.now, c.id, o)
+	r.policy.AttemptEnded(w.now, c.id, report)
 	r.release(c)
 	r.review()
 }
--- a/internal/lab/model/policy.go
+++ b/internal/lab/model/policy.go
@@ -13,10 +13,10 @@
 type Policy interface {
 	Add(now float64, id uint32, c router.Command)
 	ClientGone(now float64, id uint32)
-	AttemptEnded(now float64, id uint32, o router.AttemptResult)
-	ReviewDue(now float64) (next float64, probes []int)
-	UpdateEndpoints(now float64, l []router.EndpointInfo)
-	HealthChecked(now float64, node int, ok bool, took, position float64, primary bool)
+	AttemptEnded(now float64, id uint32, result router.AttemptResult)
+	ReviewDue(now float64) (next float64, healthChecks []int)
+	UpdateEndpoints(now float64, endpoints []router.EndpointInfo)
+	HealthChecked(now float64, endpoint int, ok bool, took, position float64, primary bool)
 }
 
 // policyConstructors maps the names of policies to their constructors. All but module are baselines for comparison with
@@ -42,12 +42,12 @@
 
 // Policies returns the sorted names of all policies.
 func Policies() []string {
-	var out []string
+	var names []string
 	for n := range policyConstructors {
-		out = append(out, n)
+		names = append(names, n)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
 // module is the policy of the router module that is used in production.
@@ -64,20 +64,20 @@
 
 // ReviewDue implements Policy.
 func (m *module) ReviewDue(now float64) (float64, []int) {
-	next, keep := m.Tracker.ReviewDue(now)
-	return next, keep.HealthCheck
+	next, work := m.Tracker.ReviewDue(now)
+	return next, work.HealthCheck
 }
 
 // UpdateEndpoints implements Policy.
-func (m *module) UpdateEndpoints(now float64, l []router.EndpointInfo) {
-	m.router.UpdateEndpoints(now, l, true, false)
+func (m *module) UpdateEndpoints(now float64, endpoints []router.EndpointInfo) {
+	m.router.UpdateEndpoints(now, endpoints, true, false)
 }
 
 // HealthChecked implements Policy.
-func (m *module) HealthChecked(now float64, node int, ok bool, took, position float64, primary bool) {
-	ending := router.Answered
+func (m *module) HealthChecked(now float64, endpoint int, ok bool, took, position float64, primary bool) {
+	result := router.Answered
 	if !ok {
-		ending = router.ConnectFailed
+		result = router.ConnectFailed
 	}
-	m.router.HealthChecked(now, node, ending, took, position, primary)
+	m.router.HealthChecked(now, endpoint, result, took, position, primary)
 }
--- a/internal/lab/model/replication.go
+++ b/internal/lab/model/replication.go
@@ -49,9 +49,9 @@
 		apply = float64(f.HeavyApply)
 	}
 	b.applied = w.now
-	for _, x := range w.shards[b.shard] {
-		if x != b && !x.primary {
-			x.receiveRecord(w.now, apply)
+	for _, replica := range w.shards[b.shard] {
+		if replica != b && !replica.primary {
+			replica.receiveRecord(w.now, apply)
 		}
 	}
 	return w.now
--- a/internal/lab/model/spec.go
+++ b/internal/lab/model/spec.go
@@ -44,7 +44,7 @@
 	List       sexp.Seconds  `sexp:"list"`            // delay until the endpoint list arrives at the routers
 	ColdShare  float64       `sexp:"cold-share,must"` // share of its capacity that a backend has when it starts
 	WarmIn     sexp.Seconds  `sexp:"warm-in,must"`    // time until a started backend has its full capacity
-	Overload   float64       `sexp:"overload,must"`   // load, as a multiple of its current capacity, that crashes a backend that warms up
+	Overload   float64       `sexp:"overload,must"`   // multiple of its current capacity that crashes a backend in its warm-up
 	FallSpan   sexp.Seconds  `sexp:"fall-span,must"`  // time over which the overload is measured
 	Place      sexp.Position `sexp:",place"`          // position in the file, for errors
 }
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -107,9 +107,9 @@
 	}
 }
 
-func (w *World) recordViolation(property, how string) {
-	if _, told := w.violations[property]; !told && property != "" {
-		w.violations[property] = how
+func (w *World) recordViolation(property, detail string) {
+	if _, recorded := w.violations[property]; !recorded && property != "" {
+		w.violations[property] = detail
 	}
 }
 
@@ -117,11 +117,11 @@
 // flight at the end are simulated up to their timeout. Run may be called only once.
 func (w *World) Run() (Tally, map[string]string) {
 	end := float64(w.spec.Seconds)
-	most := 0.0
+	maxTimeout := 0.0
 	for _, g := range w.spec.Groups {
-		most = math.Max(most, float64(g.Timeout))
+		maxTimeout = math.Max(maxTimeout, float64(g.Timeout))
 	}
-	for w.events.Len() > 0 && w.events[0].at <= end+most*maxClientAttempts+1 {
+	for w.events.Len() > 0 && w.events[0].at <= end+maxTimeout*maxClientAttempts+1 {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
 		w.tally.Events++
@@ -139,22 +139,22 @@
 }
 
 // deliverResult delivers the result of an attempt to its router after a delay in seconds.
-func (w *World) deliverResult(l *attempt, e router.Result, after float64) {
-	primary, position := l.backend.primary, l.position
-	w.after(after, func() { l.command.router.attemptEnded(l, e, primary, position) })
+func (w *World) deliverResult(a *attempt, result router.Result, after float64) {
+	primary, position := a.backend.primary, a.position
+	w.after(after, func() { a.command.router.attemptEnded(a, result, primary, position) })
 }
 
 // publishEndpoints sends the current endpoint list to all routers. They receive it after the delay of the list.
 func (w *World) publishEndpoints() {
-	l := w.endpoints()
+	endpoints := w.endpoints()
 	w.after(float64(w.spec.Fleet.List), func() {
-		w.knownEndpoints = l
+		w.knownEndpoints = endpoints
 		for _, r := range w.routers {
-			r.policy.UpdateEndpoints(w.now, l)
+			r.policy.UpdateEndpoints(w.now, endpoints)
 			r.review()
 		}
 		for _, b := range w.backends {
-			if s := l[b.index].State; s != b.listedState {
+			if s := endpoints[b.index].State; s != b.listedState {
 				b.listedState, b.listedSince = s, w.now
 			}
 		}
@@ -162,15 +162,15 @@
 }
 
 func (w *World) endpoints() []router.EndpointInfo {
-	var l []router.EndpointInfo
+	var endpoints []router.EndpointInfo
 	for _, b := range w.backends {
-		x := router.EndpointInfo{Index: b.index, Shard: b.shard, State: router.Ready, StartedAt: b.startedAt, Primary: b.primary}
+		endpoint := router.EndpointInfo{Index: b.index, Shard: b.shard, State: router.Ready, StartedAt: b.startedAt, Primary: b.primary}
 		if b.draining {
-			x.State = router.Draining
+			endpoint.State = router.Draining
 		}
-		l = append(l, x)
+		endpoints = append(endpoints, endpoint)
 	}
-	return l
+	return endpoints
 }
 
 // sortAttempts sorts attempts in place by the time at which they were sent. Callers collect them from a map, whose order
--- a/internal/lab/model/world_test.go
+++ b/internal/lab/model/world_test.go
@@ -59,23 +59,23 @@
 		}
 	}
 	defer delete(policyConstructors, "reckless")
-	for how, property := range map[string]string{
+	for bug, property := range map[string]string{
 		"careful": "", "two at once": invariant.OneOut, "after the end": invariant.NotAfter,
 		"silent": invariant.OneAnswer, "again": invariant.NoRepeat, "drains": invariant.NoDraining,
 	} {
 		policyConstructors["reckless"] = func(r *instance) Policy {
 			choose := anyReplica
-			if how == "drains" {
+			if bug == "drains" {
 				choose = func(*baselinePolicy, *baselineCommand) []int { return []int{1} }
 			}
-			return &faultyPolicy{newBaseline(choose)(r).(*baselinePolicy), how}
+			return &faultyPolicy{newBaseline(choose)(r).(*baselinePolicy), bug}
 		}
 		_, violations := New(spec(), "reckless", 1).Run()
 		if property == "" {
-			assert.Empty(t, violations, how)
+			assert.Empty(t, violations, bug)
 			continue
 		}
-		assert.Contains(t, violations, property, how)
+		assert.Contains(t, violations, property, bug)
 	}
 	policyConstructors["reckless"] = func(r *instance) Policy { return &faultyPolicy{newBaseline(anyReplica)(r).(*baselinePolicy), "again"} }
 	s := spec()
