--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -23,7 +23,7 @@
 // Told returns the verdict on the difference in words.
 func (d Difference) Told() string {
 	switch {
-	case d.Pairs < fewPairs:
+	case d.Pairs < minPairs:
 		return "too few seeds to tell"
 	case d.Low > 0:
 		return "better"
@@ -34,9 +34,9 @@
 }
 
 const (
-	fewPairs = 4    // minimum number of pairs; with fewer the interval means nothing
-	redraws  = 2000 // number of bootstrap samples of the pairs
-	tail     = 0.05 // share of the samples' means on either side of the interval
+	minPairs         = 4    // minimum number of pairs; with fewer the interval means nothing
+	bootstrapSamples = 2000 // number of bootstrap samples of the pairs
+	tailShare        = 0.05 // share of the samples' means on either side of the interval
 )
 
 // Compare pairs the runs of two experiments by policy and seed, and returns the difference of each policy. It returns an
@@ -47,33 +47,33 @@
 		policy string
 		seed   int
 	}
-	of := map[key]float64{}
+	second := map[key]float64{}
 	for _, r := range b {
-		of[key{r.Policy, r.Seed}] = r.Service
+		second[key{r.Policy, r.Seed}] = r.Service
 	}
 	pairs := map[string][]pair{}
 	var order []string
 	for _, r := range a {
 		k := key{r.Policy, r.Seed}
-		other, ok := of[k]
+		other, ok := second[k]
 		if !ok {
 			return nil, fmt.Errorf("policy %s with seed %d is in the first experiment only", r.Policy, r.Seed)
 		}
-		delete(of, k)
+		delete(second, k)
 		if len(pairs[r.Policy]) == 0 {
 			order = append(order, r.Policy)
 		}
 		pairs[r.Policy] = append(pairs[r.Policy], pair{r.Service, other})
 	}
-	left := []key{}
-	for k := range of {
-		left = append(left, k)
+	unpaired := []key{}
+	for k := range second {
+		unpaired = append(unpaired, k)
 	}
-	if len(left) > 0 {
-		k := slices.MinFunc(left, func(x, y key) int { return cmp.Or(cmp.Compare(x.policy, y.policy), cmp.Compare(x.seed, y.seed)) })
+	if len(unpaired) > 0 {
+		k := slices.MinFunc(unpaired, func(x, y key) int { return cmp.Or(cmp.Compare(x.policy, y.policy), cmp.Compare(x.seed, y.seed)) })
 		return nil, fmt.Errorf("policy %s with seed %d is in the second experiment only", k.policy, k.seed)
 	}
-	var out []Difference
+	var differences []Difference
 	for _, policy := range order {
 		d := Difference{Policy: policy, Pairs: len(pairs[policy])}
 		n := float64(d.Pairs)
@@ -81,7 +81,7 @@
 			d.A, d.B, d.Mean = d.A+p.a/n, d.B+p.b/n, d.Mean+(p.b-p.a)/n
 		}
 		rng := rand.New(rand.NewPCG(1, uint64(d.Pairs))) // fixed seed: the same pairs give the same interval
-		means := make([]float64, redraws)
+		means := make([]float64, bootstrapSamples)
 		for i := range means {
 			for range pairs[policy] {
 				p := pairs[policy][rng.IntN(d.Pairs)]
@@ -89,8 +89,8 @@
 			}
 		}
 		slices.Sort(means)
-		d.Low, d.High = quantile(means, tail), quantile(means, 1-tail)
-		out = append(out, d)
+		d.Low, d.High = quantile(means, tailShare), quantile(means, 1-tailShare)
+		differences = append(differences, d)
 	}
-	return out, nil
+	return differences, nil
 }
--- a/internal/lab/experiment/recorded_test.go
+++ b/internal/lab/experiment/recorded_test.go
@@ -15,8 +15,8 @@
 // testdata/small is a result that an earlier release saved with stoatctl lab run --out. Operators compare results between
 // releases, so every value must be read, and be written unchanged.
 
-// kept is the object in runs.json. It mirrors the type in package cli that the tool uses.
-type kept struct {
+// savedResults is the object in runs.json. It mirrors the type in package cli that the tool uses.
+type savedResults struct {
 	Name     string `json:"name"`
 	OK       bool   `json:"ok"`
 	Policies []Row  `json:"policies"`
@@ -86,9 +86,9 @@
 	require.NoError(t, err)
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
-	var got kept
+	var got savedResults
 	require.NoError(t, d.Decode(&got))
-	want := kept{
+	want := savedResults{
 		Name: "small", OK: true, Commands: 1036, Runs: recordedRuns(),
 		Policies: []Row{
 			{
--- a/internal/lab/experiment/sim.go
+++ b/internal/lab/experiment/sim.go
@@ -43,9 +43,9 @@
 	Left     time.Duration // estimated wall time until the end, from the mean of the runs so far
 }
 
-// Play performs all runs of an experiment on the given number of workers, or on one per core if that is 0. It calls tell,
-// if not nil, after each run. If ctx ends before all runs have, Play returns an error that says how many have.
-func Play(ctx context.Context, s *model.Spec, workers int, tell func(Progress)) ([]Run, error) {
+// Play performs all runs of an experiment on the given number of workers, or on one per core if that is 0. It calls
+// onProgress, if not nil, after each run. If ctx ends before all runs have, Play returns an error that says how many have.
+func Play(ctx context.Context, s *model.Spec, workers int, onProgress func(Progress)) ([]Run, error) {
 	if workers == 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
@@ -55,14 +55,14 @@
 			runs = append(runs, Run{Policy: p, Seed: seed})
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	next, done := 0, 0
 	for range min(workers, len(runs)) {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			for {
 				mu.Lock()
 				i := next
@@ -71,31 +71,31 @@
 				if i >= len(runs) || ctx.Err() != nil {
 					return
 				}
-				play(s, &runs[i])
+				runOne(s, &runs[i])
 				mu.Lock()
 				done++
-				if p := (Progress{done, len(runs), time.Since(began) / time.Duration(done) * time.Duration(len(runs)-done)}); tell != nil {
-					tell(p)
+				if p := (Progress{done, len(runs), time.Since(startedAt) / time.Duration(done) * time.Duration(len(runs)-done)}); onProgress != nil {
+					onProgress(p)
 				}
 				mu.Unlock()
 			}
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	if err := ctx.Err(); err != nil && done < len(runs) {
 		return nil, fmt.Errorf("experiment %s: %d of %d runs have ended: %w", s.Name, done, len(runs), err)
 	}
 	return runs, nil
 }
 
-func play(s *model.Spec, r *Run) {
+func runOne(s *model.Spec, r *Run) {
 	began := time.Now()
-	t, broken := model.New(s, r.Policy, r.Seed).Run()
-	r.Tally, r.Service = t, t.Service()
-	if len(broken) > 0 {
-		r.Broken = broken
+	tally, violations := model.New(s, r.Policy, r.Seed).Run()
+	r.Tally, r.Service = tally, tally.Service()
+	if len(violations) > 0 {
+		r.Broken = violations
 	}
-	for i, times := range t.Times {
+	for i, times := range tally.Times {
 		sort.Float64s(times)
 		r.Groups = append(r.Groups, Group{s.Groups[i].Name, len(times), quantile(times, 0.5), quantile(times, 0.99), quantile(times, 0.999)})
 	}
@@ -105,11 +105,11 @@
 
 // quantile returns the q-quantile of sorted numbers: the smallest of them such that at least the share q of all numbers
 // is not greater. It returns 0 if there are no numbers.
-func quantile(x []float64, q float64) float64 {
-	if len(x) == 0 {
+func quantile(sorted []float64, q float64) float64 {
+	if len(sorted) == 0 {
 		return 0
 	}
-	return stat.Quantile(q, stat.Empirical, x, nil)
+	return stat.Quantile(q, stat.Empirical, sorted, nil)
 }
 
 // Row is the result of one policy over all seeds.
@@ -129,24 +129,24 @@
 func Table(runs []Run) []Row {
 	var rows []Row
 	for _, r := range runs {
-		i := slices.IndexFunc(rows, func(x Row) bool { return x.Policy == r.Policy })
+		i := slices.IndexFunc(rows, func(row Row) bool { return row.Policy == r.Policy })
 		if i < 0 {
 			i = len(rows)
 			rows = append(rows, Row{Policy: r.Policy, Least: math.Inf(1)})
 		}
-		x, t := &rows[i], &r.Tally
-		x.Runs++
-		x.Service += r.Service
-		x.Least, x.Most = math.Min(x.Least, r.Service), math.Max(x.Most, r.Service)
-		x.InTarget += share(t.InTarget, t.Asked)
-		x.Primary += share(t.Primary, t.Reads)
-		x.Dispatches += share(t.Dispatches, t.Asked)
+		row, tally := &rows[i], &r.Tally
+		row.Runs++
+		row.Service += r.Service
+		row.Least, row.Most = math.Min(row.Least, r.Service), math.Max(row.Most, r.Service)
+		row.InTarget += share(tally.InTarget, tally.Asked)
+		row.Primary += share(tally.Primary, tally.Reads)
+		row.Dispatches += share(tally.Dispatches, tally.Asked)
 		for p := range r.Broken {
-			if !slices.Contains(x.Broken, p) {
-				x.Broken = append(x.Broken, p)
+			if !slices.Contains(row.Broken, p) {
+				row.Broken = append(row.Broken, p)
 			}
 		}
-		slices.Sort(x.Broken)
+		slices.Sort(row.Broken)
 	}
 	for i := range rows {
 		n := float64(rows[i].Runs)
--- a/internal/lab/experiment/sim_test.go
+++ b/internal/lab/experiment/sim_test.go
@@ -70,9 +70,9 @@
 }
 
 // A checker that cannot fail proves nothing. The baselines violate properties, and the checkers must report it.
-func TestRulesAreSeenBroken(t *testing.T) {
+func TestCheckersReportViolationsOfBaselines(t *testing.T) {
 	seen := map[string]bool{}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		policy, faults string
 		rate           float64 // of reads
 	}{
@@ -80,8 +80,8 @@
 		{"window", "(fault slow (set 0) (member 1) (at 1s) (for 4s) (times 3))", 1500},
 		{"two-choices", "(fault crash (set 0) (member 1) (at 2s) (for 1s)) (fault crash (set 0) (member 2) (at 2s) (for 1s))", 1200},
 	} {
-		s := small(t, x.policy, x.faults)
-		s.Groups[2].Rate, s.Fleet.Heavy, s.Fleet.HeavyApply = x.rate, 0.01, 0.5
+		s := small(t, test.policy, test.faults)
+		s.Groups[2].Rate, s.Fleet.Heavy, s.Fleet.HeavyApply = test.rate, 0.01, 0.5
 		for _, r := range run(t, s, 0) {
 			for p := range r.Broken {
 				seen[p] = true
@@ -93,7 +93,7 @@
 	assert.True(t, seen[invariant.ColdBudget], "policies that do not spare starting backends overload them: %v", seen)
 }
 
-func TestPoliciesStandInTheOrderThatTheyMust(t *testing.T) {
+func TestPoliciesRankAsExpected(t *testing.T) {
 	s := small(t, "ceiling module any primary", "(fault slow (set 0) (member 1) (at 1s) (for 4s) (times 10))")
 	s.Seeds = []int{1, 2, 3, 4}
 	s.Groups[2].Rate = 1200 // more than a primary can serve
@@ -110,7 +110,7 @@
 }
 
 // The load is open: clients send as many commands to a policy that falls behind. Its backlog is bounded by the timeouts.
-func TestLoadDoesNotWait(t *testing.T) {
+func TestLoadDoesNotWaitForAnswers(t *testing.T) {
 	s := small(t, "primary module", "")
 	s.Groups[2].Rate = 4000
 	runs := run(t, s, 0)
@@ -119,7 +119,7 @@
 	assert.Less(t, runs[0].Service, 0.7)
 }
 
-func TestInterruptedRunSaysHowFarItCame(t *testing.T) {
+func TestInterruptedExperimentReportsItsProgress(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := small(t, "module", "")
 	s.Seeds = []int{1, 2, 3, 4, 5}
@@ -132,7 +132,7 @@
 	assert.Contains(t, err.Error(), "2 of 5")
 }
 
-func TestImpossibleWorldsAreRefusedWithTheirPlace(t *testing.T) {
+func TestInvalidExperimentsAreRejectedWithTheirPosition(t *testing.T) {
 	good := `(name x) (seconds 6s) (seeds 1) (policies module)
 (fleet (routers 2) (sets 1) (replicas 2) (slots 4) (queue 20) (sessions 50) (way 0.5ms) (dial 100ms) (ship 20ms) (apply 0.5ms)
  (list 500ms) (cold-share 0.2) (warm-in 2s) (overload 2) (fall-span 500ms))
@@ -145,7 +145,7 @@
 		return err
 	}
 	require.NoError(t, load(good))
-	for says, change := range map[string][2]string{
+	for wantError, change := range map[string][2]string{
 		":2:1: routers is 0, but must be between 1 and 10000":            {"(routers 2)", "(routers 0)"},
 		":4:1: effect: the effect of a write must be keyed":              {"mutating", "replayable"},
 		":4:1: need: \"wite\" is not one of":                             {"(need write)", "(need wite)"},
@@ -161,12 +161,12 @@
 		"group: there must be at least one":                              {"(group order (need write) (effect mutating) (rate 40) (work 5ms) (target 300ms) (timeout 1s) (benefit 3))", ""},
 	} {
 		text := strings.Replace(good, change[0], change[1], 1)
-		if says == "commands, but at most 200000000 are allowed" {
+		if wantError == "commands, but at most 200000000 are allowed" {
 			text = strings.Replace(strings.Replace(text, "(rate 40)", "(rate 4000)", 1), "(work 5ms)", "(work 0.5ms)", 1)
 		}
 		err := load(text)
-		require.Error(t, err, says)
-		assert.Contains(t, err.Error(), says)
+		require.Error(t, err, wantError)
+		assert.Contains(t, err.Error(), wantError)
 	}
 }
 
--- a/internal/lab/testserver/discovery.go
+++ b/internal/lab/testserver/discovery.go
@@ -13,11 +13,11 @@
 type Discovery struct {
 	At string
 
-	mu    sync.Mutex
-	news  chan struct{} // closed and replaced when the list changes
-	lists int           // generation of the list
-	now   string        // the list, as JSON
-	http  *http.Server
+	mu         sync.Mutex
+	changed    chan struct{} // closed and replaced when the list changes
+	generation int           // generation of the list
+	list       string        // the list, as JSON
+	http       *http.Server
 }
 
 const longPoll = 4 * time.Second // after which a caller gets the list that it already has
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d := &Discovery{At: l.Addr().String(), news: make(chan struct{})}
+	d := &Discovery{At: l.Addr().String(), changed: make(chan struct{})}
 	d.List(entries...)
 	d.http = &http.Server{Handler: d, ReadHeaderTimeout: longPoll}
 	go func() { _ = d.http.Serve(l) }()
@@ -42,27 +42,27 @@
 func (d *Discovery) List(entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lists++
-	d.now = List(d.lists, entries...)
-	close(d.news)
-	d.news = make(chan struct{})
+	d.generation++
+	d.list = List(d.generation, entries...)
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // ServeHTTP answers a call with the endpoint list.
-func (d *Discovery) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (d *Discovery) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	d.mu.Lock()
-	news, has := d.news, q.FormValue("from") == fmt.Sprint(d.lists)
+	changed, isNewest := d.changed, request.FormValue("from") == fmt.Sprint(d.generation)
 	d.mu.Unlock()
-	if has {
+	if isNewest {
 		select {
-		case <-news:
+		case <-changed:
 		case <-time.After(longPoll):
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
 	d.mu.Lock()
-	body := d.now
+	body := d.list
 	d.mu.Unlock()
 	_, _ = w.Write([]byte(body))
 }
--- a/internal/lab/testserver/load.go
+++ b/internal/lab/testserver/load.go
@@ -17,13 +17,13 @@
 	Timeout time.Duration // client timeout, which commands state
 	Writes  float64       // share of mutating commands, from 0 to 1
 
-	mu     sync.Mutex
-	counts Counts
-	slow   []time.Duration // of all answered commands
-	seen   map[string]int  // how often each command reached a backend
-	open   map[string]bool // commands without an answer
-	stop   chan struct{}
-	done   sync.WaitGroup
+	mu            sync.Mutex
+	counts        Counts
+	responseTimes []time.Duration // of all answered commands
+	received      map[string]int  // how often each command reached a backend
+	unanswered    map[string]bool // commands without an answer
+	stop          chan struct{}
+	running       sync.WaitGroup
 }
 
 // Counts is the number of commands by outcome.
@@ -38,13 +38,13 @@
 	Doubled   int // mutating commands that backends received more than once
 }
 
-var ids = regexp.MustCompile(`/\* id=([0-9a-f]+),c=([a-z]+)`)
+var routingComment = regexp.MustCompile(`/\* id=([0-9a-f]+),c=([a-z]+)`)
 
 // Seen records a statement that a backend received. Backends have to call it for each.
 func (l *Load) Seen(statement string) {
-	if m := ids.FindStringSubmatch(statement); m != nil {
+	if m := routingComment.FindStringSubmatch(statement); m != nil {
 		l.mu.Lock()
-		l.seen[m[1]+m[2]]++
+		l.received[m[1]+m[2]]++
 		l.mu.Unlock()
 	}
 }
@@ -52,10 +52,10 @@
 // Start starts the clients. The seed determines the commands that they send.
 func (l *Load) Start(seed uint64) {
 	l.stop = make(chan struct{})
-	l.seen, l.open = map[string]int{}, map[string]bool{}
+	l.received, l.unanswered = map[string]int{}, map[string]bool{}
 	for i := range l.Clients {
-		l.done.Add(1)
-		go l.client(i, rand.New(rand.NewPCG(seed, uint64(i))))
+		l.running.Add(1)
+		go l.runClient(i, rand.New(rand.NewPCG(seed, uint64(i))))
 	}
 }
 
@@ -63,27 +63,28 @@
 // times of the answered ones.
 func (l *Load) Stop() (Counts, []time.Duration) {
 	close(l.stop)
-	l.done.Wait()
+	l.running.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, n := range l.seen {
+	for id, n := range l.received {
 		if id[len(id)-len(Order):] == Order && n > 1 {
 			l.counts.Doubled++
 		}
 	}
-	for id := range l.open { // never answered: lost if a backend received the command
-		if l.seen[id] > 0 {
+	for id := range l.unanswered { // never answered: lost if a backend received the command
+		if l.received[id] > 0 {
 			l.counts.Lost++
 		} else {
 			l.counts.Turned++
 		}
 	}
-	return l.counts, l.slow
+	return l.counts, l.responseTimes
 }
 
-// client runs one client until Stop. It starts with one of the routers and changes to the next when a connection fails.
-func (l *Load) client(n int, rng *rand.Rand) {
-	defer l.done.Done()
+// runClient runs one client until Stop. It starts with one of the routers and changes to the next when a connection
+// fails.
+func (l *Load) runClient(n int, rng *rand.Rand) {
+	defer l.running.Done()
 	at := n % len(l.Routers)
 	var c *Client
 	defer func() {
@@ -104,15 +105,15 @@
 				continue
 			}
 		}
-		if !l.ask(c, rng) {
+		if !l.sendCommand(c, rng) {
 			_ = c.Close()
 			c, at = nil, (at+1)%len(l.Routers)
 		}
 	}
 }
 
-// ask sends one command and counts its outcome. It returns false if the connection can no longer be used.
-func (l *Load) ask(c *Client, rng *rand.Rand) bool {
+// sendCommand sends one command and counts its outcome. It returns false if the connection can no longer be used.
+func (l *Load) sendCommand(c *Client, rng *rand.Rand) bool {
 	id := fmt.Sprintf("%016x", rng.Uint64()|1)
 	group, text := Look, "SELECT doc FROM items WHERE id = '%s' /* id=%s,c=%s,d=%d,cluster=2 */"
 	if rng.Float64() < l.Writes {
@@ -120,31 +121,31 @@
 	}
 	statement := fmt.Sprintf(text, id, id, group, l.Timeout.Milliseconds())
 	l.mu.Lock()
-	l.open[id+group] = true
+	l.unanswered[id+group] = true
 	l.mu.Unlock()
-	began := time.Now()
-	said, sent, err := c.Ask(statement, l.Timeout+time.Second)
-	took := time.Since(began)
+	sentAt := time.Now()
+	reply, sent, err := c.Ask(statement, l.Timeout+time.Second)
+	took := time.Since(sentAt)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !sent {
-		delete(l.open, id+group)
+		delete(l.unanswered, id+group)
 		return false
 	}
 	l.counts.Asked++
 	if err != nil {
 		if took > l.Timeout {
-			delete(l.open, id+group)
+			delete(l.unanswered, id+group)
 			l.counts.Lost++
 		}
 		return false
 	}
-	delete(l.open, id+group)
-	l.slow = append(l.slow, took)
+	delete(l.unanswered, id+group)
+	l.responseTimes = append(l.responseTimes, took)
 	if took > l.Timeout {
 		l.counts.Late++
 	}
-	switch said.Code {
+	switch reply.Code {
 	case "":
 		l.counts.Answered++
 	case "53300":
--- a/internal/lab/testserver/member.go
+++ b/internal/lab/testserver/member.go
@@ -18,7 +18,7 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-const longest = 1 << 20 // maximum length of a message in bytes
+const maxMessageBytes = 1 << 20 // maximum length of a message in bytes
 
 // Row returns a backend's answer that consists of one value. Its position is the current time. role is the parameter
 // "recovery": "off" for a primary, "on" for a replica.
@@ -37,10 +37,10 @@
 	Answer func(statement string) []byte
 	Asked  atomic.Int64 // number of statements received, without health checks
 
-	l     net.Listener
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	done  sync.WaitGroup
+	listener net.Listener
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
+	running  sync.WaitGroup
 }
 
 // NewMember starts a backend on a free port of 127.0.0.1.
@@ -49,34 +49,34 @@
 	if err != nil {
 		return nil, fmt.Errorf("backend: %w", err)
 	}
-	m := &Member{At: l.Addr().String(), Answer: answer, l: l, conns: map[net.Conn]bool{}}
-	m.done.Add(1)
+	m := &Member{At: l.Addr().String(), Answer: answer, listener: l, conns: map[net.Conn]bool{}}
+	m.running.Add(1)
 	go m.accept()
 	return m, nil
 }
 
 // Close stops the backend and closes its connections.
 func (m *Member) Close() {
-	_ = m.l.Close()
+	_ = m.listener.Close()
 	m.mu.Lock()
 	for c := range m.conns {
 		_ = c.Close()
 	}
 	m.mu.Unlock()
-	m.done.Wait()
+	m.running.Wait()
 }
 
 func (m *Member) accept() {
-	defer m.done.Done()
+	defer m.running.Done()
 	for {
-		c, err := m.l.Accept()
+		c, err := m.listener.Accept()
 		if err != nil {
 			return
 		}
 		m.mu.Lock()
 		m.conns[c] = true
 		m.mu.Unlock()
-		m.done.Add(1)
+		m.running.Add(1)
 		go m.serve(c)
 	}
 }
@@ -87,11 +87,11 @@
 		m.mu.Lock()
 		delete(m.conns, c)
 		m.mu.Unlock()
-		m.done.Done()
+		m.running.Done()
 	}()
 	r := bufio.NewReader(c)
 	var n uint32
-	if binary.Read(r, binary.BigEndian, &n) != nil || n < 4 || n > longest {
+	if binary.Read(r, binary.BigEndian, &n) != nil || n < 4 || n > maxMessageBytes {
 		return
 	}
 	if _, err := r.Discard(int(n) - 4); err != nil {
@@ -99,7 +99,7 @@
 	}
 	_, _ = c.Write(pg.AppendStartupReply(nil, pg.CancelKey{}))
 	for {
-		kind, body, err := pg.ReceiveMessage(r, longest)
+		kind, body, err := pg.ReceiveMessage(r, maxMessageBytes)
 		if err != nil || kind != 'Q' || len(body) == 0 {
 			return
 		}
@@ -133,21 +133,22 @@
 // Client is a client connection to a router.
 type Client struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-// Dial connects to a router and performs the startup. within is the timeout of the connection, and again of the startup.
-func Dial(at string, within time.Duration) (*Client, error) {
-	c, err := net.DialTimeout("tcp", at, within)
+// Dial connects to a router and performs the startup. timeout applies to the connection and
+// then to the startup.
+func Dial(address string, timeout time.Duration) (*Client, error) {
+	c, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	_ = c.SetDeadline(time.Now().Add(within))
-	x := &Client{c, bufio.NewReader(c)}
+	_ = c.SetDeadline(time.Now().Add(timeout))
+	client := &Client{c, bufio.NewReader(c)}
 	if _, err := c.Write(pg.AppendStartupMessage(nil)); err == nil {
-		_, _ = x.Reply() // a failed startup becomes an error of the first query
+		_, _ = client.Reply() // a failed startup becomes an error of the first query
 	}
-	return x, nil
+	return client, nil
 }
 
 // Reply is the content of the messages up to ReadyForQuery.
@@ -160,48 +161,48 @@
 
 // Reply reads one answer. It returns an error if the connection ends before the answer is complete.
 func (c *Client) Reply() (Reply, error) {
-	var said Reply
+	var reply Reply
 	for {
-		kind, body, err := pg.ReceiveMessage(c.r, longest)
+		kind, body, err := pg.ReceiveMessage(c.reader, maxMessageBytes)
 		if err != nil {
-			return said, err
+			return reply, err
 		}
 		switch kind {
 		case 'D':
 			if len(body) >= 6 {
-				said.Value = string(body[6:])
+				reply.Value = string(body[6:])
 			}
 		case 'I':
-			said.Empty = true
+			reply.Empty = true
 		case 'E':
 			for _, f := range strings.Split(string(body), "\x00") {
 				if f != "" && f[0] == 'C' {
-					said.Code = f[1:]
+					reply.Code = f[1:]
 				}
 				if f != "" && f[0] == 'D' {
-					said.Detail = f[1:]
+					reply.Detail = f[1:]
 				}
 			}
 		case 'Z':
-			return said, nil
+			return reply, nil
 		}
 	}
 }
 
-// Ask sends a query and reads its answer, both within the given time. sent reports whether the query was written
+// Ask sends a query and reads its answer, both within timeout. sent reports whether the query was written
 // completely.
-func (c *Client) Ask(text string, within time.Duration) (said Reply, sent bool, err error) {
-	_ = c.SetDeadline(time.Now().Add(within))
+func (c *Client) Ask(text string, timeout time.Duration) (reply Reply, sent bool, err error) {
+	_ = c.SetDeadline(time.Now().Add(timeout))
 	if _, err := c.Write(pg.AppendQuery(nil, text)); err != nil {
-		return said, false, err
+		return reply, false, err
 	}
-	said, err = c.Reply()
-	return said, true, err
+	reply, err = c.Reply()
+	return reply, true, err
 }
 
 // Ended reports whether the router has closed the connection. No query may be in flight.
 func (c *Client) Ended() bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
-	_, err := c.r.Peek(1)
+	_, err := c.reader.Peek(1)
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/lab/testserver/router.go
+++ b/internal/lab/testserver/router.go
@@ -32,10 +32,10 @@
 
 // fakeRouter is a running stand-in router.
 type fakeRouter struct {
-	listener  net.Listener
-	conduct   atomic.Pointer[Conduct]
-	startedAt time.Time
-	counted   int // commands in the last log line of counters
+	listener         net.Listener
+	conduct          atomic.Pointer[Conduct]
+	startedAt        time.Time
+	reportedCommands int // commands in the last log line of counters
 }
 
 // Router runs a stand-in router as the main function of a program. It reads the configuration file that GW_CONFIG names,
@@ -46,7 +46,7 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1)
 	listen, conduct, err := readConfig()
 	if err != nil {
-		exit(err)
+		exitWithError(err)
 	}
 	if conduct.Exit != 0 {
 		fmt.Fprintln(os.Stderr, "stand-in: told to end")
@@ -54,7 +54,7 @@
 	}
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		exit(err)
+		exitWithError(err)
 	}
 	r := &fakeRouter{listener: listener, startedAt: time.Now()}
 	r.conduct.Store(&conduct)
@@ -74,8 +74,8 @@
 	}
 }
 
-// exit logs the error and exits with status 1.
-func exit(err error) {
+// exitWithError logs the error and exits with status 1.
+func exitWithError(err error) {
 	fmt.Fprintln(os.Stderr, "stand-in:", err)
 	os.Exit(1)
 }
@@ -108,25 +108,25 @@
 		if err != nil {
 			return
 		}
-		go answerEmpty(conn, r.answers)
+		go answerEmptyQueries(conn, r.isReady)
 	}
 }
 
-// answers reports whether the router answers queries at this time.
-func (r *fakeRouter) answers() bool {
+// isReady reports whether the router answers queries at this time.
+func (r *fakeRouter) isReady() bool {
 	conduct := r.conduct.Load()
 	return !conduct.Silent && time.Since(r.startedAt).Seconds() >= conduct.Ready
 }
 
 func (r *fakeRouter) logCounters() {
-	r.counted += countersStep
+	r.reportedCommands += countersStep
 	failed := 0
 	if r.conduct.Load().Fails {
-		failed = r.counted / 2
+		failed = r.reportedCommands / 2
 	}
 	logLine(map[string]any{
 		"level": "info", "message": "counters",
-		"counters": map[string]int{"answered": r.counted - failed, "failed": failed},
+		"counters": map[string]int{"answered": r.reportedCommands - failed, "failed": failed},
 	})
 }
 
@@ -151,14 +151,14 @@
 	os.Exit(0)
 }
 
-// answerEmpty answers each query on a connection as an empty one. If answers returns false at the connection's start, it
-// discards everything and answers nothing.
-func answerEmpty(c net.Conn, answers func() bool) {
+// answerEmptyQueries answers each query on a connection as an empty one. If answers returns false at the start of the
+// connection, it discards everything and answers nothing.
+func answerEmptyQueries(c net.Conn, answers func() bool) {
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	r := bufio.NewReader(c)
 	var n uint32
-	if binary.Read(r, binary.BigEndian, &n) != nil || n < 4 || n > longest {
+	if binary.Read(r, binary.BigEndian, &n) != nil || n < 4 || n > maxMessageBytes {
 		return
 	}
 	if _, err := r.Discard(int(n) - 4); err != nil {
@@ -170,7 +170,7 @@
 	}
 	_, _ = c.Write(pg.AppendStartupReply(nil, pg.CancelKey{}))
 	for {
-		if _, _, err := pg.ReceiveMessage(r, longest); err != nil {
+		if _, _, err := pg.ReceiveMessage(r, maxMessageBytes); err != nil {
 			return
 		}
 		_, _ = c.Write(pg.AppendReadyForQuery(pg.AppendEmptyQueryResponse(nil)))
--- a/internal/lab/testserver/settings.go
+++ b/internal/lab/testserver/settings.go
@@ -12,8 +12,8 @@
 )
 
 // Deployment returns a configuration for routers that use stand-ins, with two command groups and one shard, number 2.
-// timeout is the client timeout in seconds. The keys of more are added to the document.
-func Deployment(discovery string, timeout float64, more map[string]any) map[string]any {
+// timeout is the client timeout in seconds. The keys of extraKeys are added to the document.
+func Deployment(discovery string, timeout float64, extraKeys map[string]any) map[string]any {
 	group := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "targetNs": timeout / 2 * 1e9, "deadlineNs": timeout * 1e9, "worth": 1}
 	}
@@ -31,17 +31,17 @@
 		},
 		"invariants": map[string]any{"startCapacity": 0.2, "rampTimeNs": 1e9, "overloadFactor": 2, "fallNs": 1e9},
 	}
-	doc := map[string]any{
+	document := map[string]any{
 		"discovery": discovery, "settings": settings, "limits": map[string]any{"memory_mb": 48, "sockets": 256},
 		"known": json.RawMessage(List(0)),
 	}
-	maps.Copy(doc, more)
-	return doc
+	maps.Copy(document, extraKeys)
+	return document
 }
 
 // JSON encodes a document.
-func JSON(doc map[string]any) []byte {
-	raw, err := json.Marshal(doc)
+func JSON(document map[string]any) []byte {
+	raw, err := json.Marshal(document)
 	if err != nil {
 		panic(err) // documents hold only values that can be encoded
 	}
--- a/internal/pki/issue.go
+++ b/internal/pki/issue.go
@@ -93,7 +93,7 @@
 		return fmt.Errorf("keys: the role is agent or operator, not %q", role)
 	}
 	if !validName.MatchString(name) {
-		return fmt.Errorf("keys: invalid name %q: use at most 63 letters, digits, dots, dashes and underscores, the first a letter or digit", name)
+		return fmt.Errorf("keys: invalid name %q: use at most 63 letters, digits, dots, dashes and underscores", name)
 	}
 	authority, err := loadKeyPair(f.authorityKeyFile())
 	if err != nil {
--- a/internal/pki/keys_test.go
+++ b/internal/pki/keys_test.go
@@ -25,7 +25,7 @@
 }
 
 // connect connects a client to a server over TLS, transfers one byte and returns the errors of both sides.
-func talk(t *testing.T, server, client Credentials, agent string) (atServer, atClient error) {
+func connect(t *testing.T, server, client Credentials, agent string) (atServer, atClient error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
@@ -60,23 +60,23 @@
 func TestBothSidesVerifyTheOthersIdentity(t *testing.T) {
 	f := newFolder(t)
 	server, client := f.Credentials(Agent, "a1"), f.Credentials(Operator, "ayla")
-	s, c := talk(t, server, client, "a1")
+	s, c := connect(t, server, client, "a1")
 	require.NoError(t, s)
 	require.NoError(t, c)
-	_, c = talk(t, server, client, "a2")
+	_, c = connect(t, server, client, "a2")
 	require.ErrorContains(t, c, "the certificate is agent a1's, and should be agent a2's")
 	require.ErrorIs(t, c, ErrWrongIdentity)
-	s, c = talk(t, server, f.Credentials(Agent, "a1"), "a1")
+	s, c = connect(t, server, f.Credentials(Agent, "a1"), "a1")
 	require.ErrorContains(t, s, "should be operator")
 	require.Error(t, c, "an agent is no operator")
-	_, c = talk(t, f.Credentials(Operator, "ayla"), client, "a1")
+	_, c = connect(t, f.Credentials(Operator, "ayla"), client, "a1")
 	require.ErrorContains(t, c, "operator ayla's, and should be agent a1's")
 }
 
 func TestUntrustedAndExpiredCertificatesAreRejected(t *testing.T) {
 	f, other := newFolder(t), newFolder(t)
 	stranger := Credentials{CertificateFile: other.CertificateFile(Operator, "ayla"), TrustedFile: f.TrustedFile(), Now: time.Now}
-	s, c := talk(t, f.Credentials(Agent, "a1"), stranger, "a1")
+	s, c := connect(t, f.Credentials(Agent, "a1"), stranger, "a1")
 	require.ErrorContains(t, s, "operator ayla is from an authority that is not trusted here")
 	require.ErrorIs(t, s, ErrUntrustedAuthority)
 	var rejected *CertificateError
@@ -85,11 +85,11 @@
 	require.Error(t, c)
 	server := f.Credentials(Agent, "a1")
 	server.Now = func() time.Time { return time.Now().Add(31 * day) }
-	s, _ = talk(t, server, f.Credentials(Operator, "ayla"), "a1")
+	s, _ = connect(t, server, f.Credentials(Operator, "ayla"), "a1")
 	require.ErrorContains(t, s, "the certificate of operator ayla expired on")
 	require.ErrorIs(t, s, ErrExpired)
 	server.Now = func() time.Time { return time.Now().Add(-day) }
-	s, _ = talk(t, server, f.Credentials(Operator, "ayla"), "a1")
+	s, _ = connect(t, server, f.Credentials(Operator, "ayla"), "a1")
 	require.ErrorContains(t, s, "is not valid before")
 	require.ErrorIs(t, s, ErrNotYetValid)
 	require.ErrorContains(t, server.Check(), "is not valid before")
@@ -102,14 +102,14 @@
 	require.NoError(t, err)
 	before := conf.Certificates[0].Leaf.SerialNumber
 	require.NoError(t, f.CreateAuthority("haulage", 365*day, time.Now()))
-	s, c := talk(t, server, client, "a1")
+	s, c := connect(t, server, client, "a1")
 	require.NoError(t, s, "certificates of the old authority stay valid")
 	require.NoError(t, c)
 	require.NoError(t, f.Issue(Operator, "ayla", 30*day, time.Now()))
 	conf, err = client.ClientConfig("a1")
 	require.NoError(t, err)
 	assert.NotEqual(t, before, conf.Certificates[0].Leaf.SerialNumber)
-	s, c = talk(t, server, client, "a1")
+	s, c = connect(t, server, client, "a1")
 	require.NoError(t, s, "the client has a certificate of the new authority, the server one of the old")
 	require.NoError(t, c)
 	shown, err := f.List()
--- a/internal/pki/recorded_test.go
+++ b/internal/pki/recorded_test.go
@@ -20,7 +20,7 @@
 	recordedSecond = recordedFirst.Add(30 * day)
 )
 
-func recordedSource(r Role, name string, now time.Time) Credentials {
+func recordedCredentials(r Role, name string, now time.Time) Credentials {
 	s := recordedFolder.Credentials(r, name)
 	s.Now = func() time.Time { return now }
 	return s
@@ -41,14 +41,14 @@
 }
 
 func TestRecordedCertificatesAreAcceptedOrRejectedByTime(t *testing.T) {
-	for now, says := range map[time.Time]map[string]string{
+	for now, wantErrors := range map[time.Time]map[string]string{
 		recordedFirst.Add(10 * day):   {"ayla": "the certificate of operator ayla is not valid before 2026-02-01T02:59:05Z", "mehmet": ""},
 		recordedSecond.Add(time.Hour): {"ayla": "", "mehmet": ""},
 		recordedFirst.Add(110 * day):  {"ayla": "", "mehmet": "the certificate of operator mehmet expired on 2026-04-12T03:04:05Z"},
 		recordedSecond.Add(91 * day):  {"ayla": "the certificate of operator ayla expired on 2026-05-02T03:04:05Z"},
 	} {
-		for operator, want := range says {
-			err := recordedSource(Operator, operator, now).Check()
+		for operator, want := range wantErrors {
+			err := recordedCredentials(Operator, operator, now).Check()
 			if want == "" {
 				require.NoError(t, err, "%s at %s", operator, now)
 			} else {
@@ -58,11 +58,11 @@
 	}
 	now := recordedSecond.Add(time.Hour)
 	for _, operator := range []string{"ayla", "mehmet"} {
-		atServer, atClient := talk(t, recordedSource(Agent, "a1", now), recordedSource(Operator, operator, now), "a1")
+		atServer, atClient := connect(t, recordedCredentials(Agent, "a1", now), recordedCredentials(Operator, operator, now), "a1")
 		require.NoError(t, atServer, operator)
 		require.NoError(t, atClient, operator)
 	}
-	_, atClient := talk(t, recordedSource(Agent, "a1", now), recordedSource(Operator, "ayla", now), "a2")
+	_, atClient := connect(t, recordedCredentials(Agent, "a1", now), recordedCredentials(Operator, "ayla", now), "a2")
 	require.ErrorContains(t, atClient, "the certificate is agent a1's, and should be agent a2's")
 }
 
@@ -74,7 +74,7 @@
 	require.NoError(t, f.Issue(Agent, "a1", 90*day, now))
 	renewed := f.Credentials(Agent, "a1")
 	renewed.Now = func() time.Time { return now }
-	atServer, atClient := talk(t, renewed, recordedSource(Operator, "ayla", now), "a1")
+	atServer, atClient := connect(t, renewed, recordedCredentials(Operator, "ayla", now), "a1")
 	require.NoError(t, atServer)
 	require.NoError(t, atClient)
 	err := f.Issue(Agent, "a1", 90*day, recordedSecond.Add(3600*day))
--- a/internal/sexp/decode.go
+++ b/internal/sexp/decode.go
@@ -280,10 +280,10 @@
 // at most half the length plus one letter, or else all keys.
 func suggestKey(key string, keys []string) string {
 	slices.Sort(keys)
-	nearest, least := "", len(key)/2+2
+	nearest, distanceLimit := "", len(key)/2+2
 	for _, candidate := range keys {
-		if distance := levenshtein.ComputeDistance(key, candidate); distance < least {
-			nearest, least = candidate, distance
+		if distance := levenshtein.ComputeDistance(key, candidate); distance < distanceLimit {
+			nearest, distanceLimit = candidate, distance
 		}
 	}
 	if nearest == "" {
--- a/internal/sexp/encode.go
+++ b/internal/sexp/encode.go
@@ -24,7 +24,7 @@
 	v := f.value
 	switch {
 	case v.Kind() == reflect.Pointer && !v.IsNil():
-		return []Node{entry(f.key, encodeValue(v.Elem()))}
+		return []Node{listWithKey(f.key, encodeValue(v.Elem()))}
 	case f.isPosition:
 		return nil
 	case f.isName:
@@ -34,44 +34,44 @@
 	case f.repeats():
 		entries := make([]Node, v.Len())
 		for i := range entries {
-			entries[i] = entry(f.key, encodeStruct(v.Index(i))...)
+			entries[i] = listWithKey(f.key, encodeStruct(v.Index(i))...)
 		}
 		return entries
 	case isEntryType(v.Type()):
-		return []Node{entry(f.key, encodeStruct(v)...)}
+		return []Node{listWithKey(f.key, encodeStruct(v)...)}
 	case v.Kind() == reflect.Slice:
 		values := make([]Node, v.Len())
 		for i := range values {
 			values[i] = encodeValue(v.Index(i))
 		}
-		return []Node{entry(f.key, values...)}
+		return []Node{listWithKey(f.key, values...)}
 	default:
-		return []Node{entry(f.key, encodeValue(v))}
+		return []Node{listWithKey(f.key, encodeValue(v))}
 	}
 }
 
-func entry(key string, values ...Node) Node {
+func listWithKey(key string, values ...Node) Node {
 	return List(append([]Node{Atom(key)}, values...)...)
 }
 
 func encodeValue(v reflect.Value) Node {
-	switch x := v.Interface().(type) {
+	switch value := v.Interface().(type) {
 	case encoding.TextMarshaler:
-		text, err := x.MarshalText()
+		text, err := value.MarshalText()
 		if err != nil {
 			panic("sexp: " + err.Error())
 		}
 		return Atom(string(text))
 	case Seconds:
-		return Atom(strconv.FormatFloat(float64(x), 'g', -1, 64) + "s")
+		return Atom(strconv.FormatFloat(float64(value), 'g', -1, 64) + "s")
 	case bool:
-		if x {
+		if value {
 			return Atom("yes")
 		}
 		return Atom("no")
 	case string:
-		return Atom(x)
+		return Atom(value)
 	default:
-		return Atom(fmt.Sprint(x))
+		return Atom(fmt.Sprint(value))
 	}
 }
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -18,7 +18,7 @@
 	Tags []string       `sexp:"tags"`
 }
 
-type whole struct {
+type testFile struct {
 	Count int     `sexp:"count"`
 	Share float64 `sexp:"share"`
 	On    bool    `sexp:"on"`
@@ -35,8 +35,8 @@
 (item a (at "127.0.0.1:80") (tags x "y z"))
 (item "b ;" (at 127.0.0.1:81))`
 
-func decodeWhole(text string) (whole, error) {
-	var w whole
+func decodeFile(text string) (testFile, error) {
+	var w testFile
 	nodes, err := Read("f", []byte(text))
 	if err == nil {
 		err = Decode("f", nodes, &w)
@@ -45,7 +45,7 @@
 }
 
 func TestValuesAreDecoded(t *testing.T) {
-	w, err := decodeWhole(sample)
+	w, err := decodeFile(sample)
 	require.NoError(t, err)
 	assert.Equal(t, 3, w.Count)
 	assert.True(t, w.On)
@@ -54,13 +54,13 @@
 	require.Len(t, w.Items, 2)
 	assert.Equal(t, []string{"x", "y z"}, w.Items[0].Tags)
 	assert.Equal(t, "b ;", w.Items[1].Name)
-	again, err := decodeWhole(string(Print(Encode(&w))))
+	again, err := decodeFile(string(Print(Encode(&w))))
 	require.NoError(t, err)
 	assert.Equal(t, w, again)
 }
 
 func TestErrorsNamePositionAndKey(t *testing.T) {
-	for text, says := range map[string]string{
+	for text, wantError := range map[string]string{
 		"(cuont 3)":                     `f:1:2: the file has no key "cuont"; did you mean count?`,
 		"(zzzzzzz 3)":                   `it has count, item, on, share, times, wait`,
 		"\n (count three)":              `f:2:9: count must be a whole number, not "three"`,
@@ -82,8 +82,8 @@
 		`(wait "\xz")`:                  "must be followed by two hexadecimal digits",
 		strings.Repeat("(", MaxDepth+1): "nest more than",
 	} {
-		_, err := decodeWhole(text)
-		require.ErrorContains(t, err, says, text)
+		_, err := decodeFile(text)
+		require.ErrorContains(t, err, wantError, text)
 		var f *Error
 		require.ErrorAs(t, err, &f, text)
 	}
@@ -92,14 +92,14 @@
 }
 
 func withoutPositions(nodes []Node) []Node {
-	out := append([]Node{}, nodes...)
-	for i := range out {
-		out[i].Position, out[i].List = Position{}, withoutPositions(out[i].List)
+	stripped := append([]Node{}, nodes...)
+	for i := range stripped {
+		stripped[i].Position, stripped[i].List = Position{}, withoutPositions(stripped[i].List)
 	}
-	return out
+	return stripped
 }
 
-func TestWhatIsPrintedReadsBackTheSame(t *testing.T) {
+func TestPrintedNodesReadBackTheSame(t *testing.T) {
 	node := rapid.Deferred(func() *rapid.Generator[Node] { return nodes(4) })
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.SliceOfN(node, 0, 5).Draw(t, "nodes")
@@ -109,14 +109,14 @@
 	})
 }
 
-func nodes(deep int) *rapid.Generator[Node] {
+func nodes(depth int) *rapid.Generator[Node] {
 	return rapid.Custom(func(t *rapid.T) Node {
-		if deep == 0 || rapid.Bool().Draw(t, "text") {
+		if depth == 0 || rapid.Bool().Draw(t, "text") {
 			n := Atom(rapid.String().Draw(t, "atom"))
 			n.Quoted = n.Quoted || rapid.Bool().Draw(t, "quoted")
 			return n
 		}
-		return List(rapid.SliceOfN(nodes(deep-1), 0, 6).Draw(t, "list")...)
+		return List(rapid.SliceOfN(nodes(depth-1), 0, 6).Draw(t, "list")...)
 	})
 }
 
