--- a/internal/lab/experiment/sim.go
+++ b/internal/lab/experiment/sim.go
@@ -88,6 +88,7 @@
 	return runs, nil
 }
 
+// runOne performs a run and sets its results.
 func runOne(s *model.Spec, r *Run) {
 	began := time.Now()
 	tally, violations := model.New(s, r.Policy, r.Seed).Run()
--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -98,6 +98,7 @@
 	w.after(took, func() { b.finish(a) })
 }
 
+// finish ends the execution of an attempt and sends its answer.
 func (b *backend) finish(a *attempt) {
 	if !b.executing[a] { // the backend has crashed, or the attempt is canceled
 		return
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -13,13 +13,13 @@
 	invariant.Command
 	id            uint32
 	router        *instance
-	group         int
-	session       uint64
-	shard         int
-	arrivedAt     float64
+	group         int     // index of the command group
+	session       uint64  // ID of the client's session
+	shard         int     // index of the shard
+	arrivedAt     float64 // virtual time in seconds at which it arrived at the router
 	firstSentAt   float64 // virtual time in seconds at which the client sent its first attempt
 	attemptNumber int     // number of the client's attempt, from 1
-	ended         bool
+	ended         bool    // answered or given up
 	attempts      []*attempt
 }
 
@@ -33,8 +33,8 @@
 // maxClientAttempts is the maximum number of attempts by a client, the first included.
 const maxClientAttempts = 3
 
-// scheduleArrival schedules the group's next command. The load is open: clients
-// do not wait for answers before they send the next command.
+// scheduleArrival schedules the group's next command. The load is open: clients do not wait for answers before
+// they send the next command.
 func (w *World) scheduleArrival(group int) {
 	g := &w.spec.Groups[group]
 	if g.Rate == 0 {
@@ -57,14 +57,15 @@
 	})
 }
 
-// sendCommand sends a client's command to the router of its session. first is the time of the client's first attempt.
-func (w *World) sendCommand(group int, sessionID uint64, first float64, attemptNumber int) {
+// sendCommand sends a client's command to the router of its session. firstSentAt is the time of the
+// client's first attempt.
+func (w *World) sendCommand(group int, sessionID uint64, firstSentAt float64, attemptNumber int) {
 	r := w.routers[sessionID%uint64(len(w.routers))]
 	s := r.session(sessionID)
 	r.lastID++
 	c := &command{
 		id: r.lastID, router: r, group: group, session: sessionID, shard: int(sessionID % uint64(len(w.shards))),
-		arrivedAt: w.now, firstSentAt: first, attemptNumber: attemptNumber,
+		arrivedAt: w.now, firstSentAt: firstSentAt, attemptNumber: attemptNumber,
 	}
 	w.setExpectations(c, s)
 	r.commands[c.id] = c
--- a/internal/lab/model/policy.go
+++ b/internal/lab/model/policy.go
@@ -11,11 +11,19 @@
 // Policy decides where commands go. Only the omniscient baseline uses information that a real router does not get. Times
 // are virtual and in seconds.
 type Policy interface {
+	// Add receives a new command.
 	Add(now float64, id uint32, c router.Command)
+	// ClientGone reports that the client no longer waits for a command.
 	ClientGone(now float64, id uint32)
+	// AttemptEnded reports the result of an attempt of a command.
 	AttemptEnded(now float64, id uint32, result router.AttemptResult)
+	// ReviewDue does the work that is due. It returns the time of the next review and the endpoints whose health is to
+	// be checked.
 	ReviewDue(now float64) (next float64, healthChecks []int)
+	// UpdateEndpoints replaces the endpoint list.
 	UpdateEndpoints(now float64, endpoints []router.EndpointInfo)
+	// HealthChecked reports the result of a health check: whether it succeeded, its duration, and the position and role
+	// of the backend.
 	HealthChecked(now float64, endpoint int, ok bool, took, position float64, primary bool)
 }
 
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -16,8 +16,8 @@
 // World is the state of one run of an experiment, of one policy with one seed. It is not safe for concurrent use.
 type World struct {
 	spec           *Spec
-	now            float64
-	seq            uint64
+	now            float64 // virtual time in seconds
+	seq            uint64  // sequence number of the event scheduled last
 	events         events
 	shards         [][]*backend
 	backends       []*backend
@@ -26,10 +26,10 @@
 	checker        invariant.Commands
 	violations     map[string]string // violated properties, each with its first violation
 	seed           uint64
-	arrivalStreams []*rand.Rand // by command group
-	workTimes      []distuv.LogNormal
-	applyStream    *rand.Rand
-	sessionStream  *rand.Rand
+	arrivalStreams []*rand.Rand       // by command group
+	workTimes      []distuv.LogNormal // by command group
+	applyStream    *rand.Rand         // draws which records are heavy
+	sessionStream  *rand.Rand         // draws the sessions of commands
 	tally          Tally
 }
 
@@ -107,6 +107,7 @@
 	}
 }
 
+// recordViolation records the first violation of a property. It ignores an empty property.
 func (w *World) recordViolation(property, detail string) {
 	if _, recorded := w.violations[property]; !recorded && property != "" {
 		w.violations[property] = detail
@@ -161,6 +162,7 @@
 	})
 }
 
+// endpoints returns the endpoint list as of now.
 func (w *World) endpoints() []router.EndpointInfo {
 	var endpoints []router.EndpointInfo
 	for _, b := range w.backends {
