--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -94,16 +94,16 @@
 // runExperiment plays every policy of an experiment with every seed, and writes its progress to standard error. It fails if
 // ctx is canceled before the end.
 func (a *app) runExperiment(ctx context.Context, spec *model.Spec, workers int) (experimentResults, error) {
-	runs, err := experiment.Play(ctx, spec, workers, func(p experiment.Progress) {
-		printf(a.stderr, "%s: %d of %d runs, %s left\n", spec.Name, p.Done, p.Of, p.Left.Round(time.Second))
+	runs, err := experiment.RunAll(ctx, spec, workers, func(p experiment.Progress) {
+		printf(a.stderr, "%s: %d of %d runs, %s left\n", spec.Name, p.Done, p.Total, p.Remaining.Round(time.Second))
 	})
 	if err != nil {
 		return experimentResults{}, exitError(ExitPaused, err)
 	}
 	results := experimentResults{Name: spec.Name, OK: true, Policies: experiment.Table(runs), Runs: runs}
 	for _, run := range runs {
-		results.Commands += run.Tally.Asked
-		if run.Policy == modulePolicy && len(run.Broken) > 0 {
+		results.Commands += run.Tally.Commands
+		if run.Policy == modulePolicy && len(run.Violations) > 0 {
 			results.OK = false
 		}
 	}
@@ -131,7 +131,7 @@
 				for _, x := range differences {
 					t.AppendRow(table.Row{
 						x.Policy, x.Pairs, fmt.Sprintf("%.4f", x.A), fmt.Sprintf("%.4f", x.B), fmt.Sprintf("%+.4f", x.Mean),
-						fmt.Sprintf("%+.4f to %+.4f", x.Low, x.High), x.Told(),
+						fmt.Sprintf("%+.4f to %+.4f", x.Low, x.High), x.Verdict(),
 					})
 				}
 				t.Render()
@@ -208,8 +208,8 @@
 	t := newTable(out, "policy", "service", "least", "most", "in target", "reads on primary", "dispatches", "rules broken")
 	for _, x := range r.Policies {
 		t.AppendRow(table.Row{
-			x.Policy, fmt.Sprintf("%.3f", x.Service), fmt.Sprintf("%.3f", x.Least), fmt.Sprintf("%.3f", x.Most), fmt.Sprintf("%.3f", x.InTarget),
-			fmt.Sprintf("%.3f", x.Primary), fmt.Sprintf("%.2f", x.Dispatches), strings.Join(x.Broken, "; "),
+			x.Policy, fmt.Sprintf("%.3f", x.Service), fmt.Sprintf("%.3f", x.Lowest), fmt.Sprintf("%.3f", x.Highest), fmt.Sprintf("%.3f", x.InTarget),
+			fmt.Sprintf("%.3f", x.PrimaryReads), fmt.Sprintf("%.2f", x.Attempts), strings.Join(x.Violations, "; "),
 		})
 	}
 	t.Render()
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -103,7 +103,7 @@
 	folder         string // absolute
 	fleet          *inventory.Fleet
 	client         *control.Client
-	members        [3]*testserver.Member // the primary and two replicas
+	members        [3]*testserver.Backend // the primary and two replicas
 	discovery      *testserver.Discovery
 	load           *testserver.Load
 	firstRevision  string // digest
--- a/internal/drill/rollout_check.go
+++ b/internal/drill/rollout_check.go
@@ -57,14 +57,14 @@
 	for ctx.Err() == nil {
 		var err error
 		if c != nil {
-			if _, _, err = c.Ask("", queryTimeout); err != nil { // a router closes connections that are idle for long
+			if _, _, err = c.Query("", queryTimeout); err != nil { // a router closes connections that are idle for long
 				_ = c.Close()
 				c = nil
 			}
 		}
 		if c == nil {
 			if c, err = testserver.Dial(address, dialTimeout); err == nil {
-				_, _, err = c.Ask("", queryTimeout)
+				_, _, err = c.Query("", queryTimeout)
 			}
 		}
 		serving.Store(err == nil)
@@ -75,14 +75,14 @@
 // recordCounts takes what the load has counted, with the response times of answered commands, into the report.
 func (d *rolloutDrill) recordCounts(counts testserver.Counts, responseTimes []time.Duration) {
 	r := d.report
-	r.CommandsSent = counts.Asked
+	r.CommandsSent = counts.Sent
 	r.Answered = counts.Answered
 	r.Rejected = counts.Throttled
 	r.Failed = counts.Failed
 	r.Lost = counts.Lost
 	r.Late = counts.Late
-	r.ConnectionsClosed = counts.Turned
-	r.RanTwice = counts.Doubled
+	r.ConnectionsClosed = counts.Refused
+	r.RanTwice = counts.Duplicated
 	r.MinServing = int(d.minServing.Load())
 	slices.Sort(responseTimes)
 	if n := len(responseTimes); n > 0 {
@@ -173,7 +173,7 @@
 		return err
 	}
 	defer func() { _ = c.Close() }()
-	answer, _, err := c.Ask("", queryTimeout)
+	answer, _, err := c.Query("", queryTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/drill/rollout_setup.go
+++ b/internal/drill/rollout_setup.go
@@ -86,15 +86,15 @@
 // startMembers starts the database servers and their discovery, and makes the load that counts what they are sent.
 func (d *rolloutDrill) startMembers() error {
 	d.load = &testserver.Load{
-		Clients: clientsPerRouter * d.options.Instances, Think: clientThinkTime, Timeout: clientTimeout, Writes: writeShare,
+		Clients: clientsPerRouter * d.options.Instances, Think: clientThinkTime, Timeout: clientTimeout, WriteShare: writeShare,
 	}
 	for i := range d.members {
 		readOnly := "on"
 		if i == 0 {
 			readOnly = "off"
 		}
-		member, err := testserver.NewMember(func(statement string) []byte {
-			d.load.Seen(statement)
+		member, err := testserver.NewBackend(func(statement string) []byte {
+			d.load.RecordStatement(statement)
 			time.Sleep(serviceTime)
 			return testserver.Row("v", readOnly)
 		})
@@ -231,7 +231,7 @@
 
 // pushRevision has all agents store a revision, and returns its digest. Revisions differ in the limit of sockets.
 func (d *rolloutDrill) pushRevision(ctx context.Context, name string, sockets int) (digest string, err error) {
-	settings := testserver.Deployment(d.discovery.At, clientTimeout.Seconds(), map[string]any{
+	settings := testserver.Deployment(d.discovery.Address, clientTimeout.Seconds(), map[string]any{
 		"limits": map[string]any{"memory_mb": 48, "sockets": sockets},
 	})
 	content, err := revision.Canonical(name, testserver.JSON(settings))
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -20,8 +20,8 @@
 	High   float64 `json:"high"`
 }
 
-// Told returns the verdict on the difference in words.
-func (d Difference) Told() string {
+// Verdict returns in words whether the second experiment is better.
+func (d Difference) Verdict() string {
 	switch {
 	case d.Pairs < minPairs:
 		return "too few seeds to tell"
--- a/internal/lab/experiment/sim.go
+++ b/internal/lab/experiment/sim.go
@@ -19,13 +19,13 @@
 
 // Run is the result of one policy with one seed.
 type Run struct {
-	Policy  string            `json:"policy"`
-	Seed    int               `json:"seed"`
-	Service float64           `json:"service"`
-	Tally   model.Tally       `json:"tally"`
-	Groups  []Group           `json:"groups"`
-	Broken  map[string]string `json:"broken,omitempty"` // violated properties, each with its first violation
-	Seconds float64           `json:"-"`                // wall time of the run, not saved because it is not reproducible
+	Policy     string            `json:"policy"`
+	Seed       int               `json:"seed"`
+	Service    float64           `json:"service"`
+	Tally      model.Tally       `json:"tally"`
+	Groups     []Group           `json:"groups"`
+	Violations map[string]string `json:"broken,omitempty"` // violated properties, each with its first violation
+	Seconds    float64           `json:"-"`                // wall time of the run, not saved because it is not reproducible
 }
 
 // Group is the response times of a command group in seconds, from the client's first attempt to the answer.
@@ -39,13 +39,14 @@
 
 // Progress is the state of an experiment after a run has ended.
 type Progress struct {
-	Done, Of int           // runs that have ended, and all runs
-	Left     time.Duration // estimated wall time until the end, from the mean of the runs so far
+	Done, Total int           // runs that have ended, and all runs
+	Remaining   time.Duration // estimated wall time until the end, from the mean of the runs so far
 }
 
-// Play performs all runs of an experiment on the given number of workers, or on one per core if that is 0. It calls
-// onProgress, if not nil, after each run. If ctx ends before all runs have, Play returns an error that says how many have.
-func Play(ctx context.Context, s *model.Spec, workers int, onProgress func(Progress)) ([]Run, error) {
+// RunAll performs all runs of an experiment on the given number of workers, or on one per core if that is 0. It calls
+// onProgress, if not nil, after each run. If ctx ends before all runs have, RunAll returns an error that says how
+// many have.
+func RunAll(ctx context.Context, s *model.Spec, workers int, onProgress func(Progress)) ([]Run, error) {
 	if workers == 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
@@ -94,7 +95,7 @@
 	tally, violations := model.New(s, r.Policy, r.Seed).Run()
 	r.Tally, r.Service = tally, tally.Service()
 	if len(violations) > 0 {
-		r.Broken = violations
+		r.Violations = violations
 	}
 	for i, times := range tally.Times {
 		sort.Float64s(times)
@@ -115,15 +116,15 @@
 
 // Row is the result of one policy over all seeds.
 type Row struct {
-	Policy     string   `json:"policy"`
-	Runs       int      `json:"runs"`
-	Service    float64  `json:"service"`          // mean of the runs
-	Least      float64  `json:"least"`            // lowest service of a run
-	Most       float64  `json:"most"`             // highest service of a run
-	InTarget   float64  `json:"in_target"`        // share of commands answered within the latency objective
-	Primary    float64  `json:"primary"`          // share of read attempts that went to a primary
-	Dispatches float64  `json:"per_command"`      // attempts per command
-	Broken     []string `json:"broken,omitempty"` // violated properties, sorted
+	Policy       string   `json:"policy"`
+	Runs         int      `json:"runs"`
+	Service      float64  `json:"service"`          // mean of the runs
+	Lowest       float64  `json:"least"`            // lowest service of a run
+	Highest      float64  `json:"most"`             // highest service of a run
+	InTarget     float64  `json:"in_target"`        // share of commands answered within the latency objective
+	PrimaryReads float64  `json:"primary"`          // share of read attempts that went to a primary
+	Attempts     float64  `json:"per_command"`      // attempts per command
+	Violations   []string `json:"broken,omitempty"` // violated properties, sorted
 }
 
 // Table summarizes the runs in one row for each policy, in the order in which the policies first appear.
@@ -133,26 +134,26 @@
 		i := slices.IndexFunc(rows, func(row Row) bool { return row.Policy == r.Policy })
 		if i < 0 {
 			i = len(rows)
-			rows = append(rows, Row{Policy: r.Policy, Least: math.Inf(1)})
+			rows = append(rows, Row{Policy: r.Policy, Lowest: math.Inf(1)})
 		}
 		row, tally := &rows[i], &r.Tally
 		row.Runs++
 		row.Service += r.Service
-		row.Least, row.Most = math.Min(row.Least, r.Service), math.Max(row.Most, r.Service)
-		row.InTarget += share(tally.InTarget, tally.Asked)
-		row.Primary += share(tally.Primary, tally.Reads)
-		row.Dispatches += share(tally.Dispatches, tally.Asked)
-		for p := range r.Broken {
-			if !slices.Contains(row.Broken, p) {
-				row.Broken = append(row.Broken, p)
+		row.Lowest, row.Highest = math.Min(row.Lowest, r.Service), math.Max(row.Highest, r.Service)
+		row.InTarget += share(tally.InTarget, tally.Commands)
+		row.PrimaryReads += share(tally.PrimaryReads, tally.Reads)
+		row.Attempts += share(tally.Attempts, tally.Commands)
+		for p := range r.Violations {
+			if !slices.Contains(row.Violations, p) {
+				row.Violations = append(row.Violations, p)
 			}
 		}
-		slices.Sort(row.Broken)
+		slices.Sort(row.Violations)
 	}
 	for i := range rows {
 		n := float64(rows[i].Runs)
 		rows[i].Service, rows[i].InTarget = rows[i].Service/n, rows[i].InTarget/n
-		rows[i].Primary, rows[i].Dispatches = rows[i].Primary/n, rows[i].Dispatches/n
+		rows[i].PrimaryReads, rows[i].Attempts = rows[i].PrimaryReads/n, rows[i].Attempts/n
 	}
 	return rows
 }
--- a/internal/lab/experiment/sim_test.go
+++ b/internal/lab/experiment/sim_test.go
@@ -34,7 +34,7 @@
 
 func run(t *testing.T, s *model.Spec, workers int) []Run {
 	t.Helper()
-	runs, err := Play(context.Background(), s, workers, nil)
+	runs, err := RunAll(context.Background(), s, workers, nil)
 	require.NoError(t, err)
 	return runs
 }
@@ -49,7 +49,7 @@
 	assert.Equal(t, string(one), string(many))
 	runs := run(t, s, 0)
 	assert.NotEqual(t, runs[0].Tally, runs[1].Tally, "runs with different seeds differ")
-	assert.Equal(t, runs[0].Tally.Asked, runs[2].Tally.Asked, "all policies get the same load")
+	assert.Equal(t, runs[0].Tally.Commands, runs[2].Tally.Commands, "all policies get the same load")
 }
 
 func TestModuleKeepsAllRulesUnderEveryFault(t *testing.T) {
@@ -63,7 +63,7 @@
 		s := small(t, "module", fault)
 		s.Seeds = []int{1, 2, 3}
 		for _, r := range run(t, s, 0) {
-			assert.Empty(t, r.Broken, "%s, seed %d", fault, r.Seed)
+			assert.Empty(t, r.Violations, "%s, seed %d", fault, r.Seed)
 			assert.Greater(t, r.Service, 0.6, "%s, seed %d", fault, r.Seed)
 		}
 	}
@@ -81,9 +81,9 @@
 		{"two-choices", "(fault crash (set 0) (member 1) (at 2s) (for 1s)) (fault crash (set 0) (member 2) (at 2s) (for 1s))", 1200},
 	} {
 		s := small(t, test.policy, test.faults)
-		s.Groups[2].Rate, s.Fleet.Heavy, s.Fleet.HeavyApply = test.rate, 0.01, 0.5
+		s.Groups[2].Rate, s.Fleet.HeavyShare, s.Fleet.HeavyApplyTime = test.rate, 0.01, 0.5
 		for _, r := range run(t, s, 0) {
-			for p := range r.Broken {
+			for p := range r.Violations {
 				seen[p] = true
 			}
 		}
@@ -104,9 +104,9 @@
 	assert.Greater(t, ceiling.Service+0.02, module.Service)
 	assert.Greater(t, module.Service, primary.Service, "the primary alone cannot serve the load")
 	assert.Greater(t, module.Service, anyReplica.Service, "a slow replica delays reads that are spread without regard to load")
-	assert.Empty(t, module.Broken)
-	assert.InDelta(t, 1.0, primary.Primary, 0)
-	assert.Less(t, module.Primary, 0.35)
+	assert.Empty(t, module.Violations)
+	assert.InDelta(t, 1.0, primary.PrimaryReads, 0)
+	assert.Less(t, module.PrimaryReads, 0.35)
 }
 
 // The load is open: clients send as many commands to a policy that falls behind. Its backlog is bounded by the timeouts.
@@ -114,8 +114,8 @@
 	s := small(t, "primary module", "")
 	s.Groups[2].Rate = 4000
 	runs := run(t, s, 0)
-	assert.Equal(t, runs[0].Tally.Asked, runs[1].Tally.Asked)
-	assert.Greater(t, runs[0].Tally.Asked, 20_000)
+	assert.Equal(t, runs[0].Tally.Commands, runs[1].Tally.Commands)
+	assert.Greater(t, runs[0].Tally.Commands, 20_000)
 	assert.Less(t, runs[0].Service, 0.7)
 }
 
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := small(t, "module", "")
 	s.Seeds = []int{1, 2, 3, 4, 5}
-	_, err := Play(ctx, s, 1, func(p Progress) {
+	_, err := RunAll(ctx, s, 1, func(p Progress) {
 		if p.Done == 2 {
 			cancel()
 		}
@@ -191,18 +191,18 @@
 	require.Len(t, d, 1)
 	assert.Equal(t, 10, d[0].Pairs)
 	assert.InDelta(t, 0.0109, d[0].Mean, 1e-9)
-	assert.Equal(t, "better", d[0].Told())
+	assert.Equal(t, "better", d[0].Verdict())
 	assert.LessOrEqual(t, d[0].Low, d[0].Mean)
 	assert.GreaterOrEqual(t, d[0].High, d[0].Mean)
 	d, err = Compare(b, a)
 	require.NoError(t, err)
-	assert.Equal(t, "worse", d[0].Told())
+	assert.Equal(t, "worse", d[0].Verdict())
 	d, err = Compare(a, other)
 	require.NoError(t, err)
-	assert.Equal(t, "no clear difference", d[0].Told())
+	assert.Equal(t, "no clear difference", d[0].Verdict())
 	d, err = Compare(a[:3], b[:3])
 	require.NoError(t, err)
-	assert.Equal(t, "too few seeds to tell", d[0].Told())
+	assert.Equal(t, "too few seeds to tell", d[0].Verdict())
 	_, err = Compare(a, b[:9])
 	require.ErrorContains(t, err, "seed 9 is in the first")
 	_, err = Compare(a[1:], b)
--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -46,7 +46,7 @@
 // warms up.
 func (b *backend) capacityShare(now float64) float64 {
 	f := &b.world.spec.Fleet
-	return math.Min(1, f.ColdShare+(1-f.ColdShare)*math.Max(0, now-b.startedAt)/float64(f.WarmIn))
+	return math.Min(1, f.ColdShare+(1-f.ColdShare)*math.Max(0, now-b.startedAt)/float64(f.WarmUp))
 }
 
 // receive handles an attempt that arrives. It begins the attempt, queues it or rejects it.
@@ -59,13 +59,13 @@
 		w.deliverResult(a, router.ConnectFailed, w.networkDelay())
 		return
 	}
-	if now := w.now; now-b.startedAt < float64(w.spec.Fleet.WarmIn) {
+	if now := w.now; now-b.startedAt < float64(w.spec.Fleet.WarmUp) {
 		b.coldCheck.Sent(now, b.startedAt)
 		if property, detail := b.coldCheck.Broken(); property != "" {
 			w.recordViolation(property, detail)
 			b.coldCheck = w.newColdCheck()
 			b.crash()
-			w.after(float64(w.spec.Fleet.WarmIn)/4, b.start)
+			w.after(float64(w.spec.Fleet.WarmUp)/4, b.start)
 			return
 		}
 	}
@@ -85,7 +85,7 @@
 func (b *backend) begin(a *attempt) {
 	w := b.world
 	g := &w.spec.Groups[a.command.group]
-	if need := consistencies[g.Need]; need == router.PrimaryOnly && !b.primary {
+	if need := consistencies[g.Consistency]; need == router.PrimaryOnly && !b.primary {
 		w.deliverResult(a, router.NotServed, w.networkDelay())
 		b.beginQueued()
 		return
@@ -108,7 +108,7 @@
 	if b.hung { // it has executed the attempt, but sends no answer
 		return
 	}
-	if consistencies[b.world.spec.Groups[a.command.group].Need] == router.PrimaryOnly {
+	if consistencies[b.world.spec.Groups[a.command.group].Consistency] == router.PrimaryOnly {
 		a.position = b.world.commit(b)
 	}
 	if !b.cut {
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -108,14 +108,14 @@
 // startAttempt sends the command to a backend, or ends it if there is none or it has used up its attempts.
 func (b *baselinePolicy) startAttempt(c *baselineCommand) {
 	endpoint := b.primary(c.command.Shard)
-	if consistencies[b.group(c).Need] != router.PrimaryOnly {
+	if consistencies[b.group(c).Consistency] != router.PrimaryOnly {
 		if candidates := b.choose(b, c); len(candidates) > 0 {
 			endpoint = candidates[b.random.IntN(len(candidates))]
 		}
 	}
 	if endpoint < 0 || len(c.tried) >= baselineMaxAttempts {
 		delete(b.commands, c.id)
-		if c.mayHaveRun && idempotencies[b.group(c).Effect] != router.Idempotent {
+		if c.mayHaveRun && idempotencies[b.group(c).Idempotency] != router.Idempotent {
 			b.instance.Fail(c.id)
 		} else {
 			b.instance.Reject(c.id, 0)
@@ -136,14 +136,14 @@
 	}
 	b.inFlight[c.endpoint]--
 	if result.Result == router.Answered {
-		if consistencies[b.group(c).Need] == router.PrimaryOnly {
+		if consistencies[b.group(c).Consistency] == router.PrimaryOnly {
 			b.lastWrites[c.command.Session] = now
 		}
 		delete(b.commands, id)
 		return
 	}
 	c.mayHaveRun = c.mayHaveRun || result.Result == router.ConnectionLost || result.Result == router.TimedOut
-	if now < c.command.ClientDeadline && (!c.mayHaveRun || idempotencies[b.group(c).Effect] == router.Idempotent) {
+	if now < c.command.ClientDeadline && (!c.mayHaveRun || idempotencies[b.group(c).Idempotency] == router.Idempotent) {
 		b.startAttempt(c)
 		return
 	}
@@ -159,7 +159,7 @@
 	}
 	var ids []uint32
 	for id, c := range b.commands {
-		if c.endpoint == endpoint && idempotencies[b.group(c).Effect] == router.Idempotent && len(c.tried) < baselineMaxAttempts {
+		if c.endpoint == endpoint && idempotencies[b.group(c).Idempotency] == router.Idempotent && len(c.tried) < baselineMaxAttempts {
 			ids = append(ids, id)
 		}
 	}
@@ -230,7 +230,7 @@
 			slices.Contains(c.tried, candidate.index) {
 			continue
 		}
-		if consistencies[b.group(c).Need] != router.Eventual && candidate.position(w.now) < math.Max(simulated.Needs, simulated.Seen) {
+		if consistencies[b.group(c).Consistency] != router.Eventual && candidate.position(w.now) < math.Max(simulated.Needs, simulated.Seen) {
 			continue
 		}
 		// The backend may still start to drain or fall behind while the attempt is on the network.
--- a/internal/lab/model/check.go
+++ b/internal/lab/model/check.go
@@ -56,7 +56,7 @@
 		least, most int
 	}{
 		{"routers", f.Routers, 1, 10_000},
-		{"sets", f.Sets, 1, 1000},
+		{"sets", f.Shards, 1, 1000},
 		{"replicas", f.Replicas, 0, 20},
 		{"slots", f.Slots, 1, 1000},
 		{"queue", f.Queue, 0, 100_000},
@@ -64,7 +64,7 @@
 	}
 	for _, count := range counts {
 		if count.value < count.least || count.value > count.most {
-			return specError(f.Place, "%s is %d, but must be between %d and %d", count.key, count.value, count.least, count.most)
+			return specError(f.Position, "%s is %d, but must be between %d and %d", count.key, count.value, count.least, count.most)
 		}
 	}
 	quantities := []struct {
@@ -72,20 +72,20 @@
 		value    float64
 		zeroIsOK bool
 	}{
-		{"way", float64(f.Way), true},
-		{"dial", float64(f.Dial), false},
-		{"ship", float64(f.Ship), true},
-		{"apply", float64(f.Apply), true},
-		{"heavy-apply", float64(f.HeavyApply), true},
-		{"list", float64(f.List), true},
+		{"way", float64(f.NetworkDelay), true},
+		{"dial", float64(f.ConnectTimeout), false},
+		{"ship", float64(f.ShipDelay), true},
+		{"apply", float64(f.ApplyTime), true},
+		{"heavy-apply", float64(f.HeavyApplyTime), true},
+		{"list", float64(f.ListDelay), true},
 		{"cold-share", f.ColdShare, false},
-		{"warm-in", float64(f.WarmIn), false},
-		{"overload", f.Overload, false},
-		{"fall-span", float64(f.FallSpan), false},
+		{"warm-in", float64(f.WarmUp), false},
+		{"overload", f.OverloadFactor, false},
+		{"fall-span", float64(f.OverloadWindow), false},
 	}
 	for _, quantity := range quantities {
 		if quantity.value < 0 || quantity.value == 0 && !quantity.zeroIsOK {
-			return specError(f.Place, "%s is %g, but must be above 0", quantity.key, quantity.value)
+			return specError(f.Position, "%s is %g, but must be above 0", quantity.key, quantity.value)
 		}
 	}
 	return nil
@@ -98,8 +98,8 @@
 	switch {
 	case s.Seconds <= 0 || s.Seconds > maxSeconds:
 		return specError(top, "seconds is %g, but must be above 0 and at most a day", float64(s.Seconds))
-	case s.Fleet.Heavy < 0 || s.Fleet.Heavy > 1 || s.Fleet.ColdShare > 1:
-		return specError(s.Fleet.Place, "heavy and cold-share are shares and must be between 0 and 1")
+	case s.Fleet.HeavyShare < 0 || s.Fleet.HeavyShare > 1 || s.Fleet.ColdShare > 1:
+		return specError(s.Fleet.Position, "heavy and cold-share are shares and must be between 0 and 1")
 	case len(s.Groups) == 0:
 		return specError(top, "group: there must be at least one command group")
 	case runs == 0 || runs > maxRuns:
@@ -110,34 +110,34 @@
 
 // check returns an error if a setting of the group is invalid.
 func (g *Group) check() error {
-	if _, known := consistencies[g.Need]; !known {
-		return specError(g.Place, "need: %q is not one of write, current, session, bound and any", g.Need)
+	if _, known := consistencies[g.Consistency]; !known {
+		return specError(g.Position, "need: %q is not one of write, current, session, bound and any", g.Consistency)
 	}
-	if _, known := idempotencies[g.Effect]; !known {
-		return specError(g.Place, "effect: %q is not one of replayable, keyed and mutating", g.Effect)
+	if _, known := idempotencies[g.Idempotency]; !known {
+		return specError(g.Position, "effect: %q is not one of replayable, keyed and mutating", g.Idempotency)
 	}
 	if err := g.checkNumbers(); err != nil {
 		return err
 	}
 	switch {
-	case g.Need == "bound" && g.Bound <= 0:
-		return specError(g.Place, "bound: a group with need bound must have a bound above 0")
-	case g.Need == "write" && g.Effect == "replayable":
-		return specError(g.Place, "effect: the effect of a write must be keyed or mutating")
+	case g.Consistency == "bound" && g.MaxStaleness <= 0:
+		return specError(g.Position, "bound: a group with need bound must have a bound above 0")
+	case g.Consistency == "write" && g.Idempotency == "replayable":
+		return specError(g.Position, "effect: the effect of a write must be keyed or mutating")
 	}
 	return nil
 }
 
 // checkNumbers checks the numbers of the group's load, benefit and times.
 func (g *Group) checkNumbers() error {
-	loadOutOfRange := g.Rate < 0 || g.Work <= 0 || g.Spread < 0
-	lateOutOfRange := g.Late < 0 || g.Late > 1
-	valueOutOfRange := g.Benefit < 0 || g.Memory < 0 || lateOutOfRange
+	loadOutOfRange := g.Rate < 0 || g.WorkTime <= 0 || g.Spread < 0
+	lateOutOfRange := g.LateShare < 0 || g.LateShare > 1
+	valueOutOfRange := g.Benefit < 0 || g.IdempotencyWindow < 0 || lateOutOfRange
 	switch {
 	case loadOutOfRange || valueOutOfRange:
-		return specError(g.Place, "work must be above 0, late between 0 and 1, and rate, spread, benefit and memory not negative")
+		return specError(g.Position, "work must be above 0, late between 0 and 1, and rate, spread, benefit and memory not negative")
 	case g.Target <= 0 || g.Timeout < g.Target:
-		return specError(g.Place, "timeout is %g and target %g, but target must be above 0 and at most the timeout", float64(g.Timeout), float64(g.Target))
+		return specError(g.Position, "timeout is %g and target %g, but target must be above 0 and at most the timeout", float64(g.Timeout), float64(g.Target))
 	}
 	return nil
 }
@@ -150,15 +150,15 @@
 	for i := range s.Groups {
 		group := &s.Groups[i]
 		commands += group.Rate * float64(s.Seconds)
-		if group.Need == "write" {
-			busySlots += group.Rate * float64(group.Work)
+		if group.Consistency == "write" {
+			busySlots += group.Rate * float64(group.WorkTime)
 		}
 	}
 	if commands > maxCommandsPerRun {
 		return specError(top, "a run has %.0f commands, but at most %d are allowed", commands, maxCommandsPerRun)
 	}
-	if capacity := float64(s.Fleet.Sets * s.Fleet.Slots); busySlots > capacity {
-		return specError(s.Fleet.Place, "writes keep %.1f slots of primaries busy, but there are only %.0f", busySlots, capacity)
+	if capacity := float64(s.Fleet.Shards * s.Fleet.Slots); busySlots > capacity {
+		return specError(s.Fleet.Position, "writes keep %.1f slots of primaries busy, but there are only %.0f", busySlots, capacity)
 	}
 	return nil
 }
@@ -168,21 +168,21 @@
 	fault := &s.Faults[index]
 	lasts, known := faultHasDuration[fault.Kind]
 	if !known {
-		return specError(fault.Place, "there is no fault %q", fault.Kind)
+		return specError(fault.Position, "there is no fault %q", fault.Kind)
 	}
 	outsideRun := fault.At < 0 || fault.At >= s.Seconds
-	wrongDuration := fault.For < 0 || lasts && fault.For == 0
+	wrongDuration := fault.Duration < 0 || lasts && fault.Duration == 0
 	if outsideRun || wrongDuration {
-		return specError(fault.Place, "at must be within the run, and for must be above 0 if the fault has a duration")
+		return specError(fault.Position, "at must be within the run, and for must be above 0 if the fault has a duration")
 	}
 	if err := s.checkFaultTarget(fault); err != nil {
 		return err
 	}
-	if fault.Kind == "slow" && fault.Times <= 1 {
-		return specError(fault.Place, "times is %g, but must be above 1 for slow", fault.Times)
+	if fault.Kind == "slow" && fault.Slowdown <= 1 {
+		return specError(fault.Position, "times is %g, but must be above 1 for slow", fault.Slowdown)
 	}
-	if fault.Kind == "elect" && fault.Member == 0 && !s.replacedByEarlierElection(fault) {
-		return specError(fault.Place, "member 0 is the primary already")
+	if fault.Kind == "elect" && fault.Backend == 0 && !s.replacedByEarlierElection(fault) {
+		return specError(fault.Position, "member 0 is the primary already")
 	}
 	return s.checkOverlap(index)
 }
@@ -192,14 +192,14 @@
 	fleet := &s.Fleet
 	if fault.Kind == "restart" {
 		if fault.Router < 0 || fault.Router >= fleet.Routers {
-			return specError(fault.Place, "router is %d, but there are only %d routers", fault.Router, fleet.Routers)
+			return specError(fault.Position, "router is %d, but there are only %d routers", fault.Router, fleet.Routers)
 		}
 		return nil
 	}
-	shardExists := fault.Set >= 0 && fault.Set < fleet.Sets
-	backendExists := fault.Member >= 0 && fault.Member <= fleet.Replicas
+	shardExists := fault.Shard >= 0 && fault.Shard < fleet.Shards
+	backendExists := fault.Backend >= 0 && fault.Backend <= fleet.Replicas
 	if !shardExists || !backendExists {
-		return specError(fault.Place, "there is no member %d in set %d", fault.Member, fault.Set)
+		return specError(fault.Position, "there is no member %d in set %d", fault.Backend, fault.Shard)
 	}
 	return nil
 }
@@ -208,8 +208,8 @@
 // the first primary is no longer the primary by then.
 func (s *Spec) replacedByEarlierElection(election *Fault) bool {
 	return slices.ContainsFunc(s.Faults, func(other Fault) bool {
-		sameShard := other.Kind == "elect" && other.Set == election.Set
-		return sameShard && other.Member != 0 && other.At < election.At
+		sameShard := other.Kind == "elect" && other.Shard == election.Shard
+		return sameShard && other.Backend != 0 && other.At < election.At
 	})
 }
 
@@ -218,18 +218,18 @@
 	fault := &s.Faults[index]
 	for i := range s.Faults {
 		other := &s.Faults[i]
-		if other.Set != fault.Set || other.Member != fault.Member {
+		if other.Shard != fault.Shard || other.Backend != fault.Backend {
 			continue
 		}
 		startsDuring := fault.startsDuring(other)
 		overlaps := startsDuring || other.startsDuring(fault)
 		sameBefore := i < index && faultHasDuration[fault.Kind] && fault.Kind == other.Kind
 		if sameBefore && overlaps {
-			return specError(fault.Place, "the same member has this fault at %s already", other.Place)
+			return specError(fault.Position, "the same member has this fault at %s already", other.Position)
 		}
 		impossibleIfDown := fault.Kind == "hang" && overlaps || fault.Kind == "elect" && startsDuring
 		if other.Kind == "crash" && impossibleIfDown {
-			return specError(fault.Place, "the member is down by then because of the crash at %s", other.Place)
+			return specError(fault.Position, "the member is down by then because of the crash at %s", other.Position)
 		}
 	}
 	return nil
@@ -237,5 +237,5 @@
 
 // startsDuring reports whether the fault starts during the other fault.
 func (f *Fault) startsDuring(other *Fault) bool {
-	return f.At >= other.At && f.At < other.At+other.For
+	return f.At >= other.At && f.At < other.At+other.Duration
 }
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -46,7 +46,7 @@
 	}
 	w.at(at, func() {
 		sessionIndex := w.sessionStream.IntN(w.spec.Fleet.Sessions)
-		w.tally.Asked++
+		w.tally.Commands++
 		w.tally.Benefit += g.Benefit
 		for len(w.tally.Series) <= int(w.now) {
 			w.tally.Series = append(w.tally.Series, Second{})
@@ -87,19 +87,19 @@
 // setExpectations sets the fields of the command by which the checker verifies how it is handled.
 func (w *World) setExpectations(c *command, s *session) {
 	g := &w.spec.Groups[c.group]
-	c.Effect = invariant.Effect(idempotencies[g.Effect])
+	c.Effect = invariant.Effect(idempotencies[g.Idempotency])
 	c.GiveUp = w.now + float64(g.Timeout)
-	c.Memory = float64(g.Memory)
+	c.Memory = float64(g.IdempotencyWindow)
 	c.Needs = math.Inf(-1)
 	c.Seen = math.Inf(-1)
-	switch consistencies[g.Need] {
+	switch consistencies[g.Consistency] {
 	case router.SessionConsistent:
 		c.Needs = s.lastWrite
 		c.Seen = s.latestRead
 	case router.Linearizable:
 		c.Needs = w.lastCommit(c.shard)
 	case router.BoundedStaleness:
-		c.Needs = w.now - float64(g.Bound)
+		c.Needs = w.now - float64(g.MaxStaleness)
 	case router.PrimaryOnly, router.Eventual: // no position is required
 	}
 }
@@ -110,7 +110,7 @@
 		Group: c.group, Session: c.session, Shard: c.shard, ArrivedAt: w.now,
 		ClientDeadline: c.GiveUp - answerMargin, ClientRetry: c.attemptNumber > 1,
 	}
-	needsOwnWrites := consistencies[w.spec.Groups[c.group].Need] == router.SessionConsistent
+	needsOwnWrites := consistencies[w.spec.Groups[c.group].Consistency] == router.SessionConsistent
 	if needsOwnWrites && !math.IsInf(s.lastWrite, -1) {
 		// An age of zero means that the session has not written. For a write at this very time, use the negative number
 		// closest to zero.
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -8,14 +8,14 @@
 
 // Fault is a fault of a backend or router.
 type Fault struct {
-	Kind   string        `sexp:",name"`   // crash, hang, cut, slow, drain, elect or restart
-	Set    int           `sexp:"set"`     // index of the backend's shard
-	Member int           `sexp:"member"`  // index of the backend in its shard; 0 is the primary at the start
-	Router int           `sexp:"router"`  // index of the router, for restart
-	At     sexp.Seconds  `sexp:"at,must"` // start, from the beginning of the run
-	For    sexp.Seconds  `sexp:"for"`     // duration
-	Times  float64       `sexp:"times"`   // factor by which commands take longer, for slow
-	Place  sexp.Position `sexp:",place"`  // position in the file, for errors
+	Kind     string        `sexp:",name"`   // crash, hang, cut, slow, drain, elect or restart
+	Shard    int           `sexp:"set"`     // index of the backend's shard
+	Backend  int           `sexp:"member"`  // index of the backend in its shard; 0 is the primary at the start
+	Router   int           `sexp:"router"`  // index of the router, for restart
+	At       sexp.Seconds  `sexp:"at,must"` // start, from the beginning of the run
+	Duration sexp.Seconds  `sexp:"for"`     // from At, for faults that last
+	Slowdown float64       `sexp:"times"`   // factor by which commands take longer, for slow
+	Position sexp.Position `sexp:",place"`  // position in the file, for errors
 }
 
 // scheduleFault schedules the start and end of a fault. policy is the one that a restarted router runs.
@@ -25,7 +25,7 @@
 		r := w.routers[fault.Router]
 		begin = func() { r.restart(policy) }
 	} else {
-		b := w.shards[fault.Set][fault.Member]
+		b := w.shards[fault.Shard][fault.Backend]
 		switch fault.Kind {
 		case "crash":
 			begin, end = b.crash, b.start
@@ -34,7 +34,7 @@
 		case "cut":
 			begin, end = func() { b.cut = true; w.backendStalled(b) }, func() { b.cut = false }
 		case "slow":
-			begin, end = func() { b.slowdown *= fault.Times }, func() { b.slowdown /= fault.Times }
+			begin, end = func() { b.slowdown *= fault.Slowdown }, func() { b.slowdown /= fault.Slowdown }
 		case "drain":
 			begin = func() { w.drain(b, true) }
 			end = func() { w.drain(b, false) }
@@ -44,7 +44,7 @@
 	}
 	w.at(float64(fault.At), begin)
 	if faultHasDuration[fault.Kind] {
-		w.at(float64(fault.At+fault.For), end)
+		w.at(float64(fault.At+fault.Duration), end)
 	}
 }
 
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -38,13 +38,13 @@
 	f := &r.world.spec.Fleet
 	config := router.Config{
 		RouterCount: f.Routers, Instance: r.index, TotalWeight: 1, BatchInterval: 0.005, PositionEpoch: -logStartBeforeRun, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
-		MaxAttempts: 4, ConnectTimeout: float64(f.Dial), SlowStartFloor: f.ColdShare, SlowStart: float64(f.WarmIn), OverloadFactor: f.Overload, OverloadWindow: float64(f.FallSpan),
+		MaxAttempts: 4, ConnectTimeout: float64(f.ConnectTimeout), SlowStartFloor: f.ColdShare, SlowStart: float64(f.WarmUp), OverloadFactor: f.OverloadFactor, OverloadWindow: float64(f.OverloadWindow),
 	}
 	for i := range r.world.spec.Groups {
 		g := &r.world.spec.Groups[i]
 		config.CommandGroups = append(config.CommandGroups, router.CommandGroup{
-			Consistency: consistencies[g.Need], Idempotency: idempotencies[g.Effect], KeyScope: router.ShardScope, LatencyObjective: float64(g.Target),
-			ClientTimeout: float64(g.Timeout), PriorityWeight: g.Benefit, LateValue: g.Late, MaxStaleness: float64(g.Bound), IdempotencyWindow: float64(g.Memory),
+			Consistency: consistencies[g.Consistency], Idempotency: idempotencies[g.Idempotency], KeyScope: router.ShardScope, LatencyObjective: float64(g.Target),
+			ClientTimeout: float64(g.Timeout), PriorityWeight: g.Benefit, LateValue: g.LateShare, MaxStaleness: float64(g.MaxStaleness), IdempotencyWindow: float64(g.IdempotencyWindow),
 		})
 	}
 	return config
@@ -72,7 +72,7 @@
 // checkHealth sends a health check to a backend.
 func (r *instance) checkHealth(endpoint int) {
 	w, b, p, sent := r.world, r.world.backends[endpoint], r.policy, r.world.now
-	w.tally.Probes++
+	w.tally.HealthChecks++
 	deliver := func(ok bool, position float64) func() {
 		return func() {
 			if r.policy == p { // the router has not restarted meanwhile
@@ -84,7 +84,7 @@
 	w.after(w.networkDelay(), func() {
 		switch {
 		case b.cut || b.hung:
-			w.after(float64(w.spec.Fleet.Dial)-w.networkDelay(), deliver(false, -1))
+			w.after(float64(w.spec.Fleet.ConnectTimeout)-w.networkDelay(), deliver(false, -1))
 		case b.down:
 			w.after(w.networkDelay(), deliver(false, -1))
 		default:
@@ -101,17 +101,17 @@
 		Set: b.shard, Away: b.listedState == router.Draining,
 		AwaySince: b.listedSince,
 	})
-	w.tally.Dispatches++
-	if consistencies[g.Need] != router.PrimaryOnly {
+	w.tally.Attempts++
+	if consistencies[g.Consistency] != router.PrimaryOnly {
 		w.tally.Reads++
 		if b.primary {
-			w.tally.Primary++
+			w.tally.PrimaryReads++
 		}
 	}
 	a := &attempt{command: c, number: number, backend: b, sentAt: w.now, pending: true}
 	c.attempts = append(c.attempts, a)
 	if b.cut {
-		w.deliverResult(a, router.ConnectFailed, float64(w.spec.Fleet.Dial))
+		w.deliverResult(a, router.ConnectFailed, float64(w.spec.Fleet.ConnectTimeout))
 	} else {
 		b.inTransit++
 		w.after(w.networkDelay(), func() {
@@ -211,11 +211,11 @@
 // recordAnswer checks and counts an answer that reaches its client.
 func (r *instance) recordAnswer(c *command, g *Group, a *attempt, position float64) {
 	w, s := r.world, r.sessions[c.session]
-	if consistencies[g.Need] == router.PrimaryOnly {
+	if consistencies[g.Consistency] == router.PrimaryOnly {
 		s.lastWrite = math.Max(s.lastWrite, position)
 	} else {
 		w.checker.Served("a command of "+g.Name, &c.Command, a.backend.index, &invariant.Member{Covers: position})
-		if consistencies[g.Need] == router.SessionConsistent {
+		if consistencies[g.Consistency] == router.SessionConsistent {
 			s.latestRead = math.Max(s.latestRead, position)
 		}
 	}
@@ -224,7 +224,7 @@
 	took := w.now - c.firstSentAt
 	w.tally.Answered++
 	w.tally.Times[c.group] = append(w.tally.Times[c.group], took)
-	earned := g.Benefit * g.Late
+	earned := g.Benefit * g.LateShare
 	if took <= float64(g.Target) {
 		w.tally.InTarget++
 		earned = g.Benefit
--- a/internal/lab/model/random.go
+++ b/internal/lab/model/random.go
@@ -21,7 +21,7 @@
 // drawWork returns a random execution time for a command of the group, in seconds.
 func (w *World) drawWork(group int) float64 {
 	if w.workTimes[group].Sigma == 0 {
-		return float64(w.spec.Groups[group].Work)
+		return float64(w.spec.Groups[group].WorkTime)
 	}
 	return w.workTimes[group].Rand()
 }
--- a/internal/lab/model/replication.go
+++ b/internal/lab/model/replication.go
@@ -20,7 +20,7 @@
 		return b.applied
 	}
 	if !b.down {
-		b.applied = math.Max(b.applied, now-float64(b.world.spec.Fleet.Ship)-float64(b.world.spec.Fleet.Apply))
+		b.applied = math.Max(b.applied, now-float64(b.world.spec.Fleet.ShipDelay)-float64(b.world.spec.Fleet.ApplyTime))
 	}
 	return b.applied
 }
@@ -28,7 +28,7 @@
 // receiveRecord schedules a record of the primary's log on a replica, whose single thread applies records one after
 // another. commit is the time of the commit, apply the time to apply the record, in seconds.
 func (b *backend) receiveRecord(commit, apply float64) {
-	b.applyDoneAt = math.Max(b.applyDoneAt, commit+float64(b.world.spec.Fleet.Ship)) + apply
+	b.applyDoneAt = math.Max(b.applyDoneAt, commit+float64(b.world.spec.Fleet.ShipDelay)) + apply
 	b.log = append(b.log, record{commit, b.applyDoneAt})
 }
 
@@ -44,9 +44,9 @@
 // commit commits a write on the primary, ships it to the replicas and returns its position.
 func (w *World) commit(b *backend) float64 {
 	f := &w.spec.Fleet
-	apply := float64(f.Apply)
-	if w.applyStream.Float64() < f.Heavy {
-		apply = float64(f.HeavyApply)
+	apply := float64(f.ApplyTime)
+	if w.applyStream.Float64() < f.HeavyShare {
+		apply = float64(f.HeavyApplyTime)
 	}
 	b.applied = w.now
 	for _, replica := range w.shards[b.shard] {
--- a/internal/lab/model/spec.go
+++ b/internal/lab/model/spec.go
@@ -29,41 +29,41 @@
 
 // Fleet is the modelled deployment.
 type Fleet struct {
-	Routers    int           `sexp:"routers,must"`    // number of routers, which share the clients
-	Sets       int           `sexp:"sets,must"`       // number of shards
-	Replicas   int           `sexp:"replicas,must"`   // number of replicas in each shard, beside its primary
-	Slots      int           `sexp:"slots,must"`      // number of commands that a backend executes in parallel
-	Queue      int           `sexp:"queue,must"`      // number of commands that may wait at a backend; further ones are rejected
-	Sessions   int           `sexp:"sessions,must"`   // number of client sessions over all routers
-	Way        sexp.Seconds  `sexp:"way,must"`        // one-way network delay between a router and a backend
-	Dial       sexp.Seconds  `sexp:"dial,must"`       // timeout of a connection attempt to a backend
-	Ship       sexp.Seconds  `sexp:"ship,must"`       // delay until a log record arrives at a replica
-	Apply      sexp.Seconds  `sexp:"apply,must"`      // time that a replica needs to apply a record
-	Heavy      float64       `sexp:"heavy"`           // share of writes whose record is heavy
-	HeavyApply sexp.Seconds  `sexp:"heavy-apply"`     // time that a replica needs to apply a heavy record
-	List       sexp.Seconds  `sexp:"list"`            // delay until the endpoint list arrives at the routers
-	ColdShare  float64       `sexp:"cold-share,must"` // share of its capacity that a backend has when it starts
-	WarmIn     sexp.Seconds  `sexp:"warm-in,must"`    // time until a started backend has its full capacity
-	Overload   float64       `sexp:"overload,must"`   // multiple of its current capacity that crashes a backend in its warm-up
-	FallSpan   sexp.Seconds  `sexp:"fall-span,must"`  // time over which the overload is measured
-	Place      sexp.Position `sexp:",place"`          // position in the file, for errors
+	Routers        int           `sexp:"routers,must"`    // number of routers, which share the clients
+	Shards         int           `sexp:"sets,must"`       // number of shards
+	Replicas       int           `sexp:"replicas,must"`   // number of replicas in each shard, beside its primary
+	Slots          int           `sexp:"slots,must"`      // number of commands that a backend executes in parallel
+	Queue          int           `sexp:"queue,must"`      // number of commands that may wait at a backend; further ones are rejected
+	Sessions       int           `sexp:"sessions,must"`   // number of client sessions over all routers
+	NetworkDelay   sexp.Seconds  `sexp:"way,must"`        // one-way network delay between a router and a backend
+	ConnectTimeout sexp.Seconds  `sexp:"dial,must"`       // timeout of a connection attempt to a backend
+	ShipDelay      sexp.Seconds  `sexp:"ship,must"`       // delay until a log record arrives at a replica
+	ApplyTime      sexp.Seconds  `sexp:"apply,must"`      // time that a replica needs to apply a record
+	HeavyShare     float64       `sexp:"heavy"`           // share of writes whose record is heavy
+	HeavyApplyTime sexp.Seconds  `sexp:"heavy-apply"`     // time that a replica needs to apply a heavy record
+	ListDelay      sexp.Seconds  `sexp:"list"`            // delay until the endpoint list arrives at the routers
+	ColdShare      float64       `sexp:"cold-share,must"` // share of its capacity that a backend has when it starts
+	WarmUp         sexp.Seconds  `sexp:"warm-in,must"`    // time until a started backend has its full capacity
+	OverloadFactor float64       `sexp:"overload,must"`   // multiple of its current capacity that crashes a backend in its warm-up
+	OverloadWindow sexp.Seconds  `sexp:"fall-span,must"`  // time over which the overload is measured
+	Position       sexp.Position `sexp:",place"`          // position in the file, for errors
 }
 
 // Group is a command group and its load.
 type Group struct {
-	Name    string        `sexp:",name"`        // name of the group
-	Need    string        `sexp:"need,must"`    // consistency: write, current, session, bound or any
-	Effect  string        `sexp:"effect,must"`  // idempotency: replayable, keyed or mutating
-	Rate    float64       `sexp:"rate,must"`    // commands per second over all routers
-	Work    sexp.Seconds  `sexp:"work,must"`    // mean execution time
-	Spread  float64       `sexp:"spread"`       // standard deviation of the logarithm of the execution time
-	Target  sexp.Seconds  `sexp:"target,must"`  // latency objective
-	Timeout sexp.Seconds  `sexp:"timeout,must"` // client timeout
-	Benefit float64       `sexp:"benefit,must"` // benefit of an answer within the target; the command's priority weight
-	Late    float64       `sexp:"late"`         // share of the benefit that a later answer earns
-	Bound   sexp.Seconds  `sexp:"bound"`        // maximum staleness of the data, for the consistency bound
-	Memory  sexp.Seconds  `sexp:"memory"`       // time for which a backend recognizes an idempotency key
-	Place   sexp.Position `sexp:",place"`       // position in the file, for errors
+	Name              string        `sexp:",name"`        // name of the group
+	Consistency       string        `sexp:"need,must"`    // write, current, session, bound or any
+	Idempotency       string        `sexp:"effect,must"`  // replayable, keyed or mutating
+	Rate              float64       `sexp:"rate,must"`    // commands per second over all routers
+	WorkTime          sexp.Seconds  `sexp:"work,must"`    // mean execution time
+	Spread            float64       `sexp:"spread"`       // standard deviation of the logarithm of the execution time
+	Target            sexp.Seconds  `sexp:"target,must"`  // latency objective
+	Timeout           sexp.Seconds  `sexp:"timeout,must"` // client timeout
+	Benefit           float64       `sexp:"benefit,must"` // benefit of an answer within the target; the command's priority weight
+	LateShare         float64       `sexp:"late"`         // share of the benefit that a later answer earns
+	MaxStaleness      sexp.Seconds  `sexp:"bound"`        // maximum staleness of the data, for the consistency bound
+	IdempotencyWindow sexp.Seconds  `sexp:"memory"`       // time for which a backend recognizes an idempotency key
+	Position          sexp.Position `sexp:",place"`       // position in the file, for errors
 }
 
 var (
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -39,7 +39,7 @@
 		spec: s, seed: uint64(seed), violations: map[string]string{},
 		applyStream: newStream(seed, "apply"), sessionStream: newStream(seed, "sessions"),
 	}
-	for range s.Fleet.Sets {
+	for range s.Fleet.Shards {
 		w.addShard()
 	}
 	w.knownEndpoints = w.endpoints()
@@ -85,13 +85,13 @@
 	g := &w.spec.Groups[group]
 	w.arrivalStreams = append(w.arrivalStreams, newStream(seed, "arrive "+g.Name))
 	w.workTimes = append(w.workTimes, distuv.LogNormal{
-		Mu: math.Log(float64(g.Work)) - g.Spread*g.Spread/2, Sigma: g.Spread,
+		Mu: math.Log(float64(g.WorkTime)) - g.Spread*g.Spread/2, Sigma: g.Spread,
 		Src: rand.NewPCG(uint64(seed), hashName("work "+g.Name)),
 	})
 	w.scheduleArrival(group)
 }
 
-func (w *World) networkDelay() float64 { return float64(w.spec.Fleet.Way) }
+func (w *World) networkDelay() float64 { return float64(w.spec.Fleet.NetworkDelay) }
 
 // newColdCheck returns the check that a backend is not overloaded while it warms up. Its full capacity is the number of
 // commands per second that its slots execute at the mean execution time of the load.
@@ -99,11 +99,11 @@
 	f := &w.spec.Fleet
 	rate, work := 0.0, 0.0
 	for _, g := range w.spec.Groups {
-		rate, work = rate+g.Rate, work+g.Rate*float64(g.Work)
+		rate, work = rate+g.Rate, work+g.Rate*float64(g.WorkTime)
 	}
 	return invariant.Cold{
 		Capacity: float64(f.Slots) * rate / math.Max(work, math.SmallestNonzeroFloat64), Share: f.ColdShare,
-		WarmIn: float64(f.WarmIn), Overload: f.Overload, FallSpan: float64(f.FallSpan),
+		WarmIn: float64(f.WarmUp), Overload: f.OverloadFactor, FallSpan: float64(f.OverloadWindow),
 	}
 }
 
@@ -148,7 +148,7 @@
 // publishEndpoints sends the current endpoint list to all routers. They receive it after the delay of the list.
 func (w *World) publishEndpoints() {
 	endpoints := w.endpoints()
-	w.after(float64(w.spec.Fleet.List), func() {
+	w.after(float64(w.spec.Fleet.ListDelay), func() {
 		w.knownEndpoints = endpoints
 		for _, r := range w.routers {
 			r.policy.UpdateEndpoints(w.now, endpoints)
--- a/internal/lab/model/world_test.go
+++ b/internal/lab/model/world_test.go
@@ -47,15 +47,15 @@
 		return &Spec{
 			Name: "rules", Seconds: 6, Seeds: []int{1},
 			Fleet: Fleet{
-				Routers: 2, Sets: 1, Replicas: 1, Slots: 2, Queue: 20, Sessions: 20, Way: 0.002, Dial: 0.1, Ship: 0.01, Apply: 0.001, List: 0.2,
-				ColdShare: 0.2, WarmIn: 1, Overload: 9, FallSpan: 0.5,
+				Routers: 2, Shards: 1, Replicas: 1, Slots: 2, Queue: 20, Sessions: 20, NetworkDelay: 0.002, ConnectTimeout: 0.1, ShipDelay: 0.01, ApplyTime: 0.001, ListDelay: 0.2,
+				ColdShare: 0.2, WarmUp: 1, OverloadFactor: 9, OverloadWindow: 0.5,
 			},
 			Groups: []Group{
-				{Name: "order", Need: "write", Effect: "mutating", Rate: 40, Work: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1},
-				{Name: "keyed", Need: "write", Effect: "keyed", Rate: 40, Work: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1, Memory: 5},
-				{Name: "look", Need: "any", Effect: "replayable", Rate: 40, Work: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1},
+				{Name: "order", Consistency: "write", Idempotency: "mutating", Rate: 40, WorkTime: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1},
+				{Name: "keyed", Consistency: "write", Idempotency: "keyed", Rate: 40, WorkTime: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1, IdempotencyWindow: 5},
+				{Name: "look", Consistency: "any", Idempotency: "replayable", Rate: 40, WorkTime: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1},
 			},
-			Faults: []Fault{{Kind: "drain", Member: 1, At: 1, For: 1}, {Kind: "hang", Member: 0, At: 2.5, For: 1}, {Kind: "crash", Member: 0, At: 4, For: 0.5}},
+			Faults: []Fault{{Kind: "drain", Backend: 1, At: 1, Duration: 1}, {Kind: "hang", Backend: 0, At: 2.5, Duration: 1}, {Kind: "crash", Backend: 0, At: 4, Duration: 0.5}},
 		}
 	}
 	defer delete(policyConstructors, "reckless")
@@ -79,7 +79,7 @@
 	}
 	policyConstructors["reckless"] = func(r *instance) Policy { return &faultyPolicy{newBaseline(anyReplica)(r).(*baselinePolicy), "again"} }
 	s := spec()
-	s.Groups[0].Rate, s.Groups[1].Rate, s.Groups[1].Memory = 0, 80, 0.001
+	s.Groups[0].Rate, s.Groups[1].Rate, s.Groups[1].IdempotencyWindow = 0, 80, 0.001
 	_, violations := New(s, "reckless", 1).Run()
 	assert.Contains(t, violations, invariant.InMemory)
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -79,7 +79,7 @@
 	p.X.Min, p.X.Max = 0, float64(s.Seconds)
 	p.Legend.Top, p.Legend.Left = false, true
 	for _, f := range s.Faults {
-		for _, at := range []float64{float64(f.At), float64(f.At + f.For)} {
+		for _, at := range []float64{float64(f.At), float64(f.At + f.Duration)} {
 			line, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: 1}})
 			if err != nil {
 				return "", fmt.Errorf("chart: %w", err)
@@ -149,13 +149,13 @@
 table{border-collapse:collapse}td,th{padding:.2em .6em;border-bottom:1px solid #999;text-align:right}td:first-child,th:first-child{text-align:left}</style>
 </head><body>
 <h1>{{.Spec.Name}}</h1>
-<p>{{.Spec.Fleet.Routers}} routers, {{.Spec.Fleet.Sets}} shards of a primary and {{.Spec.Fleet.Replicas}} replicas, {{printf "%g" .Spec.Seconds}} s, {{len .Spec.Seeds}} seeds.</p>
+<p>{{.Spec.Fleet.Routers}} routers, {{.Spec.Fleet.Shards}} shards of a primary and {{.Spec.Fleet.Replicas}} replicas, {{printf "%g" .Spec.Seconds}} s, {{len .Spec.Seeds}} seeds.</p>
 <h2>Policies</h2><div class="wide"><table><tr><th>policy</th><th>service</th><th>lowest</th><th>highest</th><th>in target</th><th>reads on primary</th><th>attempts per command</th><th>violated properties</th></tr>
-{{range .Rows}}<tr><td>{{.Policy}}</td><td>{{share .Service}}</td><td>{{share .Least}}</td><td>{{share .Most}}</td><td>{{share .InTarget}}</td><td>{{share .Primary}}</td><td>{{printf "%.2f" .Dispatches}}</td><td>{{range .Broken}}{{.}}; {{end}}</td></tr>
+{{range .Rows}}<tr><td>{{.Policy}}</td><td>{{share .Service}}</td><td>{{share .Lowest}}</td><td>{{share .Highest}}</td><td>{{share .InTarget}}</td><td>{{share .PrimaryReads}}</td><td>{{printf "%.2f" .Attempts}}</td><td>{{range .Violations}}{{.}}; {{end}}</td></tr>
 {{end}}</table></div>
 <h2>Service over time</h2><p>Earned share of the benefit of the commands that clients sent in each second, over all seeds. Vertical lines mark the start and end of faults.</p>{{.Chart}}
 <h2>Faults</h2><div class="wide"><table><tr><th>fault</th><th>where</th><th>at, s</th><th>for, s</th></tr>
-{{range .Spec.Faults}}<tr><td>{{.Kind}}</td><td>{{if eq .Kind "restart"}}router {{.Router}}{{else}}shard {{.Set}}, backend {{.Member}}{{end}}</td><td>{{printf "%g" .At}}</td><td>{{printf "%g" .For}}</td></tr>
+{{range .Spec.Faults}}<tr><td>{{.Kind}}</td><td>{{if eq .Kind "restart"}}router {{.Router}}{{else}}shard {{.Shard}}, backend {{.Backend}}{{end}}</td><td>{{printf "%g" .At}}</td><td>{{printf "%g" .Duration}}</td></tr>
 {{end}}</table></div>
 <h2>Response times, ms</h2><p>From the client's first attempt to the answer. Commands without an answer are not counted.</p><div class="wide"><table><tr><th>policy</th><th>seed</th><th>group</th><th>answered</th><th>p50</th><th>p99</th><th>p99.9</th></tr>
 {{range $r := .Runs}}{{range .Groups}}<tr><td>{{$r.Policy}}</td><td>{{$r.Seed}}</td><td>{{.Name}}</td><td>{{.Answered}}</td><td>{{ms .P50}}</td><td>{{ms .P99}}</td><td>{{ms .P999}}</td></tr>
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -28,7 +28,7 @@
 		{Policy: "module", Seed: 2, Service: 0.7, Tally: series(10, 4, 5)},
 		{
 			Policy: "any", Seed: 1, Service: 0.2, Tally: series(0, 2), Groups: []experiment.Group{{Name: "a<b", Answered: 3, P50: 0.0123}},
-			Broken: map[string]string{"a rule": "so"},
+			Violations: map[string]string{"a rule": "so"},
 		},
 	}
 }
@@ -42,7 +42,7 @@
 }
 
 func TestPageIsCompleteAndLoadsNothing(t *testing.T) {
-	s := &model.Spec{Name: "bad <day>", Seconds: 3, Seeds: []int{1, 2}, Faults: []model.Fault{{Kind: "hang", Member: 2, At: 1, For: 1}}}
+	s := &model.Spec{Name: "bad <day>", Seconds: 3, Seeds: []int{1, 2}, Faults: []model.Fault{{Kind: "hang", Backend: 2, At: 1, Duration: 1}}}
 	one, err := Page(s, runs())
 	require.NoError(t, err)
 	two, err := Page(s, runs())
--- a/internal/lab/testserver/discovery.go
+++ b/internal/lab/testserver/discovery.go
@@ -11,7 +11,7 @@
 // Discovery is a stand-in for the discovery service, which serves the endpoint list. The answer to a caller that has the
 // newest list is delayed until the next list, or by longPoll at most.
 type Discovery struct {
-	At string
+	Address string
 
 	mu         sync.Mutex
 	changed    chan struct{} // closed and replaced when the list changes
@@ -28,8 +28,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d := &Discovery{At: l.Addr().String(), changed: make(chan struct{})}
-	d.List(entries...)
+	d := &Discovery{Address: l.Addr().String(), changed: make(chan struct{})}
+	d.SetList(entries...)
 	d.http = &http.Server{Handler: d, ReadHeaderTimeout: longPoll}
 	go func() { _ = d.http.Serve(l) }()
 	return d, nil
@@ -38,8 +38,8 @@
 // Close stops the service.
 func (d *Discovery) Close() { _ = d.http.Close() }
 
-// List replaces the endpoint list by one of the entries.
-func (d *Discovery) List(entries ...string) {
+// SetList replaces the endpoint list by one of the entries.
+func (d *Discovery) SetList(entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
--- a/internal/lab/testserver/load.go
+++ b/internal/lab/testserver/load.go
@@ -11,11 +11,11 @@
 // Load runs clients that send commands to routers, each client one command at a time, and counts the outcomes. It counts
 // only what is visible on the wire: what clients wrote and received, and which statements backends received.
 type Load struct {
-	Routers []string      // addresses of the routers
-	Clients int           // number of concurrent clients
-	Think   time.Duration // pause of a client between an answer and its next command
-	Timeout time.Duration // client timeout, which commands state
-	Writes  float64       // share of mutating commands, from 0 to 1
+	Routers    []string      // addresses of the routers
+	Clients    int           // number of concurrent clients
+	Think      time.Duration // pause of a client between an answer and its next command
+	Timeout    time.Duration // client timeout, which commands state
+	WriteShare float64       // share of mutating commands, from 0 to 1
 
 	mu            sync.Mutex
 	counts        Counts
@@ -28,20 +28,20 @@
 
 // Counts is the number of commands by outcome.
 type Counts struct {
-	Asked     int // written completely
-	Answered  int // with a value
-	Throttled int // answered with the error 53300
-	Failed    int // answered with another error
-	Late      int // answered after the client timeout, with a value or an error
-	Lost      int // never answered, though a backend received them or the client timeout passed
-	Turned    int // never answered and never received by a backend: the router closed the connection first
-	Doubled   int // mutating commands that backends received more than once
+	Sent       int // written completely
+	Answered   int // with a value
+	Throttled  int // answered with the error 53300
+	Failed     int // answered with another error
+	Late       int // answered after the client timeout, with a value or an error
+	Lost       int // never answered, though a backend received them or the client timeout passed
+	Refused    int // never answered and never received by a backend: the router closed the connection first
+	Duplicated int // mutating commands that backends received more than once
 }
 
 var routingComment = regexp.MustCompile(`/\* id=([0-9a-f]+),c=([a-z]+)`)
 
-// Seen records a statement that a backend received. Backends have to call it for each.
-func (l *Load) Seen(statement string) {
+// RecordStatement records a statement that a backend received. Backends have to call it for each.
+func (l *Load) RecordStatement(statement string) {
 	if m := routingComment.FindStringSubmatch(statement); m != nil {
 		l.mu.Lock()
 		l.received[m[1]+m[2]]++
@@ -68,14 +68,14 @@
 	defer l.mu.Unlock()
 	for id, n := range l.received {
 		if id[len(id)-len(Order):] == Order && n > 1 {
-			l.counts.Doubled++
+			l.counts.Duplicated++
 		}
 	}
 	for id := range l.unanswered { // never answered: lost if a backend received the command
 		if l.received[id] > 0 {
 			l.counts.Lost++
 		} else {
-			l.counts.Turned++
+			l.counts.Refused++
 		}
 	}
 	return l.counts, l.responseTimes
@@ -116,7 +116,7 @@
 func (l *Load) sendCommand(c *Client, rng *rand.Rand) bool {
 	id := fmt.Sprintf("%016x", rng.Uint64()|1)
 	group, text := Look, "SELECT doc FROM items WHERE id = '%s' /* id=%s,c=%s,d=%d,cluster=2 */"
-	if rng.Float64() < l.Writes {
+	if rng.Float64() < l.WriteShare {
 		group, text = Order, `INSERT INTO items (id, doc) VALUES ('%s', '\x9f') RETURNING doc /* id=%s,c=%s,d=%d,cluster=2 */`
 	}
 	statement := fmt.Sprintf(text, id, id, group, l.Timeout.Milliseconds())
@@ -124,7 +124,7 @@
 	l.unanswered[id+group] = true
 	l.mu.Unlock()
 	sentAt := time.Now()
-	reply, sent, err := c.Ask(statement, l.Timeout+time.Second)
+	reply, sent, err := c.Query(statement, l.Timeout+time.Second)
 	took := time.Since(sentAt)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,7 +132,7 @@
 		delete(l.unanswered, id+group)
 		return false
 	}
-	l.counts.Asked++
+	l.counts.Sent++
 	if err != nil {
 		if took > l.Timeout {
 			delete(l.unanswered, id+group)
--- a/internal/lab/testserver/member.go
+++ b/internal/lab/testserver/member.go
@@ -30,12 +30,12 @@
 	return pg.AppendReadyForQuery(pg.AppendParameterStatus(b, "recovery", role))
 }
 
-// Member is a stand-in for a backend. It answers each statement with the result of Answer, and closes the connection if
+// Backend is a stand-in for a database server. It answers each statement with the result of Answer, and closes the connection if
 // that is nil.
-type Member struct {
-	At     string
-	Answer func(statement string) []byte
-	Asked  atomic.Int64 // number of statements received, without health checks
+type Backend struct {
+	Address    string
+	Answer     func(statement string) []byte
+	Statements atomic.Int64 // number of statements received, without health checks
 
 	listener net.Listener
 	mu       sync.Mutex
@@ -43,51 +43,51 @@
 	running  sync.WaitGroup
 }
 
-// NewMember starts a backend on a free port of 127.0.0.1.
-func NewMember(answer func(string) []byte) (*Member, error) {
+// NewBackend starts a backend on a free port of 127.0.0.1.
+func NewBackend(answer func(string) []byte) (*Backend, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("backend: %w", err)
 	}
-	m := &Member{At: l.Addr().String(), Answer: answer, listener: l, conns: map[net.Conn]bool{}}
-	m.running.Add(1)
-	go m.accept()
-	return m, nil
+	b := &Backend{Address: l.Addr().String(), Answer: answer, listener: l, conns: map[net.Conn]bool{}}
+	b.running.Add(1)
+	go b.accept()
+	return b, nil
 }
 
 // Close stops the backend and closes its connections.
-func (m *Member) Close() {
-	_ = m.listener.Close()
-	m.mu.Lock()
-	for c := range m.conns {
+func (b *Backend) Close() {
+	_ = b.listener.Close()
+	b.mu.Lock()
+	for c := range b.conns {
 		_ = c.Close()
 	}
-	m.mu.Unlock()
-	m.running.Wait()
+	b.mu.Unlock()
+	b.running.Wait()
 }
 
-func (m *Member) accept() {
-	defer m.running.Done()
+func (b *Backend) accept() {
+	defer b.running.Done()
 	for {
-		c, err := m.listener.Accept()
+		c, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
-		m.mu.Lock()
-		m.conns[c] = true
-		m.mu.Unlock()
-		m.running.Add(1)
-		go m.serve(c)
+		b.mu.Lock()
+		b.conns[c] = true
+		b.mu.Unlock()
+		b.running.Add(1)
+		go b.serve(c)
 	}
 }
 
-func (m *Member) serve(c net.Conn) {
+func (b *Backend) serve(c net.Conn) {
 	defer func() {
 		_ = c.Close()
-		m.mu.Lock()
-		delete(m.conns, c)
-		m.mu.Unlock()
-		m.running.Done()
+		b.mu.Lock()
+		delete(b.conns, c)
+		b.mu.Unlock()
+		b.running.Done()
 	}()
 	r := bufio.NewReader(c)
 	var n uint32
@@ -108,21 +108,21 @@
 			_, _ = c.Write(Row(fmt.Sprintf("x0=%.3f,x1=0", float64(time.Now().UnixMilli())/1000), "on"))
 			continue
 		}
-		m.Asked.Add(1)
-		b := m.Answer(statement)
-		if b == nil {
+		b.Statements.Add(1)
+		answer := b.Answer(statement)
+		if answer == nil {
 			return
 		}
-		if _, err := c.Write(b); err != nil {
+		if _, err := c.Write(answer); err != nil {
 			return
 		}
 	}
 }
 
 // Entry returns the backend's entry of the endpoint list.
-func (m *Member) Entry(id, state, recovery string) string {
+func (b *Backend) Entry(id, state, recovery string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"h","cell":2,"lifecycle":%q,"recovery":%q}`,
-		id, m.At, state, recovery)
+		id, b.Address, state, recovery)
 }
 
 // List returns a complete endpoint list in the format of discovery.
@@ -189,9 +189,9 @@
 	}
 }
 
-// Ask sends a query and reads its answer, both within timeout. sent reports whether the query was written
+// Query sends a query and reads its answer, both within timeout. sent reports whether the query was written
 // completely.
-func (c *Client) Ask(text string, timeout time.Duration) (reply Reply, sent bool, err error) {
+func (c *Client) Query(text string, timeout time.Duration) (reply Reply, sent bool, err error) {
 	_ = c.SetDeadline(time.Now().Add(timeout))
 	if _, err := c.Write(pg.AppendQuery(nil, text)); err != nil {
 		return reply, false, err
@@ -200,8 +200,8 @@
 	return reply, true, err
 }
 
-// Ended reports whether the router has closed the connection. No query may be in flight.
-func (c *Client) Ended() bool {
+// Closed reports whether the router has closed the connection. No query may be in flight.
+func (c *Client) Closed() bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.reader.Peek(1)
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
