--- a/internal/lab/experiment/sim_test.go
+++ b/internal/lab/experiment/sim_test.go
@@ -88,9 +88,9 @@
 			}
 		}
 	}
-	assert.True(t, seen[invariant.NotStale], "a read from any replica can be older than its session's writes: %v", seen)
-	assert.True(t, seen[invariant.NotBack], "%v", seen)
-	assert.True(t, seen[invariant.ColdBudget], "policies that do not spare starting backends overload them: %v", seen)
+	assert.True(t, seen[invariant.ReadsOwnWrites], "a read from any replica can be older than its session's writes: %v", seen)
+	assert.True(t, seen[invariant.MonotonicReads], "%v", seen)
+	assert.True(t, seen[invariant.SlowStartBudget], "policies that do not spare starting backends overload them: %v", seen)
 }
 
 func TestPoliciesRankAsExpected(t *testing.T) {
--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -28,7 +28,7 @@
 	applied     float64  // commit time of the newest applied record
 	log         []record // records not yet applied, in order of commit
 	applyDoneAt float64  // time at which all records in log will be applied
-	coldCheck   invariant.Cold
+	coldCheck   invariant.SlowStartChecker
 }
 
 // attempt is one attempt to have a backend execute a command.
@@ -60,7 +60,7 @@
 		return
 	}
 	if now := w.now; now-b.startedAt < float64(w.spec.Fleet.WarmUp) {
-		b.coldCheck.Sent(now, b.startedAt)
+		b.coldCheck.AttemptSent(now, b.startedAt)
 		if property, detail := b.coldCheck.Broken(); property != "" {
 			w.recordViolation(property, detail)
 			b.coldCheck = w.newColdCheck()
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -230,7 +230,7 @@
 			slices.Contains(c.tried, candidate.index) {
 			continue
 		}
-		if consistencies[b.group(c).Consistency] != router.Eventual && candidate.position(w.now) < math.Max(simulated.Needs, simulated.Seen) {
+		if consistencies[b.group(c).Consistency] != router.Eventual && candidate.position(w.now) < math.Max(simulated.RequiredPosition, simulated.SeenPosition) {
 			continue
 		}
 		// The backend may still start to drain or fall behind while the attempt is on the network.
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -69,7 +69,7 @@
 	}
 	w.setExpectations(c, s)
 	r.commands[c.id] = c
-	w.at(c.GiveUp, func() { w.clientTimedOut(c) })
+	w.at(c.ClientDeadline, func() { w.clientTimedOut(c) })
 	r.policy.Add(w.now, c.id, w.routerCommand(c, s))
 	r.review()
 }
@@ -87,19 +87,19 @@
 // setExpectations sets the fields of the command by which the checker verifies how it is handled.
 func (w *World) setExpectations(c *command, s *session) {
 	g := &w.spec.Groups[c.group]
-	c.Effect = invariant.Effect(idempotencies[g.Idempotency])
-	c.GiveUp = w.now + float64(g.Timeout)
-	c.Memory = float64(g.IdempotencyWindow)
-	c.Needs = math.Inf(-1)
-	c.Seen = math.Inf(-1)
+	c.Idempotency = invariant.Idempotency(idempotencies[g.Idempotency])
+	c.ClientDeadline = w.now + float64(g.Timeout)
+	c.IdempotencyWindow = float64(g.IdempotencyWindow)
+	c.RequiredPosition = math.Inf(-1)
+	c.SeenPosition = math.Inf(-1)
 	switch consistencies[g.Consistency] {
 	case router.SessionConsistent:
-		c.Needs = s.lastWrite
-		c.Seen = s.latestRead
+		c.RequiredPosition = s.lastWrite
+		c.SeenPosition = s.latestRead
 	case router.Linearizable:
-		c.Needs = w.lastCommit(c.shard)
+		c.RequiredPosition = w.lastCommit(c.shard)
 	case router.BoundedStaleness:
-		c.Needs = w.now - float64(g.MaxStaleness)
+		c.RequiredPosition = w.now - float64(g.MaxStaleness)
 	case router.PrimaryOnly, router.Eventual: // no position is required
 	}
 }
@@ -108,7 +108,7 @@
 func (w *World) routerCommand(c *command, s *session) router.Command {
 	received := router.Command{
 		Group: c.group, Session: c.session, Shard: c.shard, ArrivedAt: w.now,
-		ClientDeadline: c.GiveUp - answerMargin, ClientRetry: c.attemptNumber > 1,
+		ClientDeadline: c.ClientDeadline - answerMargin, ClientRetry: c.attemptNumber > 1,
 	}
 	needsOwnWrites := consistencies[w.spec.Groups[c.group].Consistency] == router.SessionConsistent
 	if needsOwnWrites && !math.IsInf(s.lastWrite, -1) {
@@ -124,9 +124,9 @@
 	if c.ended {
 		return
 	}
-	w.checker.Overdue(w.now+1e-9, "a command of "+w.spec.Groups[c.group].Name, &c.Command)
+	w.checker.CheckDeadline(w.now+1e-9, "a command of "+w.spec.Groups[c.group].Name, &c.Command)
 	c.ended = true
-	w.checker.Ended(&c.Command)
+	w.checker.CommandAbandoned(&c.Command)
 	c.router.policy.ClientGone(w.now, c.id)
 	c.router.review()
 	c.router.release(c)
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -86,7 +86,7 @@
 			continue
 		}
 		c.ended = true
-		r.world.checker.Ended(&c.Command)
+		r.world.checker.CommandAbandoned(&c.Command)
 		r.world.retryLater(c, r.world.networkDelay())
 	}
 	r.commands = map[uint32]*command{}
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -97,9 +97,9 @@
 func (r *instance) Forward(id uint32, number, endpoint int, deadline float64) {
 	w, c, b := r.world, r.commands[id], r.world.backends[endpoint]
 	g := &w.spec.Groups[c.group]
-	w.checker.Sent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, endpoint, &invariant.Member{
-		Set: b.shard, Away: b.listedState == router.Draining,
-		AwaySince: b.listedSince,
+	w.checker.AttemptSent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, endpoint, &invariant.Backend{
+		Shard: b.shard, Draining: b.listedState == router.Draining,
+		DrainingSince: b.listedSince,
 	})
 	w.tally.Attempts++
 	if consistencies[g.Consistency] != router.PrimaryOnly {
@@ -121,7 +121,7 @@
 			}
 		})
 	}
-	w.at(math.Min(deadline, c.GiveUp), func() {
+	w.at(math.Min(deadline, c.ClientDeadline), func() {
 		b.cancel(a)
 		r.attemptEnded(a, router.TimedOut, false, 0)
 	})
@@ -159,7 +159,7 @@
 	if c == nil {
 		return nil
 	}
-	r.world.checker.Answered(r.world.now, "a command of "+r.world.spec.Groups[c.group].Name, &c.Command)
+	r.world.checker.CommandAnswered(r.world.now, "a command of "+r.world.spec.Groups[c.group].Name, &c.Command)
 	c.ended = true
 	r.release(c)
 	return c
@@ -186,7 +186,7 @@
 	}
 	a.pending = false
 	ran := result == router.Answered || result == router.ConnectionLost || result == router.TimedOut || result == router.Canceled
-	w.checker.Back(&c.Command, a.sentAt, a.backend.shard, ran)
+	w.checker.AttemptEnded(&c.Command, a.sentAt, a.backend.shard, ran)
 	if r.commands[c.id] != c { // the router has restarted
 		return
 	}
@@ -214,12 +214,12 @@
 	if consistencies[g.Consistency] == router.PrimaryOnly {
 		s.lastWrite = math.Max(s.lastWrite, position)
 	} else {
-		w.checker.Served("a command of "+g.Name, &c.Command, a.backend.index, &invariant.Member{Covers: position})
+		w.checker.ReadServed("a command of "+g.Name, &c.Command, a.backend.index, &invariant.Backend{AppliedPosition: position})
 		if consistencies[g.Consistency] == router.SessionConsistent {
 			s.latestRead = math.Max(s.latestRead, position)
 		}
 	}
-	w.checker.Answered(w.now, "a command of "+g.Name, &c.Command)
+	w.checker.CommandAnswered(w.now, "a command of "+g.Name, &c.Command)
 	c.ended = true
 	took := w.now - c.firstSentAt
 	w.tally.Answered++
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -23,7 +23,7 @@
 	backends       []*backend
 	knownEndpoints []router.EndpointInfo // list that routers received last; a restarted router begins with it
 	routers        []*instance
-	checker        invariant.Commands
+	checker        invariant.CommandChecker
 	violations     map[string]string // violated properties, each with its first violation
 	seed           uint64
 	arrivalStreams []*rand.Rand       // by command group
@@ -95,15 +95,15 @@
 
 // newColdCheck returns the check that a backend is not overloaded while it warms up. Its full capacity is the number of
 // commands per second that its slots execute at the mean execution time of the load.
-func (w *World) newColdCheck() invariant.Cold {
+func (w *World) newColdCheck() invariant.SlowStartChecker {
 	f := &w.spec.Fleet
 	rate, work := 0.0, 0.0
 	for _, g := range w.spec.Groups {
 		rate, work = rate+g.Rate, work+g.Rate*float64(g.WorkTime)
 	}
-	return invariant.Cold{
-		Capacity: float64(f.Slots) * rate / math.Max(work, math.SmallestNonzeroFloat64), Share: f.ColdShare,
-		WarmIn: float64(f.WarmUp), Overload: f.OverloadFactor, FallSpan: float64(f.OverloadWindow),
+	return invariant.SlowStartChecker{
+		Capacity: float64(f.Slots) * rate / math.Max(work, math.SmallestNonzeroFloat64), SlowStartFloor: f.ColdShare,
+		SlowStart: float64(f.WarmUp), OverloadFactor: f.OverloadFactor, OverloadWindow: float64(f.OverloadWindow),
 	}
 }
 
@@ -131,7 +131,7 @@
 	for _, r := range w.routers {
 		for id := uint32(1); id <= r.lastID; id++ { // by ascending ID, so that the same violation is always the first
 			if c := r.commands[id]; c != nil {
-				w.checker.Overdue(w.now, "a command", &c.Command)
+				w.checker.CheckDeadline(w.now, "a command", &c.Command)
 			}
 		}
 	}
--- a/internal/lab/model/world_test.go
+++ b/internal/lab/model/world_test.go
@@ -60,8 +60,8 @@
 	}
 	defer delete(policyConstructors, "reckless")
 	for bug, property := range map[string]string{
-		"careful": "", "two at once": invariant.OneOut, "after the end": invariant.NotAfter,
-		"silent": invariant.OneAnswer, "again": invariant.NoRepeat, "drains": invariant.NoDraining,
+		"careful": "", "two at once": invariant.OneAttemptInFlight, "after the end": invariant.NothingSentAfterEnd,
+		"silent": invariant.OneAnswer, "again": invariant.NoUnsafeRetry, "drains": invariant.NothingSentToDraining,
 	} {
 		policyConstructors["reckless"] = func(r *instance) Policy {
 			choose := anyReplica
@@ -81,5 +81,5 @@
 	s := spec()
 	s.Groups[0].Rate, s.Groups[1].Rate, s.Groups[1].IdempotencyWindow = 0, 80, 0.001
 	_, violations := New(s, "reckless", 1).Run()
-	assert.Contains(t, violations, invariant.InMemory)
+	assert.Contains(t, violations, invariant.KeyedRetryInWindow)
 }
--- a/internal/modelcheck/models/client.go
+++ b/internal/modelcheck/models/client.go
@@ -45,7 +45,7 @@
 	wire     *listening
 	front    *frontend.Server
 	blocks   *buffer.Pool
-	check    invariant.Clients
+	check    invariant.ClientChecker
 	clients  []*scriptedClient
 	received []*receivedCommand
 	faults   int
@@ -162,7 +162,7 @@
 func (s clientCore) ClientGone(cs []*dispatcher.Command) {
 	for _, t := range s.received {
 		if slices.Contains(cs, t.c) && s.fault != "unheard" {
-			s.check.Ended(t.name)
+			s.check.CommandEnded(t.name)
 			t.open = s.fault == "left-twice"
 			t.c.Statement.Free()
 		}
@@ -397,7 +397,7 @@
 			}
 		}
 	}
-	s.check.Ended(t.name)
+	s.check.CommandEnded(t.name)
 	t.open = false
 	switch what {
 	case "throttle":
@@ -428,7 +428,7 @@
 		if c.halfSent { // its own half message may be found wrong
 			may = append(may, func(a invariant.Answer) bool { return a.Code == pg.CodeProtocolViolation })
 		}
-		s.check.Read(i, answers(c.received), may)
+		s.check.CheckAnswers(i, answers(c.received), may)
 	}
 	if s.drained && s.front.OpenConnections() == 0 {
 		open := 0
@@ -437,7 +437,7 @@
 				open++
 			}
 		}
-		s.check.Left(len(s.wire.socks), len(s.wire.timers), s.blocks.BlocksInUse(), open)
+		s.check.CheckLeaks(len(s.wire.socks), len(s.wire.timers), s.blocks.BlocksInUse(), open)
 	}
 }
 
--- a/internal/modelcheck/models/cold.go
+++ b/internal/modelcheck/models/cold.go
@@ -41,7 +41,7 @@
 	faults  int
 	started float64
 	routers []*coldRouter
-	check   invariant.Cold
+	check   invariant.SlowStartChecker
 	served  []int // dispatches to the cold member by each router, while nobody is against it
 }
 
@@ -62,9 +62,9 @@
 }
 
 func newCold(b Bounds, fault string) *cold {
-	c := &cold{bounds: b, fault: fault, now: 10, started: math.Inf(-1), check: invariant.Cold{
-		Capacity: 1 / coldWork, Share: 0.2, WarmIn: 8,
-		Overload: 2, FallSpan: 2,
+	c := &cold{bounds: b, fault: fault, now: 10, started: math.Inf(-1), check: invariant.SlowStartChecker{
+		Capacity: 1 / coldWork, SlowStartFloor: 0.2, SlowStart: 8,
+		OverloadFactor: 2, OverloadWindow: 2,
 	}}
 	for i := range b.Routers {
 		r := &coldRouter{world: c, me: i}
@@ -90,7 +90,7 @@
 	r.boots++
 	s := router.Config{
 		RouterCount: c.bounds.Routers, Instance: r.me, TotalWeight: 1, BatchInterval: 0.005, ClientTokens: true, LoadReports: true, CanCancel: true, MaxAttempts: 3,
-		ConnectTimeout: coldWork, SlowStartFloor: c.check.Share, SlowStart: c.check.WarmIn, OverloadFactor: c.check.Overload, OverloadWindow: c.check.FallSpan,
+		ConnectTimeout: coldWork, SlowStartFloor: c.check.SlowStartFloor, SlowStart: c.check.SlowStart, OverloadFactor: c.check.OverloadFactor, OverloadWindow: c.check.OverloadWindow,
 		CommandGroups: []router.CommandGroup{{Consistency: router.Eventual, Idempotency: router.Idempotent, LatencyObjective: 0.5, ClientTimeout: 1, PriorityWeight: 1, LateValue: 0.5}},
 	}
 	if c.fault == "alone" {
@@ -117,7 +117,7 @@
 // Forward implements inflight.Executor.
 func (r *coldRouter) Forward(id uint32, number, node int, _ float64) {
 	if c := r.world; node == 1 && !math.IsInf(c.started, -1) {
-		c.check.Sent(c.now, c.started)
+		c.check.AttemptSent(c.now, c.started)
 		if c.served != nil {
 			c.served[r.me]++
 		}
--- a/internal/modelcheck/models/command.go
+++ b/internal/modelcheck/models/command.go
@@ -89,15 +89,15 @@
 type commandGroup struct {
 	name string
 	g    router.CommandGroup
-	e    invariant.Effect
+	e    invariant.Idempotency
 }
 
 // Names of command groups in bounds, and what they are.
 var commandGroups = []commandGroup{
-	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, invariant.Replayable},
-	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, invariant.Replayable},
-	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, invariant.Mutating},
-	{"keyed", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope}, invariant.Keyed},
+	{"look", router.CommandGroup{Consistency: router.Eventual, Idempotency: router.Idempotent}, invariant.Idempotent},
+	{"own", router.CommandGroup{Consistency: router.SessionConsistent, Idempotency: router.Idempotent}, invariant.Idempotent},
+	{"order", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.NonIdempotent}, invariant.NonIdempotent},
+	{"keyed", router.CommandGroup{Consistency: router.PrimaryOnly, Idempotency: router.IdempotentWithKey, KeyScope: router.ShardScope}, invariant.IdempotentWithKey},
 }
 
 // commands is the system: one router, one set whose member 0 is the primary at first, and one session.
@@ -113,7 +113,7 @@
 	endpoints         []simulatedEndpoint
 	cmds              []*clientCommand
 	healthChecks      map[int]bool // that the module waits for
-	check             invariant.Commands
+	check             invariant.CommandChecker
 	lastWrite         float64  // position of the session's last write
 	readHighWaterMark float64  // the furthest position that its reads have shown at this router
 	starts            int      // of the router
@@ -123,7 +123,7 @@
 }
 
 type simulatedEndpoint struct {
-	invariant.Member
+	invariant.Backend
 	primary     bool
 	listedState router.EndpointState
 }
@@ -151,11 +151,11 @@
 
 func newCommands(b Bounds, fault string) *commands {
 	c := &commands{
-		bounds: b, fault: fault, healthChecks: map[int]bool{}, check: invariant.Commands{Grace: cmdGrace}, lastWrite: math.Inf(-1),
+		bounds: b, fault: fault, healthChecks: map[int]bool{}, check: invariant.CommandChecker{DrainGrace: cmdGrace}, lastWrite: math.Inf(-1),
 		readHighWaterMark: math.Inf(-1),
 	}
 	for range b.Members {
-		c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready, Member: invariant.Member{Covers: 10}})
+		c.endpoints = append(c.endpoints, simulatedEndpoint{listedState: router.Ready, Backend: invariant.Backend{AppliedPosition: 10}})
 	}
 	c.endpoints[0].primary = true
 	for i, name := range b.Commands {
@@ -211,11 +211,11 @@
 // Forward implements inflight.Executor.
 func (c *commands) Forward(id uint32, number, node int, until float64) {
 	x := c.cmds[id]
-	m := c.endpoints[node].Member
+	m := c.endpoints[node].Backend
 	if c.fault == "far-keyed" && number > 0 {
-		m.Set++
+		m.Shard++
 	}
-	c.check.Sent(c.now, x.name, &x.Command, node, &m)
+	c.check.AttemptSent(c.now, x.name, &x.Command, node, &m)
 	x.attempts = append(x.attempts, &attempt{number: number, endpoint: node, sentAt: c.now, deadline: until})
 }
 
@@ -240,7 +240,7 @@
 		c.heldAnswers = append(c.heldAnswers, int(id))
 		return
 	}
-	c.check.Answered(c.now, c.cmds[id].name, &c.cmds[id].Command)
+	c.check.CommandAnswered(c.now, c.cmds[id].name, &c.cmds[id].Command)
 }
 
 // Steps implements modelcheck.System.
@@ -284,10 +284,10 @@
 	m := &c.endpoints[i]
 	isReady, isReadyReplica := m.listedState == router.Ready, m.listedState == router.Ready && !m.primary
 	s.addIf(c.healthChecks[i], "report %d", i)
-	s.addIf(!m.primary && m.Covers < c.now && m.listedState != router.Removed, "apply %d", i)
+	s.addIf(!m.primary && m.AppliedPosition < c.now && m.listedState != router.Removed, "apply %d", i)
 	s.addIf(may("drain") && isReady, "drain %d", i)
 	s.addIf(may("replace") && isReadyReplica, "replace %d", i)
-	s.addIf(may("promote") && isReadyReplica && m.Covers >= c.lastWrite, "promote %d", i)
+	s.addIf(may("promote") && isReadyReplica && m.AppliedPosition >= c.lastWrite, "promote %d", i)
 }
 
 // Commute implements modelcheck.Commuter: a replica that applies its log touches nothing but itself, and most steps
@@ -324,7 +324,7 @@
 	case "report":
 		c.report(n)
 	case "apply":
-		c.endpoints[n].Covers = c.now
+		c.endpoints[n].AppliedPosition = c.now
 	case "drain":
 		c.drain(n)
 	case "replace":
@@ -348,7 +348,7 @@
 
 func (c *commands) leave(n int) {
 	c.faults++
-	c.check.Ended(&c.cmds[n].Command)
+	c.check.CommandAbandoned(&c.cmds[n].Command)
 	if c.fault != "left-behind" {
 		c.tracker.ClientGone(c.now, uint32(n))
 	}
@@ -358,7 +358,7 @@
 func (c *commands) report(n int) {
 	delete(c.healthChecks, n)
 	m := c.endpoints[n]
-	at := m.Covers
+	at := m.AppliedPosition
 	if c.fault == "spoilt-position" {
 		at += 2 * cmdTick
 	}
@@ -368,7 +368,7 @@
 func (c *commands) drain(n int) {
 	c.faults++
 	m := &c.endpoints[n]
-	m.listedState, m.Away, m.AwaySince = router.Draining, true, c.now
+	m.listedState, m.Draining, m.DrainingSince = router.Draining, true, c.now
 	if c.fault != "drain-overlooked" || !c.hasAttemptsInFlight() {
 		c.sendList(false)
 	}
@@ -379,7 +379,7 @@
 	for i := range c.endpoints {
 		c.endpoints[i].primary = i == n
 	}
-	c.endpoints[n].Covers = c.now
+	c.endpoints[n].AppliedPosition = c.now
 	if c.fault != "untold-primary" {
 		c.sendList(false)
 	}
@@ -390,7 +390,7 @@
 	c.faults++
 	for _, x := range c.cmds {
 		if x.received {
-			c.check.Ended(&x.Command)
+			c.check.CommandAbandoned(&x.Command)
 			x.attempts = nil
 		}
 	}
@@ -403,9 +403,9 @@
 func (c *commands) replace(n int) {
 	m := &c.endpoints[n]
 	if c.fault == "reused-index" {
-		m.Covers = 0
+		m.AppliedPosition = 0
 	} else {
-		m.listedState, m.Away, m.AwaySince = router.Removed, true, c.now
+		m.listedState, m.Draining, m.DrainingSince = router.Removed, true, c.now
 		if len(c.freeRows) > 0 {
 			c.endpoints[c.freeRows[0]] = simulatedEndpoint{listedState: router.Ready}
 			c.freeRows = c.freeRows[1:]
@@ -432,14 +432,14 @@
 	x := c.cmds[n]
 	x.received = true
 	g := commandGroups[x.group]
-	x.Effect, x.GiveUp, x.Memory, x.Needs = g.e, c.now+cmdTimeout, cmdMemory, math.Inf(-1)
-	in := router.Command{Group: x.group, Session: 7, ArrivedAt: c.now, ClientDeadline: x.GiveUp}
-	x.Seen = math.Inf(-1)
+	x.Idempotency, x.ClientDeadline, x.IdempotencyWindow, x.RequiredPosition = g.e, c.now+cmdTimeout, cmdMemory, math.Inf(-1)
+	in := router.Command{Group: x.group, Session: 7, ArrivedAt: c.now, ClientDeadline: x.ClientDeadline}
+	x.SeenPosition = math.Inf(-1)
 	if g.g.Consistency == router.SessionConsistent {
-		x.Seen = c.readHighWaterMark
+		x.SeenPosition = c.readHighWaterMark
 	}
 	if g.g.Consistency == router.SessionConsistent && !math.IsInf(c.lastWrite, -1) {
-		x.Needs, in.LastWriteAge = c.lastWrite, cmp.Or(c.now-c.lastWrite, -math.SmallestNonzeroFloat64) // as the front makes it
+		x.RequiredPosition, in.LastWriteAge = c.lastWrite, cmp.Or(c.now-c.lastWrite, -math.SmallestNonzeroFloat64) // as the front makes it
 		if c.fault == "no-age" {
 			in.LastWriteAge = math.Max(0, c.now-c.lastWrite)
 		}
@@ -452,7 +452,7 @@
 	x := c.cmds[n]
 	l := x.attempts[k]
 	if l.ghost {
-		c.check.Answered(c.now, x.name, &x.Command)
+		c.check.CommandAnswered(c.now, x.name, &x.Command)
 	}
 	if c.fault == "answers-twice" && kind == "timed" && !l.ghost {
 		l.ghost = true
@@ -465,7 +465,7 @@
 	result := attemptResults[kind]
 	m := &c.endpoints[l.endpoint]
 	missed := result == router.Answered && x.consistency() == router.PrimaryOnly && !m.primary // a replica turns it away
-	c.check.Back(&x.Command, l.sentAt, m.Set, mayHaveRun(result) && !missed)
+	c.check.AttemptEnded(&x.Command, l.sentAt, m.Shard, mayHaveRun(result) && !missed)
 	o := c.outcome(l, result, missed)
 	if o.Result == router.Answered {
 		c.serve(x, l, &o)
@@ -476,7 +476,7 @@
 	}
 	if o.Result == router.Answered && wasOpen {
 		x.answered = true
-		c.check.Answered(c.now, x.name, &x.Command)
+		c.check.CommandAnswered(c.now, x.name, &x.Command)
 	}
 }
 
@@ -520,14 +520,14 @@
 func (c *commands) serve(x *clientCommand, l *attempt, o *router.AttemptResult) {
 	m := &c.endpoints[l.endpoint]
 	if x.consistency() == router.PrimaryOnly {
-		c.lastWrite, m.Covers = c.now, c.now
+		c.lastWrite, m.AppliedPosition = c.now, c.now
 		o.Position = c.now
 		return
 	}
-	o.Position = m.Covers
-	c.check.Served(x.name, &x.Command, l.endpoint, &m.Member)
+	o.Position = m.AppliedPosition
+	c.check.ReadServed(x.name, &x.Command, l.endpoint, &m.Backend)
 	if x.consistency() == router.SessionConsistent {
-		c.readHighWaterMark = math.Max(c.readHighWaterMark, m.Covers)
+		c.readHighWaterMark = math.Max(c.readHighWaterMark, m.AppliedPosition)
 	}
 }
 
@@ -558,16 +558,16 @@
 		c.settle()
 		for i := range c.endpoints {
 			if c.endpoints[i].primary {
-				c.endpoints[i].Covers = c.now
+				c.endpoints[i].AppliedPosition = c.now
 			}
 		}
 	}
 	for _, n := range held {
-		c.check.Answered(c.now, c.cmds[n].name, &c.cmds[n].Command)
+		c.check.CommandAnswered(c.now, c.cmds[n].name, &c.cmds[n].Command)
 	}
 	for _, x := range c.cmds {
 		if x.received {
-			c.check.Overdue(c.now, x.name, &x.Command)
+			c.check.CheckDeadline(c.now, x.name, &x.Command)
 		}
 	}
 }
--- a/internal/modelcheck/models/member.go
+++ b/internal/modelcheck/models/member.go
@@ -56,7 +56,7 @@
 	sends  []*sending
 	faults int
 	ticks  int
-	check  invariant.Dispatches
+	check  invariant.AttemptChecker
 	order  []int // descriptors, in the order in which they came
 	closed bool
 	pg     map[int]*peer
@@ -120,11 +120,11 @@
 	x.state = 2
 	never := e == router.ConnectFailed || e == router.NeverSent
 	if e != router.Overloaded { // which says itself that it never ran
-		s.check.Ended(int(d.CommandID), never, s.written(int(d.CommandID)))
+		s.check.AttemptEnded(int(d.CommandID), never, s.written(int(d.CommandID)))
 	}
 	if s.fault == "twice" && e == router.Canceled {
-		s.check.Ended(int(d.CommandID), false, s.written(int(d.CommandID)))
-		s.check.Ended(int(d.CommandID), false, s.written(int(d.CommandID)))
+		s.check.AttemptEnded(int(d.CommandID), false, s.written(int(d.CommandID)))
+		s.check.AttemptEnded(int(d.CommandID), false, s.written(int(d.CommandID)))
 	}
 	if a == nil {
 		return
@@ -140,7 +140,7 @@
 		if i := bytes.Index(row, []byte("value ")); i >= 0 && i+7 <= len(row) {
 			value = string(row[i+6 : i+7])
 		}
-		s.check.Answered(int(d.CommandID), value, string(rune('a'+int(d.CommandID))))
+		s.check.AttemptAnswered(int(d.CommandID), value, string(rune('a'+int(d.CommandID))))
 	}
 	a.Row.Free()
 }
@@ -365,7 +365,7 @@
 	for _, x := range s.sends {
 		x.text.Free()
 	}
-	s.check.Left(len(s.wire.socks), len(s.wire.timers), s.blocks.BlocksInUse())
+	s.check.CheckLeaks(len(s.wire.socks), len(s.wire.timers), s.blocks.BlocksInUse())
 }
 
 // unwritten is how much of a statement a connection has still to write; a statement's length is known.
--- a/internal/modelcheck/models/recorded_test.go
+++ b/internal/modelcheck/models/recorded_test.go
@@ -93,7 +93,7 @@
 
 	taken, property, _ := got.Replay()
 	assert.Equal(t, 3, taken)
-	assert.Equal(t, invariant.ListFrom, property)
+	assert.Equal(t, invariant.ListFromWatchedAddress, property)
 	got.Fault = ""
 	_, property, _ = got.Replay()
 	assert.Empty(t, property, "without the injected bug the same steps break nothing")
--- a/internal/modelcheck/models/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -51,7 +51,7 @@
 	agents       []*rollAgent
 	tools        []*rollTool
 	delayedCalls []rollCall // calls that are still on their way after their tool has given them up
-	check        *invariant.Fleet
+	check        *invariant.RolloutChecker
 }
 
 type rollAgent struct {
@@ -84,7 +84,7 @@
 }
 
 func newRollout(b Bounds, fault string) *rolloutSystem {
-	r := &rolloutSystem{bounds: b, fault: fault, check: invariant.NewFleet(b.Agents - 1), limits: supervisor.Limits{
+	r := &rolloutSystem{bounds: b, fault: fault, check: invariant.NewRolloutChecker(b.Agents - 1), limits: supervisor.Limits{
 		ReadyTimeoutSeconds: 100, TerminationGraceSeconds: 0.5,
 		HealthCheckSeconds: 1e9, CounterReadSeconds: 1e9, RecentSeconds: 1, MinBackoffSeconds: 0.5, MaxBackoffSeconds: 1, StableSeconds: 1e9, MaxCrashes: 9, MaxMissedHealthChecks: 9, KillRetrySeconds: 100,
 	}}
@@ -180,7 +180,7 @@
 	}
 	if c.Call.Verb == protocol.BeginStepVerb {
 		c.Call.Step.OnlyIfNotServing = c.Call.Step.OnlyIfNotServing && r.fault != "rash"
-		r.check.Sent(stepName(c.Call.Step), r.isKept(c.Call.Epoch))
+		r.check.StepSent(stepName(c.Call.Step), r.isKept(c.Call.Epoch))
 	}
 	reply, saves := a.handler.Handle(r.now, c.Call)
 	if r.fault == "two-begin" {
@@ -188,7 +188,7 @@
 	}
 	isChange := c.Call.Verb == protocol.BeginStepVerb || c.Call.Verb == protocol.StoreRecordVerb
 	if reply.Denial == lease.Granted && isChange {
-		r.check.Acted(c.Call.Epoch, c.Call.Holder)
+		r.check.ChangeGranted(c.Call.Epoch, c.Call.Holder)
 	}
 	if saves.Lease {
 		a.lease = a.handler.Lease.PersistentState
@@ -231,9 +231,9 @@
 	open := a.record.Step.Number != 0 && a.record.Result == rollout.StepPending
 	switch {
 	case open && !a.open:
-		r.check.Begun(i, fmt.Sprint(a.record.Step.RolloutID, "/", a.record.Step.Number))
+		r.check.StepBegun(i, fmt.Sprint(a.record.Step.RolloutID, "/", a.record.Step.Number))
 	case !open && a.open:
-		r.check.Ended(i)
+		r.check.StepEnded(i)
 	}
 	a.open = open
 }
@@ -288,7 +288,7 @@
 	if a.runs {
 		running = 1
 	}
-	r.check.Started(i, running)
+	r.check.ProcessStarted(i, running)
 	a.runs, a.serves, a.incarnation = true, false, incarnation
 	if r.fault == "untold-start" {
 		return supervisor.Transition{}
@@ -305,7 +305,7 @@
 		}
 	}
 	if a.serves {
-		r.check.Taken(i, others)
+		r.check.RouterStopped(i, others)
 	}
 	a.runs, a.serves = false, false
 	return a.handler.Supervisors[0].ProcessExited(r.now, "ended")
--- a/internal/modelcheck/models/settle.go
+++ b/internal/modelcheck/models/settle.go
@@ -45,7 +45,7 @@
 				open = append(open, int(x.d.CommandID))
 			}
 		}
-		return invariant.ComesToEnd, fmt.Sprintf("dispatches %v do not end", open)
+		return invariant.Terminates, fmt.Sprintf("dispatches %v do not end", open)
 	}
 	return s.Broken()
 }
@@ -55,7 +55,7 @@
 	endless(&s.bounds, s.faults)
 	s.lists = 0
 	if !calm(s, func() bool { return s.lists >= 2 }) {
-		return invariant.ComesToEnd, fmt.Sprintf("of the list %d versions are told, and then none", s.lists)
+		return invariant.Terminates, fmt.Sprintf("of the list %d versions are told, and then none", s.lists)
 	}
 	return s.Broken()
 }
@@ -68,7 +68,7 @@
 		s.Take("drain")
 	}
 	if !calm(s, s.Ended) {
-		return invariant.ComesToEnd, fmt.Sprintf("the front has %d connections and does not end", s.front.OpenConnections())
+		return invariant.Terminates, fmt.Sprintf("the front has %d connections and does not end", s.front.OpenConnections())
 	}
 	return s.Broken()
 }
@@ -95,7 +95,7 @@
 		c.quiet()
 	}
 	if c.tracker.Len() > 0 {
-		return invariant.ComesToEnd, fmt.Sprintf("%d commands stay in hand", c.tracker.Len())
+		return invariant.Terminates, fmt.Sprintf("%d commands stay in hand", c.tracker.Len())
 	}
 	primary := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return m.primary && m.listedState == router.Ready })
 	replica := slices.ContainsFunc(c.endpoints, func(m simulatedEndpoint) bool { return !m.primary && m.listedState == router.Ready })
@@ -139,7 +139,7 @@
 	}
 	for i := range c.endpoints {
 		if m := &c.endpoints[i]; !m.primary && m.listedState != router.Removed {
-			m.Covers = math.Max(m.Covers, c.now)
+			m.AppliedPosition = math.Max(m.AppliedPosition, c.now)
 		}
 		if c.healthChecks[i] {
 			c.Take(fmt.Sprint("report ", i))
@@ -159,7 +159,7 @@
 		if !calm(r, func() bool {
 			return !slices.ContainsFunc(r.tools, func(t *rollTool) bool { return t.coordinator != nil })
 		}) {
-			return invariant.ComesToEnd, "a tool neither goes on nor ends"
+			return invariant.Terminates, "a tool neither goes on nor ends"
 		}
 		o := r.tools[len(r.tools)-1].outcome
 		if last = fmt.Sprintf("outcome %d, %+v", o.Kind, o.Reason); r.Ended() || o.Kind == coordinator.OutcomeNoRollout {
@@ -172,5 +172,5 @@
 		r.start(len(r.tools) - 1)
 		r.turn()
 	}
-	return invariant.ComesToEnd, fmt.Sprintf("it is taken up %d times and is not over: %s", calmRuns, last)
+	return invariant.Terminates, fmt.Sprintf("it is taken up %d times and is not over: %s", calmRuns, last)
 }
--- a/internal/modelcheck/models/systems_test.go
+++ b/internal/modelcheck/models/systems_test.go
@@ -36,11 +36,11 @@
 		}
 	}
 	for _, p := range []string{
-		invariant.OneInstance, invariant.OneHolder, invariant.NoFloor, invariant.OneProcess, invariant.Resolved,
-		invariant.OneAnswer, invariant.InTime, invariant.NotAfter, invariant.NoRepeat, invariant.InMemory, invariant.OneOut, invariant.NoDraining,
-		invariant.NotStale, invariant.NotBack, invariant.EndsOnce, invariant.LastByte, invariant.OwnAnswer, invariant.NoneIsLeft, invariant.ListFollows, invariant.ListFrom,
-		invariant.WholeAsked, invariant.OneCall, invariant.InOrder, invariant.EndsOrLet, invariant.ColdBudget,
-		invariant.ComesToEnd, invariant.ServesAgain,
+		invariant.OneInstanceInStep, invariant.OneHolderPerEpoch, invariant.KeepsMinAvailable, invariant.OneProcessPerInstance, invariant.RecordedBeforeBegun,
+		invariant.OneAnswer, invariant.AnsweredInTime, invariant.NothingSentAfterEnd, invariant.NoUnsafeRetry, invariant.KeyedRetryInWindow, invariant.OneAttemptInFlight, invariant.NothingSentToDraining,
+		invariant.ReadsOwnWrites, invariant.MonotonicReads, invariant.AttemptEndsOnce, invariant.NeverRanIffUnwritten, invariant.OwnAnswer, invariant.NoLeaks, invariant.ListCompleteOrFollows, invariant.ListFromWatchedAddress,
+		invariant.CompleteListAsked, invariant.OneCallAtATime, invariant.AnswersInOrder, invariant.CommandEndsOnce, invariant.SlowStartBudget,
+		invariant.Terminates, invariant.ServesAgain,
 	} {
 		assert.True(t, broken[p], "no injected bug breaks it: %s", p)
 	}
@@ -174,8 +174,8 @@
 			for i := range routers {
 				c.Take(fmt.Sprint("burst ", i))
 			}
-			sent = max(sent, len(c.check.Times()))
-			assert.LessOrEqual(t, float64(len(c.check.Times())), 0.9*c.check.Bears(c.now, c.started), "%d routers", routers)
+			sent = max(sent, len(c.check.SentTimes()))
+			assert.LessOrEqual(t, float64(len(c.check.SentTimes())), 0.9*c.check.MaxAttempts(c.now, c.started), "%d routers", routers)
 			c.Take("tick")
 		}
 		property, how := c.Broken()
@@ -210,7 +210,7 @@
 	}
 	w = Walk(context.Background(), commandKind, b, "early-byte", 1, 2000, 60, 0)
 	require.NotNil(t, w.Broken)
-	assert.Equal(t, invariant.NoRepeat, w.Broken.Property)
+	assert.Equal(t, invariant.NoUnsafeRetry, w.Broken.Property)
 }
 
 func TestBoundsAndTracesAreFiles(t *testing.T) {
@@ -257,7 +257,7 @@
 	trace.Fault = "no-age"
 	trace.Steps = append(trace.Steps, "answered 1 0")
 	_, property, _ = trace.Replay()
-	assert.Equal(t, invariant.NotStale, property)
+	assert.Equal(t, invariant.ReadsOwnWrites, property)
 }
 
 // TestBoundsOfCIAreExploredWhole is the exploration itself.
--- a/internal/modelcheck/models/watch.go
+++ b/internal/modelcheck/models/watch.go
@@ -38,7 +38,7 @@
 	fault      string
 	wire       *wire
 	w          *discovery.Watch
-	check      invariant.Lists
+	check      invariant.ListChecker
 	at         int // address that is watched
 	faults     int
 	ticks      int
@@ -61,7 +61,7 @@
 }
 
 func newWatch(b Bounds, fault string) *watching {
-	s := &watching{bounds: b, fault: fault, wire: newWire(), check: invariant.Lists{Members: 2}, generation: 5, calls: map[int]*call{}}
+	s := &watching{bounds: b, fault: fault, wire: newWire(), check: invariant.ListChecker{Endpoints: 2}, generation: 5, calls: map[int]*call{}}
 	limits := &config.Limits{
 		Sizes: config.Sizes{
 			ReadPerTurn: 1 << 16, DiscoveryReply: 1 << 16, DiscoveryLine: 1 << 10,
@@ -88,11 +88,11 @@
 	if from == "" {
 		from = watched // changes of none
 	}
-	s.check.Handed(l.Complete, l.Generation, len(l.Endpoints), from, watched)
+	s.check.ListDelivered(l.Complete, l.Generation, len(l.Endpoints), from, watched)
 }
 
 // ListFailed implements discovery.ListHandler.
-func (s *watching) HandleCallFailure() { s.check.Lost() }
+func (s *watching) HandleCallFailure() { s.check.ListInvalidated() }
 
 var fromParameter = regexp.MustCompile(`from=(\d+)`)
 
@@ -116,12 +116,12 @@
 			if m := fromParameter.FindSubmatch(k.sent[c.read : c.read+i]); m != nil {
 				after, _ = strconv.ParseInt(string(m[1]), 10, 64)
 			}
-			s.check.Called(after < 0, after)
+			s.check.CallSent(after < 0, after)
 			c.asked = append(c.asked, after)
 			c.read += i + 4
 		}
 	}
-	s.check.Open(open)
+	s.check.CheckConnections(open)
 }
 
 // reply is what discovery says to a call.
@@ -196,7 +196,7 @@
 	case "refuse":
 		s.faults++
 		if s.fault == "hidden" {
-			s.check.Lost()
+			s.check.ListInvalidated()
 			k.up, k.room = true, 1<<16
 		} else {
 			k.refused = true
@@ -221,7 +221,7 @@
 		old = append(old, s.wire.socks[fd].in...)
 	}
 	s.at = 1 - s.at
-	s.check.Lost()
+	s.check.ListInvalidated()
 	s.w.SetAddress(address(s.at))
 	s.look()
 	if s.fault == "old-bytes" {
