--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -94,16 +94,16 @@
 // runExperiment runs every policy of an experiment with every seed, and writes the progress to standard error. It returns an
 // error if ctx is canceled before the end.
 func (a *app) runExperiment(ctx context.Context, spec *model.Spec, workers int) (experimentResults, error) {
-	runs, err := experiment.Play(ctx, spec, workers, func(p experiment.Progress) {
-		printf(a.stderr, "%s: %d of %d runs, %s left\n", spec.Name, p.Done, p.Of, p.Left.Round(time.Second))
+	runs, err := experiment.RunAll(ctx, spec, workers, func(p experiment.Progress) {
+		printf(a.stderr, "%s: %d of %d runs, %s left\n", spec.Name, p.Done, p.Total, p.Remaining.Round(time.Second))
 	})
 	if err != nil {
 		return experimentResults{}, exitError(ExitPaused, err)
 	}
 	results := experimentResults{Name: spec.Name, OK: true, Policies: experiment.Table(runs), Runs: runs}
 	for _, run := range runs {
-		results.Commands += run.Tally.Asked
-		if run.Policy == modulePolicy && len(run.Broken) > 0 {
+		results.Commands += run.Tally.Commands
+		if run.Policy == modulePolicy && len(run.Violations) > 0 {
 			results.OK = false
 		}
 	}
@@ -131,7 +131,7 @@
 				for _, difference := range differences {
 					t.AppendRow(table.Row{
 						difference.Policy, difference.Pairs, fmt.Sprintf("%.4f", difference.A), fmt.Sprintf("%.4f", difference.B),
-						fmt.Sprintf("%+.4f", difference.Mean), fmt.Sprintf("%+.4f to %+.4f", difference.Low, difference.High), difference.Told(),
+						fmt.Sprintf("%+.4f", difference.Mean), fmt.Sprintf("%+.4f to %+.4f", difference.Low, difference.High), difference.Verdict(),
 					})
 				}
 				t.Render()
@@ -208,8 +208,8 @@
 	t := newTable(out, "policy", "service", "least", "most", "in target", "reads on primary", "dispatches", "rules broken")
 	for _, policy := range r.Policies {
 		t.AppendRow(table.Row{
-			policy.Policy, fmt.Sprintf("%.3f", policy.Service), fmt.Sprintf("%.3f", policy.Least), fmt.Sprintf("%.3f", policy.Most),
-			fmt.Sprintf("%.3f", policy.InTarget), fmt.Sprintf("%.3f", policy.Primary), fmt.Sprintf("%.2f", policy.Dispatches), strings.Join(policy.Broken, "; "),
+			policy.Policy, fmt.Sprintf("%.3f", policy.Service), fmt.Sprintf("%.3f", policy.Lowest), fmt.Sprintf("%.3f", policy.Highest),
+			fmt.Sprintf("%.3f", policy.InTarget), fmt.Sprintf("%.3f", policy.PrimaryReads), fmt.Sprintf("%.2f", policy.Attempts), strings.Join(policy.Violations, "; "),
 		})
 	}
 	t.Render()
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -103,7 +103,7 @@
 	folder            string // absolute path of the drill's files
 	fleet             *inventory.Fleet
 	client            *control.Client
-	backends          [3]*testserver.Member // the primary and two replicas
+	backends          [3]*testserver.Backend // the primary and two replicas
 	discovery         *testserver.Discovery
 	load              *testserver.Load
 	firstRevision     string // digest of the revision before the drilled rollout
--- a/internal/drill/rollout_setup.go
+++ b/internal/drill/rollout_setup.go
@@ -87,15 +87,15 @@
 // statements that backends receive.
 func (d *rolloutDrill) startBackends() error {
 	d.load = &testserver.Load{
-		Clients: clientsPerRouter * d.options.Instances, Think: clientThinkTime, Timeout: clientTimeout, Writes: writeShare,
+		Clients: clientsPerRouter * d.options.Instances, Think: clientThinkTime, Timeout: clientTimeout, WriteShare: writeShare,
 	}
 	for i := range d.backends {
 		readOnly := "on"
 		if i == 0 {
 			readOnly = "off"
 		}
-		backend, err := testserver.NewMember(func(statement string) []byte {
-			d.load.Seen(statement)
+		backend, err := testserver.NewBackend(func(statement string) []byte {
+			d.load.RecordStatement(statement)
 			time.Sleep(serviceTime)
 			return testserver.Row("v", readOnly)
 		})
@@ -232,7 +232,7 @@
 
 // pushRevision stores a revision at all agents and returns its digest. The drill's revisions differ in limits.sockets.
 func (d *rolloutDrill) pushRevision(ctx context.Context, name string, sockets int) (digest string, err error) {
-	settings := testserver.Deployment(d.discovery.At, clientTimeout.Seconds(), map[string]any{
+	settings := testserver.Deployment(d.discovery.Address, clientTimeout.Seconds(), map[string]any{
 		"limits": map[string]any{"memory_mb": 48, "sockets": sockets},
 	})
 	content, err := revision.Canonical(name, testserver.JSON(settings))
--- a/internal/lab/experiment/sim.go
+++ b/internal/lab/experiment/sim.go
@@ -1,5 +1,5 @@
-// Package experiment plays experiments in virtual time, as many runs at once as there are cores. Each run is one world from
-// one seed, so results are the same whatever the number of cores; they come in the order of the file.
+// Package experiment runs experiments in virtual time, in parallel on all cores. Each run is a simulation of its own with
+// its own seed, so the results do not depend on the number of cores. They are in the order of the experiment's file.
 package experiment
 
 import (
@@ -17,18 +17,18 @@
 	"stoatdale.example/stoatdale/internal/lab/model"
 )
 
-// Run is one policy with one seed.
+// Run is the result of one policy with one seed.
 type Run struct {
-	Policy  string            `json:"policy"`
-	Seed    int               `json:"seed"`
-	Service float64           `json:"service"`
-	Tally   model.Tally       `json:"tally"`
-	Groups  []Group           `json:"groups"`
-	Broken  map[string]string `json:"broken,omitempty"` // rules, with the first way
-	Seconds float64           `json:"-"`                // of wall time, which differs from run to run
+	Policy     string            `json:"policy"`
+	Seed       int               `json:"seed"`
+	Service    float64           `json:"service"`
+	Tally      model.Tally       `json:"tally"`
+	Groups     []Group           `json:"groups"`
+	Violations map[string]string `json:"broken,omitempty"` // violated properties, each with its first violation
+	Seconds    float64           `json:"-"`                // wall time of the run, not saved because it is not reproducible
 }
 
-// Group is how a command group was answered: seconds from its client's first asking on.
+// Group is the response times of a command group in seconds, from the client's first attempt to the answer.
 type Group struct {
 	Name     string  `json:"name"`
 	Answered int     `json:"answered"`
@@ -37,14 +37,16 @@
 	P999     float64 `json:"p999"`
 }
 
-// Progress is told as runs end.
+// Progress is the state of an experiment after a run has ended.
 type Progress struct {
-	Done, Of int
-	Left     time.Duration // as the runs so far went
+	Done, Total int           // runs that have ended, and all runs
+	Remaining   time.Duration // estimated wall time until the end, from the mean of the runs so far
 }
 
-// Play plays all of an experiment's runs. It ends early, with what is done, when ctx ends.
-func Play(ctx context.Context, s *model.Spec, workers int, tell func(Progress)) ([]Run, error) {
+// RunAll performs all runs of an experiment on the given number of workers, or on one per core if that is 0. It calls
+// onProgress, if not nil, after each run. If ctx ends before all runs have, RunAll returns an error that says how
+// many have.
+func RunAll(ctx context.Context, s *model.Spec, workers int, onProgress func(Progress)) ([]Run, error) {
 	if workers == 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
@@ -54,14 +56,14 @@
 			runs = append(runs, Run{Policy: p, Seed: seed})
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	next, done := 0, 0
 	for range min(workers, len(runs)) {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			for {
 				mu.Lock()
 				i := next
@@ -70,31 +72,32 @@
 				if i >= len(runs) || ctx.Err() != nil {
 					return
 				}
-				play(s, &runs[i])
+				runOne(s, &runs[i])
 				mu.Lock()
 				done++
-				if p := (Progress{done, len(runs), time.Since(began) / time.Duration(done) * time.Duration(len(runs)-done)}); tell != nil {
-					tell(p)
+				if p := (Progress{done, len(runs), time.Since(startedAt) / time.Duration(done) * time.Duration(len(runs)-done)}); onProgress != nil {
+					onProgress(p)
 				}
 				mu.Unlock()
 			}
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	if err := ctx.Err(); err != nil && done < len(runs) {
-		return nil, fmt.Errorf("experiment %s: %d of %d runs were played: %w", s.Name, done, len(runs), err)
+		return nil, fmt.Errorf("experiment %s: %d of %d runs have ended: %w", s.Name, done, len(runs), err)
 	}
 	return runs, nil
 }
 
-func play(s *model.Spec, r *Run) {
+// runOne performs a run and sets its results.
+func runOne(s *model.Spec, r *Run) {
 	began := time.Now()
-	t, broken := model.New(s, r.Policy, r.Seed).Run()
-	r.Tally, r.Service = t, t.Service()
-	if len(broken) > 0 {
-		r.Broken = broken
+	tally, violations := model.New(s, r.Policy, r.Seed).Run()
+	r.Tally, r.Service = tally, tally.Service()
+	if len(violations) > 0 {
+		r.Violations = violations
 	}
-	for i, times := range t.Times {
+	for i, times := range tally.Times {
 		sort.Float64s(times)
 		r.Groups = append(r.Groups, Group{s.Groups[i].Name, len(times), quantile(times, 0.5), quantile(times, 0.99), quantile(times, 0.999)})
 	}
@@ -102,54 +105,55 @@
 	r.Seconds = time.Since(began).Seconds()
 }
 
-// quantile of numbers in order: the least that so large a share does not exceed; 0 of none.
-func quantile(x []float64, q float64) float64 {
-	if len(x) == 0 {
+// quantile returns the q-quantile of sorted numbers: the smallest of them such that at least the share q of all numbers
+// is not greater. It returns 0 if there are no numbers.
+func quantile(sorted []float64, q float64) float64 {
+	if len(sorted) == 0 {
 		return 0
 	}
-	return stat.Quantile(q, stat.Empirical, x, nil)
+	return stat.Quantile(q, stat.Empirical, sorted, nil)
 }
 
-// Row is a policy over all seeds.
+// Row is the result of one policy over all seeds.
 type Row struct {
-	Policy     string   `json:"policy"`
-	Runs       int      `json:"runs"`
-	Service    float64  `json:"service"` // mean
-	Least      float64  `json:"least"`
-	Most       float64  `json:"most"`
-	InTarget   float64  `json:"in_target"`   // share of what clients asked
-	Primary    float64  `json:"primary"`     // share of reads that went there
-	Dispatches float64  `json:"per_command"` // dispatches a command asked
-	Broken     []string `json:"broken,omitempty"`
+	Policy       string   `json:"policy"`
+	Runs         int      `json:"runs"`
+	Service      float64  `json:"service"`          // mean of the runs
+	Lowest       float64  `json:"least"`            // lowest service of a run
+	Highest      float64  `json:"most"`             // highest service of a run
+	InTarget     float64  `json:"in_target"`        // share of commands answered within the latency objective
+	PrimaryReads float64  `json:"primary"`          // share of read attempts that went to a primary
+	Attempts     float64  `json:"per_command"`      // attempts per command
+	Violations   []string `json:"broken,omitempty"` // violated properties, sorted
 }
 
-// Table has a row for each policy, in the order of the file.
+// Table summarizes the runs in one row for each policy, in the order in which the policies first appear.
 func Table(runs []Run) []Row {
 	var rows []Row
 	for _, r := range runs {
-		i := slices.IndexFunc(rows, func(x Row) bool { return x.Policy == r.Policy })
+		i := slices.IndexFunc(rows, func(row Row) bool { return row.Policy == r.Policy })
 		if i < 0 {
 			i = len(rows)
-			rows = append(rows, Row{Policy: r.Policy, Least: math.Inf(1)})
+			rows = append(rows, Row{Policy: r.Policy, Lowest: math.Inf(1)})
 		}
-		x, t := &rows[i], &r.Tally
-		x.Runs++
-		x.Service += r.Service
-		x.Least, x.Most = math.Min(x.Least, r.Service), math.Max(x.Most, r.Service)
-		x.InTarget += share(t.InTarget, t.Asked)
-		x.Primary += share(t.Primary, t.Reads)
-		x.Dispatches += share(t.Dispatches, t.Asked)
-		for p := range r.Broken {
-			if !slices.Contains(x.Broken, p) {
-				x.Broken = append(x.Broken, p)
+		row, tally := &rows[i], &r.Tally
+		row.Runs++
+		row.Service += r.Service
+		row.Lowest, row.Highest = math.Min(row.Lowest, r.Service), math.Max(row.Highest, r.Service)
+		row.InTarget += share(tally.InTarget, tally.Commands)
+		row.PrimaryReads += share(tally.PrimaryReads, tally.Reads)
+		row.Attempts += share(tally.Attempts, tally.Commands)
+		for p := range r.Violations {
+			if !slices.Contains(row.Violations, p) {
+				row.Violations = append(row.Violations, p)
 			}
 		}
-		slices.Sort(x.Broken)
+		slices.Sort(row.Violations)
 	}
 	for i := range rows {
 		n := float64(rows[i].Runs)
 		rows[i].Service, rows[i].InTarget = rows[i].Service/n, rows[i].InTarget/n
-		rows[i].Primary, rows[i].Dispatches = rows[i].Primary/n, rows[i].Dispatches/n
+		rows[i].PrimaryReads, rows[i].Attempts = rows[i].PrimaryReads/n, rows[i].Attempts/n
 	}
 	return rows
 }
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -8,54 +8,57 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// baselinePolicy knows the endpoint list and its own attempts. Reads go where choose says, all else to the listed
-// primary; an attempt that never ran is retried elsewhere, idempotent commands also if they may have run.
+// baselinePolicy is a simple policy that knows only the endpoint list and its own attempts. It sends reads to a random one
+// of the backends that choose returns, and everything else to the primary in the list. It retries an attempt that never ran
+// at another backend. It also retries idempotent commands that may have run.
 type baselinePolicy struct {
 	instance     *instance
 	choose       func(b *baselinePolicy, s *baselineCommand) []int
-	seesBackends bool // it knows the true state of backends at once
+	seesBackends bool // whether it knows the true state of backends without delay
 	random       *rand.Rand
-	list         []router.EndpointInfo
-	out          []int // attempts by node
-	turn         int
-	wrote        map[uint64]float64 // when sessions last wrote, for the window; emptied with each that has run out
+	endpoints    []router.EndpointInfo
+	inFlight     []int              // attempts in flight by backend
+	nextReplica  int                // reads so far, for round-robin
+	lastWrites   map[uint64]float64 // time of the last write of each session, deleted after primaryWindow
 	commands     map[uint32]*baselineCommand
 }
 
 // baselineCommand is a command that a baseline policy has not finished.
 type baselineCommand struct {
-	id      uint32
-	command router.Command
-	ran     bool
-	tried   []int
-	at      int
+	id         uint32
+	command    router.Command
+	mayHaveRun bool  // whether an earlier attempt may have been executed
+	tried      []int // backends of all attempts so far
+	endpoint   int   // backend of the current attempt
 }
 
 const (
 	baselineMaxAttempts = 3
-	primaryWindow       = 1.0 // seconds after a session's write in which its reads go to the primary
+	primaryWindow       = 1.0 // seconds after a session's write during which the policy window sends its reads to the primary
 )
 
 func newBaseline(choose func(b *baselinePolicy, s *baselineCommand) []int) func(r *instance) Policy {
 	return func(r *instance) Policy {
 		return &baselinePolicy{
-			instance: r, choose: choose, random: rand.New(rand.NewPCG(r.world.seed, hashName("simple")+uint64(r.index)<<8+uint64(r.boots))),
-			out: make([]int, len(r.world.backends)), wrote: map[uint64]float64{}, commands: map[uint32]*baselineCommand{},
+			instance: r, choose: choose, random: rand.New(rand.NewPCG(r.world.seed, hashName("simple")+uint64(r.index)<<8+uint64(r.starts))),
+			inFlight: make([]int, len(r.world.backends)), lastWrites: map[uint64]float64{}, commands: map[uint32]*baselineCommand{},
 		}
 	}
 }
 
 // UpdateEndpoints implements Policy.
-func (b *baselinePolicy) UpdateEndpoints(_ float64, l []router.EndpointInfo) { b.list = l }
+func (b *baselinePolicy) UpdateEndpoints(_ float64, endpoints []router.EndpointInfo) {
+	b.endpoints = endpoints
+}
 
-// HealthChecked implements Policy: a baseline makes no health checks.
+// HealthChecked implements Policy. Baselines make no health checks.
 func (b *baselinePolicy) HealthChecked(float64, int, bool, float64, float64, bool) {}
 
-// ReviewDue implements Policy: no command waits for a review; only old writes are forgotten.
+// ReviewDue implements Policy. It only deletes old writes, because commands never wait for a review.
 func (b *baselinePolicy) ReviewDue(now float64) (float64, []int) {
-	for s, at := range b.wrote {
+	for s, at := range b.lastWrites {
 		if now-at > primaryWindow {
-			delete(b.wrote, s)
+			delete(b.lastWrites, s)
 		}
 	}
 	return now + primaryWindow, nil
@@ -65,93 +68,98 @@
 func (b *baselinePolicy) Add(_ float64, id uint32, c router.Command) {
 	s := &baselineCommand{id: id, command: c}
 	b.commands[id] = s
-	b.place(s)
+	b.startAttempt(s)
 }
 
 // ClientGone implements Policy.
 func (b *baselinePolicy) ClientGone(_ float64, id uint32) { delete(b.commands, id) }
 
-func (b *baselinePolicy) group(s *baselineCommand) *Group {
-	return &b.instance.world.spec.Groups[s.command.Group]
+func (b *baselinePolicy) group(c *baselineCommand) *Group {
+	return &b.instance.world.spec.Groups[c.command.Group]
 }
 
+// primary returns the index of the shard's primary in the endpoint list, or -1 if there is none. The omniscient policy
+// gets the actual primary instead.
 func (b *baselinePolicy) primary(shard int) int {
-	for _, m := range b.instance.world.shards[shard] {
-		if b.seesBackends && m.primary {
-			return m.node
+	for _, candidate := range b.instance.world.shards[shard] {
+		if b.seesBackends && candidate.primary {
+			return candidate.index
 		}
 	}
-	for _, l := range b.list {
-		if l.Shard == shard && l.Primary {
-			return l.Index
+	for _, e := range b.endpoints {
+		if e.Shard == shard && e.Primary {
+			return e.Index
 		}
 	}
 	return -1
 }
 
-// replicas that are listed ready and were not tried for this command.
-func (b *baselinePolicy) replicas(s *baselineCommand) (out []int) {
-	for _, l := range b.list {
-		if l.Shard == s.command.Shard && !l.Primary && l.State == router.Ready && !slices.Contains(s.tried, l.Index) {
-			out = append(out, l.Index)
+// untriedReplicas returns the replicas of the command's shard that are ready in the list and that the command has not
+// tried yet.
+func (b *baselinePolicy) untriedReplicas(c *baselineCommand) (replicas []int) {
+	for _, e := range b.endpoints {
+		if e.Shard == c.command.Shard && !e.Primary && e.State == router.Ready && !slices.Contains(c.tried, e.Index) {
+			replicas = append(replicas, e.Index)
 		}
 	}
-	return out
+	return replicas
 }
 
-func (b *baselinePolicy) place(s *baselineCommand) {
-	at := b.primary(s.command.Shard)
-	if consistencies[b.group(s).Need] != router.PrimaryOnly {
-		if some := b.choose(b, s); len(some) > 0 {
-			at = some[b.random.IntN(len(some))]
+// startAttempt sends the command to a backend, or ends it if there is none or it has used up its attempts.
+func (b *baselinePolicy) startAttempt(c *baselineCommand) {
+	endpoint := b.primary(c.command.Shard)
+	if consistencies[b.group(c).Consistency] != router.PrimaryOnly {
+		if candidates := b.choose(b, c); len(candidates) > 0 {
+			endpoint = candidates[b.random.IntN(len(candidates))]
 		}
 	}
-	if at < 0 || len(s.tried) >= baselineMaxAttempts {
-		delete(b.commands, s.id)
-		if s.ran && idempotencies[b.group(s).Effect] != router.Idempotent {
-			b.instance.Fail(s.id)
+	if endpoint < 0 || len(c.tried) >= baselineMaxAttempts {
+		delete(b.commands, c.id)
+		if c.mayHaveRun && idempotencies[b.group(c).Idempotency] != router.Idempotent {
+			b.instance.Fail(c.id)
 		} else {
-			b.instance.Reject(s.id, 0)
+			b.instance.Reject(c.id, 0)
 		}
 		return
 	}
-	s.at = at
-	s.tried = append(s.tried, at)
-	b.out[at]++
-	b.instance.Forward(s.id, len(s.tried)-1, at, s.command.ClientDeadline)
+	c.endpoint = endpoint
+	c.tried = append(c.tried, endpoint)
+	b.inFlight[endpoint]++
+	b.instance.Forward(c.id, len(c.tried)-1, endpoint, c.command.ClientDeadline)
 }
 
 // AttemptEnded implements Policy.
-func (b *baselinePolicy) AttemptEnded(now float64, id uint32, o router.AttemptResult) {
-	s := b.commands[id]
-	if s == nil {
+func (b *baselinePolicy) AttemptEnded(now float64, id uint32, result router.AttemptResult) {
+	c := b.commands[id]
+	if c == nil {
 		return
 	}
-	b.out[s.at]--
-	if o.Result == router.Answered {
-		if consistencies[b.group(s).Need] == router.PrimaryOnly {
-			b.wrote[s.command.Session] = now
+	b.inFlight[c.endpoint]--
+	if result.Result == router.Answered {
+		if consistencies[b.group(c).Consistency] == router.PrimaryOnly {
+			b.lastWrites[c.command.Session] = now
 		}
 		delete(b.commands, id)
 		return
 	}
-	s.ran = s.ran || o.Result == router.ConnectionLost || o.Result == router.TimedOut
-	if now < s.command.ClientDeadline && (!s.ran || idempotencies[b.group(s).Effect] == router.Idempotent) {
-		b.place(s)
+	c.mayHaveRun = c.mayHaveRun || result.Result == router.ConnectionLost || result.Result == router.TimedOut
+	if now < c.command.ClientDeadline && (!c.mayHaveRun || idempotencies[b.group(c).Idempotency] == router.Idempotent) {
+		b.startAttempt(c)
 		return
 	}
 	delete(b.commands, id)
 	b.instance.Fail(id)
 }
 
-// backendStalled cancels attempts at a backend that will not answer, if the policy is omniscient and they may be retried.
-func (b *baselinePolicy) backendStalled(node int) {
+// backendStalled cancels the attempts at a backend that does not answer any more, if the policy is omniscient and the
+// commands may be retried.
+func (b *baselinePolicy) backendStalled(endpoint int) {
 	if !b.seesBackends {
 		return
 	}
 	var ids []uint32
-	for id, s := range b.commands {
-		if s.at == node && idempotencies[b.group(s).Effect] == router.Idempotent && len(s.tried) < baselineMaxAttempts {
+	for id, c := range b.commands {
+		if c.endpoint == endpoint && idempotencies[b.group(c).Idempotency] == router.Idempotent && len(c.tried) < baselineMaxAttempts {
 			ids = append(ids, id)
 		}
 	}
@@ -161,64 +169,75 @@
 	}
 }
 
-// primaryOnly sends reads to the primary too.
+// primaryOnly chooses no replica, so that reads go to the primary too.
 func primaryOnly(*baselinePolicy, *baselineCommand) []int { return nil }
 
-func anyReplica(b *baselinePolicy, s *baselineCommand) []int { return b.replicas(s) }
+// anyReplica chooses all untried replicas, whatever the age of their data.
+func anyReplica(b *baselinePolicy, c *baselineCommand) []int { return b.untriedReplicas(c) }
 
-func primaryForAWindow(b *baselinePolicy, s *baselineCommand) []int {
-	if at, wrote := b.wrote[s.command.Session]; wrote && s.command.ArrivedAt-at <= primaryWindow {
+// primaryForAWindow chooses the primary for reads shortly after a write of their session, and all untried replicas for
+// other reads.
+func primaryForAWindow(b *baselinePolicy, c *baselineCommand) []int {
+	if at, wrote := b.lastWrites[c.command.Session]; wrote && c.command.ArrivedAt-at <= primaryWindow {
 		return nil
 	}
-	return b.replicas(s)
+	return b.untriedReplicas(c)
 }
 
-func roundRobin(b *baselinePolicy, s *baselineCommand) []int {
-	all := b.replicas(s)
-	if len(all) == 0 {
+// roundRobin chooses the untried replicas in turn.
+func roundRobin(b *baselinePolicy, c *baselineCommand) []int {
+	candidates := b.untriedReplicas(c)
+	if len(candidates) == 0 {
 		return nil
 	}
-	b.turn++
-	return all[b.turn%len(all) : b.turn%len(all)+1]
+	b.nextReplica++
+	return candidates[b.nextReplica%len(candidates) : b.nextReplica%len(candidates)+1]
 }
 
-// fewest are those with the fewest attempts of this router.
-func (b *baselinePolicy) fewest(some []int) []int {
-	least := math.MaxInt
-	for _, i := range some {
-		least = min(least, b.out[i])
+// withFewestAttempts are those with the withFewestAttempts attempts of this router.
+func (b *baselinePolicy) withFewestAttempts(candidates []int) []int {
+	fewest := math.MaxInt
+	for _, i := range candidates {
+		fewest = min(fewest, b.inFlight[i])
 	}
-	return slices.DeleteFunc(some, func(i int) bool { return b.out[i] > least })
+	return slices.DeleteFunc(candidates, func(i int) bool { return b.inFlight[i] > fewest })
 }
 
-func leastDispatches(b *baselinePolicy, s *baselineCommand) []int { return b.fewest(b.replicas(s)) }
+// leastAttempts chooses the untried replicas with the fewest attempts from this router in flight.
+func leastAttempts(b *baselinePolicy, c *baselineCommand) []int {
+	return b.withFewestAttempts(b.untriedReplicas(c))
+}
 
-func twoChoices(b *baselinePolicy, s *baselineCommand) []int {
-	all := b.replicas(s)
-	for len(all) > 2 {
-		i := b.random.IntN(len(all))
-		all = slices.Delete(all, i, i+1)
+// twoChoices draws two untried replicas at random and chooses the one with fewer attempts in flight, or both if equal.
+func twoChoices(b *baselinePolicy, c *baselineCommand) []int {
+	candidates := b.untriedReplicas(c)
+	for len(candidates) > 2 {
+		i := b.random.IntN(len(candidates))
+		candidates = slices.Delete(candidates, i, i+1)
 	}
-	return b.fewest(all)
+	return b.withFewestAttempts(candidates)
 }
 
-// omniscient knows every backend's true state, which no router can: what could be had. Of those that cover a read and
-// work, it takes the one whose queue is the shortest for its pace, the primary too.
-func omniscient(b *baselinePolicy, s *baselineCommand) []int {
+// omniscient chooses by the true state of the backends, which no router can know. It shows what the best policy could
+// achieve. Of the working backends whose data is new enough for the read, the primary included, it chooses the one with
+// the shortest queue relative to its speed.
+func omniscient(b *baselinePolicy, c *baselineCommand) []int {
 	w := b.instance.world
-	c := b.instance.commands[s.id]
-	best, least := []int(nil), math.Inf(1)
-	for _, m := range w.shards[s.command.Shard] {
-		if m.down || m.hung || m.cut || m.listedState != router.Ready || slices.Contains(s.tried, m.node) {
+	simulated := b.instance.commands[c.id]
+	best, shortest := []int(nil), math.Inf(1)
+	for _, candidate := range w.shards[c.command.Shard] {
+		if candidate.down || candidate.hung || candidate.cut || candidate.listedState != router.Ready ||
+			slices.Contains(c.tried, candidate.index) {
 			continue
 		}
-		if consistencies[b.group(s).Need] != router.Eventual && m.position(w.now) < math.Max(c.RequiredPosition, c.SeenPosition) {
+		if consistencies[b.group(c).Consistency] != router.Eventual && candidate.position(w.now) < math.Max(simulated.RequiredPosition, simulated.SeenPosition) {
 			continue
 		}
-		// One that drains or falls behind while the attempt is on its way is the price of the way.
-		queue := float64(m.busy+len(m.queue)+m.inTransit+1) * m.slow / m.capacityShare(w.now)
-		if queue < least {
-			best, least = []int{m.node}, queue
+		// The backend may still start to drain or fall behind while the attempt is on the network.
+		queue := float64(candidate.busySlots+len(candidate.queue)+candidate.inTransit+1) *
+			candidate.slowdown / candidate.capacityShare(w.now)
+		if queue < shortest {
+			best, shortest = []int{candidate.index}, queue
 		}
 	}
 	return best
--- a/internal/lab/model/events.go
+++ b/internal/lab/model/events.go
@@ -2,13 +2,14 @@
 
 import "container/heap"
 
-// event is an action at a virtual time. Events of one time are carried out in the order in which they were scheduled.
+// event is an action at a virtual time. Events at the same time run in the order in which they were scheduled.
 type event struct {
 	at  float64
 	seq uint64
 	do  func()
 }
 
+// events is a heap of events by time, for container/heap.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -19,15 +20,17 @@
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
 func (e *events) Pop() any {
 	old := *e
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	old[len(old)-1] = event{}
 	*e = old[:len(old)-1]
-	return x
+	return last
 }
 
+// at schedules do for a virtual time in seconds.
 func (w *World) at(t float64, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{t, w.seq, do})
 }
 
-func (w *World) after(d float64, do func()) { w.at(w.now+d, do) }
+// after schedules do for after a delay in seconds.
+func (w *World) after(delay float64, do func()) { w.at(w.now+delay, do) }
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -8,58 +8,61 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// instance is one router: its policy and the sessions whose clients use it. It carries out what the policy decides.
+// instance is a simulated router. It holds the policy and the sessions of its clients, and carries out the decisions of
+// the policy.
 type instance struct {
-	world    *World
-	index    int
-	policy   Policy
-	boots    int
-	commands map[uint32]*command
-	last     uint32
-	sessions map[uint64]*session
-	due      float64 // when the next review is due
+	world      *World
+	index      int
+	policy     Policy
+	starts     int // number of starts and restarts
+	commands   map[uint32]*command
+	lastID     uint32 // ID of the newest command
+	sessions   map[uint64]*session
+	nextReview float64 // virtual time of the next review in seconds, or +Inf
 }
 
-// logStartBeforeRun is how long before the run the log began, in seconds: positions count from there.
+// logStartBeforeRun is the time between the start of the database log and the start of the run, in seconds. Positions
+// count from the start of the log.
 const logStartBeforeRun = 1000
 
-// start starts a router for the first time, or again with the knowledge of the endpoint list alone.
+// start starts or restarts the router with a new policy, which knows only the endpoint list.
 func (r *instance) start(policy string) {
-	r.boots++
+	r.starts++
 	r.policy = policyConstructors[policy](r)
 	r.policy.UpdateEndpoints(r.world.now, r.world.knownEndpoints)
 	r.review()
 }
 
-// config is the module's configuration for the experiment.
+// config returns the configuration of the router module for the experiment.
 func (r *instance) config() router.Config {
 	f := &r.world.spec.Fleet
-	s := router.Config{
+	config := router.Config{
 		RouterCount: f.Routers, Instance: r.index, TotalWeight: 1, BatchInterval: 0.005, PositionEpoch: -logStartBeforeRun, ClientTokens: true, LoadReports: true, CanCancel: true, HealthChecks: true, RetryAfterAllowed: true, MaxRetryAfter: 1,
-		MaxAttempts: 4, ConnectTimeout: float64(f.Dial), SlowStartFloor: f.ColdShare, SlowStart: float64(f.WarmIn), OverloadFactor: f.Overload, OverloadWindow: float64(f.FallSpan),
+		MaxAttempts: 4, ConnectTimeout: float64(f.ConnectTimeout), SlowStartFloor: f.ColdShare, SlowStart: float64(f.WarmUp), OverloadFactor: f.OverloadFactor, OverloadWindow: float64(f.OverloadWindow),
 	}
 	for i := range r.world.spec.Groups {
 		g := &r.world.spec.Groups[i]
-		s.CommandGroups = append(s.CommandGroups, router.CommandGroup{
-			Consistency: consistencies[g.Need], Idempotency: idempotencies[g.Effect], KeyScope: router.ShardScope, LatencyObjective: float64(g.Target),
-			ClientTimeout: float64(g.Timeout), PriorityWeight: g.Benefit, LateValue: g.Late, MaxStaleness: float64(g.Bound), IdempotencyWindow: float64(g.Memory),
+		config.CommandGroups = append(config.CommandGroups, router.CommandGroup{
+			Consistency: consistencies[g.Consistency], Idempotency: idempotencies[g.Idempotency], KeyScope: router.ShardScope, LatencyObjective: float64(g.Target),
+			ClientTimeout: float64(g.Timeout), PriorityWeight: g.Benefit, LateValue: g.LateShare, MaxStaleness: float64(g.MaxStaleness), IdempotencyWindow: float64(g.IdempotencyWindow),
 		})
 	}
-	return s
+	return config
 }
 
-// review calls the policy for what is due, and schedules the next review when the policy asks for it.
+// review has the policy handle everything that is due, sends the health checks that the policy asks for, and schedules the
+// next review for the time that the policy returns.
 func (r *instance) review() {
 	w := r.world
-	next, probes := r.policy.ReviewDue(w.now)
-	for _, n := range probes {
-		r.checkHealth(n)
+	next, healthChecks := r.policy.ReviewDue(w.now)
+	for _, endpoint := range healthChecks {
+		r.checkHealth(endpoint)
 	}
-	if next = math.Max(next, w.now+1e-4); next < r.due || r.due <= w.now {
-		r.due = next
+	if next = math.Max(next, w.now+1e-4); next < r.nextReview || r.nextReview <= w.now {
+		r.nextReview = next
 		w.at(next, func() {
-			if r.due == next {
-				r.due = math.Inf(1)
+			if r.nextReview == next {
+				r.nextReview = math.Inf(1)
 				r.review()
 			}
 		})
@@ -67,13 +70,13 @@
 }
 
 // checkHealth sends a health check to a backend.
-func (r *instance) checkHealth(node int) {
-	w, b, p, sent := r.world, r.world.backends[node], r.policy, r.world.now
-	w.tally.Probes++
-	back := func(ok bool, position float64) func() {
+func (r *instance) checkHealth(endpoint int) {
+	w, b, p, sent := r.world, r.world.backends[endpoint], r.policy, r.world.now
+	w.tally.HealthChecks++
+	deliver := func(ok bool, position float64) func() {
 		return func() {
 			if r.policy == p { // the router has not restarted meanwhile
-				p.HealthChecked(w.now, node, ok, w.now-sent, position, b.primary)
+				p.HealthChecked(w.now, endpoint, ok, w.now-sent, position, b.primary)
 				r.review()
 			}
 		}
@@ -81,44 +84,44 @@
 	w.after(w.networkDelay(), func() {
 		switch {
 		case b.cut || b.hung:
-			w.after(float64(w.spec.Fleet.Dial)-w.networkDelay(), back(false, -1))
+			w.after(float64(w.spec.Fleet.ConnectTimeout)-w.networkDelay(), deliver(false, -1))
 		case b.down:
-			w.after(w.networkDelay(), back(false, -1))
+			w.after(w.networkDelay(), deliver(false, -1))
 		default:
-			w.after(w.networkDelay(), back(true, b.position(w.now)+logStartBeforeRun))
+			w.after(w.networkDelay(), deliver(true, b.position(w.now)+logStartBeforeRun))
 		}
 	})
 }
 
 // Forward implements inflight.Executor.
-func (r *instance) Forward(id uint32, number, node int, until float64) {
-	w, c, b := r.world, r.commands[id], r.world.backends[node]
+func (r *instance) Forward(id uint32, number, endpoint int, deadline float64) {
+	w, c, b := r.world, r.commands[id], r.world.backends[endpoint]
 	g := &w.spec.Groups[c.group]
-	w.check.AttemptSent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, node, &invariant.Backend{
+	w.checker.AttemptSent(w.now, fmt.Sprint("a command of ", g.Name), &c.Command, endpoint, &invariant.Backend{
 		Shard: b.shard, Draining: b.listedState == router.Draining,
 		DrainingSince: b.listedSince,
 	})
-	w.tally.Dispatches++
-	if consistencies[g.Need] != router.PrimaryOnly {
+	w.tally.Attempts++
+	if consistencies[g.Consistency] != router.PrimaryOnly {
 		w.tally.Reads++
 		if b.primary {
-			w.tally.Primary++
+			w.tally.PrimaryReads++
 		}
 	}
-	a := &attempt{command: c, number: number, at: b, sent: w.now, open: true}
+	a := &attempt{command: c, number: number, backend: b, sentAt: w.now, pending: true}
 	c.attempts = append(c.attempts, a)
 	if b.cut {
-		w.deliverResult(a, router.ConnectFailed, float64(w.spec.Fleet.Dial))
+		w.deliverResult(a, router.ConnectFailed, float64(w.spec.Fleet.ConnectTimeout))
 	} else {
 		b.inTransit++
 		w.after(w.networkDelay(), func() {
 			b.inTransit--
-			if a.open {
+			if a.pending {
 				b.receive(a)
 			}
 		})
 	}
-	w.at(math.Min(until, c.ClientDeadline), func() {
+	w.at(math.Min(deadline, c.ClientDeadline), func() {
 		b.cancel(a)
 		r.attemptEnded(a, router.TimedOut, false, 0)
 	})
@@ -129,7 +132,7 @@
 	for _, a := range r.commands[id].attempts {
 		if a.number == number {
 			r.world.after(r.world.networkDelay(), func() {
-				a.at.cancel(a)
+				a.backend.cancel(a)
 				r.world.deliverResult(a, router.Canceled, r.world.networkDelay())
 			})
 		}
@@ -137,10 +140,10 @@
 }
 
 // Reject implements inflight.Executor.
-func (r *instance) Reject(id uint32, comeBack float64) {
+func (r *instance) Reject(id uint32, retryAfter float64) {
 	r.world.tally.Throttled++
 	if c := r.finish(id); c != nil {
-		r.world.retryLater(c, math.Max(comeBack, 0.05))
+		r.world.retryLater(c, math.Max(retryAfter, 0.05))
 	}
 }
 
@@ -150,81 +153,82 @@
 	r.finish(id)
 }
 
-// finish records the final answer to a command. It returns nil if the command is not known.
+// finish records the final answer to a command and returns the command, or nil if there is none with the ID.
 func (r *instance) finish(id uint32) *command {
 	c := r.commands[id]
 	if c == nil {
 		return nil
 	}
-	r.world.check.CommandAnswered(r.world.now, "a command of "+r.world.spec.Groups[c.group].Name, &c.Command)
-	c.done = true
+	r.world.checker.CommandAnswered(r.world.now, "a command of "+r.world.spec.Groups[c.group].Name, &c.Command)
+	c.ended = true
 	r.release(c)
 	return c
 }
 
-// release forgets a command that is done and has no attempt in flight.
+// release deletes a command that has ended and has no attempt in flight.
 func (r *instance) release(c *command) {
 	for _, a := range c.attempts {
-		if a.open {
+		if a.pending {
 			return
 		}
 	}
-	if c.done && r.commands[c.id] == c {
+	if c.ended && r.commands[c.id] == c {
 		delete(r.commands, c.id)
 	}
 }
 
-// attemptEnded reports an attempt's result to its policy. Only the first result of an attempt counts.
-func (r *instance) attemptEnded(a *attempt, e router.Result, primary bool, position float64) {
+// attemptEnded reports the result of an attempt to the policy. It ignores all but the first result of an attempt. primary
+// is the role of the backend, position that of its data.
+func (r *instance) attemptEnded(a *attempt, result router.Result, primary bool, position float64) {
 	c, w := a.command, r.world
-	if !a.open {
+	if !a.pending {
 		return
 	}
-	a.open = false
-	ran := e == router.Answered || e == router.ConnectionLost || e == router.TimedOut || e == router.Canceled
-	w.check.AttemptEnded(&c.Command, a.sent, a.at.shard, ran)
-	if r.commands[c.id] != c { // its router has restarted
+	a.pending = false
+	ran := result == router.Answered || result == router.ConnectionLost || result == router.TimedOut || result == router.Canceled
+	w.checker.AttemptEnded(&c.Command, a.sentAt, a.backend.shard, ran)
+	if r.commands[c.id] != c { // the router has restarted
 		return
 	}
 	g := &w.spec.Groups[c.group]
-	o := router.AttemptResult{Attempt: a.number, Result: e, Elapsed: w.now - a.sent, Final: e == router.Answered, Position: -1}
-	if e == router.Answered || e == router.NotServed {
-		if o.Role = router.RoleReplica; primary {
-			o.Role = router.RolePrimary
+	report := router.AttemptResult{Attempt: a.number, Result: result, Elapsed: w.now - a.sentAt, Final: result == router.Answered, Position: -1}
+	if result == router.Answered || result == router.NotServed {
+		if report.Role = router.RoleReplica; primary {
+			report.Role = router.RolePrimary
 		}
 	}
-	if e == router.Answered && !math.IsInf(position, -1) {
-		o.Position = position + logStartBeforeRun
+	if result == router.Answered && !math.IsInf(position, -1) {
+		report.Position = position + logStartBeforeRun
 	}
-	if e == router.Answered && !c.done {
+	if result == router.Answered && !c.ended {
 		r.recordAnswer(c, g, a, position)
 	}
-	r.policy.AttemptEnded(w.now, c.id, o)
+	r.policy.AttemptEnded(w.now, c.id, report)
 	r.release(c)
 	r.review()
 }
 
-// recordAnswer counts a backend's answer that reaches its client.
+// recordAnswer checks and counts an answer that reaches its client.
 func (r *instance) recordAnswer(c *command, g *Group, a *attempt, position float64) {
 	w, s := r.world, r.sessions[c.session]
-	if consistencies[g.Need] == router.PrimaryOnly {
-		s.wrote = math.Max(s.wrote, position)
+	if consistencies[g.Consistency] == router.PrimaryOnly {
+		s.lastWrite = math.Max(s.lastWrite, position)
 	} else {
-		w.check.ReadServed("a command of "+g.Name, &c.Command, a.at.node, &invariant.Backend{AppliedPosition: position})
-		if consistencies[g.Need] == router.SessionConsistent {
-			s.seen = math.Max(s.seen, position)
+		w.checker.ReadServed("a command of "+g.Name, &c.Command, a.backend.index, &invariant.Backend{AppliedPosition: position})
+		if consistencies[g.Consistency] == router.SessionConsistent {
+			s.latestRead = math.Max(s.latestRead, position)
 		}
 	}
-	w.check.CommandAnswered(w.now, "a command of "+g.Name, &c.Command)
-	c.done = true
-	took := w.now - c.first
+	w.checker.CommandAnswered(w.now, "a command of "+g.Name, &c.Command)
+	c.ended = true
+	took := w.now - c.firstSentAt
 	w.tally.Answered++
 	w.tally.Times[c.group] = append(w.tally.Times[c.group], took)
-	earned := g.Benefit * g.Late
+	earned := g.Benefit * g.LateShare
 	if took <= float64(g.Target) {
 		w.tally.InTarget++
 		earned = g.Benefit
 	}
 	w.tally.Earned += earned
-	w.tally.Series[int(c.first)].Earned += earned
+	w.tally.Series[int(c.firstSentAt)].Earned += earned
 }
--- a/internal/lab/model/world_test.go
+++ b/internal/lab/model/world_test.go
@@ -9,76 +9,77 @@
 	"stoatdale.example/stoatdale/internal/router"
 )
 
-// reckless breaks one rule, as its name says.
-type reckless struct {
+// faultyPolicy is a baseline with a bug, which makes it violate one property.
+type faultyPolicy struct {
 	*baselinePolicy
-	how string
+	bug string
 }
 
-func (b *reckless) Add(now float64, id uint32, c router.Command) {
+func (b *faultyPolicy) Add(now float64, id uint32, c router.Command) {
 	b.baselinePolicy.Add(now, id, c)
 	s := b.commands[id]
-	if s != nil && b.how == "after the end" {
+	if s != nil && b.bug == "after the end" {
 		b.instance.Reject(id, 0)
 	}
-	if s != nil && (b.how == "after the end" || b.how == "two at once") {
-		b.place(s)
+	if s != nil && (b.bug == "after the end" || b.bug == "two at once") {
+		b.startAttempt(s)
 	}
 }
 
-func (b *reckless) AttemptEnded(now float64, id uint32, o router.AttemptResult) {
+func (b *faultyPolicy) AttemptEnded(now float64, id uint32, o router.AttemptResult) {
 	s := b.commands[id]
 	switch {
 	case s == nil || o.Result == router.Answered:
-	case b.how == "silent":
+	case b.bug == "silent":
 		delete(b.commands, id)
 		return
-	case b.how == "again" && o.Result == router.ConnectionLost:
-		b.place(s)
+	case b.bug == "again" && o.Result == router.ConnectionLost:
+		b.startAttempt(s)
 		return
 	}
 	b.baselinePolicy.AttemptEnded(now, id, o)
 }
 
-// Every checker is shown failing by a policy that breaks its rule, in a world in which the careful one breaks none.
+// A checker that cannot fail proves nothing. Each property is violated by a policy with the bug for it, in a simulation in
+// which the policy without a bug violates none.
 func TestEveryCheckerFails(t *testing.T) {
 	spec := func() *Spec {
 		return &Spec{
 			Name: "rules", Seconds: 6, Seeds: []int{1},
 			Fleet: Fleet{
-				Routers: 2, Sets: 1, Replicas: 1, Slots: 2, Queue: 20, Sessions: 20, Way: 0.002, Dial: 0.1, Ship: 0.01, Apply: 0.001, List: 0.2,
-				ColdShare: 0.2, WarmIn: 1, Overload: 9, FallSpan: 0.5,
+				Routers: 2, Shards: 1, Replicas: 1, Slots: 2, Queue: 20, Sessions: 20, NetworkDelay: 0.002, ConnectTimeout: 0.1, ShipDelay: 0.01, ApplyTime: 0.001, ListDelay: 0.2,
+				ColdShare: 0.2, WarmUp: 1, OverloadFactor: 9, OverloadWindow: 0.5,
 			},
 			Groups: []Group{
-				{Name: "order", Need: "write", Effect: "mutating", Rate: 40, Work: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1},
-				{Name: "keyed", Need: "write", Effect: "keyed", Rate: 40, Work: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1, Memory: 5},
-				{Name: "look", Need: "any", Effect: "replayable", Rate: 40, Work: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1},
+				{Name: "order", Consistency: "write", Idempotency: "mutating", Rate: 40, WorkTime: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1},
+				{Name: "keyed", Consistency: "write", Idempotency: "keyed", Rate: 40, WorkTime: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1, IdempotencyWindow: 5},
+				{Name: "look", Consistency: "any", Idempotency: "replayable", Rate: 40, WorkTime: 0.02, Target: 0.2, Timeout: 0.5, Benefit: 1},
 			},
-			Faults: []Fault{{Kind: "drain", Member: 1, At: 1, For: 1}, {Kind: "hang", Member: 0, At: 2.5, For: 1}, {Kind: "crash", Member: 0, At: 4, For: 0.5}},
+			Faults: []Fault{{Kind: "drain", Backend: 1, At: 1, Duration: 1}, {Kind: "hang", Backend: 0, At: 2.5, Duration: 1}, {Kind: "crash", Backend: 0, At: 4, Duration: 0.5}},
 		}
 	}
 	defer delete(policyConstructors, "reckless")
-	for how, property := range map[string]string{
+	for bug, property := range map[string]string{
 		"careful": "", "two at once": invariant.OneAttemptInFlight, "after the end": invariant.NothingSentAfterEnd,
 		"silent": invariant.OneAnswer, "again": invariant.NoUnsafeRetry, "drains": invariant.NothingSentToDraining,
 	} {
 		policyConstructors["reckless"] = func(r *instance) Policy {
 			choose := anyReplica
-			if how == "drains" {
+			if bug == "drains" {
 				choose = func(*baselinePolicy, *baselineCommand) []int { return []int{1} }
 			}
-			return &reckless{newBaseline(choose)(r).(*baselinePolicy), how}
+			return &faultyPolicy{newBaseline(choose)(r).(*baselinePolicy), bug}
 		}
 		_, violations := New(spec(), "reckless", 1).Run()
 		if property == "" {
-			assert.Empty(t, violations, how)
+			assert.Empty(t, violations, bug)
 			continue
 		}
-		assert.Contains(t, violations, property, how)
+		assert.Contains(t, violations, property, bug)
 	}
-	policyConstructors["reckless"] = func(r *instance) Policy { return &reckless{newBaseline(anyReplica)(r).(*baselinePolicy), "again"} }
+	policyConstructors["reckless"] = func(r *instance) Policy { return &faultyPolicy{newBaseline(anyReplica)(r).(*baselinePolicy), "again"} }
 	s := spec()
-	s.Groups[0].Rate, s.Groups[1].Rate, s.Groups[1].Memory = 0, 80, 0.001
+	s.Groups[0].Rate, s.Groups[1].Rate, s.Groups[1].IdempotencyWindow = 0, 80, 0.001
 	_, violations := New(s, "reckless", 1).Run()
 	assert.Contains(t, violations, invariant.KeyedRetryInWindow)
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -28,7 +28,7 @@
 		{Policy: "module", Seed: 2, Service: 0.7, Tally: series(10, 4, 5)},
 		{
 			Policy: "any", Seed: 1, Service: 0.2, Tally: series(0, 2), Groups: []experiment.Group{{Name: "a<b", Answered: 3, P50: 0.0123}},
-			Broken: map[string]string{"a rule": "so"},
+			Violations: map[string]string{"a rule": "so"},
 		},
 	}
 }
@@ -38,22 +38,22 @@
 	require.Len(t, c, 2)
 	assert.Equal(t, []float64{1, 0.6, 0.5}, c[0].Service)
 	assert.Equal(t, []float64{0, 0.2}, c[1].Service)
-	assert.True(t, math.IsNaN(Curves([]experiment.Run{{Tally: model.Tally{Series: []model.Second{{}}}}})[0].Service[0]), "nothing was asked")
+	assert.True(t, math.IsNaN(Curves([]experiment.Run{{Tally: model.Tally{Series: []model.Second{{}}}}})[0].Service[0]), "no service in a second without commands")
 }
 
-func TestPageIsWholeAndNeedsNothingFromOutside(t *testing.T) {
-	s := &model.Spec{Name: "bad <day>", Seconds: 3, Seeds: []int{1, 2}, Faults: []model.Fault{{Kind: "hang", Member: 2, At: 1, For: 1}}}
+func TestPageIsCompleteAndLoadsNothing(t *testing.T) {
+	s := &model.Spec{Name: "bad <day>", Seconds: 3, Seeds: []int{1, 2}, Faults: []model.Fault{{Kind: "hang", Backend: 2, At: 1, Duration: 1}}}
 	one, err := Page(s, runs())
 	require.NoError(t, err)
 	two, err := Page(s, runs())
 	require.NoError(t, err)
-	assert.Equal(t, string(one), string(two), "the same runs, the same bytes")
+	assert.Equal(t, string(one), string(two), "the same runs give the same page")
 	text := string(one)
-	for _, says := range []string{"bad &lt;day&gt;", "a&lt;b", "<td>12.3</td>", "0.800", "a rule", "set 0, member 2", "module"} {
-		assert.Contains(t, text, says)
+	for _, want := range []string{"bad &lt;day&gt;", "a&lt;b", "<td>12.3</td>", "0.800", "a rule", "shard 0, backend 2", "module"} {
+		assert.Contains(t, text, want)
 	}
-	for _, not := range []string{"<script", "src=", "href=", "@import"} {
-		assert.NotContains(t, text, not)
+	for _, unwanted := range []string{"<script", "src=", "href=", "@import"} {
+		assert.NotContains(t, text, unwanted)
 	}
 	svg := text[strings.Index(text, "<svg") : strings.Index(text, "</svg>")+6]
 	d := xml.NewDecoder(strings.NewReader(svg))
@@ -68,5 +68,5 @@
 			paths++
 		}
 	}
-	assert.Greater(t, paths, 4, "two curves, a fault's two marks, axes")
+	assert.Greater(t, paths, 4, "two curves, the two lines of a fault, axes")
 }
--- a/internal/lab/testserver/discovery.go
+++ b/internal/lab/testserver/discovery.go
@@ -8,59 +8,61 @@
 	"time"
 )
 
-// Discovery is the list's agent. A caller that has the newest list waits for the next.
+// Discovery is a stand-in for the discovery service, which serves the endpoint list. The answer to a caller that has the
+// newest list is delayed until the next list, or by longPoll at most.
 type Discovery struct {
-	At string
+	Address string
 
-	mu    sync.Mutex
-	news  chan struct{} // closed with each list
-	lists int
-	now   string // entries
-	http  *http.Server
+	mu         sync.Mutex
+	changed    chan struct{} // closed and replaced when the list changes
+	generation int           // generation of the list
+	list       string        // the list, as JSON
+	http       *http.Server
 }
 
-const longPoll = 4 * time.Second // after which a caller gets the list it has
+const longPoll = 4 * time.Second // after which a caller gets the list that it already has
 
-// NewDiscovery starts one on a free port of loopback with a first list.
+// NewDiscovery starts a discovery service on a free port of 127.0.0.1, with a list of the entries.
 func NewDiscovery(entries ...string) (*Discovery, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d := &Discovery{At: l.Addr().String(), news: make(chan struct{})}
-	d.List(entries...)
+	d := &Discovery{Address: l.Addr().String(), changed: make(chan struct{})}
+	d.SetList(entries...)
 	d.http = &http.Server{Handler: d, ReadHeaderTimeout: longPoll}
 	go func() { _ = d.http.Serve(l) }()
 	return d, nil
 }
 
-// Close ends it.
+// Close stops the service.
 func (d *Discovery) Close() { _ = d.http.Close() }
 
-// List replaces the list.
-func (d *Discovery) List(entries ...string) {
+// SetList replaces the endpoint list by one of the entries.
+func (d *Discovery) SetList(entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lists++
-	d.now = List(d.lists, entries...)
-	close(d.news)
-	d.news = make(chan struct{})
+	d.generation++
+	d.list = List(d.generation, entries...)
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-func (d *Discovery) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+// ServeHTTP answers a call with the endpoint list.
+func (d *Discovery) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	d.mu.Lock()
-	news, has := d.news, q.FormValue("from") == fmt.Sprint(d.lists)
+	changed, isNewest := d.changed, request.FormValue("from") == fmt.Sprint(d.generation)
 	d.mu.Unlock()
-	if has {
+	if isNewest {
 		select {
-		case <-news:
+		case <-changed:
 		case <-time.After(longPoll):
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
 	d.mu.Lock()
-	body := d.now
+	body := d.list
 	d.mu.Unlock()
 	_, _ = w.Write([]byte(body))
 }
--- a/internal/lab/testserver/load.go
+++ b/internal/lab/testserver/load.go
@@ -8,81 +8,83 @@
 	"time"
 )
 
-// Load is clients that ask routers steadily, one command at a time each, and keep count of what came of every
-// command. What counts is seen on the wire alone: what was written, what came back, and what members were sent.
+// Load runs clients that send commands to routers, each client one command at a time, and counts the outcomes. It counts
+// only what is visible on the wire: what clients wrote and received, and which statements backends received.
 type Load struct {
-	Routers []string      // addresses
-	Clients int           // at once
-	Think   time.Duration // between an answer and the next command
-	Timeout time.Duration // the client timeout that commands state
-	Writes  float64       // share of commands that mutate
+	Routers    []string      // addresses of the routers
+	Clients    int           // number of concurrent clients
+	Think      time.Duration // pause of a client between an answer and its next command
+	Timeout    time.Duration // client timeout, which commands state
+	WriteShare float64       // share of mutating commands, from 0 to 1
 
-	mu     sync.Mutex
-	counts Counts
-	slow   []time.Duration
-	seen   map[string]int // commands that reached a member, how often
-	open   map[string]bool
-	stop   chan struct{}
-	done   sync.WaitGroup
+	mu            sync.Mutex
+	counts        Counts
+	responseTimes []time.Duration // of all answered commands
+	received      map[string]int  // how often each command reached a backend
+	unanswered    map[string]bool // commands without an answer
+	stop          chan struct{}
+	running       sync.WaitGroup
 }
 
-// Counts is what came of the commands.
+// Counts is the number of commands by outcome.
 type Counts struct {
-	Asked     int // written whole
-	Answered  int
-	Throttled int
-	Failed    int
-	Late      int // answered after the client timeout, in any way
-	Lost      int // reached a member, or were held past the client timeout, and never had an answer
-	Turned    int // connections that a router ended before it took the command
-	Doubled   int // mutating commands that reached members more than once
+	Sent       int // written completely
+	Answered   int // with a value
+	Throttled  int // answered with the error 53300
+	Failed     int // answered with another error
+	Late       int // answered after the client timeout, with a value or an error
+	Lost       int // never answered, though a backend received them or the client timeout passed
+	Refused    int // never answered and never received by a backend: the router closed the connection first
+	Duplicated int // mutating commands that backends received more than once
 }
 
-var ids = regexp.MustCompile(`/\* id=([0-9a-f]+),c=([a-z]+)`)
+var routingComment = regexp.MustCompile(`/\* id=([0-9a-f]+),c=([a-z]+)`)
 
-// Seen is told of each statement that a member was sent.
-func (l *Load) Seen(statement string) {
-	if m := ids.FindStringSubmatch(statement); m != nil {
+// RecordStatement records a statement that a backend received. Backends have to call it for each.
+func (l *Load) RecordStatement(statement string) {
+	if m := routingComment.FindStringSubmatch(statement); m != nil {
 		l.mu.Lock()
-		l.seen[m[1]+m[2]]++
+		l.received[m[1]+m[2]]++
 		l.mu.Unlock()
 	}
 }
 
-// Start has the clients begin. The seed is of what they ask.
+// Start starts the clients. The seed determines the commands that they send.
 func (l *Load) Start(seed uint64) {
 	l.stop = make(chan struct{})
-	l.seen, l.open = map[string]int{}, map[string]bool{}
+	l.received, l.unanswered = map[string]int{}, map[string]bool{}
 	for i := range l.Clients {
-		l.done.Add(1)
-		go l.client(i, rand.New(rand.NewPCG(seed, uint64(i))))
+		l.running.Add(1)
+		go l.runClient(i, rand.New(rand.NewPCG(seed, uint64(i))))
 	}
 }
 
-// Stop ends the clients once their commands are answered, and returns what came of all.
+// Stop stops the clients once their current commands are answered. It returns the counts of all commands and the response
+// times of the answered ones.
 func (l *Load) Stop() (Counts, []time.Duration) {
 	close(l.stop)
-	l.done.Wait()
+	l.running.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, n := range l.seen {
+	for id, n := range l.received {
 		if id[len(id)-len(Order):] == Order && n > 1 {
-			l.counts.Doubled++
+			l.counts.Duplicated++
 		}
 	}
-	for id := range l.open { // ended without an answer: lost if they reached a member
-		if l.seen[id] > 0 {
+	for id := range l.unanswered { // never answered: lost if a backend received the command
+		if l.received[id] > 0 {
 			l.counts.Lost++
 		} else {
-			l.counts.Turned++
+			l.counts.Refused++
 		}
 	}
-	return l.counts, l.slow
+	return l.counts, l.responseTimes
 }
 
-// client asks the router that it was given, and the next one if that does not take it.
-func (l *Load) client(n int, rng *rand.Rand) {
-	defer l.done.Done()
+// runClient runs one client until Stop. It starts with one of the routers and changes to the next when a connection
+// fails.
+func (l *Load) runClient(n int, rng *rand.Rand) {
+	defer l.running.Done()
 	at := n % len(l.Routers)
 	var c *Client
 	defer func() {
@@ -103,47 +105,47 @@
 				continue
 			}
 		}
-		if !l.ask(c, rng) {
+		if !l.sendCommand(c, rng) {
 			_ = c.Close()
 			c, at = nil, (at+1)%len(l.Routers)
 		}
 	}
 }
 
-// ask asks once; false: the connection is of no more use.
-func (l *Load) ask(c *Client, rng *rand.Rand) bool {
+// sendCommand sends one command and counts its outcome. It returns false if the connection can no longer be used.
+func (l *Load) sendCommand(c *Client, rng *rand.Rand) bool {
 	id := fmt.Sprintf("%016x", rng.Uint64()|1)
 	group, text := Look, "SELECT doc FROM items WHERE id = '%s' /* id=%s,c=%s,d=%d,cluster=2 */"
-	if rng.Float64() < l.Writes {
+	if rng.Float64() < l.WriteShare {
 		group, text = Order, `INSERT INTO items (id, doc) VALUES ('%s', '\x9f') RETURNING doc /* id=%s,c=%s,d=%d,cluster=2 */`
 	}
 	statement := fmt.Sprintf(text, id, id, group, l.Timeout.Milliseconds())
 	l.mu.Lock()
-	l.open[id+group] = true
+	l.unanswered[id+group] = true
 	l.mu.Unlock()
-	began := time.Now()
-	said, sent, err := c.Ask(statement, l.Timeout+time.Second)
-	took := time.Since(began)
+	sentAt := time.Now()
+	reply, sent, err := c.Query(statement, l.Timeout+time.Second)
+	took := time.Since(sentAt)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !sent {
-		delete(l.open, id+group)
+		delete(l.unanswered, id+group)
 		return false
 	}
-	l.counts.Asked++
+	l.counts.Sent++
 	if err != nil {
 		if took > l.Timeout {
-			delete(l.open, id+group)
+			delete(l.unanswered, id+group)
 			l.counts.Lost++
 		}
 		return false
 	}
-	delete(l.open, id+group)
-	l.slow = append(l.slow, took)
+	delete(l.unanswered, id+group)
+	l.responseTimes = append(l.responseTimes, took)
 	if took > l.Timeout {
 		l.counts.Late++
 	}
-	switch said.Code {
+	switch reply.Code {
 	case "":
 		l.counts.Answered++
 	case "53300":
--- a/internal/lab/testserver/member.go
+++ b/internal/lab/testserver/member.go
@@ -1,6 +1,6 @@
-// Package testserver holds stand-ins of what surrounds a router, on loopback sockets and in real time: members,
-// discovery, clients, and a router that misbehaves as it is told. They speak the published protocols and
-// share no code with the router but the writing of messages.
+// Package testserver has stand-ins for the peers of a router, on loopback sockets and in real time: backends, discovery,
+// clients, and a router that misbehaves on request. They speak the published protocols, and the only code that they share
+// with the router is that of package pg, which encodes messages.
 package testserver
 
 import (
@@ -18,10 +18,10 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-const longest = 1 << 20 // bytes of a message
+const maxMessageBytes = 1 << 20 // maximum length of a message in bytes
 
-// Row is an answer of one value, as a member sends it: its position is now, and role says "off" of a primary
-// and "on" of a replica.
+// Row returns a backend's answer that consists of one value. Its position is the current time. role is the parameter
+// "recovery": "off" for a primary, "on" for a replica.
 func Row(value, role string) []byte {
 	b := pg.AppendMessage(nil, 'T', []byte("\x00\x01doc\x00"), make([]byte, 18))
 	b = pg.AppendMessage(b, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
@@ -30,68 +30,68 @@
 	return pg.AppendReadyForQuery(pg.AppendParameterStatus(b, "recovery", role))
 }
 
-// Member is a member of a set. For each statement it sends what Answer returns, and closes the connection
-// if that is nil.
-type Member struct {
-	At     string
-	Answer func(statement string) []byte
-	Asked  atomic.Int64 // statements, without those for its health
-
-	l     net.Listener
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	done  sync.WaitGroup
+// Backend is a stand-in for a database server. It answers each statement with the result of Answer, and closes the connection if
+// that is nil.
+type Backend struct {
+	Address    string
+	Answer     func(statement string) []byte
+	Statements atomic.Int64 // number of statements received, without health checks
+
+	listener net.Listener
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
+	running  sync.WaitGroup
 }
 
-// NewMember starts one on a free port of loopback.
-func NewMember(answer func(string) []byte) (*Member, error) {
+// NewBackend starts a backend on a free port of 127.0.0.1.
+func NewBackend(answer func(string) []byte) (*Backend, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("member: %w", err)
+		return nil, fmt.Errorf("backend: %w", err)
 	}
-	m := &Member{At: l.Addr().String(), Answer: answer, l: l, conns: map[net.Conn]bool{}}
-	m.done.Add(1)
-	go m.accept()
-	return m, nil
+	b := &Backend{Address: l.Addr().String(), Answer: answer, listener: l, conns: map[net.Conn]bool{}}
+	b.running.Add(1)
+	go b.accept()
+	return b, nil
 }
 
-// Close ends the member and its connections.
-func (m *Member) Close() {
-	_ = m.l.Close()
-	m.mu.Lock()
-	for c := range m.conns {
+// Close stops the backend and closes its connections.
+func (b *Backend) Close() {
+	_ = b.listener.Close()
+	b.mu.Lock()
+	for c := range b.conns {
 		_ = c.Close()
 	}
-	m.mu.Unlock()
-	m.done.Wait()
+	b.mu.Unlock()
+	b.running.Wait()
 }
 
-func (m *Member) accept() {
-	defer m.done.Done()
+func (b *Backend) accept() {
+	defer b.running.Done()
 	for {
-		c, err := m.l.Accept()
+		c, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
-		m.mu.Lock()
-		m.conns[c] = true
-		m.mu.Unlock()
-		m.done.Add(1)
-		go m.serve(c)
+		b.mu.Lock()
+		b.conns[c] = true
+		b.mu.Unlock()
+		b.running.Add(1)
+		go b.serve(c)
 	}
 }
 
-func (m *Member) serve(c net.Conn) {
+func (b *Backend) serve(c net.Conn) {
 	defer func() {
 		_ = c.Close()
-		m.mu.Lock()
-		delete(m.conns, c)
-		m.mu.Unlock()
-		m.done.Done()
+		b.mu.Lock()
+		delete(b.conns, c)
+		b.mu.Unlock()
+		b.running.Done()
 	}()
 	r := bufio.NewReader(c)
 	var n uint32
-	if binary.Read(r, binary.BigEndian, &n) != nil || n < 4 || n > longest {
+	if binary.Read(r, binary.BigEndian, &n) != nil || n < 4 || n > maxMessageBytes {
 		return
 	}
 	if _, err := r.Discard(int(n) - 4); err != nil {
@@ -99,7 +99,7 @@
 	}
 	_, _ = c.Write(pg.AppendStartupReply(nil, pg.CancelKey{}))
 	for {
-		kind, body, err := pg.ReceiveMessage(r, longest)
+		kind, body, err := pg.ReceiveMessage(r, maxMessageBytes)
 		if err != nil || kind != 'Q' || len(body) == 0 {
 			return
 		}
@@ -108,99 +108,101 @@
 			_, _ = c.Write(Row(fmt.Sprintf("x0=%.3f,x1=0", float64(time.Now().UnixMilli())/1000), "on"))
 			continue
 		}
-		m.Asked.Add(1)
-		b := m.Answer(statement)
-		if b == nil {
+		b.Statements.Add(1)
+		answer := b.Answer(statement)
+		if answer == nil {
 			return
 		}
-		if _, err := c.Write(b); err != nil {
+		if _, err := c.Write(answer); err != nil {
 			return
 		}
 	}
 }
 
-// Entry is a member's line in a list.
-func (m *Member) Entry(id, state, recovery string) string {
+// Entry returns the backend's entry of the endpoint list.
+func (b *Backend) Entry(id, state, recovery string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"h","cell":2,"lifecycle":%q,"recovery":%q}`,
-		id, m.At, state, recovery)
+		id, b.Address, state, recovery)
 }
 
-// List is a whole list in discovery's form.
+// List returns a complete endpoint list in the format of discovery.
 func List(generation int, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(entries, ","))
 }
 
-// Client is one connection of a client to a router.
+// Client is a client connection to a router.
 type Client struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-// Dial connects and starts up.
-func Dial(at string, within time.Duration) (*Client, error) {
-	c, err := net.DialTimeout("tcp", at, within)
+// Dial connects to a router and performs the startup. timeout applies to the connection and
+// then to the startup.
+func Dial(address string, timeout time.Duration) (*Client, error) {
+	c, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	_ = c.SetDeadline(time.Now().Add(within))
-	x := &Client{c, bufio.NewReader(c)}
+	_ = c.SetDeadline(time.Now().Add(timeout))
+	client := &Client{c, bufio.NewReader(c)}
 	if _, err := c.Write(pg.AppendStartupMessage(nil)); err == nil {
-		_, _ = x.Reply() // a start-up that failed shows at the first query
+		_, _ = client.Reply() // a failed startup becomes an error of the first query
 	}
-	return x, nil
+	return client, nil
 }
 
-// Reply is what came up to ReadyForQuery.
+// Reply is the content of the messages up to ReadyForQuery.
 type Reply struct {
-	Value  string
-	Empty  bool
-	Code   string // of an error
-	Detail string
+	Value  string // of the row
+	Empty  bool   // whether it is an EmptyQueryResponse
+	Code   string // SQLSTATE of an error
+	Detail string // of an error
 }
 
-// Reply reads one answer. An error means that the connection ended in it.
+// Reply reads one answer. It returns an error if the connection ends before the answer is complete.
 func (c *Client) Reply() (Reply, error) {
-	var said Reply
+	var reply Reply
 	for {
-		kind, body, err := pg.ReceiveMessage(c.r, longest)
+		kind, body, err := pg.ReceiveMessage(c.reader, maxMessageBytes)
 		if err != nil {
-			return said, err
+			return reply, err
 		}
 		switch kind {
 		case 'D':
 			if len(body) >= 6 {
-				said.Value = string(body[6:])
+				reply.Value = string(body[6:])
 			}
 		case 'I':
-			said.Empty = true
+			reply.Empty = true
 		case 'E':
 			for _, f := range strings.Split(string(body), "\x00") {
 				if f != "" && f[0] == 'C' {
-					said.Code = f[1:]
+					reply.Code = f[1:]
 				}
 				if f != "" && f[0] == 'D' {
-					said.Detail = f[1:]
+					reply.Detail = f[1:]
 				}
 			}
 		case 'Z':
-			return said, nil
+			return reply, nil
 		}
 	}
 }
 
-// Ask sends a query and reads its answer. sent tells whether all of it was written.
-func (c *Client) Ask(text string, within time.Duration) (said Reply, sent bool, err error) {
-	_ = c.SetDeadline(time.Now().Add(within))
+// Query sends a query and reads its answer, both within timeout. sent reports whether the query was written
+// completely.
+func (c *Client) Query(text string, timeout time.Duration) (reply Reply, sent bool, err error) {
+	_ = c.SetDeadline(time.Now().Add(timeout))
 	if _, err := c.Write(pg.AppendQuery(nil, text)); err != nil {
-		return said, false, err
+		return reply, false, err
 	}
-	said, err = c.Reply()
-	return said, true, err
+	reply, err = c.Reply()
+	return reply, true, err
 }
 
-// Ended tells whether the router has closed the connection while nothing was asked.
-func (c *Client) Ended() bool {
+// Closed reports whether the router has closed the connection. No query may be in flight.
+func (c *Client) Closed() bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
-	_, err := c.r.Peek(1)
+	_, err := c.reader.Peek(1)
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/lab/testserver/settings.go
+++ b/internal/lab/testserver/settings.go
@@ -5,15 +5,15 @@
 	"maps"
 )
 
-// Groups of the settings here: look reads from any replica, order mutates.
+// Command groups of Deployment: commands of look read from any replica, those of order are mutating.
 const (
 	Look  = "look"
 	Order = "order"
 )
 
-// Deployment is a revision for routers among stand-ins: two command groups and one set, number 2. timeout is
-// the client timeout in seconds, more are further keys of the document.
-func Deployment(discovery string, timeout float64, more map[string]any) map[string]any {
+// Deployment returns a configuration for routers that use stand-ins, with two command groups and one shard, number 2.
+// timeout is the client timeout in seconds. The keys of extraKeys are added to the document.
+func Deployment(discovery string, timeout float64, extraKeys map[string]any) map[string]any {
 	group := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "targetNs": timeout / 2 * 1e9, "deadlineNs": timeout * 1e9, "worth": 1}
 	}
@@ -31,19 +31,19 @@
 		},
 		"invariants": map[string]any{"startCapacity": 0.2, "rampTimeNs": 1e9, "overloadFactor": 2, "fallNs": 1e9},
 	}
-	doc := map[string]any{
+	document := map[string]any{
 		"discovery": discovery, "settings": settings, "limits": map[string]any{"memory_mb": 48, "sockets": 256},
 		"known": json.RawMessage(List(0)),
 	}
-	maps.Copy(doc, more)
-	return doc
+	maps.Copy(document, extraKeys)
+	return document
 }
 
-// JSON writes a document.
-func JSON(doc map[string]any) []byte {
-	raw, err := json.Marshal(doc)
+// JSON encodes a document.
+func JSON(document map[string]any) []byte {
+	raw, err := json.Marshal(document)
 	if err != nil {
-		panic(err) // what is written here always can be
+		panic(err) // documents hold only values that can be encoded
 	}
 	return raw
 }
--- a/internal/pki/keys_test.go
+++ b/internal/pki/keys_test.go
@@ -24,8 +24,8 @@
 	return f
 }
 
-// talk has a client connect to a server, and returns what each of them reports.
-func talk(t *testing.T, server, client Credentials, agent string) (atServer, atClient error) {
+// connect connects a client to a server over TLS, transfers one byte and returns the errors of both sides.
+func connect(t *testing.T, server, client Credentials, agent string) (atServer, atClient error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
@@ -60,23 +60,23 @@
 func TestBothSidesVerifyTheOthersIdentity(t *testing.T) {
 	f := newFolder(t)
 	server, client := f.Credentials(Agent, "a1"), f.Credentials(Operator, "ayla")
-	s, c := talk(t, server, client, "a1")
+	s, c := connect(t, server, client, "a1")
 	require.NoError(t, s)
 	require.NoError(t, c)
-	_, c = talk(t, server, client, "a2")
+	_, c = connect(t, server, client, "a2")
 	require.ErrorContains(t, c, "the certificate is agent a1's, and should be agent a2's")
 	require.ErrorIs(t, c, ErrWrongIdentity)
-	s, c = talk(t, server, f.Credentials(Agent, "a1"), "a1")
+	s, c = connect(t, server, f.Credentials(Agent, "a1"), "a1")
 	require.ErrorContains(t, s, "should be operator")
 	require.Error(t, c, "an agent is no operator")
-	_, c = talk(t, f.Credentials(Operator, "ayla"), client, "a1")
+	_, c = connect(t, f.Credentials(Operator, "ayla"), client, "a1")
 	require.ErrorContains(t, c, "operator ayla's, and should be agent a1's")
 }
 
 func TestUntrustedAndExpiredCertificatesAreRejected(t *testing.T) {
 	f, other := newFolder(t), newFolder(t)
 	stranger := Credentials{CertificateFile: other.CertificateFile(Operator, "ayla"), TrustedFile: f.TrustedFile(), Now: time.Now}
-	s, c := talk(t, f.Credentials(Agent, "a1"), stranger, "a1")
+	s, c := connect(t, f.Credentials(Agent, "a1"), stranger, "a1")
 	require.ErrorContains(t, s, "operator ayla is from an authority that is not trusted here")
 	require.ErrorIs(t, s, ErrUntrustedAuthority)
 	var rejected *CertificateError
@@ -85,14 +85,14 @@
 	require.Error(t, c)
 	server := f.Credentials(Agent, "a1")
 	server.Now = func() time.Time { return time.Now().Add(31 * day) }
-	s, _ = talk(t, server, f.Credentials(Operator, "ayla"), "a1")
-	require.ErrorContains(t, s, "the certificate of operator ayla ran out on")
+	s, _ = connect(t, server, f.Credentials(Operator, "ayla"), "a1")
+	require.ErrorContains(t, s, "the certificate of operator ayla expired on")
 	require.ErrorIs(t, s, ErrExpired)
 	server.Now = func() time.Time { return time.Now().Add(-day) }
-	s, _ = talk(t, server, f.Credentials(Operator, "ayla"), "a1")
-	require.ErrorContains(t, s, "counts only from")
+	s, _ = connect(t, server, f.Credentials(Operator, "ayla"), "a1")
+	require.ErrorContains(t, s, "is not valid before")
 	require.ErrorIs(t, s, ErrNotYetValid)
-	require.ErrorContains(t, server.Check(), "counts only from")
+	require.ErrorContains(t, server.Check(), "is not valid before")
 }
 
 func TestReplacedFilesAreUsedFromTheNextConnection(t *testing.T) {
@@ -102,31 +102,31 @@
 	require.NoError(t, err)
 	before := conf.Certificates[0].Leaf.SerialNumber
 	require.NoError(t, f.CreateAuthority("haulage", 365*day, time.Now()))
-	s, c := talk(t, server, client, "a1")
-	require.NoError(t, s, "certificates of the old authority are still good")
+	s, c := connect(t, server, client, "a1")
+	require.NoError(t, s, "certificates of the old authority stay valid")
 	require.NoError(t, c)
 	require.NoError(t, f.Issue(Operator, "ayla", 30*day, time.Now()))
 	conf, err = client.ClientConfig("a1")
 	require.NoError(t, err)
 	assert.NotEqual(t, before, conf.Certificates[0].Leaf.SerialNumber)
-	s, c = talk(t, server, client, "a1")
-	require.NoError(t, s, "one side of each")
+	s, c = connect(t, server, client, "a1")
+	require.NoError(t, s, "the client has a certificate of the new authority, the server one of the old")
 	require.NoError(t, c)
 	shown, err := f.List()
 	require.NoError(t, err)
-	assert.Len(t, shown, 5, "two of the authority, its key's, an agent's and an operator's")
+	assert.Len(t, shown, 5, "two trusted authorities, the current authority with its key, an agent and an operator")
 	require.NoError(t, f.CreateAuthority("haulage", 9000*day, time.Now().Add(400*day)))
 	shown, err = f.List()
 	require.NoError(t, err)
-	assert.Len(t, shown, 4, "those that ran out are no longer trusted")
+	assert.Len(t, shown, 4, "the expired authorities are no longer trusted")
 }
 
 func TestInvalidNamesRolesLifetimesAndFilesAreReported(t *testing.T) {
 	f := newFolder(t)
-	require.ErrorContains(t, f.Issue(Agent, "../x", day, time.Now()), "is no name")
+	require.ErrorContains(t, f.Issue(Agent, "../x", day, time.Now()), "invalid name")
 	require.ErrorContains(t, f.Issue("king", "x", day, time.Now()), "the role is")
-	require.ErrorContains(t, f.Issue(Agent, "x", 999*day, time.Now()), "renew it first")
-	require.ErrorContains(t, Folder(t.TempDir()).Issue(Agent, "x", day, time.Now()), "the authority")
+	require.ErrorContains(t, f.Issue(Agent, "x", 999*day, time.Now()), "renew the authority first")
+	require.ErrorContains(t, Folder(t.TempDir()).Issue(Agent, "x", day, time.Now()), "load the authority")
 	own := f.CertificateFile(Operator, "ayla")
 	info, err := os.Stat(own)
 	require.NoError(t, err)
@@ -134,5 +134,5 @@
 	require.NoError(t, os.WriteFile(own, []byte("-----BEGIN CERTIFICATE-----\nhalf"), 0o600))
 	require.ErrorContains(t, f.Credentials(Operator, "ayla").Check(), filepath.Base(own))
 	require.NoError(t, os.WriteFile(f.TrustedFile(), nil, 0o600))
-	require.ErrorContains(t, f.Credentials(Agent, "a1").Check(), "no certificate in it")
+	require.ErrorContains(t, f.Credentials(Agent, "a1").Check(), "contains no certificate")
 }
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -18,7 +18,7 @@
 	Tags []string       `sexp:"tags"`
 }
 
-type whole struct {
+type testFile struct {
 	Count int     `sexp:"count"`
 	Share float64 `sexp:"share"`
 	On    bool    `sexp:"on"`
@@ -35,8 +35,8 @@
 (item a (at "127.0.0.1:80") (tags x "y z"))
 (item "b ;" (at 127.0.0.1:81))`
 
-func decodeWhole(text string) (whole, error) {
-	var w whole
+func decodeFile(text string) (testFile, error) {
+	var w testFile
 	nodes, err := Read("f", []byte(text))
 	if err == nil {
 		err = Decode("f", nodes, &w)
@@ -45,7 +45,7 @@
 }
 
 func TestValuesAreDecoded(t *testing.T) {
-	w, err := decodeWhole(sample)
+	w, err := decodeFile(sample)
 	require.NoError(t, err)
 	assert.Equal(t, 3, w.Count)
 	assert.True(t, w.On)
@@ -54,52 +54,52 @@
 	require.Len(t, w.Items, 2)
 	assert.Equal(t, []string{"x", "y z"}, w.Items[0].Tags)
 	assert.Equal(t, "b ;", w.Items[1].Name)
-	again, err := decodeWhole(string(Print(Encode(&w))))
+	again, err := decodeFile(string(Print(Encode(&w))))
 	require.NoError(t, err)
 	assert.Equal(t, w, again)
 }
 
 func TestErrorsNamePositionAndKey(t *testing.T) {
-	for text, says := range map[string]string{
+	for text, wantError := range map[string]string{
 		"(cuont 3)":                     `f:1:2: the file has no key "cuont"; did you mean count?`,
 		"(zzzzzzz 3)":                   `it has count, item, on, share, times, wait`,
-		"\n (count three)":              `f:2:9: count wants a whole number, not "three"`,
+		"\n (count three)":              `f:2:9: count must be a whole number, not "three"`,
 		"(count 3)\n(count 4)":          "f:2:1: count is given twice, first on line 1",
-		"(count)":                       "count wants one value, and has 0",
-		"(on maybe)":                    `on wants yes or no, not "maybe"`,
-		"(wait 5)":                      `wait wants a time such as 250ms, 5s or 2m, not "5"`,
-		"(wait -5s)":                    "wait wants a time",
-		"(share (1))":                   "f:1:8: share wants a number, not a list",
+		"(count)":                       "count must have one value, not 0",
+		"(on maybe)":                    `on must be yes or no, not "maybe"`,
+		"(wait 5)":                      `wait must be a duration such as 250ms, 5s or 2m, not "5"`,
+		"(wait -5s)":                    "wait must be a duration",
+		"(share (1))":                   "f:1:8: share must be a number, not a list",
 		"(times)":                       "f:1:1: times lacks the key soak",
-		"(item (at 127.0.0.1:80))":      "item wants a name",
+		"(item (at 127.0.0.1:80))":      "item must have a name after its key",
 		"(item a)":                      "f:1:1: item lacks the key at",
 		"(item a (at here))":            "f:1:13: at: ",
-		"count":                         "holds entries of the form",
+		"count":                         "the file must contain only entries of the form",
 		"(count 3":                      "f:1:1: this bracket is never closed",
 		"\n  )":                         "f:2:3: this bracket closes nothing",
 		"(wait \"x":                     "f:1:7: this string is never closed",
 		`(wait "\q")`:                   `f:1:7: unknown escape \q`,
-		`(wait "\xz")`:                  "two hexadecimal digits",
+		`(wait "\xz")`:                  "must be followed by two hexadecimal digits",
 		strings.Repeat("(", MaxDepth+1): "nest more than",
 	} {
-		_, err := decodeWhole(text)
-		require.ErrorContains(t, err, says, text)
+		_, err := decodeFile(text)
+		require.ErrorContains(t, err, wantError, text)
 		var f *Error
 		require.ErrorAs(t, err, &f, text)
 	}
 	_, err := Read("f", make([]byte, MaxFileBytes+1))
-	require.ErrorContains(t, err, "at most")
+	require.ErrorContains(t, err, "at most 4194304 are allowed")
 }
 
 func withoutPositions(nodes []Node) []Node {
-	out := append([]Node{}, nodes...)
-	for i := range out {
-		out[i].Position, out[i].List = Position{}, withoutPositions(out[i].List)
+	stripped := append([]Node{}, nodes...)
+	for i := range stripped {
+		stripped[i].Position, stripped[i].List = Position{}, withoutPositions(stripped[i].List)
 	}
-	return out
+	return stripped
 }
 
-func TestWhatIsPrintedReadsBackTheSame(t *testing.T) {
+func TestPrintedNodesReadBackTheSame(t *testing.T) {
 	node := rapid.Deferred(func() *rapid.Generator[Node] { return nodes(4) })
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.SliceOfN(node, 0, 5).Draw(t, "nodes")
@@ -109,14 +109,14 @@
 	})
 }
 
-func nodes(deep int) *rapid.Generator[Node] {
+func nodes(depth int) *rapid.Generator[Node] {
 	return rapid.Custom(func(t *rapid.T) Node {
-		if deep == 0 || rapid.Bool().Draw(t, "text") {
+		if depth == 0 || rapid.Bool().Draw(t, "text") {
 			n := Atom(rapid.String().Draw(t, "atom"))
 			n.Quoted = n.Quoted || rapid.Bool().Draw(t, "quoted")
 			return n
 		}
-		return List(rapid.SliceOfN(nodes(deep-1), 0, 6).Draw(t, "list")...)
+		return List(rapid.SliceOfN(nodes(depth-1), 0, 6).Draw(t, "list")...)
 	})
 }
 
