--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -59,7 +59,7 @@
 	agent      *Agent
 	store      *faultyStore
 	stop       func() // ends the agent and waits until it has ended
-	stepNumber uint64 // of the step that was begun last
+	stepNumber uint64 // number of the step that was begun last
 }
 
 // newRig starts an agent without revisions and acquires its lease under epoch 1.
@@ -251,7 +251,7 @@
 	began := time.Now()
 	status := r.completeStep(r.push(testserver.Conduct{}, map[string]any{"limits": map[string]any{"sockets": 300}}))
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
-	assert.GreaterOrEqual(t, time.Since(began), 1500*time.Millisecond, "the drain time is ten client timeouts, half a second and the grace")
+	assert.GreaterOrEqual(t, time.Since(began), 1500*time.Millisecond, "the drain time is ten times the longest client timeout, 0.45 s and the grace")
 	r.completeStep(r.push(testserver.Conduct{Drain: 0.7}, map[string]any{"limits": map[string]any{"sockets": 301}}))
 	p := r.process()
 	status = r.completeStep(r.push(testserver.Conduct{}, nil))
--- a/internal/fleet/agent/logtail.go
+++ b/internal/fleet/agent/logtail.go
@@ -39,7 +39,8 @@
 // newLogTail returns a reader that starts at an offset in the log.
 func newLogTail(path string, offset int64) *logTail { return &logTail{path: path, offset: offset} }
 
-// read passes the events of all complete lines since the last call to emit. It rotates a log larger than maxLogBytes.
+// read passes the events of the complete lines since the last call to emit. One call reads at most 4*maxLineBytes, and
+// the next call continues there. It rotates a log larger than maxLogBytes.
 func (t *logTail) read(emit func(logEvent)) error {
 	f, err := os.Open(t.path)
 	if err != nil {
--- a/internal/fleet/control/drive.go
+++ b/internal/fleet/control/drive.go
@@ -109,7 +109,7 @@
 
 // callAnswer is the reply to a call of the coordinator, or its error.
 type callAnswer struct {
-	id    uint64 // of the coordinator.OutgoingCall
+	id    uint64 // ID of the coordinator.OutgoingCall
 	reply protocol.Reply
 	err   error
 }
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -54,7 +54,7 @@
 
 	campaign      *lease.Campaign
 	lostCampaigns int     // consecutive campaigns that were lost while no other holder had the lease
-	lastMajority  float64 // when a majority last granted the lease or stored a record, in seconds; now while none is to be stored
+	lastMajority  float64 // when a majority last granted the lease or stored a record, in seconds; while storing is nil, the last Tick
 
 	planner      *rollout.Planner          // nil before the first lease
 	rollout      protocol.Rollout          // as a majority of agents stores it
@@ -64,7 +64,7 @@
 	recordNumber uint64                    // number of the newest record under this epoch
 	stepToSend   rollout.Step              // Number is 0 if there is none
 	nextStepSend float64                   // earliest time to send a step, in seconds
-	refusals     int                       // number of consecutive replies that refused the current step
+	refusals     int                       // consecutive replies that refused the current step
 }
 
 // New returns a coordinator that has not made any call yet.
@@ -141,7 +141,7 @@
 	if c.phase == phaseEnded || c.phase == phaseBackoff {
 		return nil, next
 	}
-	earliestQuery := now + c.config.Timing.PollSeconds/4
+	earliestTick := now + c.config.Timing.PollSeconds/4
 	for i := range c.agents {
 		if r, due := c.dueQuery(now, i); due {
 			calls = append(calls, c.send(now, i, r))
@@ -149,7 +149,7 @@
 		if r, due := c.dueCommand(now, i); due {
 			calls = append(calls, c.send(now, i, r))
 		}
-		next = min(next, max(c.agents[i].nextQuery, earliestQuery))
+		next = min(next, max(c.agents[i].nextQuery, earliestTick))
 	}
 	return calls, next
 }
--- a/internal/fleet/coordinator/environment_test.go
+++ b/internal/fleet/coordinator/environment_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	pollSeconds = 0.1
-	turnSeconds = 0.05
+	pollSeconds = 0.1  // poll interval of the coordinators
+	turnSeconds = 0.05 // simulated time between two turns
 )
 
 // environment simulates agents with one instance each, whose actions take effect immediately, and a network without delay.
 type environment struct {
 	t           *testing.T
-	now         float64
+	now         float64 // in seconds
 	fleet       *rollout.Fleet
 	names       []string // names of the instances
 	limits      supervisor.Limits
--- a/internal/fleet/coordinator/lease.go
+++ b/internal/fleet/coordinator/lease.go
@@ -10,7 +10,7 @@
 )
 
 // maxLostCampaigns is the number of consecutive campaigns, lost while no other holder had the lease, after which a
-// coordinator gives up.
+// coordinator that has never had the lease gives up. One that has had it gives up after Timing.MajorityTimeoutSeconds.
 const maxLostCampaigns = 6
 
 // minBackoffPolls is the shortest backoff after a lost campaign, in poll intervals.
@@ -125,7 +125,7 @@
 		c.release(now, Outcome{Kind: OutcomeLeaseHeld, Holder: holder, Rollout: c.newestKnownRollout()})
 	case c.lostCampaigns >= maxLostCampaigns:
 		c.release(now, Outcome{Kind: OutcomeNoMajority, Holder: holder, Rollout: c.rollout})
-	default: // two coordinators requested the lease at the same time, or too few agents can be reached
+	default: // several coordinators requested the lease at the same time, or too few agents can be reached
 		c.lostCampaigns++
 		c.release(now, Outcome{Kind: OutcomeNoMajority})
 	}
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -17,9 +17,9 @@
 	s := l.State(4)
 	assert.Equal(t, State{Epoch: 1, Holder: "a", Held: true, HeldSeconds: 4, RemainingSeconds: 6}, s)
 	assert.Equal(t, Granted, l.Acquire(4, Request{Epoch: 2, Holder: "b", Takeover: true}))
-	assert.Equal(t, StaleEpoch, l.Renew(5, 1, "a"), "fenced")
+	assert.Equal(t, StaleEpoch, l.Renew(5, 1, "a"), "a higher epoch was granted")
 	assert.Equal(t, NotHolder, l.Renew(5, 2, "a"))
-	assert.Equal(t, NotHolder, l.Renew(5, 3, "b"), "never granted here")
+	assert.Equal(t, NotHolder, l.Renew(5, 3, "b"), "this agent never granted the epoch")
 	assert.Equal(t, Granted, l.Acquire(5, Request{Epoch: 3, Holder: "b"}), "the holder may request a higher epoch")
 	assert.Equal(t, StaleEpoch, l.Renew(5, 2, "b"))
 }
--- a/internal/fleet/protocol/messages.go
+++ b/internal/fleet/protocol/messages.go
@@ -98,7 +98,7 @@
 	AgeSeconds float64 `cbor:"age"`     // age of the report
 	Listen     string  `cbor:"listen"`  // listen address and port
 	ProcessID  int     `cbor:"process"` // 0 if no process is known to run
-	Crashes    int     `cbor:"crashes"` // number of crashes since the router last ran stably
+	Crashes    int     `cbor:"crashes"` // number of crashes since the router last ran stably or began a step
 	rollout.Observation
 	TargetRevision string `cbor:"wants"` // digest of the revision that the instance is to run
 }
--- a/internal/fleet/rollout/observation.go
+++ b/internal/fleet/rollout/observation.go
@@ -25,7 +25,7 @@
 const (
 	StepPending    StepResult = iota // the step has not ended
 	StepSucceeded                    // the instance runs the revision and has been ready with it
-	StepFailed                       // the instance does not run the revision
+	StepFailed                       // the revision could not be installed, or the instance did not become ready with it
 	StepNotApplied                   // the step changed nothing, for example because the agent exited before it did anything
 )
 
--- a/internal/fleet/rollout/reason.go
+++ b/internal/fleet/rollout/reason.go
@@ -10,7 +10,7 @@
 	ReasonAgentUnreachable             // Instance's agent does not answer
 	ReasonProcessUnknown               // Instance's agent does not know the state of its process yet
 	ReasonInstanceBusy                 // Instance is in a step of another rollout
-	ReasonStepUnresolved               // Instance's step has no result within the step timeout
+	ReasonStepUnresolved               // Instance's step has no result yet; the rollout pauses after the step timeout
 	ReasonZoneMinimum                  // a step would leave Zone with Have serving instances; it needs Need
 	ReasonFleetMinimum                 // a step would leave the fleet with Have serving instances; it needs Need
 	ReasonStepFailed                   // Instance did not become ready with the revision; Detail is the cause
--- a/internal/fleet/supervisor/environment_test.go
+++ b/internal/fleet/supervisor/environment_test.go
@@ -15,15 +15,16 @@
 	silent  = "silent"  // its process answers no health check
 )
 
+// tickSeconds is the step in which run advances the time.
 const tickSeconds = 0.05
 
 // process is the simulated router process of an environment. At most one runs at a time.
 type process struct {
 	running        bool
 	incarnation    uint64
-	file           string
-	terminating    bool
-	ignoresSIGTERM bool // it ends only when it is killed
+	file           string // revision whose configuration file the process has read
+	terminating    bool   // it has received SIGTERM
+	ignoresSIGTERM bool   // it ends only when it is killed
 }
 
 // environment simulates the machine around a supervisor in virtual time: one configuration file, at most one process
@@ -33,9 +34,9 @@
 	t            require.TestingT
 	limits       Limits
 	supervisor   Supervisor
-	stored       Record
-	now          float64
-	file         string
+	stored       Record            // the supervisor's record that was stored last
+	now          float64           // in seconds
+	file         string            // revision whose configuration file is in place
 	badRevisions map[string]string // behaviour of each bad revision
 	process      process
 	queue        []func() Transition // events that report the outcomes of actions
@@ -161,7 +162,7 @@
 	}
 }
 
-// run advances the time and handles queued events and due ticks.
+// run advances the time by a number of seconds and handles queued events and due ticks.
 func (e *environment) run(seconds float64) {
 	for end := e.now + seconds; e.now < end; {
 		for len(e.queue) > 0 {
--- a/internal/fleet/supervisor/step.go
+++ b/internal/fleet/supervisor/step.go
@@ -101,8 +101,8 @@
 	return t
 }
 
-// continueWithoutStep continues after a failed step that has not installed its file: in the phase for the router's state
-// without a step.
+// continueWithoutStep continues after a step that failed before it installed its file. It enters the phase in which a
+// router in this state is when no step is pending.
 func (s *Supervisor) continueWithoutStep(now float64) {
 	switch {
 	case s.state == rollout.ProcessDown && s.ShouldRun:
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -42,7 +42,7 @@
 	nextHealthCheck    float64 // time of the next health check
 	missedHealthChecks int     // failed health checks in a row
 	readySince         float64 // time at which the router became ready; valid while state is ProcessReady
-	crashes            int     // number of times that the router exited by itself since it last ran for Limits.StableSeconds
+	crashes            int     // number of times that the router exited by itself since it was ready for Limits.StableSeconds or a step began
 
 	nextCounterRead   float64               // time of the next reading of the counters
 	commands          rollout.CommandCounts // counters of the process at the last reading
@@ -63,7 +63,8 @@
 	s.deadline = deadline
 }
 
-// Crashes returns the number of times that the router exited by itself since it last ran for Limits.StableSeconds.
+// Crashes returns the number of times that the router exited by itself since it was ready for Limits.StableSeconds or a
+// step began, whichever was later.
 func (s *Supervisor) Crashes() int { return s.crashes }
 
 // Observe returns the agent's report on the instance. The observer that receives it sets SeenAt.
