--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -26,7 +26,7 @@
 	StaleEpoch         // a higher epoch was granted: the caller is fenced off or must request a higher epoch
 	HeldByOther        // another holder's lease has not expired
 	NotHolder          // this agent granted the epoch to another holder, or has not granted it
-	Expired            // the caller's lease has expired by this agent's clock
+	Expired            // the caller's lease has expired by this agent's clock, or was released
 	StaleRecord        // the agent has stored a newer record
 )
 
--- a/internal/fleet/rollout/rollout.go
+++ b/internal/fleet/rollout/rollout.go
@@ -18,7 +18,8 @@
 // String returns the state's name for operators.
 func (s State) String() string { return states[s] }
 
-// Terminal reports whether the rollout has ended. Only a rollback that an operator requests can then begin steps.
+// Terminal reports whether the rollout has ended or there is none. Only a rollback that an operator requests can then begin
+// steps in an ended one.
 func (s State) Terminal() bool { return s != Running && s != Paused }
 
 // OperatorRequest is an operator's request to the tool that drives a rollout.
--- a/internal/fleet/supervisor/counters.go
+++ b/internal/fleet/supervisor/counters.go
@@ -2,6 +2,7 @@
 
 import "stoatdale.example/stoatdale/internal/fleet/rollout"
 
+// keptReadings is the number of readings of a process's counters that a supervisor keeps.
 const keptReadings = 16
 
 // readings is a ring buffer of the newest readings of a process's counters.
--- a/internal/lab/invariant/client.go
+++ b/internal/lab/invariant/client.go
@@ -12,7 +12,7 @@
 type ClientChecker struct {
 	violated  string
 	detail    string
-	endCounts map[string]int
+	endCounts map[string]int // how often each command has ended
 }
 
 // Broken returns the first property that was violated and the details; both are empty if none was.
@@ -26,14 +26,14 @@
 
 // Answer is the parsed response to one client message.
 type Answer struct {
-	Value   string // of the row; empty without one
-	Code    string // SQLSTATE of an error
-	Empty   bool   // response to an empty query
+	Value   string // value in the row; empty if there is no row
+	Code    string // SQLSTATE of an error; empty if there is none
+	Empty   bool   // the response is that to an empty query
 	Garbled bool   // the bytes are not a valid message
 }
 
-// CheckAnswers checks all answers that a client has received so far. allowed holds one predicate for each message that the client
-// has sent, in order: whether an answer to it is allowed.
+// CheckAnswers checks all answers that a client has received so far. allowed holds one function for each message that the client
+// has sent, in order. Each reports whether its message allows an answer.
 func (c *ClientChecker) CheckAnswers(client int, answers []Answer, allowed []func(Answer) bool) {
 	for i, answer := range answers {
 		switch {
@@ -57,8 +57,8 @@
 	}
 }
 
-// CheckLeaks checks that nothing is held once all clients are gone: numbers of open descriptors, set timers, buffer blocks in use
-// and commands in flight.
+// CheckLeaks checks that nothing is held once all clients are gone. It is given the numbers of open descriptors, set timers,
+// buffer blocks in use and commands in flight, which must all be 0.
 func (c *ClientChecker) CheckLeaks(descriptors, timers, blocks, commands int) {
 	if descriptors+timers+blocks > 0 {
 		c.recordViolation(NoLeaks, "%d descriptors, %d timers and %d buffer blocks are still held", descriptors, timers, blocks)
--- a/internal/lab/invariant/cold.go
+++ b/internal/lab/invariant/cold.go
@@ -13,12 +13,12 @@
 // SlowStartChecker checks the attempts that all routers together send to a backend in its slow start. Times are in seconds.
 type SlowStartChecker struct {
 	Capacity       float64 // commands a second that the warm backend can serve
-	SlowStartFloor float64 // share of Capacity that it has at its start
-	SlowStart      float64 // time after its start until it has all of Capacity; the share grows linearly
-	OverloadFactor float64 // multiple of its present capacity that overloads it when kept up for OverloadWindow
+	SlowStartFloor float64 // share of Capacity that the backend has at its start
+	SlowStart      float64 // time from the backend's start until it has all of Capacity; the share grows linearly
+	OverloadFactor float64 // multiple of the backend's present capacity that overloads it if it lasts for OverloadWindow
 	OverloadWindow float64 // window over which attempts are counted
 
-	sentAt           []float64 // of the attempts within the last OverloadWindow
+	sentAt           []float64 // times of the attempts within the last OverloadWindow
 	violated, detail string
 }
 
@@ -43,7 +43,7 @@
 func (c *SlowStartChecker) SentTimes() []float64 { return c.sentAt }
 
 // capacityUntil returns the integral of the backend's share of Capacity from its start to an age, in seconds. Before its
-// start it counts with the initial share, since no router can know the start beforehand.
+// start the initial share counts, since no router can know the start beforehand.
 func (c *SlowStartChecker) capacityUntil(age float64) float64 {
 	warmingAge := math.Min(math.Max(age, 0), c.SlowStart)
 	return c.SlowStartFloor*math.Min(age, 0) + c.SlowStartFloor*warmingAge +
--- a/internal/lab/invariant/command.go
+++ b/internal/lab/invariant/command.go
@@ -16,7 +16,7 @@
 	MonotonicReads        = "no read of a session is older than one before it at the same router"
 )
 
-// Idempotency is what a second run of a command does; the values are in the order of router.Idempotency.
+// Idempotency is the effect of a second run of a command. The values are in the order of router.Idempotency.
 type Idempotency int
 
 // Values of Idempotency.
@@ -34,12 +34,12 @@
 	RequiredPosition  float64 // position that an answering backend must have applied: the session's last write
 	SeenPosition      float64 // highest position that earlier reads of its session have shown at this router
 
-	answers        int
-	abandoned      bool // its client is gone, or the router that had it has stopped
-	inFlight       int
-	mayHaveRun     bool
-	firstRunSentAt float64 // of the first attempt that may have run
-	firstRunShard  int
+	answers        int     // number of final answers
+	abandoned      bool    // its client is gone, or the router that had it has stopped
+	inFlight       int     // number of attempts in flight
+	mayHaveRun     bool    // an attempt that has ended may have run
+	firstRunSentAt float64 // when the first attempt that may have run was sent
+	firstRunShard  int     // shard to which that attempt was sent
 }
 
 // Backend is the true state of a backend, which routers may not know yet. Times and positions are in seconds.
@@ -66,7 +66,7 @@
 	}
 }
 
-// AttemptSent checks and records that an attempt of a command is sent to a backend, which is in this state.
+// AttemptSent checks and records that an attempt of a command is sent to a backend. state is the backend's true state.
 func (c *CommandChecker) AttemptSent(now float64, name string, cmd *Command, backend int, state *Backend) {
 	switch {
 	case cmd.answers > 0 || cmd.abandoned:
--- a/internal/lab/invariant/fleet.go
+++ b/internal/lab/invariant/fleet.go
@@ -15,9 +15,9 @@
 
 // RolloutChecker checks the steps of a rollout as agents begin and end them.
 type RolloutChecker struct {
-	MinAvailable int // instances that must serve at all times
-	openSteps    map[int]string
-	holders      map[uint64]string
+	MinAvailable int               // instances that must serve at all times
+	openSteps    map[int]string    // step under way, by instance
+	holders      map[uint64]string // lease holder, by epoch
 	violated     string
 	detail       string
 }
--- a/internal/lab/invariant/member.go
+++ b/internal/lab/invariant/member.go
@@ -14,7 +14,7 @@
 type AttemptChecker struct {
 	violated string
 	detail   string
-	ended    map[int]bool
+	ended    map[int]bool // attempts that have ended
 }
 
 // Broken returns the first property that was violated and the details; both are empty if none was.
@@ -26,8 +26,8 @@
 	}
 }
 
-// AttemptEnded checks and records the end of an attempt. neverRan is what its result claims; fullyWritten is whether the network
-// took the last byte of its statement.
+// AttemptEnded checks and records the end of an attempt. neverRan is true if its result says that the command never ran.
+// fullyWritten is true if the network took the last byte of its statement.
 func (c *AttemptChecker) AttemptEnded(id int, neverRan, fullyWritten bool) {
 	if c.ended == nil {
 		c.ended = map[int]bool{}
@@ -52,8 +52,8 @@
 	}
 }
 
-// CheckLeaks checks that nothing is held once all attempts have ended: numbers of open descriptors, set timers and buffer blocks
-// in use.
+// CheckLeaks checks that nothing is held once all attempts have ended. It is given the numbers of open descriptors, set timers
+// and buffer blocks in use, which must all be 0.
 func (c *AttemptChecker) CheckLeaks(descriptors, timers, blocks int) {
 	if descriptors+timers+blocks > 0 {
 		c.recordViolation(NoLeaks, "%d descriptors, %d timers and %d buffer blocks are still held", descriptors, timers, blocks)
--- a/internal/lab/invariant/watch.go
+++ b/internal/lab/invariant/watch.go
@@ -15,8 +15,8 @@
 	Endpoints      int // endpoints in a complete list
 	violated       string
 	detail         string
-	lastGeneration int64
-	listKnown      bool
+	lastGeneration int64 // generation of the list that was delivered last
+	listKnown      bool  // a complete list was delivered, and neither a failed call nor a new address has invalidated it
 }
 
 // Broken returns the first property that was violated and the details; both are empty if none was.
@@ -28,7 +28,7 @@
 	}
 }
 
-// CallSent checks a call: for the complete list, or for the changes after a generation.
+// CallSent checks a call that asks for the complete list or, if complete is false, for the changes after a generation.
 func (c *ListChecker) CallSent(complete bool, after int64) {
 	if !c.listKnown && !complete {
 		c.recordViolation(CompleteListAsked, "a call asks for the changes after generation %d, but no complete list is known", after)
@@ -45,7 +45,8 @@
 	}
 }
 
-// ListDelivered checks and records a list that the watch delivers: the address that sent it, and the address that is watched.
+// ListDelivered checks and records a list that the watch delivers. from is the address that sent it, watched the address that
+// the watch uses now.
 func (c *ListChecker) ListDelivered(complete bool, generation int64, endpoints int, from, watched string) {
 	switch {
 	case from != watched:
--- a/internal/modelcheck/breadth.go
+++ b/internal/modelcheck/breadth.go
@@ -46,7 +46,7 @@
 	newSystem func() System
 	bounds    Bounds
 	report    func(Progress)
-	reduces   bool // whether steps that commute are taken in one order only
+	reduces   bool // steps that commute are taken in one order only
 
 	peakHeapBytes uint64
 	stepsTaken    atomic.Int64
--- a/internal/modelcheck/deep.go
+++ b/internal/modelcheck/deep.go
@@ -6,8 +6,8 @@
 )
 
 // RunDepthFirst explores depth first and remembers at most MaxStates states at a time. States that were forgotten may be
-// explored again, and Result.States counts them again. MaxDepth must be set. Workers and CheckLiveness have no effect;
-// every step is taken.
+// explored again, and Result.States counts them again. MaxDepth must be set. MaxHeapBytes, Workers, CheckLiveness and
+// TakeAllSteps have no effect; every step is taken.
 func RunDepthFirst(ctx context.Context, newSystem func() System, b Bounds) Result {
 	began := time.Now()
 	if b.MaxDuration > 0 {
--- a/internal/modelcheck/models/client.go
+++ b/internal/modelcheck/models/client.go
@@ -59,16 +59,16 @@
 type fakeServerNetwork struct {
 	*fakeNetwork
 	listener          int
-	backlog           []int // clients that wait to be accepted, in order
-	clientDescriptors map[int]int
+	backlog           []int       // clients that wait to be accepted, in order
+	clientDescriptors map[int]int // descriptor of each client's connection, by client
 }
 
 // scriptedClient is a client that sends the messages listed in the bounds, in order.
 type scriptedClient struct {
 	fd           int
 	connected    bool
-	messagesSent int // completely; the startup packet is the first
-	halfSent     bool
+	messagesSent int    // number of messages sent completely; the startup packet is the first
+	halfSent     bool   // half of the next message is sent
 	wasSlow      bool   // it once sent half a message and may have been closed for it
 	received     []byte // every byte that the frontend has written to it
 }
@@ -76,7 +76,7 @@
 // receivedCommand is a command that the frontend passed to the dispatcher.
 type receivedCommand struct {
 	command *dispatcher.Command
-	name    string // its client's id for it
+	name    string // the id that its client gave it
 	open    bool   // it has not ended yet
 }
 
@@ -201,7 +201,7 @@
 	}
 }
 
-// allowedAnswer returns a predicate: whether an answer to a client's n-th message is allowed.
+// allowedAnswer returns a function that reports whether an answer to a client's n-th message is allowed.
 func (s *clientSystem) allowedAnswer(client, n int) func(invariant.Answer) bool {
 	if n == 0 {
 		return func(a invariant.Answer) bool { return a == invariant.Answer{} }
--- a/internal/modelcheck/models/cold.go
+++ b/internal/modelcheck/models/cold.go
@@ -23,11 +23,11 @@
 }
 
 const (
-	slowStartTickSeconds    = 0.5   // of one time step
-	slowStartServiceSeconds = 0.05  // that a backend works on a command; it serves one at a time
-	slowStartWaitSeconds    = 0.125 // from the start of a time step until clients of waiting commands leave
-	slowStartBurstReads     = 10    // in a time step, over all routers: what a warm backend serves, so its rate shows its capacity
-	slowStartWarmReads      = 16    // that each router has had answered before the backend starts
+	slowStartTickSeconds    = 0.5   // length of one time step
+	slowStartServiceSeconds = 0.05  // time that a backend works on a command; it serves one at a time
+	slowStartWaitSeconds    = 0.125 // time from the start of a time step until clients of waiting commands leave
+	slowStartBurstReads     = 10    // reads in a time step over all routers: what a warm backend serves in it, so its rate shows its capacity
+	slowStartWarmReads      = 16    // reads of each router that are answered before the backend starts
 )
 
 // slowStartSystem is the system "cold": routers that do not know of each other, and a shard with a warm primary (endpoint 0)
@@ -39,7 +39,7 @@
 	now            float64
 	ticks          int
 	faults         int
-	startedAt      float64
+	startedAt      float64 // when the starting backend started; -Inf before
 	routers        []*slowStartRouter
 	checker        invariant.SlowStartChecker
 	settleAttempts []int // attempts sent to the starting backend by each router; counted only during Settle
@@ -53,8 +53,8 @@
 	router      *router.Router
 	tracker     *inflight.Tracker
 	inFlight    []slowStartAttempt
-	lastCommand uint32 // id
-	hadBurst    bool   // in this time step
+	lastCommand uint32 // id of the newest command
+	hadBurst    bool   // the router has had its burst of reads in this time step
 }
 
 // slowStartAttempt is an attempt in flight.
--- a/internal/modelcheck/models/command.go
+++ b/internal/modelcheck/models/command.go
@@ -80,11 +80,11 @@
 }
 
 const (
-	commandTickSeconds       = 0.25 // of one time step
-	commandTimeoutSeconds    = 1.0
-	commandWindowSeconds     = 0.4
-	commandDrainGraceSeconds = 0.0
-	commandIdleSeconds       = 8.5 // long enough for the router to forget old sessions and release endpoint rows
+	commandTickSeconds       = 0.25 // length of one time step
+	commandTimeoutSeconds    = 1.0  // client timeout of every command
+	commandWindowSeconds     = 0.4  // idempotency window of keyed commands
+	commandDrainGraceSeconds = 0.0  // time after a draining notice in which attempts may still be sent
+	commandIdleSeconds       = 8.5  // long enough for the router to forget old sessions and release endpoint rows
 )
 
 // commandGroup is a command group that bounds may name.
@@ -116,12 +116,12 @@
 	faults            int
 	router            *router.Router
 	tracker           *inflight.Tracker
-	nextReviewAt      float64
+	nextReviewAt      float64 // when the tracker's next review is due
 	endpoints         []simulatedEndpoint
 	commands          []*clientCommand
 	healthChecks      map[int]bool // endpoints whose health check the router waits for
 	checker           invariant.CommandChecker
-	lastWritePosition float64  // of the session; -Inf without a write
+	lastWritePosition float64  // position of the session's last write; -Inf if it has not written
 	readHighWaterMark float64  // highest position that the session's reads have shown at this router
 	routerStarts      int      // starts of the router, also its seed
 	heldAnswers       []int    // commands whose answer the fault held-back delays
@@ -141,8 +141,8 @@
 	invariant.Command
 	name     string
 	group    int
-	received bool // by the router
-	answered bool // a backend answered it, and not the router with an error
+	received bool // the router has received it
+	answered bool // a backend has answered it, rather than the router with an error
 	attempts []*attempt
 }
 
@@ -312,7 +312,7 @@
 		return false
 	}
 	switch modelcheck.Kind(b) {
-	case "apply", "take": // not the steps that may end the last command, since no step follows them
+	case "apply", "take": // not the steps that may end the last command: after its end, no step is possible
 		return a != b
 	case "report":
 		return strings.TrimPrefix(a, "apply") != strings.TrimPrefix(b, "report")
@@ -512,7 +512,7 @@
 	}
 }
 
-// attemptResult returns what the router is told of an attempt's end.
+// attemptResult returns the result of an attempt that is reported to the router.
 func (c *commandSystem) attemptResult(a *attempt, result router.Result, notServed bool) router.AttemptResult {
 	reported := router.AttemptResult{
 		Attempt: a.number, Result: result, Elapsed: c.now - a.sentAt, Final: result == router.Answered, Position: -1,
--- a/internal/modelcheck/models/member.go
+++ b/internal/modelcheck/models/member.go
@@ -57,9 +57,9 @@
 	faults      int
 	ticks       int
 	checker     invariant.AttemptChecker
-	descriptors []int // of all connections, closed ones too, in the order of their dials
-	closed      bool
-	ends        map[int]*backendEnd
+	descriptors []int               // descriptors of all connections, closed ones too, in the order of their dials
+	closed      bool                // the pool was closed, after all attempts had ended
+	ends        map[int]*backendEnd // by descriptor
 }
 
 // backendAttempt is the attempt of one command.
@@ -72,10 +72,10 @@
 // backendEnd is the backend's end of a connection.
 type backendEnd struct {
 	startupRead  bool
-	parsedBytes  int // of fakeSocket.written
-	queries      []string
-	unsentAnswer []byte // second half of an answer
-	written      []byte
+	parsedBytes  int      // number of bytes of fakeSocket.written that the backend has parsed
+	queries      []string // queries not yet answered; "" stands for the startup packet
+	unsentAnswer []byte   // second half of an answer whose first half was sent
+	written      []byte   // copy of fakeSocket.written that is kept when the connection is closed
 }
 
 const backendStatement = "SELECT doc FROM items WHERE id = '%c' /* id=%d,c=look,d=900,cluster=2 */\x00"
@@ -265,7 +265,7 @@
 		for _, kind := range []string{"half", "full", "spoil", "double"} {
 			steps.addIf(s.bounds.mayInject(kind, s.faults), "%s %d", kind, ordinal)
 		}
-	default: // with an attempt in flight, the protocol cannot tell the copy from its answer
+	default: // while an attempt is in flight, the router cannot tell an unsolicited answer from that to the attempt
 		steps.addIf(end.startupRead && s.bounds.mayInject("echo", s.faults) && s.noneInFlight(), "echo %d", ordinal)
 	}
 }
--- a/internal/modelcheck/models/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -39,7 +39,7 @@
 }
 
 const (
-	rolloutTickSeconds  = 1.0 // of one time step
+	rolloutTickSeconds  = 1.0 // length of one time step
 	rolloutLeaseSeconds = 2.5 // duration of a lease: it expires after three time steps without renewal
 )
 
@@ -64,24 +64,24 @@
 // rolloutAgent is an agent and the router that it supervises.
 type rolloutAgent struct {
 	handler        supervisor.RequestHandler
-	lease          lease.PersistentState
-	record         supervisor.Record
+	lease          lease.PersistentState // as the agent has stored it
+	record         supervisor.Record     // as the agent has stored it
 	alive          bool
 	pendingActions []supervisor.Action // not yet carried out, in order
 	routerRuns     bool
-	routerServes   bool // the router has answered a health check since its start, perhaps one of an earlier agent process
-	incarnation    uint64
-	stepOpen       bool
-	starts         int
+	routerServes   bool   // the router has answered a health check since its start, perhaps one of an earlier agent process
+	incarnation    uint64 // of the router's process
+	stepOpen       bool   // the stored record has a step without a result
+	starts         int    // number of starts of the agent
 }
 
 // rolloutTool is an operator's tool. Its coordinator is nil if it does not run.
 type rolloutTool struct {
 	coordinator *coordinator.Coordinator
 	holder      string
-	calls       []rolloutCall
-	ended       bool
-	outcome     coordinator.Outcome // of its last run
+	calls       []rolloutCall       // calls that have not been delivered, lost or delayed
+	ended       bool                // the rollout was in a final state when its last run ended
+	outcome     coordinator.Outcome // outcome of its last run
 }
 
 // rolloutCall is a call of a tool to an agent.
@@ -338,7 +338,7 @@
 		steps.addIf(agent.alive && len(agent.pendingActions) > 0, "act %d", i)
 		steps.addIf(agent.alive && mayInject("die"), "die agent %d", i)
 		steps.addIf(!agent.alive, "back agent %d", i)
-		steps.addIf(agent.alive && agent.routerRuns && mayInject("crash") && r.noStepPending(), "crash %d", i)
+		steps.addIf(agent.alive && agent.routerRuns && mayInject("crash") && r.crashAllowed(), "crash %d", i)
 	}
 	for t, tool := range r.tools {
 		if tool.coordinator != nil {
@@ -375,9 +375,10 @@
 	return modelcheck.Kind(b) == "act" || strings.HasPrefix(b, "die agent")
 }
 
-// noStepPending reports whether no step is open or on its way. A router that crashes between the plan's last status call and the
-// step may bring its zone below the number of instances that must serve, which no plan can prevent.
-func (r *rolloutSystem) noStepPending() bool {
+// crashAllowed reports whether a router may crash now: no step is open or on its way, no call is delayed, and a time step, which
+// crashRouter takes, is left. A router that crashes between the plan's last status call and the step may bring its zone below the
+// number of instances that must serve, which no plan can prevent.
+func (r *rolloutSystem) crashAllowed() bool {
 	for _, a := range r.agents {
 		if a.stepOpen || len(a.pendingActions) > 0 {
 			return false
@@ -447,7 +448,7 @@
 	}
 }
 
-// crashRouter ends a router's process. Its agent notices before anything else happens.
+// crashRouter ends a router's process. Its agent notices before anything else happens, and then one time step passes.
 func (r *rolloutSystem) crashRouter(n int) {
 	r.faults++
 	agent := r.agents[n]
--- a/internal/modelcheck/models/run.go
+++ b/internal/modelcheck/models/run.go
@@ -18,7 +18,7 @@
 // Trace is a sequence of steps that violates a property, with all that is needed to replay it.
 type Trace struct {
 	System string `json:"system"`
-	Fault  string `json:"fault,omitempty"` // that was injected; empty: none
+	Fault  string `json:"fault,omitempty"` // the injected fault; empty if there is none
 	Bounds Bounds `json:"bounds"`
 	modelcheck.Trace
 }
--- a/internal/modelcheck/models/settle.go
+++ b/internal/modelcheck/models/settle.go
@@ -16,18 +16,18 @@
 const (
 	settleMaxSteps     = 400
 	settleTicks        = 12
-	settleCommandTries = 20 // commands that a client sends until one is answered
-	settleRolloutTries = 6  // times that operators resume a rollout
+	settleCommandTries = 20 // commands that a client sends at most until one is answered
+	settleRolloutTries = 6  // times that operators resume a rollout at most until it has ended
 )
 
 // removeBounds lets time go on forever and allows no fault beyond those already injected.
 func removeBounds(b *Bounds, faults int) { b.Faults, b.Ticks = faults, math.MaxInt }
 
-// runUndisturbed takes the first possible step again and again, with time passing only when nothing else can happen. It reports
-// whether done became true.
+// runUndisturbed takes the first possible step again and again. Systems list the step tick after all others except close, so time
+// passes only when nothing but closing can happen. It reports whether done became true.
 func runUndisturbed(system modelcheck.System, done func() bool) bool {
 	for range settleMaxSteps {
-		steps := system.Steps() // time passes in the last of them
+		steps := system.Steps()
 		if done() || len(steps) == 0 {
 			break
 		}
@@ -167,7 +167,7 @@
 			outcome.Kind == coordinator.OutcomeNoRollout {
 			return r.Broken()
 		}
-		for range settleTicks { // a restarted agent grants no lease for the duration of one
+		for range settleTicks { // longer than a lease: a restarted agent counts a lease that it had granted as renewed
 			r.Take("tick")
 		}
 		r.tools = append(r.tools, &rolloutTool{})
--- a/internal/modelcheck/models/systems.go
+++ b/internal/modelcheck/models/systems.go
@@ -17,7 +17,7 @@
 type Kind struct {
 	Name        string
 	Description string
-	Faults      map[string]Fault // that can be injected, by name
+	Faults      map[string]Fault // faults that can be injected, by name
 	New         func(b Bounds, fault string) func() modelcheck.System
 }
 
@@ -49,20 +49,20 @@
 // Bounds limit the exploration of one system. A system ignores those that do not apply to it.
 type Bounds struct {
 	System   string        `sexp:",name"`
-	Depth    int           `sexp:"depth"`
-	States   int           `sexp:"states"`
-	Memory   int           `sexp:"memory-mb"`
-	For      sexp.Seconds  `sexp:"for"`
+	Depth    int           `sexp:"depth"`     // largest number of steps from the start
+	States   int           `sexp:"states"`    // largest number of states that are stored
+	Memory   int           `sexp:"memory-mb"` // largest heap, in MiB
+	For      sexp.Seconds  `sexp:"for"`       // longest wall time
 	Agents   int           `sexp:"agents"`
 	Tools    int           `sexp:"tools"`
 	Members  int           `sexp:"members"`
 	Routers  int           `sexp:"routers"`
 	Clients  int           `sexp:"clients"`
 	Commands []string      `sexp:"commands"` // command groups, or for the system client the messages of each client
-	Ticks    int           `sexp:"ticks"`    // most time steps
-	Faults   int           `sexp:"faults"`   // most faults that the adversary injects
+	Ticks    int           `sexp:"ticks"`    // largest number of time steps
+	Faults   int           `sexp:"faults"`   // largest number of faults that the adversary injects
 	Only     []string      `sexp:"only"`     // kinds of faults that it may inject; empty: all
-	Live     bool          `sexp:"live"`
+	Live     bool          `sexp:"live"`     // look for states from which no end state can be reached
 	Place    sexp.Position `sexp:",place"`
 }
 
--- a/internal/modelcheck/models/systems_test.go
+++ b/internal/modelcheck/models/systems_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestRelativeTimesKeepTheVerdict compares, in small bounds, the verdicts of explorations that hash times relative to now with
-// those that hash them as they are.
+// TestRelativeTimesKeepTheVerdict compares, in small bounds, the verdicts of explorations under rolloutRules, which hash times
+// relative to now and ignore fields, with those of explorations that hash every field as it is.
 func TestRelativeTimesKeepTheVerdict(t *testing.T) {
 	b := Bounds{System: "rollout", Agents: 1, Tools: 2, Ticks: 1, Faults: 1}
 	relative := rolloutRules
--- a/internal/modelcheck/models/watch.go
+++ b/internal/modelcheck/models/watch.go
@@ -43,18 +43,18 @@
 	watchedAddress int // 0 or 1
 	faults         int
 	ticks          int
-	generation     int64 // of discovery's list
-	ends           map[int]*discoveryEnd
-	descriptors    []int
+	generation     int64                 // generation of discovery's list
+	ends           map[int]*discoveryEnd // by descriptor
+	descriptors    []int                 // descriptors of all connections, closed ones too, in the order of their dials
 	listsReceived  int
 }
 
 // discoveryEnd is discovery's end of a connection.
 type discoveryEnd struct {
-	address     int // that the router dialed: 0 or 1
-	parsedBytes int
-	calls       []int64 // generations that pending calls ask from; -1: the complete list
-	unsentReply []byte
+	address     int     // the address that the router dialed: 0 or 1
+	parsedBytes int     // number of bytes of fakeSocket.written that discovery has parsed
+	calls       []int64 // generations after which pending calls ask for changes; -1 if a call asks for the complete list
+	unsentReply []byte  // second half of a reply whose first half was sent
 }
 
 func discoveryAddress(n int) netip.AddrPort {
--- a/internal/modelcheck/models/wire.go
+++ b/internal/modelcheck/models/wire.go
@@ -15,9 +15,9 @@
 // it. Times are in seconds.
 type fakeNetwork struct {
 	now            float64
-	lastDescriptor int
-	sockets        map[int]*fakeSocket
-	timers         map[*eventloop.Timer]float64
+	lastDescriptor int                          // descriptor that was returned last
+	sockets        map[int]*fakeSocket          // by descriptor
+	timers         map[*eventloop.Timer]float64 // time at which each set timer fires
 	// Faults that can be injected here.
 	alwaysQuiet          bool // NothingToRead is always true
 	losesLastByte        bool // the last byte of a complete write does not arrive
@@ -31,7 +31,7 @@
 type fakeSocket struct {
 	handler    eventloop.Handler
 	connected  bool
-	refused    bool
+	refused    bool   // connecting fails
 	peerClosed bool   // the remote side has closed the connection
 	unread     []byte // bytes that have arrived
 	written    []byte // all bytes written so far
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -21,20 +21,20 @@
 // seconds since the instance's start, unless a comment says otherwise.
 type instance struct {
 	id           uint32
-	startClock   uint64 // the simulator's clock at the instance's start, in nanoseconds
-	now          float64
+	startClock   uint64  // the simulator's clock at the instance's start, in nanoseconds
+	now          float64 // time of the present batch
 	router       *router.Router
 	commands     *inflight.Tracker
 	reportFields []string // names of a load report's fields, in order
 	groupCount   int      // number of command groups
 	fault        string   // why the instance cannot go on; empty while it can
 	crashed      bool
-	active       bool    // whether the present batch has selected the instance
-	timerAt      float64 // when the current timer fires; infinite if none is set
-	timerNumber  uint32  // number of the current timer; earlier timers are ignored when they fire
-	addresses    *idtable.Table[simproto.Address]
-	shards       *idtable.Table[int]
-	actions      simproto.Reply // actions of the present batch
+	active       bool                             // whether the present batch has selected the instance
+	timerAt      float64                          // when the current timer fires; infinite if none is set
+	timerNumber  uint32                           // number of the current timer; earlier timers are ignored when they fire
+	addresses    *idtable.Table[simproto.Address] // endpoint indices by address
+	shards       *idtable.Table[int]              // the router's shard indices by the simulator's shard number
+	actions      simproto.Reply                   // actions of the present batch
 }
 
 // newInstance starts a router. If its settings are invalid, the error becomes the instance's fault, which is reported in
--- a/internal/simproto/records.go
+++ b/internal/simproto/records.go
@@ -21,8 +21,8 @@
 	Address    Address
 	Result     int    // the simulator's result code
 	Elapsed    uint64 // nanoseconds
-	Final      bool   // whether this ends the command
-	PositionMs uint32 // the endpoint's log position in milliseconds after the settings' zero; 0 if unknown
+	Final      bool   // the attempt's result ends the command
+	PositionMs uint32 // the endpoint's log position in milliseconds since the settings' position epoch; 0 if unknown
 	Role       int    // a value of router.Role
 }
 
