--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -26,20 +26,22 @@
 	return append(binary.LittleEndian.AppendUint64(b, clock), body...)
 }
 
-// startRecord selects instance 0 and starts it with settings.
-func startRecord(params string) []byte {
+// startRecord returns records that select instance 0 and start it with the settings, a JSON text.
+func startRecord(rawSettings string) []byte {
 	b := append([]byte{5, 0, 0, 0, 0, 3}, make([]byte, 8)...)
-	return append(binary.LittleEndian.AppendUint32(b, uint32(len(params))), params...)
+	return append(binary.LittleEndian.AppendUint32(b, uint32(len(rawSettings))), rawSettings...)
 }
 
-// listRecords define an endpoint list of one ready endpoint and pass it to the selected instance as a complete list.
+// listRecords returns records that define an endpoint list of one ready endpoint and pass it to the selected instance as a
+// complete list.
 func listRecords() []byte {
 	b := append([]byte{11, 0, 0, 1, 0, 0, 0, 10, 0, 0, 1, 9, 9}, make([]byte, 22)...)
 	b[7+11] = 1
 	return append(b, 10, 2, 0, 0, 0, 0, 0, 0)
 }
 
-// commandRecord is a command whose client waits for the answer until the clock time deadline, in nanoseconds.
+// commandRecord returns the record of a command whose client waits for the answer until the clock time deadline, in
+// nanoseconds.
 func commandRecord(id byte, deadline uint64) []byte {
 	b := append([]byte{9, id, 0, 0, 0}, make([]byte, 14)...)
 	b = binary.LittleEndian.AppendUint64(b, deadline)
@@ -64,9 +66,9 @@
 }
 
 func TestUnknownAndLateEventsAreAccepted(t *testing.T) {
-	closed := append([]byte{4, 9, 0, 0, 0, 0}, make([]byte, 22)...)
-	probed := append([]byte{12}, make([]byte, 17)...)
-	_, err := serve(t, frame(1e9, 8, startRecord(settings), listRecords(), closed, probed, []byte{8, 1, 0, 0, 0}, []byte{7, 5, 0, 0, 0}))
+	attemptEnded := append([]byte{4, 9, 0, 0, 0, 0}, make([]byte, 22)...)
+	healthChecked := append([]byte{12}, make([]byte, 17)...)
+	_, err := serve(t, frame(1e9, 8, startRecord(settings), listRecords(), attemptEnded, healthChecked, []byte{8, 1, 0, 0, 0}, []byte{7, 5, 0, 0, 0}))
 	assert.NoError(t, err)
 }
 
--- a/internal/simproto/batch_test.go
+++ b/internal/simproto/batch_test.go
@@ -38,10 +38,12 @@
 }
 
 func TestRecordsAreDecoded(t *testing.T) {
-	body := []byte{5, 3, 0, 0, 0}
+	body := []byte{5, 3, 0, 0, 0} // instance 3 is selected
+	// a command, which ends with its shard and its session's write age as float32 and with its flags
 	body = append(body, 9, 1, 0, 0, 0, 2, 0, 0, 0, 0, 0)
 	body = append(body, make([]byte, 24)...)
 	body = append(body, 0, 0, 0x30, 0x41, 0, 0x40, 0xce, 0x43, 4)
+	// the result of an attempt, with a position and role packed into one number and with a load report of one value
 	body = append(body, 4, 7, 0, 0, 0, 1, 10, 0, 0, 1, 9, 9, 8, 0)
 	body = append(body, 1, 0, 0, 0, 0, 0, 0, 0, 1, 6, 0, 0, 0, 1, 0, 0, 0x80, 0x3f)
 	batch, err := ReadBatch(bytes.NewReader(frame(3, body...)), nil)
