--- a/internal/fleet/coordinator/calls.go
+++ b/internal/fleet/coordinator/calls.go
@@ -13,7 +13,7 @@
 type pendingCall struct {
 	agent         int // index
 	verb          protocol.Verb
-	sentAt        float64       // in seconds
+	sentAt        float64       // when the call was made, in seconds
 	epoch         uint64        // epoch of the request
 	recordVersion lease.Version // version of the record in the request, for StoreRecordVerb
 	stepNumber    uint64        // number of the step in the request, for BeginStepVerb
--- a/internal/fleet/coordinator/task.go
+++ b/internal/fleet/coordinator/task.go
@@ -66,7 +66,7 @@
 	OutcomeInfeasible                           // the minimums allow no step; Reason is the cause
 	OutcomeNoRollout                            // there is no rollout to continue, or its record cannot be decoded
 	OutcomeOtherFleet                           // Rollout is over another list of instances
-	OutcomeFenced                               // Holder has taken the lease over; without a Holder, another run, Rollout, has replaced this one
+	OutcomeFenced                               // Holder has the lease now; without a Holder, another run, Rollout, has replaced this one
 	OutcomeInterrupted                          // the caller called Quit; the rollout can be resumed
 )
 
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -42,7 +42,7 @@
 	nextHealthCheck    float64 // time of the next health check
 	missedHealthChecks int     // failed health checks in a row
 	readySince         float64 // time at which the router became ready; valid while state is ProcessReady
-	crashes            int     // number of times that the router exited by itself since it was ready for Limits.StableSeconds or a step began
+	crashes            int     // exits of the router by itself in a row; see Crashes
 
 	nextCounterRead   float64               // time of the next reading of the counters
 	commands          rollout.CommandCounts // counters of the process at the last reading
--- a/internal/modelcheck/models/cold.go
+++ b/internal/modelcheck/models/cold.go
@@ -26,7 +26,7 @@
 	slowStartTickSeconds    = 0.5   // length of one time step
 	slowStartServiceSeconds = 0.05  // time that a backend works on a command; it serves one at a time
 	slowStartWaitSeconds    = 0.125 // time from the start of a time step until clients of waiting commands leave
-	slowStartBurstReads     = 10    // reads in a time step over all routers: what a warm backend serves in it, so its rate shows its capacity
+	slowStartBurstReads     = 10    // reads in a time step, over all routers: what a warm backend can serve, so its rate shows its capacity
 	slowStartWarmReads      = 16    // reads of each router that are answered before the backend starts
 )
 
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -29,7 +29,7 @@
 	groupCount   int      // number of command groups
 	fault        string   // why the instance cannot go on; empty while it can
 	crashed      bool
-	active       bool                             // whether the present batch has selected the instance
+	active       bool                             // the present batch has selected the instance
 	timerAt      float64                          // when the current timer fires; infinite if none is set
 	timerNumber  uint32                           // number of the current timer; earlier timers are ignored when they fire
 	addresses    *idtable.Table[simproto.Address] // endpoint indices by address
