--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -19,7 +19,7 @@
 	Zones            []string // names of the zones, indexed by zone number
 	ReportFields     []string // fields of a load report, in order
 	ReportsOnAnswers bool     // backends send load reports with all answers, not only with those to health checks
-	PositionEpochNs  float64  // time from which log positions count, in nanoseconds on the clock of the settings
+	PositionEpochNs  float64  // time from which log positions count, in nanoseconds on the simulator's clock; unused on sockets
 	BackendIdle      float64  // seconds after which a backend closes an idle connection
 	DrainGrace       float64  // seconds within which a router must stop sending to a draining backend; 0 if unknown
 }
--- a/internal/eventloop/post.go
+++ b/internal/eventloop/post.go
@@ -3,7 +3,7 @@
 import "golang.org/x/sys/unix"
 
 // Post schedules a function to be called in the loop's next turn. Post may be called from any goroutine. Functions are
-// called in the order in which they were posted. If Run has returned, they are called when it is called again.
+// called in the order in which they were posted. If Run has returned, they are called the next time that Run is called.
 func (l *Loop) Post(call func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, call)
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -103,8 +103,8 @@
 // outOfDescriptors are the errors that closing another descriptor can remedy.
 var outOfDescriptors = []unix.Errno{unix.EMFILE, unix.ENFILE}
 
-// IsLocalFailure reports whether an error of Dial has a local cause: this machine lacks a descriptor, memory, a port or a
-// route, or does not permit the connection. Such an error is no evidence about the other side.
+// IsLocalFailure reports whether an error of Dial or Listen has a local cause: this machine lacks a descriptor, memory, a
+// port, an address or a route, or does not permit the socket. Such an error of Dial is no evidence about the other side.
 func IsLocalFailure(err error) bool { return isAny(err, localFailures) }
 
 // IsOutOfDescriptors reports whether an error means that the process or the machine has no free descriptor.
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -33,7 +33,7 @@
 	replies []*reply     // outstanding replies, in the order of the queries
 
 	cancelKey         pg.CancelKey // identifies the connection in a cancel request; zero before start-up
-	hasQueried        bool         // the client has sent a complete query
+	hasQueried        bool         // the client has sent a query that is empty or has a valid routing comment
 	closeAfterReplies bool         // the connection ends once the outstanding replies are written
 	rejectedQueries   int          // number of queries rejected so far
 
--- a/internal/frontend/phase.go
+++ b/internal/frontend/phase.go
@@ -15,7 +15,7 @@
 	phaseCommandsInFlight
 	phaseAwaitingFirstQuery
 	phaseReadingMessage // part of a message has arrived
-	phaseWritingAnswer  // the client has not taken all of a reply
+	phaseWritingAnswer  // the socket has not accepted all of the output
 	phaseIdle           // between commands
 	phaseClosing
 )
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -27,7 +27,7 @@
 	IsInFlight(clientID string) bool
 	// Submit starts a command and takes ownership of it. The dispatcher later passes one result to the command's Responder.
 	Submit(command *dispatcher.Command)
-	// ClientGone notifies the dispatcher that the client of these commands is gone and expects no results any more.
+	// ClientGone notifies the dispatcher that the client of these commands has left or canceled them, and expects no results.
 	ClientGone(commands []*dispatcher.Command)
 	// CloseIdleBackend closes an idle connection to a backend, and reports whether there was one that could be spared.
 	CloseIdleBackend() bool
@@ -113,14 +113,15 @@
 	return s, network.Add(s.listener, s, true, false)
 }
 
-// Retries of the listening socket, if the machine has no resources for it.
+// Retries of opening the listening socket after a local failure.
 const (
-	listenRetryTime     = time.Second
-	listenRetryInterval = 10 * time.Millisecond
+	listenRetryTime     = time.Second           // total time for which opening is retried
+	listenRetryInterval = 10 * time.Millisecond // pause between two tries
 )
 
-// listenWithRetries opens the listening socket. While the machine lacks the resources for one, it retries for
-// listenRetryTime. Other errors are returned at once.
+// listenWithRetries opens the listening socket. If that fails for a cause that eventloop.IsLocalFailure recognizes, such as
+// a lack of descriptors, it retries for listenRetryTime. It returns other errors without a retry, such as that of an
+// address in use.
 func (s *Server) listenWithRetries(address netip.AddrPort) (listener int, err error) {
 	for start := time.Now(); ; time.Sleep(listenRetryInterval) {
 		listener, err = s.loop.Listen(address, s.limits.Counts.ListenBacklog)
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -32,7 +32,7 @@
 // default, that is unless a Connection header says otherwise.
 var versions = map[string]bool{"HTTP/1.0": true, "HTTP/1.1": false}
 
-// Status codes that determine what follows the headers.
+// Status codes: the valid range, and the codes that determine what follows the headers.
 const (
 	minStatus         = 100
 	maxStatus         = 999
--- a/internal/metrics/count.go
+++ b/internal/metrics/count.go
@@ -19,16 +19,18 @@
 	WriteStallTimeouts uint64 // the client did not read its answers
 
 	// Commands. Received is the sum of Answered, Rejected, Failed, Abandoned and InFlight.
-	Received          uint64
-	ReceivedByGroup   []uint64 // by index into GroupNames
-	GroupNames        []string
-	Answered          uint64 // answered with a backend's answer
-	Rejected          uint64 // answered with a retry hint: the command did not run and can be sent again
-	Failed            uint64 // answered with an error: a command that is not idempotent may have run
-	Abandoned         uint64 // the client left before the answer
-	InFlight          uint64 // gauge: commands without a final answer
-	InvalidQueries    uint64 // messages that were not a valid command and were answered with an error
-	ClientsLeftUnsent uint64 // clients that disconnected before one of their commands was sent to any backend
+	Received        uint64
+	ReceivedByGroup []uint64 // by index into GroupNames
+	GroupNames      []string
+	Answered        uint64 // answered with a backend's answer
+	Rejected        uint64 // answered with a retry hint: the command did not run and can be sent again
+	Failed          uint64 // answered with an error: a command that is not idempotent may have run
+	Abandoned       uint64 // the client left or canceled the command before the answer
+	InFlight        uint64 // gauge: commands without a final answer
+	InvalidQueries  uint64 // messages that were not a valid command and were answered with an error
+	// ClientsLeftUnsent counts the times that a client left or canceled while one of its commands had no attempt, or an
+	// attempt whose statement was not completely written. An earlier attempt of the command may have been rejected.
+	ClientsLeftUnsent uint64
 
 	// Attempts: one command sent to one backend.
 	Attempts         uint64
--- a/internal/pg/answer_test.go
+++ b/internal/pg/answer_test.go
@@ -36,19 +36,19 @@
 
 func TestErrorAnswerHasItsCode(t *testing.T) {
 	b := AppendReadyForQuery(AppendParameterStatus(AppendErrorResponse(nil, false, CodeReadOnlyTransaction, "read only", ""), "recovery", "on"))
-	a := Answer{Row: *chain(nil)}
-	done, err := a.Take(chain(b), 1024, 1024)
+	answer := Answer{Row: *chain(nil)}
+	done, err := answer.Take(chain(b), 1024, 1024)
 	require.NoError(t, err)
 	assert.True(t, done)
-	assert.False(t, a.HasRow())
-	assert.Equal(t, CodeReadOnlyTransaction, a.ErrorCode)
-	assert.Equal(t, "on", a.Role, "parameters after the error are used")
+	assert.False(t, answer.HasRow())
+	assert.Equal(t, CodeReadOnlyTransaction, answer.ErrorCode)
+	assert.Equal(t, "on", answer.Role, "parameters after the error are used")
 
-	a = Answer{Row: *chain(nil)}
-	done, err = a.Take(chain(AppendErrorResponse(nil, true, CodeTooManyConnections, "too many", "")), 1024, 1024)
+	answer = Answer{Row: *chain(nil)}
+	done, err = answer.Take(chain(AppendErrorResponse(nil, true, CodeTooManyConnections, "too many", "")), 1024, 1024)
 	require.NoError(t, err)
 	assert.True(t, done, "the answer ends with a fatal error")
-	assert.True(t, a.Fatal)
+	assert.True(t, answer.Fatal)
 }
 
 func TestMalformedAnswerIsAnError(t *testing.T) {
@@ -77,17 +77,17 @@
 		"too long":                append([]byte{'D'}, 0, 1, 0, 0),
 		"very long parameter":     AppendParameterStatus(nil, "x", strings.Repeat("y", 1024)),
 	} {
-		a := Answer{Row: *chain(nil)}
-		_, err := a.Take(chain(b), 60000, 1024)
+		answer := Answer{Row: *chain(nil)}
+		_, err := answer.Take(chain(b), 60000, 1024)
 		require.Error(t, err, name)
 		var bad *MessageError
 		require.ErrorAs(t, err, &bad, name)
 	}
-	a := Answer{Row: *chain(nil)}
-	done, err := a.Take(chain(AppendReadyForQuery(nil)), 1024, 1024)
+	answer := Answer{Row: *chain(nil)}
+	done, err := answer.Take(chain(AppendReadyForQuery(nil)), 1024, 1024)
 	require.NoError(t, err)
 	assert.True(t, done)
-	assert.False(t, a.HasRow(), "a ReadyForQuery without a row is not a row")
+	assert.False(t, answer.HasRow(), "a ReadyForQuery without a row is not a row")
 }
 
 func FuzzAnswer(f *testing.F) {
@@ -95,18 +95,18 @@
 	f.Add(AppendErrorResponse(nil, true, CodeTooManyConnections, "no", "5"), 1)
 	f.Add([]byte("D\x00\x00\x00\x04T\x00\x00\x00\x04"), 2)
 	f.Fuzz(func(t *testing.T, b []byte, cut int) {
-		a := Answer{Row: *chain(nil)}
-		done, err := a.Take(chain(b), 1024, 1024)
+		answer := Answer{Row: *chain(nil)}
+		done, err := answer.Take(chain(b), 1024, 1024)
 		cut = min(max(0, cut), len(b))
-		in, c := chain(b[:cut]), Answer{Row: *chain(nil)}
-		done2, err2 := c.Take(in, 1024, 1024)
+		in, splitAnswer := chain(b[:cut]), Answer{Row: *chain(nil)}
+		done2, err2 := splitAnswer.Take(in, 1024, 1024)
 		if !done2 && err2 == nil {
 			in.Write(b[cut:])
-			done2, err2 = c.Take(in, 1024, 1024)
+			done2, err2 = splitAnswer.Take(in, 1024, 1024)
 		}
 		require.Equal(t, done, done2)
 		require.Equal(t, err == nil, err2 == nil)
-		require.Equal(t, a.HasRow(), c.HasRow())
+		require.Equal(t, answer.HasRow(), splitAnswer.HasRow())
 		_, _, _ = ReadStartup(chain(b), 10000)
 	})
 }
--- a/internal/pg/errors.go
+++ b/internal/pg/errors.go
@@ -27,8 +27,10 @@
 
 // MessageError describes an invalid message. It wraps ErrMessageLength or ErrMalformedAnswer.
 type MessageError struct {
-	Kind   byte   // type of the message
-	Length int    // length in bytes, as the message states it; 0 if the error does not concern the length
+	Kind byte // type of the message
+	// Length is the length at fault, in bytes; 0 if the error does not concern the length. What it counts depends on the
+	// check: the value of the length field (PeekMessage), the whole message (Answer.Take) or the body (ReceiveMessage).
+	Length int
 	Reason string // description of the fault, which includes the message's type
 	Err    error  // ErrMessageLength or ErrMalformedAnswer
 }
--- a/internal/pg/scanner.go
+++ b/internal/pg/scanner.go
@@ -15,7 +15,9 @@
 // scanner scans a statement byte by byte, so the statement need not be contiguous in memory. It finds the statement's last
 // block comment, hashes its first string literal, and detects a second statement.
 type scanner struct {
-	maxCommentSize int // largest size of a comment in bytes; one byte more is stored, which shows that a comment is longer
+	// maxCommentSize is the largest size of a comment's text and the star that closes it, in bytes. The scanner stores one
+	// byte more, which shows that a comment is longer.
+	maxCommentSize int
 	offset         int // number of bytes scanned
 	context        scanContext
 	depth          int  // nesting depth of block comments
--- a/internal/pg/statement_test.go
+++ b/internal/pg/statement_test.go
@@ -50,16 +50,16 @@
 		"SELECT 1 /* /* x */ ; */ /*id=1,c=a,d=5,cluster=1*/ -- bye",
 		"SELECT 4/2-1 /*id=1,c=a,d=5,cluster=1*/;",
 	} {
-		s, err := parse(text)
+		statement, err := parse(text)
 		if assert.NoError(t, err, text) {
-			assert.Equal(t, "a", s.Group, text)
-			assert.Equal(t, "5", text[s.WaitStart:s.WaitEnd], text)
+			assert.Equal(t, "a", statement.Group, text)
+			assert.Equal(t, "5", text[statement.WaitStart:statement.WaitEnd], text)
 		}
 	}
 	for _, text := range []string{"", " ", ";", " ; /* nothing */ ;"} {
-		s, err := parse(text)
+		statement, err := parse(text)
 		require.NoError(t, err)
-		assert.True(t, s.Empty, "%q", text)
+		assert.True(t, statement.Empty, "%q", text)
 	}
 }
 
@@ -104,15 +104,15 @@
 	f.Add(readStatement)
 	f.Add(`E'\''"" -- /* */;` + "\n$$")
 	f.Fuzz(func(t *testing.T, text string) {
-		s, err := parse(text)
+		statement, err := parse(text)
 		unsplit := buffer.NewPool(1<<16, 1).NewChain()
 		unsplit.Write([]byte(text + "\x00"))
 		again, err2 := ParseStatement(&unsplit, 0, len(text)+1, 1024)
 		require.Equal(t, err, err2, "the result must not depend on how the text is split into blocks")
-		require.Equal(t, s, again)
-		if err == nil && !s.Empty {
-			require.Less(t, s.WaitStart, s.WaitEnd)
-			require.LessOrEqual(t, s.WaitEnd, len(text))
+		require.Equal(t, statement, again)
+		if err == nil && !statement.Empty {
+			require.Less(t, statement.WaitStart, statement.WaitEnd)
+			require.LessOrEqual(t, statement.WaitEnd, len(text))
 		}
 	})
 }
