--- a/cmd/stoatdale/commands_test.go
+++ b/cmd/stoatdale/commands_test.go
@@ -17,41 +17,41 @@
 func TestCommandIsAnsweredWithTheBackendsValue(t *testing.T) {
 	b := newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
-	c := r.connect()
-	assert.Equal(t, "value of k1", c.query(readStatement("k1")))
+	client := r.connect()
+	assert.Equal(t, "value of k1", client.query(readStatement("k1")))
 	got := receive(t, b.statements)
 	wait := regexp.MustCompile(`d=(\d+)`)
 	assert.Equal(t, wait.ReplaceAllString(readStatement("k1"), "d="), wait.ReplaceAllString(got, "d="), "only d, the remaining wait, may differ")
 	big := strings.Repeat("z", 40000)
-	assert.Equal(t, "value of "+big, c.query(readStatement(big)), "a statement longer than a buffer block")
-	n := r.counters()
-	assert.EqualValues(t, 2, n["received"])
-	assert.EqualValues(t, 2, n["answered"])
-	assert.EqualValues(t, 2, n["attempts"])
-	assert.EqualValues(t, 2, n["received_by_group"].(map[string]any)["look"])
-	assert.EqualValues(t, 1, n["clients_open"])
-	assert.Zero(t, n["in_flight"])
+	assert.Equal(t, "value of "+big, client.query(readStatement(big)), "a statement longer than a buffer block")
+	counts := r.counters()
+	assert.EqualValues(t, 2, counts["received"])
+	assert.EqualValues(t, 2, counts["answered"])
+	assert.EqualValues(t, 2, counts["attempts"])
+	assert.EqualValues(t, 2, counts["received_by_group"].(map[string]any)["look"])
+	assert.EqualValues(t, 1, counts["clients_open"])
+	assert.Zero(t, counts["in_flight"])
 }
 
 func TestPipelinedAnswersKeepTheOrderOfTheirCommands(t *testing.T) {
-	first := make(chan struct{})
-	b := newTestBackend(t, func(q string) []byte {
-		if strings.Contains(q, "slow") {
-			<-first
+	release := make(chan struct{})
+	b := newTestBackend(t, func(statement string) []byte {
+		if strings.Contains(statement, "slow") {
+			<-release
 		}
-		return answerAs("on")(q)
+		return answerAs("on")(statement)
 	})
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
-	c := r.connect()
+	client := r.connect()
 	all := pg.AppendQuery(pg.AppendQuery(pg.AppendQuery(nil, readStatement("slow")), ""), readStatement("quick"))
 	for i := range all {
-		c.send(all[i : i+1])
+		client.send(all[i : i+1])
 	}
 	r.waitForCounter("attempts", 2) // both commands are in flight
-	close(first)
-	assert.Equal(t, "value of slow", c.readReply())
-	assert.Equal(t, "EMPTY", c.readReply())
-	assert.Equal(t, "value of quick", c.readReply())
+	close(release)
+	assert.Equal(t, "value of slow", client.readReply())
+	assert.Equal(t, "EMPTY", client.readReply())
+	assert.Equal(t, "value of quick", client.readReply())
 }
 
 func TestWriteRejectedByAReplicaIsRetriedAtThePrimary(t *testing.T) {
@@ -94,17 +94,17 @@
 func TestClientDisconnectCancelsItsAttempt(t *testing.T) {
 	hang := make(chan struct{})
 	defer close(hang)
-	b := newTestBackend(t, func(q string) []byte {
-		if strings.Contains(q, "'gone'") {
+	b := newTestBackend(t, func(statement string) []byte {
+		if strings.Contains(statement, "'gone'") {
 			<-hang
 		}
-		return answerAs("on")(q)
+		return answerAs("on")(statement)
 	})
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
-	c := r.connect()
-	c.send(pg.AppendQuery(nil, readStatement("gone")))
+	client := r.connect()
+	client.send(pg.AppendQuery(nil, readStatement("gone")))
 	receive(t, b.statements)
-	_ = c.Close()
+	_ = client.Close()
 	r.waitForCounter("abandoned", 1)
 	assert.EqualValues(t, 1, r.counters()["attempts_canceled"])
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
@@ -113,9 +113,9 @@
 func TestBackendConnectionIsReused(t *testing.T) {
 	b := newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
-	c := r.connect()
+	client := r.connect()
 	for range 5 {
-		assert.Equal(t, "value of k", c.query(readStatement("k")))
+		assert.Equal(t, "value of k", client.query(readStatement("k")))
 		time.Sleep(20 * time.Millisecond) // longer than the delay before a connection is reused
 	}
 	assert.EqualValues(t, 1, r.counters()["backend_connects"])
@@ -126,9 +126,9 @@
 	b := newTestBackend(t, answerAs("on"))
 	r := startRouterWith(t, routerOptions{settings: testSettings(true)}, listEntry(b, "b", "ready", "on"))
 	const queries = 40 // enough for a health check to be due while the backend's position is needed
-	c := r.connect()
+	client := r.connect()
 	for range queries {
-		assert.Equal(t, "value of k", c.query(readStatement("k")))
+		assert.Equal(t, "value of k", client.query(readStatement("k")))
 	}
 	r.waitForCounter("health_checks", 1)
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
@@ -148,15 +148,15 @@
 		return bytes.Replace(answer, positionOf.Find(answer), fmt.Appendf(nil, "lsn_ms\x00%d", position), 1)
 	}
 	writeSucceeds := make(chan bool) // false: the write's connection breaks
-	a := newTestBackend(t, func(q string) []byte {
-		if strings.HasPrefix(q, "INSERT") {
+	a := newTestBackend(t, func(text string) []byte {
+		if strings.HasPrefix(text, "INSERT") {
 			if !<-writeSucceeds {
 				return nil
 			}
 		}
-		return answerAt(q, "off", time.Now().UnixMilli())
+		return answerAt(text, "off", time.Now().UnixMilli())
 	})
-	b := newTestBackend(t, func(q string) []byte { return answerAt(q, "on", applied.Load()) })
+	b := newTestBackend(t, func(text string) []byte { return answerAt(text, "on", applied.Load()) })
 	settings := testSettings(false)
 	settings["familyInfo"].(map[string]any)["needsByClass"] = []string{"causal", "mutate"}
 	r := startRouterWith(t, routerOptions{settings: settings},
@@ -191,7 +191,7 @@
 
 	applied.Store(time.Now().UnixMilli() + 1)
 	assert.Equal(t, "value of other", reads.query(readStatement("other")))
-	servedBy(b, "SELECT") // whose answer carries its position
+	servedBy(b, "SELECT") // its answer reports the new position of b to the router
 	assert.Equal(t, "value of k7", reads.query(readStatement("k7")))
 	servedBy(b, "SELECT")
 }
--- a/cmd/stoatdale/discovery_test.go
+++ b/cmd/stoatdale/discovery_test.go
@@ -16,12 +16,12 @@
 func TestDrainingBackendReceivesNoNewCommands(t *testing.T) {
 	a, b := newTestBackend(t, answerAs("on")), newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(a, "a", "ready", "on"))
-	c := r.connect()
-	assert.Equal(t, "value of k", c.query(readStatement("k")))
+	client := r.connect()
+	assert.Equal(t, "value of k", client.query(readStatement("k")))
 	r.discovery.publish(listEntry(a, "a", "draining", "on") + "," + listEntry(b, "b", "ready", "on"))
 	r.waitForLog(`"generation":2`)
 	for range 10 {
-		assert.Equal(t, "value of k", c.query(readStatement("k")))
+		assert.Equal(t, "value of k", client.query(readStatement("k")))
 	}
 	assert.Len(t, a.statements, 1)
 	assert.Len(t, b.statements, 10)
@@ -52,17 +52,17 @@
 	returnedAt := time.Now()
 	r.waitForLog(`"generation":7`)
 	assert.Less(t, time.Since(returnedAt), time.Second, "the list takes effect within the drain grace")
-	c := r.connect()
+	client := r.connect()
 	for i := range 5 {
 		key := fmt.Sprint("k", i)
-		assert.Equal(t, "value of "+key, c.query(readStatement(key)))
+		assert.Equal(t, "value of "+key, client.query(readStatement(key)))
 	}
 	assert.Empty(t, a.statements, "the backend drains")
 }
 
 // A poll is never answered, and an overloaded discovery service refuses the polls after it. The router must notice a
-// change in between by the time at which the change counts as notified, plus the drain grace. With a hold of 5 s one
-// refused poll made it late, with a hold of 3 s two did.
+// change in between by the time at which the change counts as notified, plus the drain grace. When the hold was 5 s, one
+// refused poll made the router late; when it was 3 s, two did.
 func TestPolledListIsNoticedInTimeThoughTheNextPollsAreRefused(t *testing.T) {
 	t.Parallel()
 	for refusals := 1; refusals <= 2; refusals++ {
@@ -133,8 +133,8 @@
 type crowdedDiscovery struct {
 	mu               sync.Mutex
 	refusedAfterList []int // number of calls refused after each complete list; the last number is repeated
-	refusing         int
-	calls            int // number of calls that were not refused
+	refusing         int   // number of calls that are still to be refused
+	calls            int   // number of calls that were not refused
 	listed, changed  discoveryStep
 	admitted         chan time.Time // receives the time of the second call that was not refused
 }
--- a/cmd/stoatdale/main_test.go
+++ b/cmd/stoatdale/main_test.go
@@ -56,18 +56,18 @@
 	builtPath := filepath.Join(t.TempDir(), "stoatdale")
 	out, err := exec.Command("sh", "-c", build[1]+" -o "+builtPath+" .").CombinedOutput()
 	require.NoError(t, err, string(out))
-	f, err := elf.Open(builtPath)
+	program, err := elf.Open(builtPath)
 	require.NoError(t, err)
-	defer func() { _ = f.Close() }()
+	defer func() { _ = program.Close() }()
 	var loader []byte
-	for _, p := range f.Progs {
-		if p.Type == elf.PT_INTERP {
-			loader, err = io.ReadAll(p.Open())
+	for _, segment := range program.Progs {
+		if segment.Type == elf.PT_INTERP {
+			loader, err = io.ReadAll(segment.Open())
 			require.NoError(t, err)
 		}
 	}
 	assert.Contains(t, string(loader), "/ld-", "the program names an interpreter")
-	needed, err := f.ImportedLibraries()
+	needed, err := program.ImportedLibraries()
 	require.NoError(t, err)
 	assert.Contains(t, needed, "libc.so.6")
 	assert.Regexp(t, `(?m)^run = "exec bin/stoatdale"$`, string(text), "exec makes the router the platform's only process")
@@ -96,9 +96,9 @@
 				i, i%17, i/5))
 		}
 		r := startRouterWith(t, routerOptions{sockets: 64, memoryMB: 16}, list...)
-		c := r.connect()
-		c.send(pg.AppendQuery(nil, ""))
-		assert.Equal(t, "EMPTY", c.readReply())
+		client := r.connect()
+		client.send(pg.AppendQuery(nil, ""))
+		assert.Equal(t, "EMPTY", client.readReply())
 		r.waitForCounter("endpoints_known", float64(endpoints))
 	}
 }
--- a/cmd/stoatdale/reload_test.go
+++ b/cmd/stoatdale/reload_test.go
@@ -19,8 +19,8 @@
 	hold := make(chan struct{})
 	a, b := newTestBackend(t, func(q string) []byte { <-hold; return answerAs("on")(q) }), newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(a, "a", "ready", "on"))
-	c := r.connect()
-	c.send(pg.AppendQuery(nil, readStatement("k")))
+	client := r.connect()
+	client.send(pg.AppendQuery(nil, readStatement("k")))
 	receive(t, a.statements)
 	other := newTestDiscovery(t, listEntry(b, "b", "ready", "on"))
 	r.reload(`"discovery":"`+r.discovery.address, `"discovery":"`+other.address)
@@ -33,7 +33,7 @@
 	}
 	assert.Empty(t, a.statements, "the new list does not name this backend")
 	close(hold)
-	assert.Equal(t, "value of k", c.readReply())
+	assert.Equal(t, "value of k", client.readReply())
 	assert.Zero(t, r.counters()["reloads_rejected"])
 }
 
@@ -47,29 +47,29 @@
 	require.NoError(t, os.Remove(r.configPath))
 	r.signal(syscall.SIGHUP)
 	r.waitForLog("reload refused")
-	n := r.counters()
-	assert.EqualValues(t, 1, n["reloads"])
-	assert.EqualValues(t, 2, n["reloads_rejected"])
+	counts := r.counters()
+	assert.EqualValues(t, 1, counts["reloads"])
+	assert.EqualValues(t, 2, counts["reloads_rejected"])
 	assert.Equal(t, "value of k", r.connect().query(readStatement("k")))
 }
 
-// The first seconds after a settings migration, while the endpoint list names the wrong primary, one command is in flight
-// at a backend that hangs, and the command groups change. The router must keep what it has learnt.
+// During a settings migration, the endpoint list names the wrong primary, one command is in flight at a backend that
+// hangs, and the command groups change. The router must keep what it has learnt, such as which backend is the primary.
 func TestMigrationKeepsWhatStillHolds(t *testing.T) {
 	hold := make(chan struct{})
-	replica := func(q string) []byte {
+	replica := func(statement string) []byte {
 		switch {
-		case strings.HasPrefix(q, "INSERT"):
+		case strings.HasPrefix(statement, "INSERT"):
 			return pg.AppendReadyForQuery(pg.AppendParameterStatus(pg.AppendErrorResponse(nil, false, pg.CodeReadOnlyTransaction, "read only", ""), "recovery", "on"))
-		case strings.Contains(q, "slow"):
+		case strings.Contains(statement, "slow"):
 			<-hold
 		}
-		return answerAs("on")(q)
+		return answerAs("on")(statement)
 	}
-	a, b, p := newTestBackend(t, replica), newTestBackend(t, replica), newTestBackend(t, answerAs("off"))
-	r := startRouter(t, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"), listEntry(p, "p", "ready", "on"))
-	c, slow := r.connect(), r.connect()
-	assert.Equal(t, "value of w", c.query(writeStatement("w", 6000)))
+	a, b, primary := newTestBackend(t, replica), newTestBackend(t, replica), newTestBackend(t, answerAs("off"))
+	r := startRouter(t, listEntry(a, "a", "ready", "off"), listEntry(b, "b", "ready", "on"), listEntry(primary, "p", "ready", "on"))
+	client, slow := r.connect(), r.connect()
+	assert.Equal(t, "value of w", client.query(writeStatement("w", 6000)))
 	slow.send(pg.AppendQuery(nil, strings.Replace(readStatement("slow"), "d=3000", "d=7000", 1)))
 	r.waitForCounter("attempts", 3) // the rejected write, its retry and this read
 	notServed := r.counters()["attempt_results"].(map[string]any)["not_served"]
@@ -80,21 +80,21 @@
 	r.waitForLog("migrated to changed settings")
 	for i := range 10 {
 		write := strings.Replace(writeStatement(fmt.Sprint("w", i), 6000), "id=02", fmt.Sprint("id=", 10+i), 1)
-		assert.Equal(t, fmt.Sprint("value of w", i), c.query(write))
+		assert.Equal(t, fmt.Sprint("value of w", i), client.query(write))
 	}
-	assert.Equal(t, "value of v", c.query(strings.Replace(readStatement("v"), "c=look,d=3000", "c=view,d=6000", 1)))
-	assert.Equal(t, "value of r", c.query(strings.Replace(readStatement("r"), "c=look", "c=report", 1)))
-	assert.Equal(t, pg.CodeInvalidParameterValue, c.query(readStatement("k")), "the group no longer exists")
+	assert.Equal(t, "value of v", client.query(strings.Replace(readStatement("v"), "c=look,d=3000", "c=view,d=6000", 1)))
+	assert.Equal(t, "value of r", client.query(strings.Replace(readStatement("r"), "c=look", "c=report", 1)))
+	assert.Equal(t, pg.CodeInvalidParameterValue, client.query(readStatement("k")), "the group no longer exists")
 	close(hold)
 	assert.Equal(t, "value of slow", slow.readReply(), "a command in flight ends under the settings with which it was received")
-	n := r.counters()
-	assert.EqualValues(t, 1, n["settings_migrations"])
-	assert.Equal(t, notServed, n["attempt_results"].(map[string]any)["not_served"], "the router keeps what it learnt about the primary")
-	assert.Zero(t, n["throttled"].(float64)+n["failed"].(float64)+n["in_flight"].(float64))
+	counts := r.counters()
+	assert.EqualValues(t, 1, counts["settings_migrations"])
+	assert.Equal(t, notServed, counts["attempt_results"].(map[string]any)["not_served"], "the router keeps what it learnt about the primary")
+	assert.Zero(t, counts["throttled"].(float64)+counts["failed"].(float64)+counts["in_flight"].(float64))
 }
 
-// Without the key move, changed settings wait for a restart. A changed way to get the endpoint list (the key discovery of
-// the settings) always does.
+// Without the key move, changed settings wait for a restart. A change of how the endpoint list is fetched (the key
+// discovery of the settings) always does.
 func TestSettingsMigrateOnlyWhereRequested(t *testing.T) {
 	b := newTestBackend(t, answerAs("on"))
 	r := startRouter(t, listEntry(b, "b", "ready", "on"))
@@ -107,8 +107,8 @@
 	assert.Zero(t, r.counters()["settings_migrations"])
 }
 
-// After a reload, the new discovery agent is behind the earlier one. A drain that the earlier agent has announced holds
-// until the new agent has caught up.
+// After a reload, the list of the new discovery service is older than that of the earlier one. A drain that the earlier
+// service has announced holds until the new service has caught up.
 func TestOlderListAfterAMoveRevivesNoDrainingBackend(t *testing.T) {
 	a, b := newTestBackend(t, answerAs("on")), newTestBackend(t, answerAs("on"))
 	before := newScriptedDiscovery(t, answerList(5, listEntry(a, "a", "ready", "on"), listEntry(b, "b", "draining", "on")))
@@ -123,10 +123,10 @@
 	r.waitForLog(`"generation":5`)
 	r.reload(`"discovery":"`+before, `"discovery":"`+after)
 	r.waitForLog(`"generation":3`)
-	c := r.connect()
-	assert.Contains(t, c.query(strings.Replace(readStatement("k"), "d=3000", "d=500", 1)), pg.CodeTooManyConnections)
+	client := r.connect()
+	assert.Contains(t, client.query(strings.Replace(readStatement("k"), "d=3000", "d=500", 1)), pg.CodeTooManyConnections)
 	assert.Empty(t, b.statements, "the backend drains")
 	close(caughtUp)
 	r.waitForLog(`"generation":6`)
-	assert.Equal(t, "value of n", c.query(readStatement("n")), "the backend is ready again")
+	assert.Equal(t, "value of n", client.query(readStatement("n")), "the backend is ready again")
 }
--- a/cmd/stoatdale/slowstart_test.go
+++ b/cmd/stoatdale/slowstart_test.go
@@ -92,8 +92,8 @@
 	return arrivals, bound
 }
 
-// slowStartBound returns the number of commands in a window from which on an endpoint is overloaded, for the number that
-// the settings allow it.
+// slowStartBound returns the most commands that an endpoint may get in a window, given the number that the settings allow
+// it: that number plus slack, which grows with its square root.
 func slowStartBound(allowed float64) float64 {
 	const few = 30
 	if allowed < few {
--- a/cmd/stoatdale/soak_ledger_test.go
+++ b/cmd/stoatdale/soak_ledger_test.go
@@ -23,7 +23,7 @@
 type soakGroup struct {
 	name     string
 	effect   string
-	deadline time.Duration
+	deadline time.Duration // client timeout, from sending a command
 	window   time.Duration // idempotency window, of a group with idempotency keys
 
 	staleness time.Duration // greatest age of the data that its reads may see; 0: no bound
@@ -133,21 +133,21 @@
 	if violation := c.checkAnswer(stall); violation != "" {
 		violations = append(violations, violation)
 	}
-	for i, a := range c.arrivals {
-		if remaining := c.group.deadline - a.at.Sub(c.sentAt); a.statedWait > remaining+waitSlack+stall {
-			violations = append(violations, fmt.Sprintf("an attempt states a wait of %v, its client has %v left", a.statedWait, remaining))
+	for i, arrival := range c.arrivals {
+		if remaining := c.group.deadline - arrival.at.Sub(c.sentAt); arrival.statedWait > remaining+waitSlack+stall {
+			violations = append(violations, fmt.Sprintf("an attempt states a wait of %v, its client has %v left", arrival.statedWait, remaining))
 		}
-		if !c.clientLeftAt.IsZero() && a.at.Sub(c.clientLeftAt) > departureSlack+stall {
-			violations = append(violations, fmt.Sprintf("an attempt came %v after its client had gone", a.at.Sub(c.clientLeftAt)))
+		if !c.clientLeftAt.IsZero() && arrival.at.Sub(c.clientLeftAt) > departureSlack+stall {
+			violations = append(violations, fmt.Sprintf("an attempt came %v after its client had gone", arrival.at.Sub(c.clientLeftAt)))
 		}
-		if !c.canceledAt.IsZero() && a.at.Sub(c.canceledAt) > departureSlack+stall {
-			violations = append(violations, fmt.Sprintf("an attempt came %v after its command was canceled", a.at.Sub(c.canceledAt)))
+		if !c.canceledAt.IsZero() && arrival.at.Sub(c.canceledAt) > departureSlack+stall {
+			violations = append(violations, fmt.Sprintf("an attempt came %v after its command was canceled", arrival.at.Sub(c.canceledAt)))
 		}
-		if c.answers > 0 && a.at.Sub(c.answeredAt) > stall+departureSlack {
-			violations = append(violations, fmt.Sprintf("an attempt came %v after its final answer", a.at.Sub(c.answeredAt)))
+		if c.answers > 0 && arrival.at.Sub(c.answeredAt) > stall+departureSlack {
+			violations = append(violations, fmt.Sprintf("an attempt came %v after its final answer", arrival.at.Sub(c.answeredAt)))
 		}
 		if first := c.firstRun(i); first != nil {
-			violations = append(violations, c.checkRepeat(a.at.Sub(first.at), stall)...)
+			violations = append(violations, c.checkRepeat(arrival.at.Sub(first.at), stall)...)
 		}
 	}
 	return violations
--- a/cmd/stoatdale/soak_test.go
+++ b/cmd/stoatdale/soak_test.go
@@ -26,7 +26,7 @@
 	soakServingTime    = 2500 * time.Millisecond // time before the router gets SIGTERM
 	soakIdleClients    = 150                     // idle clients, in runs that have them
 	soakSockets        = 160
-	killMargin         = 700 * time.Millisecond // time between the longest deadline after SIGTERM and the platform's SIGKILL
+	killMargin         = 700 * time.Millisecond // the platform sends SIGKILL this long after SIGTERM plus the longest deadline
 	maxCountedDeadline = 3 * time.Second        // longer deadlines do not delay the SIGKILL further
 )
 
--- a/cmd/stoatdale/syscalls_test.go
+++ b/cmd/stoatdale/syscalls_test.go
@@ -14,8 +14,8 @@
 	"stoatdale.example/stoatdale/internal/pg"
 )
 
-// limitDescriptors sets the program's limit of descriptors: to the number that it has open, so that it can open no more,
-// or, if unlimited, to testSockets.
+// limitDescriptors sets the limit of the program's descriptors: to testSockets if unlimited is true, and otherwise so low
+// that the program can open no more than it has open now.
 func (r *testRouter) limitDescriptors(unlimited bool) {
 	r.t.Helper()
 	limit := unix.Rlimit{Cur: testSockets, Max: testSockets * 4}
--- a/cmd/stoatdale/testdiscovery_test.go
+++ b/cmd/stoatdale/testdiscovery_test.go
@@ -29,12 +29,12 @@
 	t.Helper()
 	d := &testDiscovery{lists: []string{first}}
 	d.cond = sync.NewCond(&d.mu)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	d.address = l.Addr().String()
-	s := &http.Server{Handler: d}
-	go func() { _ = s.Serve(l) }()
-	t.Cleanup(func() { d.publish(""); _ = s.Close() })
+	d.address = listener.Addr().String()
+	server := &http.Server{Handler: d}
+	go func() { _ = server.Serve(listener) }()
+	t.Cleanup(func() { d.publish(""); _ = server.Close() })
 	return d
 }
 
@@ -55,10 +55,10 @@
 
 // ServeHTTP answers a call with the present list. A poll that names the present generation is held until a later list is
 // published.
-func (d *testDiscovery) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (d *testDiscovery) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for q.FormValue("from") == fmt.Sprint(len(d.lists)) || d.silent && len(d.lists) == 1 {
+	for request.FormValue("from") == fmt.Sprint(len(d.lists)) || d.silent && len(d.lists) == 1 {
 		d.cond.Wait()
 	}
 	_, _ = fmt.Fprintf(w, `{"generation":%d,"reset":true,"instances":[%s]}`, len(d.lists), d.lists[len(d.lists)-1])
