--- a/deploy/bounds/ci.sexp
+++ b/deploy/bounds/ci.sexp
@@ -1,4 +1,4 @@
-; Bounds that CI explores: complete within seconds.
+; Bounds that CI explores completely, which takes seconds.
 (bounds command (members 2) (commands order) (ticks 4) (faults 2) (depth 40))
 (bounds command (members 2) (commands keyed) (ticks 3) (faults 2) (depth 40))
 (bounds command (members 2) (commands look) (ticks 4) (faults 2) (depth 40))
--- a/deploy/bounds/large.sexp
+++ b/deploy/bounds/large.sexp
@@ -1,4 +1,4 @@
-; Larger bounds, to be explored by hand.
+; Larger bounds, which CI does not explore. Run them by hand.
 (bounds command (members 3) (commands order own) (ticks 4) (faults 1) (for 10m) (memory-mb 8192))
 (bounds command (members 2) (commands keyed look) (ticks 4) (faults 2) (for 10m) (memory-mb 8192))
 (bounds rollout (agents 3) (tools 2) (ticks 3) (faults 1) (for 10m) (memory-mb 8192))
--- a/deploy/lab/heavy.sexp
+++ b/deploy/lab/heavy.sexp
@@ -1,4 +1,5 @@
-; Heavy records stall the log's one thread: replicas fall behind, and reads that need what they lack go elsewhere or wait.
+; Heavy log records stall a replica, which applies its log in one thread. Replicas fall behind, and reads that need data
+; which a replica has not applied yet go to another backend or wait.
 (name heavy)
 (seconds 30s)
 (seeds 1 2 3 4 5 6)
--- a/deploy/lab/restarts.sexp
+++ b/deploy/lab/restarts.sexp
@@ -1,4 +1,4 @@
-; All replicas of a set restart together and come back cold, as in a roll that went wrong: on-call's herd.
+; All replicas of one set (shard) restart together and come back cold, as in a rollout that went wrong: the herd of on-call.
 (name restarts)
 (seconds 30s)
 (seeds 1 2 3 4 5 6)
--- a/deploy/lab/smoke.sexp
+++ b/deploy/lab/smoke.sexp
@@ -1,4 +1,4 @@
-; A small fleet on a bad half minute: every policy side by side, on two seeds. Under 30 s to play.
+; A small fleet with several faults within half a minute. Compares all policies on two seeds; takes under 30 s to run.
 (name smoke)
 (seconds 30s)
 (seeds 1 2)
