--- a/deploy/fleet.sexp
+++ b/deploy/fleet.sexp
@@ -6,7 +6,7 @@
 (floor 4)
 
 (times
-  (soak 5s)       ; time for which a changed instance must serve before the next is changed
+  (soak 5s)       ; time for which a changed instance must serve well before the next is changed
   (fresh 3s)      ; age above which an observation of an instance is ignored
   (contact 30s)   ; time for which a rollout waits for an unknown instance or a majority of agents before it pauses
   (step 2m)       ; time that one step may take; must exceed the drain (ten client timeouts, 500ms, grace) plus ready
--- a/internal/buffer/pool.go
+++ b/internal/buffer/pool.go
@@ -18,8 +18,8 @@
 	return &Pool{blockSize: blockSize, scarceAt: scarceAt}
 }
 
-// Scarce reports whether so many blocks are in use that callers should stop reading input. The pool itself still allocates
-// blocks.
+// Scarce reports whether at least scarceAt blocks are in use, so that callers should read less input. The pool itself still
+// allocates blocks.
 func (p *Pool) Scarce() bool { return p.inUse >= p.scarceAt }
 
 // BlocksInUse returns the number of blocks in use.
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -26,7 +26,7 @@
 // Counts limit how many objects of a kind may exist at a time, or how many may be handled in one turn of the event loop.
 type Counts struct {
 	Sockets            int // file descriptors of the process
-	BufferBlocks       int // buffer blocks in use above which the router stops reading from clients
+	BufferBlocks       int // buffer blocks in use from which on the router stops reading long input from clients
 	EventsPerTurn      int // epoll events handled in one turn
 	AcceptsPerTurn     int // client connections accepted in one turn
 	ListenBacklog      int // connections that the kernel queues before they are accepted
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -25,7 +25,8 @@
 	LookupShard(cluster int) (shard int, ok bool)
 	// IsInFlight reports whether a command with this id of a client is in flight.
 	IsInFlight(clientID string) bool
-	// Submit starts a command and takes ownership of it. The dispatcher later passes one result to the command's Responder.
+	// Submit starts a command and takes ownership of it. The dispatcher later passes one result to the command's Responder,
+	// unless ClientGone is called for the command first.
 	Submit(command *dispatcher.Command)
 	// ClientGone notifies the dispatcher that the client of these commands has left or canceled them, and expects no results.
 	ClientGone(commands []*dispatcher.Command)
