--- a/internal/lab/experiment/sim.go
+++ b/internal/lab/experiment/sim.go
@@ -28,7 +28,7 @@
 	Seconds    float64           `json:"-"`                // wall time of the run, not saved because it is not reproducible
 }
 
-// Group is the response times of a command group in seconds, from the client's first attempt to the answer.
+// Group holds the response times of a command group in seconds, from the client's first attempt to the answer.
 type Group struct {
 	Name     string  `json:"name"`
 	Answered int     `json:"answered"`
--- a/internal/lab/experiment/sim_test.go
+++ b/internal/lab/experiment/sim_test.go
@@ -172,10 +172,10 @@
 
 func TestQuantile(t *testing.T) {
 	assert.Zero(t, quantile(nil, 0.5))
-	x := []float64{1, 2, 3, 4}
-	assert.InDelta(t, 2.0, quantile(x, 0.5), 0)
-	assert.InDelta(t, 4.0, quantile(x, 0.99), 0)
-	assert.InDelta(t, 1.0, quantile(x, 0), 0)
+	sorted := []float64{1, 2, 3, 4}
+	assert.InDelta(t, 2.0, quantile(sorted, 0.5), 0)
+	assert.InDelta(t, 4.0, quantile(sorted, 0.99), 0)
+	assert.InDelta(t, 1.0, quantile(sorted, 0), 0)
 }
 
 func TestCompareIsPairedBySeed(t *testing.T) {
--- a/internal/lab/invariant/command.go
+++ b/internal/lab/invariant/command.go
@@ -31,7 +31,7 @@
 	Idempotency       Idempotency
 	ClientDeadline    float64 // when its client stops waiting
 	IdempotencyWindow float64 // how long a shard recognizes the key of an IdempotentWithKey command
-	RequiredPosition  float64 // position that an answering backend must have applied: the session's last write
+	RequiredPosition  float64 // position that an answering backend must have applied, such as the session's last write
 	SeenPosition      float64 // highest position that earlier reads of its session have shown at this router
 
 	answers        int     // number of final answers
@@ -46,7 +46,7 @@
 type Backend struct {
 	Shard           int
 	Draining        bool    // draining or gone
-	DrainingSince   float64 // when the router learned that
+	DrainingSince   float64 // when the router learned that it is draining or gone
 	AppliedPosition float64 // position that its data has applied
 }
 
--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -25,7 +25,7 @@
 	inTransit   int // attempts that have been sent to it and not arrived
 	queue       []*attempt
 	executing   map[*attempt]bool
-	applied     float64  // commit time of the newest applied record
+	applied     float64  // commit time up to which its data is known to be complete
 	log         []record // records not yet applied, in order of commit
 	applyDoneAt float64  // time at which all records in log will be applied
 	coldCheck   invariant.SlowStartChecker
@@ -62,6 +62,7 @@
 	if now := w.now; now-b.startedAt < float64(w.spec.Fleet.WarmUp) {
 		b.coldCheck.AttemptSent(now, b.startedAt)
 		if property, detail := b.coldCheck.Broken(); property != "" {
+			// The backend is overloaded while it warms up. It crashes, and restarts after a quarter of the warm-up time.
 			w.recordViolation(property, detail)
 			b.coldCheck = w.newColdCheck()
 			b.crash()
@@ -130,7 +131,7 @@
 	}
 }
 
-// cancel stops an attempt that is being executed.
+// cancel stops an attempt that is being executed, unless the backend hangs.
 func (b *backend) cancel(a *attempt) {
 	if b.executing[a] && !b.hung {
 		delete(b.executing, a)
@@ -161,7 +162,7 @@
 	b.world.publishEndpoints()
 }
 
-// resume ends a hang and begins queued attempts, one for each slot.
+// resume ends a hang and begins queued attempts, at most one for each slot.
 func (b *backend) resume() {
 	b.hung = false
 	for range b.world.spec.Fleet.Slots {
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -13,7 +13,7 @@
 // at another backend. It also retries idempotent commands that may have run.
 type baselinePolicy struct {
 	instance     *instance
-	choose       func(b *baselinePolicy, s *baselineCommand) []int
+	choose       func(b *baselinePolicy, c *baselineCommand) []int
 	seesBackends bool // whether it knows the true state of backends without delay
 	random       *rand.Rand
 	endpoints    []router.EndpointInfo
@@ -37,7 +37,7 @@
 	primaryWindow       = 1.0 // seconds after a session's write during which the policy window sends its reads to the primary
 )
 
-func newBaseline(choose func(b *baselinePolicy, s *baselineCommand) []int) func(r *instance) Policy {
+func newBaseline(choose func(b *baselinePolicy, c *baselineCommand) []int) func(r *instance) Policy {
 	return func(r *instance) Policy {
 		return &baselinePolicy{
 			instance: r, choose: choose, random: rand.New(rand.NewPCG(r.world.seed, hashName("simple")+uint64(r.index)<<8+uint64(r.starts))),
@@ -56,9 +56,9 @@
 
 // ReviewDue implements Policy. It only deletes old writes, because commands never wait for a review.
 func (b *baselinePolicy) ReviewDue(now float64) (float64, []int) {
-	for s, at := range b.lastWrites {
+	for session, at := range b.lastWrites {
 		if now-at > primaryWindow {
-			delete(b.lastWrites, s)
+			delete(b.lastWrites, session)
 		}
 	}
 	return now + primaryWindow, nil
@@ -66,9 +66,9 @@
 
 // Add implements Policy.
 func (b *baselinePolicy) Add(_ float64, id uint32, c router.Command) {
-	s := &baselineCommand{id: id, command: c}
-	b.commands[id] = s
-	b.startAttempt(s)
+	tracked := &baselineCommand{id: id, command: c}
+	b.commands[id] = tracked
+	b.startAttempt(tracked)
 }
 
 // ClientGone implements Policy.
@@ -194,7 +194,8 @@
 	return candidates[b.nextReplica%len(candidates) : b.nextReplica%len(candidates)+1]
 }
 
-// withFewestAttempts are those with the withFewestAttempts attempts of this router.
+// withFewestAttempts returns the candidates that have the fewest attempts from this router in flight. It overwrites
+// candidates.
 func (b *baselinePolicy) withFewestAttempts(candidates []int) []int {
 	fewest := math.MaxInt
 	for _, i := range candidates {
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -124,6 +124,7 @@
 	if c.ended {
 		return
 	}
+	// The check applies only after the deadline, which is exactly now.
 	w.checker.CheckDeadline(w.now+1e-9, "a command of "+w.spec.Groups[c.group].Name, &c.Command)
 	c.ended = true
 	w.checker.CommandAbandoned(&c.Command)
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -178,7 +178,8 @@
 }
 
 // attemptEnded reports the result of an attempt to the policy. It ignores all but the first result of an attempt. primary
-// is the role of the backend, position that of its data.
+// reports whether the backend is the primary. position is that of the data that the attempt read or wrote, in virtual
+// seconds.
 func (r *instance) attemptEnded(a *attempt, result router.Result, primary bool, position float64) {
 	c, w := a.command, r.world
 	if !a.pending {
--- a/internal/lab/model/replication.go
+++ b/internal/lab/model/replication.go
@@ -32,7 +32,8 @@
 	b.log = append(b.log, record{commit, b.applyDoneAt})
 }
 
-// lastCommit returns the position of the last commit in a shard, which a linearizable read must cover.
+// lastCommit returns the highest known position in a shard, which a linearizable read must cover. It is that of the last
+// commit, or a later one: the position of a replica with nothing to apply advances with time.
 func (w *World) lastCommit(shard int) float64 {
 	last := math.Inf(-1)
 	for _, b := range w.shards[shard] {
--- a/internal/lab/model/tally.go
+++ b/internal/lab/model/tally.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Tally is the counts of a run. Benefits are sums of priority weights.
+// Tally holds the counts of a run. Benefits are sums of priority weights.
 type Tally struct {
 	Commands     int     `json:"asked"`            // commands sent by clients, retries not counted
 	Answered     int     `json:"answered"`         // commands answered, on the first attempt of the client or a retry
--- a/internal/lab/model/world_test.go
+++ b/internal/lab/model/world_test.go
@@ -17,27 +17,27 @@
 
 func (b *faultyPolicy) Add(now float64, id uint32, c router.Command) {
 	b.baselinePolicy.Add(now, id, c)
-	s := b.commands[id]
-	if s != nil && b.bug == "after the end" {
+	tracked := b.commands[id]
+	if tracked != nil && b.bug == "after the end" {
 		b.instance.Reject(id, 0)
 	}
-	if s != nil && (b.bug == "after the end" || b.bug == "two at once") {
-		b.startAttempt(s)
+	if tracked != nil && (b.bug == "after the end" || b.bug == "two at once") {
+		b.startAttempt(tracked)
 	}
 }
 
-func (b *faultyPolicy) AttemptEnded(now float64, id uint32, o router.AttemptResult) {
-	s := b.commands[id]
+func (b *faultyPolicy) AttemptEnded(now float64, id uint32, result router.AttemptResult) {
+	tracked := b.commands[id]
 	switch {
-	case s == nil || o.Result == router.Answered:
+	case tracked == nil || result.Result == router.Answered:
 	case b.bug == "silent":
 		delete(b.commands, id)
 		return
-	case b.bug == "again" && o.Result == router.ConnectionLost:
-		b.startAttempt(s)
+	case b.bug == "again" && result.Result == router.ConnectionLost:
+		b.startAttempt(tracked)
 		return
 	}
-	b.baselinePolicy.AttemptEnded(now, id, o)
+	b.baselinePolicy.AttemptEnded(now, id, result)
 }
 
 // A checker that cannot fail proves nothing. Each property is violated by a policy with the bug for it, in a simulation in
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -20,8 +20,8 @@
 	"stoatdale.example/stoatdale/internal/lab/model"
 )
 
-// Curve is the service of a policy in each second, over all seeds: of the benefit of the commands that clients sent in
-// that second, the share that was earned then or later.
+// Curve is the service of a policy in each second, over all seeds. The service of a second is the share of the benefit of
+// the commands that clients sent in that second that was earned then or later, from 0 to 1.
 type Curve struct {
 	Policy  string
 	Service []float64 // by second; NaN for a second without commands
--- a/internal/lab/testserver/address.go
+++ b/internal/lab/testserver/address.go
@@ -8,9 +8,10 @@
 
 var lastHost atomic.Int64
 
-// Host returns a loopback address that it returns to no other caller, neither in this process nor in another process that
-// runs at the same time. All its ports are therefore free. A port that was free on 127.0.0.1 a moment ago may be taken:
-// the kernel also assigns such ports to outgoing connections.
+// Host returns a loopback address of its own to each caller, in this process and in others that run at the same time. All
+// ports of the address are therefore free. A port that was free on 127.0.0.1 a moment ago may be taken: the kernel also
+// assigns such ports to outgoing connections. Addresses repeat after 1500 calls, and in processes whose IDs differ by a
+// multiple of 8192.
 func Host() string {
 	n := lastHost.Add(1)
 	pid := os.Getpid()
--- a/internal/lab/testserver/load.go
+++ b/internal/lab/testserver/load.go
@@ -14,14 +14,14 @@
 	Routers    []string      // addresses of the routers
 	Clients    int           // number of concurrent clients
 	Think      time.Duration // pause of a client between an answer and its next command
-	Timeout    time.Duration // client timeout, which commands state
+	Timeout    time.Duration // client timeout, stated in each command
 	WriteShare float64       // share of mutating commands, from 0 to 1
 
 	mu            sync.Mutex
 	counts        Counts
 	responseTimes []time.Duration // of all answered commands
-	received      map[string]int  // how often each command reached a backend
-	unanswered    map[string]bool // commands without an answer
+	received      map[string]int  // number of times that each command reached a backend, by its ID and group
+	unanswered    map[string]bool // commands without an answer, by their ID and group
 	stop          chan struct{}
 	running       sync.WaitGroup
 }
@@ -83,9 +83,9 @@
 
 // runClient runs one client until Stop. It starts with one of the routers and changes to the next when a connection
 // fails.
-func (l *Load) runClient(n int, rng *rand.Rand) {
+func (l *Load) runClient(clientIndex int, rng *rand.Rand) {
 	defer l.running.Done()
-	at := n % len(l.Routers)
+	routerIndex := clientIndex % len(l.Routers)
 	var c *Client
 	defer func() {
 		if c != nil {
@@ -100,14 +100,14 @@
 		}
 		if c == nil {
 			var err error
-			if c, err = Dial(l.Routers[at], l.Timeout); err != nil {
-				at = (at + 1) % len(l.Routers)
+			if c, err = Dial(l.Routers[routerIndex], l.Timeout); err != nil {
+				routerIndex = (routerIndex + 1) % len(l.Routers)
 				continue
 			}
 		}
 		if !l.sendCommand(c, rng) {
 			_ = c.Close()
-			c, at = nil, (at+1)%len(l.Routers)
+			c, routerIndex = nil, (routerIndex+1)%len(l.Routers)
 		}
 	}
 }
--- a/internal/lab/testserver/member.go
+++ b/internal/lab/testserver/member.go
@@ -30,8 +30,8 @@
 	return pg.AppendReadyForQuery(pg.AppendParameterStatus(b, "recovery", role))
 }
 
-// Backend is a stand-in for a database server. It answers each statement with the result of Answer, and closes the connection if
-// that is nil.
+// Backend is a stand-in for a database server. It answers each statement with the result of Answer, and closes the
+// connection if that is nil. It answers health checks itself, always as a replica.
 type Backend struct {
 	Address    string
 	Answer     func(statement string) []byte
@@ -153,10 +153,10 @@
 
 // Reply is the content of the messages up to ReadyForQuery.
 type Reply struct {
-	Value  string // of the row
+	Value  string // value in the row; empty if there is no row
 	Empty  bool   // whether it is an EmptyQueryResponse
-	Code   string // SQLSTATE of an error
-	Detail string // of an error
+	Code   string // SQLSTATE of an error; empty if there is none
+	Detail string // detail of an error; empty if there is none
 }
 
 // Reply reads one answer. It returns an error if the connection ends before the answer is complete.
