--- a/internal/sexp/decode.go
+++ b/internal/sexp/decode.go
@@ -90,10 +90,10 @@
 
 // structDecoder decodes one struct.
 type structDecoder struct {
-	at    Position
-	what  string              // key of the struct, for errors
-	keys  []string            // of all fields that are decoded from entries
-	known map[string]field    // by key
+	at    Position            // position of the struct's entry
+	what  string              // key of the struct, or "the file", for errors
+	keys  []string            // keys of all fields that are decoded from entries
+	known map[string]field    // these fields by key
 	given map[string]Position // positions of the keys decoded so far
 }
 
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -34,7 +34,7 @@
 // Node is an atom, a string or a list.
 type Node struct {
 	Position Position
-	Text     string // of an atom or, without quotes and escapes, of a string
+	Text     string // text of an atom, or of a string without its quotes and escapes
 	Quoted   bool   // whether the node is a string
 	List     []Node // elements, if IsList
 	IsList   bool
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -45,18 +45,18 @@
 }
 
 func TestValuesAreDecoded(t *testing.T) {
-	w, err := decodeFile(sample)
+	file, err := decodeFile(sample)
 	require.NoError(t, err)
-	assert.Equal(t, 3, w.Count)
-	assert.True(t, w.On)
-	assert.InDelta(t, 0.25, float64(w.Wait), 0, "exactly")
-	assert.InDelta(t, 120, float64(w.Times.Soak), 0, "exactly")
-	require.Len(t, w.Items, 2)
-	assert.Equal(t, []string{"x", "y z"}, w.Items[0].Tags)
-	assert.Equal(t, "b ;", w.Items[1].Name)
-	again, err := decodeFile(string(Print(Encode(&w))))
+	assert.Equal(t, 3, file.Count)
+	assert.True(t, file.On)
+	assert.InDelta(t, 0.25, float64(file.Wait), 0, "exactly")
+	assert.InDelta(t, 120, float64(file.Times.Soak), 0, "exactly")
+	require.Len(t, file.Items, 2)
+	assert.Equal(t, []string{"x", "y z"}, file.Items[0].Tags)
+	assert.Equal(t, "b ;", file.Items[1].Name)
+	again, err := decodeFile(string(Print(Encode(&file))))
 	require.NoError(t, err)
-	assert.Equal(t, w, again)
+	assert.Equal(t, file, again)
 }
 
 func TestErrorsNamePositionAndKey(t *testing.T) {
