--- a/internal/drill/lease.go
+++ b/internal/drill/lease.go
@@ -58,10 +58,10 @@
 	roundSeconds = 90.0 // virtual seconds in a round
 
 	minAgents       = 3
-	agentsSpread    = 3 // a round has minAgents to minAgents+agentsSpread-1 agents
-	agentFaults     = 4 // agent crashes and clock jumps scheduled in a round
-	clockRateSpread = 0.2
-	slowestClock    = 0.9
+	agentsSpread    = 3   // a round has minAgents to minAgents+agentsSpread-1 agents
+	agentFaults     = 4   // agent crashes and clock jumps scheduled in a round
+	clockRateSpread = 0.2 // difference between the rates of the fastest and the slowest clock of an agent
+	slowestClock    = 0.9 // rate of the slowest clock, in its seconds for each virtual second
 
 	operatorStartSpread = 0.002 // virtual seconds within which all operators begin: almost the same time
 
@@ -93,30 +93,30 @@
 
 // leaseRound is the simulation of one round. It runs on one goroutine.
 type leaseRound struct {
-	options       LeaseOptions
-	number        int
-	report        *LeaseReport
-	rng           *rand.Rand // the only source of randomness; the order of draws determines the round
-	now           float64    // virtual seconds
-	events        eventQueue
-	sequence      uint64 // last sequence number; events and history share one sequence, so all that happens has one order
-	fleet         *rollout.Fleet
-	instanceNames []string // one instance for each agent
-	limits        supervisor.Limits
-	agents        []*simulatedAgent
-	operators     []*simulatedOperator
-	toolsStarted  int           // number of tools that all operators have started
-	newestStored  lease.Version // version of the newest record that a majority confirmed that it stored
-	history       []porcupine.Operation
-	stepStoredAt  map[stepKey]int64 // timestamp at which a step's record was first sent to be stored
+	options          LeaseOptions
+	number           int
+	report           *LeaseReport
+	rng              *rand.Rand // the only source of randomness; the order of draws determines the round
+	now              float64    // virtual seconds
+	events           eventQueue
+	sequence         uint64 // last sequence number; events and history share one sequence, so all that happens has one order
+	fleet            *rollout.Fleet
+	instanceNames    []string // one instance for each agent
+	limits           supervisor.Limits
+	agents           []*simulatedAgent
+	operators        []*simulatedOperator
+	toolsStarted     int           // number of tools that all operators have started
+	newestStored     lease.Version // version of the newest record that a majority confirmed to have stored
+	history          []porcupine.Operation
+	stepRecordSentAt map[stepKey]int64 // timestamp at which a step's record was first sent to be stored
 }
 
 func newLeaseRound(options LeaseOptions, number int, report *LeaseReport) *leaseRound {
 	r := &leaseRound{
 		options: options, number: number, report: report,
-		rng:          rand.New(rand.NewPCG(options.Seed, uint64(number))),
-		stepStoredAt: map[stepKey]int64{},
-		limits:       supervisor.DefaultLimits(),
+		rng:              rand.New(rand.NewPCG(options.Seed, uint64(number))),
+		stepRecordSentAt: map[stepKey]int64{},
+		limits:           supervisor.DefaultLimits(),
 		fleet: &rollout.Fleet{
 			ZoneMinAvailable: []int{0}, MinAvailable: 1,
 			Timing: rollout.Timing{SoakSeconds: 0.3, StaleAfterSeconds: 1.5, ContactTimeoutSeconds: 6, StepTimeoutSeconds: 20},
@@ -167,7 +167,7 @@
 	r.report.Fail("round %d, seed %d: %s", r.number, r.options.Seed, fmt.Sprintf(format, args...))
 }
 
-// injectAgentFault makes a random agent's clock jump or the agent crash.
+// injectAgentFault makes the clock of a random agent jump, by -18 to 42 seconds, or crashes the agent.
 func (r *leaseRound) injectAgentFault() {
 	agent := r.agents[r.rng.IntN(len(r.agents))]
 	if r.rng.IntN(4) == 0 {
--- a/internal/drill/lease_history.go
+++ b/internal/drill/lease_history.go
@@ -116,8 +116,8 @@
 		}
 	}
 	lease := a.handler.Lease
-	call, stored := r.stepStoredAt[stepKey{epoch: lease.Epoch, rolloutID: a.record.Step.RolloutID, number: a.record.Step.Number}]
-	if !stored {
+	call, recordSent := r.stepRecordSentAt[stepKey{epoch: lease.Epoch, rolloutID: a.record.Step.RolloutID, number: a.record.Step.Number}]
+	if !recordSent {
 		call = r.timestamp() // no record of the step was sent to be stored, which the check of the history detects
 	}
 	begin := leaseOperation{kind: beginStep, epoch: lease.Epoch, holder: lease.Holder, step: a.openStep}
--- a/internal/drill/lease_operator.go
+++ b/internal/drill/lease_operator.go
@@ -155,8 +155,8 @@
 		return
 	}
 	key := stepKey{epoch: request.Epoch, rolloutID: rollout.ID, number: rollout.CurrentStep.Number}
-	if _, known := o.round.stepStoredAt[key]; !known {
-		o.round.stepStoredAt[key] = o.round.timestamp()
+	if _, known := o.round.stepRecordSentAt[key]; !known {
+		o.round.stepRecordSentAt[key] = o.round.timestamp()
 	}
 }
 
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -82,9 +82,9 @@
 	clientsPerRouter = 2
 	clientThinkTime  = 20 * time.Millisecond
 	writeShare       = 0.2
-	serviceTime      = 12 * time.Millisecond // that a simulated database server takes for a command
+	serviceTime      = 12 * time.Millisecond // time that a simulated database server takes for a command
 
-	baselineTime = 500 * time.Millisecond // of load before the rollout, with which the soak compares
+	baselineTime = 500 * time.Millisecond // time under load before the rollout, with which the soak compares
 
 	operatorName = "drill"
 	baseline     = "baseline" // state reported with HardRestart
@@ -106,12 +106,12 @@
 	backends          [3]*testserver.Backend // the primary and two replicas
 	discovery         *testserver.Discovery
 	load              *testserver.Load
-	firstRevision     string // digest of the revision before the drilled rollout
-	secondRevision    string // digest of the revision that the drilled rollout brings
-	minServing        atomic.Int64
-	stepSeconds       []float64
+	firstRevision     string               // digest of the revision before the drilled rollout
+	secondRevision    string               // digest of the revision that the drilled rollout installs
+	minServing        atomic.Int64         // least number of routers that served at one moment
+	stepSeconds       []float64            // durations of the steps that have ended
 	stepBegan         map[uint64]time.Time // when each unfinished step began, by its number
-	killAfterFinished int                  // number of finished instances from which an agent is killed
+	killAfterFinished int                  // least number of finished instances at which the agent of a new step is killed
 	killedInstance    int                  // index of the instance whose agent was killed, or noInstance
 
 	mu      sync.Mutex // guards agents and orphans
--- a/internal/drill/rollout_faults.go
+++ b/internal/drill/rollout_faults.go
@@ -14,12 +14,12 @@
 
 const (
 	agentDowntime       = 2 * time.Second
-	maxKillDelayMs      = 900                    // into a step; the seed decides whether the agent dies before, while or after it acts
+	maxKillDelayMs      = 900                    // latest kill in a step; the seed decides if it is before, while or after the agent acts
 	secondRouterDelay   = 600 * time.Millisecond // by then the step's own router has ended
 	secondRouterStep    = 2                      // number of the step during which a second router is killed
-	restartDetectTime   = 100 * time.Millisecond
+	restartDetectTime   = 100 * time.Millisecond // time after a kill, before the drill waits for the restarted router
 	restartPollInterval = 10 * time.Millisecond
-	restartPause        = 300 * time.Millisecond
+	restartPause        = 300 * time.Millisecond // time from the restart of a router to the kill of the next one
 	dialTimeout         = time.Second
 )
 
--- a/internal/drill/rollout_setup.go
+++ b/internal/drill/rollout_setup.go
@@ -30,8 +30,8 @@
 	maxZones   = 3
 
 	agentsPollInterval = 50 * time.Millisecond
-	killAttempts       = 100
-	killInterval       = 20 * time.Millisecond
+	killAttempts       = 100                   // attempts by tearDown to kill all routers that still run
+	killInterval       = 20 * time.Millisecond // pause between these attempts
 )
 
 // setUp creates the folder, keys and fleet file, and starts the backends, discovery and the agents.
