--- a/internal/cli/explore_inject.go
+++ b/internal/cli/explore_inject.go
@@ -81,8 +81,8 @@
 	return c
 }
 
-// injectFaults explores each system once for each of its faults that names contains, or for all its faults with --all. A name
-// that no system has is an error.
+// injectFaults injects the faults in names, or with --all those of all systems, and explores the system of each. If several
+// systems have a fault of a given name, only the first of these systems is explored. A name that no system has is an error.
 func injectFaults(ctx context.Context, names []string, flags *injectFlags) (*injectReport, error) {
 	notFound := map[string]bool{}
 	for _, name := range names {
