--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -38,7 +38,7 @@
 // source holds what the module's source declares, imports and logs. Folders are relative to the root.
 type source struct {
 	packages map[string]string          // folder by the name of the package or, for a program, of its folder
-	symbols  map[string]map[string]bool // declared names by folder, in the form "New", "Core" and "Core.Settle"
+	symbols  map[string]map[string]bool // declared names by folder, in the form "New", "Dispatcher" and "Dispatcher.RunTurn"
 	imports  map[string]map[string]bool // imported folders of this module by importing folder
 	messages map[string]bool            // log messages that the source passes to Msg as a literal
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -121,7 +121,8 @@
 	d.counters.ReceivedByGroup[command.Group]++
 }
 
-// ClientGone notifies the dispatcher that the client of these commands has gone. They get no answer from then on.
+// ClientGone notifies the dispatcher that the client of these commands has gone, or has canceled them with a cancel
+// request. The dispatcher gives them no answer from then on.
 func (d *Dispatcher) ClientGone(commands []*Command) {
 	for _, command := range commands {
 		command.clientGone = true
--- a/internal/dispatcher/turn.go
+++ b/internal/dispatcher/turn.go
@@ -100,8 +100,8 @@
 	d.router.HealthChecked(now, check.endpoint, check.result, check.elapsed, report.position, report.primary)
 }
 
-// deliverGoneClient gives up the commands of a client that has gone. It counts the client if an unfinished command of it had
-// no attempt in flight that may have reached a backend.
+// deliverGoneClient gives up the commands of a client that has gone, or those that a client has canceled with a cancel
+// request. It counts the client if one of them was unfinished and had no attempt in flight that may have reached a backend.
 func (d *Dispatcher) deliverGoneClient(now float64, commands []*Command) {
 	anyUnsent := false
 	for _, command := range commands {
--- a/internal/router/consistency_test.go
+++ b/internal/router/consistency_test.go
@@ -124,7 +124,7 @@
 
 // A session's read is sent while a write of the session is in flight, or after one that failed. The
 // endpoint may have run the write although no answer has come, so the read has to see it. Such a read once
-// went to a lagging replica (rule 5).
+// went to a lagging replica and returned data older than its consistency allows.
 func TestSessionReadCoversWritesThatMayHaveRun(t *testing.T) {
 	config := testConfig()
 	config.CommandGroups[writes].Idempotency = IdempotentWithKey
--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -188,7 +188,8 @@
 }
 
 // The position in a health check that ended with an error was once recorded, so that a replica counted as
-// fresher than it was. That broke rule 5 when a whole fleet joined on one day.
+// fresher than it was. Reads then returned data older than their consistency allows, when a whole fleet
+// joined on one day.
 func TestReportOfAFailedHealthCheckSaysNothingOfData(t *testing.T) {
 	r := testRouter(t, testConfig())
 	for _, result := range []Result{Errored, Overloaded, NotServed, TimedOut, ConnectionLost} {
