--- a/internal/drill/fleet_size.go
+++ b/internal/drill/fleet_size.go
@@ -157,26 +157,26 @@
 	if err != nil {
 		return &simulatedFleet{}, err
 	}
-	f := &simulatedFleet{folder: folder, keys: pki.Folder(filepath.Join(folder, "keys"))}
-	if err := f.keys.CreateAuthority("sizes", time.Hour, time.Now()); err != nil {
-		return f, err
+	fleet := &simulatedFleet{folder: folder, keys: pki.Folder(filepath.Join(folder, "keys"))}
+	if err := fleet.keys.CreateAuthority("sizes", time.Hour, time.Now()); err != nil {
+		return fleet, err
 	}
-	if err := f.keys.Issue(pki.Operator, operatorName, sizeCertificateLifetime, time.Now()); err != nil {
-		return f, err
+	if err := fleet.keys.Issue(pki.Operator, operatorName, sizeCertificateLifetime, time.Now()); err != nil {
+		return fleet, err
 	}
-	f.file = &inventory.Fleet{
+	fleet.file = &inventory.Fleet{
 		Name: "sizes", MinAvailable: instances - 1, Zones: []inventory.Zone{{Name: "h", MinAvailable: instances - 1}},
 		Times: inventory.Times{
 			Soak: 1, FreshFor: 10, ContactTimeout: 30, StepTimeout: 60, LeaseTerm: 60, PollInterval: 5, ReadyTimeout: 10,
 		},
 	}
 	for first := 0; first < instances; first += perAgent {
-		if err := f.startAgent(fmt.Sprint("a", first/perAgent), first, min(instances, first+perAgent)); err != nil {
-			return f, err
+		if err := fleet.startAgent(fmt.Sprint("a", first/perAgent), first, min(instances, first+perAgent)); err != nil {
+			return fleet, err
 		}
 	}
-	f.file, err = inventory.Parse("sizes", f.file.Text())
-	return f, err
+	fleet.file, err = inventory.Parse("sizes", fleet.file.Text())
+	return fleet, err
 }
 
 // startAgent starts an agent with the instances from first up to, but not including, end.
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -75,22 +75,22 @@
 	}
 	var differences []Difference
 	for _, policy := range order {
-		d := Difference{Policy: policy, Pairs: len(pairs[policy])}
-		n := float64(d.Pairs)
+		difference := Difference{Policy: policy, Pairs: len(pairs[policy])}
+		n := float64(difference.Pairs)
 		for _, p := range pairs[policy] {
-			d.A, d.B, d.Mean = d.A+p.a/n, d.B+p.b/n, d.Mean+(p.b-p.a)/n
+			difference.A, difference.B, difference.Mean = difference.A+p.a/n, difference.B+p.b/n, difference.Mean+(p.b-p.a)/n
 		}
-		rng := rand.New(rand.NewPCG(1, uint64(d.Pairs))) // fixed seed: the same pairs give the same interval
+		rng := rand.New(rand.NewPCG(1, uint64(difference.Pairs))) // fixed seed: the same pairs give the same interval
 		means := make([]float64, bootstrapSamples)
 		for i := range means {
 			for range pairs[policy] {
-				p := pairs[policy][rng.IntN(d.Pairs)]
+				p := pairs[policy][rng.IntN(difference.Pairs)]
 				means[i] += (p.b - p.a) / n
 			}
 		}
 		slices.Sort(means)
-		d.Low, d.High = quantile(means, tailShare), quantile(means, 1-tailShare)
-		differences = append(differences, d)
+		difference.Low, difference.High = quantile(means, tailShare), quantile(means, 1-tailShare)
+		differences = append(differences, difference)
 	}
 	return differences, nil
 }
--- a/internal/lab/experiment/sim.go
+++ b/internal/lab/experiment/sim.go
@@ -46,13 +46,13 @@
 // RunAll performs all runs of an experiment on the given number of workers, or on one per core if that is 0. It calls
 // onProgress, if not nil, after each run. If ctx ends before all runs have, RunAll returns an error that says how
 // many have.
-func RunAll(ctx context.Context, s *model.Spec, workers int, onProgress func(Progress)) ([]Run, error) {
+func RunAll(ctx context.Context, spec *model.Spec, workers int, onProgress func(Progress)) ([]Run, error) {
 	if workers == 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
 	var runs []Run
-	for _, p := range s.Policies {
-		for _, seed := range s.Seeds {
+	for _, p := range spec.Policies {
+		for _, seed := range spec.Seeds {
 			runs = append(runs, Run{Policy: p, Seed: seed})
 		}
 	}
@@ -72,7 +72,7 @@
 				if i >= len(runs) || ctx.Err() != nil {
 					return
 				}
-				runOne(s, &runs[i])
+				runOne(spec, &runs[i])
 				mu.Lock()
 				done++
 				if p := (Progress{done, len(runs), time.Since(startedAt) / time.Duration(done) * time.Duration(len(runs)-done)}); onProgress != nil {
@@ -84,25 +84,27 @@
 	}
 	running.Wait()
 	if err := ctx.Err(); err != nil && done < len(runs) {
-		return nil, fmt.Errorf("experiment %s: %d of %d runs have ended: %w", s.Name, done, len(runs), err)
+		return nil, fmt.Errorf("experiment %s: %d of %d runs have ended: %w", spec.Name, done, len(runs), err)
 	}
 	return runs, nil
 }
 
 // runOne performs a run and sets its results.
-func runOne(s *model.Spec, r *Run) {
+func runOne(spec *model.Spec, run *Run) {
 	began := time.Now()
-	tally, violations := model.New(s, r.Policy, r.Seed).Run()
-	r.Tally, r.Service = tally, tally.Service()
+	tally, violations := model.New(spec, run.Policy, run.Seed).Run()
+	run.Tally, run.Service = tally, tally.Service()
 	if len(violations) > 0 {
-		r.Violations = violations
+		run.Violations = violations
 	}
 	for i, times := range tally.Times {
 		sort.Float64s(times)
-		r.Groups = append(r.Groups, Group{s.Groups[i].Name, len(times), quantile(times, 0.5), quantile(times, 0.99), quantile(times, 0.999)})
+		run.Groups = append(run.Groups, Group{
+			spec.Groups[i].Name, len(times), quantile(times, 0.5), quantile(times, 0.99), quantile(times, 0.999),
+		})
 	}
-	r.Tally.Times = nil
-	r.Seconds = time.Since(began).Seconds()
+	run.Tally.Times = nil
+	run.Seconds = time.Since(began).Seconds()
 }
 
 // quantile returns the q-quantile of sorted numbers: the smallest of them such that at least the share q of all numbers
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -71,12 +71,12 @@
 
 // checkHealth sends a health check to a backend.
 func (r *instance) checkHealth(endpoint int) {
-	w, b, p, sent := r.world, r.world.backends[endpoint], r.policy, r.world.now
+	w, b, policy, sent := r.world, r.world.backends[endpoint], r.policy, r.world.now
 	w.tally.HealthChecks++
 	deliver := func(ok bool, position float64) func() {
 		return func() {
-			if r.policy == p { // the router has not restarted meanwhile
-				p.HealthChecked(w.now, endpoint, ok, w.now-sent, position, b.primary)
+			if r.policy == policy { // the router has not restarted meanwhile
+				policy.HealthChecked(w.now, endpoint, ok, w.now-sent, position, b.primary)
 				r.review()
 			}
 		}
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -34,23 +34,23 @@
 }
 
 // New prepares a run of an experiment that Load has checked, with the named policy. Run performs it.
-func New(s *Spec, policy string, seed int) *World {
+func New(spec *Spec, policy string, seed int) *World {
 	w := &World{
-		spec: s, seed: uint64(seed), violations: map[string]string{},
+		spec: spec, seed: uint64(seed), violations: map[string]string{},
 		applyStream: newStream(seed, "apply"), sessionStream: newStream(seed, "sessions"),
 	}
-	for range s.Fleet.Shards {
+	for range spec.Fleet.Shards {
 		w.addShard()
 	}
 	w.knownEndpoints = w.endpoints()
-	for range s.Fleet.Routers {
+	for range spec.Fleet.Routers {
 		w.addRouter(policy)
 	}
-	w.tally.Times = make([][]float64, len(s.Groups))
-	for i := range s.Groups {
+	w.tally.Times = make([][]float64, len(spec.Groups))
+	for i := range spec.Groups {
 		w.addLoad(i, seed)
 	}
-	for _, fault := range s.Faults {
+	for _, fault := range spec.Faults {
 		w.scheduleFault(fault, policy)
 	}
 	return w
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -72,20 +72,20 @@
 }
 
 // Chart returns the curves as an SVG image. Vertical lines mark the start and end of each fault.
-func Chart(s *model.Spec, curves []Curve) (string, error) {
-	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "seconds", "service"
-	p.Y.Min, p.Y.Max = 0, 1
-	p.X.Min, p.X.Max = 0, float64(s.Seconds)
-	p.Legend.Top, p.Legend.Left = false, true
-	for _, f := range s.Faults {
+func Chart(spec *model.Spec, curves []Curve) (string, error) {
+	chart := plot.New()
+	chart.X.Label.Text, chart.Y.Label.Text = "seconds", "service"
+	chart.Y.Min, chart.Y.Max = 0, 1
+	chart.X.Min, chart.X.Max = 0, float64(spec.Seconds)
+	chart.Legend.Top, chart.Legend.Left = false, true
+	for _, f := range spec.Faults {
 		for _, at := range []float64{float64(f.At), float64(f.At + f.Duration)} {
 			line, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: 1}})
 			if err != nil {
 				return "", fmt.Errorf("chart: %w", err)
 			}
 			line.Width, line.Color = 0.5, color.Gray{Y: 170}
-			p.Add(line)
+			chart.Add(line)
 		}
 	}
 	for i, c := range curves {
@@ -104,11 +104,11 @@
 		}
 		style := lineStyles[i%len(lineStyles)]
 		line.Width, line.Dashes, line.Color = style.width, style.dashes, color.Gray{Y: style.shade}
-		p.Add(line)
-		p.Legend.Add(c.Policy, line)
+		chart.Add(line)
+		chart.Legend.Add(c.Policy, line)
 	}
 	canvas := vgsvg.New(24*vg.Centimeter, 12*vg.Centimeter)
-	p.Draw(draw.New(canvas))
+	chart.Draw(draw.New(canvas))
 	var b bytes.Buffer
 	if _, err := canvas.WriteTo(&b); err != nil {
 		return "", fmt.Errorf("chart: %w", err)
@@ -121,8 +121,8 @@
 }
 
 // Page returns the report of an experiment as HTML.
-func Page(s *model.Spec, runs []experiment.Run) ([]byte, error) {
-	chart, err := Chart(s, Curves(runs))
+func Page(spec *model.Spec, runs []experiment.Run) ([]byte, error) {
+	chart, err := Chart(spec, Curves(runs))
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 		Rows  []experiment.Row
 		Runs  []experiment.Run
 		Chart template.HTML
-	}{s, experiment.Table(runs), runs, template.HTML(chart)}) // safe to embed: Chart has made it
+	}{spec, experiment.Table(runs), runs, template.HTML(chart)}) // safe to embed: Chart has made it
 	if err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
--- a/internal/pki/recorded_test.go
+++ b/internal/pki/recorded_test.go
@@ -21,9 +21,9 @@
 )
 
 func recordedCredentials(r Role, name string, now time.Time) Credentials {
-	s := recordedFolder.Credentials(r, name)
-	s.Now = func() time.Time { return now }
-	return s
+	credentials := recordedFolder.Credentials(r, name)
+	credentials.Now = func() time.Time { return now }
+	return credentials
 }
 
 func TestRecordedFolderIsListed(t *testing.T) {
@@ -68,16 +68,16 @@
 
 // TestRecordedAuthorityIssues renews a certificate in a copy of the recorded folder. The recorded certificates stay valid.
 func TestRecordedAuthorityIssues(t *testing.T) {
-	f := Folder(t.TempDir())
-	require.NoError(t, os.CopyFS(string(f), os.DirFS(string(recordedFolder))))
+	folder := Folder(t.TempDir())
+	require.NoError(t, os.CopyFS(string(folder), os.DirFS(string(recordedFolder))))
 	now := recordedSecond.Add(80 * day)
-	require.NoError(t, f.Issue(Agent, "a1", 90*day, now))
-	renewed := f.Credentials(Agent, "a1")
+	require.NoError(t, folder.Issue(Agent, "a1", 90*day, now))
+	renewed := folder.Credentials(Agent, "a1")
 	renewed.Now = func() time.Time { return now }
 	atServer, atClient := connect(t, renewed, recordedCredentials(Operator, "ayla", now), "a1")
 	require.NoError(t, atServer)
 	require.NoError(t, atClient)
-	err := f.Issue(Agent, "a1", 90*day, recordedSecond.Add(3600*day))
+	err := folder.Issue(Agent, "a1", 90*day, recordedSecond.Add(3600*day))
 	require.EqualError(t, err, "keys: the authority expires on 2036-01-30, before the certificate would: renew the authority first")
-	assert.FileExists(t, filepath.Join(string(f), "operator-mehmet.pem"))
+	assert.FileExists(t, filepath.Join(string(folder), "operator-mehmet.pem"))
 }
