--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -71,12 +71,12 @@
 
 // checkHealth sends a health check to a backend.
 func (r *instance) checkHealth(endpoint int) {
-	w, b, p, sent := r.world, r.world.backends[endpoint], r.policy, r.world.now
+	w, b, policy, sent := r.world, r.world.backends[endpoint], r.policy, r.world.now
 	w.tally.HealthChecks++
 	deliver := func(ok bool, position float64) func() {
 		return func() {
-			if r.policy == p { // the router has not restarted meanwhile
-				p.HealthChecked(w.now, endpoint, ok, w.now-sent, position, b.primary)
+			if r.policy == policy { // the router has not restarted meanwhile
+				policy.HealthChecked(w.now, endpoint, ok, w.now-sent, position, b.primary)
 				r.review()
 			}
 		}
@@ -178,7 +178,8 @@
 }
 
 // attemptEnded reports the result of an attempt to the policy. It ignores all but the first result of an attempt. primary
-// is the role of the backend, position that of its data.
+// reports whether the backend is the primary. position is that of the data that the attempt read or wrote, in virtual
+// seconds.
 func (r *instance) attemptEnded(a *attempt, result router.Result, primary bool, position float64) {
 	c, w := a.command, r.world
 	if !a.pending {
