--- a/internal/fleet/agent/logtail.go
+++ b/internal/fleet/agent/logtail.go
@@ -14,7 +14,7 @@
 const (
 	maxLogBytes   = 8 << 20 // a router's log is rotated when it is larger
 	maxLineBytes  = 1 << 20
-	logBufferSize = 64 << 10
+	logBufferSize = 64 << 10 // a longer line is parsed in parts of this size
 )
 
 // Messages in a router's log that its agent looks for.
@@ -33,7 +33,7 @@
 type logTail struct {
 	path      string
 	offset    int64  // end of the part that was read, in bytes
-	lastError string // text of the last line that reports an error
+	lastError string // text of the last line that reports an error or is not JSON
 }
 
 // newLogTail returns a reader that starts at an offset in the log.
@@ -106,6 +106,7 @@
 	return rollout.CommandCounts{Completed: c.Answered + unanswered, Unanswered: unanswered}
 }
 
+// parseLine passes the event in a line to emit, if there is one, and keeps the text of an error in lastError.
 func (t *logTail) parseLine(raw []byte, emit func(logEvent)) {
 	var line logLine
 	if json.Unmarshal(raw, &line) != nil {
--- a/internal/fleet/agent/process.go
+++ b/internal/fleet/agent/process.go
@@ -69,7 +69,7 @@
 // signal sends a signal to the process.
 func (p *processHandle) signal(s unix.Signal) error { return unix.PidfdSendSignal(p.fd, s, nil, 0) }
 
-// exited reports whether the process has ended. reason describes the end for people.
+// exited reports whether the process has ended. reason describes the end for operators.
 func (p *processHandle) exited() (exited bool, reason string) {
 	fds := []unix.PollFd{{Fd: int32(p.fd), Events: unix.POLLIN}}
 	if n, err := unix.Poll(fds, 0); err != nil || n == 0 {
--- a/internal/fleet/agent/recorded_test.go
+++ b/internal/fleet/agent/recorded_test.go
@@ -29,8 +29,8 @@
 // revisions, honour the lease and accept the next step.
 func TestAgentContinuesFromRecordedStore(t *testing.T) {
 	t.Parallel()
-	r, names := startOnRecordedStore(t)
-	status := r.waitFor("the end of the pending step", func(instance protocol.InstanceStatus) bool { return instance.LastResult != rollout.StepPending })
+	harness, names := startOnRecordedStore(t)
+	status := harness.waitFor("the end of the pending step", func(instance protocol.InstanceStatus) bool { return instance.LastResult != rollout.StepPending })
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
 	assert.Equal(t, recordedSecond, status.Revision)
 	assert.Equal(t, rollout.Step{RolloutID: "r-running", Number: 11, Revision: recordedSecond, Restart: true}, status.LastStep)
@@ -38,11 +38,11 @@
 		if name == "failed" {
 			continue // the router of its revision exits immediately at each start
 		}
-		r.waitFor(name+" to be ready", func(protocol.InstanceStatus) bool {
-			return ready(r.call(protocol.Request{Verb: protocol.StatusVerb}).Instances[i])
+		harness.waitFor(name+" to be ready", func(protocol.InstanceStatus) bool {
+			return ready(harness.call(protocol.Request{Verb: protocol.StatusVerb}).Instances[i])
 		})
 	}
-	now := r.call(protocol.Request{Verb: protocol.StatusVerb})
+	now := harness.call(protocol.Request{Verb: protocol.StatusVerb})
 	assert.Equal(t, rollout.StepFailed, now.Instances[1].LastResult)
 	assert.Equal(t, "6fea0983c1f16ffcf364e43900f86fcb", now.Instances[2].Revision)
 	assert.Equal(t, recordedFirst, now.Instances[3].Revision)
@@ -52,15 +52,15 @@
 	assert.Equal(t, lease.Version{Epoch: 7, Number: 6}, now.Record.Version)
 	assert.Equal(t, protocol.OperatorRequest{RolloutID: "r-running", Run: 6, Action: rollout.RequestPause, Operator: "op"}, now.OperatorRequest)
 
-	refused := r.call(protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 7, Holder: "other"}})
+	refused := harness.call(protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Epoch: 7, Holder: "other"}})
 	assert.Equal(t, lease.StaleEpoch, refused.Denial, "the lease that was granted stays granted")
-	reply := r.call(protocol.Request{
+	reply := harness.call(protocol.Request{
 		Verb: protocol.BeginStepVerb, Epoch: 7, Holder: recordedHolder, InstanceName: "open",
 		Step: rollout.Step{RolloutID: "r-running", Number: 12, Revision: recordedFirst, Rollback: true},
 	})
 	require.Equal(t, lease.Granted, reply.Denial)
 	require.Empty(t, reply.Failure)
-	status = r.waitFor("the end of the next step", func(instance protocol.InstanceStatus) bool {
+	status = harness.waitFor("the end of the next step", func(instance protocol.InstanceStatus) bool {
 		return instance.LastStep.Number == 12 && instance.LastResult != rollout.StepPending
 	})
 	assert.Equal(t, rollout.StepSucceeded, status.LastResult, status.LastFailure)
@@ -69,7 +69,7 @@
 
 // startOnRecordedStore starts an agent on a copy of the recorded store. It returns the names of the instances, which are
 // those of the recorded store.
-func startOnRecordedStore(t *testing.T) (r *rig, names []string) {
+func startOnRecordedStore(t *testing.T) (harness *testHarness, names []string) {
 	t.Helper()
 	dir := t.TempDir()
 	text := fmt.Sprintf(`(name t) (floor 0) (times (ready 5s) (grace 200ms)) (hall h (floor 0))
@@ -84,11 +84,11 @@
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(filepath.Join(dir, storeName), raw, 0o600))
 	placeRecordedFiles(t, f)
-	r = &rig{t: t, fleet: f, folder: dir, stepNumber: 11}
+	harness = &testHarness{t: t, fleet: f, folder: dir, stepNumber: 11}
 	t.Cleanup(func() { killRouters(t, dir) })
-	r.start()
-	t.Cleanup(func() { r.stop() })
-	return r, names
+	harness.start()
+	t.Cleanup(func() { harness.stop() })
+	return harness, names
 }
 
 // placeRecordedFiles writes the routers' configuration files for the revisions in the recorded store.
--- a/internal/fleet/agent/router.go
+++ b/internal/fleet/agent/router.go
@@ -26,12 +26,13 @@
 	folder         string         // absolute path
 	process        *processHandle // nil if no process is known to run
 	healthChecking bool           // a health check is under way
-	retryAt        float64        // earliest time of the next tick, set when storing the state has failed
+	retryAt        float64        // earliest time of the next tick, on the agent's clock; set when storing fails
 }
 
 // supervisorEvent calls the event method of a supervisor and returns the resulting transition.
 type supervisorEvent func(s *supervisor.Supervisor) supervisor.Transition
 
+// newRouter returns the router of an instance and creates its folder.
 func newRouter(a *Agent, index int, instance inventory.Instance) (router, error) {
 	folder, err := filepath.Abs(filepath.Join(a.self.Folder, instance.Name))
 	if err != nil {
@@ -48,7 +49,7 @@
 // incarnation returns the value of incarnationVariable for one start of the router. It is unique on the machine.
 func (r *router) incarnation(number uint64) string { return fmt.Sprintf("%s/%d", r.folder, number) }
 
-// nextTick returns the time of the next tick, on the agent's clock.
+// nextTick returns the time of the next tick, on the agent's clock, in seconds.
 func (r *router) nextTick() float64 { return max(r.supervisor().NextTick(), r.retryAt) }
 
 func (r *router) tickIfDue(ctx context.Context) {
@@ -226,6 +227,8 @@
 	})
 }
 
+// signal sends a signal to the router's process. If no process is known to run, it reports to the supervisor that the
+// process has exited.
 func (r *router) signal(ctx context.Context, signal unix.Signal) {
 	a := r.agent
 	if r.process == nil {
--- a/internal/fleet/api/api_test.go
+++ b/internal/fleet/api/api_test.go
@@ -29,9 +29,9 @@
 	return protocol.Reply{Agent: operator, Failure: string(request.Verb), Revisions: []protocol.Revision{request.Revision}}, e.fail
 }
 
-// rig runs a server on the loopback interface, with keys of an agent and an operator. It is also the writer of the
+// testHarness runs a server on the loopback interface, with keys of an agent and an operator. It is also the writer of the
 // server's log.
-type rig struct {
+type testHarness struct {
 	t       *testing.T
 	keys    pki.Folder
 	address string
@@ -39,44 +39,45 @@
 	log     bytes.Buffer
 }
 
-func (r *rig) Write(p []byte) (int, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.log.Write(p)
+func (h *testHarness) Write(p []byte) (int, error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.log.Write(p)
 }
 
 // logged returns the server's log so far.
-func (r *rig) logged() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.log.String()
+func (h *testHarness) logged() string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.log.String()
 }
 
-// newRig starts a server that runs until the test ends.
-func newRig(t *testing.T, v Versions, h Handler) *rig {
-	r := &rig{t: t, keys: pki.Folder(t.TempDir())}
-	require.NoError(t, r.keys.CreateAuthority("f", time.Hour, time.Now()))
-	require.NoError(t, r.keys.Issue(pki.Agent, "a1", time.Minute, time.Now()))
-	require.NoError(t, r.keys.Issue(pki.Operator, "ayla", time.Minute, time.Now()))
+// newHarness starts a server that runs until the test ends.
+func newHarness(t *testing.T, v Versions, h Handler) *testHarness {
+	harness := &testHarness{t: t, keys: pki.Folder(t.TempDir())}
+	require.NoError(t, harness.keys.CreateAuthority("f", time.Hour, time.Now()))
+	require.NoError(t, harness.keys.Issue(pki.Agent, "a1", time.Minute, time.Now()))
+	require.NoError(t, harness.keys.Issue(pki.Operator, "ayla", time.Minute, time.Now()))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	r.address = l.Addr().String()
-	s := NewServer(l, h, r.keys.Credentials(pki.Agent, "a1"), v, zerolog.New(r))
+	harness.address = l.Addr().String()
+	s := NewServer(l, h, harness.keys.Credentials(pki.Agent, "a1"), v, zerolog.New(harness))
 	done := make(chan error, 1)
 	go func() { done <- s.Serve() }()
 	t.Cleanup(func() { s.Close(); assert.NoError(t, <-done) })
-	return r
+	return harness
 }
 
-func (r *rig) client(v Versions) *Client {
-	c := NewClient("a1", r.address, r.keys.Credentials(pki.Operator, "ayla"), v)
-	r.t.Cleanup(c.Close)
+// client returns a client of operator ayla that speaks the given protocol versions.
+func (h *testHarness) client(v Versions) *Client {
+	c := NewClient("a1", h.address, h.keys.Credentials(pki.Operator, "ayla"), v)
+	h.t.Cleanup(c.Close)
 	return c
 }
 
 func TestRequestsAreAnswered(t *testing.T) {
-	r := newRig(t, SupportedVersions, echoHandler{})
-	c := r.client(SupportedVersions)
+	harness := newHarness(t, SupportedVersions, echoHandler{})
+	c := harness.client(SupportedVersions)
 	for range 3 {
 		got, err := c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 		require.NoError(t, err)
@@ -105,7 +106,7 @@
 		{Versions{2, 3}, Versions{1, 1}, "it speaks versions 2 to 3 of the protocol, and this tool 1 to 1"},
 		{Versions{1, 1}, Versions{2, 3}, "it speaks versions 1 to 1 of the protocol, and this tool 2 to 3"},
 	} {
-		c := newRig(t, test.agent, echoHandler{}).client(test.tool)
+		c := newHarness(t, test.agent, echoHandler{}).client(test.tool)
 		_, err := c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 		if test.want == "" {
 			assert.NoError(t, err, "%v", test)
@@ -119,24 +120,24 @@
 }
 
 // dialTLS returns a TLS connection with an operator's certificate, on which a test can send arbitrary bytes.
-func (r *rig) dialTLS() net.Conn {
-	conf, err := r.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
-	require.NoError(r.t, err)
-	c, err := tls.Dial("tcp", r.address, conf)
-	require.NoError(r.t, err)
-	r.t.Cleanup(func() { _ = c.Close() })
+func (h *testHarness) dialTLS() net.Conn {
+	conf, err := h.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
+	require.NoError(h.t, err)
+	c, err := tls.Dial("tcp", h.address, conf)
+	require.NoError(h.t, err)
+	h.t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 	return c
 }
 
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	r := newRig(t, SupportedVersions, echoHandler{})
-	conf, err := r.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
+	harness := newHarness(t, SupportedVersions, echoHandler{})
+	conf, err := harness.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
 	require.NoError(t, err)
 	httpClient := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
 	t.Cleanup(httpClient.CloseIdleConnections)
 	post := func(path, version string, body io.Reader) (int, string) {
-		request, err := http.NewRequest(http.MethodPost, "https://"+r.address+path, body)
+		request, err := http.NewRequest(http.MethodPost, "https://"+harness.address+path, body)
 		require.NoError(t, err)
 		request.Header.Set(versionHeader, version)
 		response, err := httpClient.Do(request)
@@ -159,7 +160,7 @@
 		{requestPath, "1", bytes.NewReader(nil), 400, "call: "},
 		{requestPath, "1", bytes.NewReader([]byte("{}")), 400, "call: "},
 		{requestPath, "1", bytes.NewReader(protocol.Encode(map[string]any{"verb": "dance"})), 400, "unknown verb"},
-		{requestPath, "1", io.LimitReader(zeros{}, 100<<20), 413, "too large"},
+		{requestPath, "1", io.LimitReader(endlessReader{}, 100<<20), 413, "too large"},
 	} {
 		status, text := post(test.path, test.version, test.body)
 		if test.status == 413 && status == 0 {
@@ -168,18 +169,19 @@
 		assert.Equal(t, test.status, status, text)
 		assert.Contains(t, text, test.want)
 	}
-	_, err = r.client(SupportedVersions).Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
+	_, err = harness.client(SupportedVersions).Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	assert.NoError(t, err)
 }
 
-type zeros struct{}
+// endlessReader is a reader without end. It leaves the contents of the buffer as they are: tests need only its length.
+type endlessReader struct{}
 
-func (zeros) Read(p []byte) (int, error) { return len(p), nil }
+func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
 
 func TestIncompleteRequestsAreClosed(t *testing.T) {
-	r := newRig(t, SupportedVersions, echoHandler{})
+	harness := newHarness(t, SupportedVersions, echoHandler{})
 	for _, half := range []string{"POST /fl", "POST /fleet HTTP/1.1\r\nHost: x\r\nFleet-Version: 1\r\nContent-Length: 99\r\n\r\nabc"} {
-		c := r.dialTLS()
+		c := harness.dialTLS()
 		_, err := c.Write([]byte(half))
 		require.NoError(t, err)
 		require.NoError(t, c.(*tls.Conn).CloseWrite())
@@ -188,61 +190,61 @@
 			assert.Contains(t, string(raw), "400 Bad Request")
 		}
 	}
-	long := r.dialTLS()
+	long := harness.dialTLS()
 	_, err := fmt.Fprintf(long, "POST /fleet HTTP/1.1\r\nHost: x\r\nX: %s\r\n\r\n", bytes.Repeat([]byte("a"), 64<<10))
 	if err == nil {
 		raw, _ := io.ReadAll(long)
 		assert.Contains(t, string(raw), "431")
 	}
-	_, err = r.client(SupportedVersions).Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
+	_, err = harness.client(SupportedVersions).Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	assert.NoError(t, err)
 }
 
 func TestConnectionsAreBounded(t *testing.T) {
-	r := newRig(t, SupportedVersions, echoHandler{})
+	harness := newHarness(t, SupportedVersions, echoHandler{})
 	for range maxConnections {
-		r.dialTLS()
+		harness.dialTLS()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	_, err := r.client(SupportedVersions).Call(ctx, protocol.Request{Verb: protocol.StatusVerb})
+	_, err := harness.client(SupportedVersions).Call(ctx, protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorIs(t, err, ErrNoAnswer)
 	assert.ErrorContains(t, err, "no answer in time")
 }
 
 func TestWrongCertificatesAreRefusedAndLogged(t *testing.T) {
-	r := newRig(t, SupportedVersions, echoHandler{})
+	harness := newHarness(t, SupportedVersions, echoHandler{})
 	other := pki.Folder(t.TempDir())
 	require.NoError(t, other.CreateAuthority("g", time.Hour, time.Now()))
 	require.NoError(t, other.Issue(pki.Operator, "ayla", time.Minute, time.Now()))
-	untrusted := NewClient("a1", r.address, pki.Credentials{CertificateFile: other.CertificateFile(pki.Operator, "ayla"), TrustedFile: r.keys.TrustedFile(), Now: time.Now}, SupportedVersions)
+	untrusted := NewClient("a1", harness.address, pki.Credentials{CertificateFile: other.CertificateFile(pki.Operator, "ayla"), TrustedFile: harness.keys.TrustedFile(), Now: time.Now}, SupportedVersions)
 	defer untrusted.Close()
 	_, err := untrusted.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorIs(t, err, ErrCertificateRefused)
 	require.ErrorContains(t, err, "it refuses this operator's certificate")
-	assert.Contains(t, r.logged(), "operator ayla is from an authority that is not trusted here")
-	wrongAgent := NewClient("a2", r.address, r.keys.Credentials(pki.Operator, "ayla"), SupportedVersions)
+	assert.Contains(t, harness.logged(), "operator ayla is from an authority that is not trusted here")
+	wrongAgent := NewClient("a2", harness.address, harness.keys.Credentials(pki.Operator, "ayla"), SupportedVersions)
 	defer wrongAgent.Close()
 	_, err = wrongAgent.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorContains(t, err, "agent a1's, and should be agent a2's")
 	// The agent's certificate is renewed in place. The next connection uses the new one.
-	c := r.client(SupportedVersions)
+	c := harness.client(SupportedVersions)
 	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.NoError(t, err)
-	require.NoError(t, r.keys.Issue(pki.Agent, "a1", 30*time.Second, time.Now()))
+	require.NoError(t, harness.keys.Issue(pki.Agent, "a1", 30*time.Second, time.Now()))
 	c.Close()
 	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	assert.NoError(t, err)
 }
 
 func TestTransportErrorsAreExplained(t *testing.T) {
-	r := newRig(t, SupportedVersions, echoHandler{fail: errors.New("busy")})
-	_, err := r.client(SupportedVersions).Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
+	harness := newHarness(t, SupportedVersions, echoHandler{fail: errors.New("busy")})
+	_, err := harness.client(SupportedVersions).Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorContains(t, err, "agent a1: 503 Service Unavailable: busy")
 	var status *StatusError
 	require.ErrorAs(t, err, &status)
 	assert.Equal(t, StatusError{Status: "503 Service Unavailable", Text: "busy"}, *status)
-	c := NewClient("a1", "127.0.0.1:1", r.keys.Credentials(pki.Operator, "ayla"), SupportedVersions)
+	c := NewClient("a1", "127.0.0.1:1", harness.keys.Credentials(pki.Operator, "ayla"), SupportedVersions)
 	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	var unreachable *UnreachableError
 	require.ErrorAs(t, err, &unreachable)
--- a/internal/fleet/api/recorded_test.go
+++ b/internal/fleet/api/recorded_test.go
@@ -49,14 +49,14 @@
 		require.NoError(t, protocol.Decode("reply", replies[verb], &reply))
 		h.replies[verb] = reply
 	}
-	r := newRig(t, SupportedVersions, h)
-	conf, err := r.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
+	harness := newHarness(t, SupportedVersions, h)
+	conf, err := harness.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
 	require.NoError(t, err)
 	plainHTTP := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
 	t.Cleanup(plainHTTP.CloseIdleConnections)
-	c := r.client(SupportedVersions)
+	c := harness.client(SupportedVersions)
 	for verb, raw := range calls {
-		request, err := http.NewRequest(http.MethodPost, "https://"+r.address+"/fleet", bytes.NewReader(raw))
+		request, err := http.NewRequest(http.MethodPost, "https://"+harness.address+"/fleet", bytes.NewReader(raw))
 		require.NoError(t, err)
 		request.Header.Set("Fleet-Version", "1")
 		response, err := plainHTTP.Do(request)
--- a/internal/fleet/control/client_test.go
+++ b/internal/fleet/control/client_test.go
@@ -39,16 +39,16 @@
 	goleak.VerifyTestMain(m)
 }
 
-// rig is a fleet of agents in this process that start stand-in routers. Clients call the agents over TLS.
-type rig struct {
+// testHarness is a fleet of agents in this process that start stand-in routers. Clients call the agents over TLS.
+type testHarness struct {
 	t         *testing.T
 	fleet     *inventory.Fleet
 	keys      pki.Folder
-	stopFuncs []func() // function that stops each agent; nil if the agent is stopped
+	stopFuncs []func() // by agent; nil while the agent is stopped
 }
 
-// newRig starts n agents with one instance each. All instances are in one zone, and all but one must serve.
-func newRig(t *testing.T, n int) *rig {
+// newHarness starts n agents with one instance each. All instances are in one zone, and all but one must serve.
+func newHarness(t *testing.T, n int) *testHarness {
 	dir := t.TempDir()
 	fleetFile := fmt.Sprintf("(name t) (floor %d) (hall h (floor 1)) (times (soak 200ms) (fresh 1s) (contact 2s) (step 20s) (claim 2s) (look 50ms) (ready 2s) (grace 100ms))\n", n-1)
 	for i := range n {
@@ -57,102 +57,102 @@
 	}
 	f, err := inventory.Parse("f", []byte(fleetFile))
 	require.NoError(t, err)
-	r := &rig{t: t, fleet: f, keys: pki.Folder(filepath.Join(dir, "keys")), stopFuncs: make([]func(), n)}
-	require.NoError(t, r.keys.CreateAuthority("t", time.Hour, time.Now()))
+	harness := &testHarness{t: t, fleet: f, keys: pki.Folder(filepath.Join(dir, "keys")), stopFuncs: make([]func(), n)}
+	require.NoError(t, harness.keys.CreateAuthority("t", time.Hour, time.Now()))
 	for _, o := range []string{"ayla", "mehmet"} {
-		require.NoError(t, r.keys.Issue(pki.Operator, o, time.Minute, time.Now()))
+		require.NoError(t, harness.keys.Issue(pki.Operator, o, time.Minute, time.Now()))
 	}
 	for i := range n {
-		require.NoError(t, r.keys.Issue(pki.Agent, fmt.Sprint("a", i), time.Minute, time.Now()))
-		r.startAgent(i)
+		require.NoError(t, harness.keys.Issue(pki.Agent, fmt.Sprint("a", i), time.Minute, time.Now()))
+		harness.startAgent(i)
 	}
 	t.Cleanup(func() {
-		for _, end := range r.stopFuncs {
+		for _, end := range harness.stopFuncs {
 			if end != nil {
 				end()
 			}
 		}
-		for n := 1; n > 0; time.Sleep(5 * time.Millisecond) {
+		for running := 1; running > 0; time.Sleep(5 * time.Millisecond) {
 			var err error
-			n, err = agent.KillRouters(dir)
+			running, err = agent.KillRouters(dir)
 			require.NoError(t, err)
 		}
 	})
-	return r
+	return harness
 }
 
 // startAgent starts an agent. Stopping the agent has the effect of a kill: its routers go on and the agent saves nothing.
-func (r *rig) startAgent(i int) {
-	entry := &r.fleet.Agents[i]
+func (h *testHarness) startAgent(i int) {
+	entry := &h.fleet.Agents[i]
 	store, err := agent.OpenStore(entry)
-	require.NoError(r.t, err)
-	a, err := agent.New(r.fleet, entry.Name, "test", store, zerolog.New(io.Discard))
-	require.NoError(r.t, err)
+	require.NoError(h.t, err)
+	a, err := agent.New(h.fleet, entry.Name, "test", store, zerolog.New(io.Discard))
+	require.NoError(h.t, err)
 	l, err := net.Listen("tcp", entry.Listen.String())
-	require.NoError(r.t, err)
-	server := api.NewServer(l, a, r.keys.Credentials(pki.Agent, entry.Name), api.SupportedVersions, zerolog.New(io.Discard))
+	require.NoError(h.t, err)
+	server := api.NewServer(l, a, h.keys.Credentials(pki.Agent, entry.Name), api.SupportedVersions, zerolog.New(io.Discard))
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Add(2)
 	go func() { defer done.Done(); _ = server.Serve() }()
 	go func() { defer done.Done(); a.Run(ctx) }()
-	r.stopFuncs[i] = func() { server.Close(); cancel(); done.Wait(); _ = store.Close() }
+	h.stopFuncs[i] = func() { server.Close(); cancel(); done.Wait(); _ = store.Close() }
 }
 
-func (r *rig) stopAgent(i int) { r.stopFuncs[i](); r.stopFuncs[i] = nil }
+func (h *testHarness) stopAgent(i int) { h.stopFuncs[i](); h.stopFuncs[i] = nil }
 
 // client returns a new client of an operator.
-func (r *rig) client(operator string) *Client {
-	client, err := New(r.fleet, r.keys, operator)
-	require.NoError(r.t, err)
-	r.t.Cleanup(client.Close)
+func (h *testHarness) client(operator string) *Client {
+	client, err := New(h.fleet, h.keys, operator)
+	require.NoError(h.t, err)
+	h.t.Cleanup(client.Close)
 	return client
 }
 
 // push pushes a revision with which routers behave as conduct says. A different number of sockets makes it a different
 // revision.
-func (r *rig) push(client *Client, name string, conduct testserver.Conduct, sockets int) protocol.Revision {
-	r.t.Helper()
+func (h *testHarness) push(client *Client, name string, conduct testserver.Conduct, sockets int) protocol.Revision {
+	h.t.Helper()
 	doc := testserver.Deployment("127.0.0.1:9", 0.1, map[string]any{"stand": conduct, "limits": map[string]any{"sockets": sockets}})
-	file := filepath.Join(r.t.TempDir(), name+".json")
-	require.NoError(r.t, os.WriteFile(file, testserver.JSON(doc), 0o600))
+	file := filepath.Join(h.t.TempDir(), name+".json")
+	require.NoError(h.t, os.WriteFile(file, testserver.JSON(doc), 0o600))
 	content, err := client.ReadRevision(file)
-	require.NoError(r.t, err)
+	require.NoError(h.t, err)
 	p := client.PushRevision(context.Background(), content, name)
-	require.Empty(r.t, p.Missing)
+	require.Empty(h.t, p.Missing)
 	return protocol.Revision{Digest: p.Digest, Name: name}
 }
 
-// drive carries out a task until it ends.
-func (r *rig) drive(client *Client, task coordinator.Task, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
+// drive carries out a task until it ends or testTimeout has passed.
+func (h *testHarness) drive(client *Client, task coordinator.Task, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return client.Drive(ctx, task, watch)
 }
 
 // requireComplete requires that a rollout has completed: all instances run its revision.
-func (r *rig) requireComplete(o coordinator.Outcome) {
-	r.t.Helper()
-	require.Equal(r.t, coordinator.OutcomeEnded, o.Kind, "%v", o)
-	require.Equal(r.t, rollout.Complete, o.Rollout.State, "%v", o)
+func (h *testHarness) requireComplete(o coordinator.Outcome) {
+	h.t.Helper()
+	require.Equal(h.t, coordinator.OutcomeEnded, o.Kind, "%v", o)
+	require.Equal(h.t, rollout.Complete, o.Rollout.State, "%v", o)
 }
 
 // assertAllRun asserts that all instances run the revision with a digest and are ready.
-func (r *rig) assertAllRun(client *Client, digest string) {
-	r.t.Helper()
+func (h *testHarness) assertAllRun(client *Client, digest string) {
+	h.t.Helper()
 	status := client.Status(context.Background())
 	for _, instance := range status.Instances {
-		assert.Equal(r.t, revision.ShortDigest(digest), instance.Revision, instance.Name)
-		assert.Equal(r.t, "ready", instance.State, instance.Name)
+		assert.Equal(h.t, revision.ShortDigest(digest), instance.Revision, instance.Name)
+		assert.Equal(h.t, "ready", instance.State, instance.Name)
 	}
 }
 
 func TestFailingRolloutRollsBackToThePreviousRevision(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 3)
-	ayla := r.client("ayla")
-	good := r.push(ayla, "good", testserver.Conduct{}, 100)
-	r.requireComplete(r.drive(ayla, ayla.NewRollout(good, false), nil))
+	harness := newHarness(t, 3)
+	ayla := harness.client("ayla")
+	good := harness.push(ayla, "good", testserver.Conduct{}, 100)
+	harness.requireComplete(harness.drive(ayla, ayla.NewRollout(good, false), nil))
 	time.Sleep(1200 * time.Millisecond) // agents read the counters once a second
 	for name, c := range map[string]struct {
 		conduct testserver.Conduct
@@ -163,14 +163,14 @@
 		"fails":  {testserver.Conduct{Fails: true}, "commands unanswered in its soak, a larger share than before"},
 	} {
 		if name == "fails" {
-			r.fleet.Times.Soak = 2 // long enough for the agent to read the counters
+			harness.fleet.Times.Soak = 2 // long enough for the agent to read the counters
 		}
-		o := r.drive(ayla, ayla.NewRollout(r.push(ayla, name, c.conduct, 100), true), nil)
+		o := harness.drive(ayla, ayla.NewRollout(harness.push(ayla, name, c.conduct, 100), true), nil)
 		assert.Equal(t, rollout.RolledBack, o.Rollout.State, name)
 		assert.Contains(t, ayla.Explain(o.Reason), c.message)
 		assert.Contains(t, ayla.Explain(o.Reason), "instance n0")
-		r.assertAllRun(ayla, good.Digest)
-		r.fleet.Times.Soak = 0.2
+		harness.assertAllRun(ayla, good.Digest)
+		harness.fleet.Times.Soak = 0.2
 	}
 	file := filepath.Join(t.TempDir(), "x.json")
 	require.NoError(t, os.WriteFile(file, []byte(`{"discovery":"nowhere"}`), 0o600))
@@ -180,11 +180,11 @@
 
 func TestAnotherClientResumesAnInterruptedRollout(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 4)
-	ayla, mehmet := r.client("ayla"), r.client("mehmet")
-	a := r.push(ayla, "a", testserver.Conduct{}, 100)
-	r.requireComplete(r.drive(ayla, ayla.NewRollout(a, false), nil))
-	b := r.push(ayla, "b", testserver.Conduct{Ready: 0.2}, 101)
+	harness := newHarness(t, 4)
+	ayla, mehmet := harness.client("ayla"), harness.client("mehmet")
+	a := harness.push(ayla, "a", testserver.Conduct{}, 100)
+	harness.requireComplete(harness.drive(ayla, ayla.NewRollout(a, false), nil))
+	b := harness.push(ayla, "b", testserver.Conduct{Ready: 0.2}, 101)
 	ctx, kill := context.WithCancel(context.Background())
 	began := 0
 	o := ayla.Drive(ctx, ayla.NewRollout(b, false), func(_ coordinator.View, events []coordinator.Event) {
@@ -201,21 +201,21 @@
 	require.NotNil(t, status.Rollout)
 	assert.Equal(t, "running", status.Rollout.State)
 	assert.Equal(t, "ayla", status.Rollout.StartedBy)
-	assert.Equal(t, coordinator.OutcomeUnfinishedRollout, r.drive(mehmet, mehmet.NewRollout(a, false), nil).Kind)
+	assert.Equal(t, coordinator.OutcomeUnfinishedRollout, harness.drive(mehmet, mehmet.NewRollout(a, false), nil).Kind)
 	steps := 0
-	o = r.drive(mehmet, coordinator.Task{Operation: coordinator.OperationResume, Operator: "mehmet"}, func(_ coordinator.View, events []coordinator.Event) {
+	o = harness.drive(mehmet, coordinator.Task{Operation: coordinator.OperationResume, Operator: "mehmet"}, func(_ coordinator.View, events []coordinator.Event) {
 		for _, e := range events {
 			if e.Action == rollout.ActionBeginStep {
 				steps++
 			}
 		}
 	})
-	r.requireComplete(o)
+	harness.requireComplete(o)
 	assert.LessOrEqual(t, steps, 3, "it continues where the other client stopped")
-	r.assertAllRun(mehmet, b.Digest)
-	o = r.drive(mehmet, coordinator.Task{Operation: coordinator.OperationRollback, Operator: "mehmet"}, nil)
+	harness.assertAllRun(mehmet, b.Digest)
+	o = harness.drive(mehmet, coordinator.Task{Operation: coordinator.OperationRollback, Operator: "mehmet"}, nil)
 	assert.Equal(t, rollout.RolledBack, o.Rollout.State)
-	r.assertAllRun(mehmet, a.Digest)
+	harness.assertAllRun(mehmet, a.Digest)
 	history, err := ayla.History(context.Background())
 	require.NoError(t, err)
 	assert.Len(t, history.Revisions, 2)
@@ -224,9 +224,9 @@
 
 func TestOneOfTwoOperatorsRollsOutAndTheOtherIsDenied(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 4)
-	ayla, mehmet := r.client("ayla"), r.client("mehmet")
-	a, b := r.push(ayla, "a", testserver.Conduct{}, 100), r.push(mehmet, "b", testserver.Conduct{}, 101)
+	harness := newHarness(t, 4)
+	ayla, mehmet := harness.client("ayla"), harness.client("mehmet")
+	a, b := harness.push(ayla, "a", testserver.Conduct{}, 100), harness.push(mehmet, "b", testserver.Conduct{}, 101)
 	var outcomes [2]coordinator.Outcome
 	var drives sync.WaitGroup
 	for i, operator := range []struct {
@@ -236,7 +236,7 @@
 		drives.Add(1)
 		go func() {
 			defer drives.Done()
-			outcomes[i] = r.drive(operator.client, operator.client.NewRollout(operator.revision, false), nil)
+			outcomes[i] = harness.drive(operator.client, operator.client.NewRollout(operator.revision, false), nil)
 		}()
 	}
 	drives.Wait()
@@ -251,19 +251,19 @@
 	loser := outcomes[1-won]
 	assert.Equal(t, coordinator.OutcomeLeaseHeld, loser.Kind)
 	assert.True(t, strings.HasPrefix(loser.Holder.Holder, []string{"ayla/", "mehmet/"}[won]), loser.Holder.Holder)
-	r.assertAllRun(ayla, []protocol.Revision{a, b}[won].Digest)
+	harness.assertAllRun(ayla, []protocol.Revision{a, b}[won].Digest)
 }
 
 func TestRequestedPauseIsFollowedAndUnreachableAgentIsLeftOut(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 4)
-	r.fleet.MinAvailable = 2
-	ayla, mehmet := r.client("ayla"), r.client("mehmet")
-	a := r.push(ayla, "a", testserver.Conduct{}, 100)
-	r.requireComplete(r.drive(ayla, ayla.NewRollout(a, false), nil))
-	b := r.push(ayla, "b", testserver.Conduct{Ready: 0.3}, 101)
+	harness := newHarness(t, 4)
+	harness.fleet.MinAvailable = 2
+	ayla, mehmet := harness.client("ayla"), harness.client("mehmet")
+	a := harness.push(ayla, "a", testserver.Conduct{}, 100)
+	harness.requireComplete(harness.drive(ayla, ayla.NewRollout(a, false), nil))
+	b := harness.push(ayla, "b", testserver.Conduct{Ready: 0.3}, 101)
 	requested := false
-	o := r.drive(ayla, ayla.NewRollout(b, false), func(v coordinator.View, _ []coordinator.Event) {
+	o := harness.drive(ayla, ayla.NewRollout(b, false), func(v coordinator.View, _ []coordinator.Event) {
 		if !requested && v.Rollout.CurrentStep.Number == 1 {
 			requested = true
 			assert.Equal(t, 4, mehmet.RequestAction(context.Background(), v.Rollout, rollout.RequestPause))
@@ -271,22 +271,22 @@
 	})
 	assert.Equal(t, rollout.Paused, o.Rollout.State)
 	assert.Equal(t, "mehmet", o.Rollout.RequestedBy)
-	r.stopAgent(3)
-	o = r.drive(mehmet, coordinator.Task{Operation: coordinator.OperationResume, Operator: "mehmet"}, nil)
+	harness.stopAgent(3)
+	o = harness.drive(mehmet, coordinator.Task{Operation: coordinator.OperationResume, Operator: "mehmet"}, nil)
 	assert.Equal(t, rollout.Paused, o.Rollout.State)
 	assert.Contains(t, mehmet.Explain(o.Reason), "agent a3 of instance n3 is not heard from")
-	o = r.drive(mehmet, coordinator.Task{Operation: coordinator.OperationResume, Operator: "mehmet", ExcludedInstances: []int{3}}, nil)
+	o = harness.drive(mehmet, coordinator.Task{Operation: coordinator.OperationResume, Operator: "mehmet", ExcludedInstances: []int{3}}, nil)
 	assert.Equal(t, "1 instances were left out and have not been changed", mehmet.Explain(o.Reason))
-	r.startAgent(3)
-	r.requireComplete(r.drive(ayla, coordinator.Task{Operation: coordinator.OperationResume, Operator: "ayla"}, nil))
-	r.assertAllRun(ayla, b.Digest)
+	harness.startAgent(3)
+	harness.requireComplete(harness.drive(ayla, coordinator.Task{Operation: coordinator.OperationResume, Operator: "ayla"}, nil))
+	harness.assertAllRun(ayla, b.Digest)
 }
 
 func TestPreviewFindAndTrace(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 3)
-	ayla := r.client("ayla")
-	a := r.push(ayla, "a", testserver.Conduct{}, 100)
+	harness := newHarness(t, 3)
+	ayla := harness.client("ayla")
+	a := harness.push(ayla, "a", testserver.Conduct{}, 100)
 	effects := func(sockets int, discovery string) []RevisionEffect {
 		doc := testserver.Deployment(discovery, 0.1, map[string]any{"stand": testserver.Conduct{}, "limits": map[string]any{"sockets": sockets}})
 		content, err := revision.Canonical("f", testserver.JSON(doc))
@@ -296,7 +296,7 @@
 		return effects
 	}
 	assert.Equal(t, RevisionEffect{Instance: "n0", Change: "start"}, effects(100, "127.0.0.1:9")[0])
-	r.requireComplete(r.drive(ayla, ayla.NewRollout(a, false), nil))
+	harness.requireComplete(harness.drive(ayla, ayla.NewRollout(a, false), nil))
 	assert.Equal(t, RevisionEffect{Instance: "n0", Change: "none"}, effects(100, "127.0.0.1:9")[0])
 	assert.Equal(t, RevisionEffect{Instance: "n1", Change: "reload"}, effects(100, "127.0.0.1:10")[1])
 	assert.Equal(t, RevisionEffect{Instance: "n2", Change: "restart", Keys: []string{"limits"}}, effects(101, "127.0.0.1:9")[2])
@@ -308,13 +308,13 @@
 	var missing *RevisionNotFoundError
 	require.ErrorAs(t, err, &missing)
 	assert.Equal(t, "nothing", missing.NameOrDigest)
-	_, err = New(r.fleet, r.keys, "nobody")
+	_, err = New(harness.fleet, harness.keys, "nobody")
 	require.ErrorContains(t, err, "operator nobody:")
 	path := filepath.Join(t.TempDir(), "spans")
 	spans, err := ayla.NewTrace(path)
 	require.NoError(t, err)
-	o := r.drive(ayla, ayla.NewRollout(a, true), spans.Record)
-	r.requireComplete(o)
+	o := harness.drive(ayla, ayla.NewRollout(a, true), spans.Record)
+	harness.requireComplete(o)
 	require.NoError(t, spans.Close(o))
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
--- a/internal/fleet/control/drive.go
+++ b/internal/fleet/control/drive.go
@@ -17,8 +17,8 @@
 
 const (
 	idBytes            = 6  // random bytes in an identifier
-	answersPerAgent    = 4  // answers per agent that are queued for the driver before calls have to wait
-	minAnswerQueueSize = 16 // length added to the queue, for fleets with few agents
+	answersPerAgent    = 4  // length of the answer queue per agent; a call waits to deliver its answer while the queue is full
+	extraQueuedAnswers = 16 // added to the length of the answer queue, for fleets with few agents
 )
 
 // NewID returns a random identifier, long enough that no other is likely to be the same.
@@ -74,12 +74,12 @@
 // Unless watch is nil, Drive calls it with the rollout's state and the new events each time the coordinator has decided.
 func (c *Client) Drive(ctx context.Context, task coordinator.Task, watch func(coordinator.View, []coordinator.Event)) coordinator.Outcome {
 	d := c.newDriver(task, watch)
-	calls, cancel := context.WithCancel(context.WithoutCancel(ctx)) // ctx may end before the lease is released
+	callContext, cancel := context.WithCancel(context.WithoutCancel(ctx)) // ctx may end before the lease is released
 	defer d.runningCalls.Wait()
 	defer cancel()
 	interrupted := ctx.Done()
 	for {
-		wait := d.advance(calls)
+		wait := d.advance(callContext)
 		if outcome, over := d.coordinator.Outcome(); over {
 			return outcome
 		}
@@ -135,7 +135,7 @@
 		coordinator: coordinator,
 		watch:       watch,
 		startedAt:   time.Now(),
-		answers:     make(chan callAnswer, answersPerAgent*len(c.agents)+minAnswerQueueSize),
+		answers:     make(chan callAnswer, answersPerAgent*len(c.agents)+extraQueuedAnswers),
 		slots:       make(chan struct{}, maxConcurrentCalls),
 	}
 }
--- a/internal/fleet/control/history.go
+++ b/internal/fleet/control/history.go
@@ -47,7 +47,8 @@
 	}, nil
 }
 
-// isLater reports whether other, a record of the same rollout, was written after known.
+// isLater reports whether other replaces known, a record of the same rollout. It does if its run is later or, within one
+// run, if more steps have begun or it says that the rollout has ended.
 func isLater(known, other protocol.Rollout) bool {
 	if known.Run != other.Run {
 		return known.Run < other.Run
--- a/internal/fleet/control/status.go
+++ b/internal/fleet/control/status.go
@@ -25,9 +25,9 @@
 // AgentStatus is the status of one agent.
 type AgentStatus struct {
 	Name      string `json:"name"`
-	Reachable bool   `json:"heard"`
-	Program   string `json:"program,omitempty"`
-	Failure   string `json:"fault,omitempty"`
+	Reachable bool   `json:"heard"`             // the agent answered and reported no failure
+	Program   string `json:"program,omitempty"` // name and version of the agent's program
+	Failure   string `json:"fault,omitempty"`   // why the call failed, or the failure that the agent reported
 }
 
 // InstanceStatus is the status of one instance.
@@ -56,7 +56,7 @@
 	HeldSeconds      float64 `json:"since_seconds"` // time since Holder acquired the lease
 	RemainingSeconds float64 `json:"left_seconds"`  // time until the lease expires unless it is renewed
 	Agents           int     `json:"agents"`        // number of agents in the fleet
-	ReachableAgents  int     `json:"heard"`
+	ReachableAgents  int     `json:"heard"`         // number of agents that answered and reported no failure
 }
 
 // Status requests the status of all agents and returns the fleet's.
--- a/internal/fleet/coordinator/environment_test.go
+++ b/internal/fleet/coordinator/environment_test.go
@@ -31,6 +31,7 @@
 	steps       []string                     // steps that were begun, in order, as "instance revision"
 }
 
+// newEnvironment returns agents whose instances all serve revision old. All instances but one must keep serving.
 func newEnvironment(t *testing.T, agents int) *environment {
 	t.Helper()
 	e := &environment{
@@ -58,13 +59,15 @@
 	return &e.handlers[agent].Supervisors[0]
 }
 
+// carryOut carries out the actions that an agent's supervisor requests, and those that it requests after their outcomes.
 func (e *environment) carryOut(agent int, actions []supervisor.Action) {
 	for _, action := range actions {
-		e.carryOut(agent, e.do(e.supervisor(agent), action).Actions)
+		e.carryOut(agent, e.performAction(e.supervisor(agent), action).Actions)
 	}
 }
 
-func (e *environment) do(supervised *supervisor.Supervisor, action supervisor.Action) supervisor.Transition {
+// performAction carries out one action and returns the supervisor's response to the outcome.
+func (e *environment) performAction(supervised *supervisor.Supervisor, action supervisor.Action) supervisor.Transition {
 	switch action.Kind {
 	case supervisor.ActionFindProcess:
 		return supervised.ProcessFound(e.now, true)
@@ -107,6 +110,7 @@
 	}
 }
 
+// deliver passes a call to its agent, and passes the reply or a failure back to the coordinator.
 func (e *environment) deliver(c *Coordinator, call OutgoingCall) {
 	handler := e.handlers[call.Agent]
 	switch {
--- a/internal/fleet/lease/model_test.go
+++ b/internal/fleet/lease/model_test.go
@@ -55,6 +55,7 @@
 	})
 }
 
+// turn lets one random event happen at a random agent or candidate.
 func (m *leaseModel) turn(t *rapid.T) {
 	number := rapid.IntRange(0, len(m.candidates)-1).Draw(t, "candidate")
 	agent := rapid.IntRange(0, len(m.agents)-1).Draw(t, "agent")
@@ -130,6 +131,8 @@
 	m.lateCalls = append(m.lateCalls, lateCall{epoch, holder})
 }
 
+// deliverLateCall delivers a call of some earlier holder to an agent. If the agent grants it, the caller must have won the
+// call's epoch, and the agent must not have granted a late call of a higher epoch before.
 func (m *leaseModel) deliverLateCall(t *rapid.T, agent int) {
 	if len(m.lateCalls) == 0 {
 		return
--- a/internal/fleet/protocol/messages_test.go
+++ b/internal/fleet/protocol/messages_test.go
@@ -20,9 +20,9 @@
 		Agent: "a", Denial: lease.Expired, Record: lease.Record{Version: lease.Version{Epoch: 1, Number: 2}, Body: []byte("b")},
 		Instances: []InstanceStatus{{Name: "n", Observation: rollout.Observation{SeenAt: math.Inf(-1), State: rollout.ProcessReady, LastStep: rollout.Step{Number: 9}}}},
 	}
-	var back Reply
-	require.NoError(t, Decode("reply", Encode(reply), &back))
-	assert.Equal(t, reply, back)
+	var decoded Reply
+	require.NoError(t, Decode("reply", Encode(reply), &decoded))
+	assert.Equal(t, reply, decoded)
 }
 
 func TestFieldsOfLaterVersionsAreIgnored(t *testing.T) {
--- a/internal/fleet/protocol/record_names_test.go
+++ b/internal/fleet/protocol/record_names_test.go
@@ -46,7 +46,8 @@
 	})
 }
 
-// checkFieldNames checks that value has no zero field and that it encodes to the bytes in testdata and back.
+// checkFieldNames checks that value has no zero field and that it encodes to the bytes in testdata, which
+// must decode to the same value.
 func checkFieldNames[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	fields := reflect.ValueOf(value)
@@ -60,7 +61,7 @@
 	recorded, err := os.ReadFile(path)
 	require.NoError(t, err)
 	assert.Equal(t, recorded, protocol.Encode(value), name)
-	var back T
-	require.NoError(t, protocol.Decode(name, recorded, &back))
-	assert.Equal(t, value, back, name)
+	var decoded T
+	require.NoError(t, protocol.Decode(name, recorded, &decoded))
+	assert.Equal(t, value, decoded, name)
 }
--- a/internal/fleet/protocol/recorded_test.go
+++ b/internal/fleet/protocol/recorded_test.go
@@ -119,6 +119,7 @@
 	}
 }
 
+// recorded returns the recorded bytes of a verb's request (folder "calls") or reply (folder "replies").
 func recorded(t *testing.T, folder string, verb Verb) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", folder, string(verb)+".cbor"))
--- a/internal/fleet/revision/revision_test.go
+++ b/internal/fleet/revision/revision_test.go
@@ -98,8 +98,8 @@
 	require.ErrorAs(t, err, &tooLong)
 	assert.Equal(t, TooLongError{File: "f", Bytes: MaxBytes + 1}, *tooLong)
 	_, err = Check(canonical(t, strings.Replace(sample, `"targetNs"`, `"xtargetNs"`, 1)), testInstance)
-	var config *config.Error
-	require.ErrorAs(t, err, &config)
+	var configError *config.Error
+	require.ErrorAs(t, err, &configError)
 }
 
 func TestRestartKeysAreNamed(t *testing.T) {
--- a/internal/fleet/rollout/model_test.go
+++ b/internal/fleet/rollout/model_test.go
@@ -50,6 +50,7 @@
 	})
 }
 
+// event lets one random event happen to an instance, an agent, a step or the tool.
 func (m *fleetModel) event(t *rapid.T) {
 	pick := rapid.IntRange(0, len(m.actual)-1)
 	o := &m.actual[pick.Draw(t, "which")]
@@ -92,6 +93,7 @@
 	}
 }
 
+// follow checks the planner's decision and carries it out.
 func (m *fleetModel) follow(t *rapid.T, d Decision) {
 	if d.Action == ActionBeginStep {
 		m.checkStep(t, d.Step)
@@ -114,13 +116,13 @@
 // checkStep checks that no other step is pending, and that the minimums hold without the step's instance if that
 // instance serves.
 func (m *fleetModel) checkStep(t *rapid.T, step Step) {
-	open := 0
+	pending := 0
 	for i := range m.actual {
 		if m.actual[i].LastStep.Number != 0 && m.actual[i].LastResult == StepPending {
-			open++
+			pending++
 		}
 	}
-	assert.Zero(t, open, "another step is pending")
+	assert.Zero(t, pending, "another step is pending")
 	zone := m.fleet.Instances[step.Instance].Zone
 	inZone, inFleet := 0, 0
 	for i := range m.observed {
--- a/internal/fleet/rollout/planner_test.go
+++ b/internal/fleet/rollout/planner_test.go
@@ -47,25 +47,25 @@
 }
 
 func TestInstancesChangeOneAtATimeWithASoakBetween(t *testing.T) {
-	p := newRunningPlanner()
-	observations := allServing(p.Fleet, 0)
+	planner := newRunningPlanner()
+	observations := allServing(planner.Fleet, 0)
 	for n := range 6 {
-		d := p.Next(0, observations, RequestNone)
+		d := planner.Next(0, observations, RequestNone)
 		require.Equal(t, ActionBeginStep, d.Action, "%v", d.Reason)
 		assert.Equal(t, n, d.Step.Instance)
 		assert.EqualValues(t, n+1, d.Step.Number)
-		p.Rollout = d.Rollout
-		assert.Equal(t, ActionResendStep, p.Next(0, observations, RequestNone).Action, "the agent has not begun the step")
+		planner.Rollout = d.Rollout
+		assert.Equal(t, ActionResendStep, planner.Next(0, observations, RequestNone).Action, "the agent has not begun the step")
 		recordStep(observations, d.Step, StepPending)
-		assert.Equal(t, ActionWait, p.Next(0, observations, RequestNone).Action)
+		assert.Equal(t, ActionWait, planner.Next(0, observations, RequestNone).Action)
 		recordStep(observations, d.Step, StepSucceeded)
-		assert.Equal(t, ActionWait, p.Next(0, observations, RequestNone).Action, "the soak is not over")
+		assert.Equal(t, ActionWait, planner.Next(0, observations, RequestNone).Action, "the soak is not over")
 		observations[n].ReadySeconds = testTiming.SoakSeconds
-		d = p.Next(0, observations, RequestNone)
+		d = planner.Next(0, observations, RequestNone)
 		require.Equal(t, ActionCompleteStep, d.Action)
-		p.Rollout = d.Rollout
+		planner.Rollout = d.Rollout
 	}
-	d := p.Next(0, observations, RequestNone)
+	d := planner.Next(0, observations, RequestNone)
 	assert.Equal(t, ActionFinish, d.Action)
 	assert.Equal(t, Complete, d.Rollout.State)
 }
@@ -90,10 +90,10 @@
 		"never seen":                             {func(s []Observation) { s[5].SeenAt = math.Inf(-1) }, ActionWait, Reason{Kind: ReasonAgentUnreachable, Instance: 5}, 0},
 		"a step of another rollout is resolved":  {func(s []Observation) { s[4].LastStep = Step{RolloutID: "q", Number: 9} }, ActionWait, Reason{Kind: ReasonInstanceBusy, Instance: 4}, 0},
 	} {
-		p := newRunningPlanner()
-		observations := allServing(p.Fleet, 0)
+		planner := newRunningPlanner()
+		observations := allServing(planner.Fleet, 0)
 		c.change(observations)
-		d := p.Next(0, observations, RequestNone)
+		d := planner.Next(0, observations, RequestNone)
 		assert.Equal(t, c.action, d.Action, name)
 		assert.Equal(t, c.reason, d.Reason, name)
 		if c.action == ActionBeginStep {
@@ -103,7 +103,7 @@
 		for i := range observations {
 			observations[i].SeenAt += testTiming.ContactTimeoutSeconds
 		}
-		d = p.Next(testTiming.ContactTimeoutSeconds, observations, RequestNone)
+		d = planner.Next(testTiming.ContactTimeoutSeconds, observations, RequestNone)
 		assert.Equal(t, ActionFinish, d.Action, name)
 		assert.Equal(t, Paused, d.Rollout.State, name)
 		assert.Equal(t, c.reason, d.Rollout.Reason, name)
@@ -139,24 +139,24 @@
 		"it keeps exiting":                   {func(o *Observation) { o.State = ProcessCrashLooping }, ReasonSoakFailed},
 		"it leaves more commands unanswered": {func(o *Observation) { o.CommandsSinceStep = CommandCounts{Completed: 100, Unanswered: 20} }, ReasonMoreUnanswered},
 	} {
-		p := newRunningPlanner()
-		observations := allServing(p.Fleet, 0)
+		planner := newRunningPlanner()
+		observations := allServing(planner.Fleet, 0)
 		observations[0].RecentCommands = CommandCounts{Completed: 1000, Unanswered: 50}
-		p.Rollout = p.Next(0, observations, RequestNone).Rollout
-		recordStep(observations, p.Rollout.CurrentStep, StepSucceeded)
+		planner.Rollout = planner.Next(0, observations, RequestNone).Rollout
+		recordStep(observations, planner.Rollout.CurrentStep, StepSucceeded)
 		c.change(&observations[0])
-		d := p.Next(0, observations, RequestNone)
+		d := planner.Next(0, observations, RequestNone)
 		require.Equal(t, ActionStartRollback, d.Action, name)
 		assert.Equal(t, c.kind, d.Rollout.RollbackCause.Kind, name)
-		p.Rollout = d.Rollout
-		d = p.Next(0, observations, RequestNone)
+		planner.Rollout = d.Rollout
+		d = planner.Next(0, observations, RequestNone)
 		require.Equal(t, ActionBeginStep, d.Action, name)
 		assert.Equal(t, Step{RolloutID: "r", Number: 2, Instance: 0, Revision: "a", Rollback: true}, d.Step, name)
-		p.Rollout = d.Rollout
+		planner.Rollout = d.Rollout
 		recordStep(observations, d.Step, StepSucceeded)
 		observations[0].ReadySeconds = testTiming.SoakSeconds
-		p.Rollout = p.Next(0, observations, RequestNone).Rollout
-		d = p.Next(0, observations, RequestNone)
+		planner.Rollout = planner.Next(0, observations, RequestNone).Rollout
+		d = planner.Next(0, observations, RequestNone)
 		assert.Equal(t, RolledBack, d.Rollout.State, name)
 		assert.Equal(t, c.kind, d.Rollout.Reason.Kind, "the reason is still the cause of the rollback: %s", name)
 	}
@@ -171,97 +171,97 @@
 }
 
 func TestFailedRollbackPauses(t *testing.T) {
-	p := newRunningPlanner()
-	p.Rollout.RollingBack = true
-	observations := allServing(p.Fleet, 0)
+	planner := newRunningPlanner()
+	planner.Rollout.RollingBack = true
+	observations := allServing(planner.Fleet, 0)
 	recordStep(observations, Step{RolloutID: "r", Number: 1, Instance: 2, Revision: "b"}, StepSucceeded)
-	p.Rollout = p.Next(0, observations, RequestNone).Rollout
-	assert.Equal(t, 2, p.Rollout.CurrentStep.Instance, "only the instance that was changed is rolled back")
-	recordStep(observations, p.Rollout.CurrentStep, StepFailed)
-	d := p.Next(0, observations, RequestNone)
+	planner.Rollout = planner.Next(0, observations, RequestNone).Rollout
+	assert.Equal(t, 2, planner.Rollout.CurrentStep.Instance, "only the instance that was changed is rolled back")
+	recordStep(observations, planner.Rollout.CurrentStep, StepFailed)
+	d := planner.Next(0, observations, RequestNone)
 	assert.Equal(t, Paused, d.Rollout.State)
 	assert.Equal(t, ReasonCannotRollBack, d.Reason.Kind)
 	observations[2].PreviousRevision, observations[2].LastResult = "", StepSucceeded
 	observations[2].LastStep.Rollback = false
-	p = newRunningPlanner()
-	p.Rollout.RollingBack = true
-	assert.Equal(t, ReasonCannotRollBack, p.Next(0, observations, RequestNone).Reason.Kind, "the instance has no previous revision")
+	planner = newRunningPlanner()
+	planner.Rollout.RollingBack = true
+	assert.Equal(t, ReasonCannotRollBack, planner.Next(0, observations, RequestNone).Reason.Kind, "the instance has no previous revision")
 }
 
 func TestUnresolvedStepBlocksOthersUntilItsInstanceIsExcluded(t *testing.T) {
-	p := newRunningPlanner()
-	observations := allServing(p.Fleet, 0)
-	p.Rollout = p.Next(0, observations, RequestNone).Rollout
+	planner := newRunningPlanner()
+	observations := allServing(planner.Fleet, 0)
+	planner.Rollout = planner.Next(0, observations, RequestNone).Rollout
 	observations[0].SeenAt = -5
-	assert.Equal(t, ActionWait, p.Next(0, observations, RequestNone).Action)
+	assert.Equal(t, ActionWait, planner.Next(0, observations, RequestNone).Action)
 	for i := range observations {
 		observations[i].SeenAt += testTiming.ContactTimeoutSeconds
 	}
-	d := p.Next(testTiming.ContactTimeoutSeconds, observations, RequestNone)
+	d := planner.Next(testTiming.ContactTimeoutSeconds, observations, RequestNone)
 	assert.Equal(t, Paused, d.Rollout.State)
 	assert.Equal(t, Reason{Kind: ReasonAgentUnreachable, Instance: 0}, d.Rollout.Reason)
 	assert.NotZero(t, d.Rollout.CurrentStep.Number, "the step stays in the rollout")
-	p = NewPlanner(p.Fleet, d.Rollout)
-	p.Rollout.State, p.Rollout.ExcludedInstances = Running, []int{0}
-	d = p.Next(20, allServing(p.Fleet, 20), RequestNone)
+	planner = NewPlanner(planner.Fleet, d.Rollout)
+	planner.Rollout.State, planner.Rollout.ExcludedInstances = Running, []int{0}
+	d = planner.Next(20, allServing(planner.Fleet, 20), RequestNone)
 	require.Equal(t, ActionCompleteStep, d.Action)
-	p.Rollout = d.Rollout
-	assert.Equal(t, 1, p.Next(20, allServing(p.Fleet, 20), RequestNone).Step.Instance)
+	planner.Rollout = d.Rollout
+	assert.Equal(t, 1, planner.Next(20, allServing(planner.Fleet, 20), RequestNone).Step.Instance)
 }
 
 func TestStepThatIsNotAppliedIsRetriedThreeTimes(t *testing.T) {
-	p := newRunningPlanner()
-	observations := allServing(p.Fleet, 0)
+	planner := newRunningPlanner()
+	observations := allServing(planner.Fleet, 0)
 	for n := range maxStepsNotApplied {
-		d := p.Next(0, observations, RequestNone)
+		d := planner.Next(0, observations, RequestNone)
 		require.Equal(t, ActionBeginStep, d.Action)
 		assert.EqualValues(t, n+1, d.Step.Number)
-		p.Rollout = d.Rollout
+		planner.Rollout = d.Rollout
 		recordStep(observations, d.Step, StepNotApplied)
-		d = p.Next(0, observations, RequestNone)
-		p.Rollout = d.Rollout
+		d = planner.Next(0, observations, RequestNone)
+		planner.Rollout = d.Rollout
 	}
-	assert.Equal(t, Paused, p.Rollout.State)
-	assert.Equal(t, ReasonStepNeverApplied, p.Rollout.Reason.Kind)
+	assert.Equal(t, Paused, planner.Rollout.State)
+	assert.Equal(t, ReasonStepNeverApplied, planner.Rollout.Reason.Kind)
 }
 
 func TestOperatorRequestsAreFollowedBetweenSteps(t *testing.T) {
 	for request, state := range map[OperatorRequest]State{RequestPause: Paused, RequestAbort: Aborted} {
-		p := newRunningPlanner()
-		observations := allServing(p.Fleet, 0)
-		p.Rollout = p.Next(0, observations, RequestNone).Rollout
-		recordStep(observations, p.Rollout.CurrentStep, StepPending)
-		assert.Equal(t, ActionWait, p.Next(0, observations, request).Action, "the request waits until the step has ended")
-		recordStep(observations, p.Rollout.CurrentStep, StepSucceeded)
+		planner := newRunningPlanner()
+		observations := allServing(planner.Fleet, 0)
+		planner.Rollout = planner.Next(0, observations, RequestNone).Rollout
+		recordStep(observations, planner.Rollout.CurrentStep, StepPending)
+		assert.Equal(t, ActionWait, planner.Next(0, observations, request).Action, "the request waits until the step has ended")
+		recordStep(observations, planner.Rollout.CurrentStep, StepSucceeded)
 		observations[0].ReadySeconds = testTiming.SoakSeconds
-		p.Rollout = p.Next(0, observations, request).Rollout
-		assert.Equal(t, state, p.Next(0, observations, request).Rollout.State)
+		planner.Rollout = planner.Next(0, observations, request).Rollout
+		assert.Equal(t, state, planner.Next(0, observations, request).Rollout.State)
 	}
-	p := newRunningPlanner()
-	assert.Equal(t, ActionStartRollback, p.Next(0, allServing(p.Fleet, 0), RequestRollback).Action)
+	planner := newRunningPlanner()
+	assert.Equal(t, ActionStartRollback, planner.Next(0, allServing(planner.Fleet, 0), RequestRollback).Action)
 }
 
 func TestStepIsSentOnlyWhileMinimumsAllowIt(t *testing.T) {
-	p := newRunningPlanner()
-	observations := allServing(p.Fleet, 0)
-	p.Rollout = p.Next(0, observations, RequestNone).Rollout
+	planner := newRunningPlanner()
+	observations := allServing(planner.Fleet, 0)
+	planner.Rollout = planner.Next(0, observations, RequestNone).Rollout
 	observations[1].State = ProcessDown // the other instance of the zone stops without a step
-	d := p.Next(0, observations, RequestNone)
+	d := planner.Next(0, observations, RequestNone)
 	assert.Equal(t, ActionWait, d.Action)
 	assert.Equal(t, ReasonZoneMinimum, d.Reason.Kind)
 	observations[1].State = ProcessReady
-	d = p.Next(0, observations, RequestNone)
+	d = planner.Next(0, observations, RequestNone)
 	assert.Equal(t, ActionResendStep, d.Action)
 	assert.False(t, d.Step.OnlyIfNotServing, "the minimums were checked")
 	observations[4].SeenAt = -5
-	assert.Equal(t, ReasonAgentUnreachable, p.Next(0, observations, RequestNone).Reason.Kind)
+	assert.Equal(t, ReasonAgentUnreachable, planner.Next(0, observations, RequestNone).Reason.Kind)
 	observations[4].SeenAt = 0
 	observations[0].State, observations[1].State = ProcessDown, ProcessDown
-	d = p.Next(0, observations, RequestNone)
+	d = planner.Next(0, observations, RequestNone)
 	assert.Equal(t, ActionResendStep, d.Action, "a step of an instance that does not serve cannot lower the number of serving instances")
 	assert.True(t, d.Step.OnlyIfNotServing, "the step tells the agent that the minimums were not checked")
-	assert.False(t, p.Rollout.CurrentStep.OnlyIfNotServing, "only the sent step is marked: it may be sent again after a check of the minimums")
-	d = p.StepRefused("full")
+	assert.False(t, planner.Rollout.CurrentStep.OnlyIfNotServing, "only the sent step is marked: it may be sent again after a check of the minimums")
+	d = planner.StepRefused("full")
 	assert.Equal(t, Reason{Kind: ReasonStepRefused, Detail: "full"}, d.Rollout.Reason)
 	assert.NotZero(t, d.Rollout.CurrentStep.Number)
 }
--- a/internal/fleet/store/recorded_test.go
+++ b/internal/fleet/store/recorded_test.go
@@ -56,9 +56,9 @@
 func recordedRollouts() []protocol.Rollout {
 	var rollouts []protocol.Rollout
 	for i, recorded := range []struct {
-		id    string
-		state rollout.State
-		back  bool
+		id          string
+		state       rollout.State
+		rollingBack bool
 	}{
 		{"r-running", rollout.Running, false},
 		{"r-aborted", rollout.Aborted, false},
@@ -70,7 +70,7 @@
 		run := uint64(6 - i)
 		rollouts = append(rollouts, protocol.Rollout{
 			Rollout: rollout.Rollout{
-				ID: recorded.id, Revision: secondRevision, Restart: true, RollingBack: recorded.back, State: recorded.state,
+				ID: recorded.id, Revision: secondRevision, Restart: true, RollingBack: recorded.rollingBack, State: recorded.state,
 				Reason:             rollout.Reason{Kind: rollout.ReasonZoneMinimum, Instance: 2, Zone: 1, Have: 3, Need: 4, Detail: "detail of why"},
 				RollbackCause:      rollout.Reason{Kind: rollout.ReasonStepFailed, Instance: 1, Zone: 6, Have: 7, Need: 8, Detail: "detail of cause"},
 				ExcludedInstances:  []int{1, 3},
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -139,11 +139,11 @@
 	for round := range 40 {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), writerVariable+"="+path)
-		out, err := cmd.StdoutPipe()
+		stdout, err := cmd.StdoutPipe()
 		require.NoError(t, err)
 		require.NoError(t, cmd.Start())
 		acknowledged := uint64(0)
-		lines := bufio.NewScanner(out)
+		lines := bufio.NewScanner(stdout)
 		for n := 0; n <= round%7 && lines.Scan(); n++ {
 			acknowledged, err = strconv.ParseUint(lines.Text(), 10, 64)
 			require.NoError(t, err, lines.Text())
@@ -164,8 +164,8 @@
 	}
 }
 
-// failSyncs lets every transaction be written and then fails its sync. By then the pages are in the system's cache, where
-// this process and the next one read them.
+// failSyncs makes every later transaction of s fail after its pages were written, as a failed sync of the disk does. By
+// then the pages are in the system's cache, where this process and the next one read them.
 func failSyncs(s *Store) {
 	s.update = func(run func(*bbolt.Tx) error) error {
 		if err := s.db.Update(run); err != nil {
--- a/internal/fleet/supervisor/environment_test.go
+++ b/internal/fleet/supervisor/environment_test.go
@@ -22,7 +22,7 @@
 type process struct {
 	running        bool
 	incarnation    uint64
-	file           string // revision whose configuration file the process has read
+	revision       string // revision of the configuration that the process last read
 	terminating    bool   // it has received SIGTERM
 	ignoresSIGTERM bool   // it ends only when it is killed
 }
@@ -31,17 +31,17 @@
 // and a store. Actions take effect immediately and their outcomes are queued, so that a test can end the agent between
 // an action and its outcome.
 type environment struct {
-	t            require.TestingT
-	limits       Limits
-	supervisor   Supervisor
-	stored       Record            // the supervisor's record that was stored last
-	now          float64           // in seconds
-	file         string            // revision whose configuration file is in place
-	badRevisions map[string]string // behaviour of each bad revision
-	process      process
-	queue        []func() Transition // events that report the outcomes of actions
-	storeFails   bool
-	actions      []ActionKind // kinds of all actions that were carried out
+	t                 require.TestingT
+	limits            Limits
+	supervisor        Supervisor
+	stored            Record            // the supervisor's record that was stored last
+	now               float64           // in seconds
+	installedRevision string            // revision whose configuration file is in place
+	badRevisions      map[string]string // behaviour of each bad revision
+	process           process
+	queue             []func() Transition // events that report the outcomes of actions
+	storeFails        bool
+	actions           []ActionKind // kinds of all actions that were carried out
 }
 
 func newEnvironment(t require.TestingT) *environment {
@@ -52,14 +52,14 @@
 
 // newServing returns an environment whose router serves revision a.
 func newServing(t require.TestingT) *environment {
-	e := newEnvironment(t)
-	e.run(1)
-	e.beginStep(1, "a")
-	e.run(3)
-	require.Equal(t, rollout.StepSucceeded, e.supervisor.Result, e.supervisor.Failure)
-	require.Equal(t, rollout.ProcessReady, e.supervisor.state)
-	e.actions = nil
-	return e
+	env := newEnvironment(t)
+	env.run(1)
+	env.beginStep(1, "a")
+	env.run(3)
+	require.Equal(t, rollout.StepSucceeded, env.supervisor.Result, env.supervisor.Failure)
+	require.Equal(t, rollout.ProcessReady, env.supervisor.state)
+	env.actions = nil
+	return env
 }
 
 // restartAgent ends the agent and starts it again. State that was not stored and outcomes in the queue are lost.
@@ -115,12 +115,12 @@
 	case ActionPrepareRevision:
 		e.prepare(a.Revision)
 	case ActionInstallRevision:
-		e.file = a.Revision
+		e.installedRevision = a.Revision
 		e.enqueue(func() Transition { return e.supervisor.RevisionInstalled(e.now, nil) })
 	case ActionStart:
 		e.start(a.Incarnation)
 	case ActionHealthCheck:
-		answers := p.running && !p.terminating && e.badRevisions[p.file] != silent
+		answers := p.running && !p.terminating && e.badRevisions[p.revision] != silent
 		e.enqueue(func() Transition { return e.supervisor.HealthChecked(e.now, answers) })
 	case ActionReadCounters:
 	case ActionTerminate:
@@ -130,7 +130,7 @@
 	case ActionKill:
 		e.exit()
 	case ActionReload:
-		p.file = e.file
+		p.revision = e.installedRevision
 		e.enqueue(func() Transition { return e.supervisor.ReloadReported(e.now, "") })
 	}
 }
@@ -148,9 +148,9 @@
 func (e *environment) start(incarnation uint64) {
 	p := &e.process
 	require.False(e.t, p.running, "a second process is started")
-	p.running, p.incarnation, p.file, p.terminating = true, incarnation, e.file, false
+	p.running, p.incarnation, p.revision, p.terminating = true, incarnation, e.installedRevision, false
 	e.enqueue(func() Transition { return e.supervisor.ProcessStarted(e.now, incarnation, nil) })
-	if e.badRevisions[e.file] == exits {
+	if e.badRevisions[e.installedRevision] == exits {
 		e.exit()
 	}
 }
--- a/internal/fleet/supervisor/request_handler_test.go
+++ b/internal/fleet/supervisor/request_handler_test.go
@@ -12,9 +12,9 @@
 )
 
 func TestRequestHandlerAnswersEachVerb(t *testing.T) {
-	e := newServing(t)
-	h := &RequestHandler{Agent: "a1", AgentsDigest: "list", Lease: lease.Lease{TermSeconds: 10}, InstanceNames: []string{"n1"}, Supervisors: []Supervisor{e.supervisor}}
-	now := e.now
+	env := newServing(t)
+	h := &RequestHandler{Agent: "a1", AgentsDigest: "list", Lease: lease.Lease{TermSeconds: 10}, InstanceNames: []string{"n1"}, Supervisors: []Supervisor{env.supervisor}}
+	now := env.now
 	call := func(request protocol.Request) (protocol.Reply, Changes) { return h.Handle(now, request) }
 	reply, changes := call(protocol.Request{Verb: protocol.RequestLeaseVerb, AgentsDigest: "other", LeaseRequest: lease.Request{Epoch: 1, Holder: "h"}})
 	assert.NotEqual(t, lease.Granted, reply.Denial)
--- a/internal/fleet/supervisor/restart_test.go
+++ b/internal/fleet/supervisor/restart_test.go
@@ -19,11 +19,11 @@
 	for _, revision := range []string{"b", "reloaded"} {
 		for _, last := range actions {
 			for _, awaySeconds := range []float64{0, 20} {
-				e := newServing(t)
-				e.beginStep(2, revision)
-				if e.runUntilAction(last) {
+				env := newServing(t)
+				env.beginStep(2, revision)
+				if env.runUntilAction(last) {
 					name := fmt.Sprint(revision, " ", last, " ", awaySeconds)
-					e.checkRestartResolves(t, revision, awaySeconds, name)
+					env.checkRestartResolves(t, revision, awaySeconds, name)
 				}
 			}
 		}
@@ -31,7 +31,7 @@
 }
 
 // runUntilAction handles outcomes until an action of the given kind has been carried out. It returns false if the step
-// ends without such an action.
+// ends, or 400 rounds pass, without such an action.
 func (e *environment) runUntilAction(last ActionKind) bool {
 	for range 400 {
 		if len(e.queue) == 0 {
@@ -74,48 +74,48 @@
 	if e.supervisor.Result == rollout.StepSucceeded {
 		want = revision
 	}
-	assert.Equal(t, want, e.process.file, name)
+	assert.Equal(t, want, e.process.revision, name)
 	if served {
 		assert.NotContains(t, e.actions, ActionTerminate, "a router that serves is not terminated: %s", name)
 	}
 }
 
 func TestAgentThatEndsBetweenStoringAndTerminatingDoesNotApplyTheStep(t *testing.T) {
-	e := newServing(t)
-	e.beginStep(2, "b")
-	transition := e.queue[len(e.queue)-1]() // RevisionPrepared: the agent stores the record and ends before it sends SIGTERM
+	env := newServing(t)
+	env.beginStep(2, "b")
+	transition := env.queue[len(env.queue)-1]() // RevisionPrepared: the agent stores the record and ends before it sends SIGTERM
 	require.Equal(t, ActionTerminate, transition.Actions[0].Kind)
-	e.stored = e.supervisor.Record
-	e.restartAgent()
-	e.run(10)
-	assert.Equal(t, rollout.StepNotApplied, e.supervisor.Result)
-	assert.Equal(t, "a", e.process.file)
-	assert.EqualValues(t, 1, e.process.incarnation, "the process was not restarted")
+	env.stored = env.supervisor.Record
+	env.restartAgent()
+	env.run(10)
+	assert.Equal(t, rollout.StepNotApplied, env.supervisor.Result)
+	assert.Equal(t, "a", env.process.revision)
+	assert.EqualValues(t, 1, env.process.incarnation, "the process was not restarted")
 }
 
 func TestFailingStoreDelaysTheStep(t *testing.T) {
-	e := newServing(t)
-	e.storeFails = true
-	assert.Equal(t, "not stored", e.beginStep(2, "b"))
-	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result)
-	e.storeFails = false
-	e.beginStep(2, "b")
-	e.storeFails = true
-	e.run(5)
-	assert.Equal(t, rollout.StepPending, e.supervisor.Result)
-	assert.Equal(t, "a", e.process.file, "nothing changes before it is stored")
-	e.storeFails = false
-	e.run(5)
-	assert.Equal(t, rollout.StepSucceeded, e.supervisor.Result)
+	env := newServing(t)
+	env.storeFails = true
+	assert.Equal(t, "not stored", env.beginStep(2, "b"))
+	assert.Equal(t, rollout.StepSucceeded, env.supervisor.Result)
+	env.storeFails = false
+	env.beginStep(2, "b")
+	env.storeFails = true
+	env.run(5)
+	assert.Equal(t, rollout.StepPending, env.supervisor.Result)
+	assert.Equal(t, "a", env.process.revision, "nothing changes before it is stored")
+	env.storeFails = false
+	env.run(5)
+	assert.Equal(t, rollout.StepSucceeded, env.supervisor.Result)
 }
 
 func TestStepThatChangedNothingIsNotAppliedEvenIfTheRouterIsGone(t *testing.T) {
-	e := newServing(t)
-	e.beginStep(2, "b") // the step is stored, then the agent and the router end
-	e.process.running = false
-	e.restartAgent()
-	e.run(5)
-	assert.Equal(t, rollout.StepNotApplied, e.supervisor.Result)
-	assert.Equal(t, "a", e.process.file)
-	assert.Equal(t, rollout.ProcessReady, e.supervisor.state)
+	env := newServing(t)
+	env.beginStep(2, "b") // the step is stored, then the agent and the router end
+	env.process.running = false
+	env.restartAgent()
+	env.run(5)
+	assert.Equal(t, rollout.StepNotApplied, env.supervisor.Result)
+	assert.Equal(t, "a", env.process.revision)
+	assert.Equal(t, rollout.ProcessReady, env.supervisor.state)
 }
