--- a/internal/fleet/coordinator/environment_test.go
+++ b/internal/fleet/coordinator/environment_test.go
@@ -31,7 +31,7 @@
 	steps       []string                     // steps that were begun, in order, as "instance revision"
 }
 
-// newEnvironment returns agents whose instances all serve revision old. All instances but one must keep serving.
+// newEnvironment returns agents whose instances all run revision old. All instances but one must serve at any time.
 func newEnvironment(t *testing.T, agents int) *environment {
 	t.Helper()
 	e := &environment{
--- a/internal/fleet/lease/model_test.go
+++ b/internal/fleet/lease/model_test.go
@@ -131,7 +131,7 @@
 	m.lateCalls = append(m.lateCalls, lateCall{epoch, holder})
 }
 
-// deliverLateCall delivers a call of some earlier holder to an agent. If the agent grants it, the caller must have won the
+// deliverLateCall delivers to an agent a call that a holder made earlier. If the agent grants it, the caller must have won the
 // call's epoch, and the agent must not have granted a late call of a higher epoch before.
 func (m *leaseModel) deliverLateCall(t *rapid.T, agent int) {
 	if len(m.lateCalls) == 0 {
--- a/internal/fleet/store/recorded_test.go
+++ b/internal/fleet/store/recorded_test.go
@@ -123,29 +123,29 @@
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "agent.db")
 	require.NoError(t, os.WriteFile(path, raw, 0o600))
-	s, err := Open(path)
+	store, err := Open(path)
 	require.NoError(t, err)
-	t.Cleanup(func() { assert.NoError(t, s.Close()) })
-	return s
+	t.Cleanup(func() { assert.NoError(t, store.Close()) })
+	return store
 }
 
 func TestRecordedStoreIsRead(t *testing.T) {
-	s := openRecorded(t)
-	state, err := s.Load()
+	store := openRecorded(t)
+	state, err := store.Load()
 	require.NoError(t, err)
 	assert.Equal(t, recordedState(), state)
-	listed, err := s.Revisions()
+	listed, err := store.Revisions()
 	require.NoError(t, err)
 	require.Len(t, listed, len(recordedRevisions()))
 	for i, want := range recordedRevisions() {
-		got, found, err := s.Revision(want.Digest)
+		got, found, err := store.Revision(want.Digest)
 		require.NoError(t, err)
 		assert.True(t, found)
 		assert.Equal(t, want, got)
 		want.Content = nil
 		assert.Equal(t, want, listed[i])
 	}
-	rollouts, err := s.Rollouts()
+	rollouts, err := store.Rollouts()
 	require.NoError(t, err)
 	assert.Equal(t, recordedRollouts(), rollouts)
 	var body protocol.Rollout
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -35,16 +35,16 @@
 // writeForever saves numbered changes and prints the number of each change after saving it. Every printed change must
 // later be found in the store.
 func writeForever(path string) {
-	s, err := Open(path)
+	store, err := Open(path)
 	if err != nil {
 		panic(err)
 	}
-	state, err := s.Load()
+	state, err := store.Load()
 	if err != nil {
 		panic(err)
 	}
 	for n := state.Lease.Epoch + 1; ; n++ {
-		if err := s.Save(numberedChange(n)); err != nil {
+		if err := store.Save(numberedChange(n)); err != nil {
 			panic(err)
 		}
 		fmt.Println(n)
@@ -61,45 +61,45 @@
 
 func TestSavedStateIsLoaded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "sub", "store.db")
-	s, err := Open(path)
+	store, err := Open(path)
 	require.NoError(t, err)
-	require.NoError(t, s.Save(numberedChange(7)))
-	require.NoError(t, s.Save(Change{OperatorRequest: &protocol.OperatorRequest{RolloutID: "r", Action: rollout.RequestPause}}))
+	require.NoError(t, store.Save(numberedChange(7)))
+	require.NoError(t, store.Save(Change{OperatorRequest: &protocol.OperatorRequest{RolloutID: "r", Action: rollout.RequestPause}}))
 	_, err = Open(path)
 	require.ErrorIs(t, err, ErrInUse)
 	require.ErrorContains(t, err, path+" is open in another agent")
-	require.NoError(t, s.Close())
-	s, err = Open(path)
+	require.NoError(t, store.Close())
+	store, err = Open(path)
 	require.NoError(t, err)
-	state, err := s.Load()
+	state, err := store.Load()
 	require.NoError(t, err)
 	assert.Equal(t, *numberedChange(7).Lease, state.Lease)
 	assert.Equal(t, numberedChange(7).Instances, state.Instances)
 	assert.Equal(t, rollout.RequestPause, state.OperatorRequest.Action)
-	require.NoError(t, s.Close())
+	require.NoError(t, store.Close())
 }
 
 func TestHistoryIsBoundedAndKeepsRevisionsInUse(t *testing.T) {
-	s, err := Open(filepath.Join(t.TempDir(), "store.db"))
+	store, err := Open(filepath.Join(t.TempDir(), "store.db"))
 	require.NoError(t, err)
-	defer func() { _ = s.Close() }()
-	require.NoError(t, s.Save(Change{Instances: map[string]supervisor.Record{"n1": {Revision: "d0", PreviousRevision: "d1"}}}))
+	defer func() { _ = store.Close() }()
+	require.NoError(t, store.Save(Change{Instances: map[string]supervisor.Record{"n1": {Revision: "d0", PreviousRevision: "d1"}}}))
 	for i := range MaxHistory + 20 {
-		require.NoError(t, s.Save(Change{
+		require.NoError(t, store.Save(Change{
 			Revision: &protocol.Revision{Digest: fmt.Sprint("d", i), PushedAt: int64(i), Content: []byte("x")},
 			Rollout:  &protocol.Rollout{Rollout: rollout.Rollout{ID: fmt.Sprint("r", i)}, StartedAt: int64(i)},
 		}))
 	}
 	for digest, kept := range map[string]bool{"d0": true, "d1": true, "d2": false, "d119": true} {
-		_, found, err := s.Revision(digest)
+		_, found, err := store.Revision(digest)
 		require.NoError(t, err)
 		assert.Equal(t, kept, found, digest)
 	}
-	list, err := s.Revisions()
+	list, err := store.Revisions()
 	require.NoError(t, err)
 	assert.Equal(t, "d119", list[0].Digest)
 	assert.Nil(t, list[0].Content)
-	rollouts, err := s.Rollouts()
+	rollouts, err := store.Rollouts()
 	require.NoError(t, err)
 	assert.Len(t, rollouts, MaxHistory)
 	assert.Equal(t, "r119", rollouts[0].ID)
@@ -107,21 +107,21 @@
 
 func TestCorruptAndForeignStoresAreRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
-	s, err := Open(path)
+	store, err := Open(path)
 	require.NoError(t, err)
-	require.NoError(t, s.Save(numberedChange(1)))
-	require.NoError(t, s.db.Update(func(tx *bbolt.Tx) error {
+	require.NoError(t, store.Save(numberedChange(1)))
+	require.NoError(t, store.db.Update(func(tx *bbolt.Tx) error {
 		raw := append([]byte{}, tx.Bucket(instancesBucket).Get([]byte("n1"))...)
 		raw[len(raw)-1] ^= 1
 		return tx.Bucket(instancesBucket).Put([]byte("n1"), raw)
 	}))
-	_, err = s.Load()
+	_, err = store.Load()
 	var corrupt *CorruptRecordError
 	require.ErrorAs(t, err, &corrupt)
 	assert.Equal(t, CorruptRecordError{Bucket: "instances", Key: "n1"}, *corrupt)
 	require.ErrorContains(t, err, "record instances/n1 is corrupt")
-	require.NoError(t, s.db.Update(func(tx *bbolt.Tx) error { return putRecord(tx, metaBucket, formatKey, 99) }))
-	require.NoError(t, s.Close())
+	require.NoError(t, store.db.Update(func(tx *bbolt.Tx) error { return putRecord(tx, metaBucket, formatKey, 99) }))
+	require.NoError(t, store.Close())
 	_, err = Open(path)
 	var foreign *FormatError
 	require.ErrorAs(t, err, &foreign)
@@ -153,22 +153,22 @@
 			acknowledged, _ = strconv.ParseUint(lines.Text(), 10, 64)
 		}
 		_ = cmd.Wait()
-		s, err := Open(path)
+		store, err := Open(path)
 		require.NoError(t, err)
-		state, err := s.Load()
+		state, err := store.Load()
 		require.NoError(t, err)
 		assert.GreaterOrEqual(t, state.Lease.Epoch, acknowledged)
 		assert.Equal(t, *numberedChange(state.Lease.Epoch).Lease, state.Lease)
 		assert.Equal(t, numberedChange(state.Lease.Epoch).Instances, state.Instances, "a change is stored completely or not at all")
-		require.NoError(t, s.Close())
+		require.NoError(t, store.Close())
 	}
 }
 
-// failSyncs makes every later transaction of s fail after its pages were written, as a failed sync of the disk does. By
+// failSyncs makes every later transaction of store fail after its pages were written, as a failed sync of the disk does. By
 // then the pages are in the system's cache, where this process and the next one read them.
-func failSyncs(s *Store) {
-	s.update = func(run func(*bbolt.Tx) error) error {
-		if err := s.db.Update(run); err != nil {
+func failSyncs(store *Store) {
+	store.update = func(run func(*bbolt.Tx) error) error {
+		if err := store.db.Update(run); err != nil {
 			return err
 		}
 		return unix.EIO
@@ -180,36 +180,36 @@
 func TestChangeWhoseSyncFailedHasNotHappened(t *testing.T) {
 	for name, recovers := range map[string]bool{"the disk stays broken": false, "the disk recovers": true} {
 		path := filepath.Join(t.TempDir(), "store.db")
-		s, err := Open(path)
+		store, err := Open(path)
 		require.NoError(t, err)
-		require.NoError(t, s.Save(numberedChange(1)))
-		failSyncs(s)
+		require.NoError(t, store.Save(numberedChange(1)))
+		failSyncs(store)
 		denied := numberedChange(2)
 		denied.OperatorRequest = &protocol.OperatorRequest{RolloutID: "r", Action: rollout.RequestPause}
 		denied.Rollout = &protocol.Rollout{Rollout: rollout.Rollout{ID: "denied"}}
 		denied.Revision = &protocol.Revision{Digest: "denied"}
-		require.ErrorIs(t, s.Save(denied), unix.EIO)
-		require.ErrorIs(t, s.Save(denied), unix.EIO, "a second failure in a row")
+		require.ErrorIs(t, store.Save(denied), unix.EIO)
+		require.ErrorIs(t, store.Save(denied), unix.EIO, "a second failure in a row")
 		if recovers {
-			s.update = s.db.Update
-			require.NoError(t, s.Save(Change{Instances: map[string]supervisor.Record{"n2": {Incarnation: 5}}}))
+			store.update = store.db.Update
+			require.NoError(t, store.Save(Change{Instances: map[string]supervisor.Record{"n2": {Incarnation: 5}}}))
 		}
 		for range 2 {
-			state, err := s.Load()
+			state, err := store.Load()
 			require.NoError(t, err)
 			assert.Equal(t, *numberedChange(1).Lease, state.Lease, name)
 			assert.Equal(t, numberedChange(1).Instances["n1"], state.Instances["n1"], name)
 			assert.Empty(t, state.OperatorRequest, name)
-			rollouts, err := s.Rollouts()
+			rollouts, err := store.Rollouts()
 			require.NoError(t, err)
 			assert.Empty(t, rollouts, name)
-			_, found, err := s.Revision("denied")
+			_, found, err := store.Revision("denied")
 			require.NoError(t, err)
 			assert.False(t, found, name)
-			require.NoError(t, s.Close())
-			s, err = Open(path) // the next process
+			require.NoError(t, store.Close())
+			store, err = Open(path) // the next process
 			require.NoError(t, err)
 		}
-		require.NoError(t, s.Close())
+		require.NoError(t, store.Close())
 	}
 }
