--- a/internal/fleet/api/api_test.go
+++ b/internal/fleet/api/api_test.go
@@ -77,21 +77,21 @@
 
 func TestRequestsAreAnswered(t *testing.T) {
 	harness := newHarness(t, SupportedVersions, echoHandler{})
-	c := harness.client(SupportedVersions)
+	client := harness.client(SupportedVersions)
 	for range 3 {
-		got, err := c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
+		got, err := client.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 		require.NoError(t, err)
 		assert.Equal(t, "ayla", got.Agent, "the operator's name comes from the certificate")
 		assert.Equal(t, "look", got.Failure)
 	}
-	_, err := c.Call(context.Background(), protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Holder: "ayla/1"}})
+	_, err := client.Call(context.Background(), protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Holder: "ayla/1"}})
 	require.NoError(t, err)
-	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Holder: "mehmet/1"}})
+	_, err = client.Call(context.Background(), protocol.Request{Verb: protocol.RequestLeaseVerb, LeaseRequest: lease.Request{Holder: "mehmet/1"}})
 	require.ErrorContains(t, err, "agent a1: 400 Bad Request: call: operator ayla cannot use the holder name mehmet/1")
 	big := make([]byte, 4<<20)
-	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.PutRevisionVerb, Revision: protocol.Revision{Content: big}})
+	_, err = client.Call(context.Background(), protocol.Request{Verb: protocol.PutRevisionVerb, Revision: protocol.Revision{Content: big}})
 	require.NoError(t, err)
-	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb, Revision: protocol.Revision{Content: big}})
+	_, err = client.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb, Revision: protocol.Revision{Content: big}})
 	assert.ErrorContains(t, err, "at most for look")
 }
 
@@ -228,12 +228,12 @@
 	_, err = wrongAgent.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.ErrorContains(t, err, "agent a1's, and should be agent a2's")
 	// The agent's certificate is renewed in place. The next connection uses the new one.
-	c := harness.client(SupportedVersions)
-	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
+	client := harness.client(SupportedVersions)
+	_, err = client.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	require.NoError(t, err)
 	require.NoError(t, harness.keys.Issue(pki.Agent, "a1", 30*time.Second, time.Now()))
-	c.Close()
-	_, err = c.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
+	client.Close()
+	_, err = client.Call(context.Background(), protocol.Request{Verb: protocol.StatusVerb})
 	assert.NoError(t, err)
 }
 
--- a/internal/fleet/api/recorded_test.go
+++ b/internal/fleet/api/recorded_test.go
@@ -37,7 +37,7 @@
 	files, err := filepath.Glob("../protocol/testdata/calls/*.cbor")
 	require.NoError(t, err)
 	require.Len(t, files, 9, "one call of each verb")
-	h := &replayer{replies: map[protocol.Verb]protocol.Reply{}, calls: map[protocol.Verb]protocol.Request{}}
+	handler := &replayer{replies: map[protocol.Verb]protocol.Reply{}, calls: map[protocol.Verb]protocol.Request{}}
 	calls, replies := map[protocol.Verb][]byte{}, map[protocol.Verb][]byte{}
 	for _, file := range files {
 		verb := protocol.Verb(filepath.Base(file[:len(file)-len(".cbor")]))
@@ -47,14 +47,14 @@
 		require.NoError(t, err)
 		var reply protocol.Reply
 		require.NoError(t, protocol.Decode("reply", replies[verb], &reply))
-		h.replies[verb] = reply
+		handler.replies[verb] = reply
 	}
-	harness := newHarness(t, SupportedVersions, h)
+	harness := newHarness(t, SupportedVersions, handler)
 	conf, err := harness.keys.Credentials(pki.Operator, "ayla").ClientConfig("a1")
 	require.NoError(t, err)
 	plainHTTP := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
 	t.Cleanup(plainHTTP.CloseIdleConnections)
-	c := harness.client(SupportedVersions)
+	client := harness.client(SupportedVersions)
 	for verb, raw := range calls {
 		request, err := http.NewRequest(http.MethodPost, "https://"+harness.address+"/fleet", bytes.NewReader(raw))
 		require.NoError(t, err)
@@ -69,9 +69,9 @@
 		assert.Equal(t, "1", response.Header.Get("Fleet-Least"), verb)
 		assert.Equal(t, "1", response.Header.Get("Fleet-Most"), verb)
 		assert.Equal(t, replies[verb], body, verb)
-		assert.Equal(t, raw, protocol.Encode(h.calls[verb]), verb)
-		got, err := c.Call(context.Background(), h.calls[verb])
+		assert.Equal(t, raw, protocol.Encode(handler.calls[verb]), verb)
+		got, err := client.Call(context.Background(), handler.calls[verb])
 		require.NoError(t, err)
-		assert.Equal(t, h.replies[verb], got, verb)
+		assert.Equal(t, handler.replies[verb], got, verb)
 	}
 }
--- a/internal/fleet/supervisor/request_handler_test.go
+++ b/internal/fleet/supervisor/request_handler_test.go
@@ -13,9 +13,9 @@
 
 func TestRequestHandlerAnswersEachVerb(t *testing.T) {
 	env := newServing(t)
-	h := &RequestHandler{Agent: "a1", AgentsDigest: "list", Lease: lease.Lease{TermSeconds: 10}, InstanceNames: []string{"n1"}, Supervisors: []Supervisor{env.supervisor}}
+	handler := &RequestHandler{Agent: "a1", AgentsDigest: "list", Lease: lease.Lease{TermSeconds: 10}, InstanceNames: []string{"n1"}, Supervisors: []Supervisor{env.supervisor}}
 	now := env.now
-	call := func(request protocol.Request) (protocol.Reply, Changes) { return h.Handle(now, request) }
+	call := func(request protocol.Request) (protocol.Reply, Changes) { return handler.Handle(now, request) }
 	reply, changes := call(protocol.Request{Verb: protocol.RequestLeaseVerb, AgentsDigest: "other", LeaseRequest: lease.Request{Epoch: 1, Holder: "h"}})
 	assert.NotEqual(t, lease.Granted, reply.Denial)
 	assert.Contains(t, reply.Failure, "another list of agents")
