--- a/internal/fleet/store/recorded_test.go
+++ b/internal/fleet/store/recorded_test.go
@@ -56,9 +56,9 @@
 func recordedRollouts() []protocol.Rollout {
 	var rollouts []protocol.Rollout
 	for i, recorded := range []struct {
-		id    string
-		state rollout.State
-		back  bool
+		id          string
+		state       rollout.State
+		rollingBack bool
 	}{
 		{"r-running", rollout.Running, false},
 		{"r-aborted", rollout.Aborted, false},
@@ -70,7 +70,7 @@
 		run := uint64(6 - i)
 		rollouts = append(rollouts, protocol.Rollout{
 			Rollout: rollout.Rollout{
-				ID: recorded.id, Revision: secondRevision, Restart: true, RollingBack: recorded.back, State: recorded.state,
+				ID: recorded.id, Revision: secondRevision, Restart: true, RollingBack: recorded.rollingBack, State: recorded.state,
 				Reason:             rollout.Reason{Kind: rollout.ReasonZoneMinimum, Instance: 2, Zone: 1, Have: 3, Need: 4, Detail: "detail of why"},
 				RollbackCause:      rollout.Reason{Kind: rollout.ReasonStepFailed, Instance: 1, Zone: 6, Have: 7, Need: 8, Detail: "detail of cause"},
 				ExcludedInstances:  []int{1, 3},
@@ -123,29 +123,29 @@
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "agent.db")
 	require.NoError(t, os.WriteFile(path, raw, 0o600))
-	s, err := Open(path)
+	store, err := Open(path)
 	require.NoError(t, err)
-	t.Cleanup(func() { assert.NoError(t, s.Close()) })
-	return s
+	t.Cleanup(func() { assert.NoError(t, store.Close()) })
+	return store
 }
 
 func TestRecordedStoreIsRead(t *testing.T) {
-	s := openRecorded(t)
-	state, err := s.Load()
+	store := openRecorded(t)
+	state, err := store.Load()
 	require.NoError(t, err)
 	assert.Equal(t, recordedState(), state)
-	listed, err := s.Revisions()
+	listed, err := store.Revisions()
 	require.NoError(t, err)
 	require.Len(t, listed, len(recordedRevisions()))
 	for i, want := range recordedRevisions() {
-		got, found, err := s.Revision(want.Digest)
+		got, found, err := store.Revision(want.Digest)
 		require.NoError(t, err)
 		assert.True(t, found)
 		assert.Equal(t, want, got)
 		want.Content = nil
 		assert.Equal(t, want, listed[i])
 	}
-	rollouts, err := s.Rollouts()
+	rollouts, err := store.Rollouts()
 	require.NoError(t, err)
 	assert.Equal(t, recordedRollouts(), rollouts)
 	var body protocol.Rollout
