--- a/internal/dispatcher/attempt.go
+++ b/internal/dispatcher/attempt.go
@@ -120,8 +120,9 @@
 	}
 }
 
-// abandon gives up a command whose client has gone, unless the command is done. If the command's current attempt is not
-// sent completely, abandon cancels it. It reports whether no attempt was in flight that may have reached a backend.
+// abandon gives up a command whose client has gone or has canceled it with a cancel request, unless the command is done. If
+// the command's current attempt is not sent completely, abandon cancels it. It reports whether no attempt was in flight that
+// may have reached a backend.
 func (d *Dispatcher) abandon(now float64, command *Command) (unsent bool) {
 	if command.done {
 		return false
@@ -136,7 +137,7 @@
 	return unsent
 }
 
-// finish removes a command that has its final answer or whose client has gone.
+// finish removes a command that has its final answer, or whose client has gone or has canceled it.
 func (d *Dispatcher) finish(command *Command) {
 	command.done = true
 	command.Statement.Free()
@@ -150,7 +151,7 @@
 		d.backends.Cancel(attempt)
 	}
 	for _, attempt := range d.pendingDecisions.sends {
-		if d.commands.get(attempt.CommandID) == nil { // its client left during this turn
+		if d.commands.get(attempt.CommandID) == nil { // its client left or canceled it during this turn
 			d.AttemptEnded(attempt, router.NeverSent, 0, nil)
 			continue
 		}
--- a/internal/dispatcher/command.go
+++ b/internal/dispatcher/command.go
@@ -24,11 +24,11 @@
 	trackingID uint32           // identifies the command at the tracker and the backends
 	attempt    *backend.Attempt // the attempt started last, until its end is delivered; nil if there is none
 	done       bool             // the final answer was given, or the command was abandoned
-	clientGone bool             // the client has gone; the router may not have been notified yet
+	clientGone bool             // the client has gone or has canceled the command; the router may not have been notified yet
 }
 
 // Responder receives the final answer of a command. For each command, the dispatcher calls one of Answer, Reject and Fail
-// once, or none of them if the client has gone. These methods may call Submit and ClientGone.
+// once, or none of them if the client has gone or has canceled the command. These methods may call Submit and ClientGone.
 type Responder interface {
 	// Answer passes on a backend's row. The Responder must free it.
 	Answer(c *Command, row *buffer.Chain)
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -43,7 +43,7 @@
 	pendingDecisions decisions
 }
 
-// New returns a dispatcher that starts with the endpoint list in config. It starts watching the list at once, unless the
+// New returns a dispatcher that starts with the endpoint list in config. It starts watching the list immediately, unless the
 // settings say that the list is polled only on demand. The dispatcher keeps using config, which must outlive it.
 func New(config *config.Config, loop *eventloop.Loop, blocks *buffer.Pool, counters *metrics.Counters, log zerolog.Logger) *Dispatcher {
 	d := &Dispatcher{
--- a/internal/dispatcher/turn.go
+++ b/internal/dispatcher/turn.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// deliverReceived passes new commands to the router, except for those whose client has gone in the meantime. The time of
-// arrival is the current time rather than that of the turn's poll: the turn may have been delayed between polling and
-// reading, and a command must not count as older than it is.
+// deliverReceived passes new commands to the router, except for those whose client has gone or has canceled them in the
+// meantime. The time of arrival is the current time rather than that of the turn's poll: the turn may have been delayed
+// between polling and reading, and a command must not count as older than it is.
 func (d *Dispatcher) deliverReceived(now float64, commands []*Command) {
 	arrivedAt := d.loop.Clock()
 	for _, command := range commands {
