--- a/internal/frontend/cancel.go
+++ b/internal/frontend/cancel.go
@@ -25,7 +25,7 @@
 }
 
 // cancelCommands cancels all commands in flight on the connection that has the key, if there is one. The router begins no
-// further attempt for them, and answers each at once with an error that leaves open whether the command ran. The
+// further attempt for them, and answers each immediately with an error that leaves open whether the command ran. The
 // connection stays open.
 func (s *Server) cancelCommands(key pg.CancelKey) {
 	c := s.connsByCancelKey[key]
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -60,7 +60,7 @@
 }
 
 // At the shutdown all client connections are in use by clients in their grace period, and one more client is in the
-// backlog. Closing the listener at once would reset that client's connection.
+// backlog. Closing the listener immediately would reset that client's connection.
 func TestClientInTheBacklogAtShutdownIsServed(t *testing.T) {
 	h := newDrainHarness(t, func(l *config.Limits) {
 		l.Counts.ClientConnections = 2
--- a/internal/modelcheck/breadth.go
+++ b/internal/modelcheck/breadth.go
@@ -259,7 +259,7 @@
 	return step
 }
 
-// arrival is the way in which a state was reached.
+// arrival describes how a state was reached.
 type arrival struct {
 	parent, step int32
 	path         []string // steps to the parent
--- a/internal/modelcheck/hash.go
+++ b/internal/modelcheck/hash.go
@@ -27,7 +27,7 @@
 	plans      sync.Map // plan of each struct type hashed so far, by reflect.Type
 }
 
-// UnusedTypes returns, in sorted order, the types that the rules name and of which no hash has added a value so far.
+// UnusedTypes returns, in sorted order, the types that the rules name but of which no hash has added a value so far.
 // After an exploration that covers every type of a system, the rules for these types have no effect.
 func (r *Rules) UnusedTypes() []string {
 	used := map[string]bool{}
--- a/internal/router/helper_test.go
+++ b/internal/router/helper_test.go
@@ -75,7 +75,7 @@
 // decides a draw would be the same for all routers.
 func routerSeed(i int) uint64 { return uint64(i+1) * 0x9e3779b97f4a7c15 }
 
-// addReads counts reads at a time, all of which fell back to a primary or none.
+// addReads counts reads at a time. Either all of them fell back to a primary, or none did.
 func addReads(c *rolling.Counter, now float64, reads int, fallbacks bool) {
 	for range reads {
 		c.Add(now, fallbacks)
--- a/internal/router/slowstart_test.go
+++ b/internal/router/slowstart_test.go
@@ -60,8 +60,8 @@
 	return sent
 }
 
-// Routers that have just started with a fleet of which half is new have no warm endpoint whose rate they
-// could measure. They sent next to nothing to idle endpoints. All together they must send less than an
+// Routers that have just started, in a fleet that is half new, have no warm endpoint whose rate they could
+// measure. They sent next to nothing to idle endpoints. All together they must send less than an
 // endpoint that runs one command at a time can answer in slow start.
 func TestFreshRoutersUseColdEndpointsWithinTheirCapacity(t *testing.T) {
 	const routers, work = 300, 0.05
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -352,7 +352,7 @@
 	r.readCounter.Add(now, fallback)
 }
 
-// median returns the lower median of values, of which there must be at least one. It sorts them in place.
+// median returns the lower median of values, which must not be empty. It sorts them in place.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	return values[(len(values)-1)/2]
