--- a/internal/fleet/control/preview.go
+++ b/internal/fleet/control/preview.go
@@ -8,7 +8,7 @@
 	"stoatdale.example/stoatdale/internal/fleet/revision"
 )
 
-// InstanceChange is what an agent would do to bring a revision to an instance.
+// InstanceChange is the action with which an agent would install a revision on an instance.
 type InstanceChange string
 
 // Changes of an instance. The values are printed.
--- a/internal/fleet/coordinator/calls.go
+++ b/internal/fleet/coordinator/calls.go
@@ -20,15 +20,15 @@
 }
 
 // send makes a call with a request and records it as pending.
-func (c *Coordinator) send(now float64, agent int, r protocol.Request) OutgoingCall {
+func (c *Coordinator) send(now float64, agent int, request protocol.Request) OutgoingCall {
 	c.lastCallID++
 	call := pendingCall{
-		agent: agent, verb: r.Verb, sentAt: now, epoch: r.Epoch,
-		recordVersion: r.Record.Version, stepNumber: r.Step.Number,
+		agent: agent, verb: request.Verb, sentAt: now, epoch: request.Epoch,
+		recordVersion: request.Record.Version, stepNumber: request.Step.Number,
 	}
-	switch r.Verb {
+	switch request.Verb {
 	case protocol.RequestLeaseVerb:
-		call.epoch = r.LeaseRequest.Epoch
+		call.epoch = request.LeaseRequest.Epoch
 		c.agents[agent].pendingQuery = c.lastCallID
 	case protocol.StatusVerb:
 		c.agents[agent].pendingQuery = c.lastCallID
@@ -36,8 +36,8 @@
 		c.agents[agent].pendingCommand = c.lastCallID
 	}
 	c.pendingCalls[c.lastCallID] = call
-	r.AgentsDigest = c.config.AgentsDigest
-	return OutgoingCall{ID: c.lastCallID, Agent: agent, Request: r}
+	request.AgentsDigest = c.config.AgentsDigest
+	return OutgoingCall{ID: c.lastCallID, Agent: agent, Request: request}
 }
 
 // dueQuery returns the status or lease request to send to an agent, and whether one is due.
@@ -75,9 +75,9 @@
 		return protocol.Request{}, false
 	}
 	if c.storing != nil && !a.stored {
-		r := c.holderRequest(protocol.StoreRecordVerb)
-		r.Record = c.storing.record
-		return r, true
+		request := c.holderRequest(protocol.StoreRecordVerb)
+		request.Record = c.storing.record
+		return request, true
 	}
 	step := c.stepToSend
 	if step.Number == 0 || c.config.Fleet.Instances[step.Instance].Agent != agent || now < c.nextStepSend {
@@ -85,10 +85,10 @@
 	}
 	c.stepToSend = rollout.Step{}
 	c.nextStepSend = now + c.config.Timing.PollSeconds
-	r := c.holderRequest(protocol.BeginStepVerb)
-	r.InstanceName = c.config.InstanceNames[step.Instance]
-	r.Step = step
-	return r, true
+	request := c.holderRequest(protocol.BeginStepVerb)
+	request.InstanceName = c.config.InstanceNames[step.Instance]
+	request.Step = step
+	return request, true
 }
 
 func (c *Coordinator) leaseRequest() protocol.Request {
@@ -97,11 +97,11 @@
 
 // holderRequest returns a request that carries the coordinator's holder name and epoch.
 func (c *Coordinator) holderRequest(verb protocol.Verb) protocol.Request {
-	r := protocol.Request{Verb: verb, Holder: c.config.Holder}
+	request := protocol.Request{Verb: verb, Holder: c.config.Holder}
 	if c.campaign != nil {
-		r.Epoch = c.campaign.Request.Epoch
+		request.Epoch = c.campaign.Request.Epoch
 	}
-	return r
+	return request
 }
 
 // removePending removes a call from the pending calls and returns it with its agent. It returns false if the call is not
@@ -145,39 +145,39 @@
 }
 
 // HandleReply handles the reply to a call.
-func (c *Coordinator) HandleReply(now float64, id uint64, r protocol.Reply) {
+func (c *Coordinator) HandleReply(now float64, id uint64, reply protocol.Reply) {
 	call, a, awaited := c.removePending(now, id)
 	if !awaited {
 		return
 	}
-	a.leaseState = r.LeaseState
-	a.failure = r.Failure
+	a.leaseState = reply.LeaseState
+	a.failure = reply.Failure
 	if call.verb == protocol.StatusVerb {
-		a.operatorRequest = r.OperatorRequest
-		c.recordObservations(call, r)
+		a.operatorRequest = reply.OperatorRequest
+		c.recordObservations(call, reply)
 	}
 	switch c.phase {
 	case phasePolling:
 		a.settled = true
-		a.record = r.Record
+		a.record = reply.Record
 	case phaseRequestingLease:
 		a.settled = true
-		a.granted = r.Denial == lease.Granted
-		c.campaign.AddReply(call.agent, r.Denial, r.LeaseState, r.Record)
+		a.granted = reply.Denial == lease.Granted
+		c.campaign.AddReply(call.agent, reply.Denial, reply.LeaseState, reply.Record)
 	case phaseReleasing:
 		a.released = true
 	case phaseRunning:
 		if call.epoch == c.campaign.Request.Epoch {
-			c.handleRunningReply(now, call, a, r)
+			c.handleRunningReply(now, call, a, reply)
 		}
 	default: // no calls are made
 	}
 }
 
 // handleRunningReply handles the reply to a call that was made under the current epoch in phaseRunning.
-func (c *Coordinator) handleRunningReply(now float64, call pendingCall, a *agent, r protocol.Reply) {
-	if r.Denial != lease.Granted || r.LeaseState.Epoch > call.epoch {
-		c.handleDenial(now, call.epoch, a, r)
+func (c *Coordinator) handleRunningReply(now float64, call pendingCall, a *agent, reply protocol.Reply) {
+	if reply.Denial != lease.Granted || reply.LeaseState.Epoch > call.epoch {
+		c.handleDenial(now, call.epoch, a, reply)
 		return
 	}
 	switch call.verb {
@@ -190,27 +190,27 @@
 			c.commitIfStored(now)
 		}
 	case protocol.BeginStepVerb:
-		if r.Failure == "" {
+		if reply.Failure == "" {
 			c.refusals = 0
 			a.nextQuery = now
 			return
 		}
-		c.stepRefused(now, call.stepNumber, r.Failure)
+		c.stepRefused(now, call.stepNumber, reply.Failure)
 	default: // HandleReply has recorded the observations of a status reply
 	}
 }
 
 // handleDenial handles a reply that denies the epoch or reports a higher one.
-func (c *Coordinator) handleDenial(now float64, epoch uint64, a *agent, r protocol.Reply) {
+func (c *Coordinator) handleDenial(now float64, epoch uint64, a *agent, reply protocol.Reply) {
 	a.granted = false
-	if r.LeaseState.Epoch > epoch || r.Denial == lease.StaleEpoch {
+	if reply.LeaseState.Epoch > epoch || reply.Denial == lease.StaleEpoch {
 		// Either another holder has the lease, or its campaign failed and this coordinator must request a higher epoch.
-		c.requestLease(now, max(r.LeaseState.Epoch, epoch)+1, false)
+		c.requestLease(now, max(reply.LeaseState.Epoch, epoch)+1, false)
 		return
 	}
 	// The lease has expired at this agent, or the agent never granted it: the coordinator requests it again.
 	a.nextCommand = now + c.config.Timing.PollSeconds
-	if r.Denial == lease.Expired {
+	if reply.Denial == lease.Expired {
 		c.requestLease(now, epoch+1, false)
 	}
 }
@@ -226,15 +226,15 @@
 
 // recordObservations records an agent's report of its instances. In phaseRunning it ignores the report of an agent that has
 // not granted the epoch. An observation counts as made at the time the call was sent, less the age that the agent reports.
-func (c *Coordinator) recordObservations(call pendingCall, r protocol.Reply) {
+func (c *Coordinator) recordObservations(call pendingCall, reply protocol.Reply) {
 	if c.phase == phaseRunning {
-		underEpoch := r.Denial == lease.Granted && call.epoch == c.campaign.Request.Epoch
+		underEpoch := reply.Denial == lease.Granted && call.epoch == c.campaign.Request.Epoch
 		if !underEpoch {
 			return
 		}
 	}
 	for _, i := range c.instancesByAgent[call.agent] {
-		for _, status := range r.Instances {
+		for _, status := range reply.Instances {
 			if status.Name == c.config.InstanceNames[i] {
 				c.statuses[i] = status
 				c.observations[i] = status.Observation
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -107,13 +107,13 @@
 
 // View returns the state of the rollout at now.
 func (c *Coordinator) View(now float64) View {
-	v := View{Rollout: c.rollout, Instances: c.statuses}
+	view := View{Rollout: c.rollout, Instances: c.statuses}
 	if c.planner != nil {
-		v.Finished = c.planner.FinishedCount(c.observations)
-		v.Serving = c.planner.ServingCount(now, c.observations)
-		v.Epoch = c.campaign.Request.Epoch
+		view.Finished = c.planner.FinishedCount(c.observations)
+		view.Serving = c.planner.ServingCount(now, c.observations)
+		view.Epoch = c.campaign.Request.Epoch
 	}
-	return v
+	return view
 }
 
 // PendingCalls returns the number of calls that have neither a reply nor a failure yet.
@@ -199,10 +199,10 @@
 func (c *Coordinator) operatorRequest() protocol.OperatorRequest {
 	var strongest protocol.OperatorRequest
 	for i := range c.agents {
-		r := c.agents[i].operatorRequest
-		ofThisRun := r.RolloutID == c.rollout.ID && r.Run == c.rollout.Run
-		if ofThisRun && r.Action > strongest.Action {
-			strongest = r
+		request := c.agents[i].operatorRequest
+		ofThisRun := request.RolloutID == c.rollout.ID && request.Run == c.rollout.Run
+		if ofThisRun && request.Action > strongest.Action {
+			strongest = request
 		}
 	}
 	return strongest
--- a/internal/fleet/coordinator/lease.go
+++ b/internal/fleet/coordinator/lease.go
@@ -58,8 +58,8 @@
 
 // requestLease starts a campaign for the lease under an epoch.
 func (c *Coordinator) requestLease(now float64, epoch uint64, takeover bool) {
-	r := lease.Request{Epoch: epoch, Holder: c.config.Holder, Takeover: takeover}
-	c.campaign = lease.NewCampaign(r, len(c.agents))
+	request := lease.Request{Epoch: epoch, Holder: c.config.Holder, Takeover: takeover}
+	c.campaign = lease.NewCampaign(request, len(c.agents))
 	c.storing = nil
 	c.stepToSend = rollout.Step{}
 	for i := range c.observations {
@@ -87,16 +87,16 @@
 func (c *Coordinator) otherHolder() (highestEpoch uint64, holder lease.State, held bool) {
 	reports := map[string]int{}
 	for i := range c.agents {
-		s := c.agents[i].leaseState
-		highestEpoch = max(highestEpoch, s.Epoch)
-		if !s.Held || s.Holder == c.config.Holder {
+		state := c.agents[i].leaseState
+		highestEpoch = max(highestEpoch, state.Epoch)
+		if !state.Held || state.Holder == c.config.Holder {
 			continue
 		}
-		reports[s.Holder]++
-		if s.RemainingSeconds > holder.RemainingSeconds || holder.Holder == "" {
-			holder = s
+		reports[state.Holder]++
+		if state.RemainingSeconds > holder.RemainingSeconds || holder.Holder == "" {
+			holder = state
 		}
-		if reports[s.Holder] >= lease.Majority(len(c.agents)) {
+		if reports[state.Holder] >= lease.Majority(len(c.agents)) {
 			held = true
 		}
 	}
@@ -137,26 +137,26 @@
 	c.lastMajority = now
 	newest := c.campaign.NewestRecord()
 	c.events = append(c.events, Event{At: now, AcquiredEpoch: c.campaign.Request.Epoch, RecordVersion: newest.Version})
-	r, err := decodeRollout(newest)
+	current, err := decodeRollout(newest)
 	if err != nil {
 		c.release(now, Outcome{Kind: OutcomeNoRollout, Reason: rollout.Reason{Detail: err.Error()}})
 		return
 	}
 	if c.planner == nil {
 		var failure *Outcome
-		if r, failure = c.config.startRun(r); failure != nil {
+		if current, failure = c.config.startRun(current); failure != nil {
 			c.release(now, *failure)
 			return
 		}
-	} else if r.ID != c.rollout.ID || r.Run != c.rollout.Run {
-		c.release(now, Outcome{Kind: OutcomeFenced, Rollout: r})
+	} else if current.ID != c.rollout.ID || current.Run != c.rollout.Run {
+		c.release(now, Outcome{Kind: OutcomeFenced, Rollout: current})
 		return
 	}
-	c.planner = rollout.NewPlanner(c.config.Fleet, r.Rollout)
-	c.rollout = r
+	c.planner = rollout.NewPlanner(c.config.Fleet, current.Rollout)
+	c.rollout = current
 	c.recordNumber = 0
 	c.enter(now, phaseRunning)
-	c.storeRollout(now, r, rollout.ActionWait, rollout.Reason{})
+	c.storeRollout(now, current, rollout.ActionWait, rollout.Reason{})
 }
 
 // release starts to release the lease at the agents that granted it. After that the coordinator ends with the outcome, or
--- a/internal/fleet/coordinator/record.go
+++ b/internal/fleet/coordinator/record.go
@@ -27,21 +27,21 @@
 
 // storeDecision starts to store a decision at the agents.
 func (c *Coordinator) storeDecision(now float64, decision rollout.Decision) {
-	r := c.rollout
-	r.Rollout = decision.Rollout
+	updated := c.rollout
+	updated.Rollout = decision.Rollout
 	if operator := c.operatorRequest().Operator; operator != "" && decision.Reason.Kind == rollout.ReasonOperator {
-		r.RequestedBy = operator
+		updated.RequestedBy = operator
 	}
-	c.storeRollout(now, r, decision.Action, decision.Reason)
+	c.storeRollout(now, updated, decision.Action, decision.Reason)
 }
 
 // storeRollout starts to store a rollout at the agents. commitIfStored continues once a majority has stored it.
-func (c *Coordinator) storeRollout(now float64, r protocol.Rollout, action rollout.Action, reason rollout.Reason) {
+func (c *Coordinator) storeRollout(now float64, updated protocol.Rollout, action rollout.Action, reason rollout.Reason) {
 	c.recordNumber++
 	version := lease.Version{Epoch: c.campaign.Request.Epoch, Number: c.recordNumber}
 	c.storing = &pendingRecord{
-		record:  lease.Record{Version: version, Body: protocol.Encode(r)},
-		rollout: r,
+		record:  lease.Record{Version: version, Body: protocol.Encode(updated)},
+		rollout: updated,
 		action:  action,
 		reason:  reason,
 		step:    c.planner.Rollout.CurrentStep,
--- a/internal/fleet/coordinator/run.go
+++ b/internal/fleet/coordinator/run.go
@@ -6,12 +6,12 @@
 )
 
 // startRun returns the rollout with which a run of the task begins, given the stored rollout. If the task cannot run, it
-// returns the outcome that says why.
-func (c *Config) startRun(r protocol.Rollout) (protocol.Rollout, *Outcome) {
+// returns the outcome that holds the reason.
+func (c *Config) startRun(stored protocol.Rollout) (protocol.Rollout, *Outcome) {
 	if c.Task.Operation == OperationBegin {
-		return c.beginRollout(r)
+		return c.beginRollout(stored)
 	}
-	return c.continueRollout(r)
+	return c.continueRollout(stored)
 }
 
 func (c *Config) beginRollout(stored protocol.Rollout) (protocol.Rollout, *Outcome) {
@@ -21,42 +21,42 @@
 	if reason := rollout.CheckFeasible(c.Fleet, c.Task.ExcludedInstances); reason.Kind != rollout.ReasonNone {
 		return stored, &Outcome{Kind: OutcomeInfeasible, Reason: reason}
 	}
-	r := c.Task.Rollout
-	r.State = rollout.Running
-	r.Run = 1
-	r.ExcludedInstances = c.Task.ExcludedInstances
-	return r, nil
+	begun := c.Task.Rollout
+	begun.State = rollout.Running
+	begun.Run = 1
+	begun.ExcludedInstances = c.Task.ExcludedInstances
+	return begun, nil
 }
 
-func (c *Config) continueRollout(r protocol.Rollout) (protocol.Rollout, *Outcome) {
-	ended := r.State.Terminal() && c.Task.Operation != OperationRollback
-	if r.ID == "" || ended {
-		return r, &Outcome{Kind: OutcomeNoRollout, Rollout: r}
+func (c *Config) continueRollout(current protocol.Rollout) (protocol.Rollout, *Outcome) {
+	ended := current.State.Terminal() && c.Task.Operation != OperationRollback
+	if current.ID == "" || ended {
+		return current, &Outcome{Kind: OutcomeNoRollout, Rollout: current}
 	}
-	if r.InstancesDigest != c.Task.FleetDigest {
-		return r, &Outcome{Kind: OutcomeOtherFleet, Rollout: r}
+	if current.InstancesDigest != c.Task.FleetDigest {
+		return current, &Outcome{Kind: OutcomeOtherFleet, Rollout: current}
 	}
-	r.Run++
-	r.StepsNotApplied = 0
+	current.Run++
+	current.StepsNotApplied = 0
 	byOperator := rollout.Reason{Kind: rollout.ReasonOperator}
 	switch c.Task.Operation {
 	case OperationPause:
-		r.State, r.Reason, r.RequestedBy = rollout.Paused, byOperator, c.Task.Operator
-		return r, nil
+		current.State, current.Reason, current.RequestedBy = rollout.Paused, byOperator, c.Task.Operator
+		return current, nil
 	case OperationAbort:
-		r.State, r.Reason, r.RequestedBy = rollout.Aborted, byOperator, c.Task.Operator
-		return r, nil
+		current.State, current.Reason, current.RequestedBy = rollout.Aborted, byOperator, c.Task.Operator
+		return current, nil
 	case OperationRollback:
-		if !r.RollingBack {
-			r.RollingBack, r.RollbackCause = true, byOperator
+		if !current.RollingBack {
+			current.RollingBack, current.RollbackCause = true, byOperator
 		}
-		r.RequestedBy = c.Task.Operator
+		current.RequestedBy = c.Task.Operator
 	case OperationBegin, OperationResume:
 	}
 	if reason := rollout.CheckFeasible(c.Fleet, c.Task.ExcludedInstances); reason.Kind != rollout.ReasonNone {
-		return r, &Outcome{Kind: OutcomeInfeasible, Reason: reason, Rollout: r}
+		return current, &Outcome{Kind: OutcomeInfeasible, Reason: reason, Rollout: current}
 	}
-	r.State = rollout.Running
-	r.ExcludedInstances = c.Task.ExcludedInstances
-	return r, nil
+	current.State = rollout.Running
+	current.ExcludedInstances = c.Task.ExcludedInstances
+	return current, nil
 }
--- a/internal/fleet/rollout/current_step.go
+++ b/internal/fleet/rollout/current_step.go
@@ -14,22 +14,22 @@
 )
 
 // beginStep decides to begin a step of an instance, or to pause if a rollback has no revision to return it to.
-func (p *Planner) beginStep(instance int, o *Observation) Decision {
-	r := p.Rollout
-	r.StepsBegun++
-	r.CommandsBeforeStep = o.RecentCommands
-	r.CurrentStep = Step{
-		RolloutID: r.ID, Number: r.StepsBegun, Instance: instance, Revision: r.Revision, Rollback: r.RollingBack,
-		Restart: r.Restart,
+func (p *Planner) beginStep(instance int, observation *Observation) Decision {
+	rollout := p.Rollout
+	rollout.StepsBegun++
+	rollout.CommandsBeforeStep = observation.RecentCommands
+	rollout.CurrentStep = Step{
+		RolloutID: rollout.ID, Number: rollout.StepsBegun, Instance: instance, Revision: rollout.Revision,
+		Rollback: rollout.RollingBack, Restart: rollout.Restart,
 	}
-	if r.RollingBack {
-		if o.PreviousRevision == "" {
+	if rollout.RollingBack {
+		if observation.PreviousRevision == "" {
 			reason := Reason{Kind: ReasonCannotRollBack, Instance: instance, Detail: "it has no previous revision"}
 			return p.finish(Paused, reason)
 		}
-		r.CurrentStep.Revision = o.PreviousRevision
+		rollout.CurrentStep.Revision = observation.PreviousRevision
 	}
-	return p.decide(ActionBeginStep, r, Reason{})
+	return p.decide(ActionBeginStep, rollout, Reason{})
 }
 
 // continueStep decides what to do about the current step. If the step is completed, it returns true and no decision.
@@ -38,47 +38,47 @@
 	if p.Rollout.excludes(step.Instance) {
 		return Decision{}, true
 	}
-	o := &observations[step.Instance]
+	observation := &observations[step.Instance]
 	timing := &p.Fleet.Timing
-	if !p.known(o, now) {
+	if !p.known(observation, now) {
 		reason := Reason{Kind: ReasonAgentUnreachable, Instance: step.Instance}
 		return p.waitFor(now, reason, timing.ContactTimeoutSeconds), false
 	}
-	begun := o.LastStep.RolloutID == step.RolloutID && o.LastStep.Number == step.Number
+	begun := observation.LastStep.RolloutID == step.RolloutID && observation.LastStep.Number == step.Number
 	if !begun {
-		if o.stepPending() {
+		if observation.stepPending() {
 			reason := Reason{Kind: ReasonInstanceBusy, Instance: step.Instance}
 			return p.waitFor(now, reason, timing.ContactTimeoutSeconds), false
 		}
 		return p.resendStep(now, observations), false
 	}
-	switch o.LastResult {
+	switch observation.LastResult {
 	case StepPending:
 		reason := Reason{Kind: ReasonStepUnresolved, Instance: step.Instance}
 		return p.waitFor(now, reason, timing.StepTimeoutSeconds), false
 	case StepNotApplied:
 		return p.stepNotApplied(), false
 	case StepFailed:
-		reason := Reason{Kind: ReasonStepFailed, Instance: step.Instance, Detail: o.LastFailure}
+		reason := Reason{Kind: ReasonStepFailed, Instance: step.Instance, Detail: observation.LastFailure}
 		return p.rollBackOrPause(reason), false
 	case StepSucceeded:
 	}
-	return p.soak(o)
+	return p.soak(observation)
 }
 
 // stepNotApplied decides to drop the current step, so that the planner can choose the instance again. After
 // maxStepsNotApplied of these in a row the rollout pauses.
 func (p *Planner) stepNotApplied() Decision {
-	r := p.Rollout
-	instance := r.CurrentStep.Instance
-	r.CurrentStep = Step{}
-	r.StepsNotApplied++
-	if r.StepsNotApplied >= maxStepsNotApplied {
-		r.State = Paused
-		r.Reason = Reason{Kind: ReasonStepNeverApplied, Instance: instance, Have: r.StepsNotApplied}
-		return p.decide(ActionFinish, r, r.Reason)
+	rollout := p.Rollout
+	instance := rollout.CurrentStep.Instance
+	rollout.CurrentStep = Step{}
+	rollout.StepsNotApplied++
+	if rollout.StepsNotApplied >= maxStepsNotApplied {
+		rollout.State = Paused
+		rollout.Reason = Reason{Kind: ReasonStepNeverApplied, Instance: instance, Have: rollout.StepsNotApplied}
+		return p.decide(ActionFinish, rollout, rollout.Reason)
 	}
-	return p.decide(ActionCompleteStep, r, Reason{})
+	return p.decide(ActionCompleteStep, rollout, Reason{})
 }
 
 // resendStep decides to send the current step if it is still allowed. The observations on which the step was decided,
@@ -105,19 +105,19 @@
 }
 
 // soak checks that the changed instance serves well for the soak time before the planner changes the next one.
-func (p *Planner) soak(o *Observation) (decision Decision, completed bool) {
+func (p *Planner) soak(observation *Observation) (decision Decision, completed bool) {
 	instance := p.Rollout.CurrentStep.Instance
-	after := o.CommandsSinceStep
+	after := observation.CommandsSinceStep
 	switch {
-	case o.State != ProcessReady:
-		reason := Reason{Kind: ReasonSoakFailed, Instance: instance, Detail: o.State.String()}
+	case observation.State != ProcessReady:
+		reason := Reason{Kind: ReasonSoakFailed, Instance: instance, Detail: observation.State.String()}
 		return p.rollBackOrPause(reason), false
 	case moreUnanswered(p.Rollout.CommandsBeforeStep, after):
 		reason := Reason{
 			Kind: ReasonMoreUnanswered, Instance: instance, Have: int(after.Unanswered), Need: int(after.Completed),
 		}
 		return p.rollBackOrPause(reason), false
-	case o.ReadySeconds < p.Fleet.Timing.SoakSeconds:
+	case observation.ReadySeconds < p.Fleet.Timing.SoakSeconds:
 		return p.wait(Reason{Kind: ReasonNone, Instance: instance}), false
 	}
 	return Decision{}, true
--- a/internal/fleet/rollout/fleet.go
+++ b/internal/fleet/rollout/fleet.go
@@ -32,14 +32,14 @@
 
 // count counts the instances for which include returns true.
 func (f *Fleet) count(include func(instance int) bool) instanceCounts {
-	c := instanceCounts{byZone: make([]int, len(f.ZoneMinAvailable))}
+	counts := instanceCounts{byZone: make([]int, len(f.ZoneMinAvailable))}
 	for i := range f.Instances {
 		if include(i) {
-			c.byZone[f.Instances[i].Zone]++
-			c.total++
+			counts.byZone[f.Instances[i].Zone]++
+			counts.total++
 		}
 	}
-	return c
+	return counts
 }
 
 // CheckFeasible checks whether the minimums allow a step in every zone while all instances except the excluded ones
--- a/internal/fleet/rollout/planner.go
+++ b/internal/fleet/rollout/planner.go
@@ -28,10 +28,10 @@
 		if !completed {
 			return decision
 		}
-		r := p.Rollout
-		r.CurrentStep = Step{}
-		r.StepsNotApplied = 0
-		return p.decide(ActionCompleteStep, r, Reason{})
+		rollout := p.Rollout
+		rollout.CurrentStep = Step{}
+		rollout.StepsNotApplied = 0
+		return p.decide(ActionCompleteStep, rollout, Reason{})
 	}
 	switch request {
 	case RequestNone:
@@ -107,14 +107,14 @@
 // excluded must be known and not in a step.
 func (p *Planner) findBusy(now float64, observations []Observation) Reason {
 	for i := range observations {
-		o := &observations[i]
+		observation := &observations[i]
 		switch {
 		case p.Rollout.excludes(i):
-		case !p.known(o, now):
+		case !p.known(observation, now):
 			return Reason{Kind: ReasonAgentUnreachable, Instance: i}
-		case o.State == ProcessUnknown:
+		case observation.State == ProcessUnknown:
 			return Reason{Kind: ReasonProcessUnknown, Instance: i}
-		case o.stepPending():
+		case observation.stepPending():
 			return Reason{Kind: ReasonInstanceBusy, Instance: i}
 		}
 	}
@@ -184,21 +184,21 @@
 }
 
 func (p *Planner) startRollback(cause Reason) Decision {
-	r := p.Rollout
-	r.RollingBack = true
-	r.RollbackCause = cause
-	r.CurrentStep = Step{}
-	r.StepsNotApplied = 0
-	return p.decide(ActionStartRollback, r, cause)
+	rollout := p.Rollout
+	rollout.RollingBack = true
+	rollout.RollbackCause = cause
+	rollout.CurrentStep = Step{}
+	rollout.StepsNotApplied = 0
+	return p.decide(ActionStartRollback, rollout, cause)
 }
 
 // finish decides to end or pause the rollout. The current step stays in the rollout: the tool that resumes the rollout
 // resolves the step first.
 func (p *Planner) finish(s State, reason Reason) Decision {
-	r := p.Rollout
-	r.State = s
-	r.Reason = reason
-	return p.decide(ActionFinish, r, reason)
+	rollout := p.Rollout
+	rollout.State = s
+	rollout.Reason = reason
+	return p.decide(ActionFinish, rollout, reason)
 }
 
 // decide returns a decision that changes the rollout to r, and ends any wait.
