--- a/internal/drill/rollout_check.go
+++ b/internal/drill/rollout_check.go
@@ -115,7 +115,7 @@
 }
 
 // checkInstances checks that each instance runs the second revision in one process. An instance whose agent stays gone may have
-// no process, since the agent may have told it to end.
+// no process, since the agent may have stopped it.
 func (d *rolloutDrill) checkInstances(ctx context.Context) error {
 	running, err := agent.RunningRouters(d.folder)
 	if err != nil {
--- a/internal/modelcheck/models/rollout.go
+++ b/internal/modelcheck/models/rollout.go
@@ -375,7 +375,7 @@
 	return modelcheck.Kind(b) == "act" || strings.HasPrefix(b, "die agent")
 }
 
-// crashAllowed reports whether a router may crash now: no step is open or on its way, no call is delayed, and a time step, which
+// crashAllowed reports whether a router may crash now: no step is open or being sent, no call is delayed, and a time step, which
 // crashRouter takes, is left. A router that crashes between the plan's last status call and the step may bring its zone below the
 // number of instances that must serve, which no plan can prevent.
 func (r *rolloutSystem) crashAllowed() bool {
@@ -415,7 +415,7 @@
 	switch kind {
 	case "act":
 		r.runNextAction(n)
-	case "die", "back": // the second word of the step says whether an agent or a tool
+	case "die", "back": // the second word of the step is "agent" or "tool"
 		_, _ = fmt.Sscanf(step[strings.LastIndexByte(step, ' ')+1:], "%d", &n)
 		r.killOrRestart(step, n)
 	case "tick":
--- a/internal/modelcheck/models/systems.go
+++ b/internal/modelcheck/models/systems.go
@@ -55,7 +55,7 @@
 	For      sexp.Seconds  `sexp:"for"`       // longest wall time
 	Agents   int           `sexp:"agents"`
 	Tools    int           `sexp:"tools"`
-	Members  int           `sexp:"members"`
+	Members  int           `sexp:"members"` // backends of the system command
 	Routers  int           `sexp:"routers"`
 	Clients  int           `sexp:"clients"`
 	Commands []string      `sexp:"commands"` // command groups, or for the system client the messages of each client
--- a/internal/modelcheck/system.go
+++ b/internal/modelcheck/system.go
@@ -13,7 +13,7 @@
 	Fingerprint(h *Hash)
 	// Broken returns a property that no longer holds and how it is broken. Both are empty if all properties hold.
 	Broken() (property, detail string)
-	// Ended reports whether the system is in an end state, in which everything that it has to bring about has happened.
+	// Ended reports whether the system is in an end state, in which everything that must happen has happened.
 	Ended() bool
 }
 
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -13,8 +13,8 @@
 }
 
 // RandomWalk takes at most the given number of steps and returns the trace to the first violation of a property, either
-// during the walk or while the system settles after it (see Settler). It returns nil if there is none. pick
-// chooses each step, as an index below the number of possible steps n. RandomWalk counts the steps by kind in taken.
+// during the walk or while the system settles after it (see Settler). It returns nil if there is none. pick chooses
+// each step, as an index below the number of possible steps n. RandomWalk counts the steps by kind in taken.
 func RandomWalk(s System, steps int, pick func(n int) int, taken map[string]int) *Trace {
 	var path []string
 	for range steps {
--- a/internal/router/latency.go
+++ b/internal/router/latency.go
@@ -36,8 +36,9 @@
 }
 
 // meanLatency returns an endpoint's mean answer time in seconds. While the endpoint has few answers, the
-// mean leans on that of its shard, which in turn leans on that of the fleet. With low traffic a router
-// has an answer from an endpoint every ten seconds, and from its shard every second.
+// result is close to the mean of its shard, which in turn is close to that of the fleet while the shard has
+// few answers. With low traffic a router has an answer from an endpoint every ten seconds, and from its
+// shard every second.
 func (r *Router) meanLatency(e *endpoint) float64 {
 	s := &r.shards[e.shard]
 	prior := priorWeight * (s.latencySum + priorWeight*r.fleetLatency) / (s.answerCount + priorWeight)
--- a/internal/router/maintenance.go
+++ b/internal/router/maintenance.go
@@ -19,8 +19,7 @@
 	r.nextPollAt = now + backoff*(1+r.random.Float64())/2
 }
 
-// Maintain returns the number of seconds within which it has to be called again, and the work that is due
-// now.
+// Maintain returns the number of seconds within which it must be called again, and the work that is due now.
 func (r *Router) Maintain(now float64) (float64, Maintenance) {
 	var due Maintenance
 	if r.config.PollList && !r.subscribed && now >= r.nextPollAt {
